--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -11,21 +11,22 @@
 // history feeds one router a seeded, adversarial but legal history and checks the five rules and the
 // contract of the interface on every action. It knows no service times and gives no scores.
 type history struct {
-	rnd    *rand.Rand
-	set    Settings
-	b      *Balancer
-	now    Nanos
-	next   int
-	nodes  []*seenNode
-	open   map[string]*seenRequest
-	order  []string
-	gone   []*seenRequest // left in this batch: the router may have answered before it read that
-	timers []Event
-	due    []Nanos
-	commit map[string]Nanos
-	fresh  map[string]Nanos
-	trace  []string
-	fault  string
+	rnd     *rand.Rand
+	set     Settings
+	b       *Balancer
+	now     Nanos
+	next    int
+	nodes   []*seenNode
+	open    map[string]*seenRequest
+	order   []string
+	gone    []*seenRequest // left in this batch: the router may have answered before it read that
+	timers  []Event
+	due     []Nanos
+	commit  map[string]Nanos
+	fresh   map[string]Nanos
+	trace   []string
+	observe func([]Action) // for the replay
+	fault   string
 }
 
 type seenNode struct {
@@ -305,6 +306,9 @@
 		}
 	}
 	acts := h.b.Step(h.now, events)
+	if h.observe != nil {
+		h.observe(acts)
+	}
 	h.trace = append(h.trace, fmt.Sprint(acts))
 	for _, a := range acts {
 		h.check(a)
--- /dev/null
+++ b/decide/contract/replay_test.go
@@ -0,0 +1,69 @@
+package contract_test
+
+import (
+	"net/netip"
+	"testing"
+
+	"lotushook/decide/contract"
+	"lotushook/internal/replaytest"
+)
+
+func replaySettings() contract.Settings {
+	limits := []contract.Limit{{PerS: 20, Burst: 10}, {PerS: 5, Burst: 5}}
+	return contract.Settings{
+		Teams: []contract.Team{
+			{Name: "r-0", Worth: 1, Users: []string{"r-0"}, Limits: limits, PrimaryShare: 0.3, Open: 20, Retry: 0.2},
+			{Name: "r-1", Worth: 3, Users: []string{"r-1", "r-2"}, Limits: limits,
+				Hours: []contract.Hours{{From: 3600, To: 90000, Times: 2}}},
+			{Name: "r-2", Worth: 1, Addresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/24")},
+				Limits: []contract.Limit{{PerS: 50, Burst: 50}, {}}},
+		},
+		Classes: []contract.Class{
+			{Name: "read", Aim: 1e8, Worth: 1, Cost: 1},
+			{Name: "write", Aim: 3e8, Window: 10e9, Primary: true, Worth: 2, Cost: 3},
+		},
+		None: "r-2", Ambiguous: "first", Said: true, Instances: 3, Skew: 0.5, PrimaryPerS: 100,
+		High: 0.35, Low: 0.25, Keys: 50, Shares: 20, LongBack: 3e9,
+	}
+}
+
+func TestReplay(t *testing.T) {
+	digest := replaytest.NewDigest()
+	for seed := range uint64(8) {
+		book, err := contract.New(replaySettings(), seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		type taken struct {
+			request contract.Request
+			after   bool
+		}
+		var open []taken
+		driver := replaytest.NewDriver(seed, digest)
+		ask := func(request contract.Request, now int64) contract.Verdict {
+			request.Team, request.Class = request.Team%3, request.Class%2
+			request.Group = int64(driver.IntN(3))
+			request.Until = now + 1e9
+			verdict := book.Ask(request, now)
+			if verdict.Reason.Taken() && !verdict.Hold {
+				open = append(open, taken{request, verdict.After})
+			}
+			return verdict
+		}
+		ended := func(end contract.End, now int64) {
+			if len(open) == 0 {
+				return
+			}
+			i := driver.IntN(len(open))
+			end.Took = int64(driver.IntN(4e8))
+			book.Ended(open[i].request, open[i].after, end, now)
+			open = append(open[:i], open[i+1:]...)
+		}
+		load := func(group uint8, mine, all int) { book.Load(int64(group%3), mine, mine+all) }
+		window := func(group uint8, primary bool) float64 { return book.Window(int64(group%3), primary) }
+		part := func(group uint8) float64 { return book.Part(int64(group % 3)) }
+		driver.Run(1500, ask, ask, ask, ask, ended, ended, ended, load, book.Match, book.Named, book.Due,
+			book.Drop, book.Waiting, window, part, book.Size)
+	}
+	digest.Check(t, "d29fa2a47fca95e5/27297")
+}
--- /dev/null
+++ b/decide/hall/replay_test.go
@@ -0,0 +1,24 @@
+package hall_test
+
+import (
+	"testing"
+
+	"lotushook/decide/hall"
+	"lotushook/internal/replaytest"
+)
+
+func TestReplay(t *testing.T) {
+	digest := replaytest.NewDigest()
+	for seed := range uint64(8) {
+		halls, err := hall.New(hall.Settings{Servers: 2 + int(seed%3), Pause: 1e9, MaxPause: 8e9})
+		if err != nil {
+			t.Fatal(err)
+		}
+		driver := replaytest.NewDriver(seed, digest)
+		silent := func(name string, server uint32, now int64, age uint8) {
+			halls.Silent(name, server, now-int64(age)*1e7, now)
+		}
+		driver.Run(400, halls.Answered, silent, silent, silent, halls.Dark, halls.Try, halls.Size)
+	}
+	digest.Check(t, "ef1ea77c18712301/1432")
+}
--- /dev/null
+++ b/decide/part/replay_test.go
@@ -0,0 +1,33 @@
+package part_test
+
+import (
+	"testing"
+
+	"lotushook/decide/part"
+	"lotushook/internal/replaytest"
+)
+
+func TestReplay(t *testing.T) {
+	digest := replaytest.NewDigest()
+	names := []string{"r-0", "r-1", "r-2", "r-3", "r-4"}
+	for seed := range uint64(8) {
+		driver := replaytest.NewDriver(seed, digest)
+		parts, err := part.New(part.Settings{Names: names, Self: "r-0", Term: 2e9, Alone: 0.5}, driver.Now)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var told []part.Row
+		answer := func(now int64, name string, boot uint64, address string, dead func(string) bool) part.Row {
+			row := parts.Answer(now, name, boot, address, dead)
+			told = append(told, row)
+			return row
+		}
+		heard := func(now int64, from string, which uint8) {
+			if len(told) > 0 {
+				parts.Heard(now, from, told[len(told)-1-int(which)%min(len(told), 4)])
+			}
+		}
+		driver.Run(600, answer, heard, heard, heard, parts.Force)
+	}
+	digest.Check(t, "10888bc03412269e/8515")
+}
--- /dev/null
+++ b/decide/recovery/replay_test.go
@@ -0,0 +1,40 @@
+package recovery_test
+
+import (
+	"testing"
+
+	"lotushook/decide/recovery"
+	"lotushook/internal/replaytest"
+)
+
+func TestReplay(t *testing.T) {
+	digest := replaytest.NewDigest()
+	for seed := range uint64(8) {
+		driver := replaytest.NewDriver(seed, digest)
+		settings := recovery.Usual("r-0", seed, 4)
+		settings.Feeders, settings.Fellows, settings.Lanes = seed%2 == 0, seed%3 == 0, 2
+		settings.Bounds = [recovery.Serving]recovery.Nanos{2e9, 2e9, 3e9, 10e9}
+		state, err := recovery.New(settings, driver.Now)
+		if err != nil {
+			t.Fatal(err)
+		}
+		seen := func(now int64, peers []recovery.Peer) { state.Seen(now, peers) }
+		allow := func(now int64, kind uint8) (recovery.Nanos, recovery.Reason) {
+			return state.Allow(now, recovery.Kind(kind)%recovery.Kinds, 2e8)
+		}
+		send := func(now int64, attempt recovery.Attempt) recovery.Reason {
+			attempt.Until = now + int64(driver.IntN(1e9))
+			return state.Send(now, attempt)
+		}
+		ended := func(now int64, attempt recovery.Attempt, done bool) {
+			state.Ended(now, attempt, done, int64(driver.IntN(1e8)))
+		}
+		later := func(now int64, tenant, session string, lane int) recovery.Nanos {
+			return state.Return(now, tenant, session, lane%2)
+		}
+		driver.Run(40, seen, state.Tick, send, allow)
+		driver.Run(1500, seen, allow, allow, send, send, send, ended, ended, state.Tick, state.Tick, later,
+			state.Listed, state.Fed, state.FeedLost, state.Stage, state.Report, state.Part)
+	}
+	digest.Check(t, "0d2b5aa62fa39a7c/13273")
+}
--- /dev/null
+++ b/internal/peer/wireformat_test.go
@@ -0,0 +1,47 @@
+package peer
+
+import (
+	"bytes"
+	"encoding/hex"
+	"testing"
+
+	"lotushook/decide/member"
+	"lotushook/decide/part"
+	"lotushook/decide/shared"
+)
+
+// What travels between routers of one version stays the same byte for byte, whatever the code calls it.
+func TestWireFormat(t *testing.T) {
+	message := &member.Message{Kind: member.Ack, From: "n1", Address: "127.0.0.1:7001", Boot: 3, To: "127.0.0.1:7002", Seq: 4, Target: "n2",
+		TargetAddress: "127.0.0.1:7003", Deaf: true,
+		News: []member.Update{{Name: "n3", Address: "127.0.0.1:7004", Boot: 5, Incarnation: 6, State: member.Suspect, By: "n4"}},
+		Row:  &part.Row{List: 7, Grant: true, Gone: []byte{1, 2}}}
+	e := &shared.Entry{Kind: shared.Cursor, A: "feed", B: "subscriber", Born: 8, At: 9, Acked: 10, Count: 11, Server: "s1",
+		From: shared.Origin{Name: "n5", Boot: 12}, Seq: 13, Age: 14}
+	for name, sent := range map[string]struct {
+		envelope *envelope
+		recorded string
+	}{
+		"membership": {&envelope{Cluster: "x", From: "n1", Address: "127.0.0.1:7001", Session: 1, To: 2, Count: 3, Body: wrap(message)},
+			"6c6802e509d5747b1a2ba1836eead5b1f70444a701617802626e31036e3132372e302e302e313a3730303104010502060307a801030203030404626e32056e3132372e302e302e313a3730303306f5078186626e336e3132372e302e302e313a37303034050602626e34088307f5420102"},
+		"state": {&envelope{Cluster: "x", From: "n1", Address: "127.0.0.1:7001", Session: 1, To: 2, Count: 4, State: &state{
+			Push:  &push{Number: 1, Pass: 1, Entries: []entry{wire(e)}},
+			Acks:  []ack{{Number: 2, Lacks: []byte{3}}},
+			Want:  &want{First: 1, Digests: []uint64{2}, Origins: []origin{{Name: "n5", Boot: 12}}, Upto: [][]uint64{{3}}, Hungry: true},
+			Feed:  &feed{First: 1, Shards: 2, Runs: []run{{Shard: 3, Name: "n5", Boot: 12, After: 4, Upto: 5, Entries: []entry{wire(e)}}}, Sum: 6, More: true, WaitMS: 7},
+			Check: []entry{wire(e)}}},
+			"6c6802f039026857663ba6fc276259f41ddafba701617802626e31036e3132372e302e302e313a3730303104010502060408a50b830101818c0764666565646a7375627363726962657208090b627331626e350c0d0e0a0c81820241030d850181028182626e350c818103f50e860102818603626e350c0405818c0764666565646a7375627363726962657208090b627331626e350c0d0e0a06f5070f818c0764666565646a7375627363726962657208090b627331626e350c0d0e0a"},
+	} {
+		key := bytes.Repeat([]byte{1}, 32)
+		raw, err := seal(sent.envelope, key)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := hex.EncodeToString(raw); got != sent.recorded {
+			t.Errorf("%s: %s, recorded %s", name, got, sent.recorded)
+		}
+		if _, err := open(raw, [][]byte{key}); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
