--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -60,6 +60,7 @@
 	slots  chan struct{} // bounds what is pipelined
 	skip   bool          // the reader's: after an error in an extended query, up to the next Sync
 	faults int           // the reader's: unusable queries in a row
+	heard  arrivals      // the reader's: when what it reads had come
 
 	seat   *feed.Seat   // the reader's: of one that has asked for a feed
 	id     admission.ID // at the door
@@ -235,7 +236,9 @@
 		c.halfAt = time.Now()
 	}
 	c.mu.Unlock()
+	began := c.router.clock.now()
 	err := c.in.Fill(c.conn)
+	c.heard.read(began, c.router.clock.now())
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
@@ -395,7 +398,7 @@
 
 // query starts the task of one request.
 func (c *client) query(tasks *sync.WaitGroup, body []byte) error {
-	came := c.router.clock.now()
+	came := c.heard.by
 	text, err := pgwire.QueryText(body)
 	if err != nil {
 		return err
