--- a/cmd/lotushook/elf_test.go
+++ b/cmd/router/elf_test.go
@@ -27,7 +27,7 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	f, err := elf.Open(filepath.Join(dir, "lotushook"))
+	f, err := elf.Open(filepath.Join(dir, "router"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lotushook/main.go
+++ b/cmd/router/main.go
@@ -15,10 +15,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lotushook/internal/config"
-	"lotushook/internal/remedy"
+	"lotushook/internal/operr"
+	"lotushook/internal/platformconfig"
 	"lotushook/internal/router"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
 )
 
 // version is the release; CHANGELOG.md tells what is in it.
@@ -35,7 +35,7 @@
 	// A wrong flag is one line, without the help.
 	usage := func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
 	return &cli.Command{
-		Name:  "lotushook",
+		Name:  "router",
 		Usage: "route reads and writes across replicated database groups",
 		Commands: []*cli.Command{
 			{Name: "serve", Usage: "run the router that the NODE_* variables describe", Action: serve, OnUsageError: usage,
@@ -74,11 +74,11 @@
 }
 
 // load reads the installation's own settings; without a file nothing is switched on.
-func load(path string) (*setup.Setup, error) {
+func load(path string) (*siteconfig.Setup, error) {
 	if path == "" {
-		return &setup.Setup{}, nil
+		return &siteconfig.Setup{}, nil
 	}
-	return setup.Load(path)
+	return siteconfig.Load(path)
 }
 
 func check(_ context.Context, c *cli.Command) error {
@@ -92,7 +92,7 @@
 	}
 	says := path + ": valid"
 	if file != "" {
-		conf, err := config.Check(file)
+		conf, err := platformconfig.Check(file)
 		if err != nil {
 			return err
 		}
@@ -119,7 +119,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	conf, err := config.Load(os.Getenv)
+	conf, err := platformconfig.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 // invalid, nothing changes.
 func reload(r *router.Router, path string, hup <-chan os.Signal) {
 	for range hup {
-		conf, err := config.Reload(os.Getenv)
-		var mine *setup.Setup
+		conf, err := platformconfig.Reload(os.Getenv)
+		var mine *siteconfig.Setup
 		if err == nil {
 			mine, err = load(path)
 		}
@@ -152,7 +152,7 @@
 			err = r.Reload(conf, mine)
 		}
 		if err != nil {
-			slog.Error("not reloaded", remedy.Attrs(err)...)
+			slog.Error("not reloaded", operr.Attrs(err)...)
 		}
 	}
 }
--- a/cmd/lotushook/main_test.go
+++ b/cmd/router/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
+	"lotushook/internal/nettest"
 )
 
 // program is the built command, which these tests start as the platform does.
@@ -22,7 +22,7 @@
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "lotushook")
 	if err == nil {
-		program = filepath.Join(dir, "lotushook")
+		program = filepath.Join(dir, "router")
 		var out []byte
 		if out, err = exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
@@ -41,16 +41,16 @@
 const emptyList = `{"seq":1,"whole":true,"hosts":[]}`
 
 func TestCommandLine(t *testing.T) {
-	own := scenario.File(t, `{"admission":{"per_address":40,"reserve":[{"name":"counters","users":["c"],"connections":40}]}}`)
-	slip := scenario.File(t, `{"admission":{"per_adress":40}}`)
-	greedy := scenario.File(t, `{"admission":{"reserve":[{"name":"counters","users":["c"],"connections":4000}]}}`)
+	own := nettest.File(t, `{"admission":{"per_address":40,"reserve":[{"name":"counters","users":["c"],"connections":40}]}}`)
+	slip := nettest.File(t, `{"admission":{"per_adress":40}}`)
+	greedy := nettest.File(t, `{"admission":{"reserve":[{"name":"counters","users":["c"],"connections":4000}]}}`)
 	fellows := `{"members":{"cluster":"x","key_file":"/nowhere/keys","routers":{"n0":{"listen":"127.0.0.1:0"}}}}`
-	keyless := scenario.File(t, fellows)
-	crowded := scenario.File(t, strings.Replace(fellows, `}}}}`, `},"n1":{"listen":"127.0.0.2:0"}}}}`, 1))
-	stranger := scenario.File(t, strings.Replace(fellows, "n0", "n9", 1))
-	good := scenario.File(t, scenario.Config("127.0.0.1:0", "127.0.0.1:1", emptyList))
-	torn := scenario.File(t, "\n{\n\n\"name\": \n")
-	bad := scenario.File(t, strings.Replace(scenario.Config("127.0.0.1:0", "127.0.0.1:1", emptyList), "mutate", "mutant", 1))
+	keyless := nettest.File(t, fellows)
+	crowded := nettest.File(t, strings.Replace(fellows, `}}}}`, `},"n1":{"listen":"127.0.0.2:0"}}}}`, 1))
+	stranger := nettest.File(t, strings.Replace(fellows, "n0", "n9", 1))
+	good := nettest.File(t, nettest.Config("127.0.0.1:0", "127.0.0.1:1", emptyList))
+	torn := nettest.File(t, "\n{\n\n\"name\": \n")
+	bad := nettest.File(t, strings.Replace(nettest.Config("127.0.0.1:0", "127.0.0.1:1", emptyList), "mutate", "mutant", 1))
 	for _, c := range []struct {
 		args, config string
 		code         int
@@ -99,23 +99,23 @@
 
 // start runs the program against the stage's agent and s1, and tells where its
 // configuration is; clients are named c.
-func start(t *testing.T) (*scenario.Stage, *exec.Cmd, string) {
+func start(t *testing.T) (*nettest.Stage, *exec.Cmd, string) {
 	t.Helper()
 	return startAs(t, program, "serve")
 }
 
 // startAs is start by some command line.
-func startAs(t *testing.T, line ...string) (*scenario.Stage, *exec.Cmd, string) {
+func startAs(t *testing.T, line ...string) (*nettest.Stage, *exec.Cmd, string) {
 	t.Helper()
 	return startWith(t, func(config string) string { return config }, line...)
 }
 
 // startWith is startAs with another configuration.
-func startWith(t *testing.T, other func(config string) string, line ...string) (*scenario.Stage, *exec.Cmd, string) {
+func startWith(t *testing.T, other func(config string) string, line ...string) (*nettest.Stage, *exec.Cmd, string) {
 	t.Helper()
-	s := scenario.New(t, "s1", "s2", "agent", "next")
-	known := scenario.List(1, "h-1 "+s.Addr("s1")+" 1 SERVING")
-	file := scenario.File(t, other(scenario.Config("127.0.0.9:1", "127.0.0.9:2", known)))
+	s := nettest.New(t, "s1", "s2", "agent", "next")
+	known := nettest.List(1, "h-1 "+s.Addr("s1")+" 1 SERVING")
+	file := nettest.File(t, other(nettest.Config("127.0.0.9:1", "127.0.0.9:2", known)))
 	cmd := exec.Command(line[0], line[1:]...)
 	cmd.Env = append(os.Environ(), "NODE_NAME=n3", "NODE_LISTEN=127.0.0.1:0", "NODE_DISCOVERY="+s.Addr("agent"),
 		"NODE_CONFIG="+file)
@@ -150,7 +150,7 @@
 // end while requests are in flight, each of these still gets its one answer, who
 // comes hears why, and once there is room again all is as before.
 func TestOutOfDescriptors(t *testing.T) {
-	own := scenario.File(t, `{"admission":{"green_ms":3600000,"spare_ms":3600000,"crowd_share":0,"linger_ms":1}}`)
+	own := nettest.File(t, `{"admission":{"green_ms":3600000,"spare_ms":3600000,"crowd_share":0,"linger_ms":1}}`)
 	s, cmd, _ := startAs(t, "sh", "-c", "ulimit -n 40 && exec "+program+" serve --settings "+own)
 	const open = 4
 	for i := range open {
@@ -190,7 +190,7 @@
 
 // On SIGHUP limits change; settings that are wrong change nothing, and all goes on.
 func TestReloadSettings(t *testing.T) {
-	own := scenario.File(t, `{"admission":{"per_address":2}}`)
+	own := nettest.File(t, `{"admission":{"per_address":2}}`)
 	s, cmd, _ := startAs(t, program, "serve", "--settings", own)
 	hup := func(text string) {
 		t.Helper()
@@ -235,12 +235,12 @@
 		send s1 T | D "\x00\xff" | C | S rank=source | Z
 		expect c1 T | D "\x00\xff" | C | Z`)
 	tell := s.Agent("agent")
-	tell(2, scenario.List(2, "h-1 {s1} 1 DRAINING"))
+	tell(2, nettest.List(2, "h-1 {s1} 1 DRAINING"))
 	s.Play(`
 		expect s1 EOF
 		send c2 startup
 		expect c2 welcome`)
-	tell(3, scenario.List(3, "h-1 {s1} 1 SERVING"))
+	tell(3, nettest.List(3, "h-1 {s1} 1 SERVING"))
 	s.Play(`
 		send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ INSERT"
 		wait s1
@@ -277,7 +277,7 @@
 		wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"`)
 	hup("{")
-	hup(scenario.Config("127.0.0.9:1", s.Addr("next"), emptyList))
+	hup(nettest.Config("127.0.0.9:1", s.Addr("next"), emptyList))
 	s.Play(`
 		wait next
 		expect next line "GET /v1/endpoints HTTP/1.1"
@@ -292,16 +292,16 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z`)
-	s.Agent("next")(2, scenario.List(2, "h-1 {s1} 1 DRAINING"))
+	s.Agent("next")(2, nettest.List(2, "h-1 {s1} 1 DRAINING"))
 	s.Play(`expect s1 EOF`)
 }
 
 // Two routers can't listen on one address: the second says so and ends.
 func TestAddressTaken(t *testing.T) {
-	s := scenario.New(t, "taken")
+	s := nettest.New(t, "taken")
 	cmd := exec.Command(program, "serve")
 	cmd.Env = append(os.Environ(), "NODE_LISTEN="+s.Addr("taken"),
-		"NODE_CONFIG="+scenario.File(t, scenario.Config("127.0.0.9:1", "127.0.0.1:1", emptyList)))
+		"NODE_CONFIG="+nettest.File(t, nettest.Config("127.0.0.9:1", "127.0.0.1:1", emptyList)))
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "address already in use") {
 		t.Errorf("%v: %s", err, out)
@@ -327,7 +327,7 @@
 		err = cmd.Process.Signal(syscall.SIGTERM)
 	}
 	if err == nil {
-		_, err = config.WriteString(scenario.Config("127.0.0.1:0", "127.0.0.1:1", emptyList))
+		_, err = config.WriteString(nettest.Config("127.0.0.1:0", "127.0.0.1:1", emptyList))
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -357,7 +357,7 @@
 	}
 	tell(syscall.SIGTERM)
 	s.Play(`expect c2 EOF`)
-	if err := os.WriteFile(file, []byte(scenario.Config("127.0.0.9:1", s.Addr("next"), emptyList)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(nettest.Config("127.0.0.9:1", s.Addr("next"), emptyList)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tell(syscall.SIGHUP)
@@ -377,7 +377,7 @@
 // discovery says on its return is taken, and the program never holds more descriptors than it may.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	const most = 64
-	own := scenario.File(t, `{"admission":{"shared":["0.0.0.0/0"]}}`)
+	own := nettest.File(t, `{"admission":{"shared":["0.0.0.0/0"]}}`)
 	for _, line := range [][]string{{program, "serve"}, {program, "serve", "--settings", own}} {
 		t.Run(fmt.Sprint(len(line)), func(t *testing.T) {
 			s, cmd, _ := startWith(t, func(config string) string {
@@ -420,7 +420,7 @@
 				send s1 T | D "v" | C | S rank=copy | Z
 				expect {first} T | D "v" | C | Z`)
 			fill()
-			s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+			s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 			s.Play(`expect s1 EOF`)
 			s.Set("last", enter(`Q "/* id=02,c=read,d=20000,cluster=1 */ A"`, "welcome"))
 			s.Play(`
--- a/cmd/lotusctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -14,14 +14,14 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/urfave/cli/v3"
 
-	"lotushook/decide/contract"
-	"lotushook/internal/accounts"
-	"lotushook/internal/control"
-	"lotushook/internal/setup"
+	"lotushook/internal/accounting"
+	"lotushook/internal/admin"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/contract"
 )
 
 // contractsOf reads the contracts of a settings file, as JSON or Jsonnet.
-func contractsOf(path string) (*setup.Contracts, contract.Settings, error) {
+func contractsOf(path string) (*siteconfig.Contracts, contract.Settings, error) {
 	var none contract.Settings
 	if strings.HasSuffix(path, ".jsonnet") {
 		text, err := render(path)
@@ -39,7 +39,7 @@
 		}
 		path = f.Name()
 	}
-	s, err := setup.Load(path)
+	s, err := siteconfig.Load(path)
 	if err != nil {
 		return nil, none, err
 	}
@@ -122,8 +122,8 @@
 	if c.Args().Len() != 1 {
 		return errors.New("accounts takes the socket that the router's settings name")
 	}
-	var rows []accounts.Row
-	if err := control.Ask(c.Args().First(), "accounts", &rows); err != nil {
+	var rows []accounting.Row
+	if err := admin.Ask(c.Args().First(), "accounts", &rows); err != nil {
 		return err
 	}
 	if c.Bool("metrics") {
@@ -143,7 +143,7 @@
 }
 
 // metrics writes rows in the text format that Prometheus reads.
-func metrics(out io.Writer, rows []accounts.Row) error {
+func metrics(out io.Writer, rows []accounting.Row) error {
 	reg := prometheus.NewRegistry()
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		v := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "lotushook", Name: name, Help: help}, append([]string{"team", "class"}, labels...))
--- a/cmd/lotusctl/fleet.go
+++ b/cmd/routerctl/fleet.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lotushook/internal/fleet"
+	"lotushook/internal/fleetreport"
 )
 
 const mostRows = 25 // of data servers and of outliers: those that stand out most
@@ -27,7 +27,7 @@
 	if c.Args().Len() != 1 {
 		return errors.New("fleet takes one folder of logs")
 	}
-	f, err := fleet.Read(c.Args().First(), fleet.Options{Span: c.Duration("span"), Request: c.String("request")})
+	f, err := fleetreport.Read(c.Args().First(), fleetreport.Options{Span: c.Duration("span"), Request: c.String("request")})
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	return n
 }
 
-func sums(out io.Writer, f *fleet.Fleet) {
+func sums(out io.Writer, f *fleetreport.Fleet) {
 	sum := f.Sum()
 	fmt.Fprint(out, "\ncount\tall\ta router\n")
 	for _, key := range slices.Sorted(maps.Keys(sum)) {
@@ -71,7 +71,7 @@
 	}
 }
 
-func overTime(out io.Writer, f *fleet.Fleet) {
+func overTime(out io.Writer, f *fleetreport.Fleet) {
 	fmt.Fprintf(out, "\nfrom\t%s\n", strings.Join(columns, "\t"))
 	for _, at := range f.Spans() {
 		fmt.Fprint(out, time.Unix(0, at*int64(f.Span)).UTC().Format("15:04:05"))
@@ -82,7 +82,7 @@
 	}
 }
 
-func servers(out io.Writer, f *fleet.Fleet) {
+func servers(out io.Writer, f *fleetreport.Fleet) {
 	fmt.Fprint(out, "\ndata server\trouters\tdone\tmiss\tbusy\tfailed\tlost\tunsent\n")
 	bad := func(host string) int64 { s := f.Servers[host]; return s.Busy + s.Failed + s.Lost + s.Unsent }
 	hosts := slices.SortedFunc(maps.Keys(f.Servers), func(x, y string) int {
@@ -97,7 +97,7 @@
 	}
 }
 
-func outliers(out io.Writer, f *fleet.Fleet) {
+func outliers(out io.Writer, f *fleetreport.Fleet) {
 	all := f.Outliers()
 	if len(all) == 0 {
 		return
@@ -108,12 +108,12 @@
 	}
 }
 
-func ends(out io.Writer, f *fleet.Fleet) {
+func ends(out io.Writer, f *fleetreport.Fleet) {
 	if len(f.Ends) == 0 {
 		return
 	}
 	fmt.Fprint(out, "\nclass\tend\twhy\trequests\n")
-	for _, e := range slices.SortedFunc(maps.Keys(f.Ends), func(x, y fleet.End) int { return cmp.Compare(f.Ends[y], f.Ends[x]) }) {
+	for _, e := range slices.SortedFunc(maps.Keys(f.Ends), func(x, y fleetreport.End) int { return cmp.Compare(f.Ends[y], f.Ends[x]) }) {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%d\n", e.Class, e.End, e.Why, f.Ends[e])
 	}
 }
--- a/cmd/lotusctl/main.go
+++ b/cmd/routerctl/main.go
@@ -1,4 +1,4 @@
-// Command lotusctl is the operators' tool: it renders settings, checks what is
+// Command routerctl is the operators' tool: it renders settings, checks what is
 // committed, and runs experiments against routers on this machine.
 package main
 
@@ -16,7 +16,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lotushook/internal/lab"
+	"lotushook/internal/experiment"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := command().Run(ctx, os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "lotusctl:", err)
+		fmt.Fprintln(os.Stderr, "routerctl:", err)
 		os.Exit(1)
 	}
 }
@@ -35,11 +35,11 @@
 	seed := &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what is drawn follows from it"}
 	router := &cli.StringFlag{Name: "router", Usage: "the router's program; none: lotushook beside this one"}
 	return &cli.Command{
-		Name:         "lotusctl",
+		Name:         "routerctl",
 		Usage:        "render settings and run experiments for lotushook routers",
 		OnUsageError: usage,
 		Action: func(_ context.Context, c *cli.Command) error {
-			return fmt.Errorf("no such command %q; see lotusctl help", c.Args().First())
+			return fmt.Errorf("no such command %q; see routerctl help", c.Args().First())
 		},
 		Commands: []*cli.Command{
 			{Name: "render", Usage: "render Jsonnet files to the JSON beside them", ArgsUsage: "FILE.jsonnet...", OnUsageError: usage, Action: renderAll,
@@ -64,7 +64,7 @@
 						if err != nil {
 							return err
 						}
-						return experiment(ctx, c, []byte(text))
+						return runExperiment(ctx, c, []byte(text))
 					}},
 				{Name: "report", Usage: "set runs of one experiment side by side", ArgsUsage: "DIR...", OnUsageError: usage, Action: report,
 					Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "the folder for tables and charts; none: tables on standard output"}}},
@@ -74,16 +74,16 @@
 						if err != nil {
 							return err
 						}
-						return experiment(ctx, c, []byte(text))
+						return runExperiment(ctx, c, []byte(text))
 					}},
 			}},
 		},
 	}
 }
 
-// experiment runs one and writes what it showed.
-func experiment(ctx context.Context, c *cli.Command, text []byte) error {
-	e, err := lab.Parse(text)
+// runExperiment runs one and writes what it showed.
+func runExperiment(ctx context.Context, c *cli.Command, text []byte) error {
+	e, err := experiment.Parse(text)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		build = filepath.Join(filepath.Dir(self), "lotushook")
+		build = filepath.Join(filepath.Dir(self), "router")
 	}
 	if _, err := os.Stat(build); err != nil {
 		return fmt.Errorf("the router's program: %w", err)
@@ -105,7 +105,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	o := lab.Options{Seed: c.Uint64("seed"), Dir: dir, Build: build}
+	o := experiment.Options{Seed: c.Uint64("seed"), Dir: dir, Build: build}
 	if st, err := os.Stderr.Stat(); err == nil && st.Mode()&os.ModeCharDevice != 0 {
 		o.Tell = func(arm string, done, whole time.Duration) {
 			n := int(30 * done / max(whole, 1))
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	res, err := lab.Run(ctx, e, o)
+	res, err := experiment.Run(ctx, e, o)
 	if err != nil {
 		return err
 	}
--- a/cmd/lotusctl/main_test.go
+++ b/cmd/routerctl/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"lotushook/internal/lab"
+	"lotushook/internal/experiment"
 )
 
 // bin has the built programs, which these tests start.
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) {
 	code := 1
-	dir, err := os.MkdirTemp("", "lotusctl")
+	dir, err := os.MkdirTemp("", "routerctl")
 	if err == nil {
 		bin = dir
 		var out []byte
@@ -36,7 +36,7 @@
 
 func ctl(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(bin, "lotusctl"), args...)
+	cmd := exec.Command(filepath.Join(bin, "routerctl"), args...)
 	var o, e bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &o, &e
 	cmd.Run()
@@ -91,7 +91,7 @@
 			t.Error(err)
 			continue
 		}
-		if _, err := lab.Parse([]byte(text)); err != nil {
+		if _, err := experiment.Parse([]byte(text)); err != nil {
 			t.Errorf("%s: %v", f, err)
 		}
 		if own, err := renderOwn("lab/" + filepath.Base(f)); err != nil || own != text {
@@ -149,7 +149,7 @@
 	} {
 		_, errs, code := ctl(t, strings.Fields(c.args)...)
 		if code != 1 || !strings.Contains(errs, c.says) || strings.Count(errs, "\n") != 1 {
-			t.Errorf("lotusctl %s: code %d, %q", c.args, code, errs)
+			t.Errorf("routerctl %s: code %d, %q", c.args, code, errs)
 		}
 	}
 }
--- a/cmd/lotusctl/render.go
+++ b/cmd/routerctl/render.go
@@ -71,7 +71,7 @@
 				return err
 			}
 			if string(old) != text {
-				return fmt.Errorf("%s.json is not what %s renders to: lotusctl render %s", base, path, path)
+				return fmt.Errorf("%s.json is not what %s renders to: routerctl render %s", base, path, path)
 			}
 			continue
 		}
--- a/cmd/lotusctl/report.go
+++ b/cmd/routerctl/report.go
@@ -9,7 +9,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lotushook/internal/lab"
+	"lotushook/internal/experiment"
 )
 
 // report sets the results of several runs side by side.
@@ -17,15 +17,15 @@
 	if !c.Args().Present() {
 		return errors.New("lab report takes the folders of one run or more")
 	}
-	var runs []*lab.Result
+	var runs []*experiment.Result
 	for _, dir := range c.Args().Slice() {
-		r, err := lab.Read(filepath.Join(dir, "result.json"))
+		r, err := experiment.Read(filepath.Join(dir, "result.json"))
 		if err != nil {
 			return err
 		}
 		runs = append(runs, r)
 	}
-	text, err := lab.Compare(runs)
+	text, err := experiment.Compare(runs)
 	if err != nil {
 		return err
 	}
@@ -40,5 +40,5 @@
 	if err := os.WriteFile(filepath.Join(dir, "report.md"), []byte(text), 0o644); err != nil {
 		return err
 	}
-	return lab.CompareCharts(runs, dir)
+	return experiment.CompareCharts(runs, dir)
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink hosts router instances on the simulator's wire: one
+// Command simadapter hosts router instances on the simulator's wire: one
 // batch a line on standard input, one reply a line on standard output.
 package main
 
@@ -9,12 +9,12 @@
 	"io"
 	"os"
 
-	"lotushook/internal/wire"
+	"lotushook/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,7 +23,7 @@
 func run(in io.Reader, out io.Writer) error {
 	const buffer = 1 << 20
 	r := bufio.NewReaderSize(in, buffer)
-	host := wire.NewHost()
+	host := simwire.NewHost()
 	var line, reply []byte
 	for {
 		line = line[:0]
--- a/decide/admission/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package admission
-
-import (
-	"testing"
-
-	"lotushook/internal/scenario"
-)
-
-func TestMain(m *testing.M) { scenario.Drawn(m) }
--- a/decide/hall/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package hall
-
-import (
-	"testing"
-
-	"lotushook/internal/scenario"
-)
-
-func TestMain(m *testing.M) { scenario.Drawn(m) }
--- a/internal/accounts/accounts.go
+++ b/internal/accounting/accounts.go
@@ -1,7 +1,7 @@
 // Package accounts holds what teams asked and got, as it is told to operators:
 // the shape of a row, and how long answers took. What is counted is decided and
-// kept elsewhere; internal/control lets it be read.
-package accounts
+// kept elsewhere; internal/admin lets it be read.
+package accounting
 
 import (
 	"time"
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"lotushook/balance"
 	"lotushook/internal/invariant"
 	"lotushook/internal/pgwire"
+	"lotushook/policy/balance"
 )
 
 // notSent is the outcome where the router itself could not send: nothing ran,
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -9,10 +9,10 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"lotushook/balance"
-	"lotushook/internal/budget"
+	"lotushook/internal/fdlimit"
+	"lotushook/internal/nettest"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/scenario"
+	"lotushook/policy/balance"
 )
 
 // directory knows one node, number 1.
@@ -34,10 +34,10 @@
 	d.mu.Unlock()
 }
 
-func stage(t *testing.T, sockets int) (*scenario.Stage, *Pool, *directory) {
-	s := scenario.New(t, "s")
+func stage(t *testing.T, sockets int) (*nettest.Stage, *Pool, *directory) {
+	s := nettest.New(t, "s")
 	d := &directory{dial: s.Addr("s")}
-	p := NewPool(Options{Directory: d, Budget: budget.New(sockets), ConnectTimeout: 20 * time.Second, Stall: 20 * time.Second, IdleClose: time.Hour})
+	p := NewPool(Options{Directory: d, Budget: fdlimit.New(sockets), ConnectTimeout: 20 * time.Second, Stall: 20 * time.Second, IdleClose: time.Hour})
 	t.Cleanup(p.closeAll)
 	return s, p, d
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/internal/budget"
+	"lotushook/internal/fdlimit"
+	"lotushook/internal/metrics"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/ring"
-	"lotushook/internal/tally"
+	"lotushook/internal/ringbuffer"
+	"lotushook/policy/balance"
 )
 
 // MostAnswer is the longest message taken from a data server. Values are said to
@@ -59,10 +59,10 @@
 	pool   *Pool
 	node   uint32
 	dial   string
-	in     *ring.Buffer  // only the goroutine's
-	out    *ring.Buffer  // only who writes the query's
-	idleAt time.Time     // the pool's lock
-	rest   time.Duration // before it dials
+	in     *ringbuffer.Buffer // only the goroutine's
+	out    *ringbuffer.Buffer // only who writes the query's
+	idleAt time.Time          // the pool's lock
+	rest   time.Duration      // before it dials
 
 	mu     sync.Mutex
 	net    net.Conn
@@ -80,7 +80,7 @@
 }
 
 func newConn(p *Pool, node uint32, dial string) *conn {
-	return &conn{pool: p, node: node, dial: dial, in: ring.New(MostAnswer).Within(p.Reading), out: ring.New(1 << 20),
+	return &conn{pool: p, node: node, dial: dial, in: ringbuffer.New(MostAnswer).Within(p.Reading), out: ringbuffer.New(1 << 20),
 		sent: make(chan bool, 1)}
 }
 
@@ -156,16 +156,16 @@
 }
 
 // dialled is how connect's outcome counts.
-func dialled(o balance.Outcome) tally.Counter {
+func dialled(o balance.Outcome) metrics.Counter {
 	switch o {
 	case balance.Done:
-		return tally.Up
+		return metrics.Up
 	case balance.Busy:
-		return tally.TooMany
+		return metrics.TooMany
 	case notSent:
-		return tally.NoSocket
+		return metrics.NoSocket
 	}
-	return tally.Unheard
+	return metrics.Unheard
 }
 
 // connect dials and starts a session: Done, or why not.
@@ -184,7 +184,7 @@
 		}
 	}
 	conn, err := c.pool.dial(ctx, c.dial)
-	if budget.Exhausted(err) { // the count said otherwise
+	if fdlimit.Exhausted(err) { // the count said otherwise
 		if c.pool.Short != nil {
 			c.pool.Short()
 		}
@@ -193,7 +193,7 @@
 		}
 	}
 	switch {
-	case budget.Exhausted(err):
+	case fdlimit.Exhausted(err):
 		return Result{Outcome: notSent, Err: err}
 	case err != nil:
 		return Result{Outcome: balance.Refused, Err: err}
--- a/internal/backend/endless_test.go
+++ b/internal/backend/endless_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // What a data server says without an end, before its welcome is over, before a value or behind it, is cut off long before
--- a/internal/backend/laststep_test.go
+++ b/internal/backend/laststep_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"lotushook/balance"
+	"lotushook/internal/nettest"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/scenario"
+	"lotushook/policy/balance"
 )
 
 // served is an answer that leaves its connection for the next query.
@@ -106,7 +106,7 @@
 func TestMovedAtTheLastStep(t *testing.T) {
 	for _, rested := range []bool{false, true} {
 		s, p, d := stage(t, 1024)
-		other := scenario.New(t, "s")
+		other := nettest.New(t, "s")
 		move := func() {
 			d.mu.Lock()
 			d.dial = other.Addr("s")
@@ -258,7 +258,7 @@
 // A node that was replaced under its old name listens elsewhere: the connections to the old one are not used again.
 func TestReplacedUnderItsName(t *testing.T) {
 	s, p, d := stage(t, 1024)
-	other := scenario.New(t, "s")
+	other := nettest.New(t, "s")
 	a := p.try()
 	s.Play(greeted + served)
 	<-a.Done()
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"lotushook/internal/budget"
+	"lotushook/internal/fdlimit"
 	"lotushook/internal/invariant"
-	"lotushook/internal/ring"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/internal/ringbuffer"
 )
 
 // Directory tells where a node listens, and whether it may get anything new.
@@ -24,14 +24,14 @@
 // Options are a pool's settings.
 type Options struct {
 	Directory      Directory
-	Budget         *budget.Budget
+	Budget         *fdlimit.Budget
 	ConnectTimeout time.Duration
-	IdleClose      time.Duration // data servers close idle connections after this
-	Reading        *ring.Quota   // for what is here of answers; nil: no bound
-	Stall          time.Duration // an answer that has begun must go on within this
-	Settle         time.Duration // a connection rests so long after an answer: what follows unasked is seen by then
-	Short          func()        // told when the system has no descriptor left; nil: nobody
-	Tally          *tally.Tally  // counts dials; nil: nobody does
+	IdleClose      time.Duration     // data servers close idle connections after this
+	Reading        *ringbuffer.Quota // for what is here of answers; nil: no bound
+	Stall          time.Duration     // an answer that has begun must go on within this
+	Settle         time.Duration     // a connection rests so long after an answer: what follows unasked is seen by then
+	Short          func()            // told when the system has no descriptor left; nil: nobody
+	Tally          *metrics.Tally    // counts dials; nil: nobody does
 	// Pace is asked before a dial: it may be made after wait, no longer than most, or not now, and then nothing was sent.
 	// nil: at once.
 	Pace     func(most time.Duration) (wait time.Duration, ok bool)
@@ -207,7 +207,7 @@
 	}
 	if !p.Budget.Dial() && !(p.EvictIdle() && p.Budget.Dial()) {
 		slog.Warn("no descriptor free for a data server", "node", a.node)
-		p.Tally.Add(tally.NoSocket)
+		p.Tally.Add(metrics.NoSocket)
 		a.finish(Result{Outcome: notSent})
 		return
 	}
--- a/internal/feed/feed.go
+++ b/internal/changefeed/feed.go
@@ -1,6 +1,6 @@
-// Package feed answers subscribers of feeds. What to do for each says decide/cursor; this package keeps its state in shards, asks
+// Package feed answers subscribers of feeds. What to do for each says policy/cursor; this package keeps its state in shards, asks
 // data servers through whoever made it, once for all that want the same, and writes the answers.
-package feed
+package changefeed
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/decide/contract"
-	"lotushook/decide/cursor"
-	"lotushook/decide/shared"
 	"lotushook/internal/invariant"
 	"lotushook/internal/peer"
+	"lotushook/policy/contract"
+	"lotushook/policy/crdt"
+	"lotushook/policy/cursor"
 )
 
 const (
@@ -30,7 +30,7 @@
 	Classes  map[string]cursor.Settings // by name; only Fresh, Again and the batches may differ
 	Waiting  int                        // requests that wait for data servers at a time, beyond it they come again
 	ReadFor  time.Duration              // a reading's time
-	Self     shared.Origin
+	Self     crdt.Origin
 	State    *peer.State // where cursors are shared; nil: nowhere
 	Now      func() int64
 	Read     func(Ask) Got // asks some member; returns by Ask.Until
@@ -229,7 +229,7 @@
 		letGo = b.LetGo() > 0
 	})
 	if p.opt.State != nil {
-		p.opt.State.Look(l.text, subscriber, func(s *shared.Store, now int64) {
+		p.opt.State.Look(l.text, subscriber, func(s *crdt.Store, now int64) {
 			e, ok, forgot := s.Cursor(now, l.text, subscriber)
 			letGo = letGo || forgot
 			if told := cursor.FromEntry(e); ok && told.History != (cursor.History{}) {
--- a/internal/feed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"lotushook/decide/cursor"
-	"lotushook/decide/shared"
+	"lotushook/internal/operr"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/remedy"
+	"lotushook/policy/crdt"
+	"lotushook/policy/cursor"
 )
 
 var one = cursor.History{Era: 1, ID: 7}
@@ -67,7 +67,7 @@
 	if change != nil {
 		change(&set)
 	}
-	p, err := New(Options{Settings: set, Classes: map[string]cursor.Settings{"f": set}, Waiting: 20_000, ReadFor: time.Second, Self: shared.Origin{Name: "r", Boot: 1}, Now: now.Load, Read: m.read})
+	p, err := New(Options{Settings: set, Classes: map[string]cursor.Settings{"f": set}, Waiting: 20_000, ReadFor: time.Second, Self: crdt.Origin{Name: "r", Boot: 1}, Now: now.Load, Read: m.read})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,7 +229,7 @@
 		t.Fatal(b, err)
 	}
 	_, err = ask(p, first, "x", cursor.Point{History: one, At: 20})
-	if r := remedy.Of(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Remedy(), "connect again") {
+	if r := operr.Of(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Remedy(), "connect again") {
 		t.Error(err)
 	}
 	two := cursor.History{Era: 2, ID: 1}
@@ -251,10 +251,10 @@
 	m.fail = errors.New("no member")
 	now.Add(1e9)
 	_, err = ask(p, second, "x", cursor.Point{History: two, At: 20})
-	if r := remedy.Of(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
+	if r := operr.Of(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
 		t.Error(err)
 	}
-	for _, e := range []remedy.Error{&cursor.Refused{Row: cursor.Future}, &cursor.Refused{Row: cursor.Snapshot}, &cursor.Refused{Row: cursor.Snapshot, Forgot: true}, &cursor.Crowded{Why: cursor.CrowdWaiting},
+	for _, e := range []operr.Error{&cursor.Refused{Row: cursor.Future}, &cursor.Refused{Row: cursor.Snapshot}, &cursor.Refused{Row: cursor.Snapshot, Forgot: true}, &cursor.Crowded{Why: cursor.CrowdWaiting},
 		&cursor.Crowded{Why: cursor.CrowdBusy}, &cursor.Crowded{Why: cursor.CrowdFar}, &cursor.Crowded{Why: cursor.CrowdReturning}} {
 		if e.Kind() == "" || e.Remedy() == "" || strings.Contains(e.Error(), "%!") {
 			t.Errorf("%T: %s, %s, %s", e, e.Kind(), e.Remedy(), e.Error())
@@ -287,7 +287,7 @@
 		seat := &Seat{}
 		raw, err := p.Answer(seat, q)
 		if err != nil {
-			if remedy.Of(err) == nil {
+			if operr.Of(err) == nil {
 				t.Fatalf("%v has no remedy", err)
 			}
 			return
--- a/internal/feed/wire.go
+++ b/internal/changefeed/wire.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/decide/cursor"
+	"lotushook/policy/cursor"
 )
 
 // json is strict about what a member says: one that says more than is known here is of another version.
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // script is an agent, and what befalls it, on the test's clock from its start on. Its news is that s-2 is listed.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"lotushook/balance"
-	"lotushook/internal/scenario"
+	"lotushook/internal/nettest"
+	"lotushook/policy/balance"
 )
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
@@ -200,7 +200,7 @@
 // The watcher asks for the whole list, goes on watching behind what it was told,
 // and after an error, a malformed list or a new connection asks for all again.
 func TestWatch(t *testing.T) {
-	s := scenario.New(t, "agent")
+	s := nettest.New(t, "agent")
 	ctx, stop := context.WithCancel(context.Background())
 	told, done, asked := make(chan int64, 10), make(chan struct{}), 0
 	go func() {
@@ -228,21 +228,21 @@
 		t.Helper()
 		s.Play(strings.Join(steps, "\n"))
 	}
-	play("wait agent", whole, rest, scenario.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`))
+	play("wait agent", whole, rest, nettest.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`))
 	expect(41)
-	play(watch(41), rest, scenario.HTTP("agent", `{"seq":43,"whole":false,"hosts":[`+one+`]}`))
+	play(watch(41), rest, nettest.HTTP("agent", `{"seq":43,"whole":false,"hosts":[`+one+`]}`))
 	expect(43)
 	// Nothing new: nobody is told, and the watch goes on.
-	play(watch(43), rest, scenario.HTTP("agent", `{"seq":43,"whole":false,"hosts":[]}`), watch(43), rest,
+	play(watch(43), rest, nettest.HTTP("agent", `{"seq":43,"whole":false,"hosts":[]}`), watch(43), rest,
 		`send agent raw "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"`)
 	// Too busy: the list is still known, and the changes since then are asked for. An unknown version is not.
 	play("wait agent", watch(43), rest, `send agent raw "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"`)
-	play("wait agent", whole, rest, scenario.HTTP("agent", `{"seq":44,"whole":true,"hosts":[`+one+`]}`))
+	play("wait agent", whole, rest, nettest.HTTP("agent", `{"seq":44,"whole":true,"hosts":[`+one+`]}`))
 	expect(44)
-	play(watch(44), rest, scenario.HTTP("agent", `{"seq":45,"whole":true,"hosts":[{}]}`))
+	play(watch(44), rest, nettest.HTTP("agent", `{"seq":45,"whole":true,"hosts":[{}]}`))
 	play("wait agent", whole, rest, "close agent")
-	play("wait agent", whole, rest, scenario.HTTP("agent", `{"seq":46,"whole":false,"hosts":[]}`)) // not what was asked for
-	play("wait agent", whole, rest, scenario.HTTP("agent", `{"seq":47,"whole":true,"hosts":[]}`))
+	play("wait agent", whole, rest, nettest.HTTP("agent", `{"seq":46,"whole":false,"hosts":[]}`)) // not what was asked for
+	play("wait agent", whole, rest, nettest.HTTP("agent", `{"seq":47,"whole":true,"hosts":[]}`))
 	expect(47)
 	stop()
 	<-done
@@ -257,7 +257,7 @@
 // A connection to the agent that falls silent shows only when the wait is over:
 // watches are short, and then the whole list is asked for on a new one.
 func TestSilentAgent(t *testing.T) {
-	s := scenario.New(t, "agent")
+	s := nettest.New(t, "agent")
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -271,7 +271,7 @@
 		`
 	s.Play(`wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"` + rest +
-		scenario.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`) + `
+		nettest.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`) + `
 		expect agent line "GET /v1/endpoints?since=41&timeout_ms=500 HTTP/1.1"` + rest + `wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"`)
 	stop()
@@ -281,7 +281,7 @@
 // An answer that took its turn at a shared service must still be waited for.
 func TestSharedServiceIsWaitedFor(t *testing.T) {
 	const routers = 80
-	s := scenario.New(t, "agent")
+	s := nettest.New(t, "agent")
 	ctx, stop := context.WithCancel(context.Background())
 	told, done := make(chan int64, 1), make(chan struct{})
 	go func() {
@@ -294,7 +294,7 @@
 		expect agent line "Accept: application/json"
 		expect agent line ""`)
 	time.Sleep(1500 * time.Millisecond) // longer than an agent of one's own may be silent
-	s.Play(scenario.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`))
+	s.Play(nettest.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`))
 	if got := <-told; got != 41 {
 		t.Errorf("told %d", got)
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,7 +13,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // List is a whole list, or the entries that changed.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"lotushook/internal/ring"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/internal/ringbuffer"
 )
 
 // The list's clock, derived in docs/design/fleet.md: what discovery had and could have told counts as told 6 s later, also
@@ -77,7 +77,7 @@
 	watchFor, quick, patient, drip, first, every, mostTurn, doubtFor time.Duration
 	shared                                                           bool
 
-	Tally *tally.Tally // counts calls; nil: nobody does
+	Tally *metrics.Tally // counts calls; nil: nobody does
 	// Pace is asked before a call for the whole list: it may be made after wait, or Pace is to be asked again then. What it
 	// puts off for longer than the list's clock allows is asked for all the same. nil: at once.
 	Pace func() (wait time.Duration, ok bool)
@@ -164,7 +164,7 @@
 		}
 		if err == nil {
 			w.taken(l)
-			w.Tally.Add(tally.Lists)
+			w.Tally.Add(metrics.Lists)
 			pause, row = w.first, 0
 			if hasty++; time.Since(began) > leastPause {
 				hasty = 0
@@ -176,7 +176,7 @@
 		}
 		w.known = w.known && w.goesOn(err)
 		w.hangUp()
-		w.Tally.Add(tally.NoList)
+		w.Tally.Add(metrics.NoList)
 		if why := cause(err); why != last {
 			row, last = 0, why
 		}
@@ -340,7 +340,7 @@
 		if err != nil {
 			return nil, err
 		}
-		w.conn, w.in = conn, &filler{conn: conn, in: ring.New(1 << 16)}
+		w.conn, w.in = conn, &filler{conn: conn, in: ringbuffer.New(1 << 16)}
 		w.read = bufio.NewReader(w.in)
 	}
 	conn := w.conn // the end of the context can come when w has hung up
@@ -394,7 +394,7 @@
 // waited for, within bounds.
 type filler struct {
 	conn net.Conn
-	in   *ring.Buffer
+	in   *ringbuffer.Buffer
 
 	ctx         context.Context
 	quiet, drip time.Duration
--- a/internal/standin/feed.go
+++ b/internal/emulator/feed.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"lotushook/decide/cursor"
-	"lotushook/internal/feed"
+	"lotushook/internal/changefeed"
 	"lotushook/internal/pgwire"
+	"lotushook/policy/cursor"
 )
 
 // history is one run of a group's log: it has its parent's events up to from, and then its own. Nothing is forgotten here, for
@@ -164,7 +164,7 @@
 	if len(a.Events) > most {
 		a.Events, a.More = a.Events[:most], true
 	}
-	value, err := feed.AppendAnswer(a)
+	value, err := changefeed.AppendAnswer(a)
 	if err != nil {
 		panic(err) // numbers and strings alone
 	}
--- a/internal/standin/group.go
+++ b/internal/emulator/group.go
@@ -2,7 +2,7 @@
 // data servers in replicated groups, the agent that lists them, and the front
 // that deals out connections. They are for experiments on loopback, not models of
 // real machines; what they draw follows from a seed.
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"lotushook/decide/cursor"
+	"lotushook/policy/cursor"
 )
 
 // Class is what a data server does with a class of requests.
--- a/internal/standin/rate.go
+++ b/internal/emulator/rate.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"sync"
--- a/internal/standin/server.go
+++ b/internal/emulator/server.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"time"
 
 	"lotushook/internal/pgwire"
-	"lotushook/internal/ring"
+	"lotushook/internal/ringbuffer"
 )
 
 // Server is one data server.
@@ -196,7 +196,7 @@
 
 // serve is one connection's life.
 func (s *Server) serve(conn net.Conn) {
-	in := ring.New(1 << 20)
+	in := ringbuffer.New(1 << 20)
 	next := func() (pgwire.Message, error) {
 		for {
 			m, err := pgwire.Next(in)
--- a/internal/standin/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
+	"lotushook/internal/nettest"
 )
 
 func fleet(t *testing.T) *Running {
@@ -28,7 +28,7 @@
 // the repeat of a key, a replica turns away what it can't do.
 func TestAnswers(t *testing.T) {
 	r := fleet(t)
-	s := scenario.New(t)
+	s := nettest.New(t)
 	primary, replica := r.Servers()[0], r.Servers()[1]
 	s.Dial("p", primary.Addr())
 	s.Play(`
@@ -87,7 +87,7 @@
 	if err := old.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	s := scenario.New(t)
+	s := nettest.New(t)
 	s.Dial("c", old.Addr())
 	s.Play(`
 		send c1 startup | Q "/* id=01,c=write,d=500,k=ab,cluster=1 */ INSERT"
--- a/internal/lab/client.go
+++ b/internal/experiment/client.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -10,13 +10,13 @@
 	"time"
 
 	"lotushook/internal/pgwire"
-	"lotushook/internal/ring"
+	"lotushook/internal/ringbuffer"
 )
 
 // client is one connection of a client.
 type client struct {
 	conn net.Conn
-	in   *ring.Buffer
+	in   *ringbuffer.Buffer
 }
 
 // outcome is how a request ended for its client.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &client{conn, ring.New(2 << 20)}
+	c := &client{conn, ringbuffer.New(2 << 20)}
 	conn.SetDeadline(until)
 	if _, err := conn.Write(pgwire.AppendStartup(nil, user, "catalog")); err != nil && !strings.Contains(err.Error(), "reset") {
 		conn.Close()
--- a/internal/lab/experiment.go
+++ b/internal/experiment/experiment.go
@@ -2,7 +2,7 @@
 // load, what goes wrong and when, and checks on what was seen at both ends. An
 // experiment is a file under deploy/lab; its arms play the same with something
 // changed, one after the other.
-package lab
+package experiment
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/internal/fault"
-	"lotushook/internal/standin"
-	"lotushook/internal/strict"
+	"lotushook/internal/emulator"
+	"lotushook/internal/faultinject"
+	"lotushook/internal/strictjson"
 )
 
 // Experiment is the file. Names tie its parts together: an arm plays some loads
@@ -129,7 +129,7 @@
 	Times  float64             `json:"times"`  // slow, burden: so many times; throttle: such a share of its time
 	From   []int               `json:"from"`   // link: between which routers; none: all
 	To     []int               `json:"to"`
-	Link   fault.Link          `json:"link"`
+	Link   faultinject.Link    `json:"link"`
 	Own    jsoniter.RawMessage `json:"own"` // reload: the new settings
 }
 
@@ -158,7 +158,7 @@
 // Parse reads an experiment from JSON and checks it.
 func Parse(raw []byte) (*Experiment, error) {
 	e := &Experiment{}
-	if err := strict.Unmarshal(raw, e); err != nil {
+	if err := strictjson.Unmarshal(raw, e); err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	if err := e.check(); err != nil {
@@ -257,12 +257,12 @@
 func s(v float64) time.Duration  { return time.Duration(v * float64(time.Second)) }
 
 // fleet is the description that the stand-ins take.
-func (e *Experiment) fleet(seed uint64) *standin.Fleet {
-	f := &standin.Fleet{Note: len(e.Lanes) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
+func (e *Experiment) fleet(seed uint64) *emulator.Fleet {
+	f := &emulator.Fleet{Note: len(e.Lanes) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
 		Ship: ms(e.Fleet.ShipMS), Apply: ms(e.Fleet.ApplyMS), ColdShare: e.Fleet.ColdShare, Ramp: s(e.Fleet.RampS),
-		Takeover: ms(e.Fleet.TakeoverMS), Halls: e.Fleet.Halls, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]standin.Class{}}
+		Takeover: ms(e.Fleet.TakeoverMS), Halls: e.Fleet.Halls, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
 	for name, c := range e.Classes {
-		f.Classes[name] = standin.Class{Write: c.Read == "write", Session: c.Read == "session", Feed: c.Read == "feed", Bound: ms(c.BoundMS),
+		f.Classes[name] = emulator.Class{Write: c.Read == "write", Session: c.Read == "session", Feed: c.Read == "feed", Bound: ms(c.BoundMS),
 			Work: [2]time.Duration{ms(c.WorkMS[0]), ms(c.WorkMS[1])}}
 	}
 	return f
--- a/internal/lab/feeds_test.go
+++ b/internal/experiment/feeds_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -6,15 +6,15 @@
 	"strings"
 	"testing"
 
-	"lotushook/decide/cursor"
-	"lotushook/internal/feed"
-	"lotushook/internal/scenario"
+	"lotushook/internal/changefeed"
+	"lotushook/internal/nettest"
+	"lotushook/policy/cursor"
 )
 
 // fed plays subscribers before three routers of which each knows the others, and a write load; faults are events.
 func fed(t *testing.T, seconds float64, reader, faults string) map[string]map[string]float64 {
 	t.Helper()
-	platform := strings.Replace(scenario.Settings, `"balancers":1`, `"balancers":3`, 1)
+	platform := strings.Replace(nettest.Settings, `"balancers":1`, `"balancers":3`, 1)
 	text := fmt.Sprintf(`{"name":"f","seconds":%v,"settle":2,"platform":%s,
 		"classes":{"write":{"read":"write","wait_ms":2000,"work_ms":[1,2]},"read":{"read":"feed","wait_ms":2000,"work_ms":[0,1]}},
 		"fleet":{"groups":1,"members":3,"cores":4,"queue":64,"ship_ms":2,"apply_ms":1,"takeover_ms":500,"retain":100000},
@@ -97,7 +97,7 @@
 		}
 	}
 	r := &record{events: []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 25, Text: "lost"}}}
-	voided, err := r.take(&feed.Batch{Next: feed.Place{After: 20, History: h.String()}, Rewound: &feed.Rewound{From: 25, To: 20}})
+	voided, err := r.take(&changefeed.Batch{Next: changefeed.Place{After: 20, History: h.String()}, Rewound: &changefeed.Rewound{From: 25, To: 20}})
 	if err != nil || voided != 1 || r.against(log) != (wrongs{}) {
 		t.Errorf("%d voided, %v, %+v", voided, err, r.against(log))
 	}
--- a/internal/lab/fellows.go
+++ b/internal/experiment/fellows.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"crypto/rand"
@@ -15,16 +15,16 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/internal/control"
-	"lotushook/internal/fault"
+	"lotushook/internal/admin"
+	"lotushook/internal/faultinject"
 	"lotushook/internal/peer"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
 )
 
 // fellows are the routers of one arm that know each other: their settings, the links between them, and what happened to
 // each when. A nil one notes nothing.
 type fellows struct {
-	net     *fault.Net
+	net     *faultinject.Net
 	count   int
 	dir     string
 	members map[string]any // the part of the settings
@@ -65,7 +65,7 @@
 	if raw == nil || string(raw) == "null" {
 		return nil, nil
 	}
-	f = &fellows{net: fault.New(seed), count: e.Routers.Count, dir: dir, members: map[string]any{}, reports: map[int]peer.Report{}}
+	f = &fellows{net: faultinject.New(seed), count: e.Routers.Count, dir: dir, members: map[string]any{}, reports: map[int]peer.Report{}}
 	defer func() {
 		if err != nil {
 			f.net.Close()
@@ -80,7 +80,7 @@
 	if err := os.WriteFile(path, []byte(hex.EncodeToString(key[:])+"\n"), 0o600); err != nil {
 		return f, err
 	}
-	places, seeds := map[string]setup.Place{}, []string{}
+	places, seeds := map[string]siteconfig.Place{}, []string{}
 	for n := range f.count {
 		at, err := freeOn(hostOf(run, n))
 		if err != nil {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return f, err
 		}
-		places[routerName(n)] = setup.Place{Listen: at.String(), Advertise: out.String()}
+		places[routerName(n)] = siteconfig.Place{Listen: at.String(), Advertise: out.String()}
 		if n < 2 {
 			seeds = append(seeds, out.String())
 		}
@@ -148,7 +148,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, err
 	}
-	s, err := setup.Load(path) // with the defaults, as the router has it
+	s, err := siteconfig.Load(path) // with the defaults, as the router has it
 	if err != nil {
 		return nil, err
 	}
@@ -196,14 +196,14 @@
 			continue
 		}
 		var r peer.Report
-		if control.Ask(f.socket(n), "members", &r) == nil {
+		if admin.Ask(f.socket(n), "members", &r) == nil {
 			f.reports[n] = r
 		}
 	}
 }
 
 // reach says whether what one router sends came to another at a time, directly or through others that were up.
-func (f *fellows) reach(from, to int, at time.Time, cuts []fault.Event) bool {
+func (f *fellows) reach(from, to int, at time.Time, cuts []faultinject.Event) bool {
 	cut := map[[2]int]bool{}
 	for _, e := range cuts {
 		if !e.At.After(at) {
@@ -229,7 +229,7 @@
 }
 
 // moments are when something changed: between two of them all links and conditions are the same.
-func (f *fellows) moments(cuts []fault.Event) []time.Time {
+func (f *fellows) moments(cuts []faultinject.Event) []time.Time {
 	var all []time.Time
 	for _, t := range f.turns {
 		all = append(all, t.at)
--- a/internal/lab/lanes.go
+++ b/internal/experiment/lanes.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"lotushook/internal/standin"
+	"lotushook/internal/emulator"
 )
 
 // asked is one request of an account in a lane as its client saw it.
@@ -41,7 +41,7 @@
 // auditLanes holds what clients were told against what data servers began to work on. A refusal in the best lane by one
 // router, while a data server begins a request of the last lane that another one sent, is an inversion. From is when what
 // is measured began, marks are when a surge or a fault did; the surge was from surge to over.
-func auditLanes(lanes []string, all []asked, ran []standin.Began, from time.Time, marks []time.Time, surge, over time.Time) (map[string]float64, error) {
+func auditLanes(lanes []string, all []asked, ran []emulator.Began, from time.Time, marks []time.Time, surge, over time.Time) (map[string]float64, error) {
 	m := map[string]float64{}
 	if len(lanes) < 2 {
 		return m, fmt.Errorf("lanes: %d of them", len(lanes))
@@ -55,7 +55,7 @@
 		byID[all[i].id] = &all[i]
 	}
 	// What the data servers began of the last lane, by group in order of time.
-	began := map[int64][]standin.Began{}
+	began := map[int64][]emulator.Began{}
 	worked := map[string]bool{}
 	for _, b := range ran {
 		a := byID[b.ID]
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, list := range began {
-		slices.SortFunc(list, func(x, y standin.Began) int { return x.At.Compare(y.At) })
+		slices.SortFunc(list, func(x, y emulator.Began) int { return x.At.Compare(y.At) })
 	}
 	first := func(t time.Time) bool {
 		return slices.ContainsFunc(marks, func(mark time.Time) bool { return !t.Before(mark) && t.Before(mark.Add(soon)) })
@@ -114,7 +114,7 @@
 			continue
 		}
 		list := began[a.group]
-		at, _ := slices.BinarySearchFunc(list, a.end.Add(-together), func(b standin.Began, t time.Time) int { return b.At.Compare(t) })
+		at, _ := slices.BinarySearchFunc(list, a.end.Add(-together), func(b emulator.Began, t time.Time) int { return b.At.Compare(t) })
 		for ; at < len(list) && list[at].At.Before(a.end.Add(together)); at++ {
 			if byID[list[at].ID].router != a.router {
 				if first(a.at) {
--- a/internal/lab/lanes_test.go
+++ b/internal/experiment/lanes_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -7,19 +7,19 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
-	"lotushook/internal/standin"
+	"lotushook/internal/emulator"
+	"lotushook/internal/nettest"
 )
 
 // sound is what an audit sees where all is right: at each tenth of a second router 0 sheds a regular account and serves a
 // premium one, and router 1 serves a premium and sheds a background one; a background one within its floor is served.
-func sound(from time.Time) (all []asked, ran []standin.Began) {
+func sound(from time.Time) (all []asked, ran []emulator.Began) {
 	add := func(router int, at time.Duration, lane, account, shed string) {
 		a := asked{id: fmt.Sprint(len(all)), lane: lane, account: account, group: 1, router: router, at: from.Add(at), end: from.Add(at + 20*time.Millisecond), outcome: served, shed: shed}
 		if shed != "" {
 			a.outcome = refused
 		} else {
-			ran = append(ran, standin.Began{ID: a.id, Group: 1, At: a.at.Add(5 * time.Millisecond)})
+			ran = append(ran, emulator.Began{ID: a.id, Group: 1, At: a.at.Add(5 * time.Millisecond)})
 		}
 		all = append(all, a)
 	}
@@ -41,39 +41,39 @@
 	lanes := []string{"premium", "regular", "background"}
 	for _, c := range []struct {
 		name   string
-		doctor func(all []asked, ran []standin.Began) ([]asked, []standin.Began)
+		doctor func(all []asked, ran []emulator.Began) ([]asked, []emulator.Began)
 		metric string
 		want   float64
 		err    string
 	}{
-		{"right", func(a []asked, r []standin.Began) ([]asked, []standin.Began) { return a, r }, "inversions_after", 0, ""},
-		{"premium shed late", func(a []asked, r []standin.Began) ([]asked, []standin.Began) {
+		{"right", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { return a, r }, "inversions_after", 0, ""},
+		{"premium shed late", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
 			a[40*6+2].shed, a[40*6+2].outcome = "premium", refused
 			return a, r
 		}, "inversions_after", 1, ""},
-		{"premium shed early", func(a []asked, r []standin.Began) ([]asked, []standin.Began) {
+		{"premium shed early", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
 			a[2].shed, a[2].outcome = "premium", refused
 			return a, r
 		}, "inversions_first_share", 1.0 / 40, ""},
-		{"premium shed by the router that serves background", func(a []asked, r []standin.Began) ([]asked, []standin.Began) {
+		{"premium shed by the router that serves background", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
 			a[40*6+3].shed, a[40*6+3].outcome = "premium", refused
 			return a, r
 		}, "inversions_after", 0, ""},
-		{"premium's excess is regular", func(a []asked, r []standin.Began) ([]asked, []standin.Began) {
+		{"premium's excess is regular", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
 			a[40*6+2].shed, a[40*6+2].outcome = "regular", refused
 			return a, r
 		}, "inversions_after", 0, ""},
-		{"one account shed here and served there", func(a []asked, r []standin.Began) ([]asked, []standin.Began) {
+		{"one account shed here and served there", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
 			for i := 30; i < 40; i++ {
 				x := &a[i*6+1]
 				x.shed, x.outcome = "", served
-				r = append(r, standin.Began{ID: x.id, Group: 1, At: x.at})
+				r = append(r, emulator.Began{ID: x.id, Group: 1, At: x.at})
 			}
 			return a, r
 		}, "torn_share", 20.0 / 59, ""},
-		{"a server began nothing", func(a []asked, r []standin.Began) ([]asked, []standin.Began) { return a, r[1:] }, "", 0, "no data server began it"},
-		{"another group", func(a []asked, r []standin.Began) ([]asked, []standin.Began) { r[0].Group = 2; return a, r }, "", 0, "begun at 2"},
-		{"twice", func(a []asked, r []standin.Began) ([]asked, []standin.Began) { return append(a, a[0]), r }, "", 0, "twice"},
+		{"a server began nothing", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { return a, r[1:] }, "", 0, "no data server began it"},
+		{"another group", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { r[0].Group = 2; return a, r }, "", 0, "begun at 2"},
+		{"twice", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { return append(a, a[0]), r }, "", 0, "twice"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			all, ran := c.doctor(sound(from))
@@ -97,7 +97,7 @@
 // another serves the last.
 func TestLanesProcesses(t *testing.T) {
 	t.Parallel()
-	platform := strings.NewReplacer(`"balancers":1`, `"balancers":4`, `5000000000`, `300000000`, `20000000000`, `1000000000`).Replace(scenario.Settings)
+	platform := strings.NewReplacer(`"balancers":1`, `"balancers":4`, `5000000000`, `300000000`, `20000000000`, `1000000000`).Replace(nettest.Settings)
 	classes := `{"per_s":10000,"burst":10000}`
 	team := func(name string) string {
 		return fmt.Sprintf(`{"name":%q,"worth":1,"users":[%[1]q],"lane":%[1]q,"retry_share":10,"classes":{"read":%s,"own":%[2]s,"write":%[2]s}}`, name, classes)
--- a/internal/lab/membership_test.go
+++ b/internal/experiment/membership_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"lotushook/internal/scenario"
+	"lotushook/internal/nettest"
 )
 
 // program is the router, built once.
@@ -22,9 +22,9 @@
 	code := 1
 	dir, err := os.MkdirTemp("", "lab")
 	if err == nil {
-		program = filepath.Join(dir, "lotushook")
+		program = filepath.Join(dir, "router")
 		var out []byte
-		if out, err = exec.Command("go", "build", "-tags", "debug", "-o", program, "lotushook/cmd/lotushook").CombinedOutput(); err == nil {
+		if out, err = exec.Command("go", "build", "-tags", "debug", "-o", program, "lotushook/cmd/router").CombinedOutput(); err == nil {
 			code = m.Run()
 		} else {
 			err = fmt.Errorf("%w: %s", err, out)
@@ -40,7 +40,7 @@
 // played runs one arm of five routers without clients; faults are events as an experiment has them.
 func played(t *testing.T, seconds float64, members, faults string) (map[string]float64, []Seen) {
 	t.Helper()
-	platform := strings.Replace(scenario.Settings, `"balancers":1`, `"balancers":5`, 1)
+	platform := strings.Replace(nettest.Settings, `"balancers":1`, `"balancers":5`, 1)
 	text := fmt.Sprintf(`{"name":"m","seconds":%v,"settle":4,"platform":%s,"classes":{},
 		"fleet":{"groups":1,"members":1,"cores":1,"queue":4},"routers":{"count":5,"cores":1,"memory_mb":48,"sockets":256,"members":%s},
 		"arms":[{"name":"a","events":[%s]}],"checks":[{"name":"wrong","value":"a.members.false_deaths","max":0}]}`, seconds, platform, members, faults)
@@ -112,7 +112,7 @@
 // each router that is up at the end says of its copy.
 func roamed(t *testing.T, modes, faults string) (reads, stale float64, r *Result) {
 	t.Helper()
-	platform := strings.NewReplacer(`"balancers":1`, `"balancers":4`, `"x1","active"`, `"x1","inflight"`).Replace(scenario.Settings)
+	platform := strings.NewReplacer(`"balancers":1`, `"balancers":4`, `"x1","active"`, `"x1","inflight"`).Replace(nettest.Settings)
 	text := fmt.Sprintf(`{"name":"o","seconds":6,"settle":3,"platform":%s,
 		"classes":{"own":{"read":"session","wait_ms":4000,"work_ms":[1,2]},"write":{"read":"write","wait_ms":8000,"work_ms":[1,2]}},
 		"fleet":{"groups":1,"members":3,"cores":4,"queue":16,"ship_ms":10,"apply_ms":1200},
--- a/internal/lab/part.go
+++ b/internal/experiment/part.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lotushook/internal/standin"
+	"lotushook/internal/emulator"
 )
 
 // part is what was seen of one load or flood.
@@ -150,7 +150,7 @@
 }
 
 // audited are the data servers' figures.
-func audited(a standin.Audit, requests float64) map[string]float64 {
+func audited(a emulator.Audit, requests float64) map[string]float64 {
 	return map[string]float64{"requests": float64(a.Requests), "writes": float64(a.Writes), "dropped": float64(a.Dropped),
 		"doubled": float64(a.Doubled), "misses": float64(a.Misses), "turned_away": float64(a.TurnedAway),
 		"own_reads": float64(a.OwnReads), "stale_reads": float64(a.Stale), "probes": float64(a.Probes), "late": float64(a.Late), "feed_reads": float64(a.FeedReads), "attempts_per_request": ratio(float64(a.Requests), requests)}
--- a/internal/lab/readers.go
+++ b/internal/experiment/readers.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -12,10 +12,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lotushook/decide/cursor"
-	"lotushook/internal/feed"
+	"lotushook/internal/changefeed"
+	"lotushook/internal/emulator"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/standin"
+	"lotushook/policy/cursor"
 )
 
 // followed is what the subscribers of one kind were told.
@@ -42,7 +42,7 @@
 }
 
 // take puts a batch into the record.
-func (r *record) take(b *feed.Batch) (voided int, err error) {
+func (r *record) take(b *changefeed.Batch) (voided int, err error) {
 	h, err := cursor.ParseHistory(b.Next.History)
 	if err != nil {
 		return 0, err
@@ -110,7 +110,7 @@
 	of     *Readers
 	name   string
 	conn   *client
-	place  feed.Place
+	place  changefeed.Place
 	broken time.Time // since when it has been without an answer; zero: it is not
 	count  int
 }
@@ -180,7 +180,7 @@
 	defer f.mu.Unlock()
 	switch a.outcome {
 	case served:
-		b, err := feed.ParseBatch([]byte(a.value))
+		b, err := changefeed.ParseBatch([]byte(a.value))
 		if err != nil {
 			break
 		}
@@ -210,7 +210,7 @@
 		}
 		if at, from, ok := snapshot(a.text); ok {
 			f.counts.snapshots++
-			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Point{At: at}, feed.Place{After: at, History: from}
+			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Point{At: at}, changefeed.Place{After: at, History: from}
 			return 0
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // ask sends one request, on a new connection where there is none.
-func (c *subscriber) ask(place feed.Place, until time.Time) answer {
+func (c *subscriber) ask(place changefeed.Place, until time.Time) answer {
 	for dials := 0; dials < 2; dials++ {
 		kept := c.conn != nil
 		if !kept {
@@ -271,7 +271,7 @@
 }
 
 // keep notes the groups' logs, while they are up.
-func (f *followed) keep(r *standin.Running) {
+func (f *followed) keep(r *emulator.Running) {
 	for _, g := range r.Groups {
 		line, events := g.Log()
 		f.logs = append(f.logs, truth{line, events})
--- a/internal/lab/run.go
+++ b/internal/experiment/run.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"lotushook/internal/fault"
+	"lotushook/internal/emulator"
+	"lotushook/internal/faultinject"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/standin"
 )
 
 // Options are how an experiment is run.
@@ -54,8 +54,8 @@
 	arm             *Arm
 	o               Options
 	rng             *rand.Rand
-	fleet           *standin.Running
-	front           *standin.Front
+	fleet           *emulator.Running
+	front           *emulator.Front
 	routers         []*process
 	from            time.Time
 	back, firstBack time.Time // the last and the first start of a router again; a server's burden counts for the last
@@ -82,7 +82,7 @@
 		return err
 	}
 	defer p.fleet.Stop()
-	p.front = standin.NewFront(ms(p.e.Routers.NoticeMS))
+	p.front = emulator.NewFront(ms(p.e.Routers.NoticeMS))
 	build := p.o.Build
 	if p.arm.Build != "" {
 		build = p.arm.Build
@@ -264,9 +264,9 @@
 		r.end()
 	case "pause":
 		p.fellows.note(v.Router, paused)
-		r.fault(fault.Pause(r.pid()))
+		r.fault(faultinject.Pause(r.pid()))
 	case "throttle":
-		r.fault(fault.Throttle(r.pid(), v.Times))
+		r.fault(faultinject.Throttle(r.pid(), v.Times))
 	case "resume", "free":
 		r.fault(nil)
 		p.fellows.note(v.Router, up)
--- a/internal/lab/sends.go
+++ b/internal/experiment/sends.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"lotushook/internal/emulator"
 	"lotushook/internal/router"
-	"lotushook/internal/standin"
 )
 
 func sendsName(n int) string { return routerName(n) + "-sends.jsonl" }
@@ -24,7 +24,7 @@
 }
 
 // auditSends reads what all routers recorded of their sends and holds it against what the data servers did.
-func (f *fellows) auditSends(ran []standin.Ran) (map[string]float64, error) {
+func (f *fellows) auditSends(ran []emulator.Ran) (map[string]float64, error) {
 	var all []router.Send
 	for n := range f.count {
 		one, err := readSends(filepath.Join(f.dir, sendsName(n)))
@@ -69,7 +69,7 @@
 //	lowered      a session's floor fell within one process of a router, which knew better
 //	below        a session's read was answered as of before the floor that it was sent with
 //	young        something restored is younger than the process that has it
-func auditSends(sends []router.Send, ran []standin.Ran) map[string]float64 {
+func auditSends(sends []router.Send, ran []emulator.Ran) map[string]float64 {
 	m := map[string]float64{"sends": float64(len(sends)), "ran": float64(len(ran)), "restored": 0, "unrecorded": 0, "unlisted": 0, "blind_writes": 0, "ungrounded": 0,
 		"lowered": 0, "below": 0, "young": 0}
 	type at struct{ id, server string }
--- a/internal/lab/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -8,16 +8,16 @@
 	"strings"
 	"testing"
 
+	"lotushook/internal/emulator"
+	"lotushook/internal/nettest"
 	"lotushook/internal/router"
-	"lotushook/internal/scenario"
-	"lotushook/internal/standin"
 )
 
 // All routers are killed at once and come back with their disks. Clients bring no commits: what their reads must see is
 // known from the disks alone, and no send rests on anything that it must not.
 func TestComeBackWithDisks(t *testing.T) {
 	t.Parallel()
-	platform := strings.Replace(scenario.Settings, `"balancers":1`, `"balancers":3`, 1)
+	platform := strings.Replace(nettest.Settings, `"balancers":1`, `"balancers":3`, 1)
 	faults := ""
 	for _, do := range []string{"kill", "start"} {
 		for n := range 3 {
@@ -59,26 +59,26 @@
 	}
 	for _, c := range []struct {
 		figure string
-		doctor func(s []router.Send, r []standin.Ran) []standin.Ran
+		doctor func(s []router.Send, r []emulator.Ran) []emulator.Ran
 	}{
-		{"", func(_ []router.Send, r []standin.Ran) []standin.Ran { return r }},
-		{"unrecorded", func(s []router.Send, r []standin.Ran) []standin.Ran { r[0].Server = "s2"; return r }},
-		{"unlisted", func(s []router.Send, r []standin.Ran) []standin.Ran { s[0].Listed = false; return r }},
-		{"blind_writes", func(s []router.Send, r []standin.Ran) []standin.Ran {
+		{"", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { return r }},
+		{"unrecorded", func(s []router.Send, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
+		{"unlisted", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].Listed = false; return r }},
+		{"blind_writes", func(s []router.Send, r []emulator.Ran) []emulator.Ran {
 			s[0].On = append(s[0].On, ground("primary", "restored", 9000, "s1"))
 			return r
 		}},
-		{"ungrounded", func(s []router.Send, r []standin.Ran) []standin.Ran { s[0].On[0].Says = "s9"; return r }},
-		{"lowered", func(s []router.Send, r []standin.Ran) []standin.Ran { s[2].Floor = 40; return r }},
-		{"below", func(s []router.Send, r []standin.Ran) []standin.Ran { r[1].Pos = 49; return r }},
-		{"young", func(s []router.Send, r []standin.Ran) []standin.Ran { s[1].On[1].AgeMS = 10; return r }},
+		{"ungrounded", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].On[0].Says = "s9"; return r }},
+		{"lowered", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[2].Floor = 40; return r }},
+		{"below", func(s []router.Send, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
+		{"young", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[1].On[1].AgeMS = 10; return r }},
 	} {
 		sends := []router.Send{
 			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Ground{ground("server", "own", 0, "s1")}},
 			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Ground{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
 			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Ground{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
 		}
-		ran := c.doctor(sends, []standin.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
+		ran := c.doctor(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
 		m := auditSends(sends, ran)
 		maps.DeleteFunc(m, func(name string, v float64) bool {
 			return v == 0 || name == "sends" || name == "ran" || name == "restored"
--- a/internal/fault/fault_test.go
+++ b/internal/faultinject/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package faultinject
 
 import (
 	"io"
--- a/internal/budget/budget_test.go
+++ b/internal/fdlimit/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package fdlimit
 
 import "testing"
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleetreport/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet reads the logs of many routers into one picture: what all of them did over time, which data
 // servers and which routers stand out, and one request's way through all of them.
-package fleet
+package fleetreport
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	"github.com/go-logfmt/logfmt"
 
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
 )
 
 // Bounds: what a reader keeps does not grow with the length of the logs but by these.
@@ -43,7 +43,7 @@
 
 // Seen is a data server as the fleet met it.
 type Seen struct {
-	tally.Server
+	metrics.Server
 	Routers map[string]struct{}
 }
 
@@ -147,8 +147,8 @@
 
 // total takes one count of a line of totals.
 func (f *Fleet) total(router string, span int64, key, value string) {
-	if host, ok := strings.CutPrefix(key, tally.ServerPrefix); ok {
-		got, err := tally.ParseServer(value)
+	if host, ok := strings.CutPrefix(key, metrics.ServerPrefix); ok {
+		got, err := metrics.ParseServer(value)
 		if err != nil {
 			f.Skipped++
 			return
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleetreport/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetreport
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
 )
 
 func logs(t *testing.T, files map[string]string) string {
@@ -50,7 +50,7 @@
 	if diff := cmp.Diff([]map[string]int64{{"asked": 6, "served": 4, "refused_crowd": 1}, {"asked": 2}}, rows); diff != "" {
 		t.Errorf("over time (-want +got)\n%s", diff)
 	}
-	want := map[string]*Seen{"s-1": {Server: tally.Server{Done: 5, Lost: 2}, Routers: map[string]struct{}{"n1": {}}}}
+	want := map[string]*Seen{"s-1": {Server: metrics.Server{Done: 5, Lost: 2}, Routers: map[string]struct{}{"n1": {}}}}
 	if diff := cmp.Diff(want, f.Servers); diff != "" {
 		t.Errorf("data servers (-want +got)\n%s", diff)
 	}
--- a/internal/tally/tally.go
+++ b/internal/metrics/tally.go
@@ -1,5 +1,5 @@
 // Package tally counts what a router does, for one line of totals a period. Nobody decides by it.
-package tally
+package metrics
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // Counter names what is counted one by one.
--- a/internal/tally/tally_test.go
+++ b/internal/metrics/tally_test.go
@@ -1,11 +1,11 @@
-package tally
+package metrics
 
 import (
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 func TestTake(t *testing.T) {
--- a/internal/scenario/drawn.go
+++ b/internal/nettest/drawn.go
@@ -1,4 +1,4 @@
-package scenario
+package nettest
 
 import (
 	"flag"
--- a/internal/scenario/scenario.go
+++ b/internal/nettest/scenario.go
@@ -15,7 +15,7 @@
 // code, D+ms in an error as E code ms. raw "bytes" is sent or expected as it
 // stands, line "text" is a line of text, and EOF is the connection's end. In
 // what is expected, # stands for a run of digits.
-package scenario
+package nettest
 
 import (
 	"bufio"
--- a/internal/remedy/remedy.go
+++ b/internal/operr/remedy.go
@@ -1,6 +1,6 @@
 // Package remedy is what an error owes to whoever reads it: which kind it is, and what can be done. Types of such errors
 // stand where they arise; this package only finds them in a chain and writes them into a log.
-package remedy
+package operr
 
 import (
 	"errors"
--- a/internal/remedy/remedy_test.go
+++ b/internal/operr/remedy_test.go
@@ -1,4 +1,4 @@
-package remedy
+package operr
 
 import (
 	"bytes"
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
 )
 
 // SpoiledError is a piece of another's copy that is not what it says: it was not taken, and is asked for again elsewhere.
@@ -28,7 +28,7 @@
 // DiffersError is an entry that another member has known for longer than its bound and this copy lacked. It was taken now.
 type DiffersError struct {
 	From   string
-	Entry  shared.Entry
+	Entry  crdt.Entry
 	Others int // that came with it and lacked too
 }
 
@@ -42,7 +42,7 @@
 
 // Remedy is that of remedy.Error.
 func (e *DiffersError) Remedy() string {
-	return "look at lost messages between this router and " + e.Entry.From.Name + " (lotusctl members); after a split heals some such lines are usual"
+	return "look at lost messages between this router and " + e.Entry.From.Name + " (routerctl members); after a split heals some such lines are usual"
 }
 
 // ListenError is an address that can't be listened on: the router does not start.
--- a/internal/peer/keeper.go
+++ b/internal/peer/keeper.go
@@ -1,11 +1,11 @@
 package peer
 
-import "lotushook/decide/shared"
+import "lotushook/policy/crdt"
 
 // Keeper hears what a State holds from now on, with nothing locked; it must not wait for anything. By is who says so: this
 // router itself by the zero Origin, or the member that told it, with its boot. An entry may be told again.
 type Keeper interface {
-	Put(e shared.Entry, by shared.Origin)
+	Put(e crdt.Entry, by crdt.Origin)
 }
 
 // Tell has a keeper hear of all that is learned and told. It is to be called before the State is used.
@@ -13,7 +13,7 @@
 
 // Restore joins what this router had before its start. It is as if somebody told it: it is not pushed, its ages go on, and
 // whoever has heard better keeps that. It returns how many entries are held now that were not.
-func (s *State) Restore(list []shared.Entry) (taken int) {
+func (s *State) Restore(list []crdt.Entry) (taken int) {
 	for i := range list {
 		if changed, _ := s.take(&list[i]); changed {
 			taken++
@@ -28,11 +28,11 @@
 	if st.keeper == nil {
 		return
 	}
-	by := shared.Origin{Name: e.From, Boot: p.boot(e.From)}
+	by := crdt.Origin{Name: e.From, Boot: p.boot(e.From)}
 	put := func(list []entry) {
 		for i := range list {
 			one, held := list[i].entry(), false
-			st.at(st.index(&one), func(store *shared.Store, _ int64) { held = store.Holds(one) })
+			st.at(st.index(&one), func(store *crdt.Store, _ int64) { held = store.Holds(one) })
 			if held {
 				st.keeper.Put(one, by)
 			}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
 // Package peer carries what the routers of an installation tell each other: sockets, authentication and bounds. Who is
-// there is decided in decide/member; nobody who serves requests ever waits for this package.
+// there is decided in policy/membership; nobody who serves requests ever waits for this package.
 package peer
 
 import (
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/decide/member"
+	"lotushook/policy/membership"
 )
 
 const (
@@ -36,12 +36,12 @@
 type Options struct {
 	Cluster string
 	Listen  string // an address and a port, for UDP and TCP; port 0: any, and the address that others reach is made from it
-	Member  member.Settings
+	Member  membership.Settings
 	Keys    [][]byte
-	Halls   map[string]string  // of the routers, by name: one that starts empty is fed from its own first
-	Changed func(*member.View) // called from Run's goroutine, when something of the view is new; must not wait
-	State   *State             // what is shared beyond membership; nil: nothing is
-	Now     func() int64       // of this router's own clock, in nanoseconds
+	Halls   map[string]string      // of the routers, by name: one that starts empty is fed from its own first
+	Changed func(*membership.View) // called from Run's goroutine, when something of the view is new; must not wait
+	State   *State                 // what is shared beyond membership; nil: nothing is
+	Now     func() int64           // of this router's own clock, in nanoseconds
 }
 
 // Counts are what happened to messages since the start.
@@ -77,12 +77,12 @@
 	in      chan *envelope
 	calls   chan func()
 	senders chan struct{}
-	view    atomic.Pointer[member.View]
+	view    atomic.Pointer[membership.View]
 	counts  counters
 	told    atomic.Pointer[told]
 
 	// Of Run's goroutine:
-	members *member.Members
+	members *membership.Members
 	doors   map[string]uint64 // the session at an address
 	windows map[uint64]*window
 	pending map[string]late
@@ -91,7 +91,7 @@
 
 type late struct {
 	at  int64
-	msg member.Message
+	msg membership.Message
 }
 
 // Listen opens the sockets; nothing is sent before Run.
@@ -119,7 +119,7 @@
 	if p.opt.Member.Address == "" {
 		p.opt.Member.Address = p.udp.LocalAddr().String()
 	}
-	if p.members, err = member.New(p.opt.Member, rand.Uint64(), o.Now()); err != nil {
+	if p.members, err = membership.New(p.opt.Member, rand.Uint64(), o.Now()); err != nil {
 		p.close()
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 func (p *Peers) Address() string { return p.opt.Member.Address }
 
 // View is what was believed last; it is not to be changed.
-func (p *Peers) View() *member.View { return p.view.Load() }
+func (p *Peers) View() *membership.View { return p.view.Load() }
 
 // Counts are as they stand.
 func (p *Peers) Counts() Counts {
@@ -203,7 +203,7 @@
 }
 
 // differ says whether something is new but how long ago who was heard.
-func differ(x, y *member.View) bool {
+func differ(x, y *membership.View) bool {
 	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Deaf != y.Deaf || x.Taken != y.Taken || x.Part != y.Part {
 		return true
 	}
@@ -260,7 +260,7 @@
 	if l, ok := p.pending[e.Address]; ok {
 		delete(p.pending, e.Address)
 		if now-l.at < pendingFor {
-			p.send([]member.Message{l.msg})
+			p.send([]membership.Message{l.msg})
 		}
 	}
 	if e.Body != nil {
@@ -283,7 +283,7 @@
 	delete(p.windows, oldest)
 }
 
-func (p *Peers) send(list []member.Message) {
+func (p *Peers) send(list []membership.Message) {
 	now := p.opt.Now()
 	for i := range list {
 		m := &list[i]
@@ -441,8 +441,8 @@
 }
 
 // Log writes what is new in a view.
-func Log(before, now *member.View) {
-	was := map[string]member.Member{}
+func Log(before, now *membership.View) {
+	was := map[string]membership.Member{}
 	if before != nil {
 		for _, m := range before.Members {
 			was[m.Name] = m
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lotushook/decide/member"
+	"lotushook/policy/membership"
 )
 
 var (
@@ -23,7 +23,7 @@
 // router starts one of some; those that are to find each other need a seed.
 func router(t *testing.T, name, cluster string, of []string, keys [][]byte, seeds ...string) (p *Peers, stop func()) {
 	t.Helper()
-	s := member.Usual(name, "", uint64(time.Since(began)), len(of))
+	s := membership.Usual(name, "", uint64(time.Since(began)), len(of))
 	s.Names, s.Alone, s.Seeds = of, 0.5, seeds
 	s.Period, s.Wait = 50e6, 20e6
 	p, err := Listen(Options{Cluster: cluster, Listen: "127.0.0.1:0", Member: s, Keys: keys, Now: func() int64 { return int64(time.Since(began)) }})
@@ -99,8 +99,8 @@
 	b, _ := router(t, "b", "x", names, [][]byte{oldKey}, a.Address())
 	both := "a alive, b alive"
 	until(t, "both know both", func() bool { return states(a) == both && states(b) == both })
-	kill := envelope{Cluster: "x", From: "b", Address: b.Address(), Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(member.Ack), Boot: 1,
-		News: []update{{Name: "b", Address: b.Address(), Boot: b.View().Members[1].Boot, Incarnation: 9, State: uint8(member.Left)}}}}
+	kill := envelope{Cluster: "x", From: "b", Address: b.Address(), Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(membership.Ack), Boot: 1,
+		News: []update{{Name: "b", Address: b.Address(), Boot: b.View().Members[1].Boot, Incarnation: 9, State: uint8(membership.Left)}}}}
 	forged, err := seal(&kill, newKey)
 	if err != nil {
 		t.Fatal(err)
@@ -135,8 +135,8 @@
 // What was recorded before a restart is nothing to the process after it, and what was had is not taken again.
 func TestReplay(t *testing.T) {
 	a, stop := router(t, "a", "x", []string{"a", "b"}, [][]byte{oldKey})
-	e := envelope{Cluster: "x", From: "b", Address: "127.0.0.1:9", Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(member.Ping), Boot: 1,
-		News: []update{{Name: "b", Address: "127.0.0.1:9", Boot: 1, State: uint8(member.Alive)}}}}
+	e := envelope{Cluster: "x", From: "b", Address: "127.0.0.1:9", Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(membership.Ping), Boot: 1,
+		News: []update{{Name: "b", Address: "127.0.0.1:9", Boot: 1, State: uint8(membership.Alive)}}}}
 	raw, err := seal(&e, oldKey)
 	if err != nil {
 		t.Fatal(err)
@@ -200,9 +200,9 @@
 	a, _ := router(t, names[0], "x", names, [][]byte{oldKey})
 	var news []update
 	for i, name := range names[2:] {
-		news = append(news, update{Name: name, Address: fmt.Sprintf("127.0.9.%d:9", i), Boot: 1, State: uint8(member.Alive)})
+		news = append(news, update{Name: name, Address: fmt.Sprintf("127.0.9.%d:9", i), Boot: 1, State: uint8(membership.Alive)})
 	}
-	raw, err := seal(&envelope{Cluster: "x", From: names[2], Address: "127.0.9.0:9", Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(member.Whole), Boot: 1, News: news}}, oldKey)
+	raw, err := seal(&envelope{Cluster: "x", From: names[2], Address: "127.0.9.0:9", Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(membership.Whole), Boot: 1, News: news}}, oldKey)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -1,6 +1,6 @@
 package peer
 
-import "lotushook/decide/shared"
+import "lotushook/policy/crdt"
 
 // Report is what operators read of one router.
 type Report struct {
@@ -65,7 +65,7 @@
 	Refused uint64            `json:"refused"`
 	Caught  bool              `json:"caught_up"` // since its start it had all of some member once
 	Fed     int               `json:"fed"`       // members that it feeds just now
-	Told    shared.Told       `json:"told"`
+	Told    crdt.Told         `json:"told"`
 	Waits   Waits             `json:"waits"`
 }
 
@@ -86,8 +86,8 @@
 	if t != nil {
 		c.Caught, c.Fed, c.Told = t.Caught, t.Fed, t.Told
 	}
-	s.Each(func(store *shared.Store, _ int64) {
-		for k := shared.Session; k <= shared.Last; k++ {
+	s.Each(func(store *crdt.Store, _ int64) {
+		for k := crdt.Session; k <= crdt.Last; k++ {
 			c.Size[k.String()] += store.Size(k)
 			c.Digest[k.String()] += store.Digest(k)
 		}
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	"lotushook/decide/shared"
-	"lotushook/internal/remedy"
+	"lotushook/internal/operr"
+	"lotushook/policy/crdt"
 )
 
 const (
@@ -23,8 +23,8 @@
 
 // spread is what Run's goroutine remembers of spreading.
 type spread struct {
-	teller  *shared.Teller
-	feeder  *shared.Feeder
+	teller  *crdt.Teller
+	feeder  *crdt.Feeder
 	acks    map[string][]ack // by address, until the messages at hand are taken
 	next    int64            // when to ask again
 	asked   int64            // when the open question was put; 0: none is open
@@ -69,16 +69,16 @@
 
 // told is what came of telling, for reports.
 type told struct {
-	shared.Told
+	crdt.Told
 	Fed    int
 	Caught bool
 }
 
 func newSpread(now int64) (s spread, err error) {
-	if s.teller, err = shared.NewTeller(shared.UsualTeller()); err != nil {
+	if s.teller, err = crdt.NewTeller(crdt.UsualTeller()); err != nil {
 		return s, err
 	}
-	s.feeder, err = shared.NewFeeder(shared.UsualFeed(), now)
+	s.feeder, err = crdt.NewFeeder(crdt.UsualFeed(), now)
 	s.acks, s.timer = map[string][]ack{}, time.NewTimer(time.Hour)
 	return s, err
 }
@@ -152,19 +152,19 @@
 	if s.began == 0 {
 		s.began = now
 	}
-	var list []shared.Source
+	var list []crdt.Source
 	for _, n := range names {
-		list = append(list, shared.Source{Name: n, Hall: p.opt.Halls[n]})
+		list = append(list, crdt.Source{Name: n, Hall: p.opt.Halls[n]})
 	}
 	s.turn++
-	of, _ := shared.Choose(list, p.opt.Halls[p.opt.Member.Name], !s.caught, s.tries, s.turn)
+	of, _ := crdt.Choose(list, p.opt.Halls[p.opt.Member.Name], !s.caught, s.tries, s.turn)
 	if address[s.of] != "" { // the same one goes on feeding; if it falls silent another is asked, and goes on from there
 		of.Name = s.of
 	}
 	w := &want{First: s.first, Hungry: !s.caught}
-	places := map[shared.Origin]int{}
+	places := map[crdt.Origin]int{}
 	for room := wantBytes; len(w.Digests) < pieces; {
-		st.at((s.first+len(w.Digests))%pieces, func(store *shared.Store, _ int64) {
+		st.at((s.first+len(w.Digests))%pieces, func(store *crdt.Store, _ int64) {
 			w.Digests = append(w.Digests, store.Sum())
 			v := make([]uint64, len(w.Origins))
 			for o, upto := range store.Vector() {
@@ -257,14 +257,14 @@
 	gave := 0
 	for k := range w.Digests {
 		i := (w.First + k) % pieces
-		st.at(i, func(store *shared.Store, now int64) {
+		st.at(i, func(store *crdt.Store, now int64) {
 			if store.Sum() == w.Digests[k] {
 				return
 			}
-			v := shared.Vector{}
+			v := crdt.Vector{}
 			for j, o := range w.Origins {
 				if w.Upto[k][j] > 0 {
-					v[shared.Origin{Name: o.Name, Boot: o.Boot}] = w.Upto[k][j]
+					v[crdt.Origin{Name: o.Name, Boot: o.Boot}] = w.Upto[k][j]
 				}
 			}
 			for _, r := range store.Since(now, v, room-gave) {
@@ -311,10 +311,10 @@
 		return
 	}
 	sum := uint64(0)
-	runs := make([]shared.Run, len(f.Runs))
+	runs := make([]crdt.Run, len(f.Runs))
 	for i := range f.Runs {
 		r := &f.Runs[i]
-		runs[i] = shared.Run{From: shared.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, Upto: r.Upto}
+		runs[i] = crdt.Run{From: crdt.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, Upto: r.Upto}
 		for j := range r.Entries {
 			one := r.Entries[j].entry()
 			sum += one.Hash()
@@ -326,13 +326,13 @@
 	}
 	if sum != f.Sum {
 		p.counts.spoiled.Add(1)
-		slog.Warn("state", remedy.Attrs(&SpoiledError{From: from, Entries: len(f.Runs)})...)
+		slog.Warn("state", operr.Attrs(&SpoiledError{From: from, Entries: len(f.Runs)})...)
 		s.tries++
 		return
 	}
 	s.tries = 0
 	for i := range runs {
-		st.at(f.Runs[i].Shard, func(store *shared.Store, now int64) { s.entries += store.Merge(now, runs[i:i+1]) })
+		st.at(f.Runs[i].Shard, func(store *crdt.Store, now int64) { s.entries += store.Merge(now, runs[i:i+1]) })
 	}
 	if s.pieces++; f.More {
 		s.of = from
@@ -353,7 +353,7 @@
 	s := &p.spread
 	out := &state{}
 	for range pieces {
-		p.opt.State.at(s.shard, func(store *shared.Store, now int64) {
+		p.opt.State.at(s.shard, func(store *crdt.Store, now int64) {
 			for _, e := range store.Old(now, int64(differFor), checked-len(out.Check)) {
 				out.Check = append(out.Check, wire(&e))
 			}
@@ -370,10 +370,10 @@
 // takeCheck looks whether this copy has what another has known for long, and takes what it lacks: a line, as nothing that is
 // asked for each second should be missing for ten.
 func (p *Peers) takeCheck(from string, list []entry) {
-	var lacks []shared.Entry
+	var lacks []crdt.Entry
 	for i := range list {
 		e, had := list[i].entry(), false
-		p.opt.State.at(p.opt.State.index(&e), func(store *shared.Store, now int64) {
+		p.opt.State.at(p.opt.State.index(&e), func(store *crdt.Store, now int64) {
 			if had = store.Covers(now, &e); !had {
 				had = !store.Take(now, e) // what is not believed here does not lack
 			}
@@ -384,6 +384,6 @@
 	}
 	if len(lacks) > 0 {
 		p.counts.differed.Add(uint64(len(lacks)))
-		slog.Warn("state", remedy.Attrs(&DiffersError{From: from, Entry: lacks[0], Others: len(lacks) - 1})...)
+		slog.Warn("state", operr.Attrs(&DiffersError{From: from, Entry: lacks[0], Others: len(lacks) - 1})...)
 	}
 }
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/decide/shared"
-	"lotushook/internal/shard"
+	"lotushook/internal/sharded"
+	"lotushook/policy/crdt"
 )
 
 const (
@@ -20,9 +20,9 @@
 // Each shard is a store of its own, with numbers of its own for what each origin learned. All that is global is the greatest
 // position that this router learned by itself; a shard hears it when it is next looked at.
 type State struct {
-	shards *shard.Shards[shared.Store]
+	shards *sharded.Shards[crdt.Store]
 	now    func() int64
-	self   shared.Origin
+	self   crdt.Origin
 	fresh  chan struct{} // something is to be pushed
 	top    atomic.Int64
 	keeper Keeper // nil: nobody wants to hear; set before the first use
@@ -42,7 +42,7 @@
 }
 
 type urgent struct {
-	entry shared.Entry
+	entry crdt.Entry
 	wait  uint64
 }
 
@@ -52,45 +52,45 @@
 }
 
 // NewState returns an empty copy on a clock.
-func NewState(s shared.Settings, now func() int64) (*State, error) { return newState(s, now, pieces) }
+func NewState(s crdt.Settings, now func() int64) (*State, error) { return newState(s, now, pieces) }
 
-func newState(s shared.Settings, now func() int64, n int) (*State, error) {
-	if _, err := shared.New(s); err != nil {
+func newState(s crdt.Settings, now func() int64, n int) (*State, error) {
+	if _, err := crdt.New(s); err != nil {
 		return nil, err
 	}
 	s = s.Part(n)
-	return &State{now: now, self: s.Self, fresh: make(chan struct{}, 1), waits: map[uint64]*wait{}, shards: shard.New(n, func(int) shared.Store {
-		store, _ := shared.New(s) // it was checked
+	return &State{now: now, self: s.Self, fresh: make(chan struct{}, 1), waits: map[uint64]*wait{}, shards: sharded.New(n, func(int) crdt.Store {
+		store, _ := crdt.New(s) // it was checked
 		return *store
 	})}, nil
 }
 
 // at has a function look at a shard, which it must not keep.
-func (s *State) at(i int, f func(store *shared.Store, now int64)) {
+func (s *State) at(i int, f func(store *crdt.Store, now int64)) {
 	now, top := s.now(), s.top.Load()
-	s.shards.At(i, func(store *shared.Store) {
+	s.shards.At(i, func(store *crdt.Store) {
 		store.Know(top)
 		f(store, now)
 	})
 }
 
 // Look has a function look at what is kept by a key, see shared.Entry.Key: one shard's lock is held meanwhile.
-func (s *State) Look(a, b string, f func(store *shared.Store, now int64)) {
+func (s *State) Look(a, b string, f func(store *crdt.Store, now int64)) {
 	s.at(s.shards.Index(a, b), f)
 }
 
 // Each has a function look at all shards, one by one: between two of them anything may change.
-func (s *State) Each(f func(store *shared.Store, now int64)) {
+func (s *State) Each(f func(store *crdt.Store, now int64)) {
 	for i := range s.shards.Len() {
 		s.at(i, f)
 	}
 }
 
-func (s *State) index(e *shared.Entry) int { return s.shards.Index(e.Key()) }
+func (s *State) index(e *crdt.Entry) int { return s.shards.Index(e.Key()) }
 
 // know raises the greatest position that this router has learned by itself.
-func (s *State) know(e *shared.Entry) {
-	if e.Kind > shared.Position || e.Kind == shared.Write {
+func (s *State) know(e *crdt.Entry) {
+	if e.Kind > crdt.Position || e.Kind == crdt.Write {
 		return
 	}
 	for top := s.top.Load(); e.At > top && !s.top.CompareAndSwap(top, e.At); top = s.top.Load() {
@@ -98,16 +98,16 @@
 }
 
 // Learn takes in what this router itself has learned just now.
-func (s *State) Learn(e shared.Entry) (learned bool) {
+func (s *State) Learn(e crdt.Entry) (learned bool) {
 	s.know(&e)
-	s.at(s.index(&e), func(store *shared.Store, now int64) {
+	s.at(s.index(&e), func(store *crdt.Store, now int64) {
 		if learned = store.Learn(now, e); learned {
 			e.Age = 0
 			e.From, e.Seq = store.Last()
 		}
 	})
 	if learned && s.keeper != nil {
-		s.keeper.Put(e, shared.Origin{})
+		s.keeper.Put(e, crdt.Origin{})
 	}
 	if learned {
 		s.poke()
@@ -133,13 +133,13 @@
 
 // Assure is Learn that waits until one other member has said that it holds the entry too, or what goes before it; at most so
 // long, and not beyond the end of gone. It says whether that word came. Where no other member is there it waits for nothing.
-func (s *State) Assure(e shared.Entry, most time.Duration, gone <-chan struct{}) bool {
+func (s *State) Assure(e crdt.Entry, most time.Duration, gone <-chan struct{}) bool {
 	s.know(&e)
 	ok := false
-	var tell shared.Entry
-	s.at(s.index(&e), func(store *shared.Store, now int64) { tell, ok = store.Assure(now, e) })
+	var tell crdt.Entry
+	s.at(s.index(&e), func(store *crdt.Store, now int64) { tell, ok = store.Assure(now, e) })
 	if ok && s.keeper != nil && tell.From == s.self {
-		s.keeper.Put(tell, shared.Origin{})
+		s.keeper.Put(tell, crdt.Origin{})
 	}
 	s.mu.Lock()
 	if alone := s.alone.Load(); !ok || alone || len(s.waits) >= mostWaits {
@@ -212,14 +212,14 @@
 }
 
 // take joins what somebody else told, says whether it changed anything, and whether this copy needs nothing more for it.
-func (s *State) take(e *shared.Entry) (changed, covered bool) {
-	s.at(s.index(e), func(store *shared.Store, now int64) { changed, covered = store.Take(now, *e), store.Covers(now, e) })
+func (s *State) take(e *crdt.Entry) (changed, covered bool) {
+	s.at(s.index(e), func(store *crdt.Store, now int64) { changed, covered = store.Take(now, *e), store.Covers(now, e) })
 	return changed, covered
 }
 
 // news are what was learned since the last time, for the teller.
-func (s *State) news() (out []shared.Entry) {
-	s.Each(func(store *shared.Store, now int64) {
+func (s *State) news() (out []crdt.Entry) {
+	s.Each(func(store *crdt.Store, now int64) {
 		store.Tick(now)
 		out = append(out, store.Push(now, 1<<20)...)
 	})
--- a/internal/peer/statewire.go
+++ b/internal/peer/statewire.go
@@ -1,6 +1,6 @@
 package peer
 
-import "lotushook/decide/shared"
+import "lotushook/policy/crdt"
 
 const (
 	mostRuns   = 1 << 10
@@ -79,13 +79,13 @@
 	Acked    int64
 }
 
-func wire(e *shared.Entry) entry {
+func wire(e *crdt.Entry) entry {
 	return entry{Kind: uint8(e.Kind), A: e.A, B: e.B, Born: e.Born, At: e.At, Count: e.Count, Server: e.Server, Name: e.From.Name, Boot: e.From.Boot, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
 }
 
-func (e *entry) entry() shared.Entry {
-	return shared.Entry{Kind: shared.Kind(e.Kind), A: e.A, B: e.B, Born: e.Born, At: e.At, Count: e.Count, Server: e.Server,
-		From: shared.Origin{Name: e.Name, Boot: e.Boot}, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
+func (e *entry) entry() crdt.Entry {
+	return crdt.Entry{Kind: crdt.Kind(e.Kind), A: e.A, B: e.B, Born: e.Born, At: e.At, Count: e.Count, Server: e.Server,
+		From: crdt.Origin{Name: e.Name, Boot: e.Boot}, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
 }
 
 // sound says whether all in it is of a size that is kept.
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lotushook/decide/member"
-	"lotushook/decide/part"
+	"lotushook/policy/membership"
+	"lotushook/policy/quotalease"
 )
 
 const (
@@ -152,7 +152,7 @@
 }
 
 // wrap is a message as it travels.
-func wrap(m *member.Message) *body {
+func wrap(m *membership.Message) *body {
 	b := &body{Kind: uint8(m.Kind), Boot: m.Boot, Seq: m.Seq, Target: m.Target, TargetAddress: m.TargetAddress, Deaf: m.Deaf}
 	for _, u := range m.News {
 		b.News = append(b.News, update{Name: u.Name, Address: u.Address, Boot: u.Boot, Incarnation: u.Incarnation, State: uint8(u.State), By: u.By})
@@ -164,15 +164,15 @@
 }
 
 // message is what an envelope says.
-func (e *envelope) message() member.Message {
+func (e *envelope) message() membership.Message {
 	b := e.Body
-	m := member.Message{Kind: member.Kind(b.Kind), From: e.From, Address: e.Address, Boot: b.Boot, Seq: b.Seq, Target: b.Target,
+	m := membership.Message{Kind: membership.Kind(b.Kind), From: e.From, Address: e.Address, Boot: b.Boot, Seq: b.Seq, Target: b.Target,
 		TargetAddress: b.TargetAddress, Deaf: b.Deaf}
 	for _, u := range b.News {
-		m.News = append(m.News, member.Update{Name: u.Name, Address: u.Address, Boot: u.Boot, Incarnation: u.Incarnation, State: member.State(u.State), By: u.By})
+		m.News = append(m.News, membership.Update{Name: u.Name, Address: u.Address, Boot: u.Boot, Incarnation: u.Incarnation, State: membership.State(u.State), By: u.By})
 	}
 	if b.Row != nil {
-		m.Row = &part.Row{List: b.Row.List, Grant: b.Row.Grant, Gone: b.Row.Gone}
+		m.Row = &quotalease.Row{List: b.Row.List, Grant: b.Row.Grant, Gone: b.Row.Gone}
 	}
 	return m
 }
--- a/internal/peer/wireformat_test.go
+++ b/internal/peer/wireformat_test.go
@@ -5,19 +5,19 @@
 	"encoding/hex"
 	"testing"
 
-	"lotushook/decide/member"
-	"lotushook/decide/part"
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
+	"lotushook/policy/membership"
+	"lotushook/policy/quotalease"
 )
 
 // What travels between routers of one version stays the same byte for byte, whatever the code calls it.
 func TestWireFormat(t *testing.T) {
-	message := &member.Message{Kind: member.Ack, From: "n1", Address: "127.0.0.1:7001", Boot: 3, To: "127.0.0.1:7002", Seq: 4, Target: "n2",
+	message := &membership.Message{Kind: membership.Ack, From: "n1", Address: "127.0.0.1:7001", Boot: 3, To: "127.0.0.1:7002", Seq: 4, Target: "n2",
 		TargetAddress: "127.0.0.1:7003", Deaf: true,
-		News: []member.Update{{Name: "n3", Address: "127.0.0.1:7004", Boot: 5, Incarnation: 6, State: member.Suspect, By: "n4"}},
-		Row:  &part.Row{List: 7, Grant: true, Gone: []byte{1, 2}}}
-	e := &shared.Entry{Kind: shared.Cursor, A: "feed", B: "subscriber", Born: 8, At: 9, Acked: 10, Count: 11, Server: "s1",
-		From: shared.Origin{Name: "n5", Boot: 12}, Seq: 13, Age: 14}
+		News: []membership.Update{{Name: "n3", Address: "127.0.0.1:7004", Boot: 5, Incarnation: 6, State: membership.Suspect, By: "n4"}},
+		Row:  &quotalease.Row{List: 7, Grant: true, Gone: []byte{1, 2}}}
+	e := &crdt.Entry{Kind: crdt.Cursor, A: "feed", B: "subscriber", Born: 8, At: 9, Acked: 10, Count: 11, Server: "s1",
+		From: crdt.Origin{Name: "n5", Boot: 12}, Seq: 13, Age: 14}
 	for name, sent := range map[string]struct {
 		envelope *envelope
 		recorded string
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"strings"
 
-	"lotushook/internal/ring"
+	"lotushook/internal/ringbuffer"
 )
 
 // The kinds of messages, by their first byte on the wire.
@@ -92,7 +92,7 @@
 // Next returns the first message in the buffer, ErrShort when there is none
 // whole, *TooLong, or an error that wraps ErrMalformed. The caller discards
 // Size bytes once it has read the message.
-func Next(b *ring.Buffer) (Message, error) {
+func Next(b *ringbuffer.Buffer) (Message, error) {
 	h := b.Peek(head)
 	if len(h) < head {
 		return Message{}, ErrShort
@@ -122,7 +122,7 @@
 )
 
 // NextStart reads the untyped first message: its kind and size, with errors as Next.
-func NextStart(b *ring.Buffer) (StartKind, int, error) {
+func NextStart(b *ringbuffer.Buffer) (StartKind, int, error) {
 	h := b.Peek(4)
 	if len(h) < 4 {
 		return 0, 0, ErrShort
@@ -155,7 +155,7 @@
 
 // CancelOf is the key in a CancelRequest of n bytes that NextStart has found at the front of the buffer; ok is false where
 // it is none of this protocol's length.
-func CancelOf(b *ring.Buffer, n int) (key CancelKey, ok bool) {
+func CancelOf(b *ringbuffer.Buffer, n int) (key CancelKey, ok bool) {
 	if n != 16 {
 		return CancelKey{}, false
 	}
@@ -165,7 +165,7 @@
 
 // StartupParams are the parameters of a Startup of n bytes that NextStart has
 // found at the front of the buffer; each is called with its name and value.
-func StartupParams(b *ring.Buffer, n int, each func(name, value string)) {
+func StartupParams(b *ringbuffer.Buffer, n int, each func(name, value string)) {
 	for p := b.Peek(n)[8:]; ; {
 		name, rest, _ := cstring(p)
 		value, rest, ok := cstring(rest)
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"lotushook/internal/ring"
+	"lotushook/internal/ringbuffer"
 )
 
 func TestParseRequest(t *testing.T) {
@@ -89,7 +89,7 @@
 }
 
 func TestMessages(t *testing.T) {
-	b := ring.New(64)
+	b := ringbuffer.New(64)
 	b.Write(AppendQuery(nil, "SELECT 1")[:9])
 	if _, err := Next(b); !errors.Is(err, ErrShort) {
 		t.Errorf("half a message: %v", err)
@@ -105,7 +105,7 @@
 		"Q\x7f\xff\xff\xff":                      ErrMalformed,
 		"Q\x00\x00\x00\x40" + "0123456789012345": &TooLong{'Q', 65},
 	} {
-		b := ring.New(64)
+		b := ringbuffer.New(64)
 		b.Write([]byte(text))
 		_, err := Next(b)
 		if long, ok := want.(*TooLong); ok {
@@ -148,7 +148,7 @@
 	f.Add([]byte("D\x00\x00\x00\x0f\x00\x01\x00\x00\x00\x05abcde"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		for _, start := range []bool{true, false} {
-			b := ring.New(512)
+			b := ringbuffer.New(512)
 			if _, err := b.Write(in); err != nil {
 				return
 			}
--- a/internal/config/config.go
+++ b/internal/platformconfig/config.go
@@ -1,6 +1,6 @@
 // Package config reads what a router is told at its start: the NODE_*
 // variables and the JSON file that one of them names.
-package config
+package platformconfig
 
 import (
 	"cmp"
@@ -13,10 +13,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/balance"
 	"lotushook/internal/discovery"
-	"lotushook/internal/settings"
-	"lotushook/internal/strict"
+	"lotushook/internal/platformsettings"
+	"lotushook/internal/strictjson"
+	"lotushook/policy/balance"
 )
 
 // Config is a router's configuration, validated.
@@ -27,7 +27,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.List // the list as this router last had it; nil when none was kept
-	Settings  *settings.Settings
+	Settings  *platformsettings.Settings
 }
 
 // Limits are what the platform allows the process.
@@ -80,7 +80,7 @@
 	}
 	var f file
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &f); err != nil {
-		if where := strict.Kinds(raw, &file{}); where != nil && jsoniter.Valid(raw) { // it tells the field
+		if where := strictjson.Kinds(raw, &file{}); where != nil && jsoniter.Valid(raw) { // it tells the field
 			return nil, fmt.Errorf("config: %w", where)
 		}
 		return nil, fmt.Errorf("config: not valid JSON: %w", err)
@@ -106,7 +106,7 @@
 		c.Known, err = discovery.Parse(f.Known, time.Now())
 		check("known", err)
 	}
-	c.Settings, err = settings.Parse(f.Settings)
+	c.Settings, err = platformsettings.Parse(f.Settings)
 	if check("settings", err); err == nil {
 		_, err = balance.New(c.Settings.Balance, c.Seed)
 		check("settings", err)
--- a/internal/settings/check.go
+++ b/internal/platformsettings/check.go
@@ -1,10 +1,10 @@
-package settings
+package platformsettings
 
 import (
 	"fmt"
 	"math"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // FieldError is a field of the settings object that no router can work with.
--- a/internal/settings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,6 +1,6 @@
 // Package settings turns the settings object, which the simulator's first
 // message and a router's configuration share, into the module's types.
-package settings
+package platformsettings
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/balance"
-	"lotushook/internal/strict"
+	"lotushook/internal/strictjson"
+	"lotushook/policy/balance"
 )
 
 // Settings is the settings object as one router uses it.
@@ -40,7 +40,7 @@
 	}
 	var e env
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &e); err != nil {
-		if where := strict.Kinds(raw, &env{}); where != nil { // it tells the field
+		if where := strictjson.Kinds(raw, &env{}); where != nil { // it tells the field
 			return nil, where
 		}
 		return nil, err
--- a/internal/settings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package platformsettings
 
 import (
 	"encoding/json"
@@ -7,17 +7,17 @@
 	"strings"
 	"testing"
 
-	"lotushook/balance"
-	"lotushook/internal/scenario"
+	"lotushook/internal/nettest"
+	"lotushook/policy/balance"
 )
 
 // Settings that no router can work with are an error on one line; what is taken makes a module that takes events.
 func FuzzSettings(f *testing.F) {
-	f.Add(scenario.Settings)
+	f.Add(nettest.Settings)
 	for _, c := range [][2]string{{`"balancers":1`, `"balancers":0`}, {`"lateFail":0.042`, `"lateFail":-1`}, {`"coldShare":0.17`, `"coldShare":17`},
 		{`"granularity":5000000`, `"granularity":-1`}, {`"maxAttempts":8`, `"maxAttempts":0`}, {`"deadline":20000000000`, `"deadline":0`}} {
-		bad := strings.Replace(scenario.Settings, c[0], c[1], 1)
-		if bad == scenario.Settings {
+		bad := strings.Replace(nettest.Settings, c[0], c[1], 1)
+		if bad == nettest.Settings {
 			f.Fatalf("no %s in the settings", c[0])
 		}
 		s, err := Parse([]byte(bad))
@@ -49,7 +49,7 @@
 func TestEachField(t *testing.T) {
 	whole := func() map[string]any {
 		text := strings.NewReplacer(`"customers":[]`, `"customers":[{"name":"a","quotaPerS":5.5}]`, `"discovery"`, `"overShareWorth":0.2,"discovery"`,
-			`"lateFail"`, `"handshake":0,"lateFail"`, `"rules":{`, `"rules":{"softRemoval":false,`).Replace(scenario.Settings)
+			`"lateFail"`, `"handshake":0,"lateFail"`, `"rules":{`, `"rules":{"softRemoval":false,`).Replace(nettest.Settings)
 		var m map[string]any
 		if err := json.Unmarshal([]byte(text), &m); err != nil {
 			t.Fatal(err)
@@ -148,13 +148,13 @@
 
 // One line tells two deployments apart.
 func TestSummary(t *testing.T) {
-	first, err := Parse([]byte(scenario.Settings))
+	first, err := Parse([]byte(nettest.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	second, err := Parse([]byte(strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"customers":[]`, `"customers":[{"name":"a"},{"name":"b"}]`,
 		`"bounce"`, `"none"`, `"secondCopies":false`, `"secondCopies":true`, `"how":"probe"`, `"how":"none"`, `"automatic"`, `"subscribe"`).
-		Replace(scenario.Settings)))
+		Replace(nettest.Settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/summary.go
+++ b/internal/platformsettings/summary.go
@@ -1,11 +1,11 @@
-package settings
+package platformsettings
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // Summary is on one line what these settings make a router do: what differs
--- a/internal/ring/ring.go
+++ b/internal/ringbuffer/ring.go
@@ -1,7 +1,7 @@
 // Package ring holds the byte buffer that each connection has one of in each
 // direction. A buffer starts small, grows to the message at hand up to its
 // cap, and gives the memory back when it is idle.
-package ring
+package ringbuffer
 
 import (
 	"errors"
--- a/internal/ring/ring_test.go
+++ b/internal/ringbuffer/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package ringbuffer
 
 import (
 	"bytes"
--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // promptRead is how long a read of bytes that were there takes at most; a longer one has waited for them.
--- a/internal/router/cancel.go
+++ b/internal/router/cancel.go
@@ -6,7 +6,7 @@
 	"encoding/binary"
 
 	"lotushook/internal/pgwire"
-	"lotushook/internal/shard"
+	"lotushook/internal/sharded"
 )
 
 // cancelShards is in how many pieces the keys are kept: clients come and go on many goroutines.
@@ -15,11 +15,11 @@
 // cancels finds the client that a CancelRequest names. It holds one entry for each client that has been welcomed, and none
 // of those that have gone.
 type cancels struct {
-	clients *shard.Shards[map[uint32]*client]
+	clients *sharded.Shards[map[uint32]*client]
 }
 
 func newCancels() *cancels {
-	return &cancels{shard.New(cancelShards, func(int) map[uint32]*client { return map[uint32]*client{} })}
+	return &cancels{sharded.New(cancelShards, func(int) map[uint32]*client { return map[uint32]*client{} })}
 }
 
 // at has a function look at the clients among whom a process is.
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/admission"
-	"lotushook/decide/contract"
 	"lotushook/internal/backend"
-	"lotushook/internal/feed"
+	"lotushook/internal/changefeed"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/ring"
+	"lotushook/internal/ringbuffer"
+	"lotushook/policy/admission"
+	"lotushook/policy/balance"
+	"lotushook/policy/contract"
 )
 
 const (
@@ -51,20 +51,20 @@
 type client struct {
 	router *Router
 	conn   net.Conn
-	in     *ring.Buffer
-	out    *ring.Buffer  // who has the turn to answer writes it
-	left   chan struct{} // closed once the client has gone, or is to be
-	cut    chan struct{} // closed once an answer could not be written: nobody hears the next ones
-	once   sync.Once     // of cut
-	fatal  bool          // with left closed: by an error of the client's, which still hears
-	slots  chan struct{} // bounds what is pipelined
-	skip   bool          // the reader's: after an error in an extended query, up to the next Sync
-	faults int           // the reader's: unusable queries in a row
-	heard  arrivals      // the reader's: when what it reads had come
-
-	seat   *feed.Seat   // the reader's: of one that has asked for a feed
-	id     admission.ID // at the door
-	who    contract.Who // as its startup message says
+	in     *ringbuffer.Buffer
+	out    *ringbuffer.Buffer // who has the turn to answer writes it
+	left   chan struct{}      // closed once the client has gone, or is to be
+	cut    chan struct{}      // closed once an answer could not be written: nobody hears the next ones
+	once   sync.Once          // of cut
+	fatal  bool               // with left closed: by an error of the client's, which still hears
+	slots  chan struct{}      // bounds what is pipelined
+	skip   bool               // the reader's: after an error in an extended query, up to the next Sync
+	faults int                // the reader's: unusable queries in a row
+	heard  arrivals           // the reader's: when what it reads had come
+
+	seat   *changefeed.Seat // the reader's: of one that has asked for a feed
+	id     admission.ID     // at the door
+	who    contract.Who     // as its startup message says
 	key    pgwire.CancelKey
 	mu     sync.Mutex
 	away   *turnedAway // the door's word, for the reader to say
@@ -88,7 +88,7 @@
 func newClient(r *Router, conn net.Conn) *client {
 	last := make(chan struct{})
 	close(last)
-	return &client{router: r, conn: conn, in: ring.New(longestQuery).Within(r.reading), out: ring.New(longestReply),
+	return &client{router: r, conn: conn, in: ringbuffer.New(longestQuery).Within(r.reading), out: ringbuffer.New(longestReply),
 		idleAt: time.Now(), left: make(chan struct{}), cut: make(chan struct{}), slots: make(chan struct{}, pipelined), last: last}
 }
 
@@ -167,7 +167,7 @@
 		return pgwire.CodeProtocolViolation, ""
 	case errors.As(err, &long):
 		return pgwire.CodeTooLarge, ""
-	case errors.Is(err, ring.ErrFull):
+	case errors.Is(err, ringbuffer.ErrFull):
 		return pgwire.CodeOutOfMemory, ""
 	}
 	return "", ""
@@ -422,7 +422,7 @@
 	c.faults = 0
 	if f := c.router.feeds; f != nil && f.part.Serves(parsed.Class) {
 		if c.seat == nil {
-			c.seat = &feed.Seat{}
+			c.seat = &changefeed.Seat{}
 		}
 		seat := c.seat
 		return c.task(tasks, func() []byte { return f.answer(c, &parsed, seat, came) })
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/internal/config"
 	"lotushook/internal/invariant"
+	"lotushook/internal/nettest"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/ring"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/platformconfig"
+	"lotushook/internal/ringbuffer"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
 )
 
 // noCancel is a deployment where an attempt that is out can't be called off.
@@ -25,21 +25,21 @@
 }
 
 // stageSet is stageHeld with other settings.
-func stageSet(t *testing.T, hold time.Duration, p patience, set func(settings string) string, hosts ...string) (*scenario.Stage, *Router) {
+func stageSet(t *testing.T, hold time.Duration, p patience, set func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := scenario.New(t, "s1", "s2", "agent")
+	s := nettest.New(t, "s1", "s2", "agent")
 	for i, h := range hosts {
 		hosts[i] = s.Expand(h)
 	}
-	conf, err := config.Check(scenario.File(t, set(scenario.Config(ln.Addr().String(), s.Addr("agent"), scenario.List(1, hosts...)))))
+	conf, err := platformconfig.Check(nettest.File(t, set(nettest.Config(ln.Addr().String(), s.Addr("agent"), nettest.List(1, hosts...)))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, &setup.Setup{})
+	r, err := New(conf, &siteconfig.Setup{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 // The module's word to send and the client's leaving are there in the same moment: it is not sent, whichever is drawn.
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
-		r := newRouter(t, scenario.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
+		r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
 		e := r.dir.Apply(r.conf.Known)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
@@ -172,7 +172,7 @@
 			t.Errorf("%d requests: its leaving was seen after %v", n, took)
 		}
 		until(t, "nobody is here", func() bool { return !someone(r, func(*client) bool { return true }) })
-		s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 SERVING"))
+		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
 		s.Play(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
 			wait s1
 			expect s1 startup
@@ -367,7 +367,7 @@
 	until(t, "the request has come", func() bool { return len(r.owner.events) > 1 })
 	s.Set("cancel", cancelRequest(keyOf(t, r)))
 	s.Play("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
-	s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 SERVING"))
+	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
 	s.Play("send c1 " + read02 + `
 		wait s1
 		expect s1 startup
@@ -392,7 +392,7 @@
 		if _, err := conn.Write(pgwire.AppendStartup(nil, "worker", "catalog")); err != nil {
 			t.Fatal(err)
 		}
-		in := ring.New(1 << 10)
+		in := ringbuffer.New(1 << 10)
 		for ready := false; !ready; {
 			m, err := pgwire.Next(in)
 			if err != nil {
@@ -460,7 +460,7 @@
 
 // The last moment of a repeat, by the class's effect and window and by nothing else.
 func TestLastRepeat(t *testing.T) {
-	r := newRouter(t, scenario.List(1))
+	r := newRouter(t, nettest.List(1))
 	for _, c := range []struct {
 		class string
 		ran   bool
@@ -487,7 +487,7 @@
 			expect s1 startup
 			send s1 welcome
 			expect s1 ` + wrote01)
-		s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 		known := r.conf.Known.Hosts[0].Host
 		until(t, "the drain is known", func() bool {
 			_, ready := r.dir.Address(nodeOf(known))
--- a/internal/router/door.go
+++ b/internal/router/door.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
-	"lotushook/decide/admission"
-	"lotushook/internal/budget"
+	"lotushook/internal/fdlimit"
 	"lotushook/internal/invariant"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/admission"
 )
 
 const (
@@ -57,7 +57,7 @@
 	shrunk time.Time // when descriptors last ran out; zero: they did not, or long ago
 }
 
-func newDoor(r *Router, a *setup.Admission) (*door, error) {
+func newDoor(r *Router, a *siteconfig.Admission) (*door, error) {
 	d := &door{router: r, conns: map[admission.ID]*client{}}
 	if b := &r.conf.Settings.Balance; b.RetryAfter {
 		d.back = b.MaxRetryAfter
@@ -83,7 +83,7 @@
 	return most - d.leaving()
 }
 
-func (d *door) limits(a *setup.Admission) admission.Settings { return a.Limits(d.room(), d.back) }
+func (d *door) limits(a *siteconfig.Admission) admission.Settings { return a.Limits(d.room(), d.back) }
 
 // shrink makes room for fewer clients, as the system grants fewer descriptors than
 // the router was told of.
@@ -114,7 +114,7 @@
 }
 
 // set puts other limits in force.
-func (d *door) set(a *setup.Admission) error {
+func (d *door) set(a *siteconfig.Admission) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.gate.Set(d.limits(a)); err != nil {
@@ -141,7 +141,7 @@
 			d.router.budget.Leave()
 			var ne net.Error
 			switch {
-			case budget.Exhausted(err):
+			case fdlimit.Exhausted(err):
 				d.short(ln)
 			case errors.As(err, &ne) && !errors.Is(err, net.ErrClosed): // an aborted connection
 				slog.Warn("accept", "err", err)
--- a/internal/router/door_test.go
+++ b/internal/router/door_test.go
@@ -10,18 +10,18 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/siteconfig"
 )
 
 // admitting is a setup with this admission.
-func admitting(t *testing.T, text string) *setup.Setup {
+func admitting(t *testing.T, text string) *siteconfig.Setup {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, []byte(`{"admission":`+text+`}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := setup.Load(path)
+	own, err := siteconfig.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 
 // doorStage is a running router that admits clients; those named a and b have
 // addresses of one prefix, k those of a reserve.
-func doorStage(t *testing.T, text string) (*scenario.Stage, *Router) {
+func doorStage(t *testing.T, text string) (*nettest.Stage, *Router) {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
@@ -172,7 +172,7 @@
 		send a3 startup | Q "/* id=03,c=read,d=20000,cluster=1 */ A"
 		expect a3 welcome
 		expect s1 Q "/* id=03,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.conf, &setup.Setup{}); err == nil {
+	if err := r.Reload(r.conf, &siteconfig.Setup{}); err == nil {
 		t.Error("admission was switched off in service")
 	}
 	if err := r.Reload(r.conf, admitting(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
--- a/internal/router/feeds.go
+++ b/internal/router/feeds.go
@@ -9,26 +9,26 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/cursor"
-	"lotushook/decide/shared"
-	"lotushook/internal/feed"
+	"lotushook/internal/changefeed"
+	"lotushook/internal/operr"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/remedy"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/crdt"
+	"lotushook/policy/cursor"
 )
 
 // feeds is the part that answers classes of feeds. Their requests don't reach the module; what it reads at data servers does, as
 // requests of the same class, so that counts of what is pending, cold servers' budgets and limits hold for it.
 type feeds struct {
 	router *Router
-	own    *setup.Feeds
-	part   *feed.Part
+	own    *siteconfig.Feeds
+	part   *changefeed.Part
 	asked  atomic.Uint64
 	stays  *client // whom the router's own requests are for
 }
 
-func newFeeds(r *Router, own *setup.Feeds) (*feeds, error) {
+func newFeeds(r *Router, own *siteconfig.Feeds) (*feeds, error) {
 	f := &feeds{router: r, own: own, stays: &client{left: make(chan struct{})}}
 	all, by := own.Cursor()
 	for name := range by {
@@ -40,20 +40,20 @@
 			return nil, fmt.Errorf("feeds: classes.%s: not one of reads that may be repeated", name)
 		}
 	}
-	o := feed.Options{Settings: all, Classes: by, Waiting: own.MostWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
-		Self: shared.Origin{Name: r.conf.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
+	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MostWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
+		Self: crdt.Origin{Name: r.conf.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
 	if r.members != nil {
 		o.State = r.members.state
 	}
 	var err error
-	if f.part, err = feed.New(o); err != nil {
+	if f.part, err = changefeed.New(o); err != nil {
 		return nil, fmt.Errorf("feeds: %w", err)
 	}
 	return f, nil
 }
 
 // ownFeeds are the settings in force; nil: there are none.
-func (r *Router) ownFeeds() *setup.Feeds {
+func (r *Router) ownFeeds() *siteconfig.Feeds {
 	if r.feeds == nil {
 		return nil
 	}
@@ -61,8 +61,8 @@
 }
 
 // answer is a subscriber's. Its connection's reader set the seat before any of its tasks began.
-func (f *feeds) answer(c *client, q *pgwire.Request, seat *feed.Seat, came balance.Nanos) []byte {
-	r := &feed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.who, Left: c.left,
+func (f *feeds) answer(c *client, q *pgwire.Request, seat *changefeed.Seat, came balance.Nanos) []byte {
+	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.who, Left: c.left,
 		Until: came + int64(max(q.Wait-margin, q.Wait/2))}
 	if q.Session == "" {
 		return problem(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
@@ -98,14 +98,14 @@
 	case errors.As(err, &no):
 		code = pgwire.CodeCursor
 	}
-	if e := remedy.Of(err); e != nil {
+	if e := operr.Of(err); e != nil {
 		kind, hint = e.Kind(), e.Remedy()
 	}
 	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
 }
 
 // read asks a member through the module, as a client of the class would.
-func (f *feeds) read(ask feed.Ask) feed.Got {
+func (f *feeds) read(ask changefeed.Ask) changefeed.Got {
 	now := f.router.clock.now()
 	var text strings.Builder
 	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.asked.Add(1), ask.Class, max(1, (ask.Until-now)/1e6), ask.Group)
@@ -115,16 +115,16 @@
 	fmt.Fprintf(&text, " */ SELECT feed(%d)", ask.Most)
 	parsed, err := pgwire.ParseRequest(text.String())
 	if err != nil {
-		return feed.Got{Err: err}
+		return changefeed.Got{Err: err}
 	}
 	end := &result{}
 	r := &request{Request: parsed, router: f.router, client: f.stays, who: ask.Who, acts: make(chan balance.Action, mailbox), deadline: ask.Until, result: end}
 	r.run()
 	switch {
 	case end.served:
-		return feed.Got{Value: end.value}
+		return changefeed.Got{Value: end.value}
 	case end.wait > 0:
-		return feed.Got{Wait: end.wait, Err: errors.New("refused by this router's own decisions")}
+		return changefeed.Got{Wait: end.wait, Err: errors.New("refused by this router's own decisions")}
 	}
-	return feed.Got{Err: context.DeadlineExceeded}
+	return changefeed.Got{Err: context.DeadlineExceeded}
 }
--- a/internal/router/kept.go
+++ b/internal/router/kept.go
@@ -10,14 +10,14 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lotushook/balance"
-	"lotushook/decide/evidence"
-	dkeep "lotushook/decide/keep"
-	"lotushook/decide/shared"
-	"lotushook/internal/keep"
+	"lotushook/internal/operr"
 	"lotushook/internal/peer"
-	"lotushook/internal/remedy"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
+	"lotushook/internal/store"
+	"lotushook/policy/balance"
+	"lotushook/policy/crdt"
+	dkeep "lotushook/policy/persistence"
+	"lotushook/policy/trust"
 )
 
 const (
@@ -28,33 +28,33 @@
 // kept is what a router does with its copy on disk: it writes what the state holds, gives it back after a start, and knows
 // what of it is proven. It implements peer.Keeper.
 type kept struct {
-	keep *keep.Keep
+	keep *store.Keep
 	load time.Duration
-	self shared.Origin
+	self crdt.Origin
 	now  func() int64
 
 	mu       sync.Mutex // for some map accesses; never held while anything waits
-	book     *evidence.Book
+	book     *trust.Book
 	steady   map[string]uint64 // the boots of members that the process before this one saw: who still has it was up meanwhile
 	boots    map[string]uint64 // as they are now
-	mark     evidence.Mark     // how far the copy goes in this router's own words
-	standing evidence.Standing
+	mark     trust.Mark        // how far the copy goes in this router's own words
+	standing trust.Standing
 	restored int
 }
 
-func newKept(own *setup.Members, self shared.Origin, now func() int64) (*kept, error) {
-	book, err := evidence.NewBook(evidence.Usual())
+func newKept(own *siteconfig.Members, self crdt.Origin, now func() int64) (*kept, error) {
+	book, err := trust.NewBook(trust.Usual())
 	if err != nil {
 		return nil, err
 	}
 	q := dkeep.Usual()
 	q.QueueBytes, q.Fsyncs = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
-	s := keep.Settings{Dir: own.Keep.Dir, Most: own.Keep.MostMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
+	s := store.Settings{Dir: own.Keep.Dir, Most: own.Keep.MostMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
-	u := shared.Usual(self)
-	s.Windows[shared.Write], s.Windows[shared.Hint] = u.Window, u.HintFor
+	u := crdt.Usual(self)
+	s.Windows[crdt.Write], s.Windows[crdt.Hint] = u.Window, u.HintFor
 	k := &kept{load: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, book: book, steady: map[string]uint64{}, boots: map[string]uint64{}}
-	k.keep, err = keep.New(s)
+	k.keep, err = store.New(s)
 	return k, err
 }
 
@@ -83,7 +83,7 @@
 // young as it can be.
 func (k *kept) restore(state *peer.State) {
 	f := k.keep.Found()
-	var list []shared.Entry
+	var list []crdt.Entry
 	bad := 0
 	k.mu.Lock()
 	for i := range f.Records {
@@ -94,18 +94,18 @@
 			}
 			continue
 		}
-		var e shared.Entry
+		var e crdt.Entry
 		if cbor.Unmarshal(r.Value, &e) != nil || uint8(e.Kind) != r.Kind || string(entryKey(&e)) != string(r.Key) {
 			bad++
 			continue
 		}
-		if e.Age = r.Age; e.Kind == shared.Hint && r.Unsure {
+		if e.Age = r.Age; e.Kind == crdt.Hint && r.Unsure {
 			continue
 		}
 		list = append(list, e)
 		k.book.Restored(k.now(), e, r.Unsure)
 		if e.From.Name == k.self.Name && (e.From.Boot > k.mark.Boot || e.From.Boot == k.mark.Boot && e.Seq > k.mark.Number) {
-			k.mark = evidence.Mark{Boot: e.From.Boot, Number: e.Seq}
+			k.mark = trust.Mark{Boot: e.From.Boot, Number: e.Seq}
 		}
 	}
 	k.restored = len(list)
@@ -117,14 +117,14 @@
 
 // Put hears what the state holds from now on. Cursors and levels are not copied: nothing says yet what may be done on the
 // strength of one that came back, and a level is worth nothing after two seconds.
-func (k *kept) Put(e shared.Entry, by shared.Origin) {
-	if e.Kind > shared.Hint {
+func (k *kept) Put(e crdt.Entry, by crdt.Origin) {
+	if e.Kind > crdt.Hint {
 		return
 	}
 	k.mu.Lock()
 	now := k.now()
 	was, entry := k.book.Fact(now, e)
-	own := by == shared.Origin{}
+	own := by == crdt.Origin{}
 	if own {
 		k.book.Own(now, e)
 	} else {
@@ -139,7 +139,7 @@
 	if met {
 		k.keep.Put(dkeep.Record{Kind: kindMember, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Boot)})
 	}
-	if was.Origin != evidence.None && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != shared.Write || e.Age >= was.Age) {
+	if was.Origin != trust.None && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != crdt.Write || e.Age >= was.Age) {
 		return // it is on its way or written already
 	}
 	value, err := cbor.Marshal(e)
@@ -149,22 +149,22 @@
 }
 
 // compare holds the copy against what a peer remembers of this router's own words.
-func (k *kept) compare(e *shared.Entry) {
-	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (evidence.Mark{}) || k.standing == evidence.Behind {
+func (k *kept) compare(e *crdt.Entry) {
+	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.Mark{}) || k.standing == trust.Behind {
 		return
 	}
-	seen := evidence.Mark{Boot: e.From.Boot, Number: e.Seq}
-	if k.standing = max(k.standing, evidence.Compare(k.mark, seen, crashLoses)); k.standing == evidence.Behind {
+	seen := trust.Mark{Boot: e.From.Boot, Number: e.Seq}
+	if k.standing = max(k.standing, trust.Compare(k.mark, seen, crashLoses)); k.standing == trust.Behind {
 		k.book.Old()
-		mark := func(m evidence.Mark) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Boot) }
-		slog.Warn("keep", remedy.Attrs(&keep.Old{Path: k.keep.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
+		mark := func(m trust.Mark) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Boot) }
+		slog.Warn("keep", operr.Attrs(&store.Old{Path: k.keep.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
 	}
 }
 
 // fact is what is known of an entry's key.
-func (k *kept) fact(e shared.Entry) (evidence.Fact, shared.Entry) {
+func (k *kept) fact(e crdt.Entry) (trust.Fact, crdt.Entry) {
 	if k == nil {
-		return evidence.Fact{}, shared.Entry{}
+		return trust.Fact{}, crdt.Entry{}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -172,12 +172,12 @@
 }
 
 // entryKey is an entry's key on disk.
-func entryKey(e *shared.Entry) []byte {
+func entryKey(e *crdt.Entry) []byte {
 	out := append(append([]byte(e.A), 0), e.B...)
 	switch e.Kind {
-	case shared.Position:
+	case crdt.Position:
 		out = binary.LittleEndian.AppendUint64(append(out, 0), uint64(e.Born))
-	case shared.Use, shared.Hint:
+	case crdt.Use, crdt.Hint:
 		out = binary.LittleEndian.AppendUint64(append(append(out, 0), e.From.Name...), e.From.Boot)
 	}
 	return out
@@ -185,7 +185,7 @@
 
 // keptReport is what operators read of it.
 type keptReport struct {
-	*keep.Report
+	*store.Report
 	Restored int  `json:"restored"` // entries, at the start
 	Doubted  int  `json:"doubted"`  // of these, not proven yet
 	Old      bool `json:"old"`      // the copy was put back
@@ -197,11 +197,11 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return keptReport{k.keep.Report(), k.restored, k.book.Doubted(evidence.Restored), k.standing == evidence.Behind}
+	return keptReport{k.keep.Report(), k.restored, k.book.Doubted(trust.Restored), k.standing == trust.Behind}
 }
 
 // ground is the evidence that a read's floor rests on.
 type ground struct {
 	at   balance.Nanos // the floor; 0: there is none
-	fact evidence.Fact
+	fact trust.Fact
 }
--- a/internal/router/kept_test.go
+++ b/internal/router/kept_test.go
@@ -9,10 +9,10 @@
 	"sync"
 	"testing"
 
-	"lotushook/decide/evidence"
-	"lotushook/decide/shared"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/crdt"
+	"lotushook/policy/trust"
 )
 
 // What a router had learned and been told comes back after its start as the disk's word: it raises floors at once, and is
@@ -23,24 +23,24 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := setup.Load(scenario.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, filepath.Join(dir, "keep"))))
+	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, filepath.Join(dir, "keep"))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func() (*members, func()) {
-		m := newOwnRouter(t, own, scenario.List(1)).members
+		m := newOwnRouter(t, own, nettest.List(1)).members
 		ctx, cancel := context.WithCancel(context.Background())
 		var parts sync.WaitGroup
 		m.restore(ctx, &parts)
 		return m, func() { cancel(); parts.Wait() }
 	}
-	session := shared.Entry{Kind: shared.Session, A: "1", B: "mine"}
+	session := crdt.Entry{Kind: crdt.Session, A: "1", B: "mine"}
 	m, stop := start()
-	m.state.Learn(shared.Entry{Kind: shared.Session, A: "1", B: "mine", At: 5e9})
-	primary := shared.Entry{Kind: shared.Primary, A: "1", Server: "s1", At: 4e9, From: shared.Origin{Name: "n1", Boot: 3}, Seq: 1}
-	m.state.Learn(shared.Leveled("1", 100, 7, 1)) // neither this nor a cursor is copied
-	m.state.Learn(shared.Entry{Kind: shared.Cursor, A: "f", B: "mine", Count: 1, At: 5})
-	steady := shared.Origin{Name: "n1", Boot: 3}
+	m.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: "mine", At: 5e9})
+	primary := crdt.Entry{Kind: crdt.Primary, A: "1", Server: "s1", At: 4e9, From: crdt.Origin{Name: "n1", Boot: 3}, Seq: 1}
+	m.state.Learn(crdt.Leveled("1", 100, 7, 1)) // neither this nor a cursor is copied
+	m.state.Learn(crdt.Entry{Kind: crdt.Cursor, A: "f", B: "mine", Count: 1, At: 5})
+	steady := crdt.Origin{Name: "n1", Boot: 3}
 	m.kept.Put(primary, steady)
 	boot := m.set.Boot
 	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
@@ -54,12 +54,12 @@
 	if at := m.commit(1, "mine"); at != 5e9 {
 		t.Fatalf("the commit is %d", at)
 	}
-	for _, e := range []shared.Entry{session, primary} {
-		if f, _ := m.kept.fact(e); f.Origin != evidence.Restored || f.Proven || f.Unsure || f.Age <= 0 {
+	for _, e := range []crdt.Entry{session, primary} {
+		if f, _ := m.kept.fact(e); f.Origin != trust.Restored || f.Proven || f.Unsure || f.Age <= 0 {
 			t.Fatalf("%s: %+v", e.Kind, f)
 		}
 	}
-	m.kept.Put(primary, shared.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
+	m.kept.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
 	if f, _ := m.kept.fact(primary); f.Proven {
 		t.Errorf("proven by who was not up: %+v", f)
 	}
@@ -67,12 +67,12 @@
 	if f, _ := m.kept.fact(primary); !f.Proven {
 		t.Errorf("not proven by who was up all the while: %+v", f)
 	}
-	m.state.Learn(shared.Entry{Kind: shared.Session, A: "1", B: "mine", At: 4e9})
+	m.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: "mine", At: 4e9})
 	if at := m.commit(1, "mine"); at != 5e9 {
 		t.Errorf("an older answer lowered the commit to %d", at)
 	}
-	m.state.Learn(shared.Entry{Kind: shared.Session, A: "1", B: "mine", At: 6e9})
-	if f, e := m.kept.fact(session); f.Origin != evidence.Own || e.At != 6e9 {
+	m.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: "mine", At: 6e9})
+	if f, e := m.kept.fact(session); f.Origin != trust.Own || e.At != 6e9 {
 		t.Errorf("after an own answer: %+v", f)
 	}
 	r := m.kept.report().(keptReport)
@@ -80,7 +80,7 @@
 		t.Errorf("%+v", r)
 	}
 	e := session
-	e.B, e.At, e.From, e.Seq = "other", 7e9, shared.Origin{Name: m.set.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
+	e.B, e.At, e.From, e.Seq = "other", 7e9, crdt.Origin{Name: m.set.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
 	if m.kept.Put(e, steady); !m.kept.report().(keptReport).Old {
 		t.Error("an old copy was not noticed")
 	}
--- a/internal/router/lanes.go
+++ b/internal/router/lanes.go
@@ -6,12 +6,12 @@
 	"strconv"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/lane"
-	"lotushook/decide/member"
-	"lotushook/decide/shared"
-	"lotushook/internal/setup"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/crdt"
+	"lotushook/policy/membership"
+	"lotushook/policy/shedding"
 )
 
 const (
@@ -23,8 +23,8 @@
 // goes by what the routers share; nobody waits for them.
 type lanes struct {
 	router *Router
-	own    lane.Settings
-	decide *lane.Lanes
+	own    shedding.Settings
+	decide *shedding.Lanes
 	lines  map[int64]laneLine
 }
 
@@ -34,27 +34,27 @@
 	lane string
 }
 
-func newLanes(r *Router, own *setup.Setup) (*lanes, error) {
+func newLanes(r *Router, own *siteconfig.Setup) (*lanes, error) {
 	l := &lanes{router: r, lines: map[int64]laneLine{}}
 	s, err := l.settings(own)
 	if err != nil || s == nil {
 		return nil, err
 	}
 	l.own = *s
-	if l.decide, err = lane.New(*s); err != nil {
+	if l.decide, err = shedding.New(*s); err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
 	return l, nil
 }
 
 // settings are the lanes as they hold on this platform; nil: there are none.
-func (l *lanes) settings(own *setup.Setup) (*lane.Settings, error) {
+func (l *lanes) settings(own *siteconfig.Setup) (*shedding.Settings, error) {
 	b := &l.router.conf.Settings.Balance
-	back := lane.Nanos(0)
+	back := shedding.Nanos(0)
 	if b.RetryAfter {
 		back = b.MaxRetryAfter
 	}
-	s, err := own.Contracts.Lane(setup.Fleet{Router: l.router.conf.Name, Boot: uint64(l.router.clock.unix), Routers: b.Instances, Agreed: own.Members != nil && own.Members.Share}, back)
+	s, err := own.Contracts.Lane(siteconfig.Fleet{Router: l.router.conf.Name, Boot: uint64(l.router.clock.unix), Routers: b.Instances, Agreed: own.Members != nil && own.Members.Share}, back)
 	if err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
@@ -65,16 +65,16 @@
 func (l *lanes) ask(r *request, team int, now balance.Nanos) bool {
 	set := l.router.conf.Settings
 	terms := l.router.owner.terms
-	q := lane.Request{Team: team, Account: l.own.Account(terms.book.Name(team), r.Session), Group: r.Cluster, Key: r.Key, Again: r.Retry, Part: terms.book.Part(r.Cluster)}
+	q := shedding.Request{Team: team, Account: l.own.Account(terms.book.Name(team), r.Session), Group: r.Cluster, Key: r.Key, Again: r.Retry, Part: terms.book.Part(r.Cluster)}
 	if set.IsSession(r.Class) && r.Session != "" {
-		q.Reads = lane.Session(r.Cluster, r.Session)
+		q.Reads = shedding.Session(r.Cluster, r.Session)
 		q.Own = r.wrote > 0 && now-r.wrote < l.own.OweFor
 	}
 	r.lane = l.decide.Ask(q, now)
-	if r.lane.Reason != lane.Shed {
+	if r.lane.Reason != shedding.Shed {
 		return true
 	}
-	l.router.tally.Add(tally.Lane)
+	l.router.tally.Add(metrics.Lane)
 	r.why = &refusal{"lane " + l.decide.Name(r.lane.Lane) + " is shed at cluster " + strconv.FormatInt(r.Cluster, 10) + ", by all routers (lanes)",
 		"come back after the time in DETAIL, in ms; another router refuses the same"}
 	if !l.own.Agreed {
@@ -96,9 +96,9 @@
 
 // ended tells of a request's end.
 func (l *lanes) ended(r *request, now balance.Nanos) {
-	e := lane.End{Came: r.came, Took: r.end.Took, Aim: l.aim(r.asked.Class), Served: r.end.Served, MayRun: r.end.MayRun, Gone: r.end.Gone || !r.ground.Taken()}
+	e := shedding.End{Came: r.came, Took: r.end.Took, Aim: l.aim(r.asked.Class), Served: r.end.Served, MayRun: r.end.MayRun, Gone: r.end.Gone || !r.ground.Taken()}
 	if l.router.conf.Settings.IsWrite(r.Class) && r.Session != "" {
-		e.Wrote = lane.Session(r.Cluster, r.Session)
+		e.Wrote = shedding.Session(r.Cluster, r.Session)
 	}
 	l.decide.Ended(r.Cluster, r.lane.Lane, r.Key, e, now)
 }
@@ -107,26 +107,26 @@
 func (l *lanes) tick(now balance.Nanos) {
 	m := l.router.members
 	if !l.own.Agreed || m == nil || m.state == nil || m.peers == nil {
-		l.decide.Tick(now, lane.Sight{}, nil)
+		l.decide.Tick(now, shedding.Sight{}, nil)
 		l.log(now)
 		return
 	}
 	v := m.peers.View()
 	counts := make(map[string]bool, len(v.Members))
 	for i := range v.Members {
-		counts[v.Members[i].Name] = v.Members[i].State == member.Alive || v.Members[i].State == member.Suspect
+		counts[v.Members[i].Name] = v.Members[i].State == membership.Alive || v.Members[i].State == membership.Suspect
 	}
-	var reports []lane.Report
-	m.state.Each(func(store *shared.Store, now int64) {
+	var reports []shedding.Report
+	m.state.Each(func(store *crdt.Store, now int64) {
 		for _, e := range store.Levels(now) {
 			if group, err := strconv.ParseInt(e.A, 10, 64); err == nil {
 				load, wish, epoch := e.Leveled()
-				reports = append(reports, lane.Report{Group: group, Name: e.From.Name, Boot: e.From.Boot, Seq: e.Seq, Age: e.Age, Load: load, Wish: wish, Epoch: epoch, Out: !counts[e.From.Name]})
+				reports = append(reports, shedding.Report{Group: group, Name: e.From.Name, Boot: e.From.Boot, Seq: e.Seq, Age: e.Age, Load: load, Wish: wish, Epoch: epoch, Out: !counts[e.From.Name]})
 			}
 		}
 	})
-	for _, s := range l.decide.Tick(now, lane.Sight{Majority: v.Majority, CutOff: v.Deaf || v.Taken}, reports) {
-		m.state.Learn(shared.Leveled(strconv.FormatInt(s.Group, 10), s.Load, s.Wish, s.Epoch))
+	for _, s := range l.decide.Tick(now, shedding.Sight{Majority: v.Majority, CutOff: v.Deaf || v.Taken}, reports) {
+		m.state.Learn(crdt.Leveled(strconv.FormatInt(s.Group, 10), s.Load, s.Wish, s.Epoch))
 	}
 	l.log(now)
 }
@@ -147,9 +147,9 @@
 
 // Lanes is what operators read of the lanes.
 type Lanes struct {
-	Groups []lane.State `json:"groups"`
-	Lanes  []lane.Count `json:"lanes"`
-	Full   uint64       `json:"full"` // requests that passed because their group found no room
+	Groups []shedding.State `json:"groups"`
+	Lanes  []shedding.Count `json:"lanes"`
+	Full   uint64           `json:"full"` // requests that passed because their group found no room
 }
 
 // report is as of now; for the owner's goroutine.
--- a/internal/router/linger.go
+++ b/internal/router/linger.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"lotushook/internal/budget"
+	"lotushook/internal/fdlimit"
 )
 
 // lingering holds refused connections for the moment that their clients need to
@@ -15,7 +15,7 @@
 // and the reset can overtake the word. It holds a bounded number; where there is
 // no room the longest there goes.
 type lingering struct {
-	budget *budget.Budget
+	budget *fdlimit.Budget
 	some   chan struct{} // signals that there is one
 
 	mu    sync.Mutex
@@ -33,7 +33,7 @@
 // drained is what is read and dropped of a refused client at a time.
 const drained = 4 << 10
 
-func newLingering(most int, b *budget.Budget) *lingering {
+func newLingering(most int, b *fdlimit.Budget) *lingering {
 	return &lingering{budget: b, some: make(chan struct{}, 1), ring: make([]goodbye, most)}
 }
 
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"lotushook/internal/config"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/platformconfig"
+	"lotushook/internal/siteconfig"
 )
 
 // Clients that stay may hold all that clients may while discovery is silent, and data servers' connections all but one of
@@ -20,13 +20,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := scenario.New(t, "s1", "s2", "agent")
-	text := scenario.Config(ln.Addr().String(), s.Addr("agent"), scenario.List(1, s.Expand("h-1 {s1} 1 SERVING")))
-	conf, err := config.Check(scenario.File(t, strings.Replace(text, `"sockets":1024`, `"sockets":64`, 1)))
+	s := nettest.New(t, "s1", "s2", "agent")
+	text := nettest.Config(ln.Addr().String(), s.Addr("agent"), nettest.List(1, s.Expand("h-1 {s1} 1 SERVING")))
+	conf, err := platformconfig.Check(nettest.File(t, strings.Replace(text, `"sockets":1024`, `"sockets":64`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, &setup.Setup{})
+	r, err := New(conf, &siteconfig.Setup{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	for r.budget.Dial() { // others, of which this test knows nothing
 	}
 	r.budget.Hangup()
-	s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 	until(t, "the list is heard", func() bool {
 		_, ready := r.dir.Address(old)
 		return !ready
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -13,18 +13,18 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/evidence"
-	"lotushook/decide/member"
-	"lotushook/decide/part"
-	"lotushook/decide/recovery"
-	"lotushook/decide/shared"
+	"lotushook/internal/admin"
 	"lotushook/internal/backend"
-	"lotushook/internal/control"
-	"lotushook/internal/feed"
+	"lotushook/internal/changefeed"
+	"lotushook/internal/operr"
 	"lotushook/internal/peer"
-	"lotushook/internal/remedy"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/crdt"
+	"lotushook/policy/membership"
+	"lotushook/policy/quotalease"
+	"lotushook/policy/recovery"
+	"lotushook/policy/trust"
 )
 
 const (
@@ -37,8 +37,8 @@
 // ends, as it stands.
 type members struct {
 	router *Router
-	own    *setup.Members
-	set    member.Settings
+	own    *siteconfig.Members
+	set    membership.Settings
 	keys   [][]byte
 	peers  *peer.Peers // from listen on
 	state  *peer.State // what is shared of what routers learn; nil: nothing
@@ -48,12 +48,12 @@
 	given  map[uint32]balance.Nanos // of those, the last of each node
 	kept   *kept                    // the copy of that on disk; nil: there is none
 	sends  *recorder                // nil: sends are not recorded
-	force  atomic.Pointer[part.Force]
-	share  float64      // the owner's: what the module goes by
-	seen   *member.View // of what was logged
+	force  atomic.Pointer[quotalease.Force]
+	share  float64          // the owner's: what the module goes by
+	seen   *membership.View // of what was logged
 }
 
-func newMembers(r *Router, own *setup.Members) (*members, error) {
+func newMembers(r *Router, own *siteconfig.Members) (*members, error) {
 	m := &members{router: r, own: own}
 	var err error
 	if m.set, err = own.Member(r.conf.Name, uint64(r.clock.unix)); err != nil {
@@ -64,7 +64,7 @@
 	}
 	m.share = 1 / float64(m.set.Configured)
 	if own.Share {
-		set := shared.Usual(shared.Origin{Name: m.set.Name, Boot: m.set.Boot})
+		set := crdt.Usual(crdt.Origin{Name: m.set.Name, Boot: m.set.Boot})
 		if b := &r.conf.Settings.Balance; b.Probing && b.ProbeReports && b.Behind == balance.BehindNone {
 			m.probes, m.given = true, map[uint32]balance.Nanos{}
 		} else {
@@ -81,7 +81,7 @@
 		}
 	}
 	if own.Keep != nil {
-		if m.kept, err = newKept(own, shared.Origin{Name: m.set.Name, Boot: m.set.Boot}, r.clock.now); err != nil {
+		if m.kept, err = newKept(own, crdt.Origin{Name: m.set.Name, Boot: m.set.Boot}, r.clock.now); err != nil {
 			return nil, err
 		}
 		m.state.Tell(m.kept)
@@ -118,9 +118,9 @@
 // run takes part until the context ends, and lets the members be read.
 func (m *members) run(ctx context.Context) {
 	if m.own.Socket != "" && !m.router.controls(m.own.Socket) {
-		stop, err := control.Serve(ctx, m.own.Socket, control.Answers{"members": m.rows})
+		stop, err := admin.Serve(ctx, m.own.Socket, admin.Answers{"members": m.rows})
 		if err != nil {
-			slog.Error("members can't be read", remedy.Attrs(err)...)
+			slog.Error("members can't be read", operr.Attrs(err)...)
 		} else {
 			defer stop()
 		}
@@ -160,7 +160,7 @@
 }
 
 // changed is called for each view that differs from the last, by membership's goroutine.
-func (m *members) changed(v *member.View) {
+func (m *members) changed(v *membership.View) {
 	force := v.Part
 	m.force.Store(&force)
 	m.router.recovery.seen(v)
@@ -174,11 +174,11 @@
 	if m == nil || m.state == nil || r.Session == "" || at <= 0 {
 		return
 	}
-	e := shared.Entry{Kind: shared.Session, A: strconv.FormatInt(r.Cluster, 10), B: r.Session, At: at}
+	e := crdt.Entry{Kind: crdt.Session, A: strconv.FormatInt(r.Cluster, 10), B: r.Session, At: at}
 	switch m.own.Modes.Of(r.Class) {
-	case setup.ModeAsync:
+	case siteconfig.ModeAsync:
 		m.state.Learn(e)
-	case setup.ModeOne:
+	case siteconfig.ModeOne:
 		most := min(time.Duration(m.own.Modes.WaitMS)*time.Millisecond, time.Duration(r.deadline-m.router.clock.now()))
 		m.state.Assure(e, most, r.client.left)
 	}
@@ -194,16 +194,16 @@
 	if host == "" {
 		return
 	}
-	m.state.Learn(shared.Entry{Kind: shared.Position, A: host, Born: born, At: res.Position})
+	m.state.Learn(crdt.Entry{Kind: crdt.Position, A: host, Born: born, At: res.Position})
 	if res.Role == balance.Primary {
-		m.state.Learn(shared.Entry{Kind: shared.Primary, A: strconv.FormatInt(group, 10), Server: host, Born: born, At: res.Position})
+		m.state.Learn(crdt.Entry{Kind: crdt.Primary, A: strconv.FormatInt(group, 10), Server: host, Born: born, At: res.Position})
 	}
 }
 
 // mayHaveRun notes that an attempt at a keyed write ended without a word of whether it ran.
 func (m *members) mayHaveRun(class, key string) {
 	if m != nil && m.state != nil && key != "" {
-		m.state.Learn(shared.Entry{Kind: shared.Write, A: class, B: key})
+		m.state.Learn(crdt.Entry{Kind: crdt.Write, A: class, B: key})
 	}
 }
 
@@ -226,7 +226,7 @@
 			return
 		case node := <-m.notes:
 			if host := m.router.dir.Host(node); host != "" {
-				m.state.Learn(shared.Entry{Kind: shared.Hint, A: "suspect " + host})
+				m.state.Learn(crdt.Entry{Kind: crdt.Hint, A: "suspect " + host})
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 		return 0
 	}
 	host, born := m.router.dir.Start(node)
-	m.state.Look(host, "", func(s *shared.Store, now int64) {
+	m.state.Look(host, "", func(s *crdt.Store, now int64) {
 		if told, age, own := s.Applied(now, host, born); !own && age < toldFor {
 			at = told
 		}
@@ -262,9 +262,9 @@
 	if m == nil || m.sends == nil {
 		return ground{}
 	}
-	f, e := m.kept.fact(shared.Entry{Kind: shared.Session, A: strconv.FormatInt(group, 10), B: session})
+	f, e := m.kept.fact(crdt.Entry{Kind: crdt.Session, A: strconv.FormatInt(group, 10), B: session})
 	if e.At != at {
-		f = evidence.Fact{} // the client brought it, or what stands for sessions that were let go
+		f = trust.Fact{} // the client brought it, or what stands for sessions that were let go
 	}
 	return ground{at, f}
 }
@@ -273,7 +273,7 @@
 func (m *members) commit(group int64, session string) (at balance.Nanos) {
 	if m != nil && m.state != nil && session != "" {
 		name := strconv.FormatInt(group, 10)
-		m.state.Look(name, session, func(s *shared.Store, _ int64) { at, _ = s.Commit(name, session) })
+		m.state.Look(name, session, func(s *crdt.Store, _ int64) { at, _ = s.Commit(name, session) })
 	}
 	return at
 }
@@ -286,7 +286,7 @@
 }
 
 // reload reads the keys again.
-func (m *members) reload(own *setup.Members) (keys [][]byte, err error) {
+func (m *members) reload(own *siteconfig.Members) (keys [][]byte, err error) {
 	if !reflect.DeepEqual(own, m.own) {
 		return nil, errors.New("of members only the keys change in service")
 	}
@@ -312,8 +312,8 @@
 func (m *members) rows(ctx context.Context) any {
 	out := struct {
 		peer.Report
-		Recovery *recovery.Report `json:"recovery,omitempty"`
-		Feeds    *feed.Counts     `json:"feeds,omitempty"`
+		Recovery *recovery.Report   `json:"recovery,omitempty"`
+		Feeds    *changefeed.Counts `json:"feeds,omitempty"`
 	}{m.peers.Report(), m.router.recovery.report(), nil}
 	if t := m.router.owner.terms; t != nil && t.lanes != nil {
 		m.router.owner.do(ctx, func() { out.Lanes = t.lanes.report() })
--- a/internal/router/members_test.go
+++ b/internal/router/members_test.go
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/part"
-	"lotushook/decide/shared"
 	"lotushook/internal/backend"
 	"lotushook/internal/discovery"
+	"lotushook/internal/nettest"
+	"lotushook/internal/operr"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/remedy"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/crdt"
+	"lotushook/policy/quotalease"
 )
 
 // The owner goes by the part that is in force, and by the least one from the moment on when it was not renewed.
@@ -24,15 +24,15 @@
 	m := &members{share: 0.2}
 	for _, c := range []struct {
 		now   balance.Nanos
-		force part.Force
+		force quotalease.Force
 		share float64 // of the event; 0: there is none
 	}{
-		{10, part.Force{Share: 0.2, Until: 20, Least: 0.1}, 0},
-		{19, part.Force{Share: 0.35, Until: 20, Least: 0.1}, 0.35},
-		{19, part.Force{Share: 0.35, Until: 40, Least: 0.1}, 0},
-		{40, part.Force{Share: 0.35, Until: 40, Least: 0.1}, 0.1}, // nobody renewed it: this process may have been stopped
-		{41, part.Force{Share: 0.35, Until: 40, Least: 0.1}, 0},
-		{42, part.Force{Share: 0.2, Until: 60, Least: 0.1}, 0.2},
+		{10, quotalease.Force{Share: 0.2, Until: 20, Least: 0.1}, 0},
+		{19, quotalease.Force{Share: 0.35, Until: 20, Least: 0.1}, 0.35},
+		{19, quotalease.Force{Share: 0.35, Until: 40, Least: 0.1}, 0},
+		{40, quotalease.Force{Share: 0.35, Until: 40, Least: 0.1}, 0.1}, // nobody renewed it: this process may have been stopped
+		{41, quotalease.Force{Share: 0.35, Until: 40, Least: 0.1}, 0},
+		{42, quotalease.Force{Share: 0.2, Until: 60, Least: 0.1}, 0.2},
 	} {
 		m.force.Store(&c.force)
 		e, ok := m.divided(c.now)
@@ -49,7 +49,7 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := setup.Load(scenario.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys)))
+	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,8 +71,8 @@
 	if at := r.members.commit(1, written.Session); at != 1767225600000e6 {
 		t.Fatalf("the commit of session %q is %d", written.Session, at)
 	}
-	idle := newOwnRouter(t, own, scenario.List(1)) // its owner does not run: events can be read
-	idle.members.state.Learn(shared.Entry{Kind: shared.Session, A: "1", B: written.Session, At: 1767225600000e6})
+	idle := newOwnRouter(t, own, nettest.List(1)) // its owner does not run: events can be read
+	idle.members.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: written.Session, At: 1767225600000e6})
 	for _, c := range []struct {
 		class string
 		after balance.Nanos
@@ -97,18 +97,18 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	load := func(modes string) *setup.Setup {
-		own, err := setup.Load(scenario.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"modes":%s,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, modes)))
+	load := func(modes string) *siteconfig.Setup {
+		own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"modes":%s,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, modes)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return own
 	}
 	good := load(`{"classes":{"write":"one"}}`)
-	r := newOwnRouter(t, good, scenario.List(1))
+	r := newOwnRouter(t, good, nettest.List(1))
 	for _, class := range []string{"own", "nothing"} {
 		_, err := New(r.conf, load(fmt.Sprintf(`{"classes":{%q:"one"}}`, class)))
-		if e := remedy.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Remedy(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
+		if e := operr.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Remedy(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
 			t.Errorf("%s: %v", class, err)
 		}
 	}
@@ -117,8 +117,8 @@
 	e := r.dir.Apply(&discovery.List{Whole: true, Hosts: []discovery.Host{{Host: "h", Block: 1, BornMS: 5}}})
 	node := e.Nodes[0].Node
 	tell := func(born, at, age int64) {
-		m.state.Look("h", "", func(s *shared.Store, now int64) {
-			s.Take(now, shared.Entry{Kind: shared.Position, A: "h", Born: born, At: at, Age: age, From: shared.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
+		m.state.Look("h", "", func(s *crdt.Store, now int64) {
+			s.Take(now, crdt.Entry{Kind: crdt.Position, A: "h", Born: born, At: at, Age: age, From: crdt.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
 		})
 	}
 	tell(4e6, 50, 0)
@@ -137,7 +137,7 @@
 	if at := m.position(node); at != 0 {
 		t.Errorf("%d is this router's own", at)
 	}
-	m.state.Look("1", "", func(s *shared.Store, _ int64) {
+	m.state.Look("1", "", func(s *crdt.Store, _ int64) {
 		if server, born, at := s.Primary("1"); server != "h" || born != 5e6 || at != 80 {
 			t.Errorf("primary %s %d %d", server, born, at)
 		}
--- a/internal/router/owner.go
+++ b/internal/router/owner.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/recovery"
 	"lotushook/internal/invariant"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/policy/balance"
+	"lotushook/policy/recovery"
 )
 
 const (
@@ -116,14 +116,14 @@
 		e.req.told++
 		o.router.recovery.ended(e.req, e.Outcome)
 	case balance.RequestIn:
-		o.router.tally.Add(tally.Asked)
+		o.router.tally.Add(metrics.Asked)
 		if o.requests[e.Request] != nil {
-			o.router.tally.Add(tally.TwiceAlive)
+			o.router.tally.Add(metrics.TwiceAlive)
 			e.req.hand(balance.Action{Kind: balance.Fail}) // the module ignores a live id
 			return
 		}
 		if len(o.requests) >= o.router.conf.Settings.Balance.MaxHeld || o.held+e.req.Size() > o.room {
-			o.router.tally.Add(tally.NoRoom)
+			o.router.tally.Add(metrics.NoRoom)
 			e.req.hand(balance.Action{Kind: balance.Refuse, Wait: o.comeAgain(e.Class)})
 			return
 		}
@@ -250,9 +250,9 @@
 					return
 				}
 				if r.sent == 0 {
-					o.router.tally.Add(tally.First)
+					o.router.tally.Add(metrics.First)
 				} else {
-					o.router.tally.Add(tally.Repeated)
+					o.router.tally.Add(metrics.Repeated)
 				}
 				r.sent, r.node = r.sent+1, a.Node
 				if o.terms != nil {
@@ -264,7 +264,7 @@
 	case balance.Timer:
 		heap.Push(&o.timers, timer{a.At, a.Tag})
 	case balance.Probe:
-		o.router.tally.Add(tally.Probes)
+		o.router.tally.Add(metrics.Probes)
 		go o.router.find(a.Node)
 	case balance.Follow: // discovery is always followed
 	case balance.Log:
@@ -299,7 +299,7 @@
 	res, rep := r.pool.Probe(node, r.conf.Settings.ConnectTimeout)
 	e, held := balance.Event{Kind: balance.ProbeDone, Node: node, Outcome: res.Outcome}, -1
 	if res.Outcome == balance.Done {
-		r.tally.Add(tally.Probed)
+		r.tally.Add(metrics.Probed)
 		e.Position = rep.Position * 1e6
 		if rep.HasRole {
 			e.Role = balance.Replica
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"lotushook/balance"
 	"lotushook/internal/invariant"
 	"lotushook/internal/pgwire"
+	"lotushook/policy/balance"
 )
 
 // held puts a request before the owner, which no other goroutine runs.
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -5,11 +5,11 @@
 	"sync"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/member"
-	"lotushook/decide/recovery"
-	"lotushook/internal/setup"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/membership"
+	"lotushook/policy/recovery"
 )
 
 // tickEvery is how often a router that does not serve yet looks whether it is further.
@@ -25,7 +25,7 @@
 	stage  recovery.Stage // that was logged
 }
 
-func newComeback(r *Router, own *setup.Recovery) (*comeback, error) {
+func newComeback(r *Router, own *siteconfig.Recovery) (*comeback, error) {
 	s := own.Decision(r.conf.Name, uint64(r.clock.unix), r.conf.Settings.Balance.Instances)
 	s.Fellows = r.members != nil // and nobody says yet when a router has been fed: a list ends Empty
 	d, err := recovery.New(s, r.clock.now())
@@ -61,7 +61,7 @@
 		wait, ok = time.Duration(span), why == recovery.Free
 	})
 	if !ok {
-		c.router.tally.Add(tally.Denied)
+		c.router.tally.Add(metrics.Denied)
 	}
 	return wait, ok
 }
@@ -82,11 +82,11 @@
 			ok = true
 			return
 		case recovery.Again:
-			c.router.tally.Add(tally.Jammed)
+			c.router.tally.Add(metrics.Jammed)
 		case recovery.Late:
-			c.router.tally.Add(tally.Vain)
+			c.router.tally.Add(metrics.Vain)
 		}
-		c.router.tally.Add(tally.Denied)
+		c.router.tally.Add(metrics.Denied)
 	})
 	return ok
 }
@@ -122,14 +122,14 @@
 }
 
 // seen takes what membership believes.
-func (c *comeback) seen(v *member.View) {
+func (c *comeback) seen(v *membership.View) {
 	if c == nil || v == nil {
 		return
 	}
 	peers := make([]recovery.Peer, 0, len(v.Members))
 	for i := range v.Members {
 		m := &v.Members[i]
-		peers = append(peers, recovery.Peer{Name: m.Name, Boot: m.Boot, Up: m.State == member.Alive || m.State == member.Suspect, Own: m.Heard > 0})
+		peers = append(peers, recovery.Peer{Name: m.Name, Boot: m.Boot, Up: m.State == membership.Alive || m.State == membership.Suspect, Own: m.Heard > 0})
 	}
 	c.with(func(d *recovery.Recovery, now recovery.Nanos) { d.Seen(now, peers) })
 }
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/siteconfig"
 )
 
 // What recovery does not allow never reaches a data server, is refused at once with a time to return, and is not held against
@@ -42,7 +42,7 @@
 		now := make(chan time.Time)
 		close(now)
 		t.Run(c.guards, func(t *testing.T) {
-			own, err := setup.Load(scenario.File(t, `{"recovery":`+c.own+`}`))
+			own, err := siteconfig.Load(nettest.File(t, `{"recovery":`+c.own+`}`))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -6,14 +6,14 @@
 	"strconv"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/contract"
-	"lotushook/decide/lane"
-	"lotushook/decide/recovery"
 	"lotushook/internal/backend"
 	"lotushook/internal/invariant"
+	"lotushook/internal/metrics"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/tally"
+	"lotushook/policy/balance"
+	"lotushook/policy/contract"
+	"lotushook/policy/recovery"
+	"lotushook/policy/shedding"
 )
 
 const (
@@ -33,10 +33,10 @@
 	deadline balance.Nanos
 	acts     chan balance.Action
 
-	who    contract.Who  // its client, where teams have contracts
-	wrote  balance.Nanos // when any router saw its session write last, by the log; 0: not known, or not shared
-	lane   lane.Verdict  // the owner's, where there are lanes
-	why    *refusal      // the owner's, before it hands a refusal: the contract's
+	who    contract.Who     // its client, where teams have contracts
+	wrote  balance.Nanos    // when any router saw its session write last, by the log; 0: not known, or not shared
+	lane   shedding.Verdict // the owner's, where there are lanes
+	why    *refusal         // the owner's, before it hands a refusal: the contract's
 	ground contract.Reason
 	after  bool // others are placed before it
 	asked  contract.Request
@@ -113,9 +113,9 @@
 	defer func() {
 		switch outcome {
 		case served:
-			r.router.tally.Add(tally.Served)
+			r.router.tally.Add(metrics.Served)
 		case departed:
-			r.router.tally.Add(tally.Gone)
+			r.router.tally.Add(metrics.Gone)
 		}
 		r.router.tracer.write(r, outcome, why)
 	}()
@@ -137,7 +137,7 @@
 			default:
 				invariant.Check(false, "the module ends each request by its deadline")
 				r.tell(balance.Event{Kind: balance.RequestGone})
-				r.router.tally.Add(tally.Unanswered)
+				r.router.tally.Add(metrics.Unanswered)
 				outcome = broken
 				return failed("no answer in time")
 			}
@@ -217,9 +217,9 @@
 	switch {
 	case res.Outcome != balance.Miss:
 	case r.router.conf.Settings.IsWrite(r.Class):
-		r.router.tally.Add(tally.NotPrimary)
+		r.router.tally.Add(metrics.NotPrimary)
 	default:
-		r.router.tally.Add(tally.Behind)
+		r.router.tally.Add(metrics.Behind)
 	}
 	if r.router.tracer.wanted() {
 		r.way = append(r.way, step{host, act.Why, res.Outcome, began, r.router.clock.now()})
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/siteconfig"
 )
 
 // turnstile is a listener that stops, when told to, who passes one of these places, until it is let go.
@@ -268,7 +268,7 @@
 			sent: `send c1 startup | Q ""`, stopped: `
 			expect c1 welcome | I | Z | EOF`},
 	} {
-		for name, own := range map[string]*setup.Setup{"": {}, " (admission)": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
+		for name, own := range map[string]*siteconfig.Setup{"": {}, " (admission)": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
 			t.Run(c.guards+name, func(t *testing.T) {
 				ln, accepted, finish := newTurnstile(t), make(chan time.Time), make(chan time.Time)
 				if c.at == atAccept {
@@ -278,7 +278,7 @@
 				s, r, stop, done := stageOn(t, ln, 0, own, accepted, finish, endless, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
 				t.Cleanup(sync.OnceFunc(func() { close(accepted) }))
 				t.Cleanup(end)
-				s.Set("list", scenario.HTTP("agent", scenario.List(2, s.Expand("h-1 {s1} 1 SERVING"), s.Expand("h-2 {s2} 2 SERVING"))))
+				s.Set("list", nettest.HTTP("agent", nettest.List(2, s.Expand("h-1 {s1} 1 SERVING"), s.Expand("h-2 {s2} 2 SERVING"))))
 				s.Play(c.before)
 				switch c.at {
 				case atAccept:
@@ -334,7 +334,7 @@
 	}
 	p := endless
 	p.last = time.Millisecond
-	s, r, stop, done := stageOn(t, ln, 0, &setup.Setup{}, accepted, finish, p)
+	s, r, stop, done := stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, finish, p)
 	s.Play(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
@@ -372,7 +372,7 @@
 	p := endless
 	p.idle = time.Millisecond
 	ln := newTurnstile(t)
-	s, r, _, _ := stageOn(t, ln, 0, &setup.Setup{}, accepted, nil, p)
+	s, r, _, _ := stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, nil, p)
 	asked := func() bool {
 		found := false
 		r.each(func(c *client) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,17 +14,17 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/contract"
-	"lotushook/decide/lane"
 	"lotushook/internal/backend"
-	"lotushook/internal/budget"
-	"lotushook/internal/config"
 	"lotushook/internal/discovery"
+	"lotushook/internal/fdlimit"
 	"lotushook/internal/invariant"
-	"lotushook/internal/ring"
-	"lotushook/internal/setup"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/internal/platformconfig"
+	"lotushook/internal/ringbuffer"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/contract"
+	"lotushook/policy/shedding"
 )
 
 const (
@@ -53,23 +53,23 @@
 
 // Router is one router instance.
 type Router struct {
-	conf   *config.Config
+	conf   *platformconfig.Config
 	dir    *discovery.Directory
 	pool   *backend.Pool
-	budget *budget.Budget
+	budget *fdlimit.Budget
 	owner  *owner
 	clock  clock
 	watch  *discovery.Watcher
-	tally  *tally.Tally // nil: nothing is counted
-	log    *setup.Log   // what the totals follow; nil: there are none
+	tally  *metrics.Tally  // nil: nothing is counted
+	log    *siteconfig.Log // what the totals follow; nil: there are none
 	tracer tracer
 
-	reading  *ring.Quota // for what clients have sent of messages that are not whole yet
-	members  *members    // of the installation's routers; nil: nothing is known of others
-	cancels  *cancels    // by the keys of the clients that are here
-	feeds    *feeds      // answers subscribers; nil: no class is one of feeds
-	door     *door       // decides which clients are taken; nil: all are, as far as descriptors go
-	recovery *comeback   // bounds what is done while routers come back; nil: nothing is
+	reading  *ringbuffer.Quota // for what clients have sent of messages that are not whole yet
+	members  *members          // of the installation's routers; nil: nothing is known of others
+	cancels  *cancels          // by the keys of the clients that are here
+	feeds    *feeds            // answers subscribers; nil: no class is one of feeds
+	door     *door             // decides which clients are taken; nil: all are, as far as descriptors go
+	recovery *comeback         // bounds what is done while routers come back; nil: nothing is
 
 	hold     time.Duration // how long nothing is sent at the start, unless the agent answers
 	asked    chan struct{} // closed once it has, or that is over
@@ -87,7 +87,7 @@
 
 // New returns a router that starts from the list that its configuration keeps,
 // with the parts that its installation's own settings switch on.
-func New(conf *config.Config, own *setup.Setup) (*Router, error) {
+func New(conf *platformconfig.Config, own *siteconfig.Setup) (*Router, error) {
 	set := conf.Settings.Balance
 	set.HalfwayBound = true // on sockets it is charged
 	module, err := balance.New(set, conf.Seed)
@@ -95,20 +95,20 @@
 		return nil, fmt.Errorf("router: %w", err)
 	}
 	unread := conf.Limits.MemoryMB << 20 / readShare // on either side
-	r := &Router{conf: conf, dir: discovery.NewDirectory(), budget: budget.New(conf.Limits.Sockets),
-		reading: ring.NewQuota(unread), clock: newClock(), watch: discovery.NewWatcher(conf.Discovery, sharing(conf), conf.Settings.DrainGrace),
+	r := &Router{conf: conf, dir: discovery.NewDirectory(), budget: fdlimit.New(conf.Limits.Sockets),
+		reading: ringbuffer.NewQuota(unread), clock: newClock(), watch: discovery.NewWatcher(conf.Discovery, sharing(conf), conf.Settings.DrainGrace),
 		clients: map[*client]struct{}{}, cancels: newCancels(), patience: usualPatience, hold: holdFor(conf), asked: make(chan struct{}),
 		accepted: func() <-chan time.Time { return time.After(acceptAfter) }, ended: make(chan struct{})}
 	r.allowed = allowed(conf.Settings.Balance.Classes)
 	r.finish = func() <-chan time.Time { return time.After(r.allowed) }
 	if r.log = own.Log; r.log != nil && r.log.TotalsMS > 0 {
-		r.tally = tally.New()
+		r.tally = metrics.New()
 	}
 	r.tracer.set.Store(own.Log)
 	r.watch.Tally = r.tally
 	r.pool = backend.NewPool(backend.Options{Directory: r.dir, Budget: r.budget, Tally: r.tally,
 		ConnectTimeout: conf.Settings.ConnectTimeout, IdleClose: conf.Settings.IdleClose,
-		Reading: ring.NewQuota(unread), Stall: stall, Settle: settle, Crossing: crossing})
+		Reading: ringbuffer.NewQuota(unread), Stall: stall, Settle: settle, Crossing: crossing})
 	r.owner = newOwner(module, r)
 	if own.Admission != nil {
 		if r.door, err = newDoor(r, own.Admission); err != nil {
@@ -257,7 +257,7 @@
 // Reload takes new settings over while the router runs: the configuration's
 // agent, the limits of admission, and the contracts. All else holds from the next start on. The
 // old list serves until the new agent's is in. After an error nothing has changed.
-func (r *Router) Reload(conf *config.Config, own *setup.Setup) error {
+func (r *Router) Reload(conf *platformconfig.Config, own *siteconfig.Setup) error {
 	if (own.Admission != nil) != (r.door != nil) {
 		return errors.New("admission can't be switched on or off in service")
 	}
@@ -274,7 +274,7 @@
 		return errors.New("recovery can't be switched on or off in service")
 	}
 	var terms contract.Settings
-	var lanes *lane.Settings
+	var lanes *shedding.Settings
 	var keys [][]byte
 	var err error
 	if r.members != nil {
@@ -530,7 +530,7 @@
 
 // holdFor is how long a router that starts may wait for its agent's list. Where a service is asked, which may have no time
 // for many, nothing is waited for: its changes count as told later.
-func holdFor(conf *config.Config) time.Duration {
+func holdFor(conf *platformconfig.Config) time.Duration {
 	if sharing(conf) > 0 {
 		return 0
 	}
@@ -543,7 +543,7 @@
 
 // sharing is how many routers burden one discovery with what they ask: none where
 // it tells changes by itself.
-func sharing(conf *config.Config) int {
+func sharing(conf *platformconfig.Config) int {
 	if conf.Settings.Balance.Subscribe {
 		return conf.Settings.Balance.Instances
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -9,24 +9,24 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/config"
 	"lotushook/internal/invariant"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/platformconfig"
+	"lotushook/internal/siteconfig"
 )
 
 // newRouter is a router that starts from a list; where it listens and its agent
 // are only told where it is to run.
 func newRouter(t *testing.T, known string, addresses ...string) *Router {
 	t.Helper()
-	return newOwnRouter(t, &setup.Setup{}, known, addresses...)
+	return newOwnRouter(t, &siteconfig.Setup{}, known, addresses...)
 }
 
 // newOwnRouter is newRouter with parts switched on.
-func newOwnRouter(t *testing.T, own *setup.Setup, known string, addresses ...string) *Router {
+func newOwnRouter(t *testing.T, own *siteconfig.Setup, known string, addresses ...string) *Router {
 	t.Helper()
 	addresses = append(addresses, "127.0.0.1:1", "127.0.0.1:1")
-	conf, err := config.Check(scenario.File(t, scenario.Config(addresses[0], addresses[1], known)))
+	conf, err := platformconfig.Check(nettest.File(t, nettest.Config(addresses[0], addresses[1], known)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,13 +43,13 @@
 
 // stage is a running router with data servers s1 and s2 in group 1 and a silent
 // agent; clients are named c.
-func stage(t *testing.T, hosts ...string) (*scenario.Stage, context.CancelFunc, <-chan error) {
+func stage(t *testing.T, hosts ...string) (*nettest.Stage, context.CancelFunc, <-chan error) {
 	s, _, stop, done := stageWith(t, endless, hosts...)
 	return s, stop, done
 }
 
 // stageWith is stage with a router of some patience.
-func stageWith(t *testing.T, p patience, hosts ...string) (*scenario.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageWith(t *testing.T, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
@@ -57,19 +57,19 @@
 }
 
 // stageUntil is stageWith a router that, told to stop, takes clients until accepted.
-func stageUntil(t *testing.T, accepted <-chan time.Time, p patience, hosts ...string) (*scenario.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageUntil(t *testing.T, accepted <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	return stageOwn(t, &setup.Setup{}, accepted, p, hosts...)
+	return stageOwn(t, &siteconfig.Setup{}, accepted, p, hosts...)
 }
 
 // stageOwn is stageUntil with parts switched on.
-func stageOwn(t *testing.T, own *setup.Setup, accepted <-chan time.Time, p patience, hosts ...string) (*scenario.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOwn(t *testing.T, own *siteconfig.Setup, accepted <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return stageHeld(t, 0, own, accepted, p, hosts...)
 }
 
 // stageHeld is stageOwn with a router that sends nothing at its start until the agent has answered, or some time is over.
-func stageHeld(t *testing.T, hold time.Duration, own *setup.Setup, accepted <-chan time.Time, p patience, hosts ...string) (*scenario.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Setup, accepted <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,16 +79,16 @@
 }
 
 // stageOn is stageOwn on a listener, of a router that has until finish for what is open.
-func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *setup.Setup, accepted, finish <-chan time.Time, p patience, hosts ...string) (*scenario.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Setup, accepted, finish <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	s := scenario.New(t, "s1", "s2", "agent")
+	s := nettest.New(t, "s1", "s2", "agent")
 	if len(hosts) == 0 {
 		hosts = []string{"h-1 " + s.Addr("s1") + " 1 SERVING"}
 	}
 	for i, h := range hosts {
 		hosts[i] = s.Expand(h)
 	}
-	r := newOwnRouter(t, own, scenario.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
+	r := newOwnRouter(t, own, nettest.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
 	r.accepted = func() <-chan time.Time { return accepted }
 	r.finish = func() <-chan time.Time { return finish }
 	r.allowed = time.Hour
@@ -373,7 +373,7 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z`)
-	s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 	s.Play(`
 		expect s1 EOF
 		send c1 Q "/* id=02,c=read,d=20000,cluster=1 */ A"
@@ -395,7 +395,7 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			now := make(chan time.Time)
 			close(now)
-			s, r, _, _ := stageHeld(t, hold, &setup.Setup{}, now, endless, "h-1 {s1} 1 SERVING")
+			s, r, _, _ := stageHeld(t, hold, &siteconfig.Setup{}, now, endless, "h-1 {s1} 1 SERVING")
 			s.Play(ask)
 			if hold == time.Hour {
 				for late := time.Now().Add(20 * time.Second); len(r.owner.events) < 2 && time.Now().Before(late); {
@@ -407,7 +407,7 @@
 				default:
 				}
 				s.Set("serves", "s2")
-				s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 			} else {
 				s.Set("serves", "s1")
 			}
--- a/internal/router/sends.go
+++ b/internal/router/sends.go
@@ -9,11 +9,11 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/balance"
-	"lotushook/decide/evidence"
-	"lotushook/decide/shared"
 	"lotushook/internal/invariant"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/crdt"
+	"lotushook/policy/trust"
 )
 
 // Send is one line of the record of decisions: a send, and what was known for it. Ages are in ms.
@@ -51,7 +51,7 @@
 	left int64 // lines that found none
 }
 
-func newRecorder(s *setup.Sends) (*recorder, error) {
+func newRecorder(s *siteconfig.Sends) (*recorder, error) {
 	f, err := os.OpenFile(s.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("members: decisions: %w", err)
@@ -90,17 +90,17 @@
 	_, listed := r.router.dir.Address(act.Node)
 	s := &Send{AtMS: (r.router.clock.now() - r.router.clock.unix) / ms, Router: m.set.Name, Boot: m.set.Boot, ID: r.ID, Class: r.Class, Group: r.Cluster,
 		Session: r.Session, Server: host, Listed: listed, Write: r.router.conf.Settings.IsWrite(r.Class), Why: act.Why.String(),
-		On: []Ground{{What: "server", Origin: evidence.Own.String(), Proven: true, Says: host}}}
+		On: []Ground{{What: "server", Origin: trust.Own.String(), Proven: true, Says: host}}}
 	if r.floor.at > 0 {
 		g := Ground{What: "floor", Origin: r.floor.fact.Origin.String(), AgeMS: r.floor.fact.Age / ms, Proven: r.floor.fact.Proven, Says: strconv.FormatInt(r.floor.at/ms, 10)}
-		if r.floor.fact.Origin == evidence.None {
+		if r.floor.fact.Origin == trust.None {
 			g.Origin = "client"
 		}
-		v := evidence.Judge(evidence.RaiseFloor, r.floor.fact, true, evidence.Usual())
+		v := trust.Judge(trust.RaiseFloor, r.floor.fact, true, trust.Usual())
 		invariant.Check(g.Origin == "client" || v.Allowed, "a floor is raised on known evidence", "why", v.Why)
 		s.Floor, s.On = r.floor.at/ms, append(s.On, g)
 	}
-	if f, e := m.kept.fact(shared.Entry{Kind: shared.Primary, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Origin != evidence.None {
+	if f, e := m.kept.fact(crdt.Entry{Kind: crdt.Primary, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Origin != trust.None {
 		s.Beside = append(s.Beside, Ground{What: "primary", Origin: f.Origin.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
 	}
 	m.sends.write(s)
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
+	"lotushook/internal/nettest"
 	"lotushook/internal/pgwire"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/siteconfig"
 )
 
 // stageStopped is a running router on a turnstile, with data servers s1 and s2 of which s2 drains; told to stop, it takes no new
 // clients, and has until finish for what is open.
-func stageStopped(t *testing.T, ln *turnstile, finish <-chan time.Time, p patience) (s *scenario.Stage, r *Router, stop func(), done <-chan error) {
+func stageStopped(t *testing.T, ln *turnstile, finish <-chan time.Time, p patience) (s *nettest.Stage, r *Router, stop func(), done <-chan error) {
 	t.Helper()
 	accepted := make(chan time.Time)
 	close(accepted)
-	return stageOn(t, ln, 0, &setup.Setup{}, accepted, finish, p, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
+	return stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, finish, p, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
 }
 
 // slowClient is a connection whose machine takes little before it is read.
@@ -303,7 +303,7 @@
 func TestFloodOfErrors(t *testing.T) {
 	p := endless
 	p.green, p.linger = time.Millisecond, time.Hour
-	for name, own := range map[string]*setup.Setup{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
+	for name, own := range map[string]*siteconfig.Setup{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan time.Time)
 			close(accepted)
@@ -354,7 +354,7 @@
 			close(accepted)
 			end := sync.OnceFunc(func() { close(finish) })
 			t.Cleanup(end)
-			s, r, stop, done := stageOn(t, newTurnstile(t), time.Hour, &setup.Setup{}, accepted, finish, endless, "h-1 {s1} 1 SERVING")
+			s, r, stop, done := stageOn(t, newTurnstile(t), time.Hour, &siteconfig.Setup{}, accepted, finish, endless, "h-1 {s1} 1 SERVING")
 			s.Play(`
 				send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 				expect c1 welcome`)
@@ -362,7 +362,7 @@
 			stop()
 			until(t, "it stops", r.isStopping)
 			if answers {
-				s.Agent("agent")(2, scenario.List(2, "h-1 {s1} 1 SERVING"))
+				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
 				s.Play(`
 					wait s1
 					expect s1 startup
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -13,11 +13,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	dkeep "lotushook/decide/keep"
-	"lotushook/decide/shared"
-	"lotushook/internal/keep"
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/siteconfig"
+	"lotushook/internal/store"
+	"lotushook/policy/crdt"
+	dkeep "lotushook/policy/persistence"
 )
 
 // writeStore has TestReadsStoreOfFormat1 write the file that it reads. The one in testdata was written by the build of
@@ -27,15 +27,15 @@
 const storeFixture = "testdata/format1.db"
 
 // storedEntries has an entry of each kind that is copied to disk.
-func storedEntries() []shared.Entry {
-	from := shared.Origin{Name: "n1", Boot: 3}
-	return []shared.Entry{
-		{Kind: shared.Session, A: "1", B: "mine", At: 5e9, From: from, Seq: 1},
-		{Kind: shared.Primary, A: "1", Born: 7, At: 4e9, Server: "s1", From: from, Seq: 2},
-		{Kind: shared.Write, A: "write", B: "key", From: from, Seq: 3},
-		{Kind: shared.Position, A: "s1", Born: 7, At: 6e9, From: from, Seq: 4},
-		{Kind: shared.Use, A: "team", B: "read", Count: 1500, From: from, Seq: 5},
-		{Kind: shared.Hint, A: "suspect s2", From: from, Seq: 6},
+func storedEntries() []crdt.Entry {
+	from := crdt.Origin{Name: "n1", Boot: 3}
+	return []crdt.Entry{
+		{Kind: crdt.Session, A: "1", B: "mine", At: 5e9, From: from, Seq: 1},
+		{Kind: crdt.Primary, A: "1", Born: 7, At: 4e9, Server: "s1", From: from, Seq: 2},
+		{Kind: crdt.Write, A: "write", B: "key", From: from, Seq: 3},
+		{Kind: crdt.Position, A: "s1", Born: 7, At: 6e9, From: from, Seq: 4},
+		{Kind: crdt.Use, A: "team", B: "read", Count: 1500, From: from, Seq: 5},
+		{Kind: crdt.Hint, A: "suspect s2", From: from, Seq: 6},
 	}
 }
 
@@ -46,13 +46,13 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := setup.Load(scenario.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,
+	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,
 		"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, dir)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	k, err := newKept(own.Members, shared.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(began)) })
+	k, err := newKept(own.Members, crdt.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(began)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,10 +64,10 @@
 }
 
 // readStore reads a copy in which nothing expires.
-func readStore(t *testing.T, dir string) keep.Found {
+func readStore(t *testing.T, dir string) store.Found {
 	t.Helper()
 	began := time.Now()
-	k, err := keep.New(keep.Settings{Dir: dir, Most: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.Usual(),
+	k, err := store.New(store.Settings{Dir: dir, Most: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.Usual(),
 		Now: func() int64 { return int64(time.Since(began)) }, Wall: func() int64 { return time.Now().UnixNano() }})
 	if err != nil {
 		t.Fatal(err)
@@ -116,14 +116,14 @@
 	if found.Boot != 9 || found.Generation == 0 {
 		t.Errorf("boot %d, generation %d", found.Boot, found.Generation)
 	}
-	read := map[shared.Kind]shared.Entry{}
+	read := map[crdt.Kind]crdt.Entry{}
 	boots := map[string]bool{}
 	for _, record := range found.Records {
 		if record.Kind == kindMember {
 			boots[string(record.Key)] = true
 			continue
 		}
-		var e shared.Entry
+		var e crdt.Entry
 		if err := cbor.Unmarshal(record.Value, &e); err != nil {
 			t.Fatalf("kind %d: %v", record.Kind, err)
 		}
--- a/internal/router/terms.go
+++ b/internal/router/terms.go
@@ -8,13 +8,13 @@
 	"strconv"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/decide/contract"
-	"lotushook/decide/lane"
-	"lotushook/internal/accounts"
-	"lotushook/internal/control"
-	"lotushook/internal/setup"
-	"lotushook/internal/tally"
+	"lotushook/internal/accounting"
+	"lotushook/internal/admin"
+	"lotushook/internal/metrics"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
+	"lotushook/policy/contract"
+	"lotushook/policy/shedding"
 )
 
 const (
@@ -32,15 +32,15 @@
 	book   *contract.Book
 	out    map[uint32]int   // this router's open attempts by node
 	groups map[uint32]int64 // of the listed nodes
-	took   *accounts.Times
-	own    *setup.Accounts
+	took   *accounting.Times
+	own    *siteconfig.Accounts
 	lanes  *lanes             // who is shed before contracts are asked; nil: nobody
 	list   []contract.Waiting // to be used again
 	swap   []balance.Event
 }
 
-func newTerms(r *Router, own *setup.Setup) (*terms, error) {
-	t := &terms{router: r, out: map[uint32]int{}, groups: map[uint32]int64{}, took: accounts.NewTimes(), own: own.Accounts}
+func newTerms(r *Router, own *siteconfig.Setup) (*terms, error) {
+	t := &terms{router: r, out: map[uint32]int{}, groups: map[uint32]int64{}, took: accounting.NewTimes(), own: own.Accounts}
 	s, err := t.settings(own.Contracts)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 }
 
 // settings are contracts as they hold on this platform.
-func (t *terms) settings(c *setup.Contracts) (contract.Settings, error) {
+func (t *terms) settings(c *siteconfig.Contracts) (contract.Settings, error) {
 	b := &t.router.conf.Settings.Balance
 	back := contract.Nanos(0)
 	if b.RetryAfter {
@@ -67,7 +67,7 @@
 }
 
 // lanesOf are the lanes as they hold with other settings, which can't switch them on or off.
-func (t *terms) lanesOf(own *setup.Setup) (*lane.Settings, error) {
+func (t *terms) lanesOf(own *siteconfig.Setup) (*shedding.Settings, error) {
 	if (own.Contracts.Lanes != nil) != (t.lanes != nil) {
 		return nil, errors.New("contracts: lanes can't be switched on or off in service")
 	}
@@ -78,7 +78,7 @@
 }
 
 // set puts contracts in force, and lanes with them.
-func (t *terms) set(s contract.Settings, l *lane.Settings) error {
+func (t *terms) set(s contract.Settings, l *shedding.Settings) error {
 	var err error
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
@@ -156,7 +156,7 @@
 	}
 	if r.ground = v.Reason; !v.Reason.Taken() {
 		r.why = t.wording(team, r, v)
-		t.router.tally.Add(tally.Contract)
+		t.router.tally.Add(metrics.Contract)
 		r.hand(balance.Action{Kind: balance.Refuse, Wait: v.Wait})
 		return false, false
 	}
@@ -176,7 +176,7 @@
 // refuse ends the wait of one that has no turn.
 func (t *terms) refuse(turn contract.Turn) {
 	if r := t.router.owner.requests[turn.ID]; r != nil {
-		t.router.tally.Add(tally.Contract)
+		t.router.tally.Add(metrics.Contract)
 		r.ground, r.why = turn.Reason, t.wording(r.asked.Team, r, turn.Verdict)
 		r.hand(balance.Action{Kind: balance.Refuse, Wait: turn.Wait})
 	}
@@ -265,8 +265,8 @@
 }
 
 // answers are what is told at the accounts' socket.
-func (t *terms) answers() control.Answers {
-	a := control.Answers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
+func (t *terms) answers() admin.Answers {
+	a := admin.Answers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
 	if t.lanes != nil {
 		a["lanes"] = func(ctx context.Context) (out any) {
 			t.router.owner.do(ctx, func() { out = t.lanes.report() })
@@ -280,11 +280,11 @@
 }
 
 // rows are the accounts as they stand.
-func (t *terms) rows(ctx context.Context) []accounts.Row {
-	var rows []accounts.Row
+func (t *terms) rows(ctx context.Context) []accounting.Row {
+	var rows []accounting.Row
 	t.router.owner.do(ctx, func() {
 		t.book.Accounts(func(team, class string, a contract.Account) {
-			row := accounts.Row{Team: team, Class: class, Asked: a.Asked, Served: a.Served, InAim: a.InAim, TurnedAway: a.Refused, Failed: a.Failed, Worth: a.Worth,
+			row := accounting.Row{Team: team, Class: class, Asked: a.Asked, Served: a.Served, InAim: a.InAim, TurnedAway: a.Refused, Failed: a.Failed, Worth: a.Worth,
 				Grounds: map[string]uint64{}, Refused: map[string]uint64{}}
 			for r, n := range a.By {
 				switch reason := contract.Reason(r); {
@@ -329,7 +329,7 @@
 		asked = tick.C
 	}
 	if t.own != nil && t.own.Socket != "" {
-		stop, err := control.Serve(ctx, t.own.Socket, t.answers())
+		stop, err := admin.Serve(ctx, t.own.Socket, t.answers())
 		if err != nil {
 			slog.Error("accounts can't be read", "err", err)
 		} else {
--- a/internal/router/terms_test.go
+++ b/internal/router/terms_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"lotushook/decide/lane"
-	"lotushook/internal/accounts"
-	"lotushook/internal/control"
-	"lotushook/internal/setup"
+	"lotushook/internal/accounting"
+	"lotushook/internal/admin"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/shedding"
 )
 
 // teams is a setup with contracts, as they are written: counters may have one
 // request open, and nobody may use what is not in a contract.
-func teams(t *testing.T, open string) *setup.Setup {
+func teams(t *testing.T, open string) *siteconfig.Setup {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "a.sock")
 	own := admitting(t, `{}, "accounts":{"every_s":1,"socket":"`+socket+`"}, "contracts":{"trust_comment":true,"teams":[
@@ -44,7 +44,7 @@
 		expect c1 welcome | T | D "v" | C | Z
 		send c1 Q "/* id=06,c=read,d=20000,cluster=1 */ A"
 		expect s1 Q "/* id=06,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.conf, &setup.Setup{}); err == nil {
+	if err := r.Reload(r.conf, &siteconfig.Setup{}); err == nil {
 		t.Error("contracts were switched off in service")
 	}
 	if err := r.Reload(r.conf, teams(t, "5")); err != nil {
@@ -60,10 +60,10 @@
 		expect c2 T | D "w" | C | Z
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 T | D "v" | C | Z`)
-	var row accounts.Row
+	var row accounting.Row
 	for end := time.Now().Add(20 * time.Second); row.Served < 3; time.Sleep(time.Millisecond) {
-		var rows []accounts.Row
-		err := control.Ask(own.Accounts.Socket, "accounts", &rows)
+		var rows []accounting.Row
+		err := admin.Ask(own.Accounts.Socket, "accounts", &rows)
 		if err != nil || time.Now().After(end) {
 			t.Fatalf("%+v, %v", rows, err)
 		}
@@ -99,11 +99,11 @@
 		at := r.clock.now()
 		for i := 0; i < 100_000 && (i == 0 || l.decide.States()[0].Level < 64); i++ { // then it stays for an hour
 			at += 600e9
-			if v := l.decide.Ask(lane.Request{Team: 1, Account: uint64(i), Group: 1, Part: 1}, at); v.Reason != lane.Shed {
+			if v := l.decide.Ask(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Part: 1}, at); v.Reason != shedding.Shed {
 				l.decide.Begun(1, at, 1e6)
-				l.decide.Ended(1, v.Lane, "", lane.End{Came: at, Took: 1e6, Aim: 1e6}, at)
+				l.decide.Ended(1, v.Lane, "", shedding.End{Came: at, Took: 1e6, Aim: 1e6}, at)
 			}
-			l.decide.Tick(at, lane.Sight{}, nil)
+			l.decide.Tick(at, shedding.Sight{}, nil)
 		}
 	})
 	s.Play(`
@@ -117,11 +117,11 @@
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 T | D "v" | C | Z`)
 	var got Lanes
-	if err := control.Ask(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Level != 64 || !got.Groups[0].Alone || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
+	if err := admin.Ask(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Level != 64 || !got.Groups[0].Alone || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
-	var rows []accounts.Row
-	if err := control.Ask(own.Accounts.Socket, "accounts", &rows); err != nil || len(rows) != 1 || rows[0].Team != "desk" {
+	var rows []accounting.Row
+	if err := admin.Ask(own.Accounts.Socket, "accounts", &rows); err != nil || len(rows) != 1 || rows[0].Team != "desk" {
 		t.Errorf("the book heard of what was shed: %+v, %v", rows, err)
 	}
 	if err := r.Reload(r.conf, teams(t, "5")); err == nil {
--- a/internal/router/totals.go
+++ b/internal/router/totals.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"lotushook/balance"
-	"lotushook/internal/setup"
-	"lotushook/internal/tally"
+	"lotushook/internal/metrics"
+	"lotushook/internal/siteconfig"
+	"lotushook/policy/balance"
 )
 
 // totals writes one line of what was counted a period, and one at the end.
@@ -60,8 +60,8 @@
 
 // tracer writes the way of single requests. Lines beyond the settings' rate are counted and left out.
 type tracer struct {
-	set   atomic.Pointer[setup.Log] // nil: nothing is written
-	at    atomic.Int64              // the second that the next two count in
+	set   atomic.Pointer[siteconfig.Log] // nil: nothing is written
+	at    atomic.Int64                   // the second that the next two count in
 	wrote atomic.Int64
 	left  atomic.Int64
 }
@@ -84,13 +84,13 @@
 // wanted says whether a request's steps are to be kept for its line.
 func (t *tracer) wanted() bool {
 	set := t.set.Load()
-	return set != nil && set.Trace != setup.TraceOff
+	return set != nil && set.Trace != siteconfig.TraceOff
 }
 
 // write writes the line of a request that has ended.
 func (t *tracer) write(r *request, end string, why balance.Reason) {
 	set := t.set.Load()
-	if set == nil || set.Trace == setup.TraceOff || set.Trace == setup.TraceWrong && end == served {
+	if set == nil || set.Trace == siteconfig.TraceOff || set.Trace == siteconfig.TraceWrong && end == served {
 		return
 	}
 	now := r.router.clock.now()
@@ -108,7 +108,7 @@
 		if i > 0 {
 			way.WriteByte(' ')
 		}
-		fmt.Fprintf(&way, "%s:%s@%d=%s/%d", s.host, s.why, (s.at-r.came)/ms, tally.Outcome(s.out), (s.to-s.at)/ms)
+		fmt.Fprintf(&way, "%s:%s@%d=%s/%d", s.host, s.why, (s.at-r.came)/ms, metrics.Outcome(s.out), (s.to-s.at)/ms)
 	}
 	slog.Info("request", "id", r.ID, "key", r.Key, "class", r.Class, "cluster", r.Cluster, "session", r.Session, "came_ms", r.came/ms, "left_ms", (r.deadline-r.came)/ms,
 		"end", end, "why", why.String(), "took_ms", (now-r.came)/ms, "way", way.String())
