--- a/internal/router/totals_test.go
+++ b/internal/router/totals_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"lotushook/internal/scenario"
-	"lotushook/internal/setup"
+	"lotushook/internal/nettest"
+	"lotushook/internal/siteconfig"
 )
 
 // written is what is logged while a test runs.
@@ -44,7 +44,7 @@
 	w := logged(t)
 	now := make(chan time.Time)
 	close(now)
-	own := &setup.Setup{Log: &setup.Log{TotalsMS: 3600e3, Trace: setup.TraceWrong, TracePerS: 1}}
+	own := &siteconfig.Setup{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
 	s, _, stop, done := stageOwn(t, own, now, endless)
 	s.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
@@ -79,7 +79,7 @@
 // Switched off, nothing is counted and no line of totals or ways is written.
 func TestTotalsOff(t *testing.T) {
 	w := logged(t)
-	r := newRouter(t, scenario.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
 	r.total()
 	if r.tally != nil || r.tracer.wanted() || strings.Contains(w.String(), "totals") {
 		t.Errorf("something is on: %s", w)
@@ -89,7 +89,7 @@
 // Lines beyond the rate are left out and counted.
 func TestWaysAreBounded(t *testing.T) {
 	w := logged(t)
-	r := newOwnRouter(t, &setup.Setup{Log: &setup.Log{Trace: setup.TraceAll, TracePerS: 5}}, scenario.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	r := newOwnRouter(t, &siteconfig.Setup{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
 	one := &request{router: r, came: r.clock.now()}
 	for range 1000 {
 		r.tracer.write(one, served, 0)
--- a/internal/shard/debug.go
+++ b/internal/sharded/debug.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package shard
+package sharded
 
 import (
 	"bytes"
--- a/internal/shard/shard.go
+++ b/internal/sharded/shard.go
@@ -3,7 +3,7 @@
 //
 // A goroutine holds one shard at a time, whichever Shards it belongs to, and waits for nothing while it does: no socket,
 // file, channel or callback. With the build tag debug the first is asserted.
-package shard
+package sharded
 
 import (
 	"sync"
--- a/internal/shard/shard_test.go
+++ b/internal/sharded/shard_test.go
@@ -1,4 +1,4 @@
-package shard
+package sharded
 
 import (
 	"fmt"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire translates between the simulator's JSON dialect and the types
 // of package balance. It decides nothing.
-package wire
+package simwire
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/balance"
-	"lotushook/internal/settings"
+	"lotushook/internal/platformsettings"
+	"lotushook/policy/balance"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -33,7 +33,7 @@
 
 type instance struct {
 	router *balance.Balancer
-	set    *settings.Settings
+	set    *platformsettings.Settings
 }
 
 type entry struct {
@@ -163,7 +163,7 @@
 }
 
 func newInstance(e *event) (*instance, error) {
-	set, err := settings.Parse(e.Env)
+	set, err := platformsettings.Parse(e.Env)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -190,11 +190,11 @@
 		out = balance.Event{Kind: balance.AttemptDone, Request: e.Handle, Attempt: e.SendNo, Node: e.Node,
 			Finished: e.Finished}
 		out.Role, out.Position = in.note(e.Note)
-		out.Outcome, err = settings.Word(outcomes, "result", e.Result)
+		out.Outcome, err = platformsettings.Word(outcomes, "result", e.Result)
 	case "echo":
 		out = balance.Event{Kind: balance.ProbeDone, Node: e.Node}
 		in.report(e.Stats, &out)
-		out.Outcome, err = settings.Word(outcomes, "result", e.Result)
+		out.Outcome, err = platformsettings.Word(outcomes, "result", e.Result)
 	case "abandoned":
 		out = balance.Event{Kind: balance.RequestGone, Request: e.Handle}
 	case "wakeup":
@@ -221,7 +221,7 @@
 		return out, false, nil
 	}
 	for _, n := range pages[e.Page] {
-		state, err := settings.Word(lifecycles, "lifecycle", n.Lifecycle)
+		state, err := platformsettings.Word(lifecycles, "lifecycle", n.Lifecycle)
 		if err != nil {
 			return out, false, fmt.Errorf("node %d: %w", n.Node, err)
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,11 +1,11 @@
-package wire
+package simwire
 
 import (
 	"strings"
 	"testing"
 
-	"lotushook/balance"
-	"lotushook/internal/settings"
+	"lotushook/internal/platformsettings"
+	"lotushook/policy/balance"
 )
 
 const startLine = `{"clock":1000000000,"parts":[{"who":3,"events":[` +
@@ -54,7 +54,7 @@
 }
 
 func TestNotesAndReports(t *testing.T) {
-	in := &instance{set: &settings.Settings{Zero: 1000, Fields: []string{"waiting", "x0", "x1", "active"}}}
+	in := &instance{set: &platformsettings.Settings{Zero: 1000, Fields: []string{"waiting", "x0", "x1", "active"}}}
 	if role, pos := in.note(25486); role != 2 || pos != 1000+6371*millisecond {
 		t.Errorf("note: %d %d", role, pos)
 	}
--- a/internal/setup/contracts.go
+++ b/internal/siteconfig/contracts.go
@@ -1,4 +1,4 @@
-package setup
+package siteconfig
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"strconv"
 	"strings"
 
-	"lotushook/balance"
-	"lotushook/decide/contract"
+	"lotushook/policy/balance"
+	"lotushook/policy/contract"
 )
 
 // Contracts are what teams may ask of all routers together. All of it changes on
--- a/internal/setup/feeds.go
+++ b/internal/siteconfig/feeds.go
@@ -1,4 +1,4 @@
-package setup
+package siteconfig
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"lotushook/decide/cursor"
+	"lotushook/policy/cursor"
 )
 
 // Feeds says which classes are read as feeds of changes, and what they may take. Nothing of it changes on SIGHUP.
--- a/internal/setup/lanes.go
+++ b/internal/siteconfig/lanes.go
@@ -1,10 +1,10 @@
-package setup
+package siteconfig
 
 import (
 	"fmt"
 	"slices"
 
-	"lotushook/decide/lane"
+	"lotushook/policy/shedding"
 )
 
 // Lanes are who is shed before whom when a group of data servers has more to do than it can. They are a part of the contracts
@@ -35,7 +35,7 @@
 }
 
 func usualLanes() *Lanes {
-	u := lane.Usual()
+	u := shedding.Usual()
 	const ms = 1e6
 	return &Lanes{Lanes: []Lane{}, By: string(u.By), Least: 0.05, High: u.High, Low: u.Low, LookMS: u.Look / ms, FreshMS: u.Fresh / ms, AloneMS: u.Alone / ms, EpochMS: u.Epoch / ms,
 		ComeBackMS: u.ComeBack / ms, OweMS: u.OweFor / ms, Accounts: u.Accounts, Owed: u.Owed, Groups: u.Groups}
@@ -50,7 +50,7 @@
 }
 
 // Lane are the settings of the decision for one router; nil where there are no lanes.
-func (c *Contracts) Lane(f Fleet, longestBack lane.Nanos) (*lane.Settings, error) {
+func (c *Contracts) Lane(f Fleet, longestBack shedding.Nanos) (*shedding.Settings, error) {
 	if c.Lanes == nil {
 		for _, t := range c.Teams {
 			if t.Lane != "" || t.LanePerS != 0 {
@@ -69,14 +69,14 @@
 			return nil, fmt.Errorf("lanes.%s: %d is not between 0 and a week", v.field, v.ms)
 		}
 	}
-	s := &lane.Settings{By: lane.By(l.By), Router: f.Router, Boot: f.Boot, Routers: f.Routers, Agreed: f.Agreed, High: l.High, Low: l.Low, Look: l.LookMS * ms, Fresh: l.FreshMS * ms,
+	s := &shedding.Settings{By: shedding.By(l.By), Router: f.Router, Boot: f.Boot, Routers: f.Routers, Agreed: f.Agreed, High: l.High, Low: l.Low, Look: l.LookMS * ms, Fresh: l.FreshMS * ms,
 		Alone: l.AloneMS * ms, Epoch: l.EpochMS * ms, ComeBack: l.ComeBackMS * ms, LongBack: longestBack, OweFor: l.OweMS * ms, Accounts: l.Accounts, Owed: l.Owed, Groups: l.Groups}
 	for _, one := range l.Lanes {
 		least := l.Least
 		if one.Least != nil {
 			least = *one.Least
 		}
-		s.Lanes = append(s.Lanes, lane.Lane{Name: one.Name, PerS: one.PerS, Burst: one.Burst, Least: least})
+		s.Lanes = append(s.Lanes, shedding.Lane{Name: one.Name, PerS: one.PerS, Burst: one.Burst, Least: least})
 	}
 	for _, t := range c.Teams {
 		i := len(l.Lanes) - 1
@@ -85,7 +85,7 @@
 				return nil, fmt.Errorf("teams.%s.lane: no lane %q", t.Name, t.Lane)
 			}
 		}
-		s.Teams = append(s.Teams, lane.Team{Name: t.Name, Lane: max(0, i), PerS: t.LanePerS, Burst: t.LaneBurst})
+		s.Teams = append(s.Teams, shedding.Team{Name: t.Name, Lane: max(0, i), PerS: t.LanePerS, Burst: t.LaneBurst})
 	}
 	return s, s.Check()
 }
--- a/internal/setup/members.go
+++ b/internal/siteconfig/members.go
@@ -1,4 +1,4 @@
-package setup
+package siteconfig
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"net/netip"
 	"slices"
 
-	"lotushook/decide/member"
+	"lotushook/policy/membership"
 )
 
 // Members says how the routers of the installation find each other. One file serves all of them: each looks itself up
@@ -123,19 +123,19 @@
 
 func usualMembers() *Members {
 	const ms = 1e6
-	u := member.Usual("-", "-", 0, 1)
+	u := membership.Usual("-", "-", 0, 1)
 	return &Members{Seeds: []string{}, Modes: Modes{Default: ModeAsync, Classes: map[string]string{}, WaitMS: 20}, Alone: 0.5, PeriodMS: u.Period / ms, WaitMS: u.Wait / ms, Helpers: u.Helpers, LeastDoubtMS: u.LeastDoubt / ms,
 		MostDoubtMS: u.MostDoubt / ms, PauseMS: u.Pause / ms, ForgetS: u.Forget / 1e9, Corrections: u.Corrections}
 }
 
 // Member are the settings of the decision for one router.
-func (m *Members) Member(name string, boot uint64) (member.Settings, error) {
+func (m *Members) Member(name string, boot uint64) (membership.Settings, error) {
 	const ms = 1e6
 	place, ok := m.Routers[name]
 	if !ok {
-		return member.Settings{}, fmt.Errorf("members: routers: %q is not among them", name)
+		return membership.Settings{}, fmt.Errorf("members: routers: %q is not among them", name)
 	}
-	s := member.Usual(name, place.Advertise, boot, len(m.Routers))
+	s := membership.Usual(name, place.Advertise, boot, len(m.Routers))
 	s.Seeds, s.Names, s.Alone = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
 	s.Period, s.Wait, s.Helpers = m.PeriodMS*ms, m.WaitMS*ms, m.Helpers
 	s.LeastDoubt, s.MostDoubt, s.Pause, s.Forget = m.LeastDoubtMS*ms, m.MostDoubtMS*ms, m.PauseMS*ms, m.ForgetS*1e9
--- a/internal/setup/recovery.go
+++ b/internal/siteconfig/recovery.go
@@ -1,10 +1,10 @@
-package setup
+package siteconfig
 
 import (
 	"fmt"
 	"math"
 
-	"lotushook/decide/recovery"
+	"lotushook/policy/recovery"
 )
 
 // Recovery says what a router may do while it, or others with it, come back. One file serves all routers: budgets are for all
--- a/internal/setup/setup.go
+++ b/internal/siteconfig/setup.go
@@ -1,7 +1,7 @@
 // Package setup reads an installation's own settings: the file that people write
 // for their routers, beside the configuration that the platform gives to each.
 // Every subsystem has one part in it; a part that is not there is off.
-package setup
+package siteconfig
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lotushook/decide/admission"
-	"lotushook/internal/strict"
+	"lotushook/internal/strictjson"
+	"lotushook/policy/admission"
 )
 
 // Setup is the file.
@@ -66,7 +66,7 @@
 		Feeds     jsoniter.RawMessage `json:"feeds"`
 		Recovery  jsoniter.RawMessage `json:"recovery"`
 	}
-	err := strict.File(path, &parts)
+	err := strictjson.File(path, &parts)
 	if err == nil { // again, over the defaults of the parts that are there
 		if parts.Admission != nil {
 			s.Admission = usualAdmission()
@@ -95,7 +95,7 @@
 		if parts.Recovery != nil {
 			s.Recovery = usualRecovery()
 		}
-		err = strict.File(path, s)
+		err = strictjson.File(path, s)
 	}
 	if err == nil {
 		err = s.check()
--- a/internal/setup/setup_test.go
+++ b/internal/siteconfig/setup_test.go
@@ -1,4 +1,4 @@
-package setup
+package siteconfig
 
 import (
 	"os"
--- a/internal/keep/errors.go
+++ b/internal/store/errors.go
@@ -1,4 +1,4 @@
-package keep
+package store
 
 import (
 	"fmt"
--- a/internal/keep/file_test.go
+++ b/internal/store/file_test.go
@@ -1,4 +1,4 @@
-package keep
+package store
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"testing"
 
-	"lotushook/decide/keep"
+	"lotushook/policy/persistence"
 )
 
 // versions is a copy as its file stood after each of two batches, and what was in it.
@@ -30,7 +30,7 @@
 			t.Fatal(trouble)
 		}
 		defer k.close()
-		var batch []keep.Record
+		var batch []persistence.Record
 		for _, key := range slices.Sorted(maps.Keys(records)) {
 			batch = append(batch, record(key, records[key]))
 		}
@@ -72,7 +72,7 @@
 		t.Fatalf("it goes on without a copy: %v", trouble)
 	}
 	next := head{format: format, cluster: "x", name: "n0", boot: 9, generation: h.generation + 1, wall: 1}
-	if _, _, err := k.write(&next, []keep.Record{record("one more", "1"), record("key-0200", "2")}); err != nil {
+	if _, _, err := k.write(&next, []persistence.Record{record("one more", "1"), record("key-0200", "2")}); err != nil {
 		t.Fatalf("after %q: %v", kind, err)
 	}
 	k.close()
--- a/internal/keep/keep.go
+++ b/internal/store/keep.go
@@ -1,11 +1,11 @@
 // Package keep is a router's copy of the shared state on its own disk: records of a kind, a key, a value and an age, which
 // come back after the process has ended. What they mean is the caller's business, and what waits for a batch and how old a
-// record is that comes back is decided in decide/keep.
+// record is that comes back is decided in policy/persistence.
 //
 // Whoever has something to keep never waits for the disk: it is put into a queue of bounded size, and one goroutine writes
 // batches from it into a bbolt file. A copy that can't be used is moved aside, at most so many times, and never deleted; the
-// router then goes on without it and says what can be done. Nothing here knows what a record is worth: see decide/evidence.
-package keep
+// router then goes on without it and says what can be done. Nothing here knows what a record is worth: see policy/trust.
+package store
 
 import (
 	"cmp"
@@ -20,8 +20,8 @@
 	"sync"
 	"time"
 
-	"lotushook/decide/keep"
-	"lotushook/internal/remedy"
+	"lotushook/internal/operr"
+	"lotushook/policy/persistence"
 )
 
 const (
@@ -38,17 +38,17 @@
 	Most          int64  // bytes of the file; records take up to a quarter of it
 	Cluster, Name string // whose it is
 	Boot          uint64 // of this process
-	Queue         keep.Settings
-	Windows       [256]keep.Nanos   // by kind: older ones are let go; 0: they stay
-	Now           func() keep.Nanos // a clock that only goes on; what it shows is not written
-	Wall          func() int64      // Unix time in nanoseconds, as the system has it now
+	Queue         persistence.Settings
+	Windows       [256]persistence.Nanos   // by kind: older ones are let go; 0: they stay
+	Now           func() persistence.Nanos // a clock that only goes on; what it shows is not written
+	Wall          func() int64             // Unix time in nanoseconds, as the system has it now
 
 	disk disk
 }
 
 // Found is what a copy held.
 type Found struct {
-	Records    []keep.Record
+	Records    []persistence.Record
 	Boot       uint64 // of the process that wrote last; 0: nothing was found
 	Generation uint64
 	LetGo      uint64 // records that process could not keep: where it is not 0 the copy has gaps beside the last batch
@@ -62,17 +62,17 @@
 	loaded chan struct{}
 
 	mu       sync.Mutex // never held while the disk is used
-	queue    *keep.Queue
+	queue    *persistence.Queue
 	found    Found
 	off      bool // nothing is written any more
 	readOnly bool
 	head     head // as last written
 	swept    uint64
 	size     int64
-	start    remedy.Error // what was wrong with what the disk held; nil: nothing
-	trouble  remedy.Error // what is wrong now; nil: nothing
-	failing  bool         // the last batch is not written
-	lost     uint64       // let go when that was last told
+	start    operr.Error // what was wrong with what the disk held; nil: nothing
+	trouble  operr.Error // what is wrong now; nil: nothing
+	failing  bool        // the last batch is not written
+	lost     uint64      // let go when that was last told
 
 	// The writing goroutine's.
 	store store
@@ -84,7 +84,7 @@
 	if s.Dir == "" || s.Most < 1<<18 || s.Name == "" || max(len(s.Name), len(s.Cluster)) > mostName || s.Now == nil || s.Wall == nil {
 		return nil, errors.New("keep: Dir, Most, Name, Cluster, Now or Wall: missing or out of range")
 	}
-	q, err := keep.New(s.Queue)
+	q, err := persistence.New(s.Queue)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 }
 
 // Put has a record kept, in place of the one of its kind and key. It never waits for the disk. What can't be kept is counted.
-func (k *Keep) Put(r keep.Record) {
+func (k *Keep) Put(r persistence.Record) {
 	if k == nil || r.Kind == 0 || len(r.Key) > mostKey || len(r.Value) > mostValue {
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 // due is when the next batch goes; at the end at once, and only one that has not failed.
-func (k *Keep) due(last bool) (keep.Nanos, bool) {
+func (k *Keep) due(last bool) (persistence.Nanos, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.off {
@@ -225,7 +225,7 @@
 }
 
 // write puts a batch on disk; the first of a new copy under another name, so that no half a copy ever goes by this one.
-func (k *Keep) write(h *head, batch []keep.Record) (fsyncs, letGo int, err error) {
+func (k *Keep) write(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
 	if k.store != nil {
 		return k.store.commit(h, batch)
 	}
@@ -246,7 +246,7 @@
 	return fsyncs + 3, letGo, nil // the file's first pages, its growth, the directory
 }
 
-func (k *Keep) wrote(taken keep.Nanos, h *head, fsyncs, swept int, size int64, err error) {
+func (k *Keep) wrote(taken persistence.Nanos, h *head, fsyncs, swept int, size int64, err error) {
 	k.mu.Lock()
 	if err != nil {
 		k.queue.Failed(taken, k.set.Now(), fsyncs)
@@ -283,14 +283,14 @@
 
 // note keeps what is wrong now for whoever asks, and logs it once while it lasts; nil: it is over. What ended the writing
 // for good stays.
-func (k *Keep) note(e remedy.Error) {
+func (k *Keep) note(e operr.Error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e == nil && k.off {
 		return
 	}
 	if e != nil && (k.trouble == nil || k.trouble.Kind() != e.Kind()) {
-		slog.Warn("keep", remedy.Attrs(e)...)
+		slog.Warn("keep", operr.Attrs(e)...)
 	}
 	k.trouble = e
 }
@@ -303,7 +303,7 @@
 		k.found, k.off, k.head, k.start = f, off, h, err
 		k.mu.Unlock()
 		if err != nil {
-			slog.Warn("keep", remedy.Attrs(err)...)
+			slog.Warn("keep", operr.Attrs(err)...)
 		}
 		if f.Boot != 0 {
 			slog.Info("keep: read", "path", k.path, "records", len(f.Records), "boot", f.Boot, "generation", f.Generation, "let_go", f.LetGo)
@@ -312,8 +312,8 @@
 	}
 }
 
-func (k *Keep) read() (f Found, h head, off bool, trouble remedy.Error) {
-	readOnly := remedy.Error(nil)
+func (k *Keep) read() (f Found, h head, off bool, trouble operr.Error) {
+	readOnly := operr.Error(nil)
 	err := os.MkdirAll(k.set.Dir, 0o700)
 	if err == nil {
 		k.held, err = k.set.disk.lock(filepath.Join(k.set.Dir, lockName))
@@ -344,7 +344,7 @@
 }
 
 // use reads the copy that is there, if there is one that can be used.
-func (k *Keep) use(readOnly bool) (f Found, h head, trouble remedy.Error) {
+func (k *Keep) use(readOnly bool) (f Found, h head, trouble operr.Error) {
 	err := k.sound()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -397,7 +397,7 @@
 	}
 	kept := f.Records[:0]
 	for i, r := range f.Records {
-		r.Age, r.Unsure = keep.Aged(r.Age, walls[i], h.wall, now)
+		r.Age, r.Unsure = persistence.Aged(r.Age, walls[i], h.wall, now)
 		if w := k.set.Windows[r.Kind]; w == 0 || r.Age < w {
 			kept = append(kept, r)
 		}
@@ -432,7 +432,7 @@
 
 var errEmpty = errors.New("0 bytes")
 
-func (k *Keep) aside(err error) remedy.Error {
+func (k *Keep) aside(err error) operr.Error {
 	e := &Damaged{Path: k.path, Cause: Spoiled, Err: err}
 	switch {
 	case errors.Is(err, errEmpty):
@@ -444,7 +444,7 @@
 }
 
 // asideAs moves a copy that can't be used out of the way, if not too many lie there.
-func (k *Keep) asideAs(e remedy.Error) remedy.Error {
+func (k *Keep) asideAs(e operr.Error) operr.Error {
 	for n := 1; n <= mostAside; n++ {
 		to := fmt.Sprintf("%s.aside-%d", k.path, n)
 		if _, err := os.Lstat(to); err == nil {
@@ -482,17 +482,17 @@
 
 // Report is what operators read of a copy.
 type Report struct {
-	Path       string      `json:"path"`
-	Writes     bool        `json:"writes"` // false: not read yet, or it goes on without a copy
-	Boot       uint64      `json:"boot"`   // that wrote last
-	Generation uint64      `json:"generation"`
-	Bytes      int64       `json:"bytes"`   // of the file
-	Waiting    int         `json:"waiting"` // bytes, with what is on its way to the disk
-	Swept      uint64      `json:"swept"`   // records that were let go for want of room in the file
-	Counts     keep.Counts `json:"counts"`
-	Trouble    string      `json:"trouble,omitempty"`
-	ErrorKind  string      `json:"error_kind,omitempty"`
-	Remedy     string      `json:"remedy,omitempty"`
+	Path       string             `json:"path"`
+	Writes     bool               `json:"writes"` // false: not read yet, or it goes on without a copy
+	Boot       uint64             `json:"boot"`   // that wrote last
+	Generation uint64             `json:"generation"`
+	Bytes      int64              `json:"bytes"`   // of the file
+	Waiting    int                `json:"waiting"` // bytes, with what is on its way to the disk
+	Swept      uint64             `json:"swept"`   // records that were let go for want of room in the file
+	Counts     persistence.Counts `json:"counts"`
+	Trouble    string             `json:"trouble,omitempty"`
+	ErrorKind  string             `json:"error_kind,omitempty"`
+	Remedy     string             `json:"remedy,omitempty"`
 }
 
 // Report is as of now; nil of a nil copy.
--- a/internal/keep/keep_test.go
+++ b/internal/store/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package store
 
 import (
 	"context"
@@ -17,14 +17,14 @@
 	"testing"
 	"time"
 
-	"lotushook/decide/keep"
-	"lotushook/internal/remedy"
+	"lotushook/internal/operr"
+	"lotushook/policy/persistence"
 )
 
 var began = time.Now()
 
 func settings(dir string) Settings {
-	q := keep.Usual()
+	q := persistence.Usual()
 	q.Fsyncs, q.Retry = 1000, 1e6
 	return Settings{Dir: dir, Most: 1 << 20, Cluster: "x", Name: "n0", Boot: 7, Queue: q, Now: func() int64 { return int64(time.Since(began)) },
 		Wall: func() int64 { return time.Now().UnixNano() }}
@@ -59,8 +59,8 @@
 	return r.Waiting == 0 && r.Counts.Batches > 0
 }
 
-func record(key, value string) keep.Record {
-	return keep.Record{Kind: 1, Key: []byte(key), Value: []byte(value)}
+func record(key, value string) persistence.Record {
+	return persistence.Record{Kind: 1, Key: []byte(key), Value: []byte(value)}
 }
 
 func fill(t testing.TB, s Settings, records map[string]string) {
@@ -123,7 +123,7 @@
 		t.Error("what was found is held on to")
 	}
 	k.Put(record("key-0001", "new"))
-	k.Put(keep.Record{Kind: 2, Key: []byte("key-0001"), Value: []byte("of another kind")})
+	k.Put(persistence.Record{Kind: 2, Key: []byte("key-0001"), Value: []byte("of another kind")})
 	k.Put(record(strings.Repeat("k", mostKey+1), "too long"))
 	stop()
 	if boot, gen := k.Generation(); boot != 8 || gen <= f.Generation {
@@ -280,7 +280,7 @@
 	disk *faults
 }
 
-func (s *faulty) commit(h *head, batch []keep.Record) (int, int, error) {
+func (s *faulty) commit(h *head, batch []persistence.Record) (int, int, error) {
 	s.disk.calls.Add(1)
 	if f := s.disk.commits.Load(); f != nil {
 		if err := (*f)(); err != nil {
@@ -378,7 +378,7 @@
 	<-k.Loaded()
 	for i := range 60 {
 		for j := range 50 {
-			k.Put(keep.Record{Kind: 1, Key: fmt.Appendf(nil, "%x-%d", (i*50+j)*7919%65536, i), Value: make([]byte, 100), Age: (60 - int64(i)) * 60e9})
+			k.Put(persistence.Record{Kind: 1, Key: fmt.Appendf(nil, "%x-%d", (i*50+j)*7919%65536, i), Value: make([]byte, 100), Age: (60 - int64(i)) * 60e9})
 		}
 		until(t, "written", func() bool { r := k.Report(); return r.Waiting == 0 && r.Counts.Batches > 0 })
 		if r := k.Report(); r.Bytes > s.Most || r.ErrorKind != "" {
@@ -433,13 +433,13 @@
 // All types of errors say what can be done, each under a kind of its own.
 func TestRemedies(t *testing.T) {
 	why := errors.New("why")
-	all := []remedy.Error{&Damaged{"p", "a", Empty, why}, &Damaged{"p", "", Torn, why}, &Damaged{"p", "a", Spoiled, why}, &Foreign{"p", "a", "c", "n"},
+	all := []operr.Error{&Damaged{"p", "a", Empty, why}, &Damaged{"p", "", Torn, why}, &Damaged{"p", "a", Spoiled, why}, &Foreign{"p", "a", "c", "n"},
 		&Later{"p", "a", 9}, &Old{"p", "1", "2"}, &Locked{"p", why}, &ReadOnly{"p", why}, &Full{"p", why}, &Slow{"p", time.Second}, &Behind{"p", 3},
 		&Crowded{"p", 4, why}, &Clock{"p", time.Hour}, &Failed{"p", "d", why}}
 	types, kinds := map[string]bool{}, map[string]bool{}
 	for _, e := range all {
 		types[strings.TrimPrefix(fmt.Sprintf("%T", e), "*keep.")] = true
-		if kinds[e.Kind()] || !strings.HasPrefix(e.Kind(), "keep-") || len(e.Remedy()) < 20 || !strings.Contains(e.Error(), "p") || remedy.Of(fmt.Errorf("x: %w", e)) != e {
+		if kinds[e.Kind()] || !strings.HasPrefix(e.Kind(), "keep-") || len(e.Remedy()) < 20 || !strings.Contains(e.Error(), "p") || operr.Of(fmt.Errorf("x: %w", e)) != e {
 			t.Errorf("%T: %s: %s: %s", e, e.Kind(), e, e.Remedy())
 		}
 		kinds[e.Kind()] = true
--- a/internal/keep/record.go
+++ b/internal/store/record.go
@@ -1,11 +1,11 @@
-package keep
+package store
 
 import (
 	"encoding/binary"
 	"errors"
 	"hash/crc32"
 
-	"lotushook/decide/keep"
+	"lotushook/policy/persistence"
 )
 
 const (
@@ -93,9 +93,9 @@
 
 // key is a record's key in the store; appendRecord is its value: the wall's clock when it was written, its age then, its own
 // value, and a checksum over these and the key.
-func key(r *keep.Record) []byte { return append([]byte{r.Kind}, r.Key...) }
+func key(r *persistence.Record) []byte { return append([]byte{r.Kind}, r.Key...) }
 
-func appendRecord(r *keep.Record, wall int64) []byte {
+func appendRecord(r *persistence.Record, wall int64) []byte {
 	out := make([]byte, 0, 20+len(r.Value))
 	out = binary.LittleEndian.AppendUint64(out, uint64(wall))
 	out = binary.LittleEndian.AppendUint64(out, uint64(r.Age))
@@ -112,7 +112,7 @@
 }
 
 // parseRecord reads a record that was written at a wall's time. What it returns is a copy.
-func parseRecord(k, v []byte) (r keep.Record, wall int64, err error) {
+func parseRecord(k, v []byte) (r persistence.Record, wall int64, err error) {
 	if len(k) < 1 || len(v) < 20 {
 		return r, 0, errShort
 	}
@@ -121,6 +121,6 @@
 		return r, 0, errSum
 	}
 	wall = int64(binary.LittleEndian.Uint64(body))
-	return keep.Record{Kind: k[0], Key: append([]byte(nil), k[1:]...), Value: append([]byte(nil), body[16:]...),
+	return persistence.Record{Kind: k[0], Key: append([]byte(nil), k[1:]...), Value: append([]byte(nil), body[16:]...),
 		Age: int64(binary.LittleEndian.Uint64(body[8:]))}, wall, nil
 }
--- a/internal/keep/store.go
+++ b/internal/store/store.go
@@ -1,4 +1,4 @@
-package keep
+package store
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
 
-	"lotushook/decide/keep"
+	"lotushook/policy/persistence"
 )
 
 // disk is what a copy needs of the system; tests put faults between.
@@ -31,7 +31,7 @@
 	load(each func(k, v []byte) error) (head []byte, sum uint64, err error)
 	// commit puts a batch and a head on disk, both or neither, and says how many fsyncs it did and how many older records
 	// it let go for want of room.
-	commit(h *head, batch []keep.Record) (fsyncs, letGo int, err error)
+	commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error)
 	rename(to string) error // and have that on disk too
 	size() int64
 	close() error
@@ -48,7 +48,7 @@
 	sweepShare = 8 // and so much of that is made free at a time
 )
 
-type osDisk struct{ windows [256]keep.Nanos }
+type osDisk struct{ windows [256]persistence.Nanos }
 
 // lock holds a file for this process alone.
 func (osDisk) lock(path string) (io.Closer, error) {
@@ -69,7 +69,7 @@
 	most    int64 // bytes of the file; the store maps powers of two
 	live    int64 // bytes of keys and values
 	sum     uint64
-	windows [256]keep.Nanos
+	windows [256]persistence.Nanos
 	bad     bool // it has panicked: nothing of it is touched any more
 }
 
@@ -124,7 +124,7 @@
 	return raw, s.sum, err
 }
 
-func (s *boltStore) commit(h *head, batch []keep.Record) (fsyncs, letGo int, err error) {
+func (s *boltStore) commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
 	if s.bad {
 		return 0, 0, errPanic
 	}
@@ -132,7 +132,7 @@
 	fsyncs, letGo, err = s.put(h, batch)
 	if half := len(batch) / 2; half > 0 && errors.Is(err, berrors.ErrMaxSizeReached) { // fewer pages at a time find room
 		h.letGo = count
-		for _, part := range [][]keep.Record{batch[:half], batch[half:]} {
+		for _, part := range [][]persistence.Record{batch[:half], batch[half:]} {
 			var n, gone int
 			n, gone, err = s.commit(h, part)
 			if fsyncs, letGo = fsyncs+n, letGo+gone; err != nil {
@@ -144,7 +144,7 @@
 }
 
 // put is one batch.
-func (s *boltStore) put(h *head, batch []keep.Record) (fsyncs, letGo int, err error) {
+func (s *boltStore) put(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
 	before, live, sum := s.size(), s.live, s.sum
 	err = guarded(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error {
@@ -192,7 +192,7 @@
 		if err != nil {
 			return 0
 		}
-		age, _ := keep.Aged(r.Age, written, wall, wall)
+		age, _ := persistence.Aged(r.Age, written, wall, wall)
 		if w := s.windows[r.Kind]; w > 0 && age >= w {
 			return 65
 		}
--- a/internal/strict/strict.go
+++ b/internal/strictjson/strict.go
@@ -1,7 +1,7 @@
 // Package strict reads JSON that people are answerable for. Whatever could be a
 // slip is an error with its path: a key that is unknown, written in other
 // letters, or given twice, a null, a value of another kind, bytes behind the end.
-package strict
+package strictjson
 
 import (
 	"encoding"
--- a/internal/strict/strict_test.go
+++ b/internal/strictjson/strict_test.go
@@ -1,4 +1,4 @@
-package strict
+package strictjson
 
 import (
 	"net/netip"
--- /dev/null
+++ b/policy/admission/main_test.go
@@ -0,0 +1,9 @@
+package admission
+
+import (
+	"testing"
+
+	"lotushook/internal/nettest"
+)
+
+func TestMain(m *testing.M) { nettest.Drawn(m) }
--- a/decide/admission/replay_test.go
+++ b/policy/admission/replay_test.go
@@ -5,8 +5,8 @@
 	"net/netip"
 	"testing"
 
-	"lotushook/decide/admission"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/admission"
 )
 
 func replaySettings() admission.Settings {
--- a/balance/balance.go
+++ b/policy/balance/balance.go
@@ -11,8 +11,8 @@
 	"math"
 	"slices"
 
-	"lotushook/decide/hall"
-	"lotushook/decide/quota"
+	"lotushook/policy/quota"
+	"lotushook/policy/zone"
 )
 
 // Tuned values. All are dimensionless; spans come from the settings or from traffic.
@@ -149,7 +149,7 @@
 	recent          float64   // work asked of this router, as it had faded at askedAt
 	lost            float64   // share of attempts that were lost at nodes that answered others
 	partAt, askedAt Nanos
-	halls           *hall.Halls
+	halls           *zone.Halls
 	want            [2]float64 // as a group's, the mean of all groups
 	quotas          *quota.Quotas
 	blocks          []float64 // by class: share of long answers at replicas that had applied nothing meanwhile
@@ -176,7 +176,7 @@
 	}
 	b.quotas = quota.New(s.quotas())
 	b.rankQueues()
-	b.halls, err = hall.New(hall.Settings{Servers: hallLeast, Pause: b.minAim, MaxPause: backoffMax * b.minAim})
+	b.halls, err = zone.New(zone.Settings{Servers: hallLeast, Pause: b.minAim, MaxPause: backoffMax * b.minAim})
 	return b, err
 }
 
--- a/balance/example_test.go
+++ b/policy/balance/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lotushook/balance"
+	"lotushook/policy/balance"
 )
 
 // A router of one group: its own loop calls Step with what happened and carries out what comes back.
--- a/decide/contract/replay_test.go
+++ b/policy/contract/replay_test.go
@@ -4,8 +4,8 @@
 	"net/netip"
 	"testing"
 
-	"lotushook/decide/contract"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/contract"
 )
 
 func replaySettings() contract.Settings {
--- a/decide/shared/interface.go
+++ b/policy/crdt/interface.go
@@ -5,7 +5,7 @@
 // No entry is an order. A router sends only to servers that its own list names; a position that a peer tells too high makes a
 // read go to servers that lack it and be refused there, never be answered stale; a commit told too high delays a
 // session's read, one told too low changes nothing, as joins only raise.
-package shared
+package crdt
 
 import (
 	"cmp"
--- a/decide/shared/replay_test.go
+++ b/policy/crdt/replay_test.go
@@ -1,42 +1,42 @@
-package shared_test
+package crdt_test
 
 import (
 	"testing"
 
-	"lotushook/decide/shared"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/crdt"
 )
 
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		settings := shared.Usual(shared.Origin{Name: "r-0", Boot: 1})
+		settings := crdt.Usual(crdt.Origin{Name: "r-0", Boot: 1})
 		for kind := range settings.Most {
 			settings.Most[kind] = 10
 		}
-		store, err := shared.New(settings)
+		store, err := crdt.New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		teller, err := shared.NewTeller(shared.UsualTeller())
+		teller, err := crdt.NewTeller(crdt.UsualTeller())
 		if err != nil {
 			t.Fatal(err)
 		}
-		feeder, err := shared.NewFeeder(shared.UsualFeed(), driver.Now)
+		feeder, err := crdt.NewFeeder(crdt.UsualFeed(), driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		// sane keeps drawn entries within what a router could say.
-		sane := func(e shared.Entry) shared.Entry {
-			e.Kind = shared.Session + e.Kind%shared.Last
+		sane := func(e crdt.Entry) crdt.Entry {
+			e.Kind = crdt.Session + e.Kind%crdt.Last
 			e.At, e.Age = int64(driver.IntN(1000)), int64(driver.IntN(3e9))
 			e.Seq = 1 + uint64(driver.IntN(200))
 			return e
 		}
-		learn := func(now int64, e shared.Entry) bool { return store.Learn(now, sane(e)) }
-		take := func(now int64, e shared.Entry) bool { return store.Take(now, sane(e)) }
-		merge := func(now int64, runs []shared.Run) int {
+		learn := func(now int64, e crdt.Entry) bool { return store.Learn(now, sane(e)) }
+		take := func(now int64, e crdt.Entry) bool { return store.Take(now, sane(e)) }
+		merge := func(now int64, runs []crdt.Run) int {
 			for i := range runs {
 				for j := range runs[i].Entries {
 					runs[i].Entries[j] = sane(runs[i].Entries[j])
@@ -44,13 +44,13 @@
 			}
 			return store.Merge(now, runs)
 		}
-		add := func(now int64, e shared.Entry, wait uint64) { teller.Add(now, sane(e), wait) }
-		push := func(now int64) []shared.Entry { return store.Push(now, 300) }
+		add := func(now int64, e crdt.Entry, wait uint64) { teller.Add(now, sane(e), wait) }
+		push := func(now int64) []crdt.Entry { return store.Push(now, 300) }
 		digests := func(kind uint8) (uint64, int) {
-			k := shared.Session + shared.Kind(kind)%shared.Last
+			k := crdt.Session + crdt.Kind(kind)%crdt.Last
 			return store.Digest(k), store.Size(k)
 		}
-		next := func(now int64) []shared.Telling { return teller.Next(now, []string{"r-1", "r-2", "r-3"}) }
+		next := func(now int64) []crdt.Telling { return teller.Next(now, []string{"r-1", "r-2", "r-3"}) }
 		driver.Run(1200, learn, learn, take, take, merge, push, digests, store.Vector, store.Commit, store.Cursor,
 			store.Primary, store.Applied, store.MayHaveRun, store.Used, store.Hints, store.Tick, store.Sum,
 			store.Refused, add, add, next, next, teller.Acked, teller.Due, teller.Told, feeder.Ask, feeder.Gave)
--- a/decide/shared/tell.go
+++ b/policy/crdt/tell.go
@@ -1,4 +1,4 @@
-package shared
+package crdt
 
 import (
 	"cmp"
--- a/decide/cursor/book.go
+++ b/policy/cursor/book.go
@@ -3,14 +3,14 @@
 import (
 	"cmp"
 
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
 )
 
 // Generation tells a subscriber's connections apart: the greater one holds. Of two that were raised alike at two routers it is
 // the one of the router whose name comes later.
 type Generation struct {
 	Gen int64
-	By  shared.Origin
+	By  crdt.Origin
 }
 
 // Compare goes by number, then by who raised it.
@@ -47,19 +47,19 @@
 }
 
 // Entry is a cursor as routers tell it.
-func (c Cursor) Entry(feed, subscriber string) shared.Entry {
-	return shared.Entry{Kind: shared.Cursor, A: feed, B: subscriber, From: c.By, Count: c.Gen, Born: int64(c.Number()), At: c.At, Acked: c.Acked}
+func (c Cursor) Entry(feed, subscriber string) crdt.Entry {
+	return crdt.Entry{Kind: crdt.Cursor, A: feed, B: subscriber, From: c.By, Count: c.Gen, Born: int64(c.Number()), At: c.At, Acked: c.Acked}
 }
 
 // FromEntry is the cursor that an entry tells.
-func FromEntry(e shared.Entry) Cursor {
+func FromEntry(e crdt.Entry) Cursor {
 	return Cursor{Generation{e.Count, e.From}, Point{Numbered(uint64(e.Born)), e.At}, e.Acked, e.Age}
 }
 
 // Book holds the cursors that this router gave out, at most so many. The one that was not touched longest is let go first; from
 // then on the book says of a subscriber that it does not know that it may have forgotten it. It belongs to who holds its lock.
 type Book struct {
-	self  shared.Origin
+	self  crdt.Origin
 	most  int
 	index map[key]int32
 	slots []slot // 0 is the ring's head: next the latest, prev the one that goes first
@@ -81,7 +81,7 @@
 }
 
 // NewBook returns an empty one for so many cursors.
-func NewBook(self shared.Origin, most int) *Book {
+func NewBook(self crdt.Origin, most int) *Book {
 	return &Book{self: self, most: max(1, most), index: map[key]int32{}, slots: make([]slot, 1)}
 }
 
--- a/decide/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
 )
 
 // world is one log with a take-over that loses its last event, three routers, and two subscribers: the first carries its cursor,
@@ -134,7 +134,7 @@
 // which breaks the connection.
 func (w *world) request(r, s int, lost bool, broken string) *world {
 	c := w.next("subscriber %d asks router %d, lost %v", s, r, lost)
-	sub, router, self := &c.subs[s], &c.routers[r], shared.Origin{Name: fmt.Sprint("r", r), Boot: 1}
+	sub, router, self := &c.subs[s], &c.routers[r], crdt.Origin{Name: fmt.Sprint("r", r), Boot: 1}
 	known := router.known[s]
 	q := Asked{Turn: Returns, Known: known, Own: known.By == self}
 	if s == 0 || sub.at == r { // its connection remembers what went out on it
--- a/decide/cursor/replay_test.go
+++ b/policy/cursor/replay_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"lotushook/decide/cursor"
-	"lotushook/decide/shared"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/crdt"
+	"lotushook/policy/cursor"
 )
 
 // randomAnswer makes a sound answer of a member on one of three lines.
@@ -31,7 +31,7 @@
 		settings.RingEvents, settings.Batch = 12, 3
 		driver := replaytest.NewDriver(seed, digest)
 		feed, pace := cursor.NewFeed(&settings), cursor.NewPace(&settings, driver.Now)
-		book := cursor.NewBook(shared.Origin{Name: "r-0", Boot: 1}, 4)
+		book := cursor.NewBook(crdt.Origin{Name: "r-0", Boot: 1}, 4)
 		point := func() cursor.Point {
 			era := uint32(1 + driver.IntN(2))
 			id := uint32(7 + driver.IntN(3))
--- a/decide/cursor/rules_test.go
+++ b/policy/cursor/rules_test.go
@@ -9,12 +9,12 @@
 
 	"pgregory.net/rapid"
 
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
 )
 
 func drawnCursor(t *rapid.T) Cursor {
 	n := func(name string, most int) int64 { return int64(rapid.IntRange(0, most).Draw(t, name)) }
-	return Cursor{Generation{n("gen", 2), shared.Origin{Name: fmt.Sprint("r", n("by", 1)), Boot: uint64(n("boot", 1))}},
+	return Cursor{Generation{n("gen", 2), crdt.Origin{Name: fmt.Sprint("r", n("by", 1)), Boot: uint64(n("boot", 1))}},
 		Point{History{uint32(n("era", 2)), uint32(n("id", 1))}, n("at", 3)}, n("acked", 3), n("age", 3)}
 }
 
@@ -39,7 +39,7 @@
 		}
 		var kept [2]Cursor
 		for i, list := range [][]Cursor{{a, b}, {b, a, b}} {
-			s, err := shared.New(shared.Usual(shared.Origin{Name: "z", Boot: 1}))
+			s, err := crdt.New(crdt.Usual(crdt.Origin{Name: "z", Boot: 1}))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -62,7 +62,7 @@
 // A book has room for so many, keeps those touched last, never goes back, and says that it let some go.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := NewBook(shared.Origin{Name: "r", Boot: 1}, 4), Nanos(0)
+		b, now := NewBook(crdt.Origin{Name: "r", Boot: 1}, 4), Nanos(0)
 		model, order := map[string]Cursor{}, []string{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now++
@@ -108,15 +108,15 @@
 		runtime.ReadMemStats(&after)
 		return int(after.HeapAlloc) - int(before.HeapAlloc)
 	}
-	book := NewBook(shared.Origin{Name: "r", Boot: 1}, n)
+	book := NewBook(crdt.Origin{Name: "r", Boot: 1}, n)
 	own := heap(func() {
 		for i := range n {
 			book.Put(0, uint32(i%3), fmt.Sprintf("subscriber-%013d", i), Cursor{Generation{Gen: 1}, pt(1, 1, int64(i)), 0, 0})
 		}
 	})
-	set := shared.Usual(shared.Origin{Name: "r", Boot: 1})
-	set.Most[shared.Cursor] = n
-	store, err := shared.New(set)
+	set := crdt.Usual(crdt.Origin{Name: "r", Boot: 1})
+	set.Most[crdt.Cursor] = n
+	store, err := crdt.New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 		}
 	})
 	t.Logf("%d B a cursor, %d B of one that is shared", own/n, told/n)
-	if book.Size() != n || own/n > 200 || store.Size(shared.Cursor) != n {
+	if book.Size() != n || own/n > 200 || store.Size(crdt.Cursor) != n {
 		t.Errorf("%d of %d, %d B each", book.Size(), n, own/n)
 	}
 	runtime.KeepAlive(book)
--- a/decide/member/interface.go
+++ b/policy/membership/interface.go
@@ -2,13 +2,13 @@
 // says what to send to whom and which view to hold: a failure detector after SWIM (Das, Gupta, Motivala 2002) with the
 // corrections of Lifeguard (Dadgar, Phillips, Currey 2017), made to bear pauses and cuts that work in one direction.
 // How messages travel, and what follows from a view, is not decided here.
-package member
+package membership
 
 import (
 	"errors"
 	"fmt"
 
-	"lotushook/decide/part"
+	"lotushook/policy/quotalease"
 )
 
 // Nanos is a span or a point of this router's own clock, in nanoseconds. No two routers' points are ever compared.
@@ -120,7 +120,7 @@
 
 	Deaf bool // the sender hears hardly anybody: what it says of others is worth nothing
 	News []Update
-	Row  *part.Row // of an answer to the receiver's own question: what the sender promises it
+	Row  *quotalease.Row // of an answer to the receiver's own question: what the sender promises it
 }
 
 // Member is what a view says of one.
@@ -139,5 +139,5 @@
 	Since    Nanos    // of Majority's value
 	Deaf     bool     // this router is cut off: it hears hardly anybody, or is not heard
 	Taken    bool     // another, older process has this name
-	Part     part.Force
+	Part     quotalease.Force
 }
--- a/decide/member/member.go
+++ b/policy/membership/member.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"lotushook/decide/part"
+	"lotushook/policy/quotalease"
 )
 
 // Tuned values, all in the terms of the settings.
@@ -43,11 +43,11 @@
 	relays map[uint32]relay
 	news   []news
 	out    []Message
-	listed map[string]bool // the installation's names; nil: anybody
-	parts  *part.Parts     // nil: fixed
-	whole  Nanos           // when somebody is asked for all it knows, so that what gossip missed is known in the end
-	pause  Nanos           // until the next time after it
-	learnt bool            // the last time taught something
+	listed map[string]bool   // the installation's names; nil: anybody
+	parts  *quotalease.Parts // nil: fixed
+	whole  Nanos             // when somebody is asked for all it knows, so that what gossip missed is known in the end
+	pause  Nanos             // until the next time after it
+	learnt bool              // the last time taught something
 
 	majority   bool
 	majorityAt Nanos
@@ -92,7 +92,7 @@
 	m := &Members{set: s, now: now, rng: seed, since: now, turn: now, peers: map[string]*peer{}, relays: map[uint32]relay{},
 		self: Update{Name: s.Name, Address: s.Address, Boot: s.Boot, State: Alive}, majorityAt: now}
 	if s.Names != nil {
-		p, err := part.New(part.Settings{Names: s.Names, Self: s.Name, Term: s.Term(), Alone: s.Alone}, now)
+		p, err := quotalease.New(quotalease.Settings{Names: s.Names, Self: s.Name, Term: s.Term(), Alone: s.Alone}, now)
 		if err != nil {
 			return nil, err
 		}
@@ -458,7 +458,7 @@
 		v.Members = append(v.Members, p.Member)
 	}
 	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	if v.Part = (part.Force{Share: 1 / float64(m.set.Configured), Least: 1 / float64(m.set.Configured), Until: m.now}); m.parts != nil {
+	if v.Part = (quotalease.Force{Share: 1 / float64(m.set.Configured), Least: 1 / float64(m.set.Configured), Until: m.now}); m.parts != nil {
 		v.Part = m.parts.Force(m.now, m.gone)
 	}
 	return v
--- a/decide/member/member_test.go
+++ b/policy/membership/member_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"lotushook/decide/part"
+	"lotushook/policy/quotalease"
 )
 
 const ms = Nanos(1e6)
@@ -47,7 +47,7 @@
 	address     string
 	served      Nanos // since when it has been up and not paused
 	lastIncarn  map[incarnationOf]uint32
-	force       part.Force
+	force       quotalease.Force
 }
 
 type sent struct {
--- a/decide/member/receive.go
+++ b/policy/membership/receive.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 // Receive takes a message in and returns what to send for it.
 func (m *Members) Receive(now Nanos, msg Message) []Message {
--- a/decide/member/replay_test.go
+++ b/policy/membership/replay_test.go
@@ -1,42 +1,42 @@
-package member_test
+package membership_test
 
 import (
 	"testing"
 
-	"lotushook/decide/member"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/membership"
 )
 
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		settings := member.Usual("r-0", "r-0", 3, 6)
+		settings := membership.Usual("r-0", "r-0", 3, 6)
 		settings.Seeds = []string{"r-1"}
 		settings.Alone = 0.5
 		if seed%2 == 0 {
 			settings.Names = []string{"r-0", "r-1", "r-2", "r-3", "r-4", "r-5"}
 		}
-		members, err := member.New(settings, seed, driver.Now)
+		members, err := membership.New(settings, seed, driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var sent []member.Message
-		tick := func(now int64) []member.Message {
+		var sent []membership.Message
+		tick := func(now int64) []membership.Message {
 			sent = members.Tick(now)
 			return sent
 		}
-		receive := func(now int64, message member.Message) []member.Message {
+		receive := func(now int64, message membership.Message) []membership.Message {
 			message.Address, message.From = message.From, driver.Text()
 			for i := range message.News {
-				message.News[i].State %= member.Left + 1
+				message.News[i].State %= membership.Left + 1
 				message.News[i].Address = message.News[i].Name
 			}
 			if len(sent) > 0 && driver.IntN(2) == 0 {
-				message.Kind, message.Seq, message.From = member.Ack, sent[0].Seq, sent[0].To
+				message.Kind, message.Seq, message.From = membership.Ack, sent[0].Seq, sent[0].To
 			}
-			if message.Kind > member.Taken || message.Kind == member.Taken && driver.IntN(50) > 0 {
-				message.Kind = member.Ack
+			if message.Kind > membership.Taken || message.Kind == membership.Taken && driver.IntN(50) > 0 {
+				message.Kind = membership.Ack
 			}
 			return members.Receive(now, message)
 		}
--- a/decide/member/size_test.go
+++ b/policy/membership/size_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"os"
--- a/decide/keep/interface.go
+++ b/policy/persistence/interface.go
@@ -1,7 +1,7 @@
 // Package keep decides what a router writes of the shared state to its own disk, and when: which records wait for the next
 // batch, when that batch may go, what is put back after one that failed, and how old a record is that comes back. It knows
-// neither what the records mean nor how they lie on disk (internal/keep). A Queue belongs to whoever locks it.
-package keep
+// neither what the records mean nor how they lie on disk (internal/store). A Queue belongs to whoever locks it.
+package persistence
 
 import (
 	"errors"
@@ -63,7 +63,7 @@
 // Aged is how old a record is that was so old when it was written. The clocks are the wall's: written and last are what it
 // showed when this record and when the last batch of the copy was written, now is what it shows. A clock that was set back
 // since tells nothing of the time between: the record is then at least as old as it was, and unsure. One that was set back by
-// less than the router was down can't be told; nothing may rest on a restored age alone (decide/evidence).
+// less than the router was down can't be told; nothing may rest on a restored age alone (policy/trust).
 func Aged(age, written, last, now Nanos) (Nanos, bool) {
 	if age < 0 || written > last || now < last {
 		return max(0, age), true
--- a/decide/keep/queue.go
+++ b/policy/persistence/queue.go
@@ -1,4 +1,4 @@
-package keep
+package persistence
 
 // Queue is what waits to be written, the newest of each key.
 type Queue struct {
--- a/decide/keep/replay_test.go
+++ b/policy/persistence/replay_test.go
@@ -1,29 +1,29 @@
-package keep_test
+package persistence_test
 
 import (
 	"cmp"
 	"slices"
 	"testing"
 
-	"lotushook/decide/keep"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/persistence"
 )
 
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
-		queue, err := keep.New(keep.Settings{QueueBytes: 2 << 10, Fsyncs: 4, Retry: 1e9, MostRetry: 8e9})
+		queue, err := persistence.New(persistence.Settings{QueueBytes: 2 << 10, Fsyncs: 4, Retry: 1e9, MostRetry: 8e9})
 		if err != nil {
 			t.Fatal(err)
 		}
 		driver := replaytest.NewDriver(seed, digest)
-		write := func(now int64, fail bool) []keep.Record {
+		write := func(now int64, fail bool) []persistence.Record {
 			at, due := queue.Due()
 			if !due || now < at {
 				return nil
 			}
 			records := queue.Take(now).Records()
-			slices.SortFunc(records, func(x, y keep.Record) int {
+			slices.SortFunc(records, func(x, y persistence.Record) int {
 				return cmp.Or(cmp.Compare(x.Kind, y.Kind), slices.Compare(x.Key, y.Key))
 			})
 			if fail {
@@ -33,7 +33,7 @@
 			}
 			return records
 		}
-		driver.Run(500, queue.Put, queue.Put, queue.Put, write, queue.Bytes, queue.Counts, keep.Aged)
+		driver.Run(500, queue.Put, queue.Put, queue.Put, write, queue.Bytes, queue.Counts, persistence.Aged)
 	}
 	digest.Check(t, "652e00ea3c9d677f/22908")
 }
--- a/decide/pure_test.go
+++ b/policy/pure_test.go
@@ -1,5 +1,5 @@
-// Package decide holds the decisions, one package each.
-package decide
+// Package policy holds the decisions, one package each.
+package policy
 
 import (
 	"go/build"
@@ -16,16 +16,14 @@
 // names addresses.
 func TestDecisionsArePure(t *testing.T) {
 	var dirs []string
-	for _, root := range []string{".", "../balance"} {
-		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-			if err == nil && d.IsDir() && path != "." {
-				dirs = append(dirs, path)
-			}
-			return err
-		})
-		if err != nil {
-			t.Fatal(err)
+	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
+		if err == nil && d.IsDir() && path != "." {
+			dirs = append(dirs, path)
 		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
 	}
 	checked := 0
 	for _, dir := range dirs {
@@ -48,14 +46,14 @@
 		return
 	}
 	// No way round it through another package of ours.
-	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}}: {{join .Deps \" \"}}", "./...", "../balance").Output()
+	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}}: {{join .Deps \" \"}}", "./...").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(out)) {
 		from, deps, _ := strings.Cut(line, ":")
 		for dep := range strings.FieldsSeq(deps) {
-			if strings.HasPrefix(dep, "lotushook/") && !strings.HasPrefix(dep, "lotushook/decide/") && dep != "lotushook/balance" {
+			if strings.HasPrefix(dep, "lotushook/") && !strings.HasPrefix(dep, "lotushook/policy/") {
 				t.Errorf("%s depends on %s", from, dep)
 			}
 		}
--- a/decide/quota/replay_test.go
+++ b/policy/quota/replay_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"lotushook/decide/quota"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/quota"
 )
 
 func TestReplay(t *testing.T) {
--- a/decide/part/part.go
+++ b/policy/quotalease/part.go
@@ -9,7 +9,7 @@
 // does not say both within a term, nobody is left out by anybody while it is a holder: of N routers with E left out at most
 // N-E hold, each has one part in N-E at the most, and the sum is 1 at the most. Both sides measure on their own clocks, the
 // asker from when it asked and the promiser, a twentieth longer, from when it answered: delays shorten what is held.
-package part
+package quotalease
 
 import (
 	"errors"
--- a/decide/part/part_test.go
+++ b/policy/quotalease/part_test.go
@@ -1,4 +1,4 @@
-package part
+package quotalease
 
 import (
 	"fmt"
--- a/decide/part/replay_test.go
+++ b/policy/quotalease/replay_test.go
@@ -1,10 +1,10 @@
-package part_test
+package quotalease_test
 
 import (
 	"testing"
 
-	"lotushook/decide/part"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/quotalease"
 )
 
 func TestReplay(t *testing.T) {
@@ -12,12 +12,12 @@
 	names := []string{"r-0", "r-1", "r-2", "r-3", "r-4"}
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		parts, err := part.New(part.Settings{Names: names, Self: "r-0", Term: 2e9, Alone: 0.5}, driver.Now)
+		parts, err := quotalease.New(quotalease.Settings{Names: names, Self: "r-0", Term: 2e9, Alone: 0.5}, driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told []part.Row
-		answer := func(now int64, name string, boot uint64, address string, dead func(string) bool) part.Row {
+		var told []quotalease.Row
+		answer := func(now int64, name string, boot uint64, address string, dead func(string) bool) quotalease.Row {
 			row := parts.Answer(now, name, boot, address, dead)
 			told = append(told, row)
 			return row
--- a/decide/recovery/interface.go
+++ b/policy/recovery/interface.go
@@ -1,7 +1,7 @@
 // Package recovery decides what a router may do while it, or others with it, come back: by stages, each with what proves it
 // and a bound in time, and by budgets that all routers share without a leader. It bounds further attempts by successes, says
 // which work can't be in time any more, and when a client that is turned away may come again.
-// It takes what happened and what time it is. Who is there (decide/member), where a request goes (balance) and how anything is
+// It takes what happened and what time it is. Who is there (policy/membership), where a request goes (balance) and how anything is
 // sent are not decided here.
 package recovery
 
--- a/decide/recovery/replay_test.go
+++ b/policy/recovery/replay_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"lotushook/decide/recovery"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/recovery"
 )
 
 func TestReplay(t *testing.T) {
--- a/decide/lane/interface.go
+++ b/policy/shedding/interface.go
@@ -2,7 +2,7 @@
 // sheds the same accounts: the worst lane first, and within a lane by a salted hash of the account. It decides from arrivals,
 // ends and what the other routers report; how reports travel, and where a request that is not shed goes, is not decided here.
 // The compound level is DAGOR's (Zhou et al., SoCC 2018); how it is agreed without a server in the middle is this package's own.
-package lane
+package shedding
 
 import (
 	"errors"
--- a/decide/lane/lane_test.go
+++ b/policy/shedding/lane_test.go
@@ -1,4 +1,4 @@
-package lane
+package shedding
 
 import (
 	"errors"
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
-	"lotushook/internal/scenario"
+	"lotushook/internal/nettest"
 )
 
-func TestMain(m *testing.M) { scenario.Drawn(m) }
+func TestMain(m *testing.M) { nettest.Drawn(m) }
 
 const (
 	ms     = Nanos(1e6)
--- a/decide/lane/pressure.go
+++ b/policy/shedding/pressure.go
@@ -1,4 +1,4 @@
-package lane
+package shedding
 
 const (
 	trouble  = 1.5 // what a request counts as that was taken and not served, in aims
--- a/decide/lane/replay_test.go
+++ b/policy/shedding/replay_test.go
@@ -1,37 +1,37 @@
-package lane_test
+package shedding_test
 
 import (
 	"testing"
 
-	"lotushook/decide/lane"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/shedding"
 )
 
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
-		settings := lane.Usual()
-		settings.Lanes = []lane.Lane{{Name: "premium", PerS: 5, Burst: 5}, {Name: "regular"}, {Name: "background", Least: 0.1}}
-		settings.Teams = []lane.Team{{Name: "r-0", Lane: 0, PerS: 20, Burst: 20}, {Name: "r-1", Lane: 1}, {Name: "r-2", Lane: 2}}
+		settings := shedding.Usual()
+		settings.Lanes = []shedding.Lane{{Name: "premium", PerS: 5, Burst: 5}, {Name: "regular"}, {Name: "background", Least: 0.1}}
+		settings.Teams = []shedding.Team{{Name: "r-0", Lane: 0, PerS: 20, Burst: 20}, {Name: "r-1", Lane: 1}, {Name: "r-2", Lane: 2}}
 		settings.Router, settings.Boot, settings.Routers = "r-0", 3, 4
 		settings.Agreed = seed%2 == 0
-		lanes, err := lane.New(settings)
+		lanes, err := shedding.New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		driver := replaytest.NewDriver(seed, digest)
-		ask := func(request lane.Request, now int64) lane.Verdict {
+		ask := func(request shedding.Request, now int64) shedding.Verdict {
 			request.Team = request.Team%4 - 1
 			request.Account = settings.Account(driver.Text(), driver.Text())
 			request.Group = int64(driver.IntN(3))
 			return lanes.Ask(request, now)
 		}
 		begun := func(group uint8, now int64) { lanes.Begun(int64(group%3), now-1e8, 1e8) }
-		ended := func(group uint8, lane int, key string, end lane.End, now int64) {
+		ended := func(group uint8, lane int, key string, end shedding.End, now int64) {
 			end.Came, end.Took, end.Aim = now-2e8, int64(driver.IntN(2e8)), 1e8
 			lanes.Ended(int64(group%3), lane%3, key, end, now)
 		}
-		tick := func(now int64, sight lane.Sight, reports []lane.Report) []lane.Report {
+		tick := func(now int64, sight shedding.Sight, reports []shedding.Report) []shedding.Report {
 			for i := range reports {
 				reports[i].Group, reports[i].Age = int64(driver.IntN(3)), int64(driver.IntN(2e9))
 				reports[i].Load, reports[i].Epoch = int64(driver.IntN(1000)), lanes.Epoch()
--- a/decide/lane/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -1,4 +1,4 @@
-package lane
+package shedding
 
 import (
 	"container/heap"
--- a/decide/evidence/book.go
+++ b/policy/trust/book.go
@@ -1,6 +1,6 @@
-package evidence
+package trust
 
-import "lotushook/decide/shared"
+import "lotushook/policy/crdt"
 
 // Book remembers what is known of entries that somebody else told, or the disk gave back.
 type Book struct {
@@ -13,7 +13,7 @@
 }
 
 type noted struct {
-	entry shared.Entry
+	entry crdt.Entry
 	fact  Fact
 	at    Nanos // when it was learned, by this clock
 }
@@ -27,19 +27,19 @@
 }
 
 // Restored notes an entry that the disk gave back. What this process or a peer has said already stays.
-func (b *Book) Restored(now Nanos, e shared.Entry, unsure bool) {
+func (b *Book) Restored(now Nanos, e crdt.Entry, unsure bool) {
 	if b.facts[keyOf(&e)] == nil {
 		b.note(now, e, Fact{Origin: Restored, Unsure: unsure})
 	}
 }
 
 // Own notes what this process has learned itself: whatever it says holds.
-func (b *Book) Own(now Nanos, e shared.Entry) { b.note(now, e, Fact{Origin: Own, Proven: true}) }
+func (b *Book) Own(now Nanos, e crdt.Entry) { b.note(now, e, Fact{Origin: Own, Proven: true}) }
 
 // Told notes what a peer told. steady says that the peer has been up since before this router's last start began or its copy
 // was written: what it tells proves what came back, if it is the same or more, and refutes it if it is something else that
 // goes before it. What a peer told that is not steady is doubted, as it may itself have it from a disk.
-func (b *Book) Told(now Nanos, e shared.Entry, steady bool) {
+func (b *Book) Told(now Nanos, e crdt.Entry, steady bool) {
 	n := b.facts[keyOf(&e)]
 	switch {
 	case n == nil:
@@ -56,7 +56,7 @@
 
 // Contrary notes that a data server's answer to this process says otherwise than is believed of an entry's key, without
 // saying what holds instead.
-func (b *Book) Contrary(e shared.Entry) {
+func (b *Book) Contrary(e crdt.Entry) {
 	if n := b.facts[keyOf(&e)]; n != nil {
 		b.count(n, -1)
 		n.fact.Refuted, n.fact.Proven = true, false
@@ -78,10 +78,10 @@
 }
 
 // Fact is what is known of an entry's key, and the entry that it is known of.
-func (b *Book) Fact(now Nanos, e shared.Entry) (Fact, shared.Entry) {
+func (b *Book) Fact(now Nanos, e crdt.Entry) (Fact, crdt.Entry) {
 	n := b.facts[keyOf(&e)]
 	if n == nil {
-		return Fact{}, shared.Entry{}
+		return Fact{}, crdt.Entry{}
 	}
 	f := n.fact
 	f.Age = max(0, now-n.at)
@@ -94,7 +94,7 @@
 // Size is how many facts are remembered.
 func (b *Book) Size() int { return len(b.facts) }
 
-func (b *Book) note(now Nanos, e shared.Entry, f Fact) {
+func (b *Book) note(now Nanos, e crdt.Entry, f Fact) {
 	k := keyOf(&e)
 	n := b.facts[k]
 	if n == nil {
@@ -132,14 +132,14 @@
 )
 
 // says compares what two entries of one key say, and not who said it.
-func says(e, f *shared.Entry) int {
+func says(e, f *crdt.Entry) int {
 	x, y := e.At, f.At
 	switch e.Kind {
-	case shared.Use:
+	case crdt.Use:
 		x, y = e.Count, f.Count
-	case shared.Hint:
+	case crdt.Hint:
 		x, y = int64(e.Seq), int64(f.Seq)
-	case shared.Write:
+	case crdt.Write:
 		return same
 	}
 	switch {
@@ -147,7 +147,7 @@
 		return more
 	case x < y:
 		return less
-	case e.Kind == shared.Primary && (e.Server != f.Server || e.Born != f.Born):
+	case e.Kind == crdt.Primary && (e.Server != f.Server || e.Born != f.Born):
 		if e.Born > f.Born || e.Born == f.Born && e.Server > f.Server {
 			return more
 		}
--- a/decide/evidence/evidence_test.go
+++ b/policy/trust/evidence_test.go
@@ -1,4 +1,4 @@
-package evidence
+package trust
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
 )
 
 // facts are all that can be known of an entry, by name.
@@ -103,21 +103,21 @@
 		old := false
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 1e9).Draw(t, "passes")
-			e := shared.Entry{Kind: rapid.SampledFrom([]shared.Kind{shared.Session, shared.Primary, shared.Position, shared.Write, shared.Use, shared.Hint}).Draw(t, "kind"),
+			e := crdt.Entry{Kind: rapid.SampledFrom([]crdt.Kind{crdt.Session, crdt.Primary, crdt.Position, crdt.Write, crdt.Use, crdt.Hint}).Draw(t, "kind"),
 				A: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "a"), B: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "b"), At: rapid.Int64Range(1, 3).Draw(t, "at"),
-				Server: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), From: shared.Origin{Name: "r", Boot: 1}, Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
+				Server: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), From: crdt.Origin{Name: "r", Boot: 1}, Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
 				Age: rapid.Int64Range(0, 1e11).Draw(t, "age")}
-			if e.Kind != shared.Primary {
+			if e.Kind != crdt.Primary {
 				e.Server = ""
 			}
 			e.Count = e.At
-			if e.Kind == shared.Hint { // an origin's number names one word
+			if e.Kind == crdt.Hint { // an origin's number names one word
 				e.At, e.Count = 0, 0
 			}
-			name := func(e shared.Entry) string {
-				return fmt.Sprint(keyOf(&e), e.At, e.Server, e.Seq*uint64(boolInt(e.Kind == shared.Hint)))
+			name := func(e crdt.Entry) string {
+				return fmt.Sprint(keyOf(&e), e.At, e.Server, e.Seq*uint64(boolInt(e.Kind == crdt.Hint)))
 			}
-			if e.Kind == shared.Write { // there is but one word of it
+			if e.Kind == crdt.Write { // there is but one word of it
 				e.At, e.Count = 1, 1
 			}
 			w := words[name(e)]
@@ -188,8 +188,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := func(server string, at int64) shared.Entry {
-		return shared.Entry{Kind: shared.Primary, A: "1", Server: server, At: at, Age: 5}
+	of := func(server string, at int64) crdt.Entry {
+		return crdt.Entry{Kind: crdt.Primary, A: "1", Server: server, At: at, Age: 5}
 	}
 	for i, step := range []struct {
 		do   func()
@@ -213,7 +213,7 @@
 			t.Errorf("step %d: %s, %+v", i, e.Server, f)
 		}
 	}
-	if f, _ := b.Fact(0, shared.Entry{Kind: shared.Session}); f.Origin != None {
+	if f, _ := b.Fact(0, crdt.Entry{Kind: crdt.Session}); f.Origin != None {
 		t.Errorf("%+v", f)
 	}
 }
--- a/decide/evidence/interface.go
+++ b/policy/trust/interface.go
@@ -1,15 +1,15 @@
 // Package evidence decides what may be done on the word of whom. What a router has heard from a data server itself it may act
 // on; what another router told it, or what its own disk gave back after a restart, is doubted until it is proven: by this
 // router's own answers, or by a peer that has been up all the while. It decides neither what an entry says nor which of two
-// holds (decide/shared), and sends nothing: whoever is about to act asks Judge first.
+// holds (policy/crdt), and sends nothing: whoever is about to act asks Judge first.
 //
 // A Book remembers for each entry that came back, or was told, whether it is proven. It belongs to whoever locks it.
-package evidence
+package trust
 
 import (
 	"errors"
 
-	"lotushook/decide/shared"
+	"lotushook/policy/crdt"
 )
 
 // Nanos is a span or a point of the router's own clock, in nanoseconds.
@@ -175,18 +175,18 @@
 
 // key is what an entry is of.
 type key struct {
-	kind shared.Kind
+	kind crdt.Kind
 	a, b string
 	born int64
-	from shared.Origin // of the kinds that each origin has its own word of
+	from crdt.Origin // of the kinds that each origin has its own word of
 }
 
-func keyOf(e *shared.Entry) key {
+func keyOf(e *crdt.Entry) key {
 	k := key{kind: e.Kind, a: e.A, b: e.B}
 	switch e.Kind {
-	case shared.Position:
+	case crdt.Position:
 		k.born = e.Born
-	case shared.Use, shared.Hint:
+	case crdt.Use, crdt.Hint:
 		k.from = e.From
 	}
 	return k
--- a/decide/hall/hall_test.go
+++ b/policy/zone/hall_test.go
@@ -1,4 +1,4 @@
-package hall
+package zone
 
 import (
 	"testing"
--- a/decide/hall/replay_test.go
+++ b/policy/zone/replay_test.go
@@ -1,16 +1,16 @@
-package hall_test
+package zone_test
 
 import (
 	"testing"
 
-	"lotushook/decide/hall"
 	"lotushook/internal/replaytest"
+	"lotushook/policy/zone"
 )
 
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
-		halls, err := hall.New(hall.Settings{Servers: 2 + int(seed%3), Pause: 1e9, MaxPause: 8e9})
+		halls, err := zone.New(zone.Settings{Servers: 2 + int(seed%3), Pause: 1e9, MaxPause: 8e9})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # The whole verdict: formatting, vet, the deploy file's build, and every test. Where goroutines are, tests run under the
-# race detector, as released and with the invariants of debug builds; the decisions have neither (decide/pure_test.go).
+# race detector, as released and with the invariants of debug builds; the decisions have neither (policy/pure_test.go).
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
@@ -13,11 +13,11 @@
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
 [ -n "$build" ]
 sh -c "$build"
-test -x bin/benchlink
-test -x bin/lotushook
-bin/lotusctl render --check deploy/*.jsonnet
-pure=$(go list ./balance ./decide/...)
+test -x bin/simadapter
+test -x bin/router
+bin/routerctl render --check deploy/*.jsonnet
+pure=$(go list ./policy/...)
 rest=$(go list ./... | grep -vxF "$pure")
 go test $pure
 go test -race $rest
-go test -race -tags debug $(grep -vx lotushook/internal/lab <<<"$rest") # whose routers are debug builds in any case
+go test -race -tags debug $(grep -vx lotushook/internal/experiment <<<"$rest") # whose routers are debug builds in any case
