--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	found := book.Findings(contract.Fleet{Groups: conf.Fleet.Groups, PrimaryPerS: conf.Fleet.PrimaryPerS, Use: conf.Fleet.PrimaryUse})
+	found := book.Findings(contract.Capacity{Groups: conf.Fleet.Groups, PrimaryPerS: conf.Fleet.PrimaryPerS, PromisableShare: conf.Fleet.PrimaryUse})
 	for _, f := range found {
 		fmt.Fprintf(c.Root().Writer, "contracts.%s: %s\n", f.Where, f.Text)
 	}
--- a/cmd/routerctl/main_test.go
+++ b/cmd/routerctl/main_test.go
@@ -21,7 +21,7 @@
 	if err == nil {
 		bin = dir
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", dir+"/", "../lotushook", ".").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", dir+"/", "../router", ".").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -9,37 +9,38 @@
 	"lotushook/internal/invariant"
 	"lotushook/internal/pgwire"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 )
 
 // notSent is the outcome where the router itself could not send: nothing ran,
 // and the node had no part in it.
-const notSent = balance.Skipped
+const outcomeNotSent = balance.NotSent
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome  balance.Outcome
-	Role     balance.Role
-	Position balance.Nanos // Unix; 0: not told
-	Answer   []byte        // with Done: the messages to pass on, up to CommandComplete
-	Value    []byte        // with Done: the one column
-	Code     string        // of a data server's error
-	Err      error         // why there is no answer
+	Outcome         balance.Outcome
+	Role            balance.Role
+	Position        clock.Nanos // Unix; 0: not told
+	Answer          []byte      // with Done: the messages to pass on, up to CommandComplete
+	Value           []byte      // with Done: the one column
+	ServerErrorCode string      // of a data server's error
+	Err             error       // why there is no answer
 }
 
 // Attempt is one query on its way to a node. Exactly one Result comes.
 type Attempt struct {
-	node   uint32
-	up     time.Time // a connection that is not there by then has failed
-	until  time.Time
-	word   func(io.Writer) error // writes the query, worded when it goes out
-	wanted func() bool           // asked right before its first byte goes out; nil: it always is
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   chan Result
-
-	mu   sync.Mutex
-	over bool
-	conn *conn
+	endpoint        balance.EndpointID
+	connectDeadline time.Time // a connection that is not there by then has failed
+	deadline        time.Time
+	writeQuery      func(io.Writer) error // writes the query, worded when it goes out
+	stillWanted     func() bool           // asked right before its first byte goes out; nil: it always is
+	dialContext     context.Context
+	cancel          context.CancelFunc
+	done            chan Result
+
+	mu    sync.Mutex
+	ended bool
+	conn  *serverConn
 }
 
 // Start begins an attempt on the most recently used idle connection, or on a
@@ -47,22 +48,22 @@
 // attempt at until, if no result has come. A dial takes its time: whether the query
 // is still wanted is asked once, right before its first byte goes out, and must not
 // wait for anything; if it is not, nothing ran and the node had no part in it.
-func (p *Pool) Start(node uint32, up, until time.Time, word func(io.Writer) error, wanted func() bool) *Attempt {
-	a := &Attempt{node: node, up: up, until: until, word: word, wanted: wanted, done: make(chan Result, 1)}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
-	p.start(a)
+func (p *Pool) Start(node balance.EndpointID, up, until time.Time, word func(io.Writer) error, wanted func() bool) *Attempt {
+	a := &Attempt{endpoint: node, connectDeadline: up, deadline: until, writeQuery: word, stillWanted: wanted, done: make(chan Result, 1)}
+	a.dialContext, a.cancel = context.WithCancel(context.Background())
+	p.assign(a)
 	return a
 }
 
-// start finds the attempt a connection.
-func (p *Pool) start(a *Attempt) {
-	dial, ready := p.Directory.Address(a.node)
+// assign finds the attempt a connection.
+func (p *Pool) assign(a *Attempt) {
+	dial, ready := p.Directory.Address(a.endpoint)
 	if !ready {
 		a.finish(Result{Outcome: balance.Busy})
-	} else if c := p.take(a.node, dial, time.Now()); c != nil {
-		c.begin(a)
+	} else if c := p.takeIdle(a.endpoint, dial, time.Now()); c != nil {
+		c.send(a)
 	} else {
-		p.open(a, dial)
+		p.dialFor(a, dial)
 	}
 }
 
@@ -76,14 +77,14 @@
 func (a *Attempt) Abort(o balance.Outcome) Result {
 	a.mu.Lock()
 	c := a.conn
-	if !a.over {
-		a.over = true
+	if !a.ended {
+		a.ended = true
 		switch {
 		case c != nil:
 		case o == balance.TimedOut:
-			o = balance.Refused
+			o = balance.ConnectionRefused
 		case o == balance.Canceled:
-			o = notSent
+			o = outcomeNotSent
 		}
 		a.done <- Result{Outcome: o}
 	}
@@ -96,46 +97,46 @@
 	return res
 }
 
-// binding is how tying an attempt to a connection went.
-type binding int
+// bindResult is how tying an attempt to a connection went.
+type bindResult int
 
 const (
-	bound    binding = iota
-	over             // the attempt has ended
-	unwanted         // its time is over, or nobody wants its answer any more
-	banned           // its node is to get nothing new
-	moved            // its node listens elsewhere now
-	spoilt           // the connection can't be used
+	bindOK         bindResult = iota
+	bindEnded                 // the attempt has ended
+	bindUnwanted              // its time is over, or nobody wants its answer any more
+	bindNotAllowed            // its node is to get nothing new
+	bindMoved                 // its node listens elsewhere now
+	bindUnusable              // the connection can't be used
 )
 
 // bind ties the attempt to the connection that its query goes out on: the last step
 // before the first byte, and the only one that asks whether it may. What was decided
 // before a dial or a wait may have been overtaken by then.
-func (a *Attempt) bind(c *conn) binding {
-	dial, ready := c.pool.Directory.Address(c.node)
+func (a *Attempt) bind(c *serverConn) bindResult {
+	dial, ready := c.pool.Directory.Address(c.endpoint)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	switch {
-	case a.over:
-		return over
+	case a.ended:
+		return bindEnded
 	case !ready:
-		return banned
-	case !now.Before(a.until) || a.wanted != nil && !a.wanted():
-		return unwanted
-	case dial != c.dial:
-		return moved
+		return bindNotAllowed
+	case !now.Before(a.deadline) || a.stillWanted != nil && !a.stillWanted():
+		return bindUnwanted
+	case dial != c.address:
+		return bindMoved
 	}
 	invariant.Check(a.conn == nil, "an attempt is sent once")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stale || c.closed || c.unread() {
-		return spoilt
+	if c.unsolicited || c.closed || c.hasUnread() {
+		return bindUnusable
 	}
 	a.conn = c
-	invariant.Check(c.cur == nil, "a connection carries one request at a time")
-	c.cur, c.sentAt = a, now
-	return bound
+	invariant.Check(c.current == nil, "a connection carries one request at a time")
+	c.current, c.sentAt = a, now
+	return bindOK
 }
 
 // unbind frees the attempt of a connection that did not take its query whole; it
@@ -144,23 +145,23 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
-	return !a.over
+	return !a.ended
 }
 
 // finish delivers the result; what comes after the first one is dropped.
 func (a *Attempt) finish(r Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
+	a.ended = true
 	a.cancel()
 	a.done <- r
 }
 
 // Probe asks a node for its report. It waits for the answer.
-func (p *Pool) Probe(node uint32, wait time.Duration) (Result, pgwire.Report) {
+func (p *Pool) Probe(node balance.EndpointID, wait time.Duration) (Result, pgwire.Report) {
 	end := time.Now().Add(wait)
 	a := p.Start(node, end, end, func(w io.Writer) error {
 		_, err := w.Write(pgwire.AppendQuery(nil, "SHOW vitals"))
@@ -174,7 +175,7 @@
 	case <-timer.C:
 		res = a.Abort(balance.TimedOut)
 	}
-	if res.Outcome != balance.Done {
+	if res.Outcome != balance.Succeeded {
 		return res, pgwire.Report{}
 	}
 	rep, err := pgwire.ParseReport(string(res.Value))
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -22,7 +22,7 @@
 	drains bool
 }
 
-func (d *directory) Address(node uint32) (string, bool) {
+func (d *directory) Address(node balance.EndpointID) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dial, node == 1 && !d.drains
@@ -37,7 +37,7 @@
 func stage(t *testing.T, sockets int) (*nettest.Stage, *Pool, *directory) {
 	s := nettest.New(t, "s")
 	d := &directory{dial: s.Addr("s")}
-	p := NewPool(Options{Directory: d, Budget: fdlimit.New(sockets), ConnectTimeout: 20 * time.Second, Stall: 20 * time.Second, IdleClose: time.Hour})
+	p := NewPool(Options{Directory: d, Descriptors: fdlimit.New(sockets), ConnectTimeout: 20 * time.Second, StallTimeout: 20 * time.Second, IdleClose: time.Hour})
 	t.Cleanup(p.closeAll)
 	return s, p, d
 }
@@ -67,57 +67,57 @@
 		kept int
 	}{
 		{greeted + `send s T | D "v" | C | S rank=source | S as_of=1767225600123 | Z`,
-			Result{Outcome: balance.Done, Role: balance.Primary, Position: 1767225600123e6, Value: []byte("v")}, 1},
+			Result{Outcome: balance.Succeeded, Role: balance.Primary, Position: 1767225600123e6, Value: []byte("v")}, 1},
 		{greeted + `send s T | D "" | C | S rank=copy | S other=x | N "" | Z`,
-			Result{Outcome: balance.Done, Role: balance.Replica, Value: []byte{}}, 1},
-		{greeted + `send s E 25006 | S rank=copy | Z`, Result{Outcome: balance.Miss, Role: balance.Replica, Code: "25006"}, 1},
+			Result{Outcome: balance.Succeeded, Role: balance.Replica, Value: []byte{}}, 1},
+		{greeted + `send s E 25006 | S rank=copy | Z`, Result{Outcome: balance.NotEligible, Role: balance.Replica, ServerErrorCode: "25006"}, 1},
 		{greeted + `send s E 72000 | S rank=copy | S as_of=5 | Z`,
-			Result{Outcome: balance.Miss, Role: balance.Replica, Position: 5e6, Code: "72000"}, 1},
-		{greeted + `send s E 53300 | Z`, Result{Outcome: balance.Busy, Code: "53300"}, 1},
-		{greeted + `send s E XX000 | Z`, Result{Outcome: balance.Failed, Code: "XX000"}, 1},
-		{greeted + `send s E 57P03 | Z`, Result{Outcome: balance.Failed, Code: "57P03"}, 1},
+			Result{Outcome: balance.NotEligible, Role: balance.Replica, Position: 5e6, ServerErrorCode: "72000"}, 1},
+		{greeted + `send s E 53300 | Z`, Result{Outcome: balance.Busy, ServerErrorCode: "53300"}, 1},
+		{greeted + `send s E XX000 | Z`, Result{Outcome: balance.Failed, ServerErrorCode: "XX000"}, 1},
+		{greeted + `send s E 57P03 | Z`, Result{Outcome: balance.Failed, ServerErrorCode: "57P03"}, 1},
 		// A fatal error counts though the connection ends behind it.
-		{greeted + "send s FATAL 53300\nclose s", Result{Outcome: balance.Busy, Code: "53300"}, 0},
+		{greeted + "send s FATAL 53300\nclose s", Result{Outcome: balance.Busy, ServerErrorCode: "53300"}, 0},
 		// All of the value came: the rest can't take it back.
-		{greeted + "send s T | D \"v\" | C\nclose s", Result{Outcome: balance.Done, Value: []byte("v")}, 0},
-		{greeted + "send s T | D \"v\"\nclose s", Result{Outcome: balance.Reset}, 0},
-		{greeted + "close s", Result{Outcome: balance.Reset}, 0},
+		{greeted + "send s T | D \"v\" | C\nclose s", Result{Outcome: balance.Succeeded, Value: []byte("v")}, 0},
+		{greeted + "send s T | D \"v\"\nclose s", Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + "close s", Result{Outcome: balance.ConnectionReset}, 0},
 		// Malformed answers are resets.
-		{greeted + `send s Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s D "v" | C | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | C | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | D "v" | C | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C | E XX000 | Z`, Result{Outcome: balance.Reset}, 0},
+		{greeted + `send s Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C | E XX000 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
 		// An error inside an answer is not healed by the command's end.
-		{greeted + `send s T | D "v" | E XX000 | C | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s raw "T\x00\x00\x00\x01"`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s raw "D\x00\x1f\x00\x00"`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s w "x"`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s raw "T\x00\x00\x00\x08\x00\x01b\x00" | D "v" | C | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C "INSERT 0 2\x00" | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C "\x00" | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C "SELECT 1" | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C | Z "E"`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s E 2500 | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s E xx000 | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C | S rank=king | Z`, Result{Outcome: balance.Reset}, 0},
-		{greeted + `send s T | D "v" | C | S rank=copy | S as_of=x | Z`, Result{Outcome: balance.Reset}, 0},
+		{greeted + `send s T | D "v" | E XX000 | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s raw "T\x00\x00\x00\x01"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s raw "D\x00\x1f\x00\x00"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s w "x"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s raw "T\x00\x00\x00\x08\x00\x01b\x00" | D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C "INSERT 0 2\x00" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C "\x00" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C "SELECT 1" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C | Z "E"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s E 2500 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s E xx000 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C | S rank=king | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{greeted + `send s T | D "v" | C | S rank=copy | S as_of=x | Z`, Result{Outcome: balance.ConnectionReset}, 0},
 		// No server has applied the future: such a position would let stale reads through.
-		{greeted + `send s T | D "v" | C | S rank=copy | S as_of=8767225600123 | Z`, Result{Outcome: balance.Reset}, 0},
+		{greeted + `send s T | D "v" | C | S rank=copy | S as_of=8767225600123 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
 		// Bytes behind the end: the connection is in doubt.
-		{greeted + `send s T | D "v" | C | raw "Z\x00\x00\x00\x05IZ"`, Result{Outcome: balance.Done, Value: []byte("v")}, 0},
+		{greeted + `send s T | D "v" | C | raw "Z\x00\x00\x00\x05IZ"`, Result{Outcome: balance.Succeeded, Value: []byte("v")}, 0},
 		// At the start nothing has been sent: nothing ran.
 		{"wait s\nexpect s startup\nsend s FATAL 53300", Result{Outcome: balance.Busy}, 0},
-		{"wait s\nexpect s startup\nsend s FATAL 57P03", Result{Outcome: balance.Refused}, 0},
-		{"wait s\nexpect s startup\nsend s R \"\\x00\\x00\\x00\\x03\"", Result{Outcome: balance.Refused}, 0},
-		{"wait s\nexpect s startup\nclose s", Result{Outcome: balance.Refused}, 0},
+		{"wait s\nexpect s startup\nsend s FATAL 57P03", Result{Outcome: balance.ConnectionRefused}, 0},
+		{"wait s\nexpect s startup\nsend s R \"\\x00\\x00\\x00\\x03\"", Result{Outcome: balance.ConnectionRefused}, 0},
+		{"wait s\nexpect s startup\nclose s", Result{Outcome: balance.ConnectionRefused}, 0},
 	} {
 		t.Run("", func(t *testing.T) {
 			s, p, _ := stage(t, 1024)
 			a := p.try()
 			s.Play(c.text)
 			got := <-a.Done()
-			if (got.Outcome == balance.Done) != (got.Answer != nil) {
+			if (got.Outcome == balance.Succeeded) != (got.Answer != nil) {
 				t.Errorf("outcome %d with answer %q", got.Outcome, got.Answer)
 			}
 			if diff := cmp.Diff(c.want, got, cmpopts.IgnoreFields(Result{}, "Answer", "Err")); diff != "" {
@@ -141,7 +141,7 @@
 		s.Play("send s " + extra) // the connection's goroutine may or may not have come to it
 		a = p.try()
 		s.Play(`expect s EOF` + greeted + `send s T | D "w" | C | Z`)
-		if res := <-a.Done(); res.Outcome != balance.Done || res.Role != 0 || string(res.Value) != "w" {
+		if res := <-a.Done(); res.Outcome != balance.Succeeded || res.Role != 0 || string(res.Value) != "w" {
 			t.Errorf("%s: outcome %d, role %d, %q", extra, res.Outcome, res.Role, res.Value)
 		}
 	}
@@ -154,9 +154,9 @@
 		crossing time.Duration
 		value    string
 		want     balance.Outcome
-	}{{time.Hour, "v", balance.Reset}, {time.Hour, "w", balance.Done}, {0, "v", balance.Done}} {
+	}{{time.Hour, "v", balance.ConnectionReset}, {time.Hour, "w", balance.Succeeded}, {0, "v", balance.Succeeded}} {
 		s, p, _ := stage(t, 1024)
-		p.Crossing = c.crossing
+		p.DuplicateWindow = c.crossing
 		a := p.try()
 		s.Play(greeted + `send s T | D "v" | C | Z`)
 		<-a.Done()
@@ -172,7 +172,7 @@
 // A connection rests after an answer, so that what follows unasked shows.
 func TestSettles(t *testing.T) {
 	s, p, _ := stage(t, 1024)
-	p.Settle = time.Hour
+	p.SettleTime = time.Hour
 	a := p.try()
 	s.Play(greeted + `send s T | D "v" | C | Z`)
 	<-a.Done()
@@ -185,10 +185,10 @@
 func TestStalledAnswer(t *testing.T) {
 	for _, half := range []string{`raw "T\x00\x00"`, `T`, `T | raw "D\x00\x00\x10\x00\x00\x01"`} {
 		s, p, _ := stage(t, 1024)
-		p.Stall = 20 * time.Millisecond
+		p.StallTimeout = 20 * time.Millisecond
 		a := p.Start(1, time.Now().Add(time.Hour), time.Now().Add(time.Hour), word, nil)
 		s.Play(greeted + "send s " + half)
-		if res := <-a.Done(); res.Outcome != balance.Reset {
+		if res := <-a.Done(); res.Outcome != balance.ConnectionReset {
 			t.Errorf("%s: outcome %d, %v", half, res.Outcome, res.Err)
 		}
 		s.Play("expect s EOF")
@@ -199,7 +199,7 @@
 func TestNobodyThere(t *testing.T) {
 	s, p, _ := stage(t, 1024)
 	s.Shut("s")
-	if res := <-p.try().Done(); res.Outcome != balance.Refused {
+	if res := <-p.try().Done(); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
@@ -216,7 +216,7 @@
 	s.Play("expect s EOF")
 	a = p.try()
 	s.Play("wait s\nexpect s startup")
-	if res := a.Abort(balance.TimedOut); res.Outcome != balance.Refused {
+	if res := a.Abort(balance.TimedOut); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d before the connection was up", res.Outcome)
 	}
 	s.Play("expect s EOF")
@@ -235,7 +235,7 @@
 	if res := <-p.try().Done(); res.Outcome != balance.Busy {
 		t.Errorf("outcome %d of a send to a draining node", res.Outcome)
 	}
-	for open, _ := p.Open(); open > 0; open, _ = p.Open() { // it comes back to the pool after the attempt's end was told
+	for open, _ := p.Counts(); open > 0; open, _ = p.Counts() { // it comes back to the pool after the attempt's end was told
 		p.retire(time.Time{})
 		time.Sleep(time.Millisecond)
 	}
@@ -275,7 +275,7 @@
 	}
 	a = p.try()
 	s.Play(greeted + "send s" + row)
-	if res := <-a.Done(); res.Outcome != balance.Done {
+	if res := <-a.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d", res.Outcome)
 	}
 }
@@ -288,7 +288,7 @@
 	s.Play(greeted)
 	b := p.try()
 	s.Play("wait s as z")
-	if res := <-p.try().Done(); res.Outcome != notSent {
+	if res := <-p.try().Done(); res.Outcome != outcomeNotSent {
 		t.Errorf("outcome %d without a descriptor", res.Outcome)
 	}
 	s.Play(`send s T | D "v" | C | Z`)
@@ -296,12 +296,12 @@
 	if !p.EvictIdle() || p.EvictIdle() {
 		t.Error("one connection was idle")
 	}
-	if p.Budget.Used() != 1 {
-		t.Errorf("%d descriptors taken", p.Budget.Used())
+	if p.Descriptors.Used() != 1 {
+		t.Errorf("%d descriptors taken", p.Descriptors.Used())
 	}
 	s.Play("expect s EOF\nclose z")
 	<-b.Done()
-	for p.Budget.Used() > 0 {
+	for p.Descriptors.Used() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -313,7 +313,7 @@
 		want pgwire.Report
 		out  balance.Outcome
 	}{
-		{`T | D "x0=1767225600.123,x1=0,inflight=7" | C | Z`, pgwire.Report{Position: 1767225600123, HasRole: true, Active: 7, HasHeld: true}, balance.Done},
+		{`T | D "x0=1767225600.123,x1=0,inflight=7" | C | Z`, pgwire.Report{Position: 1767225600123, HasRole: true, Active: 7, HasHeld: true}, balance.Succeeded},
 		{`T | D "nonsense" | C | Z`, pgwire.Report{}, balance.Failed},
 		{`E 42501 | Z`, pgwire.Report{}, balance.Failed},
 	} {
@@ -336,7 +336,7 @@
 		}
 	}
 	p.closeAll()
-	if res := <-p.try().Done(); res.Outcome != notSent {
+	if res := <-p.try().Done(); res.Outcome != outcomeNotSent {
 		t.Errorf("a closed pool opened a connection: outcome %d", res.Outcome)
 	}
 }
@@ -347,7 +347,7 @@
 	s, p, _ := stage(t, 1024)
 	a := p.Start(1, time.Now().Add(20*time.Millisecond), time.Now().Add(time.Hour), word, nil)
 	s.Play("wait s\nexpect s startup") // and no welcome
-	if res := <-a.Done(); res.Outcome != balance.Refused {
+	if res := <-a.Done(); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	s.Play("expect s EOF")
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -20,10 +20,10 @@
 	"lotushook/policy/balance"
 )
 
-// MostAnswer is the longest message taken from a data server. Values are said to
+// MaxMessageBytes is the longest message taken from a data server. Values are said to
 // have 64 KiB at most, but whole ones of 400 KB were seen; what the buffers take
 // together is bounded by a quota.
-const MostAnswer = 1 << 20
+const MaxMessageBytes = 1 << 20
 
 const (
 	user     = "worker"
@@ -33,96 +33,96 @@
 // What comes beside a value is short, and so is what comes before the first query: beyond these bytes it has no end, and
 // reading on would take the time of other requests.
 const (
-	longestAnswer  = MostAnswer + 64<<10
-	longestWelcome = 64 << 10
+	maxAnswerBytes  = MaxMessageBytes + 64<<10
+	maxWelcomeBytes = 64 << 10
 )
 
 // ahead is what a commit's position, which is rounded up, may be in the future.
-const ahead = 2 * time.Millisecond
+const maxClockAhead = 2 * time.Millisecond
 
 // rowSeed is for the rows' hashes: a row itself may be large, and would stay with
 // each idle connection.
-var rowSeed = maphash.MakeSeed()
+var rowHashSeed = maphash.MakeSeed()
 
-var errTurn = errors.New("no turn to dial")
+var errNoDialTurn = errors.New("no turn to dial")
 
 var (
-	errUnasked  = errors.New("the data server spoke unasked")
-	errUnwanted = errors.New("no time is left, or nobody waits for it")
-	errEndless  = fmt.Errorf("%w: what has no end", pgwire.ErrMalformed)
-	errDrains   = errors.New("the node drains")
+	errUnsolicited = errors.New("the data server spoke unasked")
+	errUnwanted    = errors.New("no time is left, or nobody waits for it")
+	errTooLong     = fmt.Errorf("%w: what has no end", pgwire.ErrMalformed)
+	errDraining    = errors.New("the node drains")
 )
 
-// conn is one connection to a data server. Its goroutine dials, and then reads
+// serverConn is one connection to a data server. Its goroutine dials, and then reads
 // for as long as the connection lives, so that its end is seen while it idles.
-type conn struct {
-	pool   *Pool
-	node   uint32
-	dial   string
-	in     *ringbuffer.Buffer // only the goroutine's
-	out    *ringbuffer.Buffer // only who writes the query's
-	idleAt time.Time          // the pool's lock
-	rest   time.Duration      // before it dials
-
-	mu     sync.Mutex
-	net    net.Conn
-	raw    syscall.RawConn // of net
-	cur    *Attempt        // being made on this connection
-	sentAt time.Time       // since when
-	stale  bool            // bytes came while there was no attempt
-	closed bool
-	before uint64 // only the goroutine's: the hash of the row of the answer before
-	freed  sync.Once
+type serverConn struct {
+	pool      *Pool
+	endpoint  balance.EndpointID
+	address   string
+	in        *ringbuffer.Buffer // only the goroutine's
+	out       *ringbuffer.Buffer // only who writes the query's
+	idleAt    time.Time          // the pool's lock
+	dialDelay time.Duration      // before it dials
+
+	mu          sync.Mutex
+	socket      net.Conn
+	rawSocket   syscall.RawConn // of net
+	current     *Attempt        // being made on this connection
+	sentAt      time.Time       // since when
+	unsolicited bool            // bytes came while there was no attempt
+	closed      bool
+	previousRow uint64 // only the goroutine's: the hash of the row of the answer before
+	released    sync.Once
 
 	// For each attempt that is bound to the connection, once: whether its query went out whole. Who writes it may be
 	// another goroutine than the one that reads, and what is read tells nothing of a query that was not there.
-	sent chan bool
+	written chan bool
 }
 
-func newConn(p *Pool, node uint32, dial string) *conn {
-	return &conn{pool: p, node: node, dial: dial, in: ringbuffer.New(MostAnswer).Within(p.Reading), out: ringbuffer.New(1 << 20),
-		sent: make(chan bool, 1)}
+func newServerConn(p *Pool, node balance.EndpointID, dial string) *serverConn {
+	return &serverConn{pool: p, endpoint: node, address: dial, in: ringbuffer.New(MaxMessageBytes).Within(p.ReadQuota), out: ringbuffer.New(1 << 20),
+		written: make(chan bool, 1)}
 }
 
 // close ends the connection; the goroutine sees it and cleans up.
-func (c *conn) close() {
+func (c *serverConn) close() {
 	c.mu.Lock()
 	c.closed = true
-	conn := c.net
+	conn := c.socket
 	c.mu.Unlock()
 	if conn != nil { // without the lock: it waits for the goroutine that reads, which takes it
 		conn.Close()
 	}
 }
 
-// end closes the connection, forgets it, and gives its descriptor back, once.
-func (c *conn) end() {
+// release closes the connection, forgets it, and gives its descriptor back, once.
+func (c *serverConn) release() {
 	c.close()
 	c.pool.remove(c)
-	c.freed.Do(c.pool.Budget.Hangup)
+	c.released.Do(c.pool.Descriptors.Hangup)
 }
 
 // run is the life of the connection.
-func (c *conn) run(first *Attempt) {
-	defer c.end()
+func (c *serverConn) run(first *Attempt) {
+	defer c.release()
 	defer c.in.Free()
 	res := c.connect(first)
-	c.pool.Tally.Add(dialled(res.Outcome))
-	if res.Outcome != balance.Done {
+	c.pool.Metrics.Add(dialCounter(res.Outcome))
+	if res.Outcome != balance.Succeeded {
 		c.close()
 		first.finish(res)
 		return
 	}
-	c.begin(first)
+	c.send(first)
 	for {
-		a, res, keep := c.answer()
+		a, res, keep := c.readAnswer()
 		if a == nil { // idle, and ended or in doubt
 			return
 		}
 		if !keep {
 			c.close()
 		}
-		if !c.whole() { // who writes sees to the attempt
+		if !c.awaitWrite() { // who writes sees to the attempt
 			return
 		}
 		if !keep {
@@ -130,11 +130,11 @@
 			return
 		}
 		c.mu.Lock()
-		c.cur = nil
+		c.current = nil
 		c.mu.Unlock()
 		c.in.Idle()
-		c.net.SetReadDeadline(time.Time{})
-		kept := c.pool.put(c) // before the result is known, so that the next attempt finds it
+		c.socket.SetReadDeadline(time.Time{})
+		kept := c.pool.putIdle(c) // before the result is known, so that the next attempt finds it
 		a.finish(res)
 		if !kept {
 			return
@@ -142,159 +142,159 @@
 	}
 }
 
-// whole waits for the end of the writing of a query, and says whether all of it went out: whatever came back of one
+// awaitWrite waits for the end of the writing of a query, and says whether all of it went out: whatever came back of one
 // that did not was no answer to it. A server that answers and does not take the rest is not waited for long.
-func (c *conn) whole() bool {
+func (c *serverConn) awaitWrite() bool {
 	select {
-	case whole := <-c.sent: // as nearly always
+	case whole := <-c.written: // as nearly always
 		return whole
 	default:
 	}
-	late := time.AfterFunc(c.pool.Stall, c.close)
+	late := time.AfterFunc(c.pool.StallTimeout, c.close)
 	defer late.Stop()
-	return <-c.sent
+	return <-c.written
 }
 
-// dialled is how connect's outcome counts.
-func dialled(o balance.Outcome) metrics.Counter {
+// dialCounter is how connect's outcome counts.
+func dialCounter(o balance.Outcome) metrics.Counter {
 	switch o {
-	case balance.Done:
+	case balance.Succeeded:
 		return metrics.Up
 	case balance.Busy:
 		return metrics.TooMany
-	case notSent:
+	case outcomeNotSent:
 		return metrics.NoSocket
 	}
 	return metrics.Unheard
 }
 
 // connect dials and starts a session: Done, or why not.
-func (c *conn) connect(a *Attempt) Result {
+func (c *serverConn) connect(a *Attempt) Result {
 	last := time.Now().Add(c.pool.ConnectTimeout)
-	if a.up.Before(last) {
-		last = a.up
+	if a.connectDeadline.Before(last) {
+		last = a.connectDeadline
 	}
-	ctx, stop := context.WithDeadline(a.ctx, last)
+	ctx, stop := context.WithDeadline(a.dialContext, last)
 	defer stop()
-	if c.rest > 0 {
+	if c.dialDelay > 0 {
 		select {
-		case <-time.After(c.rest):
+		case <-time.After(c.dialDelay):
 		case <-ctx.Done(): // the node has no part in it
-			return Result{Outcome: notSent, Err: errTurn}
+			return Result{Outcome: outcomeNotSent, Err: errNoDialTurn}
 		}
 	}
-	conn, err := c.pool.dial(ctx, c.dial)
+	conn, err := c.pool.dial(ctx, c.address)
 	if fdlimit.Exhausted(err) { // the count said otherwise
-		if c.pool.Short != nil {
-			c.pool.Short()
+		if c.pool.OutOfDescriptors != nil {
+			c.pool.OutOfDescriptors()
 		}
 		if c.pool.EvictIdle() {
-			conn, err = c.pool.dial(ctx, c.dial)
+			conn, err = c.pool.dial(ctx, c.address)
 		}
 	}
 	switch {
 	case fdlimit.Exhausted(err):
-		return Result{Outcome: notSent, Err: err}
+		return Result{Outcome: outcomeNotSent, Err: err}
 	case err != nil:
-		return Result{Outcome: balance.Refused, Err: err}
+		return Result{Outcome: balance.ConnectionRefused, Err: err}
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
-		return Result{Outcome: balance.Refused, Err: err}
+		return Result{Outcome: balance.ConnectionRefused, Err: err}
 	}
 	c.mu.Lock()
-	c.net, c.raw = conn, raw
+	c.socket, c.rawSocket = conn, raw
 	closed := c.closed
 	c.mu.Unlock()
 	if closed {
 		conn.Close()
-		return Result{Outcome: balance.Refused, Err: net.ErrClosed}
+		return Result{Outcome: balance.ConnectionRefused, Err: net.ErrClosed}
 	}
 	inTime := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer inTime()
 	if _, err := conn.Write(pgwire.AppendStartup(nil, user, database)); err != nil {
-		return Result{Outcome: balance.Refused, Err: err}
+		return Result{Outcome: balance.ConnectionRefused, Err: err}
 	}
 	for heard := 0; ; {
-		m, err := c.message()
+		m, err := c.nextMessage()
 		if err != nil {
-			return Result{Outcome: balance.Refused, Err: err}
+			return Result{Outcome: balance.ConnectionRefused, Err: err}
 		}
-		if heard += m.Size; heard > longestWelcome {
-			return Result{Outcome: balance.Refused, Err: errEndless}
+		if heard += m.Size; heard > maxWelcomeBytes {
+			return Result{Outcome: balance.ConnectionRefused, Err: errTooLong}
 		}
 		switch m.Kind {
 		case pgwire.ReadyForQuery:
 			c.in.Discard(m.Size)
 			if c.in.Len() > 0 {
-				return Result{Outcome: balance.Refused, Err: errUnasked}
+				return Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited}
 			}
 			if !inTime() { // its deadline is spoilt
-				return Result{Outcome: balance.Refused, Err: context.DeadlineExceeded}
+				return Result{Outcome: balance.ConnectionRefused, Err: context.DeadlineExceeded}
 			}
-			return Result{Outcome: balance.Done}
+			return Result{Outcome: balance.Succeeded}
 		case pgwire.Authentication:
 			if !pgwire.IsAuthOK(m.Body) {
-				return Result{Outcome: balance.Refused, Err: errors.New("asked to authenticate")}
+				return Result{Outcome: balance.ConnectionRefused, Err: errors.New("asked to authenticate")}
 			}
 		case pgwire.ErrorResponse:
 			code, err := pgwire.ErrorCode(m.Body)
 			if err == nil && code == pgwire.CodeTooManyConnections {
 				return Result{Outcome: balance.Busy}
 			}
-			return Result{Outcome: balance.Refused, Err: fmt.Errorf("error %s at the start: %w", code, err)}
+			return Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("error %s at the start: %w", code, err)}
 		case pgwire.ParameterStatus, pgwire.BackendKeyData, pgwire.NoticeResponse:
 		default:
-			return Result{Outcome: balance.Refused, Err: fmt.Errorf("%w: %q at the start", pgwire.ErrMalformed, m.Kind)}
+			return Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("%w: %q at the start", pgwire.ErrMalformed, m.Kind)}
 		}
 		c.in.Discard(m.Size)
 	}
 }
 
-// message waits for the next whole message.
-func (c *conn) message() (pgwire.Message, error) {
+// nextMessage waits for the next whole message.
+func (c *serverConn) nextMessage() (pgwire.Message, error) {
 	for {
 		m, err := pgwire.Next(c.in)
 		if !errors.Is(err, pgwire.ErrShort) {
 			return m, err
 		}
-		if err := c.in.Fill(c.net); err != nil {
+		if err := c.in.Fill(c.socket); err != nil {
 			return m, err
 		}
 	}
 }
 
-// reply is message of an answer: nothing may come while there is no attempt, and
+// nextReply is message of an answer: nothing may come while there is no attempt, and
 // what has begun must go on coming.
-func (c *conn) reply(begun bool) (pgwire.Message, error) {
+func (c *serverConn) nextReply(begun bool) (pgwire.Message, error) {
 	for {
 		m, err := pgwire.Next(c.in)
 		if !errors.Is(err, pgwire.ErrShort) {
 			return m, err
 		}
 		if begun = begun || c.in.Len() > 0; begun {
-			c.net.SetReadDeadline(time.Now().Add(c.pool.Stall))
+			c.socket.SetReadDeadline(time.Now().Add(c.pool.StallTimeout))
 		}
-		if err := c.in.Fill(listener{c}); err != nil {
+		if err := c.in.Fill(replyReader{c}); err != nil {
 			return m, err
 		}
 	}
 }
 
-// listener reads what a data server says of its own accord or in answer. Reading
+// replyReader reads what a data server says of its own accord or in answer. ReadQuota
 // and looking whether there is an attempt are one step: else an attempt that
 // begins in between would take what came before it for its answer.
-type listener struct{ *conn }
+type replyReader struct{ *serverConn }
 
-func (l listener) Read(p []byte) (n int, err error) {
+func (l replyReader) Read(p []byte) (n int, err error) {
 	heard := false
-	wait := l.raw.Read(func(fd uintptr) bool {
+	wait := l.rawSocket.Read(func(fd uintptr) bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		n, err = syscall.Read(int(fd), p)
 		heard = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
-		l.stale = l.stale || heard && l.cur == nil
+		l.unsolicited = l.unsolicited || heard && l.current == nil
 		return heard || errors.Is(err, syscall.EINTR)
 	})
 	switch {
@@ -306,24 +306,24 @@
 		return l.Read(p)
 	case n == 0:
 		return 0, io.EOF
-	case l.isStale():
-		return 0, errUnasked
+	case l.isUnsolicited():
+		return 0, errUnsolicited
 	}
 	return n, nil
 }
 
-func (c *conn) isStale() bool {
+func (c *serverConn) isUnsolicited() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.stale
+	return c.unsolicited
 }
 
-// unread says whether bytes or the connection's end wait to be read, which the
+// hasUnread says whether bytes or the connection's end wait to be read, which the
 // connection's goroutine has not come to yet: whatever they are, they are not the
 // answer to what has not been asked.
-func (c *conn) unread() bool {
+func (c *serverConn) hasUnread() bool {
 	waits := false
-	err := c.raw.Control(func(fd uintptr) {
+	err := c.rawSocket.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		waits = !errors.Is(err, syscall.EAGAIN)
@@ -331,104 +331,104 @@
 	return waits || err != nil
 }
 
-// begin writes an attempt's query, unless bind finds that it may not. A connection that turns out to be spoilt before the
+// send writes an attempt's query, unless bind finds that it may not. A connection that turns out to be spoilt before the
 // query went out whole is another one's turn, and the attempt is still the same.
-func (c *conn) begin(a *Attempt) {
+func (c *serverConn) send(a *Attempt) {
 	rested := !c.idleAt.IsZero()
-	err := a.word(c.out) // before bind, so that nothing lies between that and the first byte
+	err := a.writeQuery(c.out) // before bind, so that nothing lies between that and the first byte
 	if err != nil {
-		c.drop()
-		c.back()
-		a.finish(Result{Outcome: notSent, Err: fmt.Errorf("write: %w", err)})
+		c.discardQuery()
+		c.returnToPool()
+		a.finish(Result{Outcome: outcomeNotSent, Err: fmt.Errorf("write: %w", err)})
 		return
 	}
 	how := a.bind(c)
-	if how != bound {
-		c.drop()
+	if how != bindOK {
+		c.discardQuery()
 	}
 	switch how {
-	case over:
-		c.back()
+	case bindEnded:
+		c.returnToPool()
 		return
-	case unwanted:
-		c.back()
-		a.finish(Result{Outcome: notSent, Err: errUnwanted})
+	case bindUnwanted:
+		c.returnToPool()
+		a.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
 		return
-	case banned:
-		c.back()
-		a.finish(Result{Outcome: balance.Busy, Err: errDrains})
+	case bindNotAllowed:
+		c.returnToPool()
+		a.finish(Result{Outcome: balance.Busy, Err: errDraining})
 		return
-	case moved:
+	case bindMoved:
 		c.close()
-		c.pool.start(a)
+		c.pool.assign(a)
 		return
-	case spoilt:
+	case bindUnusable:
 		c.close()
 		if rested {
-			c.pool.start(a)
+			c.pool.assign(a)
 		} else { // new, and nothing was written on it
-			a.finish(Result{Outcome: balance.Refused, Err: errUnasked})
+			a.finish(Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited})
 		}
 		return
 	}
-	c.net.SetWriteDeadline(a.until)
-	_, err = c.out.WriteTo(c.net)
+	c.socket.SetWriteDeadline(a.deadline)
+	_, err = c.out.WriteTo(c.socket)
 	whole := c.out.Len() == 0
-	c.drop()
+	c.discardQuery()
 	if whole {
-		c.sent <- true
+		c.written <- true
 		return
 	}
 	c.close()
 	goesOn := a.unbind()
-	c.sent <- false
+	c.written <- false
 	switch {
 	case !goesOn:
 	case rested && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.pool.start(a)
+		c.pool.assign(a)
 	default:
-		a.finish(Result{Outcome: balance.Refused, Err: fmt.Errorf("write: %w", err)})
+		a.finish(Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("write: %w", err)})
 	}
 }
 
-// drop forgets what is left of a query.
-func (c *conn) drop() {
+// discardQuery forgets what is left of a query.
+func (c *serverConn) discardQuery() {
 	c.out.Discard(c.out.Len())
 	c.out.Idle()
 }
 
-// back returns a connection that nothing was written on.
-func (c *conn) back() {
-	if !c.pool.put(c) {
+// returnToPool returns a connection that nothing was written on.
+func (c *serverConn) returnToPool() {
+	if !c.pool.putIdle(c) {
 		c.close()
 	}
 }
 
-// answer reads messages up to the end of an attempt. Without an attempt it waits
+// readAnswer reads messages up to the end of an attempt. Without an attempt it waits
 // for one, or for the connection's end. keep says whether the connection is in
 // a known state.
-func (c *conn) answer() (a *Attempt, res Result, keep bool) {
+func (c *serverConn) readAnswer() (a *Attempt, res Result, keep bool) {
 	var row []byte // the messages to pass on
 	rows := 0
 	var value []byte
 	fail := func(err error) (*Attempt, Result, bool) {
-		a := c.current()
+		a := c.currentAttempt()
 		res.Err = err
 		var long *pgwire.TooLong
 		if res.Outcome == 0 || errors.Is(err, pgwire.ErrMalformed) || errors.As(err, &long) {
-			res = Result{Outcome: balance.Reset, Err: err}
+			res = Result{Outcome: balance.ConnectionReset, Err: err}
 		}
 		return a, res, false
 	}
 	for heard := 0; ; {
-		m, err := c.reply(row != nil || res.Outcome != 0)
+		m, err := c.nextReply(row != nil || res.Outcome != 0)
 		if err != nil {
 			return fail(err)
 		}
-		if heard += m.Size; heard > longestAnswer {
-			return fail(errEndless)
+		if heard += m.Size; heard > maxAnswerBytes {
+			return fail(errTooLong)
 		}
-		a = c.current()
+		a = c.currentAttempt()
 		switch m.Kind {
 		case pgwire.ParameterStatus:
 			name, text, err := pgwire.Parameter(m.Body)
@@ -456,18 +456,18 @@
 			if err := pgwire.OneRow(m.Body); a == nil || rows != 1 || res.Outcome != 0 || err != nil {
 				return fail(fmt.Errorf("%w: end of a command with %d rows: %w", pgwire.ErrMalformed, rows, err))
 			}
-			hash := maphash.Bytes(rowSeed, row)
-			if hash == c.before && c.since() < c.pool.Crossing {
+			hash := maphash.Bytes(rowHashSeed, row)
+			if hash == c.previousRow && c.sinceSent() < c.pool.DuplicateWindow {
 				return fail(fmt.Errorf("%w: a second copy of the answer before", pgwire.ErrMalformed))
 			}
-			c.before = hash
-			res.Outcome, res.Answer, res.Value = balance.Done, pgwire.Append(row, m.Kind, m.Body), value
+			c.previousRow = hash
+			res.Outcome, res.Answer, res.Value = balance.Succeeded, pgwire.Append(row, m.Kind, m.Body), value
 		case pgwire.ErrorResponse:
 			code, err := pgwire.ErrorCode(m.Body)
 			if a == nil || err != nil || res.Outcome != 0 {
 				return fail(fmt.Errorf("%w: error %s out of place", pgwire.ErrMalformed, code))
 			}
-			res.Outcome, res.Code = outcomeOf(code), code
+			res.Outcome, res.ServerErrorCode = outcomeOf(code), code
 		case pgwire.ReadyForQuery:
 			if a == nil || res.Outcome == 0 || string(m.Body) != "I" {
 				return fail(fmt.Errorf("%w: ready out of place", pgwire.ErrMalformed))
@@ -481,24 +481,24 @@
 	}
 }
 
-// since is how long ago the attempt's query went out.
-func (c *conn) since() time.Duration {
+// sinceSent is how long ago the attempt's query went out.
+func (c *serverConn) sinceSent() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.sentAt)
 }
 
-func (c *conn) current() *Attempt {
+func (c *serverConn) currentAttempt() *Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cur
+	return c.current
 }
 
 // outcomeOf says what an error code tells of an attempt.
 func outcomeOf(code string) balance.Outcome {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeTooFarBehind:
-		return balance.Miss
+		return balance.NotEligible
 	case pgwire.CodeTooManyConnections:
 		return balance.Busy
 	}
@@ -520,7 +520,7 @@
 		}
 	case "as_of":
 		ms, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || ms < 0 || ms > now.Add(ahead).UnixMilli() {
+		if err != nil || ms < 0 || ms > now.Add(maxClockAhead).UnixMilli() {
 			return fmt.Errorf("%w: position %.20q", pgwire.ErrMalformed, text)
 		}
 		r.Position = ms * 1e6
--- a/internal/backend/endless_test.go
+++ b/internal/backend/endless_test.go
@@ -16,11 +16,11 @@
 		start string
 		want  balance.Outcome
 	}{
-		{"wait s\nexpect s startup", balance.Refused},
-		{greeted, balance.Reset},
-		{greeted + `send s T`, balance.Reset},
-		{greeted + `send s T | D "v" | C`, balance.Reset},
-		{greeted + `send s E 25006`, balance.Reset},
+		{"wait s\nexpect s startup", balance.ConnectionRefused},
+		{greeted, balance.ConnectionReset},
+		{greeted + `send s T`, balance.ConnectionReset},
+		{greeted + `send s T | D "v" | C`, balance.ConnectionReset},
+		{greeted + `send s E 25006`, balance.ConnectionReset},
 	} {
 		s, p, _ := stage(t, 1024)
 		a := p.try()
--- a/internal/backend/laststep_test.go
+++ b/internal/backend/laststep_test.go
@@ -24,7 +24,7 @@
 }
 
 // only is the one connection of a pool.
-func only(t *testing.T, p *Pool) *conn {
+func only(t *testing.T, p *Pool) *serverConn {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,8 +56,8 @@
 		want balance.Outcome
 	}{
 		{"the node drains", func(d *directory, _ *atomic.Bool) { d.drain() }, time.Hour, balance.Busy},
-		{"nobody waits any more", func(_ *directory, unwanted *atomic.Bool) { unwanted.Store(true) }, time.Hour, balance.Skipped},
-		{"its time is over", func(*directory, *atomic.Bool) { time.Sleep(200 * time.Millisecond) }, 200 * time.Millisecond, balance.Skipped},
+		{"nobody waits any more", func(_ *directory, unwanted *atomic.Bool) { unwanted.Store(true) }, time.Hour, balance.NotSent},
+		{"its time is over", func(*directory, *atomic.Bool) { time.Sleep(200 * time.Millisecond) }, 200 * time.Millisecond, balance.NotSent},
 	} {
 		for _, rested := range []bool{false, true} {
 			name := c.name + " during a dial"
@@ -93,7 +93,7 @@
 				d.mu.Unlock()
 				a = p.try()
 				s.Play("expect s Q \"A\"\n" + served)
-				if res := <-a.Done(); res.Outcome != balance.Done {
+				if res := <-a.Done(); res.Outcome != balance.Succeeded {
 					t.Errorf("the next one: outcome %d, %v", res.Outcome, res.Err)
 				}
 			})
@@ -133,7 +133,7 @@
 		}
 		s.Play("expect s EOF")
 		other.Play(greeted + served)
-		if res := <-(<-moved).Done(); res.Outcome != balance.Done {
+		if res := <-(<-moved).Done(); res.Outcome != balance.Succeeded {
 			t.Errorf("rested %v: outcome %d, %v", rested, res.Outcome, res.Err)
 		}
 	}
@@ -144,7 +144,7 @@
 	s, p, _ := stage(t, 1024)
 	a := p.try()
 	s.Play("wait s\nexpect s startup")
-	if res := a.Abort(balance.Canceled); res.Outcome != balance.Skipped {
+	if res := a.Abort(balance.Canceled); res.Outcome != balance.NotSent {
 		t.Errorf("outcome %d", res.Outcome)
 	}
 	s.Play("expect s EOF")
@@ -164,21 +164,21 @@
 			if !spoilt { // the connection is this attempt's, and not written on
 				spoilt = true
 				s.Play(spoil)
-				await(t, "it has arrived", func() bool { return c.isStale() || c.unread() })
+				await(t, "it has arrived", func() bool { return c.isUnsolicited() || c.hasUnread() })
 			}
 			return word(w)
 		}, nil)
 		s.Play(greeted + served)
-		if res := <-a.Done(); res.Outcome != balance.Done || string(res.Value) != "v" {
+		if res := <-a.Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
 			t.Errorf("%s: outcome %d, %q, %v", spoil, res.Outcome, res.Value, res.Err)
 		}
 	}
 }
 
 // narrow makes a connection hold little of what is not read.
-func narrow(t *testing.T, c *conn) {
+func narrow(t *testing.T, c *serverConn) {
 	t.Helper()
-	if err := c.net.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
+	if err := c.socket.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -189,7 +189,7 @@
 	large := strings.Repeat("x", 900<<10)
 	for _, end := range []string{"close s", "send s FATAL 57P03\nclose s", `send s E 53300 | Z`, `send s T | D "w" | C | Z`, `send s T | D "w"`} {
 		s, p, _ := stage(t, 1024)
-		p.Stall = 50 * time.Millisecond
+		p.StallTimeout = 50 * time.Millisecond
 		a := p.try()
 		s.Play(greeted + served)
 		<-a.Done()
@@ -199,7 +199,7 @@
 		s.Play(`expect s raw "Q"` + "\n" + end) // it is on its way, and nobody reads on
 		s.Set("large", large)
 		s.Play("wait s as y\nexpect y startup\nsend y welcome\nexpect y Q \"{large}\"\n" + `send y T | D "v" | C | Z`)
-		if res := <-(<-started).Done(); res.Outcome != balance.Done || string(res.Value) != "v" {
+		if res := <-(<-started).Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
 			t.Errorf("%s: outcome %d, %q, %v", end, res.Outcome, res.Value, res.Err)
 		}
 	}
@@ -226,15 +226,15 @@
 // writer drops at its end would be the other's query, which then never went out and is waited for to the end of its time.
 func TestAnswerOvertakesTheWriter(t *testing.T) {
 	s, p, _ := stage(t, 1024)
-	p.Stall = 20 * time.Millisecond
+	p.StallTimeout = 20 * time.Millisecond
 	a := p.try()
 	s.Play(greeted + served)
 	<-a.Done()
 	c := only(t, p)
-	held := &heldWrite{Conn: c.net, done: make(chan struct{}), free: make(chan struct{})}
+	held := &heldWrite{Conn: c.socket, done: make(chan struct{}), free: make(chan struct{})}
 	held.hold.Store(true)
 	c.mu.Lock()
-	c.net = held
+	c.socket = held
 	c.mu.Unlock()
 	first := make(chan *Attempt, 1)
 	go func() { first <- p.try() }()
@@ -250,7 +250,7 @@
 		t.Error("a connection is free that is being written on")
 	}
 	close(held.free)
-	if res := <-(<-first).Done(); res.Outcome != balance.Done {
+	if res := <-(<-first).Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
@@ -267,7 +267,7 @@
 	d.mu.Unlock()
 	a = p.try()
 	other.Play(greeted + served)
-	if res := <-a.Done(); res.Outcome != balance.Done {
+	if res := <-a.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	p.retire(time.Time{})
@@ -286,7 +286,7 @@
 	s.Play("close x\nclose y")
 	a = p.try()
 	s.Play(greeted + served)
-	if res := <-a.Done(); res.Outcome != balance.Done {
+	if res := <-a.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,28 +14,29 @@
 	"lotushook/internal/invariant"
 	"lotushook/internal/metrics"
 	"lotushook/internal/ringbuffer"
+	"lotushook/policy/balance"
 )
 
 // Directory tells where a node listens, and whether it may get anything new.
 type Directory interface {
-	Address(node uint32) (dial string, ready bool)
+	Address(node balance.EndpointID) (dial string, ready bool)
 }
 
 // Options are a pool's settings.
 type Options struct {
-	Directory      Directory
-	Budget         *fdlimit.Budget
-	ConnectTimeout time.Duration
-	IdleClose      time.Duration     // data servers close idle connections after this
-	Reading        *ringbuffer.Quota // for what is here of answers; nil: no bound
-	Stall          time.Duration     // an answer that has begun must go on within this
-	Settle         time.Duration     // a connection rests so long after an answer: what follows unasked is seen by then
-	Short          func()            // told when the system has no descriptor left; nil: nobody
-	Tally          *metrics.Tally    // counts dials; nil: nobody does
+	Directory        Directory
+	Descriptors      *fdlimit.Budget
+	ConnectTimeout   time.Duration
+	IdleClose        time.Duration     // data servers close idle connections after this
+	ReadQuota        *ringbuffer.Quota // for what is here of answers; nil: no bound
+	StallTimeout     time.Duration     // an answer that has begun must go on within this
+	SettleTime       time.Duration     // a connection rests so long after an answer: what follows unasked is seen by then
+	OutOfDescriptors func()            // told when the system has no descriptor left; nil: nobody
+	Metrics          *metrics.Tally    // counts dials; nil: nobody does
 	// Pace is asked before a dial: it may be made after wait, no longer than most, or not now, and then nothing was sent.
 	// nil: at once.
-	Pace     func(most time.Duration) (wait time.Duration, ok bool)
-	Crossing time.Duration // so soon after its query, the same answer again is a second copy that crossed it
+	DialDelay       func(most time.Duration) (wait time.Duration, ok bool)
+	DuplicateWindow time.Duration // so soon after its query, the same answer again is a second copy that crossed it
 }
 
 // Pool holds the idle connections to all data servers. It is safe for
@@ -43,14 +44,14 @@
 type Pool struct {
 	Options
 	mu     sync.Mutex
-	idle   map[uint32][]*conn // by node; the most recently used last
-	all    map[*conn]struct{}
+	idle   map[balance.EndpointID][]*serverConn // by node; the most recently used last
+	all    map[*serverConn]struct{}
 	closed bool
 }
 
 // NewPool returns a pool without connections.
 func NewPool(o Options) *Pool {
-	return &Pool{Options: o, idle: map[uint32][]*conn{}, all: map[*conn]struct{}{}}
+	return &Pool{Options: o, idle: map[balance.EndpointID][]*serverConn{}, all: map[*serverConn]struct{}{}}
 }
 
 // Run retires connections well before the data servers close them, until the
@@ -73,7 +74,7 @@
 func (p *Pool) closeAll() {
 	p.mu.Lock()
 	p.closed = true
-	var all []*conn
+	var all []*serverConn
 	for c := range p.all {
 		all = append(all, c)
 	}
@@ -86,13 +87,13 @@
 // retire closes what has been idle since before a time, and all idle
 // connections to nodes that drain, are gone, or have moved.
 func (p *Pool) retire(before time.Time) {
-	var old []*conn
+	var old []*serverConn
 	p.mu.Lock()
 	for node, list := range p.idle {
 		dial, ready := p.Directory.Address(node)
-		var keep []*conn
+		var keep []*serverConn
 		for _, c := range list {
-			if !ready || dial != c.dial || c.idleAt.Before(before) {
+			if !ready || dial != c.address || c.idleAt.Before(before) {
 				old = append(old, c)
 			} else {
 				keep = append(keep, c)
@@ -109,52 +110,52 @@
 	}
 }
 
-// take returns the most recently used idle connection to a node that has settled,
+// takeIdle returns the most recently used idle connection to a node that has settled,
 // if any.
-func (p *Pool) take(node uint32, dial string, now time.Time) *conn {
+func (p *Pool) takeIdle(node balance.EndpointID, dial string, now time.Time) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[node]
 	for i := len(list) - 1; i >= 0 && !p.closed; i-- {
-		if c := list[i]; c.dial == dial && now.Sub(c.idleAt) >= p.Settle {
-			p.unlist(c)
+		if c := list[i]; c.address == dial && now.Sub(c.idleAt) >= p.SettleTime {
+			p.removeIdle(c)
 			return c
 		}
 	}
 	return nil
 }
 
-// put makes a connection available again.
-func (p *Pool) put(c *conn) bool {
+// putIdle makes a connection available again.
+func (p *Pool) putIdle(c *serverConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, live := p.all[c]; p.closed || !live {
 		return false
 	}
 	c.idleAt = time.Now()
-	p.idle[c.node] = append(p.idle[c.node], c)
+	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 	return true
 }
 
 // remove forgets a closed connection.
-func (p *Pool) remove(c *conn) {
+func (p *Pool) remove(c *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.all, c)
-	p.unlist(c)
+	p.removeIdle(c)
 }
 
-// unlist takes a connection off the idle ones; the lock is held.
-func (p *Pool) unlist(c *conn) {
-	list := p.idle[c.node]
+// removeIdle takes a connection off the idle ones; the lock is held.
+func (p *Pool) removeIdle(c *serverConn) {
+	list := p.idle[c.endpoint]
 	for i, x := range list {
 		if x == c {
 			list = append(list[:i], list[i+1:]...)
 			break
 		}
 	}
-	if p.idle[c.node] = list; len(list) == 0 {
-		delete(p.idle, c.node)
+	if p.idle[c.endpoint] = list; len(list) == 0 {
+		delete(p.idle, c.endpoint)
 	}
 }
 
@@ -162,25 +163,25 @@
 // descriptor comes free; false means that none was idle.
 func (p *Pool) EvictIdle() bool {
 	p.mu.Lock()
-	var oldest *conn
+	var oldest *serverConn
 	for _, list := range p.idle {
 		if oldest == nil || list[0].idleAt.Before(oldest.idleAt) {
 			oldest = list[0]
 		}
 	}
 	if oldest != nil {
-		p.unlist(oldest)
+		p.removeIdle(oldest)
 	}
 	p.mu.Unlock()
 	if oldest == nil {
 		return false
 	}
-	oldest.end()
+	oldest.release()
 	return true
 }
 
-// Open is the number of connections, and how many of them are idle.
-func (p *Pool) Open() (all, idle int) {
+// Counts is the number of connections, and how many of them are idle.
+func (p *Pool) Counts() (all, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
@@ -191,33 +192,33 @@
 
 // Idle is the number of idle connections.
 func (p *Pool) Idle() int {
-	_, idle := p.Open()
+	_, idle := p.Counts()
 	return idle
 }
 
-// open starts a new connection and gives it its first attempt.
-func (p *Pool) open(a *Attempt, dial string) {
+// dialFor starts a new connection and gives it its first attempt.
+func (p *Pool) dialFor(a *Attempt, dial string) {
 	rest := time.Duration(0)
-	if p.Pace != nil {
+	if p.DialDelay != nil {
 		var ok bool
-		if rest, ok = p.Pace(time.Until(a.up) / 2); !ok { // the other half is for the dial
-			a.finish(Result{Outcome: notSent, Err: errTurn})
+		if rest, ok = p.DialDelay(time.Until(a.connectDeadline) / 2); !ok { // the other half is for the dial
+			a.finish(Result{Outcome: outcomeNotSent, Err: errNoDialTurn})
 			return
 		}
 	}
-	if !p.Budget.Dial() && !(p.EvictIdle() && p.Budget.Dial()) {
-		slog.Warn("no descriptor free for a data server", "node", a.node)
-		p.Tally.Add(metrics.NoSocket)
-		a.finish(Result{Outcome: notSent})
+	if !p.Descriptors.Dial() && !(p.EvictIdle() && p.Descriptors.Dial()) {
+		slog.Warn("no descriptor free for a data server", "node", a.endpoint)
+		p.Metrics.Add(metrics.NoSocket)
+		a.finish(Result{Outcome: outcomeNotSent})
 		return
 	}
-	c := newConn(p, a.node, dial)
-	c.rest = rest
+	c := newServerConn(p, a.endpoint, dial)
+	c.dialDelay = rest
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		p.Budget.Hangup()
-		a.finish(Result{Outcome: notSent})
+		p.Descriptors.Hangup()
+		a.finish(Result{Outcome: outcomeNotSent})
 		return
 	}
 	p.all[c] = struct{}{}
--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -40,10 +40,10 @@
 type Ask struct {
 	Class string
 	Group int64
-	After cursor.Point
+	After cursor.Position
 	Most  int
 	Until int64
-	Who   contract.Who // the first of those it is for
+	Who   contract.Identity // the first of those it is for
 }
 
 // Got is what came of it: a value, or an error and a time to come again where one was told.
@@ -58,10 +58,10 @@
 	Class      string
 	Group      int64
 	Subscriber string
-	After      cursor.Point // its cursor; none: without a history
-	Gen        int64        // of its cursor
+	After      cursor.Position // its cursor; none: without a history
+	Gen        int64           // of its cursor
 	Until      int64
-	Who        contract.Who
+	Who        contract.Identity
 	Left       <-chan struct{} // closed when the client has gone
 }
 
@@ -74,7 +74,7 @@
 	FarReads uint64            `json:"far_reads"` // for those that are behind the ring
 	Refused  uint64            `json:"refused"`
 	Rows     map[string]uint64 `json:"rows"` // of the table, by name
-	rows     [cursor.Rows]uint64
+	rows     [cursor.RowCount]uint64
 }
 
 // Part answers. All its methods may be called from any goroutine.
@@ -84,7 +84,7 @@
 	shards [shards]shard
 	pace   struct {
 		sync.Mutex
-		*cursor.Pace
+		*cursor.Limiter
 	}
 	logs struct {
 		sync.Mutex
@@ -101,11 +101,11 @@
 // shard is some of the subscribers' cursors under a lock of its own.
 type shard struct {
 	mu   sync.Mutex
-	book *cursor.Book
+	book *cursor.Registry
 }
 
 // do has a function look at the cursors of a key's shard. It must wait for nothing.
-func (p *Part) do(key string, f func(*cursor.Book)) {
+func (p *Part) do(key string, f func(*cursor.Registry)) {
 	s := &p.shards[maphash.String(p.seed, key)%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,21 +127,21 @@
 	mu   sync.Mutex
 	feed *cursor.Feed
 	end  *reading
-	far  map[cursor.Point]*reading
+	far  map[cursor.Position]*reading
 }
 
 // reading is one under way; all that want it wait for done.
 type reading struct {
-	after  cursor.Point
+	after  cursor.Position
 	done   chan struct{}
-	answer *cursor.Answer // nil: there is none
+	answer *cursor.Response // nil: there is none
 	member cursor.Member
 	err    error
 	wait   int64
 }
 
 // serves says whether a far reading that has ended is what a start needs.
-func (r *reading) serves(start cursor.Point) bool {
+func (r *reading) serves(start cursor.Position) bool {
 	return r != nil && r.answer != nil && r.member != cursor.MemberForked && r.after == start && r.answer.From <= start.At
 }
 
@@ -152,9 +152,9 @@
 	}
 	p := &Part{opt: o, seed: maphash.MakeSeed()}
 	for i := range p.shards {
-		p.shards[i].book = cursor.NewBook(o.Self, (o.Settings.Most+shards-1)/shards)
+		p.shards[i].book = cursor.NewRegistry(o.Self, (o.Settings.MaxCursors+shards-1)/shards)
 	}
-	p.pace.Pace = cursor.NewPace(&o.Settings, o.Now())
+	p.pace.Limiter = cursor.NewLimiter(&o.Settings, o.Now())
 	p.logs.by = map[name]*log{}
 	for _, s := range o.Classes {
 		if err := s.Check(); err != nil {
@@ -204,7 +204,7 @@
 	n := name{class, group}
 	l := p.logs.by[n]
 	if l == nil {
-		l = &log{name: n, text: class + "/" + strconv.FormatInt(group, 10), number: uint32(len(p.logs.by)), set: p.opt.Classes[class], far: map[cursor.Point]*reading{}}
+		l = &log{name: n, text: class + "/" + strconv.FormatInt(group, 10), number: uint32(len(p.logs.by)), set: p.opt.Classes[class], far: map[cursor.Position]*reading{}}
 		l.feed = cursor.NewFeed(&l.set)
 		p.logs.by[n] = l
 	}
@@ -217,16 +217,16 @@
 	log        *log
 	subscriber string
 	held       cursor.Generation
-	point      cursor.Point // of the last answer
+	point      cursor.Position // of the last answer
 	busy       bool
 }
 
 // known is what the routers know of a subscriber.
 func (p *Part) known(l *log, subscriber string) (c cursor.Cursor, letGo bool) {
 	now := p.opt.Now()
-	p.do(subscriber, func(b *cursor.Book) {
+	p.do(subscriber, func(b *cursor.Registry) {
 		c, _ = b.Get(now, l.number, subscriber)
-		letGo = b.LetGo() > 0
+		letGo = b.Evicted() > 0
 	})
 	if p.opt.State != nil {
 		p.opt.State.Look(l.text, subscriber, func(s *crdt.Store, now int64) {
@@ -258,7 +258,7 @@
 func (p *Part) answer(seat *Seat, q *Request) (value []byte, row cursor.Row, n int, err error) {
 	l := p.log(q.Class, q.Group)
 	crowded := func(why string, wait int64) error {
-		return &cursor.Crowded{Why: why, Feed: l.text, Subscriber: q.Subscriber, Wait: wait}
+		return &cursor.OverloadedError{Why: why, Feed: l.text, Subscriber: q.Subscriber, Wait: wait}
 	}
 	seat.mu.Lock()
 	if seat.busy {
@@ -274,15 +274,15 @@
 		seat.mu.Unlock()
 	}()
 
-	asked := cursor.Asked{Turn: cursor.Returns, Client: q.After}
+	asked := cursor.Request{Turn: cursor.NewConnection, Client: q.After}
 	carries := q.After.History != (cursor.History{})
 	if goesOn {
-		if asked.Turn = cursor.GoesOn; !carries { // by asking again here it shows that the last answer came
+		if asked.Turn = cursor.SameConnection; !carries { // by asking again here it shows that the last answer came
 			asked.Client = point
 		}
 	} else {
 		p.pace.Lock()
-		wait, ok := p.pace.Return(p.opt.Now(), q.Subscriber)
+		wait, ok := p.pace.Reconnect(p.opt.Now(), q.Subscriber)
 		p.pace.Unlock()
 		if !ok {
 			return nil, cursor.Wait, 0, crowded(cursor.CrowdReturning, wait)
@@ -298,20 +298,20 @@
 		}
 		asked.Known, asked.Own, asked.LetGo = known, known.By == p.opt.Self, letGo
 		if goesOn && known.Generation.Compare(held) > 0 {
-			asked.Turn = cursor.Outrun
+			asked.Turn = cursor.SupersededConnection
 		}
-		v := l.feed.Judge(now, asked, try < mostTries)
+		v := l.feed.Decide(now, asked, try < mostTries)
 		row = v.Row
 		invariant.Check(row != cursor.Impossible, "no request stands as none can", "turn", asked.Turn, "client", q.After, "known", known)
 		switch row {
 		case cursor.Fenced, cursor.Snapshot, cursor.Future, cursor.Impossible:
 			begin := l.feed.Head()
 			l.mu.Unlock()
-			return nil, row, 0, &cursor.Refused{Row: row, Forgot: row == cursor.Snapshot && q.After.History == (cursor.History{}) && known.Gen == 0,
+			return nil, row, 0, &cursor.RejectedError{Row: row, Forgot: row == cursor.Snapshot && q.After.History == (cursor.History{}) && known.Gen == 0,
 				Feed: l.text, Subscriber: q.Subscriber, Had: v.Start, Begin: begin}
 		}
 		var r *reading
-		here := v.Need == cursor.Nothing || v.Need == cursor.ReadFar && far.serves(v.Start)
+		here := v.Need == cursor.NothingNeeded || v.Need == cursor.ReadCatchUp && far.serves(v.Start)
 		switch {
 		case here:
 		case v.Need == cursor.ReadEnd:
@@ -327,10 +327,10 @@
 				cause = far.err
 			}
 			l.mu.Unlock()
-			return nil, cursor.Elsewhere, 0, &cursor.Unread{Feed: l.text, Wait: l.set.Again, Cause: cause}
-		case begin && v.Need == cursor.ReadFar:
+			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: l.set.PollInterval, Cause: cause}
+		case begin && v.Need == cursor.ReadCatchUp:
 			p.pace.Lock()
-			wait, ok := p.pace.Far(now, q.Subscriber)
+			wait, ok := p.pace.CatchUp(now, q.Subscriber)
 			p.pace.Unlock()
 			if !ok {
 				l.mu.Unlock()
@@ -343,7 +343,7 @@
 		}
 		if r == nil { // nothing more to read: the answer
 			var from []cursor.Event
-			if v.Need == cursor.ReadFar {
+			if v.Need == cursor.ReadCatchUp {
 				from = far.answer.Events
 			}
 			list, next, more := []cursor.Event(nil), v.Start, false
@@ -357,23 +357,23 @@
 				b.Rewound = &Rewound{History: v.Back.History.String(), From: v.Back.At, To: v.Start.At}
 			}
 			if !more {
-				b.AgainMS = l.set.Again / 1e6
+				b.AgainMS = l.set.PollInterval / 1e6
 			}
-			kept := cursor.Cursor{Generation: held, Point: next, Acked: min(v.Start.At, next.At)}
+			kept := cursor.Cursor{Generation: held, Position: next, Acked: min(v.Start.At, next.At)}
 			switch {
 			case row == cursor.Begin:
-				kept.Acked = cursor.Unheard
+				kept.Acked = cursor.NotAcknowledged
 			case row == cursor.Rewind && !carries: // until it is known to have heard it, it is told again
-				if kept.Point, kept.Acked = v.Back, min(known.Acked, v.Back.At); known.Gen == 0 {
-					kept.Acked = cursor.Unheard
+				if kept.Position, kept.Acked = v.Back, min(known.Acked, v.Back.At); known.Gen == 0 {
+					kept.Acked = cursor.NotAcknowledged
 				}
 			}
-			if !carries && kept.Point.Compare(known.Point) < 0 { // what it may have had stays known
-				kept.Point = known.Point
+			if !carries && kept.Position.Compare(known.Position) < 0 { // what it may have had stays known
+				kept.Position = known.Position
 			}
 			gen, ok := p.deliver(seat, l, q, goesOn, kept, next, head)
 			if !ok {
-				return nil, cursor.Fenced, 0, &cursor.Refused{Row: cursor.Fenced, Feed: l.text, Subscriber: q.Subscriber}
+				return nil, cursor.Fenced, 0, &cursor.RejectedError{Row: cursor.Fenced, Feed: l.text, Subscriber: q.Subscriber}
 			}
 			b.Next.Gen = gen
 			value, err = json.Marshal(b)
@@ -384,19 +384,19 @@
 			return nil, cursor.Wait, 0, err
 		}
 		if r.err != nil && try+1 >= mostTries {
-			return nil, cursor.Elsewhere, 0, &cursor.Unread{Feed: l.text, Wait: max(r.wait, l.set.Again), Cause: r.err}
+			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: max(r.wait, l.set.PollInterval), Cause: r.err}
 		}
 		if r.err != nil && r.wait > 0 { // the module says when: trying at once would be pressing
-			return nil, cursor.Elsewhere, 0, &cursor.Unread{Feed: l.text, Wait: r.wait, Cause: r.err}
+			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: r.wait, Cause: r.err}
 		}
-		if far = nil; v.Need == cursor.ReadFar {
+		if far = nil; v.Need == cursor.ReadCatchUp {
 			far = r
 		}
 	}
 }
 
 // deliver notes what goes out, unless the connection was outrun meanwhile, and returns its generation.
-func (p *Part) deliver(seat *Seat, l *log, q *Request, goesOn bool, c cursor.Cursor, next, head cursor.Point) (gen int64, ok bool) {
+func (p *Part) deliver(seat *Seat, l *log, q *Request, goesOn bool, c cursor.Cursor, next, head cursor.Position) (gen int64, ok bool) {
 	held := c.Generation
 	known, _ := p.known(l, q.Subscriber)
 	if known.Gen > head.At+mostGen {
@@ -417,7 +417,7 @@
 	put := true
 	if kept {
 		now := p.opt.Now()
-		p.do(q.Subscriber, func(b *cursor.Book) {
+		p.do(q.Subscriber, func(b *cursor.Registry) {
 			old, had := b.Get(now, l.number, q.Subscriber)
 			if had && !goesOn && old.Gen >= held.Gen { // two come back here at once: the later holds
 				held.Gen = old.Gen + 1
@@ -443,7 +443,7 @@
 }
 
 // read starts one; the log's lock is held.
-func (p *Part) read(l *log, after cursor.Point, end bool, who contract.Who) *reading {
+func (p *Part) read(l *log, after cursor.Position, end bool, who contract.Identity) *reading {
 	r := &reading{after: after, done: make(chan struct{})}
 	if end {
 		l.end = r
@@ -457,7 +457,7 @@
 		p.count.FarReads++
 	}
 	p.count.Unlock()
-	most := l.set.Batch
+	most := l.set.BatchEvents
 	if end {
 		most = max(most, l.set.RingEvents/4)
 	}
@@ -470,7 +470,7 @@
 		}
 		l.mu.Lock()
 		if r.err == nil {
-			r.member = l.feed.Take(p.opt.Now(), r.answer, end)
+			r.member = l.feed.Apply(p.opt.Now(), r.answer, end)
 		}
 		if end {
 			l.end = nil
@@ -487,7 +487,7 @@
 func (p *Part) await(l *log, r *reading, q *Request) error {
 	if p.waiting.Add(1) > int64(p.opt.Waiting) {
 		p.waiting.Add(-1)
-		return &cursor.Crowded{Why: cursor.CrowdWaiting, Feed: l.text, Subscriber: q.Subscriber, Wait: l.set.Again}
+		return &cursor.OverloadedError{Why: cursor.CrowdWaiting, Feed: l.text, Subscriber: q.Subscriber, Wait: l.set.PollInterval}
 	}
 	defer p.waiting.Add(-1)
 	late := time.NewTimer(time.Duration(q.Until - p.opt.Now()))
@@ -496,8 +496,8 @@
 	case <-r.done:
 		return nil
 	case <-late.C:
-		return &cursor.Unread{Feed: l.text, Wait: l.set.Again, Cause: context.DeadlineExceeded}
+		return &cursor.UnreadableError{Feed: l.text, Wait: l.set.PollInterval, Cause: context.DeadlineExceeded}
 	case <-q.Left:
-		return &cursor.Unread{Feed: l.text, Cause: errors.New("the client has left")}
+		return &cursor.UnreadableError{Feed: l.text, Cause: errors.New("the client has left")}
 	}
 }
--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -21,7 +21,7 @@
 // member is a data server's log, which counts who reads it.
 type member struct {
 	mu     sync.Mutex
-	line   cursor.Line
+	line   cursor.Lineage
 	events []cursor.Event
 	reads  int
 	fail   error
@@ -37,7 +37,7 @@
 	if m.reads++; m.fail != nil {
 		return Got{Err: m.fail}
 	}
-	out := &cursor.Answer{Line: m.line, From: a.After.At}
+	out := &cursor.Response{Line: m.line, From: a.After.At}
 	if end, on := m.line.End(a.After.History); on {
 		out.From = min(a.After.At, end)
 	} else if n := len(m.events) - a.Most; n > 0 {
@@ -63,7 +63,7 @@
 func part(t testing.TB, m *member, change func(*cursor.Settings)) (*Part, *atomic.Int64) {
 	now := &atomic.Int64{}
 	now.Store(1e9)
-	set := cursor.Usual()
+	set := cursor.DefaultSettings()
 	if change != nil {
 		change(&set)
 	}
@@ -75,7 +75,7 @@
 	return p, now
 }
 
-func ask(p *Part, seat *Seat, who string, after cursor.Point) (*Batch, error) {
+func ask(p *Part, seat *Seat, who string, after cursor.Position) (*Batch, error) {
 	raw, err := p.Answer(seat, &Request{Class: "f", Group: 1, Subscriber: who, After: after, Until: p.opt.Now() + 20e9})
 	if err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 // A router died with 10,000 subscribers, who all come here, eight at a time under the race detector: whatever is told to come again
 // comes again, each gets the same events once, and the member sees a reading for each quarter of a second and no more.
 func TestFanOut(t *testing.T) {
-	m := &member{line: cursor.Line{{History: one}}}
+	m := &member{line: cursor.Lineage{{History: one}}}
 	for at := int64(1); at <= 50; at++ {
 		m.commit(at)
 	}
@@ -118,9 +118,9 @@
 						mu.Unlock()
 						continue
 					}
-					b, err := ask(p, &Seat{}, fmt.Sprint("s", c.who), cursor.Point{History: one, At: c.from})
-					var crowded *cursor.Crowded
-					if errors.As(err, &crowded) && crowded.Why == cursor.CrowdReturning && crowded.Wait > 0 && crowded.Wait <= p.opt.Settings.Spread {
+					b, err := ask(p, &Seat{}, fmt.Sprint("s", c.who), cursor.Position{History: one, At: c.from})
+					var crowded *cursor.OverloadedError
+					if errors.As(err, &crowded) && crowded.Why == cursor.CrowdReturning && crowded.Wait > 0 && crowded.Wait <= p.opt.Settings.MaxRetryAfter {
 						late.Add(1)
 						c.due = now.Load() + crowded.Wait
 						mu.Lock()
@@ -161,15 +161,15 @@
 
 // Those behind the ring share readings of the same range, under a budget; who is over it is told so, and goes on where it was.
 func TestFarBehind(t *testing.T) {
-	m := &member{line: cursor.Line{{History: one}}}
+	m := &member{line: cursor.Lineage{{History: one}}}
 	for at := int64(1); at <= 100; at++ {
 		m.commit(at)
 	}
-	p, now := part(t, m, func(s *cursor.Settings) { s.RingEvents, s.Batch, s.CatchUp = 10, 20, 2 })
-	if b, err := ask(p, &Seat{}, "warm", cursor.Point{}); err != nil || !b.Began {
+	p, now := part(t, m, func(s *cursor.Settings) { s.RingEvents, s.BatchEvents, s.CatchUpReadsPerSecond = 10, 20, 2 })
+	if b, err := ask(p, &Seat{}, "warm", cursor.Position{}); err != nil || !b.Began {
 		t.Fatal(b, err)
 	}
-	for b, err := ask(p, &Seat{}, "near", cursor.Point{History: one, At: 95}); err != nil || len(b.Events) != 5; {
+	for b, err := ask(p, &Seat{}, "near", cursor.Position{History: one, At: 95}); err != nil || len(b.Events) != 5; {
 		t.Fatal(b, err)
 	}
 	m.hold = make(chan struct{})
@@ -177,7 +177,7 @@
 	var all sync.WaitGroup
 	for i := range 5 { // the same range: one reading
 		all.Go(func() {
-			if b, err := ask(p, &Seat{}, fmt.Sprint("s", i), cursor.Point{History: one, At: 30}); err != nil || len(b.Events) != 20 || b.Events[0].At != 31 || b.AgainMS != 0 {
+			if b, err := ask(p, &Seat{}, fmt.Sprint("s", i), cursor.Position{History: one, At: 30}); err != nil || len(b.Events) != 20 || b.Events[0].At != 31 || b.AgainMS != 0 {
 				t.Error(b, err)
 			}
 		})
@@ -190,10 +190,10 @@
 	if m.reads != before+1 {
 		t.Errorf("%d readings of one range", m.reads-before)
 	}
-	seat, place, got, refused := &Seat{}, cursor.Point{History: one}, []int64{}, 0
+	seat, place, got, refused := &Seat{}, cursor.Position{History: one}, []int64{}, 0
 	for place.At < 100 {
 		b, err := ask(p, seat, "slow", place)
-		var crowded *cursor.Crowded
+		var crowded *cursor.OverloadedError
 		if errors.As(err, &crowded) && crowded.Why == cursor.CrowdFar {
 			refused++
 			now.Add(crowded.Wait)
@@ -215,49 +215,49 @@
 // Two connections of one subscriber at one router: the later holds. A take-over is told; a member that is forked off is not
 // believed, and each refusal says what to do.
 func TestFenceAndFork(t *testing.T) {
-	m := &member{line: cursor.Line{{History: one}}}
+	m := &member{line: cursor.Lineage{{History: one}}}
 	m.commit(10)
 	m.commit(20)
 	p, now := part(t, m, nil)
 	first, second := &Seat{}, &Seat{}
-	a, err := ask(p, first, "x", cursor.Point{History: one, At: 10})
+	a, err := ask(p, first, "x", cursor.Position{History: one, At: 10})
 	if err != nil || len(a.Events) != 1 {
 		t.Fatal(a, err)
 	}
-	b, err := ask(p, second, "x", cursor.Point{History: one, At: 20})
+	b, err := ask(p, second, "x", cursor.Position{History: one, At: 20})
 	if err != nil || b.Next.Gen <= a.Next.Gen || len(b.Events) != 0 {
 		t.Fatal(b, err)
 	}
-	_, err = ask(p, first, "x", cursor.Point{History: one, At: 20})
-	if r := operr.Of(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Remedy(), "connect again") {
+	_, err = ask(p, first, "x", cursor.Position{History: one, At: 20})
+	if r := operr.Of(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Hint(), "connect again") {
 		t.Error(err)
 	}
 	two := cursor.History{Era: 2, ID: 1}
 	m.mu.Lock()
-	m.line, m.events = cursor.Line{{History: one}, {History: two, From: 10}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "other"}}
+	m.line, m.events = cursor.Lineage{{History: one}, {History: two, From: 10}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "other"}}
 	m.mu.Unlock()
 	now.Add(1e9)
-	b, err = ask(p, second, "x", cursor.Point{History: one, At: 20})
+	b, err = ask(p, second, "x", cursor.Position{History: one, At: 20})
 	if err != nil || b.Rewound == nil || b.Rewound.To != 10 || len(b.Events) != 1 || b.Events[0].Text != "other" || b.Next.History != two.String() {
 		t.Errorf("%+v, %v", b, err)
 	}
 	m.mu.Lock()
-	m.line, m.events = cursor.Line{{History: one}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "e20"}, {At: 30, Text: "forked"}}
+	m.line, m.events = cursor.Lineage{{History: one}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "e20"}, {At: 30, Text: "forked"}}
 	m.mu.Unlock()
 	now.Add(1e9)
-	if b, err = ask(p, second, "x", cursor.Point{History: two, At: 20}); err == nil && len(b.Events) > 0 {
+	if b, err = ask(p, second, "x", cursor.Position{History: two, At: 20}); err == nil && len(b.Events) > 0 {
 		t.Errorf("a forked member's events: %+v", b)
 	}
 	m.fail = errors.New("no member")
 	now.Add(1e9)
-	_, err = ask(p, second, "x", cursor.Point{History: two, At: 20})
+	_, err = ask(p, second, "x", cursor.Position{History: two, At: 20})
 	if r := operr.Of(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
 		t.Error(err)
 	}
-	for _, e := range []operr.Error{&cursor.Refused{Row: cursor.Future}, &cursor.Refused{Row: cursor.Snapshot}, &cursor.Refused{Row: cursor.Snapshot, Forgot: true}, &cursor.Crowded{Why: cursor.CrowdWaiting},
-		&cursor.Crowded{Why: cursor.CrowdBusy}, &cursor.Crowded{Why: cursor.CrowdFar}, &cursor.Crowded{Why: cursor.CrowdReturning}} {
-		if e.Kind() == "" || e.Remedy() == "" || strings.Contains(e.Error(), "%!") {
-			t.Errorf("%T: %s, %s, %s", e, e.Kind(), e.Remedy(), e.Error())
+	for _, e := range []operr.Error{&cursor.RejectedError{Row: cursor.Future}, &cursor.RejectedError{Row: cursor.Snapshot}, &cursor.RejectedError{Row: cursor.Snapshot, Forgot: true}, &cursor.OverloadedError{Why: cursor.CrowdWaiting},
+		&cursor.OverloadedError{Why: cursor.CrowdBusy}, &cursor.OverloadedError{Why: cursor.CrowdFar}, &cursor.OverloadedError{Why: cursor.CrowdReturning}} {
+		if e.Kind() == "" || e.Hint() == "" || strings.Contains(e.Error(), "%!") {
+			t.Errorf("%T: %s, %s, %s", e, e.Kind(), e.Hint(), e.Error())
 		}
 	}
 }
@@ -270,7 +270,7 @@
 		f.Add(s)
 	}
 	two := cursor.History{Era: 2, ID: 1}
-	m := &member{line: cursor.Line{{History: one}, {History: two, From: 20}}, events: []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "c"}}}
+	m := &member{line: cursor.Lineage{{History: one}, {History: two, From: 20}}, events: []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "c"}}}
 	p, now := part(f, m, nil)
 	f.Fuzz(func(t *testing.T, fields string) {
 		now.Add(1e9)
@@ -280,7 +280,7 @@
 		}
 		q := &Request{Class: "f", Group: 1, Subscriber: r.Session, Gen: r.Gen, Until: now.Load() + 20e9}
 		if h, err := cursor.ParseHistory(r.History); err == nil && r.HasPos {
-			q.After = cursor.Point{History: h, At: r.After}
+			q.After = cursor.Position{History: h, At: r.After}
 		} else if r.History != "" && err == nil {
 			return
 		}
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -36,8 +36,8 @@
 }
 
 // AppendAnswer writes what a member says.
-func AppendAnswer(a *cursor.Answer) ([]byte, error) {
-	t := told{Gone: a.Gone, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
+func AppendAnswer(a *cursor.Response) ([]byte, error) {
+	t := told{Gone: a.TruncatedUpTo, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
 	for _, f := range a.Line {
 		t.Line = append(t.Line, history{f.History.String(), f.From})
 	}
@@ -45,12 +45,12 @@
 }
 
 // ParseAnswer reads it, and refuses what can't be right.
-func ParseAnswer(raw []byte) (*cursor.Answer, error) {
+func ParseAnswer(raw []byte) (*cursor.Response, error) {
 	var t told
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	a := &cursor.Answer{Gone: t.Gone, Head: t.Head, From: t.From, More: t.More}
+	a := &cursor.Response{TruncatedUpTo: t.Gone, Head: t.Head, From: t.From, More: t.More}
 	for _, h := range t.Line {
 		one, err := cursor.ParseHistory(h.Name)
 		if err != nil {
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -149,7 +149,7 @@
 		defer stop()
 		var serving sync.WaitGroup
 		w := NewWatcher("0", routers, grace)
-		w.Pace = agents[0].pace
+		w.CallDelay = agents[0].pace
 		w.dial = func(_ context.Context, agent string, _ time.Duration) (net.Conn, error) {
 			s := agents[agent[0]-'0']
 			now := time.Since(began)
@@ -308,7 +308,7 @@
 					from = 0
 				}
 				follow(t, c.routers, grace, x+60*s, c.move, func(l *List, now at) error {
-					if l.Seq == 2 {
+					if l.Version == 2 {
 						has = min(has, now)
 					}
 					return nil
@@ -412,7 +412,7 @@
 					defer d.mu.RUnlock()
 					var ready []string
 					for _, h := range []string{"anew", "drains", "gone", "stays"} {
-						if d.nodes[d.ids[h]].ready {
+						if d.entries[d.ids[h]].ready {
 							ready = append(ready, h)
 						}
 					}
@@ -430,10 +430,10 @@
 							}
 						}
 					}
-					e, err := d.Take(l)
-					for _, n := range e.Nodes {
-						if n.Node == d.ids["anew"] && n.State != balance.Gone && l.Doubtful {
-							born = n.Started
+					e, err := d.Update(l)
+					for _, n := range e.Endpoints {
+						if n.ID == d.ids["anew"] && n.State != balance.Removed && l.Doubtful {
+							born = n.StartedAt
 						}
 					}
 					return err
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -58,20 +58,20 @@
 
 // An agent that has lost its list must not take every server away.
 func TestEmptyList(t *testing.T) {
-	d, empty := NewDirectory(), &List{Seq: 2, Whole: true}
-	if _, err := d.Take(empty); err != nil {
+	d, empty := NewDirectory(), &List{Version: 2, Complete: true}
+	if _, err := d.Update(empty); err != nil {
 		t.Errorf("before anything is listed: %v", err)
 	}
-	host := Host{Host: "s-1", Dial: "127.0.0.1:1", Block: 3, Health: "SERVING"}
-	id := d.Apply(&List{Whole: true, Hosts: []Host{host}}).Nodes[0].Node
-	if _, err := d.Take(empty); err == nil {
+	host := Host{Name: "s-1", Address: "127.0.0.1:1", Group: 3, State: "SERVING"}
+	id := d.Apply(&List{Complete: true, Hosts: []Host{host}}).Endpoints[0].ID
+	if _, err := d.Update(empty); err == nil {
 		t.Error("an empty list was taken")
 	}
-	if _, ready := d.Address(id); !ready || !d.Serves(3) {
+	if _, ready := d.Address(id); !ready || !d.HasGroup(3) {
 		t.Error("the old list was not kept")
 	}
-	host.Health = "DELETED" // what is withdrawn by name is gone, also where it is the last
-	if _, err := d.Take(&List{Hosts: []Host{host}}); err != nil || d.Serves(3) {
+	host.State = "DELETED" // what is withdrawn by name is gone, also where it is the last
+	if _, err := d.Update(&List{Hosts: []Host{host}}); err != nil || d.HasGroup(3) {
 		t.Errorf("withdrawn by name: %v", err)
 	}
 }
@@ -89,12 +89,12 @@
 			return
 		}
 		d := NewDirectory()
-		e, err := d.Take(l)
+		e, err := d.Update(l)
 		if err != nil {
 			t.Fatalf("a first list was not taken: %v", err)
 		}
-		for _, n := range e.Nodes {
-			if n.Started < 0 || n.Weight < 0 || n.Started > noon.Add(mostAhead).UnixNano() {
+		for _, n := range e.Endpoints {
+			if n.StartedAt < 0 || n.Weight < 0 || n.StartedAt > noon.Add(maxClockAhead).UnixNano() {
 				t.Fatalf("taken: %+v", n)
 			}
 		}
@@ -112,14 +112,14 @@
 		return d.Apply(l)
 	}
 	e := apply(`{"seq":1,"whole":true,"hosts":[` + one + `]}`)
-	id := e.Nodes[0].Node
-	want := balance.Event{Kind: balance.NodesFull, Nodes: []balance.NodeEntry{
-		{Node: id, Group: 3, Zone: "a", Weight: 1.5, Started: 7e6}}}
+	id := e.Endpoints[0].ID
+	want := balance.Event{Kind: balance.EndpointSnapshot, Endpoints: []balance.Endpoint{
+		{ID: id, Group: 3, Zone: "a", Weight: 1.5, StartedAt: 7e6}}}
 	if diff := cmp.Diff(want, e); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	if diff := cmp.Diff(e, NewDirectory().Apply(&List{Whole: true, Hosts: []Host{{Host: "s-1", Site: "a", Block: 3,
-		Health: "SERVING", Share: 1.5, BornMS: 7}}})); diff != "" {
+	if diff := cmp.Diff(e, NewDirectory().Apply(&List{Complete: true, Hosts: []Host{{Name: "s-1", Zone: "a", Group: 3,
+		State: "SERVING", Weight: 1.5, StartedMS: 7}}})); diff != "" {
 		t.Errorf("a host's number differs between routers:\n%s", diff)
 	}
 	check := func(dial string, ready bool) {
@@ -137,15 +137,15 @@
 	check("127.0.0.1:2", true)
 	apply(`{"seq":5,"whole":true,"hosts":[]}`) // absent from the whole list: gone
 	check("127.0.0.1:2", false)
-	if d.Serves(3) {
+	if d.HasGroup(3) {
 		t.Error("a group without hosts serves")
 	}
 	for i := range 1000 { // replaced all day: only so many are remembered, and none that is listed is forgotten
 		apply(fmt.Sprintf(`{"seq":6,"whole":false,"hosts":[{"host":"x-%d","dial":"127.0.0.1:1","block":4,"health":"SERVING"},`+
 			`{"host":"x-%d","health":"DELETED"}]}`, i, i-1))
 	}
-	if len(d.nodes) > mostGone+1 || len(d.ids) != len(d.nodes) || !d.Serves(4) || d.Serves(5) {
-		t.Errorf("%d nodes, %d names remembered", len(d.nodes), len(d.ids))
+	if len(d.entries) > maxRemoved+1 || len(d.ids) != len(d.entries) || !d.HasGroup(4) || d.HasGroup(5) {
+		t.Errorf("%d nodes, %d names remembered", len(d.entries), len(d.ids))
 	}
 	if _, ready := d.Address(id + 1); ready {
 		t.Error("an unlisted node is ready")
@@ -207,9 +207,9 @@
 		defer close(done)
 		w := NewWatcher(s.Addr("agent"), 0, 0)
 		// Turns are waited for however slow the machine is.
-		w.mostTurn = time.Hour
-		w.Pace = func() (time.Duration, bool) { asked++; return time.Millisecond, asked%3 == 0 } // each whole list has its third turn
-		w.Run(ctx, func(l *List) error { told <- l.Seq; return nil })
+		w.maxTurnWait = time.Hour
+		w.CallDelay = func() (time.Duration, bool) { asked++; return time.Millisecond, asked%3 == 0 } // each whole list has its third turn
+		w.Run(ctx, func(l *List) error { told <- l.Version; return nil })
 	}()
 	expect := func(seq int64) {
 		t.Helper()
@@ -286,7 +286,7 @@
 	told, done := make(chan int64, 1), make(chan struct{})
 	go func() {
 		defer close(done)
-		NewWatcher(s.Addr("agent"), routers, 0).Run(ctx, func(l *List) error { told <- l.Seq; return nil })
+		NewWatcher(s.Addr("agent"), routers, 0).Run(ctx, func(l *List) error { told <- l.Version; return nil })
 	}()
 	s.Play(`wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -212,7 +212,7 @@
 					w.Run(ctx, func(l *List) error {
 						mu.Lock()
 						defer mu.Unlock()
-						if _, ok := has[i]; !ok && l.Seq == 2 {
+						if _, ok := has[i]; !ok && l.Version == 2 {
 							has[i] = agent.now()
 						}
 						return nil
@@ -311,8 +311,8 @@
 		})
 	}
 	for _, many := range []int{1, 5, 300, 100_000} {
-		if w := NewWatcher("", many, 0); w.every*(jitter+1)/jitter+w.mostTurn+time.Second > toldAfter-toldMargin || w.first > w.every {
-			t.Errorf("%d routers: pauses of %v to %v", many, w.first, w.every)
+		if w := NewWatcher("", many, 0); w.maxBackoff*(jitterShare+1)/jitterShare+w.maxTurnWait+time.Second > notifiedAfter-notifiedMargin || w.firstBackoff > w.maxBackoff {
+			t.Errorf("%d routers: pauses of %v to %v", many, w.firstBackoff, w.maxBackoff)
 		}
 	}
 }
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	mostHeaders = 100
-	longestBody = 2 << 20 // some ten thousand hosts; what it is parsed into has to fit a router of 32 MB
+	maxHeaders   = 100
+	maxBodyBytes = 2 << 20 // some ten thousand hosts; what it is parsed into has to fit a router of 32 MB
 )
 
 var errHTTP = errors.New("malformed HTTP response")
@@ -32,20 +32,20 @@
 	length, chunked := -1, false
 	for n := 0; ; n++ {
 		if line, err = readLine(r); err != nil {
-			return 0, nil, false, noEOF(err)
+			return 0, nil, false, unexpectedEOF(err)
 		}
 		if line == "" {
 			break
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || n == mostHeaders {
+		if !ok || n == maxHeaders {
 			return 0, nil, false, fmt.Errorf("%w: header %.60q", errHTTP, line)
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
 			l, err := strconv.Atoi(value)
-			if err != nil || l < 0 || l > longestBody || length >= 0 && length != l {
+			if err != nil || l < 0 || l > maxBodyBytes || length >= 0 && length != l {
 				return 0, nil, false, fmt.Errorf("%w: length %.60q", errHTTP, value)
 			}
 			length = l
@@ -71,12 +71,12 @@
 		_, err = io.ReadFull(r, body)
 	default: // the end of the connection ends the body
 		keep = false
-		body, err = io.ReadAll(io.LimitReader(r, longestBody+1))
-		if len(body) > longestBody {
+		body, err = io.ReadAll(io.LimitReader(r, maxBodyBytes+1))
+		if len(body) > maxBodyBytes {
 			err = fmt.Errorf("%w: body too long", errHTTP)
 		}
 	}
-	return status, body, keep, noEOF(err)
+	return status, body, keep, unexpectedEOF(err)
 }
 
 func readChunks(r *bufio.Reader) ([]byte, error) {
@@ -88,11 +88,11 @@
 		}
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 32)
-		if err != nil || len(body)+int(n) > longestBody {
+		if err != nil || len(body)+int(n) > maxBodyBytes {
 			return nil, fmt.Errorf("%w: chunk size %.60q", errHTTP, line)
 		}
 		if n == 0 {
-			for i := 0; i < mostHeaders; i++ { // trailers
+			for i := 0; i < maxHeaders; i++ { // trailers
 				if line, err = readLine(r); err != nil || line == "" {
 					return body, err
 				}
@@ -124,8 +124,8 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// noEOF keeps a response that was cut off from looking like a clean end.
-func noEOF(err error) error {
+// unexpectedEOF keeps a response that was cut off from looking like a clean end.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -18,35 +18,35 @@
 
 // List is a whole list, or the entries that changed.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+	Version  int64  `json:"seq"`
+	Complete bool   `json:"whole"`
+	Hosts    []Host `json:"hosts"`
 
 	// An agent that had said more says so: what this would lift of a ban does not hold yet.
 	Doubtful bool `json:"-"`
 }
 
-// Host is one data server.
+// NameOf is one data server.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int64   `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
-	Rank   string  `json:"rank"`
+	Name      string  `json:"host"`
+	Address   string  `json:"dial"`
+	Zone      string  `json:"site"`
+	Class     string  `json:"class"`
+	Group     int64   `json:"block"`
+	State     string  `json:"health"`
+	Weight    float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"`
+	Role      string  `json:"rank"`
 }
 
-var states = map[string]balance.Lifecycle{
-	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Gone}
+var states = map[string]balance.EndpointState{
+	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Removed}
 
 const (
 	// A server that started in the future would stay cold until then. All machines
 	// read one clock, but a router's own may be set wrong.
-	mostAhead = time.Hour
-	mostShare = 1e4 // a server's size against the usual one: beyond it a slip, and every other would get nothing
+	maxClockAhead = time.Hour
+	maxWeight     = 1e4 // a server's size against the usual one: beyond it a slip, and every other would get nothing
 )
 
 // Parse reads a list and refuses one that is malformed anywhere, so that the
@@ -68,93 +68,93 @@
 	}
 	seen := map[string]bool{}
 	for i, h := range *l.Hosts {
-		if h.Host == "" || seen[h.Host] {
-			return nil, fmt.Errorf("list: hosts[%d]: no name, or %q again", i, h.Host)
+		if h.Name == "" || seen[h.Name] {
+			return nil, fmt.Errorf("list: hosts[%d]: no name, or %q again", i, h.Name)
 		}
-		seen[h.Host] = true
-		state, ok := states[h.Health]
+		seen[h.Name] = true
+		state, ok := states[h.State]
 		if !ok {
-			return nil, fmt.Errorf("list: host %q: unknown health %q", h.Host, h.Health)
+			return nil, fmt.Errorf("list: host %q: unknown health %q", h.Name, h.State)
 		}
-		if _, err := netip.ParseAddrPort(h.Dial); err != nil && state != balance.Gone {
-			return nil, fmt.Errorf("list: host %q: bad address %q", h.Host, h.Dial)
+		if _, err := netip.ParseAddrPort(h.Address); err != nil && state != balance.Removed {
+			return nil, fmt.Errorf("list: host %q: bad address %q", h.Name, h.Address)
 		}
-		if h.BornMS < 0 || h.BornMS > now.Add(mostAhead).UnixMilli() {
-			return nil, fmt.Errorf("list: host %q: born_ms %d is negative or in the future", h.Host, h.BornMS)
+		if h.StartedMS < 0 || h.StartedMS > now.Add(maxClockAhead).UnixMilli() {
+			return nil, fmt.Errorf("list: host %q: born_ms %d is negative or in the future", h.Name, h.StartedMS)
 		}
-		if h.Share < 0 || h.Share > mostShare {
-			return nil, fmt.Errorf("list: host %q: share %v is not between 0 and %v", h.Host, h.Share, float64(mostShare))
+		if h.Weight < 0 || h.Weight > maxWeight {
+			return nil, fmt.Errorf("list: host %q: share %v is not between 0 and %v", h.Name, h.Weight, float64(maxWeight))
 		}
 	}
-	return &List{Seq: *l.Seq, Whole: *l.Whole, Hosts: *l.Hosts}, nil
+	return &List{Version: *l.Seq, Complete: *l.Whole, Hosts: *l.Hosts}, nil
 }
 
 // Directory maps hosts to the numbers that the decisions use, and numbers to
 // addresses and states. It is safe for concurrent use.
 type Directory struct {
-	mu    sync.RWMutex
-	nodes map[uint32]place
-	ids   map[string]uint32
-	old   []uint32 // gone, the longest ago first
+	mu           sync.RWMutex
+	entries      map[balance.EndpointID]directoryEntry
+	ids          map[string]balance.EndpointID
+	removedOrder []balance.EndpointID // gone, the longest ago first
 }
 
-type place struct {
-	host  string
-	dial  string
-	group int64
-	born  int64 // the latest start that was told, Unix ms
-	ready bool
-	gone  bool
+type directoryEntry struct {
+	name      string
+	address   string
+	group     int64
+	startedMS int64 // the latest start that was told, Unix ms
+	ready     bool
+	removed   bool
 }
 
 // mostGone is how many withdrawn hosts are remembered: connections to them may
 // still be open, and one may come back under its number.
-const mostGone = 64
+const maxRemoved = 64
 
 // NewDirectory returns a directory without entries.
 func NewDirectory() *Directory {
-	return &Directory{nodes: map[uint32]place{}, ids: map[string]uint32{}}
+	return &Directory{entries: map[balance.EndpointID]directoryEntry{}, ids: map[string]balance.EndpointID{}}
 }
 
 // errEmpty is an agent that has lost its list: servers leave one after the other, and never all.
-var errEmpty = errors.New("list: whole and empty, though hosts were listed: the old one is kept")
+var errEmptyList = errors.New("list: whole and empty, though hosts were listed: the old one is kept")
 
 // mostListed is how many hosts may be listed at once: each costs memory here and in the decisions, and an agent that names
 // ever new ones would take all there is.
-const mostListed = 16 << 10
+const maxListed = 16 << 10
 
-// crowdedError is a list that names more hosts than a router can hold.
-type crowdedError struct{ hosts int }
+// tooManyHostsError is a list that names more hosts than a router can hold.
+type tooManyHostsError struct{ hosts int }
 
-func (e crowdedError) Error() string {
-	return fmt.Sprintf("list: %d hosts would be listed, and at most %d may: the old list is kept", e.hosts, mostListed)
+func (e tooManyHostsError) Error() string {
+	return fmt.Sprintf("list: %d hosts would be listed, and at most %d may: the old list is kept", e.hosts, maxListed)
 }
 
-// Take is Apply of a list from discovery. One that would take away all that is listed, or list too many, changes nothing. One that is
+// Update is Apply of a list from discovery. One that would take away all that is listed, or list too many, changes nothing. One that is
 // doubtful withdraws and drains, and adds what is new, but lifts nothing that was told of a server's present start.
-func (d *Directory) Take(l *List) (balance.Event, error) {
+func (d *Directory) Update(l *List) (balance.Event, error) {
 	if l.Doubtful {
-		l = d.cautious(l)
+		l = d.withoutRevivals(l)
 	}
-	if l.Whole && len(l.Hosts) == 0 && d.listed() {
-		return balance.Event{}, errEmpty
+	if l.Complete && len(l.Hosts) == 0 && d.hasListed() {
+		return balance.Event{}, errEmptyList
 	}
-	if n := d.wouldList(l); n > mostListed {
-		return balance.Event{}, crowdedError{n}
+	if n := d.countAfter(l); n > maxListed {
+		return balance.Event{}, tooManyHostsError{n}
 	}
 	return d.Apply(l), nil
 }
 
-// cautious is a list without what would have a server that drains or is gone get work again, or warm before its time.
-func (d *Directory) cautious(l *List) *List {
+// withoutRevivals is a list without what would have a server that drains or is gone get work again, or warm before its time.
+func (d *Directory) withoutRevivals(l *List) *List {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	kept := &List{Seq: l.Seq, Whole: l.Whole}
+	kept := &List{Version: l.Version, Complete: l.Complete}
 	for _, h := range l.Hosts {
-		id, met := d.ids[h.Host]
-		if p := d.nodes[id]; met && h.BornMS <= p.born {
-			if h.BornMS = p.born; !p.ready && states[h.Health] == balance.Ready {
-				h.Health = "DRAINING"
+		id, met := d.ids[h.Name]
+		if p := d.entries[id]; met && h.StartedMS <= p.startedMS {
+			if h.StartedMS = p.startedMS; !p.ready && states[h.State] == balance.Ready {
+				h.State = "DRAINING"
 			}
 		}
 		kept.Hosts = append(kept.Hosts, h)
@@ -162,27 +162,27 @@
 	return kept
 }
 
-// wouldList is how many hosts are listed once a list is taken, at most: of changes each host is counted that is not listed.
-func (d *Directory) wouldList(l *List) int {
-	if l.Whole {
+// countAfter is how many hosts are listed once a list is taken, at most: of changes each host is counted that is not listed.
+func (d *Directory) countAfter(l *List) int {
+	if l.Complete {
 		return len(l.Hosts)
 	}
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	n := len(d.nodes)
+	n := len(d.entries)
 	for _, h := range l.Hosts {
-		if _, met := d.ids[h.Host]; !met {
+		if _, met := d.ids[h.Name]; !met {
 			n++
 		}
 	}
 	return n
 }
 
-func (d *Directory) listed() bool {
+func (d *Directory) hasListed() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	for _, p := range d.nodes {
-		if !p.gone {
+	for _, p := range d.entries {
+		if !p.removed {
 			return true
 		}
 	}
@@ -193,106 +193,106 @@
 func (d *Directory) Apply(l *List) balance.Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := balance.Event{Kind: balance.NodesChanged}
-	if l.Whole {
-		e.Kind = balance.NodesFull
+	e := balance.Event{Kind: balance.EndpointUpdate}
+	if l.Complete {
+		e.Kind = balance.EndpointSnapshot
 		listed := map[string]bool{}
 		for _, h := range l.Hosts {
-			listed[h.Host] = true
+			listed[h.Name] = true
 		}
-		for id, p := range d.nodes { // absent from the whole list: gone
-			if !listed[p.host] {
-				d.withdraw(id, p)
+		for id, p := range d.entries { // absent from the whole list: gone
+			if !listed[p.name] {
+				d.remove(id, p)
 			}
 		}
 	}
 	for _, h := range l.Hosts {
-		id := d.id(h.Host)
-		p := place{host: h.Host, dial: h.Dial, group: h.Block, born: h.BornMS, ready: states[h.Health] == balance.Ready, gone: d.nodes[id].gone}
-		if p.dial == "" {
-			p.dial = d.nodes[id].dial
+		id := d.id(h.Name)
+		p := directoryEntry{name: h.Name, address: h.Address, group: h.Group, startedMS: h.StartedMS, ready: states[h.State] == balance.Ready, removed: d.entries[id].removed}
+		if p.address == "" {
+			p.address = d.entries[id].address
 		}
-		if states[h.Health] == balance.Gone {
-			p.born = max(p.born, d.nodes[id].born) // a withdrawal may leave it out
-			d.withdraw(id, p)
+		if states[h.State] == balance.Removed {
+			p.startedMS = max(p.startedMS, d.entries[id].startedMS) // a withdrawal may leave it out
+			d.remove(id, p)
 		} else {
-			p.gone = false
-			d.nodes[id] = p
+			p.removed = false
+			d.entries[id] = p
 		}
-		e.Nodes = append(e.Nodes, balance.NodeEntry{Node: id, Group: h.Block, Zone: h.Site,
-			State: states[h.Health], Primary: h.Rank == "source", Weight: h.Share, Started: h.BornMS * 1e6})
+		e.Endpoints = append(e.Endpoints, balance.Endpoint{ID: id, Group: h.Group, Zone: h.Zone,
+			State: states[h.State], Primary: h.Role == "source", Weight: h.Weight, StartedAt: h.StartedMS * 1e6})
 	}
 	return e
 }
 
-// withdraw marks a host as gone, and forgets the ones that went long ago: with
+// remove marks a host as gone, and forgets the ones that went long ago: with
 // servers replaced all day they would pile up.
-func (d *Directory) withdraw(id uint32, p place) {
-	if p.ready = false; !p.gone {
-		p.gone = true
-		d.old = append(d.old, id)
+func (d *Directory) remove(id balance.EndpointID, p directoryEntry) {
+	if p.ready = false; !p.removed {
+		p.removed = true
+		d.removedOrder = append(d.removedOrder, id)
 	}
-	d.nodes[id] = p
-	for len(d.old) > mostGone {
-		id := d.old[0]
-		d.old = d.old[1:]
-		if p := d.nodes[id]; p.gone {
-			delete(d.nodes, id)
-			delete(d.ids, p.host)
+	d.entries[id] = p
+	for len(d.removedOrder) > maxRemoved {
+		id := d.removedOrder[0]
+		d.removedOrder = d.removedOrder[1:]
+		if p := d.entries[id]; p.removed {
+			delete(d.entries, id)
+			delete(d.ids, p.name)
 		}
 	}
 }
 
-// Serves says whether a group has a listed host. Before there is any list, every
+// HasGroup says whether a group has a listed host. Before there is any list, every
 // group may have one.
-func (d *Directory) Serves(group int64) bool {
+func (d *Directory) HasGroup(group int64) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	for _, p := range d.nodes {
-		if p.group == group && !p.gone {
+	for _, p := range d.entries {
+		if p.group == group && !p.removed {
 			return true
 		}
 	}
-	return len(d.nodes) == 0
+	return len(d.entries) == 0
 }
 
 // id gives a host the same number at every router, but where two names share a hash.
-func (d *Directory) id(host string) uint32 {
+func (d *Directory) id(host string) balance.EndpointID {
 	if id, ok := d.ids[host]; ok {
 		return id
 	}
 	h := fnv.New32a()
 	h.Write([]byte(host))
-	id := h.Sum32()
+	id := balance.EndpointID(h.Sum32())
 	for {
-		if _, taken := d.nodes[id]; !taken {
+		if _, taken := d.entries[id]; !taken {
 			break
 		}
 		id++
 	}
-	d.ids[host], d.nodes[id] = id, place{}
+	d.ids[host], d.entries[id] = id, directoryEntry{}
 	return id
 }
 
-// Host is the name of a node; none of one that was never listed, or is long gone.
-func (d *Directory) Host(node uint32) string {
+// NameOf is the name of a node; none of one that was never listed, or is long gone.
+func (d *Directory) NameOf(node balance.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.nodes[node].host
+	return d.entries[node].name
 }
 
-// Start is the name of a node and when it started, as the list tells it.
-func (d *Directory) Start(node uint32) (host string, born int64) {
+// StartOf is the name of a node and when it started, as the list tells it.
+func (d *Directory) StartOf(node balance.EndpointID) (host string, born int64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.nodes[node].host, d.nodes[node].born * 1e6
+	return d.entries[node].name, d.entries[node].startedMS * 1e6
 }
 
 // Address is where to dial a node, and whether it may get anything new: it is
 // listed, and neither draining nor gone.
-func (d *Directory) Address(node uint32) (dial string, ready bool) {
+func (d *Directory) Address(node balance.EndpointID) (dial string, ready bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.nodes[node]
-	return p.dial, p.ready
+	p := d.entries[node]
+	return p.address, p.ready
 }
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -91,7 +91,7 @@
 					}
 				})
 				w := NewWatcher(ln.Addr().String(), 0, 0)
-				w.patient, w.quick, w.drip = time.Minute, time.Minute, time.Minute // the machine may be slow
+				w.patientSilence, w.quickSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute // the machine may be slow
 				w.dial = func(ctx context.Context, agent string, within time.Duration) (net.Conn, error) {
 					conn, err := dial(ctx, agent, within)
 					if err != nil {
@@ -103,7 +103,7 @@
 				first := int64(0)
 				w.Run(ctx, func(l *List) error {
 					if first == 0 {
-						first = l.Seq
+						first = l.Version
 					}
 					stop()
 					return nil
@@ -130,7 +130,7 @@
 	var agent sync.WaitGroup
 	dials := 0
 	w := NewWatcher("", 0, 0)
-	w.watchFor, w.patient, w.quick, w.drip = time.Minute, time.Minute, time.Minute, time.Minute // the machine may be slow
+	w.watchTimeout, w.patientSilence, w.quickSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute, time.Minute // the machine may be slow
 	w.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
 		here, there := net.Pipe()
 		dials++
@@ -160,7 +160,7 @@
 	}
 	var names []string
 	w.Run(ctx, func(l *List) error {
-		names = append(names, l.Hosts[0].Host)
+		names = append(names, l.Hosts[0].Name)
 		if len(names) == 2 {
 			stop()
 		}
@@ -189,34 +189,34 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1fffff\r\n"} {
 		e := &endlessly{}
 		_, _, _, err := readResponse(bufio.NewReader(io.MultiReader(strings.NewReader(head), e)))
-		if !errors.Is(err, errHTTP) || e.read > longestBody+64<<10 {
+		if !errors.Is(err, errHTTP) || e.read > maxBodyBytes+64<<10 {
 			t.Errorf("%q: %v after %d bytes", head, err, e.read)
 		}
 	}
 	d := NewDirectory()
 	named := 0
 	add := func(whole bool, n int) error {
-		l := &List{Whole: whole}
+		l := &List{Complete: whole}
 		for range n {
 			named++
-			l.Hosts = append(l.Hosts, Host{Host: fmt.Sprint("h-", named), Dial: "127.0.0.1:1", Block: 1, Health: "SERVING"})
+			l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h-", named), Address: "127.0.0.1:1", Group: 1, State: "SERVING"})
 		}
-		_, err := d.Take(l)
+		_, err := d.Update(l)
 		return err
 	}
-	var crowded crowdedError
-	if err := add(true, mostListed+1); !errors.As(err, &crowded) || d.listed() {
+	var crowded tooManyHostsError
+	if err := add(true, maxListed+1); !errors.As(err, &crowded) || d.hasListed() {
 		t.Errorf("a whole list of too many: %v", err)
 	}
 	for range 10 {
-		if err := add(false, mostListed/4); err != nil && (!errors.As(err, &crowded) || strings.Contains(err.Error(), "\n")) {
+		if err := add(false, maxListed/4); err != nil && (!errors.As(err, &crowded) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%v", err)
 		}
 	}
-	if len(d.nodes) != mostListed || len(d.ids) != mostListed {
-		t.Errorf("%d hosts are listed", len(d.nodes))
+	if len(d.entries) != maxListed || len(d.ids) != maxListed {
+		t.Errorf("%d hosts are listed", len(d.entries))
 	}
-	if err := add(true, 3); err != nil || len(d.nodes) > 3+mostGone {
-		t.Errorf("a list that fits, later: %v, %d hosts remembered", err, len(d.nodes))
+	if err := add(true, 3); err != nil || len(d.entries) > 3+maxRemoved {
+		t.Errorf("a list that fits, later: %v, %d hosts remembered", err, len(d.entries))
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,46 +19,46 @@
 // where a watch fell silent or calls failed, and what the router's own agent has counts from the moment it has it, with the
 // settings' grace of a second for drains.
 const (
-	path        = "/v1/endpoints"
-	dialFor     = time.Second
-	leastPause  = 50 * time.Millisecond
-	growth      = 4                // so many times as long as the one before, up to the longest, is the pause after an error
-	atOnce      = time.Millisecond // the wait of a call that asks for changes and wants to hear also that there are none
-	mostHasty   = 4                // answers that came at once; behind more in a row it rests, or an agent that waits for nothing had it spin
-	drip        = 2 * time.Second  // from its first byte on, an answer is whole by then, or given up
-	unknownLate = time.Duration(-1)
+	endpointsPath       = "/v1/endpoints"
+	dialTimeout         = time.Second
+	minBackoff          = 50 * time.Millisecond
+	backoffFactor       = 4                // so many times as long as the one before, up to the longest, is the pause after an error
+	immediateWait       = time.Millisecond // the wait of a call that asks for changes and wants to hear also that there are none
+	maxImmediateAnswers = 4                // answers that came at once; behind more in a row it rests, or an agent that waits for nothing had it spin
+	bodyTimeout         = 2 * time.Second  // from its first byte on, an answer is whole by then, or given up
+	unknownDelay        = time.Duration(-1)
 	// So long an agent that says less than was had may be late with its news: what would lift a ban has to wait for that.
 	// It is less than the 4 s after which a new agent's word holds.
-	doubtFor = 3 * time.Second
+	doubtPeriod = 3 * time.Second
 
 	// An agent of the router's own answers at once and asking it costs nothing. A watch that fell silent is opened anew
 	// after watchFor + quick + 1.5 leastPause + mostTurn = 925 ms, and one that has come back is asked within patient +
 	// 1.5 leastPause + mostTurn = 875 ms: both are inside a drain's grace of a second. Where the settings tell a shorter
 	// one, all but leastPause is shorter in proportion: 500 and 475 ms for 500 ms, less 50 ms where nothing paces calls.
-	usualGrace = time.Second
-	watchFor   = 500 * time.Millisecond
-	quick      = 250 * time.Millisecond
-	patient    = 700 * time.Millisecond
-	mostPause  = 100 * time.Millisecond
-	mostTurn   = 100 * time.Millisecond
+	defaultGrace   = time.Second
+	watchTimeout   = 500 * time.Millisecond
+	quickSilence   = 250 * time.Millisecond
+	patientSilence = 700 * time.Millisecond
+	maxBackoff     = 100 * time.Millisecond
+	maxTurnWait    = 100 * time.Millisecond
 
 	// Where one service of fixed capacity answers all routers, calls wait there in turn, and who hangs up early has had it
 	// work for nothing. A watch is the longest that leaves the 6 s room for what finds its silence and for a second answer
 	// as late as the last; a service that is later than that is spared, and waited for. After errors calls begin 4 s apart,
 	// as they do in calm, so that what comes back, or has time again, is asked within 6 s less the time of an answer.
-	toldAfter      = 6 * time.Second
-	toldMargin     = 200 * time.Millisecond
-	sharedWatch    = 4 * time.Second
-	sharedQuick    = time.Second
-	sharedLater    = 600 * time.Millisecond // than the last answer the next may be
-	sharedLatest   = 2 * time.Second        // a later service can't be found silent and answer within the 6 s
-	sharedTurn     = 4 * time.Second        // as long as the next call's time has not come
-	sharedEvery    = 4 * time.Second
-	sharedFirst    = 500 * time.Millisecond
-	sharedMostTurn = 400 * time.Millisecond
-	eachCall       = 200 * time.Millisecond // few routers ask sooner: all together after errors once in this
-	leastEvery     = time.Second
-	jitter         = 10 // of the span between two calls, such a part to either side
+	notifiedAfter        = 6 * time.Second
+	notifiedMargin       = 200 * time.Millisecond
+	sharedWatchTimeout   = 4 * time.Second
+	sharedQuickSilence   = time.Second
+	sharedDelayGrowth    = 600 * time.Millisecond // than the last answer the next may be
+	sharedMaxDelay       = 2 * time.Second        // a later service can't be found silent and answer within the 6 s
+	sharedPatientSilence = 4 * time.Second        // as long as the next call's time has not come
+	sharedMaxBackoff     = 4 * time.Second
+	sharedFirstBackoff   = 500 * time.Millisecond
+	sharedMaxTurnWait    = 400 * time.Millisecond
+	callSpacing          = 200 * time.Millisecond // few routers ask sooner: all together after errors once in this
+	minSharedBackoff     = time.Second
+	jitterShare          = 10 // of the span between two calls, such a part to either side
 )
 
 // statusError is an answer that came whole and is no list.
@@ -74,44 +74,44 @@
 	// How long a watch is; what silence is borne beyond it from an agent whose last answer was quick, and from another;
 	// how long an answer may drip; the pause after an error; what the span from one call to the next grows to while they
 	// fail; how long Pace may put a call off; how long less than was had is doubted.
-	watchFor, quick, patient, drip, first, every, mostTurn, doubtFor time.Duration
-	shared                                                           bool
+	watchTimeout, quickSilence, patientSilence, bodyTimeout, firstBackoff, maxBackoff, maxTurnWait, doubtPeriod time.Duration
+	shared                                                                                                      bool
 
-	Tally *metrics.Tally // counts calls; nil: nobody does
+	Metrics *metrics.Tally // counts calls; nil: nobody does
 	// Pace is asked before a call for the whole list: it may be made after wait, or Pace is to be asked again then. What it
 	// puts off for longer than the list's clock allows is asked for all the same. nil: at once.
-	Pace func() (wait time.Duration, ok bool)
+	CallDelay func() (wait time.Duration, ok bool)
 
 	dial func(ctx context.Context, agent string, within time.Duration) (net.Conn, error)
 
-	mu    sync.Mutex
-	agent string
-	cut   context.CancelFunc // ends what is under way at the agent
-
-	seq   int64
-	known bool          // a whole list was had from this agent
-	late  time.Duration // the last answer, behind its wait; it holds for the service, so over a move to another agent of it
-	had   int64         // the highest version taken, of any agent
-	doubt time.Time     // until when one that says less is doubted; zero: none is
-	conn  net.Conn
-	in    *filler
-	read  *bufio.Reader
+	mu         sync.Mutex
+	agent      string
+	cancelCall context.CancelFunc // ends what is under way at the agent
+
+	version       int64
+	hasSnapshot   bool          // a whole list was had from this agent
+	responseDelay time.Duration // the last answer, behind its wait; it holds for the service, so over a move to another agent of it
+	maxVersion    int64         // the highest version taken, of any agent
+	doubtUntil    time.Time     // until when one that says less is doubted; zero: none is
+	conn          net.Conn
+	input         *timedReader
+	reader        *bufio.Reader
 }
 
 // NewWatcher returns a watcher of the agent at an address. Where routers is not
 // 0, so many share one service behind their agents, which each call burdens;
 // elsewhere news has to be had within a grace from when the agent has it (0: the usual).
 func NewWatcher(agent string, routers int, grace time.Duration) *Watcher {
-	w := &Watcher{agent: agent, watchFor: watchFor, quick: quick, patient: patient, drip: drip, first: leastPause, every: mostPause,
-		mostTurn: mostTurn, doubtFor: doubtFor, late: unknownLate, dial: dial}
-	if grace > 0 && grace < usualGrace {
-		for _, span := range []*time.Duration{&w.watchFor, &w.quick, &w.patient, &w.every, &w.mostTurn} {
-			*span = *span * grace / usualGrace
+	w := &Watcher{agent: agent, watchTimeout: watchTimeout, quickSilence: quickSilence, patientSilence: patientSilence, bodyTimeout: bodyTimeout, firstBackoff: minBackoff, maxBackoff: maxBackoff,
+		maxTurnWait: maxTurnWait, doubtPeriod: doubtPeriod, responseDelay: unknownDelay, dial: dial}
+	if grace > 0 && grace < defaultGrace {
+		for _, span := range []*time.Duration{&w.watchTimeout, &w.quickSilence, &w.patientSilence, &w.maxBackoff, &w.maxTurnWait} {
+			*span = *span * grace / defaultGrace
 		}
 	}
 	if w.shared = routers > 0; w.shared {
-		w.watchFor, w.quick, w.patient, w.mostTurn = sharedWatch, sharedQuick, sharedTurn, sharedMostTurn
-		w.first, w.every = sharedFirst, min(max(leastEvery, time.Duration(routers)*eachCall), sharedEvery)
+		w.watchTimeout, w.quickSilence, w.patientSilence, w.maxTurnWait = sharedWatchTimeout, sharedQuickSilence, sharedPatientSilence, sharedMaxTurnWait
+		w.firstBackoff, w.maxBackoff = sharedFirstBackoff, min(max(minSharedBackoff, time.Duration(routers)*callSpacing), sharedMaxBackoff)
 	}
 	return w
 }
@@ -124,8 +124,8 @@
 	if agent == w.agent {
 		return
 	}
-	if w.agent = agent; w.cut != nil {
-		w.cut()
+	if w.agent = agent; w.cancelCall != nil {
+		w.cancelCall()
 	}
 }
 
@@ -136,7 +136,7 @@
 		w.mu.Lock()
 		here, cut := context.WithCancel(ctx)
 		agent := w.agent
-		w.cut = cut
+		w.cancelCall = cut
 		w.mu.Unlock()
 		w.follow(here, agent, told)
 		cut()
@@ -147,74 +147,74 @@
 // error the agent is asked anew, with short pauses: for the whole list where what
 // it said may not go on from what is known; a malformed list counts as an error.
 func (w *Watcher) follow(ctx context.Context, agent string, told func(*List) error) {
-	defer func() { w.hangUp() }()
-	w.known = false
-	pause, row, last, hasty := w.first, 0, "", 0
+	defer func() { w.closeConnection() }()
+	w.hasSnapshot = false
+	pause, row, last, hasty := w.firstBackoff, 0, "", 0
 	for ctx.Err() == nil {
-		if w.Pace != nil && !w.known {
-			w.turn(ctx)
+		if w.CallDelay != nil && !w.hasSnapshot {
+			w.awaitTurn(ctx)
 		}
 		began := time.Now()
-		l, err := w.next(ctx, agent)
+		l, err := w.nextList(ctx, agent)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && (l.Whole || len(l.Hosts) > 0) {
+		if err == nil && (l.Complete || len(l.Hosts) > 0) {
 			err = told(l)
 		}
 		if err == nil {
-			w.taken(l)
-			w.Tally.Add(metrics.Lists)
-			pause, row = w.first, 0
-			if hasty++; time.Since(began) > leastPause {
+			w.applied(l)
+			w.Metrics.Add(metrics.Lists)
+			pause, row = w.firstBackoff, 0
+			if hasty++; time.Since(began) > minBackoff {
 				hasty = 0
 			}
-			if hasty > mostHasty {
-				rest(ctx, spread(leastPause))
+			if hasty > maxImmediateAnswers {
+				sleep(ctx, halfJitter(minBackoff))
 			}
 			continue
 		}
-		w.known = w.known && w.goesOn(err)
-		w.hangUp()
-		w.Tally.Add(metrics.NoList)
-		if why := cause(err); why != last {
+		w.hasSnapshot = w.hasSnapshot && w.keepsSnapshot(err)
+		w.closeConnection()
+		w.Metrics.Add(metrics.NoList)
+		if why := errorCause(err); why != last {
 			row, last = 0, why
 		}
 		if row++; row&(row-1) == 0 { // the first, second, fourth ... of the same in a row: an agent may be away for long
 			slog.Warn("discovery", "agent", agent, "err", err, "in_a_row", row)
 		}
-		next := spread(leastPause)
+		next := halfJitter(minBackoff)
 		switch {
-		case w.late != unknownLate && silent(err):
+		case w.responseDelay != unknownDelay && isTimeout(err):
 			// What a service does not answer of which something was heard is a broken connection: it is asked anew at
 			// once, and only once, in place of the watch that would have come next.
-		case pause == w.first:
-			next, pause = spread(pause), min(growth*pause, w.every)
-		case pause < w.every: // from call to call: one that was waited for has had its pause
-			next, pause = max(next, scatter(pause)-time.Since(began)), min(growth*pause, w.every)
+		case pause == w.firstBackoff:
+			next, pause = halfJitter(pause), min(backoffFactor*pause, w.maxBackoff)
+		case pause < w.maxBackoff: // from call to call: one that was waited for has had its pause
+			next, pause = max(next, lowJitter(pause)-time.Since(began)), min(backoffFactor*pause, w.maxBackoff)
 		default:
-			next = max(next, vary(pause)-time.Since(began))
+			next = max(next, smallJitter(pause)-time.Since(began))
 		}
-		w.late = unknownLate
-		rest(ctx, next)
+		w.responseDelay = unknownDelay
+		sleep(ctx, next)
 	}
 }
 
-// goesOn says whether the list that is known still stands behind an error, so that the changes since then, which are
+// keepsSnapshot says whether the list that is known still stands behind an error, so that the changes since then, which are
 // less work for a service than all, are enough: it was too busy to answer. One that refuses or breaks connections may have
 // started anew. To a shared service silence says no more than that; an agent of the router's own answers all at no cost.
-func (w *Watcher) goesOn(err error) bool {
+func (w *Watcher) keepsSnapshot(err error) bool {
 	var busy statusError
-	return errors.As(err, &busy) && busy.status >= 500 || w.shared && silent(err)
+	return errors.As(err, &busy) && busy.status >= 500 || w.shared && isTimeout(err)
 }
 
-// turn waits for this router's turn, for as long as the list's clock allows.
-func (w *Watcher) turn(ctx context.Context) {
-	late := time.NewTimer(w.mostTurn)
+// awaitTurn waits for this router's turn, for as long as the list's clock allows.
+func (w *Watcher) awaitTurn(ctx context.Context) {
+	late := time.NewTimer(w.maxTurnWait)
 	defer late.Stop()
 	for ok := false; !ok && ctx.Err() == nil; {
 		var wait time.Duration
-		wait, ok = w.Pace()
+		wait, ok = w.CallDelay()
 		its := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
@@ -226,8 +226,8 @@
 	}
 }
 
-// rest waits for so long.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for so long.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -236,24 +236,24 @@
 	}
 }
 
-// taken notes what the list in force is.
-func (w *Watcher) taken(l *List) {
-	if !w.doubt.IsZero() && !l.Doubtful {
-		w.known = w.known && l.Whole // a doubt ends with all that the agent says
-		w.doubt = time.Time{}
-		w.had = l.Seq
+// applied notes what the list in force is.
+func (w *Watcher) applied(l *List) {
+	if !w.doubtUntil.IsZero() && !l.Doubtful {
+		w.hasSnapshot = w.hasSnapshot && l.Complete // a doubt ends with all that the agent says
+		w.doubtUntil = time.Time{}
+		w.maxVersion = l.Version
 	}
-	w.had = max(w.had, l.Seq)
+	w.maxVersion = max(w.maxVersion, l.Version)
 }
 
-// silent says whether an error is that nothing came in time.
-func silent(err error) bool {
+// isTimeout says whether an error is that nothing came in time.
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// cause is an error without the ports of its connection.
-func cause(err error) string {
+// errorCause is an error without the ports of its connection.
+func errorCause(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
 		err = op.Err
@@ -261,15 +261,15 @@
 	return err.Error()
 }
 
-// next asks for the whole list, or watches for what comes after it.
-func (w *Watcher) next(ctx context.Context, agent string) (*List, error) {
-	if !w.doubt.IsZero() && !time.Now().Before(w.doubt) { // its word holds from now on, so all of it is asked for
-		w.known = false
+// nextList asks for the whole list, or watches for what comes after it.
+func (w *Watcher) nextList(ctx context.Context, agent string) (*List, error) {
+	if !w.doubtUntil.IsZero() && !time.Now().Before(w.doubtUntil) { // its word holds from now on, so all of it is asked for
+		w.hasSnapshot = false
 	}
-	target, wait, quiet := path, time.Duration(0), w.quiet()
-	if w.known {
-		wait = w.wait()
-		target = fmt.Sprintf("%s?since=%d&timeout_ms=%d", path, w.seq, wait.Milliseconds())
+	target, wait, quiet := endpointsPath, time.Duration(0), w.allowedSilence()
+	if w.hasSnapshot {
+		wait = w.watchWait()
+		target = fmt.Sprintf("%s?since=%d&timeout_ms=%d", endpointsPath, w.version, wait.Milliseconds())
 	}
 	began := time.Now()
 	body, err := w.get(ctx, agent, target, wait, quiet)
@@ -280,71 +280,71 @@
 	if err != nil {
 		return nil, err
 	}
-	if late := time.Since(began) - wait; late >= 0 || wait <= atOnce { // else news cut the wait short
-		w.late = max(late, 0)
+	if late := time.Since(began) - wait; late >= 0 || wait <= immediateWait { // else news cut the wait short
+		w.responseDelay = max(late, 0)
 	}
-	if !l.Whole {
-		if !w.known {
+	if !l.Complete {
+		if !w.hasSnapshot {
 			return nil, fmt.Errorf("list: asked for all, got changes")
 		}
-		if l.Seq < w.seq {
+		if l.Version < w.version {
 			// It counts anew, and our version says nothing to it: all is asked for next. That call may fail; so what this
 			// answer withdraws and drains holds by now.
-			w.known, l.Doubtful = false, true
-			if w.doubt.IsZero() {
-				w.doubt = time.Now().Add(w.doubtFor)
+			w.hasSnapshot, l.Doubtful = false, true
+			if w.doubtUntil.IsZero() {
+				w.doubtUntil = time.Now().Add(w.doubtPeriod)
 			}
 			return l, nil
 		}
 	}
-	w.seq, w.known = l.Seq, true
-	if l.Seq < w.had {
-		if w.doubt.IsZero() {
-			w.doubt = time.Now().Add(w.doubtFor)
+	w.version, w.hasSnapshot = l.Version, true
+	if l.Version < w.maxVersion {
+		if w.doubtUntil.IsZero() {
+			w.doubtUntil = time.Now().Add(w.doubtPeriod)
 		}
-		l.Doubtful = time.Now().Before(w.doubt)
+		l.Doubtful = time.Now().Before(w.doubtUntil)
 	}
 	return l, nil
 }
 
-// wait is how long a watch may be. After an error it is a call for what there is.
-func (w *Watcher) wait() time.Duration {
+// watchWait is how long a watch may be. After an error it is a call for what there is.
+func (w *Watcher) watchWait() time.Duration {
 	switch {
-	case w.late == unknownLate:
-		return atOnce
-	case w.shared && w.late <= sharedLatest:
-		return min(w.watchFor, toldAfter-toldMargin-w.quiet()-leastPause*3/2-w.late).Truncate(time.Millisecond)
+	case w.responseDelay == unknownDelay:
+		return immediateWait
+	case w.shared && w.responseDelay <= sharedMaxDelay:
+		return min(w.watchTimeout, notifiedAfter-notifiedMargin-w.allowedSilence()-minBackoff*3/2-w.responseDelay).Truncate(time.Millisecond)
 	}
-	return w.watchFor
+	return w.watchTimeout
 }
 
-// quiet is how long silence is borne beyond a call's wait, its dial included.
-func (w *Watcher) quiet() time.Duration {
+// allowedSilence is how long silence is borne beyond a call's wait, its dial included.
+func (w *Watcher) allowedSilence() time.Duration {
 	switch {
-	case w.late == unknownLate:
-	case w.shared && w.late <= sharedLatest:
-		return max(w.quick, w.late+sharedLater)
-	case w.late <= w.quick/2:
-		return w.quick
+	case w.responseDelay == unknownDelay:
+	case w.shared && w.responseDelay <= sharedMaxDelay:
+		return max(w.quickSilence, w.responseDelay+sharedDelayGrowth)
+	case w.responseDelay <= w.quickSilence/2:
+		return w.quickSilence
 	}
-	return w.patient
+	return w.patientSilence
 }
 
 func (w *Watcher) get(ctx context.Context, agent, target string, wait, quiet time.Duration) ([]byte, error) {
 	until := time.Now().Add(wait + quiet) // dialing is part of it
-	if w.conn != nil && (w.read.Buffered() > 0 || w.in.in.Len() > 0) {
-		w.hangUp() // nobody asked for what stands there: it is no answer to this call
+	if w.conn != nil && (w.reader.Buffered() > 0 || w.input.in.Len() > 0) {
+		w.closeConnection() // nobody asked for what stands there: it is no answer to this call
 	}
 	if w.conn == nil {
-		conn, err := w.dial(ctx, agent, min(dialFor, wait+quiet))
+		conn, err := w.dial(ctx, agent, min(dialTimeout, wait+quiet))
 		if err != nil {
 			return nil, err
 		}
-		w.conn, w.in = conn, &filler{conn: conn, in: ringbuffer.New(1 << 16)}
-		w.read = bufio.NewReader(w.in)
+		w.conn, w.input = conn, &timedReader{conn: conn, in: ringbuffer.New(1 << 16)}
+		w.reader = bufio.NewReader(w.input)
 	}
 	conn := w.conn // the end of the context can come when w has hung up
-	w.in.expect(ctx, quiet, w.drip)
+	w.input.expect(ctx, quiet, w.bodyTimeout)
 	if err := conn.SetDeadline(until); err != nil {
 		return nil, err
 	}
@@ -354,12 +354,12 @@
 	if _, err := conn.Write([]byte(req)); err != nil {
 		return nil, err
 	}
-	status, body, keep, err := readResponse(w.read)
+	status, body, keep, err := readResponse(w.reader)
 	if err != nil {
 		return nil, err
 	}
 	if !keep {
-		w.hangUp()
+		w.closeConnection()
 	}
 	if status != 200 {
 		return nil, statusError{status, target}
@@ -372,53 +372,53 @@
 	return d.DialContext(ctx, "tcp", agent)
 }
 
-// spread draws a span from half to one and a half: routers that started together
+// halfJitter draws a span from half to one and a half: routers that started together
 // must not ask together.
-func spread(d time.Duration) time.Duration { return d/2 + rand.N(d) }
+func halfJitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// scatter draws a span from half to a tenth more: those whom one failure brought together ask apart from then on.
-func scatter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+d/jitter) }
+// lowJitter draws a span from half to a tenth more: those whom one failure brought together ask apart from then on.
+func lowJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+d/jitterShare) }
 
-// vary draws a span from a tenth less to a tenth more.
-func vary(d time.Duration) time.Duration { return d - d/jitter + rand.N(2*d/jitter) }
+// smallJitter draws a span from a tenth less to a tenth more.
+func smallJitter(d time.Duration) time.Duration { return d - d/jitterShare + rand.N(2*d/jitterShare) }
 
-func (w *Watcher) hangUp() {
+func (w *Watcher) closeConnection() {
 	if w.conn != nil {
 		w.conn.Close()
 	}
 	w.conn = nil
 }
 
-// filler reads from a connection through its ring buffer. Once an answer has
+// timedReader reads from a connection through its ring buffer. Once an answer has
 // begun, silence shows sooner than the end of the wait, and one that drips is
 // waited for, within bounds.
-type filler struct {
+type timedReader struct {
 	conn net.Conn
 	in   *ringbuffer.Buffer
 
-	ctx         context.Context
-	quiet, drip time.Duration
-	end         time.Time // of the answer that has begun; zero: none has
+	ctx                  context.Context
+	silence, bodyTimeout time.Duration
+	bodyDeadline         time.Time // of the answer that has begun; zero: none has
 }
 
 // expect is called before an answer is asked for.
-func (f *filler) expect(ctx context.Context, quiet, drip time.Duration) {
-	f.ctx, f.quiet, f.drip, f.end = ctx, quiet, drip, time.Time{}
+func (f *timedReader) expect(ctx context.Context, quiet, drip time.Duration) {
+	f.ctx, f.silence, f.bodyTimeout, f.bodyDeadline = ctx, quiet, drip, time.Time{}
 }
 
-func (f *filler) Read(p []byte) (int, error) {
+func (f *timedReader) Read(p []byte) (int, error) {
 	if f.in.Len() == 0 {
 		f.in.Idle()
 		if err := f.in.Fill(f.conn); err != nil {
 			return 0, err
 		}
 		now := time.Now()
-		if f.end.IsZero() {
-			f.end = now.Add(f.drip)
+		if f.bodyDeadline.IsZero() {
+			f.bodyDeadline = now.Add(f.bodyTimeout)
 		}
-		next := now.Add(f.quiet)
-		if f.end.Before(next) {
-			next = f.end
+		next := now.Add(f.silence)
+		if f.bodyDeadline.Before(next) {
+			next = f.bodyDeadline
 		}
 		if err := f.conn.SetDeadline(next); err != nil {
 			return 0, err
--- a/internal/emulator/feed.go
+++ b/internal/emulator/feed.go
@@ -38,7 +38,7 @@
 }
 
 // log is all that a history has up to a limit, and its line.
-func (h *history) log(limit int64) (line cursor.Line, events []cursor.Event) {
+func (h *history) log(limit int64) (line cursor.Lineage, events []cursor.Event) {
 	if h == nil {
 		return nil, nil
 	}
@@ -107,7 +107,7 @@
 }
 
 // Log is the primary's line and all of its events; nothing while there is no primary.
-func (g *Group) Log() (cursor.Line, []cursor.Event) {
+func (g *Group) Log() (cursor.Lineage, []cursor.Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.primary == nil {
@@ -134,15 +134,15 @@
 	line, events := s.history.log(limit)
 	g.audit.FeedReads++
 	g.mu.Unlock()
-	a := &cursor.Answer{Line: line[max(0, len(line)-cursor.MostLine):]}
+	a := &cursor.Response{Line: line[max(0, len(line)-cursor.MaxLineage):]}
 	if n := len(events); n > 0 {
 		a.Head = events[n-1].At
 		if n > g.fleet.Retain {
-			a.Gone = events[n-1-g.fleet.Retain].At
+			a.TruncatedUpTo = events[n-1-g.fleet.Retain].At
 		}
-		a.From = a.Gone
+		a.From = a.TruncatedUpTo
 		if i := n - 1 - most; i >= 0 {
-			a.From = max(a.Gone, events[i].At)
+			a.From = max(a.TruncatedUpTo, events[i].At)
 		}
 	}
 	if r.HasPos {
@@ -152,7 +152,7 @@
 		}
 		switch end, on := line.End(h); {
 		case on:
-			a.From = max(a.Gone, min(r.After, end))
+			a.From = max(a.TruncatedUpTo, min(r.After, end))
 		case h.Compare(line.Newest()) > 0:
 			g.count(func(a *Audit) { a.Misses++ })
 			return s.says(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooFarBehind, "not of this history yet", ""), 0)
--- a/internal/experiment/feeds_test.go
+++ b/internal/experiment/feeds_test.go
@@ -77,7 +77,7 @@
 // The audit can fail: a record with an event left out, one twice, one that the log has otherwise, one of a lost tail.
 func TestFeedAudit(t *testing.T) {
 	h := cursor.History{Era: 2, ID: 5}
-	log := &truth{cursor.Line{{History: cursor.History{Era: 1, ID: 4}}, {History: h, From: 20}}, []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "c"}}}
+	log := &truth{cursor.Lineage{{History: cursor.History{Era: 1, ID: 4}}, {History: h, From: 20}}, []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "c"}}}
 	for _, c := range []struct {
 		events []cursor.Event
 		last   cursor.History
@@ -91,7 +91,7 @@
 		{[]cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "x"}}, h, wrongs{gaps: 1, phantoms: 1}},
 		{nil, cursor.History{Era: 1, ID: 4}, wrongs{behind: 1}},
 	} {
-		r := &record{events: c.events, last: cursor.Point{History: c.last, At: 30}}
+		r := &record{events: c.events, last: cursor.Position{History: c.last, At: 30}}
 		if got := r.against(log); got != c.want {
 			t.Errorf("%v: %+v", c.events, got)
 		}
--- a/internal/experiment/fellows.go
+++ b/internal/experiment/fellows.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.term, f.alone = time.Duration(m.Term()), m.Alone
+	f.term, f.alone = time.Duration(m.Term()), m.IsolatedShare
 	return raw, nil
 }
 
--- a/internal/experiment/readers.go
+++ b/internal/experiment/readers.go
@@ -29,7 +29,7 @@
 
 // truth is a group's log as its primary has it.
 type truth struct {
-	line   cursor.Line
+	line   cursor.Lineage
 	events []cursor.Event
 }
 
@@ -38,7 +38,7 @@
 	group  int
 	began  int64 // what was before is not its business
 	events []cursor.Event
-	last   cursor.Point
+	last   cursor.Position
 }
 
 // take puts a batch into the record.
@@ -64,7 +64,7 @@
 	for _, e := range b.Events {
 		r.events = append(r.events, cursor.Event(e))
 	}
-	r.last = cursor.Point{History: h, At: b.Next.After}
+	r.last = cursor.Position{History: h, At: b.Next.After}
 	return voided, nil
 }
 
@@ -210,7 +210,7 @@
 		}
 		if at, from, ok := snapshot(a.text); ok {
 			f.counts.snapshots++
-			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Point{At: at}, changefeed.Place{After: at, History: from}
+			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Position{At: at}, changefeed.Place{After: at, History: from}
 			return 0
 		}
 	}
--- a/internal/metrics/tally.go
+++ b/internal/metrics/tally.go
@@ -57,7 +57,7 @@
 // outcomes are the ends of attempts, as balance counts them from 1.
 var outcomes = [...]string{"", "done", "failed", "busy", "timed_out", "unconnected", "reset", "canceled", "skipped", "miss"}
 
-const actions = int(balance.Log) + 1
+const actions = int(balance.WriteLog) + 1
 
 // Outcome is an outcome's name in logs.
 func Outcome(o balance.Outcome) string { return outcomes[o] }
@@ -69,8 +69,8 @@
 // Tally is one router's counts. A nil one counts nothing. It is safe for concurrent use.
 type Tally struct {
 	counts [counters]atomic.Int64
-	why    [actions][balance.Reasons]atomic.Int64 // the module's actions by kind and reason
-	ends   [len(outcomes)]atomic.Int64            // of attempts
+	why    [actions][balance.ReasonCount]atomic.Int64 // the module's actions by kind and reason
+	ends   [len(outcomes)]atomic.Int64                // of attempts
 
 	mu      sync.Mutex
 	servers map[string]*Server
@@ -92,7 +92,7 @@
 // Act counts one action of the module.
 func (t *Tally) Act(a *balance.Action) {
 	if t != nil {
-		t.why[a.Kind][a.Why].Add(1)
+		t.why[a.Kind][a.Reason].Add(1)
 	}
 }
 
@@ -115,15 +115,15 @@
 		}
 	}
 	switch o {
-	case balance.Done:
+	case balance.Succeeded:
 		s.Done++
-	case balance.Miss:
+	case balance.NotEligible:
 		s.Miss++
 	case balance.Busy:
 		s.Busy++
 	case balance.Failed:
 		s.Failed++
-	case balance.TimedOut, balance.Reset, balance.Canceled:
+	case balance.TimedOut, balance.ConnectionReset, balance.Canceled:
 		s.Lost++
 	default:
 		s.Unsent++
@@ -141,7 +141,7 @@
 	for i := range t.counts {
 		put(names[i], &t.counts[i])
 	}
-	for kind, prefix := range map[balance.ActionKind]string{balance.Send: "send", balance.Refuse: "refused", balance.Fail: "failed", balance.Log: "node"} {
+	for kind, prefix := range map[balance.ActionKind]string{balance.SendAttempt: "send", balance.RejectRequest: "refused", balance.FailRequest: "failed", balance.WriteLog: "node"} {
 		for why := range t.why[kind] {
 			put(prefix+"_"+balance.Reason(why).String(), &t.why[kind][why])
 		}
--- a/internal/metrics/tally_test.go
+++ b/internal/metrics/tally_test.go
@@ -12,12 +12,12 @@
 	c := New()
 	c.Add(Asked)
 	c.Add(Asked)
-	c.Act(&balance.Action{Kind: balance.Send, Why: balance.Finding})
-	c.Act(&balance.Action{Kind: balance.Refuse, Why: balance.Crowd})
-	c.Act(&balance.Action{Kind: balance.Timer}) // nobody counts these
-	c.End("s-1", balance.Done)
+	c.Act(&balance.Action{Kind: balance.SendAttempt, Reason: balance.ReasonPrimarySearch})
+	c.Act(&balance.Action{Kind: balance.RejectRequest, Reason: balance.ReasonGroupOverloaded})
+	c.Act(&balance.Action{Kind: balance.SetTimer}) // nobody counts these
+	c.End("s-1", balance.Succeeded)
 	c.End("s-1", balance.TimedOut)
-	c.End("s-0", balance.Refused)
+	c.End("s-0", balance.ConnectionRefused)
 	got := map[string]string{}
 	for _, a := range c.Take() {
 		got[a.Key] = a.Value.String()
@@ -35,14 +35,14 @@
 // Each way to end has its name, and what is there beyond the bound is counted together.
 func TestServers(t *testing.T) {
 	c := New()
-	for o := balance.Done; o <= balance.Miss; o++ {
+	for o := balance.Succeeded; o <= balance.NotEligible; o++ {
 		c.End("s", o)
 		if Outcome(o) == "" {
 			t.Errorf("outcome %d has no name", o)
 		}
 	}
 	for i := range mostServers + 10 {
-		c.End(string(rune('a'+i%26))+string(rune('0'+i/26)), balance.Done)
+		c.End(string(rune('a'+i%26))+string(rune('0'+i/26)), balance.Succeeded)
 	}
 	if n := len(c.servers); n != mostServers+1 {
 		t.Errorf("%d data servers remembered", n)
@@ -68,6 +68,6 @@
 func TestOffCountsNothing(t *testing.T) {
 	var c *Tally
 	c.Add(Asked)
-	c.Act(&balance.Action{Kind: balance.Send})
-	c.End("s", balance.Done)
+	c.Act(&balance.Action{Kind: balance.SendAttempt})
+	c.End("s", balance.Succeeded)
 }
--- a/internal/operr/remedy.go
+++ b/internal/operr/operr.go
@@ -1,4 +1,4 @@
-// Package remedy is what an error owes to whoever reads it: which kind it is, and what can be done. Types of such errors
+// Package operr is what an error owes to the operator who reads it: which kind it is, and what can be done. Types of such errors
 // stand where they arise; this package only finds them in a chain and writes them into a log.
 package operr
 
@@ -11,8 +11,8 @@
 // did instead.
 type Error interface {
 	error
-	Kind() string   // one word or two for counting and filtering, as "keep-torn"; the same for all errors of a type and cause
-	Remedy() string // one sentence that tells what to do
+	Kind() string // one word or two for counting and filtering, as "keep-torn"; the same for all errors of a type and cause
+	Hint() string // one sentence that tells what to do
 }
 
 // Of is the outermost such error in a chain; nil if there is none.
@@ -24,11 +24,11 @@
 	return nil
 }
 
-// Attrs are an error's attributes for slog: err, and error_kind and remedy where the chain has them.
+// Attrs are an error's attributes for slog: err, and error_kind and hint where the chain has them.
 func Attrs(err error) []any {
 	out := []any{slog.Any("err", err)}
 	if e := Of(err); e != nil {
-		out = append(out, slog.String("error_kind", e.Kind()), slog.String("remedy", e.Remedy()))
+		out = append(out, slog.String("error_kind", e.Kind()), slog.String("hint", e.Hint()))
 	}
 	return out
 }
--- a/internal/operr/remedy_test.go
+++ b/internal/operr/operr_test.go
@@ -13,7 +13,7 @@
 
 func (e torn) Error() string { return e.path + " is torn: started empty" }
 func (torn) Kind() string    { return "keep-torn" }
-func (torn) Remedy() string  { return "nothing to do; peers feed this router" }
+func (torn) Hint() string    { return "nothing to do; peers feed this router" }
 
 // What an operator reads must not get lost in the wrapping.
 func TestAttrs(t *testing.T) {
@@ -22,10 +22,10 @@
 	log.Warn("keep", Attrs(fmt.Errorf("router: %w", torn{"a"}))...)
 	log.Warn("keep", Attrs(errors.New("plain"))...)
 	lines := strings.Split(out.String(), "\n")
-	if !strings.Contains(lines[0], `error_kind=keep-torn remedy="nothing to do; peers feed this router"`) || !strings.Contains(lines[0], "router: a is torn") {
+	if !strings.Contains(lines[0], `error_kind=keep-torn hint="nothing to do; peers feed this router"`) || !strings.Contains(lines[0], "router: a is torn") {
 		t.Errorf("first line: %s", lines[0])
 	}
-	if strings.Contains(lines[1], "remedy") || Of(errors.New("plain")) != nil {
+	if strings.Contains(lines[1], "hint") || Of(errors.New("plain")) != nil {
 		t.Errorf("second line: %s", lines[1])
 	}
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -17,11 +17,11 @@
 	return fmt.Sprintf("a piece of %d runs from %s does not match its sum: not taken, another member is asked", e.Entries, e.From)
 }
 
-// Kind is that of remedy.Error.
+// Kind is that of operr.Error.
 func (*SpoiledError) Kind() string { return "state-spoiled" }
 
-// Remedy is that of remedy.Error.
-func (e *SpoiledError) Remedy() string {
+// Hint is that of operr.Error.
+func (e *SpoiledError) Hint() string {
 	return "run the same version on all routers; if it goes on, restart " + e.From
 }
 
@@ -37,11 +37,11 @@
 		e.Entry.From.Name, e.From, time.Duration(e.Entry.Age).Round(time.Millisecond), e.Others)
 }
 
-// Kind is that of remedy.Error.
+// Kind is that of operr.Error.
 func (*DiffersError) Kind() string { return "state-differs" }
 
-// Remedy is that of remedy.Error.
-func (e *DiffersError) Remedy() string {
+// Hint is that of operr.Error.
+func (e *DiffersError) Hint() string {
 	return "look at lost messages between this router and " + e.Entry.From.Name + " (routerctl members); after a split heals some such lines are usual"
 }
 
@@ -56,11 +56,11 @@
 }
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Kind is that of remedy.Error.
+// Kind is that of operr.Error.
 func (*ListenError) Kind() string { return "members-listen" }
 
-// Remedy is that of remedy.Error.
-func (e *ListenError) Remedy() string {
+// Hint is that of operr.Error.
+func (e *ListenError) Hint() string {
 	return "give members.routers an address of this machine whose port is free for UDP and TCP"
 }
 
@@ -79,10 +79,10 @@
 }
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// Kind is that of remedy.Error.
+// Kind is that of operr.Error.
 func (*KeyError) Kind() string { return "members-keys" }
 
-// Remedy is that of remedy.Error.
-func (e *KeyError) Remedy() string {
+// Hint is that of operr.Error.
+func (e *KeyError) Hint() string {
 	return "write one key or two into " + e.Path + ", a line each of at least 64 hex digits (openssl rand -hex 32), readable by the router"
 }
--- a/internal/peer/keeper.go
+++ b/internal/peer/keeper.go
@@ -52,7 +52,7 @@
 func (p *Peers) boot(name string) uint64 {
 	for _, m := range p.View().Members {
 		if m.Name == name {
-			return m.Boot
+			return m.Epoch
 		}
 	}
 	return 0
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -82,7 +82,7 @@
 	told    atomic.Pointer[told]
 
 	// Of Run's goroutine:
-	members *membership.Members
+	members *membership.Detector
 	doors   map[string]uint64 // the session at an address
 	windows map[uint64]*window
 	pending map[string]late
@@ -164,7 +164,7 @@
 	defer p.close()
 	// Waits run out by half of one late, and a gap that is a pause stands out: each tick wakes the process, which is most of
 	// what membership costs.
-	tick := time.NewTicker(time.Duration(min(p.opt.Member.Wait/2, p.opt.Member.Pause/3)))
+	tick := time.NewTicker(time.Duration(min(p.opt.Member.AckTimeout/2, p.opt.Member.MaxTickGap/3)))
 	defer tick.Stop()
 	defer p.spread.stop()
 	seen := p.opt.Now()
@@ -204,7 +204,7 @@
 
 // differ says whether something is new but how long ago who was heard.
 func differ(x, y *membership.View) bool {
-	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Deaf != y.Deaf || x.Taken != y.Taken || x.Part != y.Part {
+	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Isolated != y.Isolated || x.NameTaken != y.NameTaken || x.Quota != y.Quota {
 		return true
 	}
 	for i := range x.Members {
@@ -449,12 +449,12 @@
 		}
 	}
 	for _, m := range now.Members {
-		if old := was[m.Name]; old.State != m.State || old.Boot != m.Boot || old.Incarnation != m.Incarnation {
-			slog.Info("member", "of", m.Name, "state", m.State.String(), "was", old.State.String(), "boot", m.Boot, "incarnation", m.Incarnation, "by", m.By)
+		if old := was[m.Name]; old.State != m.State || old.Epoch != m.Epoch || old.Incarnation != m.Incarnation {
+			slog.Info("member", "of", m.Name, "state", m.State.String(), "was", old.State.String(), "boot", m.Epoch, "incarnation", m.Incarnation, "by", m.Accuser)
 		}
 	}
-	if before == nil || before.Part != now.Part && (before.Part.Share != now.Part.Share || before.Part.Holder != now.Part.Holder) || before.Majority != now.Majority || before.Deaf != now.Deaf || before.Taken != now.Taken {
-		slog.Info("view", "counting", now.Counting, "majority", now.Majority, "deaf", now.Deaf, "taken", now.Taken, "share", now.Part.Share,
-			"holder", now.Part.Holder, "gone", now.Part.Gone)
+	if before == nil || before.Quota != now.Quota && (before.Quota.Share != now.Quota.Share || before.Quota.IsHolder != now.Quota.IsHolder) || before.Majority != now.Majority || before.Isolated != now.Isolated || before.NameTaken != now.NameTaken {
+		slog.Info("view", "counting", now.Present, "majority", now.Majority, "deaf", now.Isolated, "taken", now.NameTaken, "share", now.Quota.Share,
+			"holder", now.Quota.IsHolder, "gone", now.Quota.Excluded)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,9 +23,9 @@
 // router starts one of some; those that are to find each other need a seed.
 func router(t *testing.T, name, cluster string, of []string, keys [][]byte, seeds ...string) (p *Peers, stop func()) {
 	t.Helper()
-	s := membership.Usual(name, "", uint64(time.Since(began)), len(of))
-	s.Names, s.Alone, s.Seeds = of, 0.5, seeds
-	s.Period, s.Wait = 50e6, 20e6
+	s := membership.DefaultSettings(name, "", uint64(time.Since(began)), len(of))
+	s.Allowed, s.IsolatedShare, s.Seeds = of, 0.5, seeds
+	s.ProbeInterval, s.AckTimeout = 50e6, 20e6
 	p, err := Listen(Options{Cluster: cluster, Listen: "127.0.0.1:0", Member: s, Keys: keys, Now: func() int64 { return int64(time.Since(began)) }})
 	if err != nil {
 		t.Fatal(err)
@@ -79,14 +79,14 @@
 	c, _ := router(t, "c", "x", names, keys, a.Address())
 	all := "a alive, b alive, c alive"
 	until(t, "all know all", func() bool { return states(a) == all && states(b) == all && states(c) == all })
-	until(t, "even parts", func() bool { f := a.View().Part; return f.Holder && f.Share > 0.3333 && f.Share < 0.3334 })
+	until(t, "even parts", func() bool { f := a.View().Quota; return f.IsHolder && f.Share > 0.3333 && f.Share < 0.3334 })
 	b.Leave(context.Background())
 	stop()
 	until(t, "b has left", func() bool { return states(a) == "a alive, b left, c alive" && states(c) == states(a) })
-	until(t, "b is divided", func() bool { return a.View().Part.Gone == 1 && c.View().Part.Gone == 1 })
+	until(t, "b is divided", func() bool { return a.View().Quota.Excluded == 1 && c.View().Quota.Excluded == 1 })
 	b, _ = router(t, "b", "x", names, keys, c.Address())
 	until(t, "b is back", func() bool { return states(a) == all && states(b) == all && states(c) == all })
-	until(t, "even parts again", func() bool { return a.View().Part.Gone == 0 && b.View().Part.Holder })
+	until(t, "even parts again", func() bool { return a.View().Quota.Excluded == 0 && b.View().Quota.IsHolder })
 	if n := a.Counts(); n.Garbage+n.Strangers+n.Foreign+n.Versions+n.Replayed > 0 {
 		t.Errorf("%+v", n)
 	}
@@ -100,7 +100,7 @@
 	both := "a alive, b alive"
 	until(t, "both know both", func() bool { return states(a) == both && states(b) == both })
 	kill := envelope{Cluster: "x", From: "b", Address: b.Address(), Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(membership.Ack), Boot: 1,
-		News: []update{{Name: "b", Address: b.Address(), Boot: b.View().Members[1].Boot, Incarnation: 9, State: uint8(membership.Left)}}}}
+		News: []update{{Name: "b", Address: b.Address(), Boot: b.View().Members[1].Epoch, Incarnation: 9, State: uint8(membership.Left)}}}}
 	forged, err := seal(&kill, newKey)
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 	for i, name := range names[2:] {
 		news = append(news, update{Name: name, Address: fmt.Sprintf("127.0.9.%d:9", i), Boot: 1, State: uint8(membership.Alive)})
 	}
-	raw, err := seal(&envelope{Cluster: "x", From: names[2], Address: "127.0.9.0:9", Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(membership.Whole), Boot: 1, News: news}}, oldKey)
+	raw, err := seal(&envelope{Cluster: "x", From: names[2], Address: "127.0.9.0:9", Session: 7, To: a.session, Count: 1, Body: &body{Kind: uint8(membership.StateReply), Boot: 1, News: news}}, oldKey)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -44,13 +44,13 @@
 func (p *Peers) Report() Report {
 	v, now := p.View(), p.opt.Now()
 	ago := func(t int64) float64 { return float64(now-t) / 1e9 }
-	out := Report{Name: p.opt.Member.Name, Cluster: p.opt.Cluster, Counts: p.Counts(), View: Belief{Counting: v.Counting, Configured: p.opt.Member.Configured,
-		Majority: v.Majority, SinceS: ago(v.Since), CutOff: v.Deaf, Taken: v.Taken, Share: v.Part.Share, Holder: v.Part.Holder, Gone: v.Part.Gone}}
+	out := Report{Name: p.opt.Member.Name, Cluster: p.opt.Cluster, Counts: p.Counts(), View: Belief{Counting: v.Present, Configured: p.opt.Member.Configured,
+		Majority: v.Majority, SinceS: ago(v.MajoritySince), CutOff: v.Isolated, Taken: v.NameTaken, Share: v.Quota.Share, Holder: v.Quota.IsHolder, Gone: v.Quota.Excluded}}
 	for _, x := range v.Members {
-		r := Row{Name: x.Name, Address: x.Address, State: x.State.String(), Boot: x.Boot, Incarnation: x.Incarnation, SinceS: ago(x.Since),
-			HeardS: -1, TripMS: float64(x.Trip) / 1e6, By: x.By}
-		if x.Heard > 0 {
-			r.HeardS = ago(x.Heard)
+		r := Row{Name: x.Name, Address: x.Address, State: x.State.String(), Boot: x.Epoch, Incarnation: x.Incarnation, SinceS: ago(x.Since),
+			HeardS: -1, TripMS: float64(x.RoundTrip) / 1e6, By: x.Accuser}
+		if x.HeardAt > 0 {
+			r.HeardS = ago(x.HeardAt)
 		}
 		out.Members = append(out.Members, r)
 	}
@@ -60,13 +60,13 @@
 
 // Copy is what a router holds of what all share, by kind.
 type Copy struct {
-	Size    map[string]int    `json:"size"`
-	Digest  map[string]uint64 `json:"digest"` // equal where two copies are
-	Refused uint64            `json:"refused"`
-	Caught  bool              `json:"caught_up"` // since its start it had all of some member once
-	Fed     int               `json:"fed"`       // members that it feeds just now
-	Told    crdt.Told         `json:"told"`
-	Waits   Waits             `json:"waits"`
+	Size    map[string]int       `json:"size"`
+	Digest  map[string]uint64    `json:"digest"` // equal where two copies are
+	Refused uint64               `json:"refused"`
+	Caught  bool                 `json:"caught_up"` // since its start it had all of some member once
+	Fed     int                  `json:"fed"`       // members that it feeds just now
+	Told    crdt.BroadcastCounts `json:"told"`
+	Waits   Waits                `json:"waits"`
 }
 
 // Waits are what became of answers that waited for another member's word.
@@ -84,14 +84,14 @@
 	}
 	c := &Copy{Size: map[string]int{}, Digest: map[string]uint64{}}
 	if t != nil {
-		c.Caught, c.Fed, c.Told = t.Caught, t.Fed, t.Told
+		c.Caught, c.Fed, c.Told = t.Caught, t.Fed, t.BroadcastCounts
 	}
 	s.Each(func(store *crdt.Store, _ int64) {
-		for k := crdt.Session; k <= crdt.Last; k++ {
+		for k := crdt.SessionCommit; k <= crdt.Last; k++ {
 			c.Size[k.String()] += store.Size(k)
 			c.Digest[k.String()] += store.Digest(k)
 		}
-		c.Refused += store.Refused()
+		c.Refused += store.Rejected()
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -23,8 +23,8 @@
 
 // spread is what Run's goroutine remembers of spreading.
 type spread struct {
-	teller  *crdt.Teller
-	feeder  *crdt.Feeder
+	teller  *crdt.Broadcaster
+	feeder  *crdt.CatchUpServer
 	acks    map[string][]ack // by address, until the messages at hand are taken
 	next    int64            // when to ask again
 	asked   int64            // when the open question was put; 0: none is open
@@ -69,16 +69,16 @@
 
 // told is what came of telling, for reports.
 type told struct {
-	crdt.Told
+	crdt.BroadcastCounts
 	Fed    int
 	Caught bool
 }
 
 func newSpread(now int64) (s spread, err error) {
-	if s.teller, err = crdt.NewTeller(crdt.UsualTeller()); err != nil {
+	if s.teller, err = crdt.NewBroadcaster(crdt.DefaultBroadcasterSettings()); err != nil {
 		return s, err
 	}
-	s.feeder, err = crdt.NewFeeder(crdt.UsualFeed(), now)
+	s.feeder, err = crdt.NewCatchUpServer(crdt.DefaultCatchUpSettings(), now)
 	s.acks, s.timer = map[string][]ack{}, time.NewTimer(time.Hour)
 	return s, err
 }
@@ -122,7 +122,7 @@
 	for i, m := range others {
 		names[i], address[m.Name] = m.Name, m.Address
 	}
-	for _, t := range s.teller.Next(now, names) {
+	for _, t := range s.teller.Deliveries(now, names) {
 		out := &push{Number: t.Number, Pass: t.Pass}
 		for i := range t.Entries {
 			out.Entries = append(out.Entries, wire(&t.Entries[i]))
@@ -143,7 +143,7 @@
 	if at, ok := s.teller.Due(); ok {
 		s.sooner(now, at)
 	}
-	p.told.Store(&told{s.teller.Told(), s.feeder.Fed(), s.caught})
+	p.told.Store(&told{s.teller.Counts(), s.feeder.ClientCount(), s.caught})
 }
 
 // askState asks a member for what this copy lacks, of as many shards as a question has room for.
@@ -152,9 +152,9 @@
 	if s.began == 0 {
 		s.began = now
 	}
-	var list []crdt.Source
+	var list []crdt.PeerInZone
 	for _, n := range names {
-		list = append(list, crdt.Source{Name: n, Hall: p.opt.Halls[n]})
+		list = append(list, crdt.PeerInZone{Name: n, Zone: p.opt.Halls[n]})
 	}
 	s.turn++
 	of, _ := crdt.Choose(list, p.opt.Halls[p.opt.Member.Name], !s.caught, s.tries, s.turn)
@@ -167,7 +167,7 @@
 		st.at((s.first+len(w.Digests))%pieces, func(store *crdt.Store, _ int64) {
 			w.Digests = append(w.Digests, store.Sum())
 			v := make([]uint64, len(w.Origins))
-			for o, upto := range store.Vector() {
+			for o, upto := range store.VersionVector() {
 				at, ok := places[o]
 				if !ok {
 					at = len(w.Origins)
@@ -230,7 +230,7 @@
 			a.Lacks = append(a.Lacks, byte(i))
 		}
 		if changed && i < e.State.Push.Pass {
-			p.spread.teller.Pass(now, one, e.From)
+			p.spread.teller.Forward(now, one, e.From)
 		}
 	}
 	if e.State.Push.Pass > 0 { // somebody waits
@@ -249,7 +249,7 @@
 // answerState is what a member lacks, as far as it may be given now.
 func (p *Peers) answerState(now int64, who string, w *want) *feed {
 	out, st, s := &feed{First: w.First, Shards: len(w.Digests)}, p.opt.State, &p.spread
-	room, wait := s.feeder.Ask(now, who, w.Hungry)
+	room, wait := s.feeder.Admit(now, who, w.Hungry)
 	if room == 0 {
 		out.WaitMS = max(1, wait/1e6)
 		return out
@@ -261,7 +261,7 @@
 			if store.Sum() == w.Digests[k] {
 				return
 			}
-			v := crdt.Vector{}
+			v := crdt.VersionVector{}
 			for j, o := range w.Origins {
 				if w.Upto[k][j] > 0 {
 					v[crdt.Origin{Name: o.Name, Boot: o.Boot}] = w.Upto[k][j]
@@ -287,7 +287,7 @@
 			}
 		})
 	}
-	s.feeder.Gave(who, gave, !out.More && len(w.Digests) == pieces)
+	s.feeder.Served(who, gave, !out.More && len(w.Digests) == pieces)
 	return out
 }
 
@@ -311,10 +311,10 @@
 		return
 	}
 	sum := uint64(0)
-	runs := make([]crdt.Run, len(f.Runs))
+	runs := make([]crdt.OriginRun, len(f.Runs))
 	for i := range f.Runs {
 		r := &f.Runs[i]
-		runs[i] = crdt.Run{From: crdt.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, Upto: r.Upto}
+		runs[i] = crdt.OriginRun{From: crdt.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, Upto: r.Upto}
 		for j := range r.Entries {
 			one := r.Entries[j].entry()
 			sum += one.Hash()
@@ -332,7 +332,7 @@
 	}
 	s.tries = 0
 	for i := range runs {
-		st.at(f.Runs[i].Shard, func(store *crdt.Store, now int64) { s.entries += store.Merge(now, runs[i:i+1]) })
+		st.at(f.Runs[i].Shard, func(store *crdt.Store, now int64) { s.entries += store.MergeRuns(now, runs[i:i+1]) })
 	}
 	if s.pieces++; f.More {
 		s.of = from
@@ -354,7 +354,7 @@
 	out := &state{}
 	for range pieces {
 		p.opt.State.at(s.shard, func(store *crdt.Store, now int64) {
-			for _, e := range store.Old(now, int64(differFor), checked-len(out.Check)) {
+			for _, e := range store.EntriesOlderThan(now, int64(differFor), checked-len(out.Check)) {
 				out.Check = append(out.Check, wire(&e))
 			}
 		})
@@ -375,7 +375,7 @@
 		e, had := list[i].entry(), false
 		p.opt.State.at(p.opt.State.index(&e), func(store *crdt.Store, now int64) {
 			if had = store.Covers(now, &e); !had {
-				had = !store.Take(now, e) // what is not believed here does not lack
+				had = !store.Merge(now, e) // what is not believed here does not lack
 			}
 		})
 		if !had && time.Duration(e.Age) > differFor {
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -58,7 +58,7 @@
 	if _, err := crdt.New(s); err != nil {
 		return nil, err
 	}
-	s = s.Part(n)
+	s = s.Shard(n)
 	return &State{now: now, self: s.Self, fresh: make(chan struct{}, 1), waits: map[uint64]*wait{}, shards: sharded.New(n, func(int) crdt.Store {
 		store, _ := crdt.New(s) // it was checked
 		return *store
@@ -69,7 +69,7 @@
 func (s *State) at(i int, f func(store *crdt.Store, now int64)) {
 	now, top := s.now(), s.top.Load()
 	s.shards.At(i, func(store *crdt.Store) {
-		store.Know(top)
+		store.ObservePosition(top)
 		f(store, now)
 	})
 }
@@ -90,7 +90,7 @@
 
 // know raises the greatest position that this router has learned by itself.
 func (s *State) know(e *crdt.Entry) {
-	if e.Kind > crdt.Position || e.Kind == crdt.Write {
+	if e.Kind > crdt.ServerPosition || e.Kind == crdt.PendingWrite {
 		return
 	}
 	for top := s.top.Load(); e.At > top && !s.top.CompareAndSwap(top, e.At); top = s.top.Load() {
@@ -137,7 +137,7 @@
 	s.know(&e)
 	ok := false
 	var tell crdt.Entry
-	s.at(s.index(&e), func(store *crdt.Store, now int64) { tell, ok = store.Assure(now, e) })
+	s.at(s.index(&e), func(store *crdt.Store, now int64) { tell, ok = store.LearnDurably(now, e) })
 	if ok && s.keeper != nil && tell.From == s.self {
 		s.keeper.Put(tell, crdt.Origin{})
 	}
@@ -213,15 +213,15 @@
 
 // take joins what somebody else told, says whether it changed anything, and whether this copy needs nothing more for it.
 func (s *State) take(e *crdt.Entry) (changed, covered bool) {
-	s.at(s.index(e), func(store *crdt.Store, now int64) { changed, covered = store.Take(now, *e), store.Covers(now, e) })
+	s.at(s.index(e), func(store *crdt.Store, now int64) { changed, covered = store.Merge(now, *e), store.Covers(now, e) })
 	return changed, covered
 }
 
 // news are what was learned since the last time, for the teller.
 func (s *State) news() (out []crdt.Entry) {
 	s.Each(func(store *crdt.Store, now int64) {
-		store.Tick(now)
-		out = append(out, store.Push(now, 1<<20)...)
+		store.Expire(now)
+		out = append(out, store.TakePending(now, 1<<20)...)
 	})
 	return out
 }
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -153,12 +153,12 @@
 
 // wrap is a message as it travels.
 func wrap(m *membership.Message) *body {
-	b := &body{Kind: uint8(m.Kind), Boot: m.Boot, Seq: m.Seq, Target: m.Target, TargetAddress: m.TargetAddress, Deaf: m.Deaf}
-	for _, u := range m.News {
-		b.News = append(b.News, update{Name: u.Name, Address: u.Address, Boot: u.Boot, Incarnation: u.Incarnation, State: uint8(u.State), By: u.By})
+	b := &body{Kind: uint8(m.Kind), Boot: m.Epoch, Seq: m.Seq, Target: m.Target, TargetAddress: m.TargetAddress, Deaf: m.Isolated}
+	for _, u := range m.Updates {
+		b.News = append(b.News, update{Name: u.Name, Address: u.Address, Boot: u.Epoch, Incarnation: u.Incarnation, State: uint8(u.State), By: u.Accuser})
 	}
-	if m.Row != nil {
-		b.Row = &promise{List: m.Row.List, Grant: m.Row.Grant, Gone: m.Row.Gone}
+	if m.Vote != nil {
+		b.Row = &promise{List: m.Vote.NamesHash, Grant: m.Vote.Granted, Gone: m.Vote.Excluded}
 	}
 	return b
 }
@@ -166,13 +166,13 @@
 // message is what an envelope says.
 func (e *envelope) message() membership.Message {
 	b := e.Body
-	m := membership.Message{Kind: membership.Kind(b.Kind), From: e.From, Address: e.Address, Boot: b.Boot, Seq: b.Seq, Target: b.Target,
-		TargetAddress: b.TargetAddress, Deaf: b.Deaf}
+	m := membership.Message{Kind: membership.Kind(b.Kind), From: e.From, Address: e.Address, Epoch: b.Boot, Seq: b.Seq, Target: b.Target,
+		TargetAddress: b.TargetAddress, Isolated: b.Deaf}
 	for _, u := range b.News {
-		m.News = append(m.News, membership.Update{Name: u.Name, Address: u.Address, Boot: u.Boot, Incarnation: u.Incarnation, State: membership.State(u.State), By: u.By})
+		m.Updates = append(m.Updates, membership.Update{Name: u.Name, Address: u.Address, Epoch: u.Boot, Incarnation: u.Incarnation, State: membership.State(u.State), Accuser: u.By})
 	}
 	if b.Row != nil {
-		m.Row = &quotalease.Row{List: b.Row.List, Grant: b.Row.Grant, Gone: b.Row.Gone}
+		m.Vote = &quotalease.Vote{NamesHash: b.Row.List, Granted: b.Row.Grant, Excluded: b.Row.Gone}
 	}
 	return m
 }
--- a/internal/platformconfig/config_test.go
+++ b/internal/platformconfig/config_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n7" || c.Listen != "127.0.0.2:1" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Known.Seq != 41 || c.Limits != (Limits{1, 192, 1024}) || c.Settings.Class("own") != 1 || c.Settings.Class("x") != -1 {
+		c.Known.Version != 41 || c.Limits != (Limits{1, 192, 1024}) || c.Settings.Class("own") != 1 || c.Settings.Class("x") != -1 {
 		t.Errorf("%+v", c)
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -2,9 +2,8 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"math"
-
-	"lotushook/policy/balance"
 )
 
 // FieldError is a field of the settings object that no router can work with.
@@ -19,14 +18,14 @@
 // Kind is the same for all fields.
 func (*FieldError) Kind() string { return "settings-field" }
 
-// Remedy is for whoever reads the line.
-func (e *FieldError) Remedy() string {
+// Hint is for whoever reads the line.
+func (e *FieldError) Hint() string {
 	return fmt.Sprintf("have the platform correct settings.%s: %s", e.Field, e.Do)
 }
 
 // check names the fields that are missing or out of range, each once. What can be
 // told by default is not missing, and keys that no router reads are not looked at.
-func (e *env) check() error {
+func (o *object) check() error {
 	var errs []error
 	say := func(ok bool, field, what, do string, args ...any) {
 		if !ok {
@@ -43,22 +42,22 @@
 		}
 		say(v >= 0 && v <= most, field, fmt.Sprintf("%g is out of range", v), "%s", do)
 	}
-	least := func(v balance.Nanos, field string) { within(float64(v), math.Inf(1), field) }
+	least := func(v clock.Nanos, field string) { within(float64(v), math.Inf(1), field) }
 	word := func(err error) {
 		if err != nil {
 			errs = append(errs, err)
 		}
 	}
 
-	above(int64(e.Balancers), "balancers")
-	above(e.Granularity, "granularity")
-	_, err := Word(lists, "discovery", e.Discovery)
+	above(int64(o.Balancers), "balancers")
+	above(o.Granularity, "granularity")
+	_, err := Word(watchRequired, "discovery", o.Discovery)
 	word(err)
-	within(e.OverShare, math.Inf(1), "overShareWorth")
-	say(len(e.Classes) > 0, "classes", "missing or empty", "write at least one class")
-	say(len(e.Domain.ClassRead) >= len(e.Classes), "domain.classRead",
-		fmt.Sprintf("%d entries for %d classes", len(e.Domain.ClassRead), len(e.Classes)), "write one for each class")
-	for i, c := range e.Classes {
+	within(o.OverShare, math.Inf(1), "overShareWorth")
+	say(len(o.Classes) > 0, "classes", "missing or empty", "write at least one class")
+	say(len(o.Domain.ClassRead) >= len(o.Classes), "domain.classRead",
+		fmt.Sprintf("%d entries for %d classes", len(o.Domain.ClassRead), len(o.Classes)), "write one for each class")
+	for i, c := range o.Classes {
 		at := fmt.Sprintf("classes[%d].", i)
 		say(c.Name != "", at+"name", "missing", "write the name that requests give as c")
 		above(c.Objective, at+"objective")
@@ -66,33 +65,33 @@
 		least(c.Window, at+"window")
 		within(c.Gain, math.Inf(1), at+"gain")
 		within(c.LateWorth, math.Inf(1), at+"lateWorth")
-		if i < len(e.Domain.ClassRead) && e.Domain.ClassRead[i] == "lag_bound" {
-			say(i < len(e.Domain.LagAllowed) && e.Domain.LagAllowed[i] > 0, fmt.Sprintf("domain.lagAllowed[%d]", i), "missing or not above 0",
+		if i < len(o.Domain.ClassRead) && o.Domain.ClassRead[i] == "lag_bound" {
+			say(i < len(o.Domain.LagAllowed) && o.Domain.LagAllowed[i] > 0, fmt.Sprintf("domain.lagAllowed[%d]", i), "missing or not above 0",
 				"write the greatest age for class %q in ns", c.Name)
 		}
 	}
-	for i, c := range e.Customers {
+	for i, c := range o.Customers {
 		at := fmt.Sprintf("customers[%d].", i)
 		say(c.Name != "", at+"name", "missing", "write the name that requests give as t")
 		within(c.Quota, math.Inf(1), at+"quotaPerS")
 	}
-	_, err = Word(marks, "domain.sessionMarks", e.Domain.Marks)
+	_, err = Word(clientPositions, "domain.sessionMarks", o.Domain.Marks)
 	word(err)
-	_, err = Word(reports, "report.how", e.Report.How)
+	_, err = Word(loadReports, "report.how", o.Report.How)
 	word(err)
-	above(int64(e.Limits.MaxAttempts), "limits.maxAttempts")
-	above(int64(e.Limits.MostHeld), "limits.mostHeld")
-	least(e.Limits.MaxRetryAfter, "limits.maxRetryAfter")
-	least(e.Limits.IdleClose, "limits.idleClose")
-	least(e.Limits.ConnectTimeout, "limits.connectTimeout")
-	within(e.Penalties.LateFail, math.Inf(1), "penalties.lateFail")
-	within(e.Penalties.Handshake, math.Inf(1), "penalties.handshake")
-	least(e.Rules.AnswerSlack, "rules.answerSlack")
-	within(e.Rules.ColdShare, 1, "rules.coldShare")
-	within(e.Rules.FallMultiple, math.Inf(1), "rules.fallMultiple")
-	least(e.Rules.OverloadFor, "rules.overloadFor")
-	least(e.Rules.RampTime, "rules.rampTime")
-	least(e.Rules.DrainGrace, "rules.drainGrace")
+	above(int64(o.Limits.MaxAttempts), "limits.maxAttempts")
+	above(int64(o.Limits.MostHeld), "limits.mostHeld")
+	least(o.Limits.MaxRetryAfter, "limits.maxRetryAfter")
+	least(o.Limits.IdleClose, "limits.idleClose")
+	least(o.Limits.ConnectTimeout, "limits.connectTimeout")
+	within(o.Penalties.LateFail, math.Inf(1), "penalties.lateFail")
+	within(o.Penalties.Handshake, math.Inf(1), "penalties.handshake")
+	least(o.Rules.AnswerSlack, "rules.answerSlack")
+	within(o.Rules.ColdShare, 1, "rules.coldShare")
+	within(o.Rules.FallMultiple, math.Inf(1), "rules.fallMultiple")
+	least(o.Rules.OverloadFor, "rules.overloadFor")
+	least(o.Rules.RampTime, "rules.rampTime")
+	least(o.Rules.DrainGrace, "rules.drainGrace")
 	return oneLine(errs)
 }
 
@@ -110,7 +109,7 @@
 
 // Serveable names the fields that only a router on sockets needs.
 func (s *Settings) Serveable() error {
-	if s.IdleClose <= 0 {
+	if s.IdleTimeout <= 0 {
 		return &FieldError{"limits.idleClose", "missing, or 0", "write after how many ns a data server closes an idle connection"}
 	}
 	if s.ConnectTimeout <= 0 {
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -38,8 +38,8 @@
 		if err != nil {
 			return
 		}
-		b.Step(1, []balance.Event{{Kind: balance.NodesFull, Nodes: []balance.NodeEntry{{Node: 1, Group: 1, Primary: true, Weight: 1}}},
-			{Kind: balance.RequestIn, Request: "x", Class: 0, Tenant: -1, Group: 1, Deadline: 2 * s.Balance.Classes[0].Deadline}})
+		b.Step(1, []balance.Event{{Kind: balance.EndpointSnapshot, Endpoints: []balance.Endpoint{{ID: 1, Group: 1, Primary: true, Weight: 1}}},
+			{Kind: balance.RequestArrived, Request: "x", Class: 0, Tenant: -1, Group: 1, Deadline: 2 * s.Balance.Classes[0].Deadline}})
 	})
 }
 
@@ -140,7 +140,7 @@
 			}
 		}
 	}
-	walk(reflect.TypeFor[env](), "", func(m map[string]any) any { return m }, nil)
+	walk(reflect.TypeFor[object](), "", func(m map[string]any) any { return m }, nil)
 	if fields < 45 {
 		t.Errorf("%d fields were walked", fields)
 	}
--- a/internal/router/cancel.go
+++ b/internal/router/cancel.go
@@ -12,60 +12,60 @@
 // cancelShards is in how many pieces the keys are kept: clients come and go on many goroutines.
 const cancelShards = 16
 
-// cancels finds the client that a CancelRequest names. It holds one entry for each client that has been welcomed, and none
+// cancelKeys finds the client that a CancelRequest names. It holds one entry for each client that has been welcomed, and none
 // of those that have gone.
-type cancels struct {
+type cancelKeys struct {
 	clients *sharded.Shards[map[uint32]*client]
 }
 
-func newCancels() *cancels {
-	return &cancels{sharded.New(cancelShards, func(int) map[uint32]*client { return map[uint32]*client{} })}
+func newCancelKeys() *cancelKeys {
+	return &cancelKeys{sharded.New(cancelShards, func(int) map[uint32]*client { return map[uint32]*client{} })}
 }
 
 // at has a function look at the clients among whom a process is.
-func (x *cancels) at(process uint32, do func(clients map[uint32]*client)) {
+func (x *cancelKeys) at(process uint32, do func(clients map[uint32]*client)) {
 	x.clients.At(int(process%cancelShards), func(m *map[uint32]*client) { do(*m) })
 }
 
 // add gives a client a key of its own, which nobody can guess, and returns it.
-func (x *cancels) add(c *client) pgwire.CancelKey {
+func (x *cancelKeys) add(c *client) pgwire.CancelKey {
 	for {
 		var b [8]byte
-		rand.Read(b[:])                                                                                               // it never fails
-		c.key = pgwire.CancelKey{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])} // clients show it as a signed number
+		rand.Read(b[:])                                                                                                     // it never fails
+		c.cancelKey = pgwire.CancelKey{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])} // clients show it as a signed number
 		added := false
-		x.at(c.key.Process, func(clients map[uint32]*client) {
-			if clients[c.key.Process] == nil && c.key.Process != 0 {
-				clients[c.key.Process], added = c, true
+		x.at(c.cancelKey.Process, func(clients map[uint32]*client) {
+			if clients[c.cancelKey.Process] == nil && c.cancelKey.Process != 0 {
+				clients[c.cancelKey.Process], added = c, true
 			}
 		})
 		if added {
-			return c.key
+			return c.cancelKey
 		}
 	}
 }
 
 // remove forgets a client, if it has a key.
-func (x *cancels) remove(c *client) {
-	x.at(c.key.Process, func(clients map[uint32]*client) {
-		if clients[c.key.Process] == c {
-			delete(clients, c.key.Process)
+func (x *cancelKeys) remove(c *client) {
+	x.at(c.cancelKey.Process, func(clients map[uint32]*client) {
+		if clients[c.cancelKey.Process] == c {
+			delete(clients, c.cancelKey.Process)
 		}
 	})
 }
 
 // cancel calls off what the client of a key is waiting for. A key that nobody has is ignored: whoever sends it hears the
 // same either way, nothing.
-func (x *cancels) cancel(key pgwire.CancelKey) {
+func (x *cancelKeys) cancel(key pgwire.CancelKey) {
 	var c *client
 	x.at(key.Process, func(clients map[uint32]*client) { c = clients[key.Process] })
-	if c == nil || subtle.ConstantTimeEq(int32(c.key.Secret), int32(key.Secret)) == 0 {
+	if c == nil || subtle.ConstantTimeEq(int32(c.cancelKey.Secret), int32(key.Secret)) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) > 0 { // the one that is answered next; those behind it go on
-		c.open[0].cancel()
+	if len(c.cancelable) > 0 { // the one that is answered next; those behind it go on
+		c.cancelable[0].cancel()
 	}
 }
 
