--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -20,114 +20,114 @@
 )
 
 const (
-	longestQuery = 1 << 20
-	longestReply = backend.MostAnswer + 64<<10 // the value, and what stands round it
-	pipelined    = 16                          // requests of one client at a time
+	maxQueryBytes  = 1 << 20
+	maxAnswerBytes = backend.MaxMessageBytes + 64<<10 // the value, and what stands round it
+	maxPipelined   = 16                               // requests of one client at a time
 
-	paceStep = 10 * time.Millisecond // after each unusable query in a row, reading rests so much longer
-	mostPace = 250 * time.Millisecond
+	unusablePauseStep = 10 * time.Millisecond // after each unusable query in a row, reading rests so much longer
+	maxUnusablePause  = 250 * time.Millisecond
 )
 
-// patience is how long clients may take.
-type patience struct {
-	message time.Duration // a message that is not whole by then is given up
-	write   time.Duration // an answer that is not taken by then ends the connection
-	idle    time.Duration // a client with nothing open is closed after this
-	spare   time.Duration // in a crowd, one may be that idles so long
-	green   time.Duration // or that is so old and silent
-	open    time.Duration // open requests hold a fatal error up for so long
-	fresh   time.Duration // from a router that stops, a client that has not asked yet has so long to ask
-	last    time.Duration // and at the very end all have so long to take their answers
-	linger  time.Duration // after the last word the connection is read to its end for so long
+// clientTimeouts is how long clients may take.
+type clientTimeouts struct {
+	message        time.Duration // a message that is not whole by then is given up
+	write          time.Duration // an answer that is not taken by then ends the connection
+	idle           time.Duration // a client with nothing open is closed after this
+	evictable      time.Duration // in a crowd, one may be that idles so long
+	silent         time.Duration // or that is so old and silent
+	openRequests   time.Duration // open requests hold a fatal error up for so long
+	firstQuery     time.Duration // from a router that stops, a client that has not asked yet has so long to ask
+	finalAnswers   time.Duration // and at the very end all have so long to take their answers
+	lingeringClose time.Duration // after the last word the connection is read to its end for so long
 }
 
-var usualPatience = patience{message: 2 * time.Second, write: 5 * time.Second, idle: 2250 * time.Millisecond, spare: 100 * time.Millisecond,
-	green: 20 * time.Millisecond, open: 500 * time.Millisecond, fresh: 500 * time.Millisecond, last: 100 * time.Millisecond,
-	linger: 250 * time.Millisecond}
+var defaultTimeouts = clientTimeouts{message: 2 * time.Second, write: 5 * time.Second, idle: 2250 * time.Millisecond, evictable: 100 * time.Millisecond,
+	silent: 20 * time.Millisecond, openRequests: 500 * time.Millisecond, firstQuery: 500 * time.Millisecond, finalAnswers: 100 * time.Millisecond,
+	lingeringClose: 250 * time.Millisecond}
 
 // client is one connection of a client: a goroutine that reads it, and a task
 // for each request. Only the reader ends the connection, whoever wants it ended:
 // nobody else knows whether a request has been read.
 type client struct {
-	router *Router
-	conn   net.Conn
-	in     *ringbuffer.Buffer
-	out    *ringbuffer.Buffer // who has the turn to answer writes it
-	left   chan struct{}      // closed once the client has gone, or is to be
-	cut    chan struct{}      // closed once an answer could not be written: nobody hears the next ones
-	once   sync.Once          // of cut
-	fatal  bool               // with left closed: by an error of the client's, which still hears
-	slots  chan struct{}      // bounds what is pipelined
-	skip   bool               // the reader's: after an error in an extended query, up to the next Sync
-	faults int                // the reader's: unusable queries in a row
-	heard  arrivals           // the reader's: when what it reads had come
-
-	seat   *changefeed.Seat // the reader's: of one that has asked for a feed
-	id     admission.ID     // at the door
-	who    contract.Who     // as its startup message says
-	key    pgwire.CancelKey
-	mu     sync.Mutex
-	away   *turnedAway // the door's word, for the reader to say
-	busy   int         // queries taken and not answered
-	open   []*request  // of those, the ones that a CancelRequest can name, in their order
-	asked  bool        // it has sent a whole query
-	idleAt time.Time   // since when none is open
-	halfAt time.Time   // since when a message is here in part; zero: none is
-	last   chan struct{}
+	router           *Router
+	conn             net.Conn
+	input            *ringbuffer.Buffer
+	output           *ringbuffer.Buffer // who has the turn to answer writes it
+	left             chan struct{}      // closed once the client has gone, or is to be
+	writeFailed      chan struct{}      // closed once an answer could not be written: nobody hears the next ones
+	closeWriteFailed sync.Once          // of cut
+	failedByClient   bool               // with left closed: by an error of the client's, which still hears
+	slots            chan struct{}      // bounds what is pipelined
+	skipUntilSync    bool               // the reader's: after an error in an extended query, up to the next Sync
+	unusableInRow    int                // the reader's: unusable queries in a row
+	heard            arrivals           // the reader's: when what it reads had come
+
+	feedSeat     *changefeed.Seat  // the reader's: of one that has asked for a feed
+	admissionID  admission.ID      // at the door
+	identity     contract.Identity // as its startup message says
+	cancelKey    pgwire.CancelKey
+	mu           sync.Mutex
+	rejection    *rejection // the door's word, for the reader to say
+	openQueries  int        // queries taken and not answered
+	cancelable   []*request // of those, the ones that a CancelRequest can name, in their order
+	hasQueried   bool       // it has sent a whole query
+	idleSince    time.Time  // since when none is open
+	partialSince time.Time  // since when a message is here in part; zero: none is
+	lastAnswered chan struct{}
 
 	// What the reader is woken for by a read deadline long past.
-	overdue bool // a query, or the rest of a message, has not come in time
-	leave   bool // it is to end the connection, if nothing is open or has come
-	pushed  bool // with leave: the door has given its place away
+	overdue   bool // a query, or the rest of a message, has not come in time
+	closing   bool // it is to end the connection, if nothing is open or has come
+	displaced bool // with leave: the door has given its place away
 
-	pipelines bool      // it has sent a query without waiting for the answer before it
-	closing   bool      // the reader is closing the connection: nobody wakes it any more
-	closingAt time.Time // since when it waits for the client's end; zero: it does not
+	pipelines      bool      // it has sent a query without waiting for the answer before it
+	lingering      bool      // the reader is closing the connection: nobody wakes it any more
+	lingeringSince time.Time // since when it waits for the client's end; zero: it does not
 }
 
 func newClient(r *Router, conn net.Conn) *client {
 	last := make(chan struct{})
 	close(last)
-	return &client{router: r, conn: conn, in: ringbuffer.New(longestQuery).Within(r.reading), out: ringbuffer.New(longestReply),
-		idleAt: time.Now(), left: make(chan struct{}), cut: make(chan struct{}), slots: make(chan struct{}, pipelined), last: last}
+	return &client{router: r, conn: conn, input: ringbuffer.New(maxQueryBytes).Within(r.readQuota), output: ringbuffer.New(maxAnswerBytes),
+		idleSince: time.Now(), left: make(chan struct{}), writeFailed: make(chan struct{}), slots: make(chan struct{}, maxPipelined), lastAnswered: last}
 }
 
 var (
-	errDone     = errors.New("done") // ends a connection without anything being wrong
-	errCut      = errors.New("an answer was not taken")
-	errStopping = errors.New("refused: the router stops")
-	longAgo     = time.Unix(1, 0)
+	errDone           = errors.New("done") // ends a connection without anything being wrong
+	errAnswerNotTaken = errors.New("an answer was not taken")
+	errDraining       = errors.New("refused: the router stops")
+	pastDeadline      = time.Unix(1, 0)
 )
 
 // run reads the connection until the client leaves, and waits for its requests.
 func (c *client) run() {
 	var tasks sync.WaitGroup
-	err := c.start()
+	err := c.startSession()
 	started := err == nil
 	for err == nil {
-		err = c.next(&tasks)
+		err = c.readMessage(&tasks)
 	}
-	err = c.because(err)
+	err = c.closeCause(err)
 	code, wait := fatalCode(err)
 	var behind []byte
 	if started {
-		behind = c.unserved(err)
+		behind = c.rejectUnserved(err)
 	}
-	c.in.Free()
-	if c.fatal = code != ""; c.fatal { // what was taken is answered before it
-		c.settle(c.router.patience.open)
+	c.input.Free()
+	if c.failedByClient = code != ""; c.failedByClient { // what was taken is answered before it
+		c.awaitOpenRequests(c.router.timeouts.openRequests)
 	}
 	close(c.left)
-	c.router.cancels.remove(c)
+	c.router.cancelKeys.remove(c)
 	tasks.Wait()
-	if c.fatal {
+	if c.failedByClient {
 		c.write(pgwire.AppendError(behind, "FATAL", code, err.Error(), wait))
 	}
-	if c.fatal || c.pipelines && errors.Is(err, errDone) {
+	if c.failedByClient || c.pipelines && errors.Is(err, errDone) {
 		c.lingeringClose()
 	}
 	c.conn.Close()
-	c.router.gone(c)
+	c.router.removeClient(c)
 }
 
 // lingeringClose ends the sending and then reads and drops what still comes, up to the client's own end and within bounds in time
@@ -142,11 +142,11 @@
 		return
 	}
 	c.mu.Lock()
-	c.closing, c.closingAt = true, time.Now()
-	c.conn.SetReadDeadline(time.Now().Add(c.router.patience.linger))
+	c.lingering, c.lingeringSince = true, time.Now()
+	c.conn.SetReadDeadline(time.Now().Add(c.router.timeouts.lingeringClose))
 	c.mu.Unlock()
-	for dropped := 0; dropped < c.in.Cap(); dropped += c.in.Discard(c.in.Len()) {
-		if c.in.Fill(c.conn) != nil {
+	for dropped := 0; dropped < c.input.Cap(); dropped += c.input.Discard(c.input.Len()) {
+		if c.input.Fill(c.conn) != nil {
 			return
 		}
 	}
@@ -157,11 +157,11 @@
 // field D tells it.
 func fatalCode(err error) (code, wait string) {
 	var long *pgwire.TooLong
-	var away *turnedAway
+	var away *rejection
 	switch {
 	case errors.As(err, &away):
-		return pgwire.CodeTooManyConnections, comeAgain(away.wait)
-	case errors.Is(err, errStopping):
+		return pgwire.CodeTooManyConnections, retryAfterField(away.retryAfter)
+	case errors.Is(err, errDraining):
 		return pgwire.CodeCannotConnect, ""
 	case errors.Is(err, pgwire.ErrMalformed), errors.Is(err, os.ErrDeadlineExceeded):
 		return pgwire.CodeProtocolViolation, ""
@@ -173,104 +173,104 @@
 	return "", ""
 }
 
-// because is why the reading ended: where the door has put the client out, that.
-func (c *client) because(err error) error {
+// closeCause is why the reading ended: where the door has put the client out, that.
+func (c *client) closeCause(err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var away *turnedAway
-	if c.away != nil && (errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errDone) || errors.As(err, &away)) {
-		return c.away
+	var away *rejection
+	if c.rejection != nil && (errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errDone) || errors.As(err, &away)) {
+		return c.rejection
 	}
 	return err
 }
 
-// unserved answers the queries that were read behind one that is turned away: the
+// rejectUnserved answers the queries that were read behind one that is turned away: the
 // fatal error at the end is the answer to one of them, the rest get theirs first.
-func (c *client) unserved(err error) (answers []byte) {
-	var away *turnedAway
+func (c *client) rejectUnserved(err error) (answers []byte) {
+	var away *rejection
 	if !errors.As(err, &away) {
 		return nil
 	}
 	for {
-		m, err := pgwire.Next(c.in)
+		m, err := pgwire.Next(c.input)
 		if err != nil {
 			return answers
 		}
 		if m.Kind == pgwire.Query {
-			answers = append(answers, refused(away.wait, &refusal{text: away.text})...)
+			answers = append(answers, rejectedAnswer(away.retryAfter, &rejectionReason{text: away.text})...)
 		}
-		c.in.Discard(m.Size)
+		c.input.Discard(m.Size)
 	}
 }
 
-// putOut ends the connection for the door: with a word, which the reader says,
+// evict ends the connection for the door: with a word, which the reader says,
 // or by closing it, since a query may be on its way.
-func (c *client) putOut(away *turnedAway) {
+func (c *client) evict(away *rejection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing { // its last word is said, and its place is wanted now
-		c.conn.SetReadDeadline(longAgo)
+	if c.lingering { // its last word is said, and its place is wanted now
+		c.conn.SetReadDeadline(pastDeadline)
 		return
 	}
-	c.away = away
-	c.leave, c.pushed = c.leave || away == nil, away == nil
-	c.conn.SetReadDeadline(longAgo)
+	c.rejection = away
+	c.closing, c.displaced = c.closing || away == nil, away == nil
+	c.conn.SetReadDeadline(pastDeadline)
 }
 
-// settle waits for the open requests, but not for long, and not for a client that has gone.
-func (c *client) settle(most time.Duration) {
+// awaitOpenRequests waits for the open requests, but not for long, and not for a client that has gone.
+func (c *client) awaitOpenRequests(most time.Duration) {
 	c.mu.Lock()
-	last := c.last
+	last := c.lastAnswered
 	c.mu.Unlock()
-	c.rest(most, last)
+	c.pause(most, last)
 }
 
-// fill waits for more bytes. From the first byte of a message on, the sweep
+// readMore waits for more bytes. From the first byte of a message on, the sweep
 // watches how long the rest takes.
-func (c *client) fill() error {
+func (c *client) readMore() error {
 	c.mu.Lock()
 	switch {
-	case c.in.Len() == 0: // behind a startup message that came in parts
-		c.halfAt = time.Time{}
-	case c.halfAt.IsZero():
-		c.halfAt = time.Now()
+	case c.input.Len() == 0: // behind a startup message that came in parts
+		c.partialSince = time.Time{}
+	case c.partialSince.IsZero():
+		c.partialSince = time.Now()
 	}
 	c.mu.Unlock()
 	began := c.router.clock.now()
-	err := c.in.Fill(c.conn)
+	err := c.input.Fill(c.conn)
 	c.heard.read(began, c.router.clock.now())
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	// Somebody wants an end of it. What has come by now was sent before the client could know, so it is read first. A client
 	// that sends on is read on; it comes to an end when it leaves a gap, a message is whole, or the buffer is full.
-	if c.in.Fill(present{c.conn}) == nil {
+	if c.input.Fill(availableReader{c.conn}) == nil {
 		return nil
 	}
-	return c.ends(err)
+	return c.onWake(err)
 }
 
-// ends is how the connection ends for whoever woke the reader, nil if it goes on.
+// onWake is how the connection ends for whoever woke the reader, nil if it goes on.
 // Nothing that was read is unanswered when it is closed, and what comes after the
 // last look stays unread, so that its client may send it elsewhere.
-func (c *client) ends(err error) error {
+func (c *client) onWake(err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	half := c.in.Len() > 0
+	half := c.input.Len() > 0
 	switch {
-	case c.away != nil || c.overdue:
+	case c.rejection != nil || c.overdue:
 		return err
-	case c.leave && c.busy == 0 && !half:
+	case c.closing && c.openQueries == 0 && !half:
 		if !c.pipelines { // or lingeringClose does it
 			c.conn.Close()
 		}
 		return errDone
-	case c.pushed:
-		return c.router.door.pushed(c)
-	case c.leave && half && c.router.hasEnded():
-		return errStopping
+	case c.displaced:
+		return c.router.acceptor.displacedRejection(c)
+	case c.closing && half && c.router.isDrainOver():
+		return errDraining
 	}
-	c.leave = false
+	c.closing = false
 	c.conn.SetReadDeadline(time.Time{})
 	return nil
 }
@@ -281,24 +281,24 @@
 func (c *client) expire(now time.Time, stopping bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &c.router.patience
+	p := &c.router.timeouts
 	switch {
-	case c.closing:
-	case !c.asked && now.Sub(c.idleAt) > p.message, !c.halfAt.IsZero() && now.Sub(c.halfAt) > p.message:
+	case c.lingering:
+	case !c.hasQueried && now.Sub(c.idleSince) > p.message, !c.partialSince.IsZero() && now.Sub(c.partialSince) > p.message:
 		c.overdue = true // the reader says so and ends
-		c.conn.SetReadDeadline(longAgo)
-	case now.Sub(c.idleAt) > p.idle, stopping && (c.asked || now.Sub(c.idleAt) > p.fresh || c.router.hasEnded()):
-		c.leaveIfIdle()
+		c.conn.SetReadDeadline(pastDeadline)
+	case now.Sub(c.idleSince) > p.idle, stopping && (c.hasQueried || now.Sub(c.idleSince) > p.firstQuery || c.router.isDrainOver()):
+		c.closeIfIdleLocked()
 	}
 }
 
-// start answers the first messages up to the welcome. A query may stand right
+// startSession answers the first messages up to the welcome. A query may stand right
 // behind the startup message: it stays in the buffer.
-func (c *client) start() error {
+func (c *client) startSession() error {
 	for {
-		kind, size, err := pgwire.NextStart(c.in)
+		kind, size, err := pgwire.NextStart(c.input)
 		if errors.Is(err, pgwire.ErrShort) {
-			if err := c.fill(); err != nil {
+			if err := c.readMore(); err != nil {
 				return err
 			}
 			continue
@@ -308,16 +308,16 @@
 		}
 		switch kind {
 		case pgwire.Startup:
-			c.introduce(size)
+			c.readIdentity(size)
 		case pgwire.CancelRequest: // its connection has no other use, and is closed at once
-			if key, ok := pgwire.CancelOf(c.in, size); ok {
-				c.router.cancels.cancel(key)
+			if key, ok := pgwire.CancelOf(c.input, size); ok {
+				c.router.cancelKeys.cancel(key)
 			}
 			return errDone
 		}
-		c.in.Discard(size)
-		if kind == pgwire.Startup && c.router.door != nil {
-			if err := c.router.door.start(c); err != nil {
+		c.input.Discard(size)
+		if kind == pgwire.Startup && c.router.acceptor != nil {
+			if err := c.router.acceptor.sessionStarted(c); err != nil {
 				return err
 			}
 		}
@@ -327,68 +327,68 @@
 				return err
 			}
 		case pgwire.Startup:
-			return c.write(pgwire.AppendWelcome(nil, c.router.cancels.add(c)))
+			return c.write(pgwire.AppendWelcome(nil, c.router.cancelKeys.add(c)))
 		}
 	}
 }
 
-// introduce keeps what a startup message of n bytes says, where anybody asks.
-func (c *client) introduce(n int) {
-	if c.router.door == nil && c.router.owner.terms == nil {
+// readIdentity keeps what a startup message of n bytes says, where anybody asks.
+func (c *client) readIdentity(n int) {
+	if c.router.acceptor == nil && c.router.loop.contracts == nil {
 		return
 	}
-	c.who.Address = remote(c.conn)
-	pgwire.StartupParams(c.in, n, func(name, value string) {
+	c.identity.Address = remoteAddress(c.conn)
+	pgwire.StartupParams(c.input, n, func(name, value string) {
 		switch name {
 		case "user":
-			c.who.User = value
+			c.identity.User = value
 		case "database":
-			c.who.Database = value
+			c.identity.Database = value
 		case "application_name":
-			c.who.Application = value
+			c.identity.Application = value
 		}
 	})
 }
 
-// next takes one message.
-func (c *client) next(tasks *sync.WaitGroup) error {
-	m, err := pgwire.Next(c.in)
+// readMessage takes one message.
+func (c *client) readMessage(tasks *sync.WaitGroup) error {
+	m, err := pgwire.Next(c.input)
 	switch {
 	case errors.Is(err, pgwire.ErrShort):
-		c.in.Idle()
-		return c.fill()
+		c.input.Idle()
+		return c.readMore()
 	case err != nil:
 		return err
 	}
 	c.mu.Lock()
-	c.halfAt = time.Time{}
+	c.partialSince = time.Time{}
 	if c.overdue { // here it is after all
 		c.overdue = false
 		c.conn.SetReadDeadline(time.Time{})
 	}
 	c.mu.Unlock()
 	defer func() {
-		c.in.Discard(m.Size)
-		c.in.Idle() // a large query is held once, as its text
+		c.input.Discard(m.Size)
+		c.input.Idle() // a large query is held once, as its text
 	}()
 	switch m.Kind {
 	case pgwire.Terminate:
 		return errDone
 	case pgwire.Sync:
-		c.skip = false
-		return c.local(tasks, pgwire.AppendReady(nil))
+		c.skipUntilSync = false
+		return c.answerLocally(tasks, pgwire.AppendReady(nil))
 	case pgwire.Flush:
 		return nil
 	case pgwire.Parse, pgwire.Bind, pgwire.Describe, pgwire.Execute, pgwire.Close:
-		if c.skip {
+		if c.skipUntilSync {
 			return nil
 		}
-		c.skip = true
-		return c.local(tasks, pgwire.AppendError(nil, "ERROR", pgwire.CodeNotSupported, "only simple queries are served", ""))
+		c.skipUntilSync = true
+		return c.answerLocally(tasks, pgwire.AppendError(nil, "ERROR", pgwire.CodeNotSupported, "only simple queries are served", ""))
 	case pgwire.FunctionCall:
-		return c.local(tasks, problem(pgwire.CodeNotSupported, "only simple queries are served"))
+		return c.answerLocally(tasks, errorAnswer(pgwire.CodeNotSupported, "only simple queries are served"))
 	case pgwire.Query:
-		if c.skip {
+		if c.skipUntilSync {
 			return nil
 		}
 		return c.query(tasks, m.Body)
@@ -404,74 +404,76 @@
 		return err
 	}
 	if pgwire.Blank(text) { // the front's question whether this router is ready
-		return c.task(tasks, func() []byte {
-			<-c.router.asked
+		return c.startTask(tasks, func() []byte {
+			<-c.router.startHoldOver
 			return pgwire.AppendReady(pgwire.Append(nil, pgwire.EmptyQueryResponse, nil))
 		})
 	}
 	parsed, err := pgwire.ParseRequest(text)
 	if err != nil {
-		return c.unusable(tasks, pgwire.CodeSyntax, err)
+		return c.rejectUnusable(tasks, pgwire.CodeSyntax, err)
 	}
-	if err := c.router.conf.Settings.Usable(parsed.Class, parsed.Key); err != nil {
-		return c.unusable(tasks, pgwire.CodeInvalidParameter, err)
+	if err := c.router.config.Settings.Usable(parsed.Class, parsed.Key); err != nil {
+		return c.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
 	}
-	if !c.router.dir.Serves(parsed.Cluster) {
-		return c.unusable(tasks, pgwire.CodeInvalidParameter, fmt.Errorf("no data server of cluster %d is listed", parsed.Cluster))
+	if !c.router.directory.HasGroup(parsed.Cluster) {
+		return c.rejectUnusable(tasks, pgwire.CodeInvalidParameter, fmt.Errorf("no data server of cluster %d is listed", parsed.Cluster))
 	}
-	c.faults = 0
-	if f := c.router.feeds; f != nil && f.part.Serves(parsed.Class) {
-		if c.seat == nil {
-			c.seat = &changefeed.Seat{}
+	c.unusableInRow = 0
+	if f := c.router.changefeed; f != nil && f.feeds.Serves(parsed.Class) {
+		if c.feedSeat == nil {
+			c.feedSeat = &changefeed.Seat{}
 		}
-		seat := c.seat
-		return c.task(tasks, func() []byte { return f.answer(c, &parsed, seat, came) })
+		seat := c.feedSeat
+		return c.startTask(tasks, func() []byte { return f.answer(c, &parsed, seat, came) })
 	}
-	r := &request{Request: parsed, router: c.router, client: c, who: c.who, acts: make(chan balance.Action, mailbox),
+	r := &request{Request: parsed, router: c.router, client: c, identity: c.identity, actions: make(chan balance.Action, actionQueueSize),
 		canceled: make(chan struct{}),
-		deadline: c.router.within(came + int64(max(parsed.Wait-margin, parsed.Wait/2)))}
-	return c.serve(tasks, r, r.run)
+		deadline: c.router.limitDeadline(came + int64(max(parsed.Wait-deadlineMargin, parsed.Wait/2)))}
+	return c.startAnswer(tasks, r, r.run)
 }
 
-// unusable answers a query that can't be a request, and rests: a client that
+// rejectUnusable answers a query that can't be a request, and rests: a client that
 // sends such queries as fast as it can must not take the time of the others.
-func (c *client) unusable(tasks *sync.WaitGroup, code string, err error) error {
-	if err := c.local(tasks, problem(code, err.Error())); err != nil {
+func (c *client) rejectUnusable(tasks *sync.WaitGroup, code string, err error) error {
+	if err := c.answerLocally(tasks, errorAnswer(code, err.Error())); err != nil {
 		return err
 	}
-	c.faults++
-	return c.rest(min(time.Duration(c.faults)*paceStep, mostPace), c.router.ended)
+	c.unusableInRow++
+	return c.pause(min(time.Duration(c.unusableInRow)*unusablePauseStep, maxUnusablePause), c.router.drainOver)
 }
 
-// local answers without the module.
-func (c *client) local(tasks *sync.WaitGroup, answer []byte) error {
-	return c.task(tasks, func() []byte { return answer })
+// answerLocally answers without the module.
+func (c *client) answerLocally(tasks *sync.WaitGroup, answer []byte) error {
+	return c.startTask(tasks, func() []byte { return answer })
 }
 
-// task is serve without a request that could be canceled.
-func (c *client) task(tasks *sync.WaitGroup, f func() []byte) error { return c.serve(tasks, nil, f) }
+// startTask is serve without a request that could be canceled.
+func (c *client) startTask(tasks *sync.WaitGroup, f func() []byte) error {
+	return c.startAnswer(tasks, nil, f)
+}
 
-// serve runs f, which is r's if there is one, beside the reader and writes what it
+// startAnswer runs f, which is r's if there is one, beside the reader and writes what it
 // returns when its turn has come, so that answers keep the order of the queries.
-func (c *client) serve(tasks *sync.WaitGroup, r *request, f func() []byte) error {
+func (c *client) startAnswer(tasks *sync.WaitGroup, r *request, f func() []byte) error {
 	if err := c.takeSlot(); err != nil {
 		return err
 	}
 	c.mu.Lock()
-	if c.router.door != nil {
-		if err := c.router.door.ask(c); err != nil {
+	if c.router.acceptor != nil {
+		if err := c.router.acceptor.queryArrived(c); err != nil {
 			c.mu.Unlock()
 			return err
 		}
 	}
-	c.pipelines = c.pipelines || c.busy > 0
-	c.busy++
-	c.asked = true
+	c.pipelines = c.pipelines || c.openQueries > 0
+	c.openQueries++
+	c.hasQueried = true
 	if r != nil {
-		c.open = append(c.open, r)
+		c.cancelable = append(c.cancelable, r)
 	}
-	before, mine := c.last, make(chan struct{})
-	c.last = mine
+	before, mine := c.lastAnswered, make(chan struct{})
+	c.lastAnswered = mine
 	c.mu.Unlock()
 	tasks.Go(func() {
 		answer := f()
@@ -482,84 +484,84 @@
 			}
 		}
 		if r != nil { // only now: a cancel that crosses the answer must not take the next request for this one
-			c.closed()
+			c.removeCancelable()
 		}
 		close(mine)
 		<-c.slots
 		c.mu.Lock()
-		c.busy--
-		c.idleAt = time.Now()
-		if c.busy == 0 && c.router.door != nil {
-			c.router.door.answered(c)
+		c.openQueries--
+		c.idleSince = time.Now()
+		if c.openQueries == 0 && c.router.acceptor != nil {
+			c.router.acceptor.answered(c)
 		}
 		c.mu.Unlock()
-		if c.router.isStopping() {
+		if c.router.isDraining() {
 			c.closeIfIdle()
 		}
 	})
 	return nil
 }
 
-// closed forgets the request that has its answer now: the first of the open ones, as answers keep their order.
-func (c *client) closed() {
+// removeCancelable forgets the request that has its answer now: the first of the open ones, as answers keep their order.
+func (c *client) removeCancelable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open = slices.Delete(c.open, 0, 1)
+	c.cancelable = slices.Delete(c.cancelable, 0, 1)
 }
 
 // write sends bytes to the client; whoever calls has the turn.
 func (c *client) write(p []byte) error {
-	if _, err := c.out.Write(p); err != nil {
+	if _, err := c.output.Write(p); err != nil {
 		return err
 	}
-	if err := c.conn.SetWriteDeadline(time.Now().Add(c.router.patience.write)); err != nil {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(c.router.timeouts.write)); err != nil {
 		return err
 	}
-	_, err := c.out.WriteTo(c.conn)
+	_, err := c.output.WriteTo(c.conn)
 	if err != nil { // what is cut off can't go on
-		c.out.Discard(c.out.Len())
+		c.output.Discard(c.output.Len())
 		c.conn.Close()
-		c.once.Do(func() { close(c.cut) })
+		c.closeWriteFailed.Do(func() { close(c.writeFailed) })
 	}
-	c.out.Idle()
+	c.output.Idle()
 	return err
 }
 
-// idleSince is when the client was last answered, or came if it never asked; idle
+// idleState is when the client was last answered, or came if it never asked; idle
 // is false while it waits, and while a message of its is here in part: its reader would not end it.
-func (c *client) idleSince() (at time.Time, asked, idle bool) {
+func (c *client) idleState() (at time.Time, asked, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idleAt, c.asked, c.busy == 0 && !c.leave && !c.closing && c.halfAt.IsZero()
+	return c.idleSince, c.hasQueried, c.openQueries == 0 && !c.closing && !c.lingering && c.partialSince.IsZero()
 }
 
-// isGoing says whether the client's place will soon be free.
-func (c *client) isGoing() bool {
+// isClosing says whether the client's place will soon be free.
+func (c *client) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leave || c.away != nil || c.closing
+	return c.closing || c.rejection != nil || c.lingering
 }
 
-// lingersSince is since when the client's end is waited for; false where it is not, or not any more.
-func (c *client) lingersSince() (at time.Time, lingers bool) {
+// lingeringState is since when the client's end is waited for; false where it is not, or not any more.
+func (c *client) lingeringState() (at time.Time, lingers bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closingAt, !c.closingAt.IsZero()
+	return c.lingeringSince, !c.lingeringSince.IsZero()
 }
 
 // endLingering closes a connection without waiting any longer for the client's end.
 func (c *client) endLingering() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closingAt = time.Time{}
-	c.conn.SetReadDeadline(longAgo)
+	c.lingeringSince = time.Time{}
+	c.conn.SetReadDeadline(pastDeadline)
 }
 
-// halfSince is since when a message is here in part; false where none is, or a request is open.
-func (c *client) halfSince() (at time.Time, half bool) {
+// partialState is since when a message is here in part; false where none is, or a request is open.
+func (c *client) partialState() (at time.Time, half bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.halfAt, c.busy == 0 && c.away == nil && !c.closing && !c.halfAt.IsZero()
+	return c.partialSince, c.openQueries == 0 && c.rejection == nil && !c.lingering && !c.partialSince.IsZero()
 }
 
 // closeIfIdle has the reader close the connection, unless a request is open or
@@ -567,18 +569,18 @@
 func (c *client) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaveIfIdle()
+	c.closeIfIdleLocked()
 }
 
-// leaveIfIdle is closeIfIdle with the lock held.
-func (c *client) leaveIfIdle() {
-	if c.busy == 0 && !c.leave && !c.closing {
-		c.leave = true
-		c.conn.SetReadDeadline(longAgo)
+// closeIfIdleLocked is closeIfIdle with the lock held.
+func (c *client) closeIfIdleLocked() {
+	if c.openQueries == 0 && !c.closing && !c.lingering {
+		c.closing = true
+		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// problem is an error after which the connection goes on.
-func problem(code, text string) []byte {
+// errorAnswer is an error after which the connection goes on.
+func errorAnswer(code, text string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, text, ""))
 }
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -143,7 +143,7 @@
 	const wait = 20 * time.Second
 	pipelinedQueries := func() []byte {
 		var messages []byte
-		for i := range pipelined + 2 {
+		for i := range maxPipelined + 2 {
 			messages = append(messages, timedQuery(i, wait)...)
 		}
 		return messages
@@ -165,14 +165,14 @@
 	}{
 		{"behind a dial", 400 * time.Millisecond, 0, "", timedQuery(0, wait), 1, 400 * time.Millisecond},
 		{"in a retry", 0, 400 * time.Millisecond, pgwire.CodeFailed, timedQuery(0, wait), 1, 400 * time.Millisecond},
-		{"unread behind open requests", 0, 400 * time.Millisecond, "", pipelinedQueries(), pipelined + 2, 400 * time.Millisecond},
+		{"unread behind open requests", 0, 400 * time.Millisecond, "", pipelinedQueries(), maxPipelined + 2, 400 * time.Millisecond},
 		{"unread behind unusable queries", 0, 0, "", unusableQueries(), 31, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			servers := startSlowServers(t, c.welcome, c.answer, c.code)
 			_, r := stageSet(t, 0, endless, strings.Clone, servers.hosts...)
 			sent := time.Now()
-			deadlineClient(t, r.conf.Listen, c.messages, c.answers)
+			deadlineClient(t, r.config.Listen, c.messages, c.answers)
 			var last heardQuery
 			for more := true; more; {
 				select {
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -17,6 +17,7 @@
 	"lotushook/internal/ringbuffer"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 )
 
 // noCancel is a deployment where an attempt that is out can't be called off.
@@ -25,7 +26,7 @@
 }
 
 // stageSet is stageHeld with other settings.
-func stageSet(t *testing.T, hold time.Duration, p patience, set func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
+func stageSet(t *testing.T, hold time.Duration, p clientTimeouts, set func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,8 +48,8 @@
 	close(now)
 	r.accepted = func() <-chan time.Time { return now }
 	r.finish = func() <-chan time.Time { return nil }
-	r.allowed, r.patience, r.hold = time.Hour, p, hold
-	r.pool.Settle, r.pool.Crossing, r.pool.Stall = 0, 0, time.Hour
+	r.drainTimeout, r.timeouts, r.startHold = time.Hour, p, hold
+	r.pool.SettleTime, r.pool.DuplicateWindow, r.pool.StallTimeout = 0, 0, time.Hour
 	ctx, stop := context.WithCancel(context.Background())
 	done, broken := make(chan error, 1), len(invariant.Counts())
 	go func() { done <- r.Serve(ctx, ln) }()
@@ -127,7 +128,7 @@
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
 		r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
-		e := r.dir.Apply(r.conf.Known)
+		e := r.directory.Apply(r.config.Known)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
 			if err != nil {
@@ -135,8 +136,8 @@
 			}
 			now := r.clock.now()
 			one := &request{Request: parsed, router: r, client: &client{left: make(chan struct{})}, canceled: make(chan struct{}),
-				acts: make(chan balance.Action, mailbox), deadline: now + int64(time.Hour)}
-			one.hand(balance.Action{Kind: balance.Send, Node: e.Nodes[0].Node, Up: now + int64(time.Hour), Until: now + int64(time.Hour)})
+				actions: make(chan balance.Action, actionQueueSize), deadline: now + int64(time.Hour)}
+			one.deliver(balance.Action{Kind: balance.SendAttempt, Endpoint: e.Endpoints[0].ID, ConnectDeadline: now + int64(time.Hour), AttemptDeadline: now + int64(time.Hour)})
 			if canceled {
 				one.cancel()
 			} else {
@@ -146,8 +147,8 @@
 			if strings.Contains(string(answer), pgwire.CodeQueryCanceled) != canceled {
 				t.Errorf("answer %q", answer)
 			}
-			for _, want := range []balance.EventKind{balance.RequestIn, balance.RequestGone, 0} {
-				if e := <-r.owner.events; e.Kind != want {
+			for _, want := range []balance.EventKind{balance.RequestArrived, balance.RequestAbandoned, 0} {
+				if e := <-r.loop.events; e.Kind != want {
 					t.Fatalf("event %d, want %d", e.Kind, want)
 				}
 			}
@@ -157,14 +158,14 @@
 
 // A client's end is seen though its reader can take no more: every slot is taken, and what it sent on is read or not.
 func TestCloseBehindPipelinedRequests(t *testing.T) {
-	for _, n := range []int{pipelined + 1, pipelined * 30} {
+	for _, n := range []int{maxPipelined + 1, maxPipelined * 30} {
 		s, r := stageSet(t, time.Hour, endless, noCancel, "h-1 {s1} 1 SERVING") // nothing is decided before the agent answers
 		var all []string
 		for i := range n {
 			all = append(all, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 		}
 		s.Play("send c1 startup | " + strings.Join(all, " | "))
-		until(t, "no slot is free", func() bool { return someone(r, func(c *client) bool { return len(c.slots) == pipelined }) })
+		until(t, "no slot is free", func() bool { return someone(r, func(c *client) bool { return len(c.slots) == maxPipelined }) })
 		closed := time.Now()
 		s.Play("close c1")
 		until(t, "its leaving is seen", func() bool { return !someone(r, func(c *client) bool { return !hasLeft(c) }) })
@@ -189,11 +190,11 @@
 // A client that breaks the protocol and goes is not waited for as one that only broke it: its requests are called off.
 func TestCloseBehindBrokenMessage(t *testing.T) {
 	p := endless
-	p.open = time.Hour
+	p.openRequests = time.Hour
 	s, r := stageSet(t, time.Hour, p, noCancel, "h-1 {s1} 1 SERVING")
 	s.Play("send c1 startup | " + read01 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
 		close c1`)
-	until(t, "its request has come", func() bool { return len(r.owner.events) > 1 })
+	until(t, "its request has come", func() bool { return len(r.loop.events) > 1 })
 	until(t, "its leaving is seen", func() bool { return !someone(r, func(c *client) bool { return !hasLeft(c) }) })
 	until(t, "its request has ended", func() bool { return !someone(r, func(*client) bool { return true }) })
 }
@@ -216,20 +217,20 @@
 				t.Fatal(err)
 			}
 			c := &client{conn: there}
-			if c.hungUp() {
+			if c.hasDisconnected() {
 				t.Error("one that is here has hung up")
 			}
 			if _, err := conn.Write([]byte(unread)); err != nil {
 				t.Fatal(err)
 			}
-			if c.hungUp() {
+			if c.hasDisconnected() {
 				t.Error("one that has sent something has hung up")
 			}
 			if reset {
 				conn.(*net.TCPConn).SetLinger(0)
 			}
 			conn.Close()
-			if err := c.rest(time.Hour, nil); err == nil {
+			if err := c.pause(time.Hour, nil); err == nil {
 				t.Errorf("unread %q, reset %v: the rest was not cut short", unread, reset)
 			}
 			there.Close()
@@ -276,9 +277,9 @@
 	t.Helper()
 	until(t, "the client has its key", func() bool {
 		n := 0
-		r.cancels.clients.Each(func(_ int, m *map[uint32]*client) {
+		r.cancelKeys.clients.Each(func(_ int, m *map[uint32]*client) {
 			for _, c := range *m {
-				key, n = c.key, n+1
+				key, n = c.cancelKey, n+1
 			}
 		})
 		return n == 1
@@ -347,7 +348,7 @@
 			key.Process += c.wrong.Process
 			key.Secret += c.wrong.Secret
 			s.Set("cancel", cancelRequest(key))
-			s.Dial("", r.conf.Listen)
+			s.Dial("", r.config.Listen)
 			s.Play(ask)
 			s.Play(c.after)
 			until(t, "its connection counts no more", func() bool {
@@ -362,9 +363,9 @@
 // A request that nothing was decided on yet is called off at once, and is never sent.
 func TestCancelBeforeDecision(t *testing.T) {
 	s, r := stageSet(t, time.Hour, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-	s.Dial("", r.conf.Listen)
+	s.Dial("", r.config.Listen)
 	s.Play("send c1 startup | " + read01)
-	until(t, "the request has come", func() bool { return len(r.owner.events) > 1 })
+	until(t, "the request has come", func() bool { return len(r.loop.events) > 1 })
 	s.Set("cancel", cancelRequest(keyOf(t, r)))
 	s.Play("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
 	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
@@ -383,7 +384,7 @@
 	told := map[pgwire.CancelKey]bool{}
 	var conns []net.Conn
 	for range 20 {
-		conn, err := net.Dial("tcp", r.conf.Listen)
+		conn, err := net.Dial("tcp", r.config.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -409,10 +410,10 @@
 		}
 	}
 	held := func() (n int) {
-		r.cancels.clients.Each(func(_ int, m *map[uint32]*client) {
+		r.cancelKeys.clients.Each(func(_ int, m *map[uint32]*client) {
 			for _, c := range *m {
-				if !told[c.key] {
-					t.Errorf("key %v was not told", c.key)
+				if !told[c.cancelKey] {
+					t.Errorf("key %v was not told", c.cancelKey)
 				}
 				n++
 			}
@@ -464,15 +465,15 @@
 	for _, c := range []struct {
 		class string
 		ran   bool
-		want  balance.Nanos
+		want  clock.Nanos
 	}{
 		{"write", true, 1000e9 + 5e9 - 5e9/8},
 		{"write", false, 1<<63 - 1}, // nothing ran: there is nothing to drop
 		{"read", true, 1<<63 - 1},   // may run as often as it likes
 	} {
-		one := &request{router: r, ran: c.ran, ranAt: 1000e9}
+		one := &request{router: r, mayHaveRun: c.ran, firstRunAt: 1000e9}
 		one.Class = c.class
-		if got := one.lastRepeat(); got != c.want {
+		if got := one.lastRetryAt(); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
@@ -488,9 +489,9 @@
 			send s1 welcome
 			expect s1 ` + wrote01)
 		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-		known := r.conf.Known.Hosts[0].Host
+		known := r.config.Known.Hosts[0].Name
 		until(t, "the drain is known", func() bool {
-			_, ready := r.dir.Address(nodeOf(known))
+			_, ready := r.directory.Address(nodeOf(known))
 			return !ready
 		})
 		const go2 = `
@@ -515,8 +516,8 @@
 }
 
 // nodeOf is the number of a host, where no two share a hash.
-func nodeOf(host string) uint32 {
+func nodeOf(host string) balance.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(host))
-	return h.Sum32()
+	return balance.EndpointID(h.Sum32())
 }
--- a/internal/router/door.go
+++ b/internal/router/door.go
@@ -17,366 +17,369 @@
 	"lotushook/internal/pgwire"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/admission"
+	"lotushook/policy/clock"
 )
 
 const (
 	// Of the clients' descriptors so many are for those that are leaving: the
 	// refused that still read why, and those closed to make room.
-	leavingShare, leastLeaving, mostLeaving = 8, 4, 32
+	leavingShare, minLeaving, maxLeaving = 8, 4, 32
 
 	// An accept that finds somebody waiting does not give its turn away, and while
 	// it goes on nobody asks the poller what else has come. So after so many it
 	// sleeps for a moment: in a flood the requests in flight must go on.
-	restEvery = 4
-	restFor   = 20 * time.Microsecond
+	acceptsBetweenPauses = 4
+	acceptPause          = 20 * time.Microsecond
 
-	lingerTick = 2 * time.Millisecond
-	doorSweep  = 25 * time.Millisecond // who is to be closed is not kept waiting for it
-	weighEvery = 4                     // sweeps: the memory in use is looked at
-	tellEvery  = 5 * time.Second
+	lingerInterval        = 2 * time.Millisecond
+	acceptorSweepInterval = 25 * time.Millisecond // who is to be closed is not kept waiting for it
+	memoryCheckSweeps     = 4                     // sweeps: the memory in use is looked at
+	logInterval           = 5 * time.Second
 	// After descriptors ran out, so much later the room for clients grows again, by
 	// one with each sweep.
-	regrowAfter = 3 * time.Second
-	shortPause  = 5 * time.Millisecond // without any descriptor, accept rests so long
+	regrowAfter      = 3 * time.Second
+	retryAcceptAfter = 5 * time.Millisecond // without any descriptor, accept rests so long
 )
 
-// door carries out what admission decides: it takes clients in, refuses them
+// acceptor carries out what admission decides: it takes clients in, refuses them
 // with a word before anything of theirs is read, and closes some for others.
-type door struct {
-	router *Router
-	linger *lingering
-	spare  spare
-	back   admission.Nanos // the longest time to return that may be told; 0: none is told
-
-	mu    sync.Mutex // the gate's and the list's; nothing that waits is done under it
-	gate  *admission.Gate
-	conns map[admission.ID]*client
-	next  admission.ID
-	told  [admission.Reasons]uint64
-
-	shrunk time.Time // when descriptors last ran out; zero: they did not, or long ago
+type acceptor struct {
+	router        *Router
+	lingering     *lingeringCloses
+	spare         spareDescriptor
+	maxRetryAfter clock.Nanos // the longest time to return that may be told; 0: none is told
+
+	mu        sync.Mutex // the gate's and the list's; nothing that waits is done under it
+	admission *admission.Controller
+	clients   map[admission.ID]*client
+	nextID    admission.ID
+	reported  [admission.ReasonCount]uint64
+
+	shrunkAt time.Time // when descriptors last ran out; zero: they did not, or long ago
 }
 
-func newDoor(r *Router, a *siteconfig.Admission) (*door, error) {
-	d := &door{router: r, conns: map[admission.ID]*client{}}
-	if b := &r.conf.Settings.Balance; b.RetryAfter {
-		d.back = b.MaxRetryAfter
+func newAcceptor(r *Router, a *siteconfig.Admission) (*acceptor, error) {
+	d := &acceptor{router: r, clients: map[admission.ID]*client{}}
+	if b := &r.config.Settings.Balance; b.RetryAfterAllowed {
+		d.maxRetryAfter = b.MaxRetryAfter
 	}
-	d.linger = newLingering(d.leaving(), r.budget)
+	d.lingering = newLingeringCloses(d.leavingDescriptors(), r.descriptors)
 	var err error
-	if d.gate, err = admission.New(d.limits(a), r.conf.Seed); err != nil {
+	if d.admission, err = admission.New(d.limits(a), r.config.Seed); err != nil {
 		return nil, err
 	}
-	d.linger.set(time.Duration(a.LingerMS) * time.Millisecond)
+	d.lingering.setDuration(time.Duration(a.LingerMS) * time.Millisecond)
 	return d, d.spare.take()
 }
 
-// leaving is how many descriptors are for clients on their way out.
-func (d *door) leaving() int {
-	most, _ := d.router.budget.Clients()
-	return min(max(most/leavingShare, leastLeaving), mostLeaving)
+// leavingDescriptors is how many descriptors are for clients on their way out.
+func (d *acceptor) leavingDescriptors() int {
+	most, _ := d.router.descriptors.Clients()
+	return min(max(most/leavingShare, minLeaving), maxLeaving)
 }
 
-// room is how many clients may be held.
-func (d *door) room() int {
-	most, _ := d.router.budget.Clients()
-	return most - d.leaving()
+// capacity is how many clients may be held.
+func (d *acceptor) capacity() int {
+	most, _ := d.router.descriptors.Clients()
+	return most - d.leavingDescriptors()
 }
 
-func (d *door) limits(a *siteconfig.Admission) admission.Settings { return a.Limits(d.room(), d.back) }
+func (d *acceptor) limits(a *siteconfig.Admission) admission.Settings {
+	return a.Limits(d.capacity(), d.maxRetryAfter)
+}
 
 // shrink makes room for fewer clients, as the system grants fewer descriptors than
 // the router was told of.
-func (d *door) shrink() {
+func (d *acceptor) shrink() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if now.Sub(d.shrunk) < sweepEvery { // what is being closed has to take effect first
+	if now.Sub(d.shrunkAt) < sweepInterval { // what is being closed has to take effect first
 		return
 	}
-	d.shrunk = now
-	_, used := d.router.budget.Clients()
-	n := d.router.budget.LimitClients(used - leastLeaving)
-	d.gate.Whole(d.room())
+	d.shrunkAt = now
+	_, used := d.router.descriptors.Clients()
+	n := d.router.descriptors.LimitClients(used - minLeaving)
+	d.admission.SetCapacity(d.capacity())
 	slog.Warn("no descriptor left", "clients", used, "room", n)
 }
 
 // regrow finds out whether there are descriptors again; the lock is held.
-func (d *door) regrow(now time.Time) {
-	if d.shrunk.IsZero() || now.Sub(d.shrunk) < regrowAfter {
+func (d *acceptor) regrow(now time.Time) {
+	if d.shrunkAt.IsZero() || now.Sub(d.shrunkAt) < regrowAfter {
 		return
 	}
-	was, _ := d.router.budget.Clients()
-	if d.router.budget.LimitClients(was+1) == was { // all that was told of
-		d.shrunk = time.Time{}
+	was, _ := d.router.descriptors.Clients()
+	if d.router.descriptors.LimitClients(was+1) == was { // all that was told of
+		d.shrunkAt = time.Time{}
 	}
-	d.gate.Whole(d.room())
+	d.admission.SetCapacity(d.capacity())
 }
 
-// set puts other limits in force.
-func (d *door) set(a *siteconfig.Admission) error {
+// reload puts other limits in force.
+func (d *acceptor) reload(a *siteconfig.Admission) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.gate.Set(d.limits(a)); err != nil {
+	if err := d.admission.Set(d.limits(a)); err != nil {
 		return err
 	}
-	d.linger.set(time.Duration(a.LingerMS) * time.Millisecond)
+	d.lingering.setDuration(time.Duration(a.LingerMS) * time.Millisecond)
 	return nil
 }
 
 // accept takes clients in until the listener closes.
-func (d *door) accept(ln net.Listener) error {
+func (d *acceptor) accept(ln net.Listener) error {
 	defer d.spare.give()
 	for n := 1; ; n++ {
-		for !d.router.budget.Accept() { // those on their way out hold the rest
-			if d.router.endLingering() || !d.linger.closeOldest() {
+		for !d.router.descriptors.Accept() { // those on their way out hold the rest
+			if d.router.endLingering() || !d.lingering.closeOldest() {
 				select {
-				case <-d.router.budget.Left():
-				case <-time.After(shortPause):
+				case <-d.router.descriptors.Left():
+				case <-time.After(retryAcceptAfter):
 				}
 			}
 		}
 		conn, err := ln.Accept()
 		if err != nil {
-			d.router.budget.Leave()
+			d.router.descriptors.Leave()
 			var ne net.Error
 			switch {
 			case fdlimit.Exhausted(err):
-				d.short(ln)
+				d.acceptWithoutDescriptor(ln)
 			case errors.As(err, &ne) && !errors.Is(err, net.ErrClosed): // an aborted connection
 				slog.Warn("accept", "err", err)
-				time.Sleep(shortPause)
+				time.Sleep(retryAcceptAfter)
 			default:
 				return err
 			}
 			continue
 		}
 		d.admit(conn)
-		if n%restEvery == 0 {
-			time.Sleep(restFor)
+		if n%acceptsBetweenPauses == 0 {
+			time.Sleep(acceptPause)
 		}
 	}
 }
 
 // admit asks whether a connection is taken, and does what is said.
-func (d *door) admit(conn net.Conn) {
-	addr := remote(conn)
+func (d *acceptor) admit(conn net.Conn) {
+	addr := remoteAddress(conn)
 	d.mu.Lock()
-	d.next++
-	id := d.next
-	v := d.gate.Arrive(id, addr, d.router.clock.now())
-	out := d.pick(v.Close)
+	d.nextID++
+	id := d.nextID
+	v := d.admission.Arrive(id, addr, d.router.clock.now())
+	out := d.findEvicted(v.Close)
 	var c *client
-	if v.Taken() {
+	if v.Admitted() {
 		c = newClient(d.router, conn)
-		c.id = id
-		d.conns[id] = c
+		c.admissionID = id
+		d.clients[id] = c
 	}
 	d.mu.Unlock()
-	d.putOut(out)
+	d.evict(out)
 	if c == nil {
-		d.linger.refuse(conn, d.word(addr, v))
+		d.lingering.reject(conn, d.rejectionMessage(addr, v))
 		return
 	}
-	d.router.enter(c)
+	d.router.addClient(c)
 	d.router.serving.Go(c.run)
 }
 
-// short is what is done when the system has no descriptor left, though the count
+// acceptWithoutDescriptor is what is done when the system has no descriptor left, though the count
 // said otherwise: the spare one is given up to take a client, say so, and close.
-func (d *door) short(ln net.Listener) {
+func (d *acceptor) acceptWithoutDescriptor(ln net.Listener) {
 	d.shrink()
 	d.mu.Lock()
-	out := d.pick(d.gate.Shed(d.router.clock.now()))
+	out := d.findEvicted(d.admission.EvictOne(d.router.clock.now()))
 	d.mu.Unlock()
-	d.putOut(out)
-	d.linger.closeOldest()
+	d.evict(out)
+	d.lingering.closeOldest()
 	d.spare.give()
-	conn, err := acceptNow(ln)
+	conn, err := acceptWithoutWaiting(ln)
 	again := d.spare.take()
 	switch {
 	case err != nil: // another took it, or nobody waits any more
-		time.Sleep(shortPause)
+		time.Sleep(retryAcceptAfter)
 	case again == nil: // there is room after all
-		if !d.router.budget.Accept() {
+		if !d.router.descriptors.Accept() {
 			conn.Close()
 			return
 		}
 		d.admit(conn)
 	default:
 		d.mu.Lock()
-		v := d.gate.Lost()
+		v := d.admission.OutOfDescriptors()
 		d.mu.Unlock()
-		dismiss(conn, d.word(remote(conn), v))
+		rejectAndShutdown(conn, d.rejectionMessage(remoteAddress(conn), v))
 		conn.Close()
 		if err := d.spare.take(); err != nil {
 			slog.Warn("no spare descriptor", "err", err)
-			time.Sleep(shortPause)
+			time.Sleep(retryAcceptAfter)
 		}
 	}
 }
 
-// acceptNow is Accept that does not wait.
-func acceptNow(ln net.Listener) (net.Conn, error) {
-	if tcp, ok := ln.(timed); ok {
-		tcp.SetDeadline(time.Now().Add(shortPause))
+// acceptWithoutWaiting is Accept that does not wait.
+func acceptWithoutWaiting(ln net.Listener) (net.Conn, error) {
+	if tcp, ok := ln.(deadlineSetter); ok {
+		tcp.SetDeadline(time.Now().Add(retryAcceptAfter))
 		defer tcp.SetDeadline(time.Time{})
 	}
 	return ln.Accept()
 }
 
-// start tells the gate what a startup message says.
-func (d *door) start(c *client) error {
-	who := admission.Who{User: c.who.User, Database: c.who.Database, Application: c.who.Application}
+// sessionStarted tells the gate what a startup message says.
+func (d *acceptor) sessionStarted(c *client) error {
+	who := admission.Identity{User: c.identity.User, Database: c.identity.Database, Application: c.identity.Application}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.verdict(c, d.gate.Start(c.id, who, d.router.clock.now()))
+	return d.verdict(c, d.admission.Start(c.admissionID, who, d.router.clock.now()))
 }
 
-// ask tells the gate that a client has sent a query, which may not be taken.
-func (d *door) ask(c *client) error {
+// queryArrived tells the gate that a client has sent a query, which may not be taken.
+func (d *acceptor) queryArrived(c *client) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.verdict(c, d.gate.Ask(c.id, d.router.clock.now()))
+	return d.verdict(c, d.admission.Request(c.admissionID, d.router.clock.now()))
 }
 
 // verdict is a refusal as the reader's error. One that was told to close hears it
 // too, as a message of its has been read by now.
-func (d *door) verdict(c *client, v admission.Verdict) error {
+func (d *acceptor) verdict(c *client, v admission.Verdict) error {
 	if v.Reason == admission.None {
 		return nil
 	}
-	return d.away(remote(c.conn), v)
+	return d.rejectionFor(remoteAddress(c.conn), v)
 }
 
-// pushed is what one hears that was told to close with half a message read.
-func (d *door) pushed(c *client) error {
-	return d.away(remote(c.conn), admission.Verdict{Reason: admission.Displaced})
+// displacedRejection is what one hears that was told to close with half a message read.
+func (d *acceptor) displacedRejection(c *client) error {
+	return d.rejectionFor(remoteAddress(c.conn), admission.Verdict{Reason: admission.Displaced})
 }
 
-func (d *door) answered(c *client) {
+func (d *acceptor) answered(c *client) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gate.Answered(c.id, d.router.clock.now())
+	d.admission.Answered(c.admissionID, d.router.clock.now())
 }
 
-func (d *door) left(c *client) {
+func (d *acceptor) clientClosed(c *client) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gate.Left(c.id)
-	delete(d.conns, c.id)
+	d.admission.Closed(c.admissionID)
+	delete(d.clients, c.admissionID)
 }
 
-// out is a client that is to be put out, and the word for it.
-type out struct {
+// evicted is a client that is to be put out, and the word for it.
+type evicted struct {
 	*client
-	away *turnedAway
+	rejection *rejection
 }
 
-// pick finds the clients of a list; the lock is held.
-func (d *door) pick(list []admission.Closing) []out {
-	var found []out
+// findEvicted finds the clients of a list; the lock is held.
+func (d *acceptor) findEvicted(list []admission.Eviction) []evicted {
+	var found []evicted
 	for _, l := range list {
-		c := d.conns[l.ID]
+		c := d.clients[l.ID]
 		if !invariant.Check(c != nil, "who is to be put out is here", "reason", l.Reason) {
 			continue
 		}
-		o := out{client: c}
-		if l.Word {
-			o.away = d.away(remote(c.conn), admission.Verdict{Reason: l.Reason, Wait: l.Wait})
+		o := evicted{client: c}
+		if l.Notify {
+			o.rejection = d.rejectionFor(remoteAddress(c.conn), admission.Verdict{Reason: l.Reason, RetryAfter: l.RetryAfter})
 		}
 		found = append(found, o)
 	}
 	return found
 }
 
-func (d *door) putOut(list []out) {
+func (d *acceptor) evict(list []evicted) {
 	for _, o := range list {
-		o.putOut(o.away)
+		o.evict(o.rejection)
 	}
 }
 
 // run sweeps and tells what was refused, until the context ends.
-func (d *door) run(ctx context.Context) {
-	defer d.linger.closeAll()
-	sweep, tick, tell := time.NewTicker(doorSweep), time.NewTicker(lingerTick), time.NewTicker(tellEvery)
+func (d *acceptor) run(ctx context.Context) {
+	defer d.lingering.closeAll()
+	sweep, tick, tell := time.NewTicker(acceptorSweepInterval), time.NewTicker(lingerInterval), time.NewTicker(logInterval)
 	defer sweep.Stop()
 	defer tick.Stop()
 	defer tell.Stop()
 	used := 0.0
 	for n := 0; ; {
 		ticks := tick.C
-		if !d.linger.any() {
+		if !d.lingering.any() {
 			ticks = nil
 		}
 		select {
 		case <-ctx.Done():
-			d.tell()
+			d.logRejections()
 			return
-		case <-d.linger.some:
+		case <-d.lingering.notEmpty:
 		case now := <-ticks:
-			d.linger.expire(now)
+			d.lingering.expire(now)
 		case <-sweep.C:
-			if n++; n%weighEvery == 1 {
-				used = d.memory()
+			if n++; n%memoryCheckSweeps == 1 {
+				used = d.memoryUse()
 			}
 			d.mu.Lock()
 			d.regrow(time.Now())
-			out := d.pick(d.gate.Sweep(d.router.clock.now(), used))
+			out := d.findEvicted(d.admission.Sweep(d.router.clock.now(), used))
 			d.mu.Unlock()
-			d.putOut(out)
+			d.evict(out)
 		case <-tell.C:
-			d.tell()
+			d.logRejections()
 		}
 	}
 }
 
-// tell logs how many were turned away since it last did.
-func (d *door) tell() {
+// logRejections logs how many were turned away since it last did.
+func (d *acceptor) logRejections() {
 	d.mu.Lock()
-	counts, tight := d.gate.Counts(), d.gate.Tight()
-	held, _ := d.gate.Size()
+	counts, tight := d.admission.Counts(), d.admission.UnderPressure()
+	held, _ := d.admission.Size()
 	var line []any
 	for r, n := range counts {
-		if n > d.told[r] {
-			line = append(line, slog.Uint64(admission.Reason(r).String(), n-d.told[r]))
+		if n > d.reported[r] {
+			line = append(line, slog.Uint64(admission.Reason(r).String(), n-d.reported[r]))
 		}
 	}
-	d.told = counts
+	d.reported = counts
 	d.mu.Unlock()
 	if len(line) > 0 {
 		slog.Info("turned away", append([]any{"held", held, "tight", tight}, line...)...)
 	}
 }
 
-// memory is how much of its memory the router uses, as a share.
-func (d *door) memory() float64 {
+// memoryUse is how much of its memory the router uses, as a share.
+func (d *acceptor) memoryUse() float64 {
 	s := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(s)
-	return float64(s[0].Value.Uint64()-s[1].Value.Uint64()) / float64(d.router.conf.Limits.MemoryMB<<20)
+	return float64(s[0].Value.Uint64()-s[1].Value.Uint64()) / float64(d.router.config.Limits.MemoryMB<<20)
 }
 
-// turnedAway is why a client is not served: it may come again after wait.
-type turnedAway struct {
-	text string
-	wait admission.Nanos // 0: not told
+// rejection is why a client is not served: it may come again after wait.
+type rejection struct {
+	text       string
+	retryAfter clock.Nanos // 0: not told
 }
 
-func (t *turnedAway) Error() string { return t.text }
+func (t *rejection) Error() string { return t.text }
 
-// away words a verdict.
-func (d *door) away(addr netip.Addr, v admission.Verdict) *turnedAway {
-	return &turnedAway{text: "refused: " + wording(addr, v), wait: min(v.Wait, d.back)}
+// rejectionFor words a verdict.
+func (d *acceptor) rejectionFor(addr netip.Addr, v admission.Verdict) *rejection {
+	return &rejection{text: "refused: " + rejectionText(addr, v), retryAfter: min(v.RetryAfter, d.maxRetryAfter)}
 }
 
-// word is a verdict as a client hears it.
-func (d *door) word(addr netip.Addr, v admission.Verdict) []byte {
-	t := d.away(addr, v)
-	return pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, t.text, comeAgain(t.wait))
+// rejectionMessage is a verdict as a client hears it.
+func (d *acceptor) rejectionMessage(addr netip.Addr, v admission.Verdict) []byte {
+	t := d.rejectionFor(addr, v)
+	return pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, t.text, retryAfterField(t.retryAfter))
 }
 
-// wording names the limit that was met, as the settings do.
-func wording(addr netip.Addr, v admission.Verdict) string {
+// rejectionText names the limit that was met, as the settings do.
+func rejectionText(addr netip.Addr, v admission.Verdict) string {
 	a := addr.Unmap()
 	switch v.Reason {
 	case admission.AddressFull:
@@ -389,7 +392,7 @@
 		return fmt.Sprintf("the network of %s has opened its %d connections of a second (admission.new_per_s_prefix)", a, v.Limit)
 	case admission.TotalRate:
 		return fmt.Sprintf("%d connections of a second were opened (admission.new_per_s_total)", v.Limit)
-	case admission.Full:
+	case admission.AtCapacity:
 		return fmt.Sprintf("all %d connections are in use", v.Limit)
 	case admission.Reserved:
 		return fmt.Sprintf("all connections but the %d reserved are in use (admission.reserve)", v.Limit)
@@ -405,18 +408,18 @@
 	return v.Reason.String()
 }
 
-// remote is where a connection comes from; the zero address where it can't be told.
-func remote(conn net.Conn) netip.Addr {
+// remoteAddress is where a connection comes from; the zero address where it can't be told.
+func remoteAddress(conn net.Conn) netip.Addr {
 	if tcp, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr()
 	}
 	return netip.Addr{}
 }
 
-// spare is a descriptor that is held to be given up when there is none left.
-type spare struct{ file *os.File }
+// spareDescriptor is a descriptor that is held to be given up when there is none left.
+type spareDescriptor struct{ file *os.File }
 
-func (s *spare) take() error {
+func (s *spareDescriptor) take() error {
 	if s.file != nil {
 		return nil
 	}
@@ -425,7 +428,7 @@
 	return err
 }
 
-func (s *spare) give() {
+func (s *spareDescriptor) give() {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
--- a/internal/router/door_test.go
+++ b/internal/router/door_test.go
@@ -82,9 +82,9 @@
 func waitHeld(t *testing.T, r *Router, want int) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		r.door.mu.Lock()
-		held, _ := r.door.gate.Size()
-		r.door.mu.Unlock()
+		r.acceptor.mu.Lock()
+		held, _ := r.acceptor.admission.Size()
+		r.acceptor.mu.Unlock()
 		if held == want {
 			return
 		}
@@ -100,7 +100,7 @@
 func TestDoorReserve(t *testing.T) {
 	s, r := doorStage(t, `{"spare_ms":3600000,"green_ms":3600000,"crowd_share":0,
 		"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":3}]}`)
-	whole := r.door.room()
+	whole := r.acceptor.capacity()
 	s.Play(fmt.Sprintf(meet, "a1"))
 	s.Play(`send a2 startup
 		expect a2 welcome`)
@@ -126,7 +126,7 @@
 func TestDoorLentBusy(t *testing.T) {
 	const most, room = 593, 2 // of a router with 1,024 descriptors
 	s, r := doorStage(t, fmt.Sprintf(`{"crowd_share":0,"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":%d}]}`, most-room))
-	if n := r.door.room(); n != most {
+	if n := r.acceptor.capacity(); n != most {
 		t.Fatalf("there is room for %d", n)
 	}
 	for i := range room + 1 {
@@ -172,15 +172,15 @@
 		send a3 startup | Q "/* id=03,c=read,d=20000,cluster=1 */ A"
 		expect a3 welcome
 		expect s1 Q "/* id=03,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.conf, &siteconfig.Setup{}); err == nil {
+	if err := r.Reload(r.config, &siteconfig.Setup{}); err == nil {
 		t.Error("admission was switched off in service")
 	}
-	if err := r.Reload(r.conf, admitting(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
+	if err := r.Reload(r.config, admitting(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
 		t.Error("a reserve beyond the whole was taken")
 	}
 	s.Play(`send a1 Q ""
 		expect a1 I | Z`)
-	if err := r.Reload(r.conf, admitting(t, `{"per_address":1,"spare_ms":0}`)); err != nil {
+	if err := r.Reload(r.config, admitting(t, `{"per_address":1,"spare_ms":0}`)); err != nil {
 		t.Fatal(err)
 	}
 	s.Play(`expect a1 EOF
@@ -193,7 +193,7 @@
 func TestDoorStopInFlood(t *testing.T) {
 	accepted := make(chan time.Time)
 	p := endless
-	p.fresh = time.Millisecond // the flood asks nothing
+	p.firstQuery = time.Millisecond // the flood asks nothing
 	s, r, stop, done := stageOwn(t, admitting(t, `{"per_address":20}`), accepted, p)
 	accept := sync.OnceFunc(func() { close(accepted) })
 	t.Cleanup(accept)
@@ -239,8 +239,8 @@
 	}
 	ended.Store(true)
 	flood.Wait()
-	if _, clients := r.budget.Clients(); clients != 0 {
+	if _, clients := r.descriptors.Clients(); clients != 0 {
 		t.Errorf("%d clients' descriptors are still counted", clients)
 	}
-	until(t, "no data server's descriptor is counted", func() bool { return r.budget.Used() == 0 }) // a probe may be out
+	until(t, "no data server's descriptor is counted", func() bool { return r.descriptors.Used() == 0 }) // a probe may be out
 }
--- a/internal/router/feeds.go
+++ b/internal/router/feeds.go
@@ -14,39 +14,40 @@
 	"lotushook/internal/pgwire"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
 	"lotushook/policy/cursor"
 )
 
-// feeds is the part that answers classes of feeds. Their requests don't reach the module; what it reads at data servers does, as
+// changefeedService is the part that answers classes of feeds. Their requests don't reach the module; what it reads at data servers does, as
 // requests of the same class, so that counts of what is pending, cold servers' budgets and limits hold for it.
-type feeds struct {
-	router *Router
-	own    *siteconfig.Feeds
-	part   *changefeed.Part
-	asked  atomic.Uint64
-	stays  *client // whom the router's own requests are for
+type changefeedService struct {
+	router         *Router
+	settings       *siteconfig.Feeds
+	feeds          *changefeed.Part
+	requestCount   atomic.Uint64
+	internalClient *client // whom the router's own requests are for
 }
 
-func newFeeds(r *Router, own *siteconfig.Feeds) (*feeds, error) {
-	f := &feeds{router: r, own: own, stays: &client{left: make(chan struct{})}}
+func newChangefeedService(r *Router, own *siteconfig.Feeds) (*changefeedService, error) {
+	f := &changefeedService{router: r, settings: own, internalClient: &client{left: make(chan struct{})}}
 	all, by := own.Cursor()
 	for name := range by {
-		i := r.conf.Settings.Class(name)
+		i := r.config.Settings.Class(name)
 		if i < 0 {
 			return nil, fmt.Errorf("feeds: classes.%s: the platform has no such class", name)
 		}
-		if k := r.conf.Settings.Balance.Classes[i]; k.Read == balance.Write || k.Effect != balance.Safe {
+		if k := r.config.Settings.Balance.Classes[i]; k.Consistency == balance.Write || k.Idempotency != balance.Idempotent {
 			return nil, fmt.Errorf("feeds: classes.%s: not one of reads that may be repeated", name)
 		}
 	}
 	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MostWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
-		Self: crdt.Origin{Name: r.conf.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
-	if r.members != nil {
-		o.State = r.members.state
+		Self: crdt.Origin{Name: r.config.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
+	if r.membership != nil {
+		o.State = r.membership.state
 	}
 	var err error
-	if f.part, err = changefeed.New(o); err != nil {
+	if f.feeds, err = changefeed.New(o); err != nil {
 		return nil, fmt.Errorf("feeds: %w", err)
 	}
 	return f, nil
@@ -54,61 +55,61 @@
 
 // ownFeeds are the settings in force; nil: there are none.
 func (r *Router) ownFeeds() *siteconfig.Feeds {
-	if r.feeds == nil {
+	if r.changefeed == nil {
 		return nil
 	}
-	return r.feeds.own
+	return r.changefeed.settings
 }
 
 // answer is a subscriber's. Its connection's reader set the seat before any of its tasks began.
-func (f *feeds) answer(c *client, q *pgwire.Request, seat *changefeed.Seat, came balance.Nanos) []byte {
-	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.who, Left: c.left,
-		Until: came + int64(max(q.Wait-margin, q.Wait/2))}
+func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Seat, came clock.Nanos) []byte {
+	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.identity, Left: c.left,
+		Until: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
 	if q.Session == "" {
-		return problem(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
+		return errorAnswer(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
 	}
 	if (q.History != "") != q.HasPos {
-		return problem(pgwire.CodeInvalidParameter, "a cursor is after and history together")
+		return errorAnswer(pgwire.CodeInvalidParameter, "a cursor is after and history together")
 	}
 	if q.History != "" {
 		h, err := cursor.ParseHistory(q.History)
 		if err != nil {
-			return problem(pgwire.CodeInvalidParameter, err.Error())
+			return errorAnswer(pgwire.CodeInvalidParameter, err.Error())
 		}
-		r.After = cursor.Point{History: h, At: q.After}
+		r.After = cursor.Position{History: h, At: q.After}
 	}
-	value, err := f.part.Answer(seat, r)
+	value, err := f.feeds.Answer(seat, r)
 	if err == nil {
 		return pgwire.AppendReady(pgwire.AppendRow(nil, "feed", string(value)))
 	}
-	return spoken(err)
+	return feedError(err)
 }
 
-// spoken is a refusal as clients hear it: the kind is the message's first word, the remedy its hint.
-func spoken(err error) []byte {
+// feedError is a refusal as clients hear it: the kind is the message's first word, the remedy its hint.
+func feedError(err error) []byte {
 	code, wait, hint, kind := pgwire.CodeTooManyConnections, "", "", "failed"
-	var crowded *cursor.Crowded
-	var unread *cursor.Unread
-	var no *cursor.Refused
+	var crowded *cursor.OverloadedError
+	var unread *cursor.UnreadableError
+	var no *cursor.RejectedError
 	switch {
 	case errors.As(err, &crowded):
-		wait = comeAgain(crowded.Wait)
+		wait = retryAfterField(crowded.Wait)
 	case errors.As(err, &unread):
-		wait = comeAgain(unread.Wait)
+		wait = retryAfterField(unread.Wait)
 	case errors.As(err, &no):
 		code = pgwire.CodeCursor
 	}
 	if e := operr.Of(err); e != nil {
-		kind, hint = e.Kind(), e.Remedy()
+		kind, hint = e.Kind(), e.Hint()
 	}
 	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
 }
 
 // read asks a member through the module, as a client of the class would.
-func (f *feeds) read(ask changefeed.Ask) changefeed.Got {
+func (f *changefeedService) read(ask changefeed.Ask) changefeed.Got {
 	now := f.router.clock.now()
 	var text strings.Builder
-	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.asked.Add(1), ask.Class, max(1, (ask.Until-now)/1e6), ask.Group)
+	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.requestCount.Add(1), ask.Class, max(1, (ask.Until-now)/1e6), ask.Group)
 	if ask.After.History != (cursor.History{}) {
 		text.WriteString(",after=" + strconv.FormatInt(ask.After.At, 10) + ",history=" + ask.After.History.String())
 	}
@@ -117,8 +118,8 @@
 	if err != nil {
 		return changefeed.Got{Err: err}
 	}
-	end := &result{}
-	r := &request{Request: parsed, router: f.router, client: f.stays, who: ask.Who, acts: make(chan balance.Action, mailbox), deadline: ask.Until, result: end}
+	end := &internalResult{}
+	r := &request{Request: parsed, router: f.router, client: f.internalClient, identity: ask.Who, actions: make(chan balance.Action, actionQueueSize), deadline: ask.Until, result: end}
 	r.run()
 	switch {
 	case end.served:
--- a/internal/router/hangup.go
+++ b/internal/router/hangup.go
@@ -8,7 +8,7 @@
 
 // lookEvery is how often a reader that can't read looks whether its client has hung up. A client that has gone gets nothing
 // sent any more from a tenth of a second on.
-const lookEvery = 25 * time.Millisecond
+const disconnectCheckInterval = 25 * time.Millisecond
 
 // The states of a connection as Linux counts them, in the first byte of TCP_INFO.
 const (
@@ -16,13 +16,13 @@
 	tcpCloseWait = 8 // the other side has ended its sending
 )
 
-// hungUp says whether the client has ended its connection, though what it sent before may not have been read. A system
+// hasDisconnected says whether the client has ended its connection, though what it sent before may not have been read. A system
 // that does not tell has it still there.
-func (c *client) hungUp() bool {
+func (c *client) hasDisconnected() bool {
 	if _, ok := c.conn.(syscall.Conn); !ok {
 		return false
 	}
-	return raw(c.conn, func(fd int) bool {
+	return withDescriptor(c.conn, func(fd int) bool {
 		var b [1]byte
 		switch n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err {
 		case nil:
@@ -52,35 +52,35 @@
 		}
 	}
 	select {
-	case <-c.cut:
-		return errCut
+	case <-c.writeFailed:
+		return errAnswerNotTaken
 	default:
 		return nil
 	}
 }
 
 func (c *client) waitForSlot() error {
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(disconnectCheckInterval)
 	defer look.Stop()
 	for {
 		select {
 		case c.slots <- struct{}{}:
 			return nil
-		case <-c.cut:
-			return errCut
+		case <-c.writeFailed:
+			return errAnswerNotTaken
 		case <-look.C:
-			if c.hungUp() {
+			if c.hasDisconnected() {
 				return io.EOF
 			}
 		}
 	}
 }
 
-// rest waits for some time, or for something sooner, but not for a client that has hung up, or did not take an answer.
-func (c *client) rest(most time.Duration, sooner <-chan struct{}) error {
+// pause waits for some time, or for something sooner, but not for a client that has hung up, or did not take an answer.
+func (c *client) pause(most time.Duration, sooner <-chan struct{}) error {
 	late := time.NewTimer(most)
 	defer late.Stop()
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(disconnectCheckInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -88,10 +88,10 @@
 			return nil
 		case <-sooner:
 			return nil
-		case <-c.cut:
-			return errCut
+		case <-c.writeFailed:
+			return errAnswerNotTaken
 		case <-look.C:
-			if c.hungUp() {
+			if c.hasDisconnected() {
 				return io.EOF
 			}
 		}
--- a/internal/router/kept.go
+++ b/internal/router/kept.go
@@ -14,83 +14,83 @@
 	"lotushook/internal/peer"
 	"lotushook/internal/siteconfig"
 	"lotushook/internal/store"
-	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
 	dkeep "lotushook/policy/persistence"
 	"lotushook/policy/trust"
 )
 
 const (
-	kindMember = 200    // of the copy's own records: a member's boot, as it was seen last
-	crashLoses = 10_000 // of a router's own words at most: what a queue holds
+	memberRecordKind = 200    // of the copy's own records: a member's boot, as it was seen last
+	maxCrashLoss     = 10_000 // of a router's own words at most: what a queue holds
 )
 
-// kept is what a router does with its copy on disk: it writes what the state holds, gives it back after a start, and knows
+// persistedState is what a router does with its copy on disk: it writes what the state holds, gives it back after a start, and knows
 // what of it is proven. It implements peer.Keeper.
-type kept struct {
-	keep *store.Keep
-	load time.Duration
-	self crdt.Origin
-	now  func() int64
-
-	mu       sync.Mutex // for some map accesses; never held while anything waits
-	book     *trust.Book
-	steady   map[string]uint64 // the boots of members that the process before this one saw: who still has it was up meanwhile
-	boots    map[string]uint64 // as they are now
-	mark     trust.Mark        // how far the copy goes in this router's own words
-	standing trust.Standing
-	restored int
+type persistedState struct {
+	store       *store.Keep
+	loadTimeout time.Duration
+	self        crdt.Origin
+	now         func() int64
+
+	mu           sync.Mutex // for some map accesses; never held while anything waits
+	ledger       *trust.Ledger
+	steadyEpochs map[string]uint64 // the boots of members that the process before this one saw: who still has it was up meanwhile
+	seenEpochs   map[string]uint64 // as they are now
+	mark         trust.Mark        // how far the copy goes in this router's own words
+	standing     trust.Standing
+	restored     int
 }
 
-func newKept(own *siteconfig.Members, self crdt.Origin, now func() int64) (*kept, error) {
-	book, err := trust.NewBook(trust.Usual())
+func newPersistedState(own *siteconfig.Members, self crdt.Origin, now func() int64) (*persistedState, error) {
+	book, err := trust.NewLedger(trust.DefaultSettings())
 	if err != nil {
 		return nil, err
 	}
-	q := dkeep.Usual()
-	q.QueueBytes, q.Fsyncs = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
+	q := dkeep.DefaultSettings()
+	q.QueueBytes, q.FsyncsPerSecond = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
 	s := store.Settings{Dir: own.Keep.Dir, Most: own.Keep.MostMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
-	u := crdt.Usual(self)
-	s.Windows[crdt.Write], s.Windows[crdt.Hint] = u.Window, u.HintFor
-	k := &kept{load: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, book: book, steady: map[string]uint64{}, boots: map[string]uint64{}}
-	k.keep, err = store.New(s)
+	u := crdt.DefaultSettings(self)
+	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
+	k := &persistedState{loadTimeout: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: book, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
+	k.store, err = store.New(s)
 	return k, err
 }
 
 // start reads the copy and gives it back, and writes from then on; it returns once that is read, or the disk has had its time.
-func (k *kept) start(ctx context.Context, parts *sync.WaitGroup, state *peer.State) {
-	parts.Go(func() { k.keep.Run(ctx) })
+func (k *persistedState) start(ctx context.Context, parts *sync.WaitGroup, state *peer.State) {
+	parts.Go(func() { k.store.Run(ctx) })
 	done := make(chan struct{})
 	parts.Go(func() {
 		defer close(done)
 		select {
-		case <-k.keep.Loaded():
+		case <-k.store.Loaded():
 			k.restore(state)
 		case <-ctx.Done():
 		}
 	})
-	wait := time.NewTimer(k.load)
+	wait := time.NewTimer(k.loadTimeout)
 	defer wait.Stop()
 	select {
 	case <-done:
 	case <-wait.C:
-		slog.Warn("keep: the start does not wait for the disk longer", "waited", k.load)
+		slog.Warn("keep: the start does not wait for the disk longer", "waited", k.loadTimeout)
 	}
 }
 
 // restore gives the state what the disk held. Hints of unknown age are left out; a write that may have run is taken for as
 // young as it can be.
-func (k *kept) restore(state *peer.State) {
-	f := k.keep.Found()
+func (k *persistedState) restore(state *peer.State) {
+	f := k.store.Found()
 	var list []crdt.Entry
 	bad := 0
 	k.mu.Lock()
 	for i := range f.Records {
 		r := &f.Records[i]
-		if r.Kind == kindMember {
+		if r.Kind == memberRecordKind {
 			if len(r.Value) == 8 {
-				k.steady[string(r.Key)] = binary.LittleEndian.Uint64(r.Value)
+				k.steadyEpochs[string(r.Key)] = binary.LittleEndian.Uint64(r.Value)
 			}
 			continue
 		}
@@ -99,13 +99,13 @@
 			bad++
 			continue
 		}
-		if e.Age = r.Age; e.Kind == crdt.Hint && r.Unsure {
+		if e.Age = r.Age; e.Kind == crdt.Hint && r.MinAgeOnly {
 			continue
 		}
 		list = append(list, e)
-		k.book.Restored(k.now(), e, r.Unsure)
-		if e.From.Name == k.self.Name && (e.From.Boot > k.mark.Boot || e.From.Boot == k.mark.Boot && e.Seq > k.mark.Number) {
-			k.mark = trust.Mark{Boot: e.From.Boot, Number: e.Seq}
+		k.ledger.AddRestored(k.now(), e, r.MinAgeOnly)
+		if e.From.Name == k.self.Name && (e.From.Boot > k.mark.Epoch || e.From.Boot == k.mark.Epoch && e.Seq > k.mark.Number) {
+			k.mark = trust.Mark{Epoch: e.From.Boot, Number: e.Seq}
 		}
 	}
 	k.restored = len(list)
@@ -117,91 +117,91 @@
 
 // Put hears what the state holds from now on. Cursors and levels are not copied: nothing says yet what may be done on the
 // strength of one that came back, and a level is worth nothing after two seconds.
-func (k *kept) Put(e crdt.Entry, by crdt.Origin) {
+func (k *persistedState) Put(e crdt.Entry, by crdt.Origin) {
 	if e.Kind > crdt.Hint {
 		return
 	}
 	k.mu.Lock()
 	now := k.now()
-	was, entry := k.book.Fact(now, e)
+	was, entry := k.ledger.Fact(now, e)
 	own := by == crdt.Origin{}
 	if own {
-		k.book.Own(now, e)
+		k.ledger.AddOwn(now, e)
 	} else {
-		k.book.Told(now, e, by.Boot != 0 && k.steady[by.Name] == by.Boot)
-		k.compare(&e)
+		k.ledger.AddFromPeer(now, e, by.Boot != 0 && k.steadyEpochs[by.Name] == by.Boot)
+		k.compareWithPeer(&e)
 	}
-	met := !own && by.Boot != 0 && k.boots[by.Name] != by.Boot && (len(k.boots) < 4096 || k.boots[by.Name] != 0)
+	met := !own && by.Boot != 0 && k.seenEpochs[by.Name] != by.Boot && (len(k.seenEpochs) < 4096 || k.seenEpochs[by.Name] != 0)
 	if met {
-		k.boots[by.Name] = by.Boot
+		k.seenEpochs[by.Name] = by.Boot
 	}
 	k.mu.Unlock()
 	if met {
-		k.keep.Put(dkeep.Record{Kind: kindMember, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Boot)})
+		k.store.Put(dkeep.Record{Kind: memberRecordKind, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Boot)})
 	}
-	if was.Origin != trust.None && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != crdt.Write || e.Age >= was.Age) {
+	if was.Provenance != trust.Unknown && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != crdt.PendingWrite || e.Age >= was.Age) {
 		return // it is on its way or written already
 	}
 	value, err := cbor.Marshal(e)
 	if err == nil {
-		k.keep.Put(dkeep.Record{Kind: uint8(e.Kind), Key: entryKey(&e), Value: value, Age: e.Age})
+		k.store.Put(dkeep.Record{Kind: uint8(e.Kind), Key: entryKey(&e), Value: value, Age: e.Age})
 	}
 }
 
-// compare holds the copy against what a peer remembers of this router's own words.
-func (k *kept) compare(e *crdt.Entry) {
-	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.Mark{}) || k.standing == trust.Behind {
+// compareWithPeer holds the copy against what a peer remembers of this router's own words.
+func (k *persistedState) compareWithPeer(e *crdt.Entry) {
+	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.Mark{}) || k.standing == trust.StandingBehind {
 		return
 	}
-	seen := trust.Mark{Boot: e.From.Boot, Number: e.Seq}
-	if k.standing = max(k.standing, trust.Compare(k.mark, seen, crashLoses)); k.standing == trust.Behind {
-		k.book.Old()
-		mark := func(m trust.Mark) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Boot) }
-		slog.Warn("keep", operr.Attrs(&store.Old{Path: k.keep.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
+	seen := trust.Mark{Epoch: e.From.Boot, Number: e.Seq}
+	if k.standing = max(k.standing, trust.Compare(k.mark, seen, maxCrashLoss)); k.standing == trust.StandingBehind {
+		k.ledger.DistrustRestored()
+		mark := func(m trust.Mark) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Epoch) }
+		slog.Warn("keep", operr.Attrs(&store.Old{Path: k.store.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
 	}
 }
 
 // fact is what is known of an entry's key.
-func (k *kept) fact(e crdt.Entry) (trust.Fact, crdt.Entry) {
+func (k *persistedState) fact(e crdt.Entry) (trust.Fact, crdt.Entry) {
 	if k == nil {
 		return trust.Fact{}, crdt.Entry{}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Fact(k.now(), e)
+	return k.ledger.Fact(k.now(), e)
 }
 
 // entryKey is an entry's key on disk.
 func entryKey(e *crdt.Entry) []byte {
 	out := append(append([]byte(e.A), 0), e.B...)
 	switch e.Kind {
-	case crdt.Position:
+	case crdt.ServerPosition:
 		out = binary.LittleEndian.AppendUint64(append(out, 0), uint64(e.Born))
-	case crdt.Use, crdt.Hint:
+	case crdt.Usage, crdt.Hint:
 		out = binary.LittleEndian.AppendUint64(append(append(out, 0), e.From.Name...), e.From.Boot)
 	}
 	return out
 }
 
-// keptReport is what operators read of it.
-type keptReport struct {
+// persistedReport is what operators read of it.
+type persistedReport struct {
 	*store.Report
 	Restored int  `json:"restored"` // entries, at the start
 	Doubted  int  `json:"doubted"`  // of these, not proven yet
 	Old      bool `json:"old"`      // the copy was put back
 }
 
-func (k *kept) report() any {
+func (k *persistedState) report() any {
 	if k == nil {
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return keptReport{k.keep.Report(), k.restored, k.book.Doubted(trust.Restored), k.standing == trust.Behind}
+	return persistedReport{k.store.Report(), k.restored, k.ledger.Unconfirmed(trust.FromDisk), k.standing == trust.StandingBehind}
 }
 
-// ground is the evidence that a read's floor rests on.
-type ground struct {
-	at   balance.Nanos // the floor; 0: there is none
+// positionEvidence is the evidence that a read's floor rests on.
+type positionEvidence struct {
+	at   clock.Nanos // the floor; 0: there is none
 	fact trust.Fact
 }
--- a/internal/router/kept_test.go
+++ b/internal/router/kept_test.go
@@ -27,24 +27,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start := func() (*members, func()) {
-		m := newOwnRouter(t, own, nettest.List(1)).members
+	start := func() (*membershipService, func()) {
+		m := newOwnRouter(t, own, nettest.List(1)).membership
 		ctx, cancel := context.WithCancel(context.Background())
 		var parts sync.WaitGroup
 		m.restore(ctx, &parts)
 		return m, func() { cancel(); parts.Wait() }
 	}
-	session := crdt.Entry{Kind: crdt.Session, A: "1", B: "mine"}
+	session := crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine"}
 	m, stop := start()
-	m.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: "mine", At: 5e9})
-	primary := crdt.Entry{Kind: crdt.Primary, A: "1", Server: "s1", At: 4e9, From: crdt.Origin{Name: "n1", Boot: 3}, Seq: 1}
-	m.state.Learn(crdt.Leveled("1", 100, 7, 1)) // neither this nor a cursor is copied
-	m.state.Learn(crdt.Entry{Kind: crdt.Cursor, A: "f", B: "mine", Count: 1, At: 5})
+	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 5e9})
+	primary := crdt.Entry{Kind: crdt.PrimaryClaim, A: "1", Server: "s1", At: 4e9, From: crdt.Origin{Name: "n1", Boot: 3}, Seq: 1}
+	m.state.Learn(crdt.NewSheddingLevel("1", 100, 7, 1)) // neither this nor a cursor is copied
+	m.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, A: "f", B: "mine", Count: 1, At: 5})
 	steady := crdt.Origin{Name: "n1", Boot: 3}
-	m.kept.Put(primary, steady)
-	boot := m.set.Boot
+	m.persisted.Put(primary, steady)
+	boot := m.detectorSettings.Epoch
 	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
-		r := m.kept.report().(keptReport)
+		r := m.persisted.report().(persistedReport)
 		return r.Waiting == 0 && r.Counts.Batches > 0
 	})
 	stop()
@@ -55,36 +55,36 @@
 		t.Fatalf("the commit is %d", at)
 	}
 	for _, e := range []crdt.Entry{session, primary} {
-		if f, _ := m.kept.fact(e); f.Origin != trust.Restored || f.Proven || f.Unsure || f.Age <= 0 {
+		if f, _ := m.persisted.fact(e); f.Provenance != trust.FromDisk || f.Proven || f.MinAgeOnly || f.Age <= 0 {
 			t.Fatalf("%s: %+v", e.Kind, f)
 		}
 	}
-	m.kept.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
-	if f, _ := m.kept.fact(primary); f.Proven {
+	m.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
+	if f, _ := m.persisted.fact(primary); f.Proven {
 		t.Errorf("proven by who was not up: %+v", f)
 	}
-	m.kept.Put(primary, steady)
-	if f, _ := m.kept.fact(primary); !f.Proven {
+	m.persisted.Put(primary, steady)
+	if f, _ := m.persisted.fact(primary); !f.Proven {
 		t.Errorf("not proven by who was up all the while: %+v", f)
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: "mine", At: 4e9})
+	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 4e9})
 	if at := m.commit(1, "mine"); at != 5e9 {
 		t.Errorf("an older answer lowered the commit to %d", at)
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: "mine", At: 6e9})
-	if f, e := m.kept.fact(session); f.Origin != trust.Own || e.At != 6e9 {
+	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 6e9})
+	if f, e := m.persisted.fact(session); f.Provenance != trust.OwnResponse || e.At != 6e9 {
 		t.Errorf("after an own answer: %+v", f)
 	}
-	r := m.kept.report().(keptReport)
+	r := m.persisted.report().(persistedReport)
 	if r.Restored != 2 || r.Doubted != 0 || r.Old || !r.Writes {
 		t.Errorf("%+v", r)
 	}
 	e := session
-	e.B, e.At, e.From, e.Seq = "other", 7e9, crdt.Origin{Name: m.set.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
-	if m.kept.Put(e, steady); !m.kept.report().(keptReport).Old {
+	e.B, e.At, e.From, e.Seq = "other", 7e9, crdt.Origin{Name: m.detectorSettings.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
+	if m.persisted.Put(e, steady); !m.persisted.report().(persistedReport).Old {
 		t.Error("an old copy was not noticed")
 	}
-	if f, _ := m.kept.fact(primary); !f.Unsure || f.Proven {
+	if f, _ := m.persisted.fact(primary); !f.MinAgeOnly || f.Proven {
 		t.Errorf("of an old copy: %+v", f)
 	}
 }
--- a/internal/router/lanes.go
+++ b/internal/router/lanes.go
@@ -9,105 +9,108 @@
 	"lotushook/internal/metrics"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
 	"lotushook/policy/membership"
 	"lotushook/policy/shedding"
 )
 
 const (
-	laneEvery = 50 * time.Millisecond // what others report comes into force so soon
-	laneLines = time.Second           // a line for each group whose level moved to another lane, at most so often
+	sheddingInterval    = 50 * time.Millisecond // what others report comes into force so soon
+	sheddingLogInterval = time.Second           // a line for each group whose level moved to another lane, at most so often
 )
 
-// lanes carries out who is shed: all of it on the owner's goroutine, like the contracts' terms. What is told to the others
+// sheddingService carries out who is shed: all of it on the owner's goroutine, like the contracts' terms. What is told to the others
 // goes by what the routers share; nobody waits for them.
-type lanes struct {
-	router *Router
-	own    shedding.Settings
-	decide *shedding.Lanes
-	lines  map[int64]laneLine
+type sheddingService struct {
+	router    *Router
+	settings  shedding.Settings
+	shedder   *shedding.Shedder
+	lastLines map[int64]thresholdLine
 }
 
-// laneLine is what the last line of a group said.
-type laneLine struct {
-	at   balance.Nanos
+// thresholdLine is what the last line of a group said.
+type thresholdLine struct {
+	at   clock.Nanos
 	lane string
 }
 
-func newLanes(r *Router, own *siteconfig.Setup) (*lanes, error) {
-	l := &lanes{router: r, lines: map[int64]laneLine{}}
-	s, err := l.settings(own)
+func newSheddingService(r *Router, own *siteconfig.Setup) (*sheddingService, error) {
+	l := &sheddingService{router: r, lastLines: map[int64]thresholdLine{}}
+	s, err := l.settingsFrom(own)
 	if err != nil || s == nil {
 		return nil, err
 	}
-	l.own = *s
-	if l.decide, err = shedding.New(*s); err != nil {
+	l.settings = *s
+	if l.shedder, err = shedding.New(*s); err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
 	return l, nil
 }
 
-// settings are the lanes as they hold on this platform; nil: there are none.
-func (l *lanes) settings(own *siteconfig.Setup) (*shedding.Settings, error) {
-	b := &l.router.conf.Settings.Balance
-	back := shedding.Nanos(0)
-	if b.RetryAfter {
+// settingsFrom are the lanes as they hold on this platform; nil: there are none.
+func (l *sheddingService) settingsFrom(own *siteconfig.Setup) (*shedding.Settings, error) {
+	b := &l.router.config.Settings.Balance
+	back := clock.Nanos(0)
+	if b.RetryAfterAllowed {
 		back = b.MaxRetryAfter
 	}
-	s, err := own.Contracts.Lane(siteconfig.Fleet{Router: l.router.conf.Name, Boot: uint64(l.router.clock.unix), Routers: b.Instances, Agreed: own.Members != nil && own.Members.Share}, back)
+	s, err := own.Contracts.Lane(siteconfig.Fleet{Router: l.router.config.Name, Boot: uint64(l.router.clock.unix), Routers: b.Routers, Agreed: own.Members != nil && own.Members.Share}, back)
 	if err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
 	return s, nil
 }
 
-// ask says whether a request is taken; one that is shed is refused at once.
-func (l *lanes) ask(r *request, team int, now balance.Nanos) bool {
-	set := l.router.conf.Settings
-	terms := l.router.owner.terms
-	q := shedding.Request{Team: team, Account: l.own.Account(terms.book.Name(team), r.Session), Group: r.Cluster, Key: r.Key, Again: r.Retry, Part: terms.book.Part(r.Cluster)}
+// admit says whether a request is taken; one that is shed is refused at once.
+func (l *sheddingService) admit(r *request, team int, now clock.Nanos) bool {
+	set := l.router.config.Settings
+	terms := l.router.loop.contracts
+	q := shedding.Request{Team: team, Account: l.settings.Account(terms.ledger.Name(team), r.Session), Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, Share: terms.ledger.Share(r.Cluster)}
 	if set.IsSession(r.Class) && r.Session != "" {
-		q.Reads = shedding.Session(r.Cluster, r.Session)
-		q.Own = r.wrote > 0 && now-r.wrote < l.own.OweFor
+		q.ReadSession = shedding.Session(r.Cluster, r.Session)
+		q.WroteElsewhere = r.sessionWroteAt > 0 && now-r.sessionWroteAt < l.settings.WriteAffinity
 	}
-	r.lane = l.decide.Ask(q, now)
-	if r.lane.Reason != shedding.Shed {
+	r.sheddingVerdict = l.shedder.Ask(q, now)
+	if r.sheddingVerdict.Reason != shedding.Shed {
 		return true
 	}
-	l.router.tally.Add(metrics.Lane)
-	r.why = &refusal{"lane " + l.decide.Name(r.lane.Lane) + " is shed at cluster " + strconv.FormatInt(r.Cluster, 10) + ", by all routers (lanes)",
+	l.router.metrics.Add(metrics.Lane)
+	r.rejectionReason = &rejectionReason{"lane " + l.shedder.Name(r.sheddingVerdict.PriorityClass) + " is shed at cluster " + strconv.FormatInt(r.Cluster, 10) + ", by all routers (lanes)",
 		"come back after the time in DETAIL, in ms; another router refuses the same"}
-	if !l.own.Agreed {
-		r.why.text, r.why.hint = "lane "+l.decide.Name(r.lane.Lane)+" is shed at cluster "+strconv.FormatInt(r.Cluster, 10)+" (lanes)", "come back after the time in DETAIL, in ms"
+	if !l.settings.Shared {
+		r.rejectionReason.text, r.rejectionReason.hint = "lane "+l.shedder.Name(r.sheddingVerdict.PriorityClass)+" is shed at cluster "+strconv.FormatInt(r.Cluster, 10)+" (lanes)", "come back after the time in DETAIL, in ms"
 	}
-	r.hand(balance.Action{Kind: balance.Refuse, Wait: r.lane.Wait})
+	r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: r.sheddingVerdict.RetryAfter})
 	return false
 }
 
-func (l *lanes) aim(class int) balance.Nanos {
-	if classes := l.router.conf.Settings.Balance.Classes; class >= 0 && class < len(classes) {
-		return classes[class].Aim
+func (l *sheddingService) aim(class int) clock.Nanos {
+	if classes := l.router.config.Settings.Balance.Classes; class >= 0 && class < len(classes) {
+		return classes[class].LatencyObjective
 	}
 	return 0
 }
 
-// begun notes a request that goes on, or waits for its turn.
-func (l *lanes) begun(r *request) { l.decide.Begun(r.Cluster, r.came, l.aim(r.asked.Class)) }
+// requestStarted notes a request that goes on, or waits for its turn.
+func (l *sheddingService) requestStarted(r *request) {
+	l.shedder.RequestStarted(r.Cluster, r.arrivedAt, l.aim(r.contractRequest.Class))
+}
 
-// ended tells of a request's end.
-func (l *lanes) ended(r *request, now balance.Nanos) {
-	e := shedding.End{Came: r.came, Took: r.end.Took, Aim: l.aim(r.asked.Class), Served: r.end.Served, MayRun: r.end.MayRun, Gone: r.end.Gone || !r.ground.Taken()}
-	if l.router.conf.Settings.IsWrite(r.Class) && r.Session != "" {
-		e.Wrote = shedding.Session(r.Cluster, r.Session)
+// requestEnded tells of a request's end.
+func (l *sheddingService) requestEnded(r *request, now clock.Nanos) {
+	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.aim(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
+	if l.router.config.Settings.IsWrite(r.Class) && r.Session != "" {
+		e.SessionWritten = shedding.Session(r.Cluster, r.Session)
 	}
-	l.decide.Ended(r.Cluster, r.lane.Lane, r.Key, e, now)
+	l.shedder.RequestEnded(r.Cluster, r.sheddingVerdict.PriorityClass, r.Key, e, now)
 }
 
 // tick takes in what the others report, and tells them what this router would have.
-func (l *lanes) tick(now balance.Nanos) {
-	m := l.router.members
-	if !l.own.Agreed || m == nil || m.state == nil || m.peers == nil {
-		l.decide.Tick(now, shedding.Sight{}, nil)
+func (l *sheddingService) tick(now clock.Nanos) {
+	m := l.router.membership
+	if !l.settings.Shared || m == nil || m.state == nil || m.peers == nil {
+		l.shedder.Tick(now, shedding.Connectivity{}, nil)
 		l.log(now)
 		return
 	}
@@ -118,28 +121,28 @@
 	}
 	var reports []shedding.Report
 	m.state.Each(func(store *crdt.Store, now int64) {
-		for _, e := range store.Levels(now) {
+		for _, e := range store.SheddingLevels(now) {
 			if group, err := strconv.ParseInt(e.A, 10, 64); err == nil {
-				load, wish, epoch := e.Leveled()
-				reports = append(reports, shedding.Report{Group: group, Name: e.From.Name, Boot: e.From.Boot, Seq: e.Seq, Age: e.Age, Load: load, Wish: wish, Epoch: epoch, Out: !counts[e.From.Name]})
+				load, wish, epoch := e.SheddingLevel()
+				reports = append(reports, shedding.Report{Group: group, Router: e.From.Name, Epoch: e.From.Boot, Seq: e.Seq, Age: e.Age, Load: load, Threshold: wish, SaltEpoch: epoch, Excluded: !counts[e.From.Name]})
 			}
 		}
 	})
-	for _, s := range l.decide.Tick(now, shedding.Sight{Majority: v.Majority, CutOff: v.Deaf || v.Taken}, reports) {
-		m.state.Learn(crdt.Leveled(strconv.FormatInt(s.Group, 10), s.Load, s.Wish, s.Epoch))
+	for _, s := range l.shedder.Tick(now, shedding.Connectivity{Majority: v.Majority, Isolated: v.Isolated || v.NameTaken}, reports) {
+		m.state.Learn(crdt.NewSheddingLevel(strconv.FormatInt(s.Group, 10), s.Load, s.Threshold, s.SaltEpoch))
 	}
 	l.log(now)
 }
 
 // log writes a line when a group's level moves to another lane.
-func (l *lanes) log(now balance.Nanos) {
-	for _, s := range l.decide.States() {
-		if old := l.lines[s.Group]; s.Lane != old.lane && now-old.at >= int64(laneLines) {
-			if len(l.lines) >= l.own.Groups {
-				clear(l.lines)
+func (l *sheddingService) log(now clock.Nanos) {
+	for _, s := range l.shedder.States() {
+		if old := l.lastLines[s.Group]; s.PriorityClass != old.lane && now-old.at >= int64(sheddingLogInterval) {
+			if len(l.lastLines) >= l.settings.MaxGroups {
+				clear(l.lastLines)
 			}
-			l.lines[s.Group] = laneLine{now, s.Lane}
-			slog.Info("lanes", "cluster", s.Group, "shed_up_to", s.Lane, "level", s.Level, "most", s.Most, "epoch", s.Epoch, "heard", s.Heard, "whole", s.Whole, "alone", s.Alone,
+			l.lastLines[s.Group] = thresholdLine{now, s.PriorityClass}
+			slog.Info("lanes", "cluster", s.Group, "shed_up_to", s.PriorityClass, "level", s.Threshold, "most", s.MaxThreshold, "epoch", s.SaltEpoch, "heard", s.Heard, "whole", s.Quorum, "alone", s.Isolated,
 				"pressure", strconv.FormatFloat(s.Pressure, 'f', 3, 64))
 		}
 	}
@@ -153,6 +156,6 @@
 }
 
 // report is as of now; for the owner's goroutine.
-func (l *lanes) report() *Lanes {
-	return &Lanes{l.decide.States(), l.decide.Counts(), l.decide.Full()}
+func (l *sheddingService) report() *Lanes {
+	return &Lanes{l.shedder.States(), l.shedder.Counts(), l.shedder.Ungrouped()}
 }
--- a/internal/router/lastcall.go
+++ b/internal/router/lastcall.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	lastCallFor = 300 * time.Millisecond // at most so long
-	lastWait    = 20 * time.Millisecond  // nobody has come within this, and once more: nobody waits
-	lastWaits   = 2
+	maxDrainAccept  = 300 * time.Millisecond // at most so long
+	drainAcceptWait = 20 * time.Millisecond  // nobody has come within this, and once more: nobody waits
+	drainEmptyWaits = 2
 )
 
-// lastCall is a listener that, told to stop, still hands out whom the machine has
+// drainListener is a listener that, told to stop, still hands out whom the machine has
 // accepted: closed at once, it would reset them, and their requests with them.
-type lastCall struct {
+type drainListener struct {
 	net.Listener
 	until atomic.Int64 // Unix time in ns; 0: it was not told to stop
 }
 
-// timed is what a listener on a socket can do.
-type timed interface{ SetDeadline(time.Time) error }
+// deadlineSetter is what a listener on a socket can do.
+type deadlineSetter interface{ SetDeadline(time.Time) error }
 
 // SetDeadline is the listener's own, where it has one.
-func (l *lastCall) SetDeadline(t time.Time) error {
-	if tcp, ok := l.Listener.(timed); ok {
+func (l *drainListener) SetDeadline(t time.Time) error {
+	if tcp, ok := l.Listener.(deadlineSetter); ok {
 		return tcp.SetDeadline(t)
 	}
 	return nil
 }
 
 // stop makes Accept say net.ErrClosed as soon as nobody waits any more.
-func (l *lastCall) stop() {
-	l.until.Store(time.Now().Add(lastCallFor).UnixNano())
-	l.SetDeadline(longAgo)
+func (l *drainListener) stop() {
+	l.until.Store(time.Now().Add(maxDrainAccept).UnixNano())
+	l.SetDeadline(pastDeadline)
 }
 
-func (l *lastCall) Accept() (net.Conn, error) {
+func (l *drainListener) Accept() (net.Conn, error) {
 	for waits := 0; ; {
 		until := l.until.Load()
 		if until != 0 {
 			if time.Now().UnixNano() > until {
 				return nil, net.ErrClosed
 			}
-			l.SetDeadline(time.Now().Add(lastWait))
+			l.SetDeadline(time.Now().Add(drainAcceptWait))
 		}
 		called := time.Now()
 		conn, err := l.Listener.Accept()
@@ -53,10 +53,10 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return conn, err
 		case until != 0:
-			if time.Since(called) >= lastWait/2 { // or its time was over before it looked who is there
+			if time.Since(called) >= drainAcceptWait/2 { // or its time was over before it looked who is there
 				waits++
 			}
-			if waits == lastWaits {
+			if waits == drainEmptyWaits {
 				return nil, net.ErrClosed
 			}
 		case l.until.Load() == 0: // the caller's own deadline
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.patience, r.hold = endless, 0
-	old := r.dir.Apply(conf.Known).Nodes[0].Node
+	r.timeouts, r.startHold = endless, 0
+	old := r.directory.Apply(conf.Known).Endpoints[0].ID
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- r.Serve(ctx, ln) }()
@@ -41,22 +41,22 @@
 		<-done
 	})
 	s.Dial("c", ln.Addr().String())
-	most, _ := r.budget.Clients()
+	most, _ := r.descriptors.Clients()
 	for i := range most {
 		s.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
 	s.Play(fmt.Sprintf("send c%d startup", most)) // stands in the queue: there is no room for it
-	if _, used := r.budget.Clients(); used != most || most < 10 {
+	if _, used := r.descriptors.Clients(); used != most || most < 10 {
 		t.Fatalf("%d clients of %d", used, most)
 	}
-	for r.budget.Dial() { // others, of which this test knows nothing
+	for r.descriptors.Dial() { // others, of which this test knows nothing
 	}
-	r.budget.Hangup()
+	r.descriptors.Hangup()
 	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 	until(t, "the list is heard", func() bool {
-		_, ready := r.dir.Address(old)
+		_, ready := r.directory.Address(old)
 		return !ready
 	})
 	s.Play(`
--- a/internal/router/members_test.go
+++ b/internal/router/members_test.go
@@ -15,28 +15,29 @@
 	"lotushook/internal/pgwire"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
 	"lotushook/policy/quotalease"
 )
 
 // The owner goes by the part that is in force, and by the least one from the moment on when it was not renewed.
 func TestPartInForce(t *testing.T) {
-	m := &members{share: 0.2}
+	m := &membershipService{share: 0.2}
 	for _, c := range []struct {
-		now   balance.Nanos
-		force quotalease.Force
+		now   clock.Nanos
+		force quotalease.Quota
 		share float64 // of the event; 0: there is none
 	}{
-		{10, quotalease.Force{Share: 0.2, Until: 20, Least: 0.1}, 0},
-		{19, quotalease.Force{Share: 0.35, Until: 20, Least: 0.1}, 0.35},
-		{19, quotalease.Force{Share: 0.35, Until: 40, Least: 0.1}, 0},
-		{40, quotalease.Force{Share: 0.35, Until: 40, Least: 0.1}, 0.1}, // nobody renewed it: this process may have been stopped
-		{41, quotalease.Force{Share: 0.35, Until: 40, Least: 0.1}, 0},
-		{42, quotalease.Force{Share: 0.2, Until: 60, Least: 0.1}, 0.2},
+		{10, quotalease.Quota{Share: 0.2, Until: 20, Min: 0.1}, 0},
+		{19, quotalease.Quota{Share: 0.35, Until: 20, Min: 0.1}, 0.35},
+		{19, quotalease.Quota{Share: 0.35, Until: 40, Min: 0.1}, 0},
+		{40, quotalease.Quota{Share: 0.35, Until: 40, Min: 0.1}, 0.1}, // nobody renewed it: this process may have been stopped
+		{41, quotalease.Quota{Share: 0.35, Until: 40, Min: 0.1}, 0},
+		{42, quotalease.Quota{Share: 0.2, Until: 60, Min: 0.1}, 0.2},
 	} {
-		m.force.Store(&c.force)
-		e, ok := m.divided(c.now)
-		if ok != (c.share > 0) || ok && (e.Kind != balance.Divided || e.Share != c.share) {
+		m.quota.Store(&c.force)
+		e, ok := m.quotaChange(c.now)
+		if ok != (c.share > 0) || ok && (e.Kind != balance.QuotaShareChanged || e.Share != c.share) {
 			t.Errorf("at %d, %+v: %+v, %v", c.now, c.force, e, ok)
 		}
 	}
@@ -68,23 +69,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if at := r.members.commit(1, written.Session); at != 1767225600000e6 {
+	if at := r.membership.commit(1, written.Session); at != 1767225600000e6 {
 		t.Fatalf("the commit of session %q is %d", written.Session, at)
 	}
 	idle := newOwnRouter(t, own, nettest.List(1)) // its owner does not run: events can be read
-	idle.members.state.Learn(crdt.Entry{Kind: crdt.Session, A: "1", B: written.Session, At: 1767225600000e6})
+	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: written.Session, At: 1767225600000e6})
 	for _, c := range []struct {
 		class string
-		after balance.Nanos
+		after clock.Nanos
 	}{{"own", 1767225600000e6}, {"read", 0}} {
-		one := &request{Request: written, router: idle, client: &client{left: make(chan struct{})}, acts: make(chan balance.Action, mailbox)}
+		one := &request{Request: written, router: idle, client: &client{left: make(chan struct{})}, actions: make(chan balance.Action, actionQueueSize)}
 		one.Class, one.deadline = c.class, idle.clock.now()+int64(time.Minute)
 		go one.run()
-		if e := <-idle.owner.events; e.Kind != balance.RequestIn || e.after != c.after {
-			t.Errorf("%s: a read comes in after %d", c.class, e.after)
+		if e := <-idle.loop.events; e.Kind != balance.RequestArrived || e.mustSee != c.after {
+			t.Errorf("%s: a read comes in after %d", c.class, e.mustSee)
 		}
-		one.hand(balance.Action{Kind: balance.Fail})
-		if e := <-idle.owner.events; !e.over {
+		one.deliver(balance.Action{Kind: balance.FailRequest})
+		if e := <-idle.loop.events; !e.requestEnded {
 			t.Errorf("%s: it does not end: %+v", c.class, e)
 		}
 	}
@@ -107,18 +108,18 @@
 	good := load(`{"classes":{"write":"one"}}`)
 	r := newOwnRouter(t, good, nettest.List(1))
 	for _, class := range []string{"own", "nothing"} {
-		_, err := New(r.conf, load(fmt.Sprintf(`{"classes":{%q:"one"}}`, class)))
-		if e := operr.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Remedy(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
+		_, err := New(r.config, load(fmt.Sprintf(`{"classes":{%q:"one"}}`, class)))
+		if e := operr.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Hint(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
 			t.Errorf("%s: %v", class, err)
 		}
 	}
-	m := r.members
-	m.probes, m.given = true, map[uint32]balance.Nanos{}
-	e := r.dir.Apply(&discovery.List{Whole: true, Hosts: []discovery.Host{{Host: "h", Block: 1, BornMS: 5}}})
-	node := e.Nodes[0].Node
+	m := r.membership
+	m.probes, m.givenPositions = true, map[balance.EndpointID]clock.Nanos{}
+	e := r.directory.Apply(&discovery.List{Complete: true, Hosts: []discovery.Host{{Name: "h", Group: 1, StartedMS: 5}}})
+	node := e.Endpoints[0].ID
 	tell := func(born, at, age int64) {
 		m.state.Look("h", "", func(s *crdt.Store, now int64) {
-			s.Take(now, crdt.Entry{Kind: crdt.Position, A: "h", Born: born, At: at, Age: age, From: crdt.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
+			s.Merge(now, crdt.Entry{Kind: crdt.ServerPosition, A: "h", Born: born, At: at, Age: age, From: crdt.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
 		})
 	}
 	tell(4e6, 50, 0)
@@ -129,11 +130,11 @@
 	if first, again := m.position(node), m.position(node); first != 60 || again != 0 {
 		t.Errorf("%d, then %d", first, again)
 	}
-	tell(5e6, 70, 2*toldFor)
+	tell(5e6, 70, 2*maxPositionAge)
 	if at := m.position(node); at != 0 {
 		t.Errorf("%d is old", at)
 	}
-	m.heard(1, node, &backend.Result{Outcome: balance.Done, Role: balance.Primary, Position: 80})
+	m.learnFrom(1, node, &backend.Result{Outcome: balance.Succeeded, Role: balance.Primary, Position: 80})
 	if at := m.position(node); at != 0 {
 		t.Errorf("%d is this router's own", at)
 	}
--- a/internal/router/owner_test.go
+++ b/internal/router/owner_test.go
@@ -12,21 +12,21 @@
 )
 
 // held puts a request before the owner, which no other goroutine runs.
-func held(t *testing.T, o *owner, id, statement string) *request {
+func held(t *testing.T, o *eventLoop, id, statement string) *request {
 	t.Helper()
 	parsed, err := pgwire.ParseRequest("/* id=" + id + ",c=read,d=20000,cluster=1 */ " + statement)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &request{Request: parsed, router: o.router, acts: make(chan balance.Action, mailbox)}
+	r := &request{Request: parsed, router: o.router, actions: make(chan balance.Action, actionQueueSize)}
 	now := o.router.clock.now()
-	o.take(event{req: r, Event: balance.Event{Kind: balance.RequestIn, Request: id, Tenant: -1, Group: 1, Deadline: now + 20e9}})
+	o.handle(loopEvent{request: r, Event: balance.Event{Kind: balance.RequestArrived, Request: id, Tenant: -1, Group: 1, Deadline: now + 20e9}})
 	return r
 }
 
 func kinds(r *request) (out []balance.ActionKind) {
-	for len(r.acts) > 0 {
-		out = append(out, (<-r.acts).Kind)
+	for len(r.actions) > 0 {
+		out = append(out, (<-r.actions).Kind)
 	}
 	return out
 }
@@ -39,10 +39,10 @@
 }
 
 // newTestOwner has one listed node, which nobody dials.
-func newTestOwner(t *testing.T) *owner {
+func newTestOwner(t *testing.T) *eventLoop {
 	r := newRouter(t, `{"seq":1,"whole":true,"hosts":[{"host":"h-1","dial":"127.0.0.1:1","block":1,"health":"SERVING"}]}`)
-	r.owner.take(event{Event: r.dir.Apply(r.conf.Known)})
-	return r.owner
+	r.loop.handle(loopEvent{Event: r.directory.Apply(r.config.Known)})
+	return r.loop
 }
 
 // A send that crosses the end of its request's task was never made. The module
@@ -53,34 +53,34 @@
 	for range 20 { // more than the node's limit: leaked attempts would close it
 		r := held(t, o, "01", "A")
 		o.step()
-		expectActs(t, r, balance.Send)
-		o.take(event{req: r, Event: balance.Event{Kind: balance.RequestGone, Request: "01"}})
-		o.take(event{req: r, over: true})
+		expectActs(t, r, balance.SendAttempt)
+		o.handle(loopEvent{request: r, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}})
+		o.handle(loopEvent{request: r, requestEnded: true})
 		o.step()
-		if len(o.requests) != 0 || o.held != 0 {
-			t.Fatalf("%d requests, %d bytes held", len(o.requests), o.held)
+		if len(o.requests) != 0 || o.heldBytes != 0 {
+			t.Fatalf("%d requests, %d bytes held", len(o.requests), o.heldBytes)
 		}
 	}
 	r := held(t, o, "02", "A")
 	o.step()
-	expectActs(t, r, balance.Send)
+	expectActs(t, r, balance.SendAttempt)
 }
 
 // What is beyond the settings' bound, or would not fit the memory, is refused at once.
 func TestBounds(t *testing.T) {
 	o := newTestOwner(t)
-	o.room = 200
+	o.maxHeldBytes = 200
 	big := held(t, o, "00", strings.Repeat("x", 200))
-	expectActs(t, big, balance.Refuse)
+	expectActs(t, big, balance.RejectRequest)
 	first := held(t, o, "01", "A")
 	twin := held(t, o, "01", "A")
-	expectActs(t, twin, balance.Fail)                                                        // the module ignores a live id
-	o.take(event{req: twin, Event: balance.Event{Kind: balance.RequestGone, Request: "01"}}) // its leaving is not the first one's
-	o.take(event{req: twin, over: true})
+	expectActs(t, twin, balance.FailRequest)                                                                // the module ignores a live id
+	o.handle(loopEvent{request: twin, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}}) // its leaving is not the first one's
+	o.handle(loopEvent{request: twin, requestEnded: true})
 	o.step()
-	expectActs(t, first, balance.Send)
-	o.router.conf.Settings.Balance.MaxHeld = 1
-	expectActs(t, held(t, o, "02", "A"), balance.Refuse)
+	expectActs(t, first, balance.SendAttempt)
+	o.router.config.Settings.Balance.MaxQueued = 1
+	expectActs(t, held(t, o, "02", "A"), balance.RejectRequest)
 	if o.requests["01"] != first || len(o.requests) != 1 {
 		t.Errorf("%d requests held", len(o.requests))
 	}
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -96,7 +96,7 @@
 }
 
 func (g *turnstile) SetDeadline(at time.Time) error {
-	if at.Equal(longAgo) {
+	if at.Equal(pastDeadline) {
 		defer g.wake.Do(func() { close(g.woken) })
 	}
 	return g.TCPListener.SetDeadline(at)
@@ -152,7 +152,7 @@
 }
 
 func (c *stopped) readable() bool {
-	return raw(c, func(fd int) bool {
+	return withDescriptor(c, func(fd int) bool {
 		n, _, _ := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return n > 0
 	})
@@ -183,7 +183,7 @@
 			send s1 welcome
 			expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`
 	)
-	later := strings.Repeat(` | Q ""`, pipelined+4)
+	later := strings.Repeat(` | Q ""`, maxPipelined+4)
 	for _, c := range []struct {
 		guards  string
 		before  string // while the router runs
@@ -244,10 +244,10 @@
 		{guards: "more requests are queued than are taken at a time: each gets its answer", before: open + `
 			send c1 raw ""` + later, stopped: `
 			send s1 T | D "v" | C | S rank=copy | Z
-			expect c1 welcome | T | D "v" | C | Z` + strings.Repeat(` | I | Z`, pipelined+4) + ` | EOF`},
+			expect c1 welcome | T | D "v" | C | Z` + strings.Repeat(` | I | Z`, maxPipelined+4) + ` | EOF`},
 		{guards: "requests are queued behind one without an end: each gets its answer in the end", before: open + `
 			send c1 raw ""` + later + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A"`, over: `
-			expect c1 welcome | E 58000 | Z` + strings.Repeat(` | I | Z`, pipelined+4) + ` | E 53300 | Z | EOF`},
+			expect c1 welcome | E 58000 | Z` + strings.Repeat(` | I | Z`, maxPipelined+4) + ` | E 53300 | Z | EOF`},
 		{guards: "connected, nothing said: its first request is waited for", before: `send c1 raw ""`, stopped: `
 			send c1 startup | Q ""
 			expect c1 welcome | I | Z | EOF`},
@@ -305,7 +305,7 @@
 				stop()
 				accepted <- time.Time{}
 				<-ln.woken
-				until(t, "the idle clients are closed", r.isStopping)
+				until(t, "the idle clients are closed", r.isDraining)
 				ln.open()
 				s.Play(c.stopped)
 				if c.over != "" {
@@ -315,7 +315,7 @@
 				if err := <-done; err != nil {
 					t.Error(err)
 				}
-				if left := r.reading.Left(); left != r.conf.Limits.MemoryMB<<20/readShare {
+				if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
 					t.Errorf("%d bytes left for reading", left)
 				}
 			})
@@ -333,7 +333,7 @@
 		t.Fatal(err)
 	}
 	p := endless
-	p.last = time.Millisecond
+	p.finalAnswers = time.Millisecond
 	s, r, stop, done := stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, finish, p)
 	s.Play(`
 		send c1 startup | Q ""
@@ -357,7 +357,7 @@
 	until(t, "both send", func() bool { return sent[0].Load() > 0 && sent[1].Load() > 10 })
 	stop()
 	accept()
-	until(t, "the idle clients are closed", r.isStopping)
+	until(t, "the idle clients are closed", r.isDraining)
 	end()
 	if err := <-done; err != nil {
 		t.Error(err)
@@ -397,7 +397,7 @@
 	ln.shut(atBytes)
 	s.Play(`send c1 Q "" | Q ""`)
 	<-ln.reached
-	if err := r.door.set(admitting(t, `{"per_address":1}`).Admission); err != nil {
+	if err := r.acceptor.reload(admitting(t, `{"per_address":1}`).Admission); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "who idles over a lowered cap is put out", asked)
@@ -409,5 +409,5 @@
 func (c *client) leaves() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leave || c.away != nil
+	return c.closing || c.rejection != nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,6 +23,7 @@
 	"lotushook/internal/ringbuffer"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/contract"
 	"lotushook/policy/shedding"
 )
@@ -30,109 +31,109 @@
 const (
 	// acceptAfter is how long a router that is told to stop still takes new
 	// clients: the front goes on sending them for a while.
-	acceptAfter = 500 * time.Millisecond
+	acceptAfterTerm = 500 * time.Millisecond
 	// endBefore the moment from which on a router may be killed that was told to stop,
 	// whatever is open is ended, so that all of it is answered.
-	endBefore = 300 * time.Millisecond
-	killAfter = 700 * time.Millisecond // when it may be killed: after the longest deadline and so much more
-	mostAwait = 3 * time.Second        // the longest deadline counts as at most this
+	answerMargin       = 300 * time.Millisecond
+	killAfterDeadline  = 700 * time.Millisecond // when it may be killed: after the longest deadline and so much more
+	maxAwaitedDeadline = 3 * time.Second        // the longest deadline counts as at most this
 
-	sweepEvery = 100 * time.Millisecond
-	stall      = 50 * time.Millisecond // whole answers come within a millisecond
-	settle     = 5 * time.Millisecond  // some round trips
-	crossing   = 10 * time.Millisecond // a round trip, and what either side may be late
-	crowdShare = 5                     // beyond one part in so many of the descriptors, idle clients are closed early
-	readShare  = 4                     // one part in so many of the memory is for messages that are not whole yet
+	sweepInterval          = 100 * time.Millisecond
+	stallTimeout           = 50 * time.Millisecond // whole answers come within a millisecond
+	settleTime             = 5 * time.Millisecond  // some round trips
+	duplicateWindow        = 10 * time.Millisecond // a round trip, and what either side may be late
+	crowdedDescriptorShare = 5                     // beyond one part in so many of the descriptors, idle clients are closed early
+	readMemoryShare        = 4                     // one part in so many of the memory is for messages that are not whole yet
 
 	// A router that starts asks its own agent before it sends anything: what the agent has counts as told from the first
 	// moment, and the list that was kept may be old. An agent that is silent is waited for so long at most, and for one
 	// part in holdShare of the shortest deadline: unsent requests are priced from half of their time on.
-	longestHold = 250 * time.Millisecond
-	holdShare   = 4
+	maxStartHold   = 250 * time.Millisecond
+	startHoldShare = 4
 )
 
 // Router is one router instance.
 type Router struct {
-	conf   *platformconfig.Config
-	dir    *discovery.Directory
-	pool   *backend.Pool
-	budget *fdlimit.Budget
-	owner  *owner
-	clock  clock
-	watch  *discovery.Watcher
-	tally  *metrics.Tally  // nil: nothing is counted
-	log    *siteconfig.Log // what the totals follow; nil: there are none
-	tracer tracer
-
-	reading  *ringbuffer.Quota // for what clients have sent of messages that are not whole yet
-	members  *members          // of the installation's routers; nil: nothing is known of others
-	cancels  *cancels          // by the keys of the clients that are here
-	feeds    *feeds            // answers subscribers; nil: no class is one of feeds
-	door     *door             // decides which clients are taken; nil: all are, as far as descriptors go
-	recovery *comeback         // bounds what is done while routers come back; nil: nothing is
-
-	hold     time.Duration // how long nothing is sent at the start, unless the agent answers
-	asked    chan struct{} // closed once it has, or that is over
-	patience patience
-	accepted func() <-chan time.Time // after being told to stop: when to take no new clients
-	allowed  time.Duration           // after being told to stop: for all that is open
-	finish   func() <-chan time.Time // when that is over
-	ended    chan struct{}           // closed then
-	lastAt   atomic.Int64            // that moment on the clock, a little earlier; 0: it was not told to stop
-	mu       sync.Mutex
-	clients  map[*client]struct{}
-	stopping bool
-	serving  sync.WaitGroup
+	config      *platformconfig.Config
+	directory   *discovery.Directory
+	pool        *backend.Pool
+	descriptors *fdlimit.Budget
+	loop        *eventLoop
+	clock       unixClock
+	watcher     *discovery.Watcher
+	metrics     *metrics.Tally  // nil: nothing is counted
+	logSettings *siteconfig.Log // what the totals follow; nil: there are none
+	accessLog   accessLog
+
+	readQuota  *ringbuffer.Quota  // for what clients have sent of messages that are not whole yet
+	membership *membershipService // of the installation's routers; nil: nothing is known of others
+	cancelKeys *cancelKeys        // by the keys of the clients that are here
+	changefeed *changefeedService // answers subscribers; nil: no class is one of feeds
+	acceptor   *acceptor          // decides which clients are taken; nil: all are, as far as descriptors go
+	recovery   *recoveryGate      // bounds what is done while routers come back; nil: nothing is
+
+	startHold     time.Duration // how long nothing is sent at the start, unless the agent answers
+	startHoldOver chan struct{} // closed once it has, or that is over
+	timeouts      clientTimeouts
+	accepted      func() <-chan time.Time // after being told to stop: when to take no new clients
+	drainTimeout  time.Duration           // after being told to stop: for all that is open
+	finish        func() <-chan time.Time // when that is over
+	drainOver     chan struct{}           // closed then
+	drainDeadline atomic.Int64            // that moment on the clock, a little earlier; 0: it was not told to stop
+	mu            sync.Mutex
+	clients       map[*client]struct{}
+	draining      bool
+	serving       sync.WaitGroup
 }
 
 // New returns a router that starts from the list that its configuration keeps,
 // with the parts that its installation's own settings switch on.
 func New(conf *platformconfig.Config, own *siteconfig.Setup) (*Router, error) {
 	set := conf.Settings.Balance
-	set.HalfwayBound = true // on sockets it is charged
+	set.LateRejectionCharged = true // on sockets it is charged
 	module, err := balance.New(set, conf.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	unread := conf.Limits.MemoryMB << 20 / readShare // on either side
-	r := &Router{conf: conf, dir: discovery.NewDirectory(), budget: fdlimit.New(conf.Limits.Sockets),
-		reading: ringbuffer.NewQuota(unread), clock: newClock(), watch: discovery.NewWatcher(conf.Discovery, sharing(conf), conf.Settings.DrainGrace),
-		clients: map[*client]struct{}{}, cancels: newCancels(), patience: usualPatience, hold: holdFor(conf), asked: make(chan struct{}),
-		accepted: func() <-chan time.Time { return time.After(acceptAfter) }, ended: make(chan struct{})}
-	r.allowed = allowed(conf.Settings.Balance.Classes)
-	r.finish = func() <-chan time.Time { return time.After(r.allowed) }
-	if r.log = own.Log; r.log != nil && r.log.TotalsMS > 0 {
-		r.tally = metrics.New()
-	}
-	r.tracer.set.Store(own.Log)
-	r.watch.Tally = r.tally
-	r.pool = backend.NewPool(backend.Options{Directory: r.dir, Budget: r.budget, Tally: r.tally,
-		ConnectTimeout: conf.Settings.ConnectTimeout, IdleClose: conf.Settings.IdleClose,
-		Reading: ringbuffer.NewQuota(unread), Stall: stall, Settle: settle, Crossing: crossing})
-	r.owner = newOwner(module, r)
+	unread := conf.Limits.MemoryMB << 20 / readMemoryShare // on either side
+	r := &Router{config: conf, directory: discovery.NewDirectory(), descriptors: fdlimit.New(conf.Limits.Sockets),
+		readQuota: ringbuffer.NewQuota(unread), clock: newUnixClock(), watcher: discovery.NewWatcher(conf.Discovery, sharedDiscoveryRouters(conf), conf.Settings.DrainGrace),
+		clients: map[*client]struct{}{}, cancelKeys: newCancelKeys(), timeouts: defaultTimeouts, startHold: startHoldFor(conf), startHoldOver: make(chan struct{}),
+		accepted: func() <-chan time.Time { return time.After(acceptAfterTerm) }, drainOver: make(chan struct{})}
+	r.drainTimeout = drainTimeoutFor(conf.Settings.Balance.Classes)
+	r.finish = func() <-chan time.Time { return time.After(r.drainTimeout) }
+	if r.logSettings = own.Log; r.logSettings != nil && r.logSettings.TotalsMS > 0 {
+		r.metrics = metrics.New()
+	}
+	r.accessLog.settings.Store(own.Log)
+	r.watcher.Metrics = r.metrics
+	r.pool = backend.NewPool(backend.Options{Directory: r.directory, Descriptors: r.descriptors, Metrics: r.metrics,
+		ConnectTimeout: conf.Settings.ConnectTimeout, IdleClose: conf.Settings.IdleTimeout,
+		ReadQuota: ringbuffer.NewQuota(unread), StallTimeout: stallTimeout, SettleTime: settleTime, DuplicateWindow: duplicateWindow})
+	r.loop = newEventLoop(module, r)
 	if own.Admission != nil {
-		if r.door, err = newDoor(r, own.Admission); err != nil {
+		if r.acceptor, err = newAcceptor(r, own.Admission); err != nil {
 			return nil, fmt.Errorf("router: %w", err)
 		}
-		r.pool.Short = r.door.shrink
+		r.pool.OutOfDescriptors = r.acceptor.shrink
 	}
 	if own.Contracts != nil {
-		if r.owner.terms, err = newTerms(r, own); err != nil {
+		if r.loop.contracts, err = newContractService(r, own); err != nil {
 			return nil, fmt.Errorf("router: %w", err)
 		}
 	}
 	if own.Members != nil {
-		if r.members, err = newMembers(r, own.Members); err != nil {
+		if r.membership, err = newMembershipService(r, own.Members); err != nil {
 			return nil, fmt.Errorf("router: %w", err)
 		}
 	}
 	if own.Feeds != nil {
-		if r.feeds, err = newFeeds(r, own.Feeds); err != nil {
+		if r.changefeed, err = newChangefeedService(r, own.Feeds); err != nil {
 			return nil, fmt.Errorf("router: %w", err)
 		}
 	}
 	if own.Recovery != nil {
-		if r.recovery, err = newComeback(r, own.Recovery); err != nil {
+		if r.recovery, err = newRecoveryGate(r, own.Recovery); err != nil {
 			return nil, fmt.Errorf("router: %w", err)
 		}
 	}
@@ -143,7 +144,7 @@
 func (r *Router) Run(ctx context.Context) error {
 	// Keep-alive notices nothing here, and setting it takes four calls of each accept.
 	lc := net.ListenConfig{KeepAlive: -1}
-	ln, err := lc.Listen(ctx, "tcp", r.conf.Listen)
+	ln, err := lc.Listen(ctx, "tcp", r.config.Listen)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
@@ -152,53 +153,53 @@
 
 // Serve is Run on a listener that it closes.
 func (r *Router) Serve(ctx context.Context, listener net.Listener) error {
-	ln := &lastCall{Listener: listener}
+	ln := &drainListener{Listener: listener}
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
 	var parts sync.WaitGroup
-	if r.members != nil {
-		if err := r.members.listen(); err != nil {
+	if r.membership != nil {
+		if err := r.membership.listen(); err != nil {
 			ln.Close()
 			return fmt.Errorf("router: %w", err)
 		}
-		r.members.restore(inner, &parts)
-		parts.Go(func() { r.members.run(inner) })
+		r.membership.restore(inner, &parts)
+		parts.Go(func() { r.membership.run(inner) })
 	}
-	if r.conf.Known != nil {
-		r.owner.events <- event{Event: r.dir.Apply(r.conf.Known)}
-		r.recovery.listed()
+	if r.config.Known != nil {
+		r.loop.events <- loopEvent{Event: r.directory.Apply(r.config.Known)}
+		r.recovery.listReceived()
 	}
 	answered := make(chan struct{})
 	parts.Go(func() {
-		r.ask(inner, answered)
-		r.owner.run(inner)
+		r.holdStart(inner, answered)
+		r.loop.run(inner)
 	})
 	parts.Go(func() { r.pool.Run(inner) })
 	parts.Go(func() { r.sweep(inner) })
 	parts.Go(func() {
 		once := sync.OnceFunc(func() { close(answered) })
-		r.watch.Run(inner, func(l *discovery.List) error {
-			e, err := r.dir.Take(l)
+		r.watcher.Run(inner, func(l *discovery.List) error {
+			e, err := r.directory.Update(l)
 			if err == nil {
-				r.owner.events <- event{Event: e}
-				r.recovery.listed()
+				r.loop.events <- loopEvent{Event: e}
+				r.recovery.listReceived()
 				once()
 			}
 			return err
 		})
 	})
-	slog.Info("serving", "name", r.conf.Name, "listen", ln.Addr().String())
+	slog.Info("serving", "name", r.config.Name, "listen", ln.Addr().String())
 
 	accept := r.accept
-	if r.door != nil {
-		accept = r.door.accept
-		parts.Go(func() { r.door.run(inner) })
+	if r.acceptor != nil {
+		accept = r.acceptor.accept
+		parts.Go(func() { r.acceptor.run(inner) })
 	}
-	if r.owner.terms != nil {
-		parts.Go(func() { r.owner.terms.run(inner) })
+	if r.loop.contracts != nil {
+		parts.Go(func() { r.loop.contracts.run(inner) })
 	}
-	if r.tally != nil {
-		parts.Go(func() { r.totals(inner, time.Duration(r.log.TotalsMS)*time.Millisecond) })
+	if r.metrics != nil {
+		parts.Go(func() { r.writeTotalsEvery(inner, time.Duration(r.logSettings.TotalsMS)*time.Millisecond) })
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- accept(ln) }()
@@ -209,12 +210,12 @@
 		ln.Close()
 	case <-ctx.Done():
 		slog.Info("stopping")
-		if r.members != nil {
-			r.members.leave()
+		if r.membership != nil {
+			r.membership.leave()
 		}
 		finish := r.finish()
-		r.lastAt.Store(r.clock.now() + int64(r.allowed-margin))
-		parts.Go(func() { r.end(inner, finish) })
+		r.drainDeadline.Store(r.clock.now() + int64(r.drainTimeout-deadlineMargin))
+		parts.Go(func() { r.endDrain(inner, finish) })
 		<-r.accepted()
 		ln.stop()
 		r.drain()
@@ -223,34 +224,34 @@
 	}
 	r.drain()
 	r.serving.Wait()
-	if r.feeds != nil {
-		r.feeds.part.Close()
+	if r.changefeed != nil {
+		r.changefeed.feeds.Close()
 	}
 	stop()
 	parts.Wait()
-	if r.members != nil && r.members.sends != nil {
-		r.members.sends.close()
+	if r.membership != nil && r.membership.attemptLog != nil {
+		r.membership.attemptLog.close()
 	}
-	r.total()
-	r.tracer.rest()
-	slog.Info("stopped", "requests", r.owner.count, "broken_invariants", invariant.Counts())
+	r.writeTotals()
+	r.accessLog.logOmitted()
+	slog.Info("stopped", "requests", r.loop.requestCount, "broken_invariants", invariant.Counts())
 	return err
 }
 
-// ask waits for the agent's first list, which the owner then hears before it decides anything. What clients ask meanwhile is
+// holdStart waits for the agent's first list, which the owner then hears before it decides anything. What clients ask meanwhile is
 // read, and waits in the owner's queue.
-func (r *Router) ask(ctx context.Context, answered <-chan struct{}) {
-	defer close(r.asked)
-	if r.hold <= 0 {
+func (r *Router) holdStart(ctx context.Context, answered <-chan struct{}) {
+	defer close(r.startHoldOver)
+	if r.startHold <= 0 {
 		return
 	}
-	late := time.NewTimer(r.hold)
+	late := time.NewTimer(r.startHold)
 	defer late.Stop()
 	select {
 	case <-answered:
 	case <-ctx.Done():
 	case <-late.C:
-		slog.Warn("discovery has not answered; the list that was kept serves", "after", r.hold)
+		slog.Warn("discovery has not answered; the list that was kept serves", "after", r.startHold)
 	}
 }
 
@@ -258,13 +259,13 @@
 // agent, the limits of admission, and the contracts. All else holds from the next start on. The
 // old list serves until the new agent's is in. After an error nothing has changed.
 func (r *Router) Reload(conf *platformconfig.Config, own *siteconfig.Setup) error {
-	if (own.Admission != nil) != (r.door != nil) {
+	if (own.Admission != nil) != (r.acceptor != nil) {
 		return errors.New("admission can't be switched on or off in service")
 	}
-	if (own.Contracts != nil) != (r.owner.terms != nil) {
+	if (own.Contracts != nil) != (r.loop.contracts != nil) {
 		return errors.New("contracts can't be switched on or off in service")
 	}
-	if (own.Members != nil) != (r.members != nil) {
+	if (own.Members != nil) != (r.membership != nil) {
 		return errors.New("members can't be switched on or off in service")
 	}
 	if !reflect.DeepEqual(own.Feeds, r.ownFeeds()) {
@@ -277,53 +278,53 @@
 	var lanes *shedding.Settings
 	var keys [][]byte
 	var err error
-	if r.members != nil {
-		if keys, err = r.members.reload(own.Members); err != nil {
+	if r.membership != nil {
+		if keys, err = r.membership.reload(own.Members); err != nil {
 			return err
 		}
 	}
-	if r.owner.terms != nil {
-		if terms, err = r.owner.terms.settings(own.Contracts); err != nil {
+	if r.loop.contracts != nil {
+		if terms, err = r.loop.contracts.contractSettings(own.Contracts); err != nil {
 			return err
 		}
-		if lanes, err = r.owner.terms.lanesOf(own); err != nil {
+		if lanes, err = r.loop.contracts.sheddingSettings(own); err != nil {
 			return err
 		}
 	}
-	if r.door != nil {
-		if err := r.door.set(own.Admission); err != nil {
+	if r.acceptor != nil {
+		if err := r.acceptor.reload(own.Admission); err != nil {
 			return err
 		}
 	}
-	if r.owner.terms != nil {
-		if err := r.owner.terms.set(terms, lanes); err != nil {
+	if r.loop.contracts != nil {
+		if err := r.loop.contracts.reload(terms, lanes); err != nil {
 			return err
 		}
 	}
-	if r.members != nil {
-		r.members.peers.SetKeys(keys)
+	if r.membership != nil {
+		r.membership.peers.SetKeys(keys)
 	}
-	r.tracer.set.Store(own.Log)
+	r.accessLog.settings.Store(own.Log)
 	slog.Info("reloaded", "discovery", conf.Discovery)
-	r.watch.Move(conf.Discovery)
+	r.watcher.Move(conf.Discovery)
 	return nil
 }
 
 // accept takes clients in until the listener closes.
 func (r *Router) accept(ln net.Listener) error {
 	for {
-		for !r.budget.Accept() {
-			if now := time.Now(); !r.endLingering() && !r.evictClient(now, r.patience.green) {
-				r.refuseHalf(now)
+		for !r.descriptors.Accept() {
+			if now := time.Now(); !r.endLingering() && !r.evictClient(now, r.timeouts.silent) {
+				r.rejectPartial(now)
 			}
 			select {
-			case <-r.budget.Left():
-			case <-time.After(r.patience.green / 4):
+			case <-r.descriptors.Left():
+			case <-time.After(r.timeouts.silent / 4):
 			}
 		}
 		conn, err := ln.Accept()
 		if err != nil {
-			r.budget.Leave()
+			r.descriptors.Leave()
 			var ne net.Error
 			if errors.As(err, &ne) && !errors.Is(err, net.ErrClosed) { // out of descriptors, or an aborted connection
 				slog.Warn("accept", "err", err)
@@ -333,16 +334,16 @@
 			return err
 		}
 		c := newClient(r, conn)
-		if r.enter(c) > r.conf.Limits.Sockets/crowdShare { // two for each that comes, so that it gets less
-			r.evictClient(time.Now(), r.patience.message/4)
-			r.evictClient(time.Now(), r.patience.message/4)
+		if r.addClient(c) > r.config.Limits.Sockets/crowdedDescriptorShare { // two for each that comes, so that it gets less
+			r.evictClient(time.Now(), r.timeouts.message/4)
+			r.evictClient(time.Now(), r.timeouts.message/4)
 		}
 		r.serving.Go(c.run)
 	}
 }
 
-// enter counts a client among those that are here, and returns how many are.
-func (r *Router) enter(c *client) int {
+// addClient counts a client among those that are here, and returns how many are.
+func (r *Router) addClient(c *client) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.clients[c] = struct{}{}
@@ -360,13 +361,13 @@
 	var silentAt, idleAt time.Time
 	going := false
 	for c := range r.clients {
-		at, asked, ok := c.idleSince()
+		at, asked, ok := c.idleState()
 		switch {
 		case !ok:
-			going = going || c.isGoing()
+			going = going || c.isClosing()
 		case !asked && now.Sub(at) >= green && (silent == nil || at.Before(silentAt)):
 			silent, silentAt = c, at
-		case asked && now.Sub(at) >= r.patience.spare && (idle == nil || at.Before(idleAt)):
+		case asked && now.Sub(at) >= r.timeouts.evictable && (idle == nil || at.Before(idleAt)):
 			idle, idleAt = c, at
 		}
 	}
@@ -384,7 +385,7 @@
 	var worst *client
 	var worstAt time.Time
 	for c := range r.clients {
-		if at, lingers := c.lingersSince(); lingers && (worst == nil || at.Before(worstAt)) {
+		if at, lingers := c.lingeringState(); lingers && (worst == nil || at.Before(worstAt)) {
 			worst, worstAt = c, at
 		}
 	}
@@ -394,27 +395,27 @@
 	return worst != nil
 }
 
-// refuseHalf makes room where no client idles: the one whose message has been here in part for longest is refused, if it could
+// rejectPartial makes room where no client idles: the one whose message has been here in part for longest is refused, if it could
 // have come whole by now. Nothing of it has run.
-func (r *Router) refuseHalf(now time.Time) {
+func (r *Router) rejectPartial(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var worst *client
 	var worstAt time.Time
 	for c := range r.clients {
-		if at, half := c.halfSince(); half && now.Sub(at) >= r.patience.spare && (worst == nil || at.Before(worstAt)) {
+		if at, half := c.partialState(); half && now.Sub(at) >= r.timeouts.evictable && (worst == nil || at.Before(worstAt)) {
 			worst, worstAt = c, at
 		}
 	}
 	if worst != nil {
-		worst.putOut(&turnedAway{text: "refused: all connections are in use, and the message did not come whole"})
+		worst.evict(&rejection{text: "refused: all connections are in use, and the message did not come whole"})
 	}
 }
 
 // sweep closes the clients that have been idle or silent too long, and ends the
 // wait for messages that don't come to their end, until the context ends.
 func (r *Router) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -423,7 +424,7 @@
 		case now := <-tick.C:
 			r.mu.Lock()
 			for c := range r.clients {
-				c.expire(now, r.stopping)
+				c.expire(now, r.draining)
 			}
 			r.mu.Unlock()
 		}
@@ -436,45 +437,45 @@
 func (r *Router) drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopping = true
+	r.draining = true
 	now := time.Now()
 	for c := range r.clients {
 		c.expire(now, true)
 	}
 }
 
-// allowed is how long after being told to stop a router may take for what is open.
-func allowed(classes []balance.Class) time.Duration {
+// drainTimeoutFor is how long after being told to stop a router may take for what is open.
+func drainTimeoutFor(classes []balance.Class) time.Duration {
 	var longest time.Duration
 	for _, c := range classes {
 		longest = max(longest, time.Duration(c.Deadline))
 	}
-	return min(longest, mostAwait) + killAfter - endBefore
+	return min(longest, maxAwaitedDeadline) + killAfterDeadline - answerMargin
 }
 
-// within is a request's deadline, or the moment by which a router that was told to
+// limitDeadline is a request's deadline, or the moment by which a router that was told to
 // stop has to have its answer.
-func (r *Router) within(deadline balance.Nanos) balance.Nanos {
-	if last := r.lastAt.Load(); last != 0 {
+func (r *Router) limitDeadline(deadline clock.Nanos) clock.Nanos {
+	if last := r.drainDeadline.Load(); last != 0 {
 		return min(deadline, last)
 	}
 	return deadline
 }
 
-// end ends what is still open when its time has come: requests get their answers,
+// endDrain ends what is still open when its time has come: requests get their answers,
 // what can be read of others is refused, and soon after all connections are
 // closed. It gives up when the context ends.
-func (r *Router) end(ctx context.Context, finish <-chan time.Time) {
+func (r *Router) endDrain(ctx context.Context, finish <-chan time.Time) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-finish:
 	}
-	close(r.ended)
+	close(r.drainOver)
 	r.each((*client).closeIfIdle)
 	select {
 	case <-ctx.Done():
-	case <-time.After(r.patience.last):
+	case <-time.After(r.timeouts.finalAnswers):
 		r.each(func(c *client) { c.conn.Close() })
 	}
 }
@@ -487,65 +488,65 @@
 	}
 }
 
-func (r *Router) hasEnded() bool {
+func (r *Router) isDrainOver() bool {
 	select {
-	case <-r.ended:
+	case <-r.drainOver:
 		return true
 	default:
 		return false
 	}
 }
 
-func (r *Router) isStopping() bool {
+func (r *Router) isDraining() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.stopping
+	return r.draining
 }
 
-func (r *Router) gone(c *client) {
+func (r *Router) removeClient(c *client) {
 	r.mu.Lock()
 	delete(r.clients, c)
 	r.mu.Unlock()
-	if r.door != nil {
-		r.door.left(c)
+	if r.acceptor != nil {
+		r.acceptor.clientClosed(c)
 	}
-	r.budget.Leave()
+	r.descriptors.Leave()
 }
 
-// clock is Unix time at the start, moved on by the monotonic clock.
-type clock struct {
+// unixClock is Unix time at the start, moved on by the monotonic clock.
+type unixClock struct {
 	start time.Time
-	unix  balance.Nanos
+	unix  clock.Nanos
 }
 
-func newClock() clock {
+func newUnixClock() unixClock {
 	now := time.Now()
-	return clock{now, now.UnixNano()}
+	return unixClock{now, now.UnixNano()}
 }
 
-func (c clock) now() balance.Nanos { return c.unix + int64(time.Since(c.start)) }
+func (c unixClock) now() clock.Nanos { return c.unix + int64(time.Since(c.start)) }
 
 // at is the time of a point of the clock, with its monotonic reading.
-func (c clock) at(t balance.Nanos) time.Time { return c.start.Add(time.Duration(t - c.unix)) }
+func (c unixClock) at(t clock.Nanos) time.Time { return c.start.Add(time.Duration(t - c.unix)) }
 
-// holdFor is how long a router that starts may wait for its agent's list. Where a service is asked, which may have no time
+// startHoldFor is how long a router that starts may wait for its agent's list. Where a service is asked, which may have no time
 // for many, nothing is waited for: its changes count as told later.
-func holdFor(conf *platformconfig.Config) time.Duration {
-	if sharing(conf) > 0 {
+func startHoldFor(conf *platformconfig.Config) time.Duration {
+	if sharedDiscoveryRouters(conf) > 0 {
 		return 0
 	}
-	hold := longestHold
+	hold := maxStartHold
 	for _, c := range conf.Settings.Balance.Classes {
-		hold = min(hold, time.Duration(c.Deadline)/holdShare)
+		hold = min(hold, time.Duration(c.Deadline)/startHoldShare)
 	}
 	return hold
 }
 
-// sharing is how many routers burden one discovery with what they ask: none where
+// sharedDiscoveryRouters is how many routers burden one discovery with what they ask: none where
 // it tells changes by itself.
-func sharing(conf *platformconfig.Config) int {
-	if conf.Settings.Balance.Subscribe {
-		return conf.Settings.Balance.Instances
+func sharedDiscoveryRouters(conf *platformconfig.Config) int {
+	if conf.Settings.Balance.WatchRequired {
+		return conf.Settings.Balance.Routers
 	}
 	return 0
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -38,8 +38,8 @@
 }
 
 // endless is the patience of tests that are not about it.
-var endless = patience{message: time.Hour, write: time.Hour, idle: time.Hour, spare: time.Hour, green: time.Hour, open: time.Millisecond,
-	fresh: time.Hour, last: time.Hour, linger: time.Millisecond}
+var endless = clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictable: time.Hour, silent: time.Hour, openRequests: time.Millisecond,
+	firstQuery: time.Hour, finalAnswers: time.Hour, lingeringClose: time.Millisecond}
 
 // stage is a running router with data servers s1 and s2 in group 1 and a silent
 // agent; clients are named c.
@@ -49,7 +49,7 @@
 }
 
 // stageWith is stage with a router of some patience.
-func stageWith(t *testing.T, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageWith(t *testing.T, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
@@ -57,19 +57,19 @@
 }
 
 // stageUntil is stageWith a router that, told to stop, takes clients until accepted.
-func stageUntil(t *testing.T, accepted <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageUntil(t *testing.T, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return stageOwn(t, &siteconfig.Setup{}, accepted, p, hosts...)
 }
 
 // stageOwn is stageUntil with parts switched on.
-func stageOwn(t *testing.T, own *siteconfig.Setup, accepted <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOwn(t *testing.T, own *siteconfig.Setup, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return stageHeld(t, 0, own, accepted, p, hosts...)
 }
 
 // stageHeld is stageOwn with a router that sends nothing at its start until the agent has answered, or some time is over.
-func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Setup, accepted <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Setup, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // stageOn is stageOwn on a listener, of a router that has until finish for what is open.
-func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Setup, accepted, finish <-chan time.Time, p patience, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Setup, accepted, finish <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	s := nettest.New(t, "s1", "s2", "agent")
 	if len(hosts) == 0 {
@@ -91,10 +91,10 @@
 	r := newOwnRouter(t, own, nettest.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
 	r.accepted = func() <-chan time.Time { return accepted }
 	r.finish = func() <-chan time.Time { return finish }
-	r.allowed = time.Hour
-	r.patience, r.hold = p, hold
-	r.pool.Settle, r.pool.Crossing = 0, 0 // or it would depend on the machine which connection is taken
-	r.pool.Stall = time.Minute            // or whether an answer is whole
+	r.drainTimeout = time.Hour
+	r.timeouts, r.startHold = p, hold
+	r.pool.SettleTime, r.pool.DuplicateWindow = 0, 0 // or it would depend on the machine which connection is taken
+	r.pool.StallTimeout = time.Minute                // or whether an answer is whole
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- r.Serve(ctx, ln); close(done) }()
@@ -231,7 +231,7 @@
 // Nobody may hold a connection without using it: not one that says nothing or
 // half a message, and not one that asked once and stays.
 func TestTimeLimits(t *testing.T) {
-	s, r, _, _ := stageWith(t, usualPatience)
+	s, r, _, _ := stageWith(t, defaultTimeouts)
 	s.Play(`
 		send c1 raw ""
 		send c2 startup
@@ -243,7 +243,7 @@
 		expect c3 welcome | FATAL 08P01 | EOF
 		expect c4 FATAL 08P01 | EOF
 		expect c5 welcome | I | Z | EOF`)
-	if left := r.reading.Left(); left != r.conf.Limits.MemoryMB<<20/readShare {
+	if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
 		t.Errorf("%d bytes left for reading", left)
 	}
 }
@@ -251,7 +251,7 @@
 // A flood of clients that say nothing makes room for one that asks, and leaves
 // the data servers' descriptors alone.
 func TestSilentFlood(t *testing.T) {
-	s, _, _, _ := stageWith(t, patience{message: time.Hour, write: time.Hour, idle: time.Hour, spare: time.Hour})
+	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictable: time.Hour})
 	const ask = ` Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		`
 	s.Play("send c0 startup |" + ask + `wait s1
@@ -271,15 +271,15 @@
 // In a crowd those that asked once and stay are closed long before descriptors
 // run out: what they hold is also missing to the clients' own machines.
 func TestCrowd(t *testing.T) {
-	s, r, _, _ := stageWith(t, patience{message: time.Hour, write: time.Hour, idle: time.Hour, green: time.Hour})
-	for i := range r.conf.Limits.Sockets/crowdShare + 1 {
+	s, r, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, silent: time.Hour})
+	for i := range r.config.Limits.Sockets/crowdedDescriptorShare + 1 {
 		s.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 		until(t, "it idles, and after the one before", func() bool {
 			open := false
 			r.each(func(c *client) {
-				_, _, idle := c.idleSince()
+				_, _, idle := c.idleState()
 				open = open || !idle && !c.leaves()
 			})
 			return !open
@@ -295,7 +295,7 @@
 // Clients that asked once and stay make room for others at once when there is
 // no room: waiting out their idle time would shut the others out.
 func TestStayingFlood(t *testing.T) {
-	s, _, _, _ := stageWith(t, patience{message: time.Hour, write: time.Hour, idle: time.Hour, green: time.Hour})
+	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, silent: time.Hour})
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
 		s.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
@@ -332,7 +332,7 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "{value}" | C | S rank=copy | Z
 		expect c1 welcome | T | D "{value}" | C | Z`)
-	if left := r.pool.Reading.Left(); left != r.conf.Limits.MemoryMB<<20/readShare {
+	if left := r.pool.ReadQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
 		t.Errorf("%d bytes left for answers", left)
 	}
 }
@@ -398,11 +398,11 @@
 			s, r, _, _ := stageHeld(t, hold, &siteconfig.Setup{}, now, endless, "h-1 {s1} 1 SERVING")
 			s.Play(ask)
 			if hold == time.Hour {
-				for late := time.Now().Add(20 * time.Second); len(r.owner.events) < 2 && time.Now().Before(late); {
+				for late := time.Now().Add(20 * time.Second); len(r.loop.events) < 2 && time.Now().Before(late); {
 					time.Sleep(time.Millisecond) // the kept list and the request
 				}
 				select {
-				case <-r.asked:
+				case <-r.startHoldOver:
 					t.Error("ready before the agent has answered")
 				default:
 				}
@@ -424,15 +424,15 @@
 		})
 	}
 	r := newRouter(t, "null")
-	if r.hold != longestHold {
-		t.Errorf("long deadlines: %v", r.hold)
+	if r.startHold != maxStartHold {
+		t.Errorf("long deadlines: %v", r.startHold)
 	}
-	b := &r.conf.Settings.Balance
-	if b.Classes[1].Deadline = int64(400 * time.Millisecond); holdFor(r.conf) != 100*time.Millisecond {
-		t.Errorf("a short deadline: %v", holdFor(r.conf))
+	b := &r.config.Settings.Balance
+	if b.Classes[1].Deadline = int64(400 * time.Millisecond); startHoldFor(r.config) != 100*time.Millisecond {
+		t.Errorf("a short deadline: %v", startHoldFor(r.config))
 	}
-	if b.Subscribe = true; holdFor(r.conf) != 0 {
-		t.Errorf("a shared service: %v", holdFor(r.conf))
+	if b.WatchRequired = true; startHoldFor(r.config) != 0 {
+		t.Errorf("a shared service: %v", startHoldFor(r.config))
 	}
 }
 
--- a/internal/router/sends.go
+++ b/internal/router/sends.go
@@ -43,65 +43,65 @@
 	Says   string `json:"says,omitempty"`
 }
 
-// recorder writes the record. A nil one writes nothing. It is for experiments: a line is written before its send goes out.
-type recorder struct {
-	mu   sync.Mutex
-	file *os.File
-	room int64
-	left int64 // lines that found none
+// attemptLog writes the record. A nil one writes nothing. It is for experiments: a line is written before its send goes out.
+type attemptLog struct {
+	mu        sync.Mutex
+	file      *os.File
+	remaining int64
+	omitted   int64 // lines that found none
 }
 
-func newRecorder(s *siteconfig.Sends) (*recorder, error) {
+func newAttemptLog(s *siteconfig.Sends) (*attemptLog, error) {
 	f, err := os.OpenFile(s.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("members: decisions: %w", err)
 	}
-	return &recorder{file: f, room: s.MostMB << 20}, nil
+	return &attemptLog{file: f, remaining: s.MostMB << 20}, nil
 }
 
-func (w *recorder) write(s *Send) {
+func (w *attemptLog) write(s *Send) {
 	raw, err := jsoniter.Marshal(s)
 	if err != nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.room -= int64(len(raw) + 1); w.room < 0 {
-		w.left++
+	if w.remaining -= int64(len(raw) + 1); w.remaining < 0 {
+		w.omitted++
 		return
 	}
 	w.file.Write(append(raw, '\n'))
 }
 
-func (w *recorder) close() {
-	if w.left > 0 {
-		slog.Warn("decisions left out", "lines", w.left)
+func (w *attemptLog) close() {
+	if w.omitted > 0 {
+		slog.Warn("decisions left out", "lines", w.omitted)
 	}
 	w.file.Close()
 }
 
-// sent records one send on what is known at this moment.
-func (m *members) sent(r *request, act balance.Action) {
-	if m == nil || m.sends == nil {
+// logAttempt records one send on what is known at this moment.
+func (m *membershipService) logAttempt(r *request, act balance.Action) {
+	if m == nil || m.attemptLog == nil {
 		return
 	}
 	const ms = 1e6
-	host := r.router.dir.Host(act.Node)
-	_, listed := r.router.dir.Address(act.Node)
-	s := &Send{AtMS: (r.router.clock.now() - r.router.clock.unix) / ms, Router: m.set.Name, Boot: m.set.Boot, ID: r.ID, Class: r.Class, Group: r.Cluster,
-		Session: r.Session, Server: host, Listed: listed, Write: r.router.conf.Settings.IsWrite(r.Class), Why: act.Why.String(),
-		On: []Ground{{What: "server", Origin: trust.Own.String(), Proven: true, Says: host}}}
-	if r.floor.at > 0 {
-		g := Ground{What: "floor", Origin: r.floor.fact.Origin.String(), AgeMS: r.floor.fact.Age / ms, Proven: r.floor.fact.Proven, Says: strconv.FormatInt(r.floor.at/ms, 10)}
-		if r.floor.fact.Origin == trust.None {
+	host := r.router.directory.NameOf(act.Endpoint)
+	_, listed := r.router.directory.Address(act.Endpoint)
+	s := &Send{AtMS: (r.router.clock.now() - r.router.clock.unix) / ms, Router: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch, ID: r.ID, Class: r.Class, Group: r.Cluster,
+		Session: r.Session, Server: host, Listed: listed, Write: r.router.config.Settings.IsWrite(r.Class), Why: act.Reason.String(),
+		On: []Ground{{What: "server", Origin: trust.OwnResponse.String(), Proven: true, Says: host}}}
+	if r.positionEvidence.at > 0 {
+		g := Ground{What: "floor", Origin: r.positionEvidence.fact.Provenance.String(), AgeMS: r.positionEvidence.fact.Age / ms, Proven: r.positionEvidence.fact.Proven, Says: strconv.FormatInt(r.positionEvidence.at/ms, 10)}
+		if r.positionEvidence.fact.Provenance == trust.Unknown {
 			g.Origin = "client"
 		}
-		v := trust.Judge(trust.RaiseFloor, r.floor.fact, true, trust.Usual())
-		invariant.Check(g.Origin == "client" || v.Allowed, "a floor is raised on known evidence", "why", v.Why)
-		s.Floor, s.On = r.floor.at/ms, append(s.On, g)
+		v := trust.Judge(trust.RaisePosition, r.positionEvidence.fact, true, trust.DefaultSettings())
+		invariant.Check(g.Origin == "client" || v.Allowed, "a floor is raised on known evidence", "why", v.Reason)
+		s.Floor, s.On = r.positionEvidence.at/ms, append(s.On, g)
 	}
-	if f, e := m.kept.fact(crdt.Entry{Kind: crdt.Primary, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Origin != trust.None {
-		s.Beside = append(s.Beside, Ground{What: "primary", Origin: f.Origin.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
+	if f, e := m.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Provenance != trust.Unknown {
+		s.Beside = append(s.Beside, Ground{What: "primary", Origin: f.Provenance.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
 	}
-	m.sends.write(s)
+	m.attemptLog.write(s)
 }
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -19,7 +19,7 @@
 
 // stageStopped is a running router on a turnstile, with data servers s1 and s2 of which s2 drains; told to stop, it takes no new
 // clients, and has until finish for what is open.
-func stageStopped(t *testing.T, ln *turnstile, finish <-chan time.Time, p patience) (s *nettest.Stage, r *Router, stop func(), done <-chan error) {
+func stageStopped(t *testing.T, ln *turnstile, finish <-chan time.Time, p clientTimeouts) (s *nettest.Stage, r *Router, stop func(), done <-chan error) {
 	t.Helper()
 	accepted := make(chan time.Time)
 	close(accepted)
@@ -81,7 +81,7 @@
 func TestErrorBeforeUnreadBytes(t *testing.T) {
 	ln := newTurnstile(t)
 	p := endless
-	p.linger = time.Hour
+	p.lingeringClose = time.Hour
 	_, r, _, _ := stageStopped(t, ln, nil, p)
 	ln.shut(atBytes)
 	conn := slowClient(t, ln.Addr().String())
@@ -102,7 +102,7 @@
 func TestLingerBounds(t *testing.T) {
 	bad := pgwire.Append(pgwire.AppendStartup(nil, "worker", "catalog"), 'y', nil)
 	p := endless
-	p.linger = time.Hour
+	p.lingeringClose = time.Hour
 	ln := newTurnstile(t)
 	stageStopped(t, ln, nil, p)
 	conn := slowClient(t, ln.Addr().String())
@@ -116,7 +116,7 @@
 		}
 	}
 
-	p.linger = time.Millisecond
+	p.lingeringClose = time.Millisecond
 	ln = newTurnstile(t)
 	_, r, _, _ := stageStopped(t, ln, nil, p)
 	conn = slowClient(t, ln.Addr().String())
@@ -132,7 +132,7 @@
 func TestAnswerInFlightAtClose(t *testing.T) {
 	ln := newTurnstile(t)
 	p := endless
-	p.linger = time.Hour
+	p.lingeringClose = time.Hour
 	s, r, stop, done := stageStopped(t, ln, nil, p)
 	value := strings.Repeat("v", 60<<10)
 	s.Set("value", value)
@@ -148,7 +148,7 @@
 		n := 0
 		r.each(func(c *client) {
 			c.mu.Lock()
-			n += c.busy
+			n += c.openQueries
 			c.mu.Unlock()
 		})
 		return n
@@ -178,7 +178,7 @@
 // whoever wants the connection closed.
 func TestRequestCrossesClose(t *testing.T) {
 	p := endless
-	p.spare = 0
+	p.evictable = 0
 	for name, closes := range map[string]func(r *Router, stop func()){
 		"idle":    func(r *Router, _ func()) { r.each(func(c *client) { c.expire(time.Now().Add(2*p.idle), false) }) },
 		"evicted": func(r *Router, _ func()) { r.evictClient(time.Now().Add(time.Minute), 0) },
@@ -195,7 +195,7 @@
 				idle := false
 				r.each(func(c *client) {
 					c.mu.Lock()
-					idle = idle || c.busy == 0
+					idle = idle || c.openQueries == 0
 					c.mu.Unlock()
 				})
 				return idle
@@ -221,7 +221,7 @@
 		send c1 startup
 		expect c1 welcome`)
 	r.each(func(c *client) {
-		raw(c.conn, func(fd int) bool {
+		withDescriptor(c.conn, func(fd int) bool {
 			if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 				t.Errorf("TCP_NODELAY: %d, %v", on, err)
 			}
@@ -244,13 +244,13 @@
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
 	var queued strings.Builder
-	for i := range pipelined - 1 { // held by the module: cluster 2 has no server that serves
+	for i := range maxPipelined - 1 { // held by the module: cluster 2 has no server that serves
 		fmt.Fprintf(&queued, ` | Q "/* id=h%d,c=read,d=20000,cluster=2 */ A"`, i)
 	}
 	s.Play(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
 	until(t, "no more is taken at a time", func() bool {
 		full := false
-		r.each(func(c *client) { full = full || len(c.slots) == pipelined })
+		r.each(func(c *client) { full = full || len(c.slots) == maxPipelined })
 		return full
 	})
 	ln.breakWrites(true)
@@ -272,7 +272,7 @@
 func TestHalfMessageShieldsNobody(t *testing.T) {
 	ln := newTurnstile(t)
 	p := endless
-	p.spare = 0
+	p.evictable = 0
 	s, r, _, _ := stageStopped(t, ln, nil, p)
 	s.Play(`
 		send c0 startup | raw "Q\x00\x00"
@@ -282,9 +282,9 @@
 	until(t, "one holds half a message, the other idles", func() bool {
 		half, idle := 0, 0
 		r.each(func(c *client) {
-			if _, is := c.halfSince(); is {
+			if _, is := c.partialState(); is {
 				half++
-			} else if _, asked, ok := c.idleSince(); ok && asked {
+			} else if _, asked, ok := c.idleState(); ok && asked {
 				idle++
 			}
 		})
@@ -302,14 +302,14 @@
 // A flood of clients that are turned away for an error and stay holds no place for long.
 func TestFloodOfErrors(t *testing.T) {
 	p := endless
-	p.green, p.linger = time.Millisecond, time.Hour
+	p.silent, p.lingeringClose = time.Millisecond, time.Hour
 	for name, own := range map[string]*siteconfig.Setup{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan time.Time)
 			close(accepted)
 			s, r, _, _ := stageOn(t, newTurnstile(t), 0, own, accepted, nil, p)
 			const room = 20
-			r.budget.LimitClients(room)
+			r.descriptors.LimitClients(room)
 			for i := range 2 * room {
 				s.Play(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
 			}
@@ -323,17 +323,17 @@
 // A flood of clients that send half a message and stay makes room for one that asks: each hears that it is refused.
 func TestFloodOfHalfMessages(t *testing.T) {
 	p := endless
-	p.green, p.spare = time.Millisecond, time.Millisecond
+	p.silent, p.evictable = time.Millisecond, time.Millisecond
 	ln := newTurnstile(t)
 	s, r, _, _ := stageStopped(t, ln, nil, p)
 	const room = 20
-	r.budget.LimitClients(room)
+	r.descriptors.LimitClients(room)
 	for i := range 2 * room {
 		s.Play(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
 		until(t, "the first is the oldest", func() bool {
 			half := i > 0
 			r.each(func(c *client) {
-				_, is := c.halfSince()
+				_, is := c.partialState()
 				half = half || is
 			})
 			return half
@@ -358,9 +358,9 @@
 			s.Play(`
 				send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 				expect c1 welcome`)
-			until(t, "the kept list and the request wait", func() bool { return len(r.owner.events) == 2 })
+			until(t, "the kept list and the request wait", func() bool { return len(r.loop.events) == 2 })
 			stop()
-			until(t, "it stops", r.isStopping)
+			until(t, "it stops", r.isDraining)
 			if answers {
 				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
 				s.Play(`
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -30,17 +30,17 @@
 func storedEntries() []crdt.Entry {
 	from := crdt.Origin{Name: "n1", Boot: 3}
 	return []crdt.Entry{
-		{Kind: crdt.Session, A: "1", B: "mine", At: 5e9, From: from, Seq: 1},
-		{Kind: crdt.Primary, A: "1", Born: 7, At: 4e9, Server: "s1", From: from, Seq: 2},
-		{Kind: crdt.Write, A: "write", B: "key", From: from, Seq: 3},
-		{Kind: crdt.Position, A: "s1", Born: 7, At: 6e9, From: from, Seq: 4},
-		{Kind: crdt.Use, A: "team", B: "read", Count: 1500, From: from, Seq: 5},
+		{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 5e9, From: from, Seq: 1},
+		{Kind: crdt.PrimaryClaim, A: "1", Born: 7, At: 4e9, Server: "s1", From: from, Seq: 2},
+		{Kind: crdt.PendingWrite, A: "write", B: "key", From: from, Seq: 3},
+		{Kind: crdt.ServerPosition, A: "s1", Born: 7, At: 6e9, From: from, Seq: 4},
+		{Kind: crdt.Usage, A: "team", B: "read", Count: 1500, From: from, Seq: 5},
 		{Kind: crdt.Hint, A: "suspect s2", From: from, Seq: 6},
 	}
 }
 
 // newStoredCopy returns a copy in a directory, as a router of a fixed name has it, and its end.
-func newStoredCopy(t *testing.T, dir string) (*kept, func()) {
+func newStoredCopy(t *testing.T, dir string) (*persistedState, func()) {
 	t.Helper()
 	keys := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
@@ -52,14 +52,14 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	k, err := newKept(own.Members, crdt.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(began)) })
+	k, err := newPersistedState(own.Members, crdt.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(began)) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { k.keep.Run(ctx) })
-	<-k.keep.Loaded()
+	running.Go(func() { k.store.Run(ctx) })
+	<-k.store.Loaded()
 	return k, func() { cancel(); running.Wait() }
 }
 
@@ -67,7 +67,7 @@
 func readStore(t *testing.T, dir string) store.Found {
 	t.Helper()
 	began := time.Now()
-	k, err := store.New(store.Settings{Dir: dir, Most: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.Usual(),
+	k, err := store.New(store.Settings{Dir: dir, Most: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.DefaultSettings(),
 		Now: func() int64 { return int64(time.Since(began)) }, Wall: func() int64 { return time.Now().UnixNano() }})
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 			k.Put(e, e.From)
 		}
 		until(t, "all is on the disk", func() bool {
-			r := k.report().(keptReport)
+			r := k.report().(persistedReport)
 			return r.Waiting == 0 && r.Counts.Batches > 0
 		})
 		stop()
@@ -119,7 +119,7 @@
 	read := map[crdt.Kind]crdt.Entry{}
 	boots := map[string]bool{}
 	for _, record := range found.Records {
-		if record.Kind == kindMember {
+		if record.Kind == memberRecordKind {
 			boots[string(record.Key)] = true
 			continue
 		}
--- a/internal/router/terms.go
+++ b/internal/router/terms.go
@@ -13,298 +13,299 @@
 	"lotushook/internal/metrics"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/contract"
 	"lotushook/policy/shedding"
 )
 
 const (
-	mostAccounts = 200 // log lines a period; the rest are counted
+	maxAccountLines = 200 // log lines a period; the rest are counted
 
 	// What a server says that it holds tells this router's part of the load. One
 	// is asked so often, by turns: some hundredths of a probe a request.
-	askEvery = 200 * time.Millisecond
+	loadProbeInterval = 200 * time.Millisecond
 )
 
-// terms carries the teams' contracts out. All but run and settings is the owner's
+// contractService carries the teams' contracts out. All but run and settings is the owner's
 // goroutine's.
-type terms struct {
-	router *Router
-	book   *contract.Book
-	out    map[uint32]int   // this router's open attempts by node
-	groups map[uint32]int64 // of the listed nodes
-	took   *accounting.Times
-	own    *siteconfig.Accounts
-	lanes  *lanes             // who is shed before contracts are asked; nil: nobody
-	list   []contract.Waiting // to be used again
-	swap   []balance.Event
+type contractService struct {
+	router        *Router
+	ledger        *contract.Ledger
+	openAttempts  map[balance.EndpointID]int   // this router's open attempts by node
+	groups        map[balance.EndpointID]int64 // of the listed nodes
+	responseTimes *accounting.Times
+	settings      *siteconfig.Accounts
+	shedding      *sheddingService          // who is shed before contracts are asked; nil: nobody
+	orderBuffer   []contract.BatchedRequest // to be used again
+	swapBuffer    []balance.Event
 }
 
-func newTerms(r *Router, own *siteconfig.Setup) (*terms, error) {
-	t := &terms{router: r, out: map[uint32]int{}, groups: map[uint32]int64{}, took: accounting.NewTimes(), own: own.Accounts}
-	s, err := t.settings(own.Contracts)
+func newContractService(r *Router, own *siteconfig.Setup) (*contractService, error) {
+	t := &contractService{router: r, openAttempts: map[balance.EndpointID]int{}, groups: map[balance.EndpointID]int64{}, responseTimes: accounting.NewTimes(), settings: own.Accounts}
+	s, err := t.contractSettings(own.Contracts)
 	if err != nil {
 		return nil, err
 	}
-	if t.book, err = contract.New(s, r.conf.Seed); err != nil {
+	if t.ledger, err = contract.New(s, r.config.Seed); err != nil {
 		return nil, err
 	}
-	t.lanes, err = newLanes(r, own)
+	t.shedding, err = newSheddingService(r, own)
 	return t, err
 }
 
-// settings are contracts as they hold on this platform.
-func (t *terms) settings(c *siteconfig.Contracts) (contract.Settings, error) {
-	b := &t.router.conf.Settings.Balance
-	back := contract.Nanos(0)
-	if b.RetryAfter {
+// contractSettings are contracts as they hold on this platform.
+func (t *contractService) contractSettings(c *siteconfig.Contracts) (contract.Settings, error) {
+	b := &t.router.config.Settings.Balance
+	back := clock.Nanos(0)
+	if b.RetryAfterAllowed {
 		back = b.MaxRetryAfter
 	}
-	s, err := c.Book(c.Classes(b.Classes), b.Instances, back)
+	s, err := c.Book(c.Classes(b.Classes), b.Routers, back)
 	if err != nil {
 		return s, fmt.Errorf("contracts: %w", err)
 	}
 	return s, nil
 }
 
-// lanesOf are the lanes as they hold with other settings, which can't switch them on or off.
-func (t *terms) lanesOf(own *siteconfig.Setup) (*shedding.Settings, error) {
-	if (own.Contracts.Lanes != nil) != (t.lanes != nil) {
+// sheddingSettings are the lanes as they hold with other settings, which can't switch them on or off.
+func (t *contractService) sheddingSettings(own *siteconfig.Setup) (*shedding.Settings, error) {
+	if (own.Contracts.Lanes != nil) != (t.shedding != nil) {
 		return nil, errors.New("contracts: lanes can't be switched on or off in service")
 	}
-	if t.lanes == nil {
+	if t.shedding == nil {
 		return nil, nil
 	}
-	return t.lanes.settings(own)
+	return t.shedding.settingsFrom(own)
 }
 
-// set puts contracts in force, and lanes with them.
-func (t *terms) set(s contract.Settings, l *shedding.Settings) error {
+// reload puts contracts in force, and lanes with them.
+func (t *contractService) reload(s contract.Settings, l *shedding.Settings) error {
 	var err error
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	if !t.router.owner.do(ctx, func() {
+	if !t.router.loop.do(ctx, func() {
 		if l != nil {
-			if err = t.lanes.decide.Set(*l); err != nil {
+			if err = t.shedding.shedder.Set(*l); err != nil {
 				return
 			}
-			t.lanes.own = *l
+			t.shedding.settings = *l
 		}
-		err = t.take(s)
+		err = t.apply(s)
 	}) {
 		return fmt.Errorf("contracts: %w", ctx.Err())
 	}
 	return err
 }
 
-// take puts contracts in force; open requests stay with their teams by name.
-func (t *terms) take(s contract.Settings) error {
+// apply puts contracts in force; open requests stay with their teams by name.
+func (t *contractService) apply(s contract.Settings) error {
 	names := map[*request]string{}
-	for _, r := range t.router.owner.requests {
-		names[r] = t.book.Name(r.asked.Team)
+	for _, r := range t.router.loop.requests {
+		names[r] = t.ledger.Name(r.contractRequest.Team)
 	}
-	if err := t.book.Set(s); err != nil {
+	if err := t.ledger.Set(s); err != nil {
 		return err
 	}
 	for r, name := range names {
-		r.asked.Team = t.book.Team(name)
+		r.contractRequest.Team = t.ledger.Team(name)
 	}
 	return nil
 }
 
-// hear notes what passes: which nodes there are, what ends there, and what they
+// observe notes what passes: which nodes there are, what ends there, and what they
 // say that they hold.
-func (t *terms) hear(e *event) {
+func (t *contractService) observe(e *loopEvent) {
 	switch e.Kind {
-	case balance.NodesFull:
+	case balance.EndpointSnapshot:
 		clear(t.groups)
 		fallthrough
-	case balance.NodesChanged:
-		for _, n := range e.Nodes {
-			if t.groups[n.Node] = n.Group; n.State == balance.Gone {
-				delete(t.groups, n.Node)
+	case balance.EndpointUpdate:
+		for _, n := range e.Endpoints {
+			if t.groups[n.ID] = n.Group; n.State == balance.Removed {
+				delete(t.groups, n.ID)
 			}
 		}
-	case balance.AttemptDone:
-		t.back(e.Node)
-	case balance.ProbeDone:
-		if g, ok := t.groups[e.Node]; ok && e.Outcome == balance.Done && e.held >= 0 {
-			t.book.Load(g, t.out[e.Node], e.held)
+	case balance.AttemptEnded:
+		t.attemptEnded(e.Endpoint)
+	case balance.ProbeEnded:
+		if g, ok := t.groups[e.Endpoint]; ok && e.Outcome == balance.Succeeded && e.reportedActive >= 0 {
+			t.ledger.AddLoadReport(g, t.openAttempts[e.Endpoint], e.reportedActive)
 		}
 	}
 }
 
-// back counts an attempt that has ended.
-func (t *terms) back(node uint32) {
-	if t.out[node]--; t.out[node] <= 0 {
-		delete(t.out, node)
+// attemptEnded counts an attempt that has ended.
+func (t *contractService) attemptEnded(node balance.EndpointID) {
+	if t.openAttempts[node]--; t.openAttempts[node] <= 0 {
+		delete(t.openAttempts, node)
 	}
 }
 
-// ask lets a request that has come in go on, has it wait for its turn, or refuses
+// admit lets a request that has come in go on, has it wait for its turn, or refuses
 // it at once.
-func (t *terms) ask(e *event, now balance.Nanos) (taken, hold bool) {
-	r := e.req
-	team, why := t.book.Match(r.who)
-	team, why = t.book.Named(r.Team, team, why)
+func (t *contractService) admit(e *loopEvent, now clock.Nanos) (taken, hold bool) {
+	r := e.request
+	team, why := t.ledger.Match(r.identity)
+	team, why = t.ledger.Named(r.Team, team, why)
 	v := contract.Verdict{Reason: why}
 	if team >= 0 {
-		if t.lanes != nil && !t.lanes.ask(r, team, now) {
+		if t.shedding != nil && !t.shedding.admit(r, team, now) {
 			return false, false
 		}
-		r.asked = contract.Request{Team: team, Class: e.Class, Group: r.Cluster, Key: r.Key, Retry: r.Retry, ID: r.ID, Until: r.deadline}
-		v = t.book.Ask(r.asked, now)
+		r.contractRequest = contract.Request{Team: team, Class: e.Class, Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, ID: r.ID, Deadline: r.deadline}
+		v = t.ledger.Ask(r.contractRequest, now)
 	}
-	if r.ground = v.Reason; !v.Reason.Taken() {
-		r.why = t.wording(team, r, v)
-		t.router.tally.Add(metrics.Contract)
-		r.hand(balance.Action{Kind: balance.Refuse, Wait: v.Wait})
+	if r.contractReason = v.Reason; !v.Reason.Admitted() {
+		r.rejectionReason = t.rejectionFor(team, r, v)
+		t.router.metrics.Add(metrics.Contract)
+		r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: v.RetryAfter})
 		return false, false
 	}
-	if t.lanes != nil {
-		t.lanes.begun(r)
+	if t.shedding != nil {
+		t.shedding.requestStarted(r)
 	}
-	if v.Instead != nil {
-		t.refuse(*v.Instead)
+	if v.Displaced != nil {
+		t.rejectQueued(*v.Displaced)
 	}
-	if v.Hold {
+	if v.Queued {
 		return true, true
 	}
-	r.after, e.Over = v.After, v.After
+	r.lowPriority, e.OverQuota = v.LowPriority, v.LowPriority
 	return true, false
 }
 
-// refuse ends the wait of one that has no turn.
-func (t *terms) refuse(turn contract.Turn) {
-	if r := t.router.owner.requests[turn.ID]; r != nil {
-		t.router.tally.Add(metrics.Contract)
-		r.ground, r.why = turn.Reason, t.wording(r.asked.Team, r, turn.Verdict)
-		r.hand(balance.Action{Kind: balance.Refuse, Wait: turn.Wait})
+// rejectQueued ends the wait of one that has no turn.
+func (t *contractService) rejectQueued(turn contract.Turn) {
+	if r := t.router.loop.requests[turn.ID]; r != nil {
+		t.router.metrics.Add(metrics.Contract)
+		r.contractReason, r.rejectionReason = turn.Reason, t.rejectionFor(r.contractRequest.Team, r, turn.Verdict)
+		r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: turn.RetryAfter})
 	}
 }
 
-// due lets those go on whose turn has come, and refuses those whose time is over.
-func (t *terms) due(now balance.Nanos) {
-	o := t.router.owner
-	for _, turn := range t.book.Due(now) {
+// releaseQueued lets those go on whose turn has come, and refuses those whose time is over.
+func (t *contractService) releaseQueued(now clock.Nanos) {
+	o := t.router.loop
+	for _, turn := range t.ledger.Due(now) {
 		r := o.requests[turn.ID]
 		switch {
 		case r == nil:
-		case !turn.Reason.Taken():
-			t.refuse(turn)
+		case !turn.Reason.Admitted():
+			t.rejectQueued(turn)
 		default:
-			r.after = true
-			e := r.held
-			e.Over = true
-			o.admit(e)
+			r.lowPriority = true
+			e := r.queuedArrival
+			e.OverQuota = true
+			o.addToBatch(e)
 		}
 	}
 }
 
-// ended tells the book of a request's end.
-func (t *terms) ended(r *request, now balance.Nanos) {
+// requestEnded tells the book of a request's end.
+func (t *contractService) requestEnded(r *request, now clock.Nanos) {
 	end := r.end
-	end.Gone = end.Gone || !r.ground.Taken()
-	t.book.Ended(r.asked, r.after, end, now)
-	if t.lanes != nil {
-		t.lanes.ended(r, now)
+	end.Abandoned = end.Abandoned || !r.contractReason.Admitted()
+	t.ledger.Ended(r.contractRequest, r.lowPriority, end, now)
+	if t.shedding != nil {
+		t.shedding.requestEnded(r, now)
 	}
 	if r.end.Served {
-		t.took.Add(t.book.Name(r.asked.Team), r.Class, time.Duration(r.end.Took))
+		t.responseTimes.Add(t.ledger.Name(r.contractRequest.Team), r.Class, time.Duration(r.end.Elapsed))
 	}
 }
 
 // order puts the requests that came in one batch into the teams' turns. They stay
 // in the places that requests had, so that nothing else moves.
-func (t *terms) order(batch []balance.Event, requests map[string]*request) {
-	t.list = t.list[:0]
+func (t *contractService) order(batch []balance.Event, requests map[string]*request) {
+	t.orderBuffer = t.orderBuffer[:0]
 	for i := range batch {
-		if r := requests[batch[i].Request]; batch[i].Kind == balance.RequestIn && r != nil {
-			t.list = append(t.list, contract.Waiting{Team: r.asked.Team, Class: r.asked.Class, Ground: r.ground, Index: i})
+		if r := requests[batch[i].Request]; batch[i].Kind == balance.RequestArrived && r != nil {
+			t.orderBuffer = append(t.orderBuffer, contract.BatchedRequest{Team: r.contractRequest.Team, Class: r.contractRequest.Class, Reason: r.contractReason, Index: i})
 		}
 	}
-	if len(t.list) < 2 {
+	if len(t.orderBuffer) < 2 {
 		return
 	}
-	t.swap = t.swap[:0]
-	places := make([]int, len(t.list))
-	for i, w := range t.list {
+	t.swapBuffer = t.swapBuffer[:0]
+	places := make([]int, len(t.orderBuffer))
+	for i, w := range t.orderBuffer {
 		places[i] = w.Index
 	}
-	t.book.Order(t.list)
-	for _, w := range t.list {
-		t.swap = append(t.swap, batch[w.Index])
+	t.ledger.Order(t.orderBuffer)
+	for _, w := range t.orderBuffer {
+		t.swapBuffer = append(t.swapBuffer, batch[w.Index])
 	}
 	for i, at := range places {
-		batch[at] = t.swap[i]
+		batch[at] = t.swapBuffer[i]
 	}
-	clear(t.swap)
+	clear(t.swapBuffer)
 }
 
-// wording names the team, the limit and its figure.
-func (t *terms) wording(team int, r *request, v contract.Verdict) *refusal {
-	name := t.book.Name(team)
+// rejectionFor names the team, the limit and its figure.
+func (t *contractService) rejectionFor(team int, r *request, v contract.Verdict) *rejectionReason {
+	name := t.ledger.Name(team)
 	figure := strconv.FormatFloat(v.Limit, 'g', 4, 64)
 	back := "come back after the time in DETAIL, in ms; what is beyond the contract passes again when others leave room"
 	switch v.Reason {
-	case contract.Unknown:
-		return &refusal{"no team is known by this user, database, application or address (contracts)", "ask the operators for a contract"}
-	case contract.TwoTeams:
-		return &refusal{"two teams are known by this user, database, application or address (contracts)", "the operators want to know"}
-	case contract.NoClass:
-		return &refusal{fmt.Sprintf("team %s may not use class %s (contracts)", name, r.Class), "ask the operators for a larger contract"}
-	case contract.OpenFull:
-		return &refusal{fmt.Sprintf("team %s has its %s requests open (contracts: open)", name, figure), back}
-	case contract.RateOver:
-		return &refusal{fmt.Sprintf("team %s is over its %s a second of class %s (contracts: per_s), and others need the room", name, figure, r.Class), back}
-	case contract.ShareOver:
-		return &refusal{fmt.Sprintf("team %s is over its share %s of the primary of cluster %d (contracts: primary_share), and others need the room", name, figure, r.Cluster), back}
-	case contract.RetryOver:
-		return &refusal{fmt.Sprintf("team %s repeats more than %s of its first tries (contracts: retry_share), and others need the room", name, figure), back}
-	}
-	return &refusal{v.Reason.String(), ""}
+	case contract.UnknownTeam:
+		return &rejectionReason{"no team is known by this user, database, application or address (contracts)", "ask the operators for a contract"}
+	case contract.AmbiguousTeam:
+		return &rejectionReason{"two teams are known by this user, database, application or address (contracts)", "the operators want to know"}
+	case contract.ClassNotAllowed:
+		return &rejectionReason{fmt.Sprintf("team %s may not use class %s (contracts)", name, r.Class), "ask the operators for a larger contract"}
+	case contract.TooManyOpen:
+		return &rejectionReason{fmt.Sprintf("team %s has its %s requests open (contracts: open)", name, figure), back}
+	case contract.OverRate:
+		return &rejectionReason{fmt.Sprintf("team %s is over its %s a second of class %s (contracts: per_s), and others need the room", name, figure, r.Class), back}
+	case contract.OverPrimaryShare:
+		return &rejectionReason{fmt.Sprintf("team %s is over its share %s of the primary of cluster %d (contracts: primary_share), and others need the room", name, figure, r.Cluster), back}
+	case contract.OverRetryShare:
+		return &rejectionReason{fmt.Sprintf("team %s repeats more than %s of its first tries (contracts: retry_share), and others need the room", name, figure), back}
+	}
+	return &rejectionReason{v.Reason.String(), ""}
 }
 
 // answers are what is told at the accounts' socket.
-func (t *terms) answers() admin.Answers {
+func (t *contractService) answers() admin.Answers {
 	a := admin.Answers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
-	if t.lanes != nil {
+	if t.shedding != nil {
 		a["lanes"] = func(ctx context.Context) (out any) {
-			t.router.owner.do(ctx, func() { out = t.lanes.report() })
+			t.router.loop.do(ctx, func() { out = t.shedding.report() })
 			return out
 		}
 	}
-	if m := t.router.members; m != nil && m.own.Socket == t.own.Socket {
-		a["members"] = m.rows
+	if m := t.router.membership; m != nil && m.settings.Socket == t.settings.Socket {
+		a["members"] = m.report
 	}
 	return a
 }
 
 // rows are the accounts as they stand.
-func (t *terms) rows(ctx context.Context) []accounting.Row {
+func (t *contractService) rows(ctx context.Context) []accounting.Row {
 	var rows []accounting.Row
-	t.router.owner.do(ctx, func() {
-		t.book.Accounts(func(team, class string, a contract.Account) {
-			row := accounting.Row{Team: team, Class: class, Asked: a.Asked, Served: a.Served, InAim: a.InAim, TurnedAway: a.Refused, Failed: a.Failed, Worth: a.Worth,
+	t.router.loop.do(ctx, func() {
+		t.ledger.Accounts(func(team, class string, a contract.Account) {
+			row := accounting.Row{Team: team, Class: class, Asked: a.Asked, Served: a.Served, InAim: a.InObjective, TurnedAway: a.Refused, Failed: a.Failed, Worth: a.Weight,
 				Grounds: map[string]uint64{}, Refused: map[string]uint64{}}
-			for r, n := range a.By {
+			for r, n := range a.ByReason {
 				switch reason := contract.Reason(r); {
 				case n == 0:
-				case reason.Taken():
+				case reason.Admitted():
 					row.Grounds[reason.String()] = n
 				default:
 					row.Refused[reason.String()] = n
 				}
 			}
-			row.P50MS, row.P99MS = t.took.Quantiles(team, class)
+			row.P50MS, row.P99MS = t.responseTimes.Quantiles(team, class)
 			rows = append(rows, row)
 		})
 	})
 	return rows
 }
 
-// next is the node to ask for its load after another: by number, round and round.
-func (t *terms) next(after uint32) (node uint32, ok bool) {
-	least, found := uint32(0), false
+// nextToProbe is the node to ask for its load after another: by number, round and round.
+func (t *contractService) nextToProbe(after balance.EndpointID) (node balance.EndpointID, ok bool) {
+	least, found := balance.EndpointID(0), false
 	for n := range t.groups {
 		switch {
 		case n > after && (!ok || n < node):
@@ -321,52 +322,52 @@
 
 // run asks for loads, logs the accounts once a period, and lets them be read,
 // until the context ends.
-func (t *terms) run(ctx context.Context) {
+func (t *contractService) run(ctx context.Context) {
 	var asked, told <-chan time.Time
-	if b := &t.router.conf.Settings.Balance; b.Probing && b.Instances > 1 {
-		tick := time.NewTicker(askEvery)
+	if b := &t.router.config.Settings.Balance; b.ProbesAllowed && b.Routers > 1 {
+		tick := time.NewTicker(loadProbeInterval)
 		defer tick.Stop()
 		asked = tick.C
 	}
-	if t.own != nil && t.own.Socket != "" {
-		stop, err := admin.Serve(ctx, t.own.Socket, t.answers())
+	if t.settings != nil && t.settings.Socket != "" {
+		stop, err := admin.Serve(ctx, t.settings.Socket, t.answers())
 		if err != nil {
 			slog.Error("accounts can't be read", "err", err)
 		} else {
 			defer stop()
 		}
 	}
-	if t.own != nil && t.own.EveryS > 0 {
-		tick := time.NewTicker(time.Duration(t.own.EveryS) * time.Second)
+	if t.settings != nil && t.settings.EveryS > 0 {
+		tick := time.NewTicker(time.Duration(t.settings.EveryS) * time.Second)
 		defer tick.Stop()
 		told = tick.C
 	}
 	var shed <-chan time.Time
-	if t.lanes != nil {
-		tick := time.NewTicker(laneEvery)
+	if t.shedding != nil {
+		tick := time.NewTicker(sheddingInterval)
 		defer tick.Stop()
 		shed = tick.C
 	}
-	before, node := map[[2]string]uint64{}, uint32(0)
+	before, node := map[[2]string]uint64{}, balance.EndpointID(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-asked:
 			found := false
-			if t.router.owner.do(ctx, func() { node, found = t.next(node) }) && found {
+			if t.router.loop.do(ctx, func() { node, found = t.nextToProbe(node) }) && found {
 				t.router.probe(node)
 			}
 		case <-shed:
-			t.router.owner.do(ctx, func() { t.lanes.tick(t.router.clock.now()) })
+			t.router.loop.do(ctx, func() { t.shedding.tick(t.router.clock.now()) })
 		case <-told:
-			t.tell(ctx, before)
+			t.logAccounts(ctx, before)
 		}
 	}
 }
 
-// tell logs the accounts of those that have asked since they were last told.
-func (t *terms) tell(ctx context.Context, before map[[2]string]uint64) {
+// logAccounts logs the accounts of those that have asked since they were last told.
+func (t *contractService) logAccounts(ctx context.Context, before map[[2]string]uint64) {
 	lines := 0
 	for _, row := range t.rows(ctx) {
 		key := [2]string{row.Team, row.Class}
@@ -374,12 +375,12 @@
 			continue
 		}
 		before[key] = row.Asked
-		if lines++; lines <= mostAccounts {
+		if lines++; lines <= maxAccountLines {
 			slog.Info("account", "team", row.Team, "class", row.Class, "asked", row.Asked, "grounds", row.Grounds, "refused", row.Refused,
 				"served", row.Served, "in_aim", row.InAim, "turned_away", row.TurnedAway, "failed", row.Failed, "worth", row.Worth, "p50_ms", row.P50MS, "p99_ms", row.P99MS)
 		}
 	}
-	if lines > mostAccounts {
-		slog.Info("accounts without a line", "count", lines-mostAccounts)
+	if lines > maxAccountLines {
+		slog.Info("accounts without a line", "count", lines-maxAccountLines)
 	}
 }
--- a/internal/router/terms_test.go
+++ b/internal/router/terms_test.go
@@ -44,10 +44,10 @@
 		expect c1 welcome | T | D "v" | C | Z
 		send c1 Q "/* id=06,c=read,d=20000,cluster=1 */ A"
 		expect s1 Q "/* id=06,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.conf, &siteconfig.Setup{}); err == nil {
+	if err := r.Reload(r.config, &siteconfig.Setup{}); err == nil {
 		t.Error("contracts were switched off in service")
 	}
-	if err := r.Reload(r.conf, teams(t, "5")); err != nil {
+	if err := r.Reload(r.config, teams(t, "5")); err != nil {
 		t.Fatal(err)
 	}
 	s.Play(`
@@ -89,21 +89,21 @@
 		{"name":"rest","worth":1,"classes":{"read":{"per_s":1000,"burst":1000}}}]}`)
 	own.Admission = nil
 	s, r, _, _ := stageOwn(t, own, now, endless)
-	level := func(set func(l *lanes)) {
+	level := func(set func(l *sheddingService)) {
 		t.Helper()
-		if !r.owner.do(t.Context(), func() { set(r.owner.terms.lanes) }) {
+		if !r.loop.do(t.Context(), func() { set(r.loop.contracts.shedding) }) {
 			t.Fatal("the owner does not answer")
 		}
 	}
-	level(func(l *lanes) { // background asks for what nobody serves, and its lane is shed as far as it goes
+	level(func(l *sheddingService) { // background asks for what nobody serves, and its lane is shed as far as it goes
 		at := r.clock.now()
-		for i := 0; i < 100_000 && (i == 0 || l.decide.States()[0].Level < 64); i++ { // then it stays for an hour
+		for i := 0; i < 100_000 && (i == 0 || l.shedder.States()[0].Threshold < 64); i++ { // then it stays for an hour
 			at += 600e9
-			if v := l.decide.Ask(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Part: 1}, at); v.Reason != shedding.Shed {
-				l.decide.Begun(1, at, 1e6)
-				l.decide.Ended(1, v.Lane, "", shedding.End{Came: at, Took: 1e6, Aim: 1e6}, at)
+			if v := l.shedder.Ask(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Share: 1}, at); v.Reason != shedding.Shed {
+				l.shedder.RequestStarted(1, at, 1e6)
+				l.shedder.RequestEnded(1, v.PriorityClass, "", shedding.End{ArrivedAt: at, Elapsed: 1e6, LatencyObjective: 1e6}, at)
 			}
-			l.decide.Tick(at, shedding.Sight{}, nil)
+			l.shedder.Tick(at, shedding.Connectivity{}, nil)
 		}
 	})
 	s.Play(`
@@ -117,22 +117,22 @@
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 T | D "v" | C | Z`)
 	var got Lanes
-	if err := admin.Ask(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Level != 64 || !got.Groups[0].Alone || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
+	if err := admin.Ask(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Threshold != 64 || !got.Groups[0].Isolated || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
 	var rows []accounting.Row
 	if err := admin.Ask(own.Accounts.Socket, "accounts", &rows); err != nil || len(rows) != 1 || rows[0].Team != "desk" {
 		t.Errorf("the book heard of what was shed: %+v, %v", rows, err)
 	}
-	if err := r.Reload(r.conf, teams(t, "5")); err == nil {
+	if err := r.Reload(r.config, teams(t, "5")); err == nil {
 		t.Error("lanes were switched off in service")
 	}
 	own.Contracts.Lanes.Lanes[1].Name = "rest"
-	if err := r.Reload(r.conf, own); err != nil {
+	if err := r.Reload(r.config, own); err != nil {
 		t.Error(err)
 	}
-	level(func(l *lanes) {
-		if l.decide.Name(1) != "rest" {
+	level(func(l *sheddingService) {
+		if l.shedder.Name(1) != "rest" {
 			t.Error("the lanes were not reloaded")
 		}
 	})
--- a/internal/router/totals.go
+++ b/internal/router/totals.go
@@ -12,10 +12,11 @@
 	"lotushook/internal/metrics"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 )
 
-// totals writes one line of what was counted a period, and one at the end.
-func (r *Router) totals(ctx context.Context, every time.Duration) {
+// writeTotalsEvery writes one line of what was counted a period, and one at the end.
+func (r *Router) writeTotalsEvery(ctx context.Context, every time.Duration) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -23,25 +24,25 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			r.total()
+			r.writeTotals()
 		}
 	}
 }
 
-func (r *Router) total() {
-	if r.tally == nil {
+func (r *Router) writeTotals() {
+	if r.metrics == nil {
 		return
 	}
 	r.mu.Lock()
 	clients := len(r.clients)
 	r.mu.Unlock()
-	open, idle := r.pool.Open()
-	line := append([]slog.Attr{slog.String("name", r.conf.Name), slog.Int64("resident_kb", resident()), slog.Int("clients", clients),
-		slog.Int("open", open), slog.Int("idle", idle)}, r.tally.Take()...)
+	open, idle := r.pool.Counts()
+	line := append([]slog.Attr{slog.String("name", r.config.Name), slog.Int64("resident_kb", resident()), slog.Int("clients", clients),
+		slog.Int("open", open), slog.Int("idle", idle)}, r.metrics.Take()...)
 	slog.LogAttrs(context.Background(), slog.LevelInfo, "totals", line...)
-	if r.feeds != nil {
-		n := r.feeds.part.Counts()
-		slog.Info("feeds", "name", r.conf.Name, "cursors", n.Cursors, "answers", n.Answers, "events", n.Events, "end_reads", n.EndReads, "far_reads", n.FarReads, "refused", n.Refused, "rows", n.Rows)
+	if r.changefeed != nil {
+		n := r.changefeed.feeds.Counts()
+		slog.Info("feeds", "name", r.config.Name, "cursors", n.Cursors, "answers", n.Answers, "events", n.Events, "end_reads", n.EndReads, "far_reads", n.FarReads, "refused", n.Refused, "rows", n.Rows)
 	}
 }
 
@@ -58,66 +59,66 @@
 	return pages * int64(os.Getpagesize()) / 1024
 }
 
-// tracer writes the way of single requests. Lines beyond the settings' rate are counted and left out.
-type tracer struct {
-	set   atomic.Pointer[siteconfig.Log] // nil: nothing is written
-	at    atomic.Int64                   // the second that the next two count in
-	wrote atomic.Int64
-	left  atomic.Int64
+// accessLog writes the way of single requests. Lines beyond the settings' rate are counted and left out.
+type accessLog struct {
+	settings atomic.Pointer[siteconfig.Log] // nil: nothing is written
+	second   atomic.Int64                   // the second that the next two count in
+	written  atomic.Int64
+	omitted  atomic.Int64
 }
 
-// step is one attempt on a request's way.
-type step struct {
-	host   string
-	why    balance.Reason
-	out    balance.Outcome
-	at, to balance.Nanos
+// tracedAttempt is one attempt on a request's way.
+type tracedAttempt struct {
+	host               string
+	reason             balance.Reason
+	outcome            balance.Outcome
+	startedAt, endedAt clock.Nanos
 }
 
-// rest tells how many lines were left out since it last did.
-func (t *tracer) rest() {
-	if n := t.left.Swap(0); n > 0 {
+// logOmitted tells how many lines were left out since it last did.
+func (t *accessLog) logOmitted() {
+	if n := t.omitted.Swap(0); n > 0 {
 		slog.Info("requests left out", "lines", n)
 	}
 }
 
 // wanted says whether a request's steps are to be kept for its line.
-func (t *tracer) wanted() bool {
-	set := t.set.Load()
+func (t *accessLog) wanted() bool {
+	set := t.settings.Load()
 	return set != nil && set.Trace != siteconfig.TraceOff
 }
 
 // write writes the line of a request that has ended.
-func (t *tracer) write(r *request, end string, why balance.Reason) {
-	set := t.set.Load()
-	if set == nil || set.Trace == siteconfig.TraceOff || set.Trace == siteconfig.TraceWrong && end == served {
+func (t *accessLog) write(r *request, end string, why balance.Reason) {
+	set := t.settings.Load()
+	if set == nil || set.Trace == siteconfig.TraceOff || set.Trace == siteconfig.TraceWrong && end == endServed {
 		return
 	}
 	now := r.router.clock.now()
-	if second := now / 1e9; t.at.Swap(second) != second {
-		t.wrote.Store(0)
-		t.rest()
+	if second := now / 1e9; t.second.Swap(second) != second {
+		t.written.Store(0)
+		t.logOmitted()
 	}
-	if t.wrote.Add(1) > int64(set.TracePerS) {
-		t.left.Add(1)
+	if t.written.Add(1) > int64(set.TracePerS) {
+		t.omitted.Add(1)
 		return
 	}
 	const ms = 1e6
 	var way strings.Builder
-	for i, s := range r.way {
+	for i, s := range r.trace {
 		if i > 0 {
 			way.WriteByte(' ')
 		}
-		fmt.Fprintf(&way, "%s:%s@%d=%s/%d", s.host, s.why, (s.at-r.came)/ms, metrics.Outcome(s.out), (s.to-s.at)/ms)
+		fmt.Fprintf(&way, "%s:%s@%d=%s/%d", s.host, s.reason, (s.startedAt-r.arrivedAt)/ms, metrics.Outcome(s.outcome), (s.endedAt-s.startedAt)/ms)
 	}
-	slog.Info("request", "id", r.ID, "key", r.Key, "class", r.Class, "cluster", r.Cluster, "session", r.Session, "came_ms", r.came/ms, "left_ms", (r.deadline-r.came)/ms,
-		"end", end, "why", why.String(), "took_ms", (now-r.came)/ms, "way", way.String())
+	slog.Info("request", "id", r.ID, "key", r.Key, "class", r.Class, "cluster", r.Cluster, "session", r.Session, "came_ms", r.arrivedAt/ms, "left_ms", (r.deadline-r.arrivedAt)/ms,
+		"end", end, "why", why.String(), "took_ms", (now-r.arrivedAt)/ms, "way", way.String())
 }
 
 // The ends of a request in its line.
 const (
-	served   = "served"
-	turned   = "refused"
-	broken   = "failed"
-	departed = "gone"
+	endServed    = "served"
+	endRejected  = "refused"
+	endFailed    = "failed"
+	endAbandoned = "gone"
 )
--- a/internal/router/totals_test.go
+++ b/internal/router/totals_test.go
@@ -80,8 +80,8 @@
 func TestTotalsOff(t *testing.T) {
 	w := logged(t)
 	r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
-	r.total()
-	if r.tally != nil || r.tracer.wanted() || strings.Contains(w.String(), "totals") {
+	r.writeTotals()
+	if r.metrics != nil || r.accessLog.wanted() || strings.Contains(w.String(), "totals") {
 		t.Errorf("something is on: %s", w)
 	}
 }
@@ -90,11 +90,11 @@
 func TestWaysAreBounded(t *testing.T) {
 	w := logged(t)
 	r := newOwnRouter(t, &siteconfig.Setup{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
-	one := &request{router: r, came: r.clock.now()}
+	one := &request{router: r, arrivedAt: r.clock.now()}
 	for range 1000 {
-		r.tracer.write(one, served, 0)
+		r.accessLog.write(one, endServed, 0)
 	}
-	r.tracer.rest()
+	r.accessLog.logOmitted()
 	wrote := strings.Count(w.String(), "msg=request ")
 	left := 0
 	for _, m := range regexp.MustCompile(`left out" lines=(\d+)`).FindAllStringSubmatch(w.String(), -1) {
