--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -12,17 +12,18 @@
 
 	"lotushook/internal/platformsettings"
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 var (
-	outcomes = map[string]balance.Outcome{"done": balance.Done, "err": balance.Failed,
-		"busy": balance.Busy, "etimedout": balance.TimedOut, "econnrefused": balance.Refused,
-		"econnreset": balance.Reset, "ecanceled": balance.Canceled, "skipped": balance.Skipped,
-		"enoent": balance.Miss}
-	lifecycles = map[string]balance.Lifecycle{"": balance.Ready, "ready": balance.Ready,
-		"draining": balance.Draining, "gone": balance.Gone}
+	outcomes = map[string]balance.Outcome{"done": balance.Succeeded, "err": balance.Failed,
+		"busy": balance.Busy, "etimedout": balance.TimedOut, "econnrefused": balance.ConnectionRefused,
+		"econnreset": balance.ConnectionReset, "ecanceled": balance.Canceled, "skipped": balance.NotSent,
+		"enoent": balance.NotEligible}
+	lifecycles = map[string]balance.EndpointState{"": balance.Ready, "ready": balance.Ready,
+		"draining": balance.Draining, "gone": balance.Removed}
 )
 
 // Host keeps the instances of one process and turns lines into replies.
@@ -37,13 +38,13 @@
 }
 
 type entry struct {
-	Node      uint32        `json:"node"`
-	Zone      string        `json:"az"`
-	Group     int64         `json:"set"`
-	Lifecycle string        `json:"lifecycle"`
-	Leader    float64       `json:"leader"`
-	Weight    float64       `json:"weight"`
-	ReadyAt   balance.Nanos `json:"readyAt"`
+	Node      balance.EndpointID `json:"node"`
+	Zone      string             `json:"az"`
+	Group     int64              `json:"set"`
+	Lifecycle string             `json:"lifecycle"`
+	Leader    float64            `json:"leader"`
+	Weight    float64            `json:"weight"`
+	ReadyAt   clock.Nanos        `json:"readyAt"`
 }
 
 type event struct {
@@ -57,11 +58,11 @@
 	Band        string              `json:"band"`
 	Owner       jsoniter.RawMessage `json:"owner"`
 	ClientKey   string              `json:"clientKey"`
-	ValidUntil  balance.Nanos       `json:"validUntil"`
+	ValidUntil  clock.Nanos         `json:"validUntil"`
 	Cluster     float64             `json:"cluster"`
 	LastWriteMs float64             `json:"lastWriteMs"`
 	SendNo      int                 `json:"sendNo"`
-	Node        uint32              `json:"node"`
+	Node        balance.EndpointID  `json:"node"`
 	Result      string              `json:"result"`
 	Finished    bool                `json:"finished"`
 	Note        int64               `json:"note"`
@@ -70,14 +71,14 @@
 }
 
 type batch struct {
-	Clock *balance.Nanos `json:"clock"`
+	Clock *clock.Nanos `json:"clock"`
 	Parts []struct {
 		Who    int64   `json:"who"`
 		Events []event `json:"events"`
 	} `json:"parts"`
 }
 
-const millisecond balance.Nanos = 1e6
+const millisecond clock.Nanos = 1e6
 
 // NewHost returns a host without instances.
 func NewHost() *Host {
@@ -124,7 +125,7 @@
 
 // step feeds one instance its events; a restart inside the batch drops what
 // the earlier life would have done.
-func (h *Host) step(now balance.Nanos, who int64, events []event) ([]balance.Action, error) {
+func (h *Host) step(now clock.Nanos, who int64, events []event) ([]balance.Action, error) {
 	var in []balance.Event
 	for i := range events {
 		e := &events[i]
@@ -182,23 +183,23 @@
 	case "peersKnown":
 		return in.list(e, pages)
 	case "incoming":
-		out = balance.Event{Kind: balance.RequestIn, Request: e.Handle, Class: in.set.Class(e.Band),
+		out = balance.Event{Kind: balance.RequestArrived, Request: e.Handle, Class: in.set.Class(e.Band),
 			Tenant: in.set.Tenant(text(e.Owner)), Session: e.ClientKey, Deadline: e.ValidUntil,
-			Group:    int64(e.Cluster),
-			TokenAge: balance.Nanos(e.LastWriteMs * float64(millisecond))}
+			Group:     int64(e.Cluster),
+			CommitAge: clock.Nanos(e.LastWriteMs * float64(millisecond))}
 	case "outcome":
-		out = balance.Event{Kind: balance.AttemptDone, Request: e.Handle, Attempt: e.SendNo, Node: e.Node,
-			Finished: e.Finished}
+		out = balance.Event{Kind: balance.AttemptEnded, Request: e.Handle, Attempt: e.SendNo, Endpoint: e.Node,
+			Final: e.Finished}
 		out.Role, out.Position = in.note(e.Note)
 		out.Outcome, err = platformsettings.Word(outcomes, "result", e.Result)
 	case "echo":
-		out = balance.Event{Kind: balance.ProbeDone, Node: e.Node}
+		out = balance.Event{Kind: balance.ProbeEnded, Endpoint: e.Node}
 		in.report(e.Stats, &out)
 		out.Outcome, err = platformsettings.Word(outcomes, "result", e.Result)
 	case "abandoned":
-		out = balance.Event{Kind: balance.RequestGone, Request: e.Handle}
+		out = balance.Event{Kind: balance.RequestAbandoned, Request: e.Handle}
 	case "wakeup":
-		out = balance.Event{Kind: balance.Wakeup, Tag: e.KeyBack}
+		out = balance.Event{Kind: balance.TimerFired, TimerID: e.KeyBack}
 	default:
 		return out, false, nil
 	}
@@ -209,13 +210,13 @@
 }
 
 func (in *instance) list(e *event, pages map[int64][]entry) (balance.Event, bool, error) {
-	out := balance.Event{Kind: balance.NodesFull}
+	out := balance.Event{Kind: balance.EndpointSnapshot}
 	switch e.How {
 	case "error":
-		out.Kind = balance.ListLost
+		out.Kind = balance.EndpointWatchLost
 		return out, true, nil
 	case "diff":
-		out.Kind = balance.NodesChanged
+		out.Kind = balance.EndpointUpdate
 	case "snapshot", "disk":
 	default:
 		return out, false, nil
@@ -225,17 +226,17 @@
 		if err != nil {
 			return out, false, fmt.Errorf("node %d: %w", n.Node, err)
 		}
-		out.Nodes = append(out.Nodes, balance.NodeEntry{Node: n.Node, Group: n.Group, Zone: n.Zone,
-			State: state, Primary: n.Leader == 1, Weight: n.Weight, Started: n.ReadyAt})
+		out.Endpoints = append(out.Endpoints, balance.Endpoint{ID: n.Node, Group: n.Group, Zone: n.Zone,
+			State: state, Primary: n.Leader == 1, Weight: n.Weight, StartedAt: n.ReadyAt})
 	}
 	return out, true, nil
 }
 
 // note unpacks an answer's role and position.
-func (in *instance) note(note int64) (balance.Role, balance.Nanos) {
-	var pos balance.Nanos
+func (in *instance) note(note int64) (balance.Role, clock.Nanos) {
+	var pos clock.Nanos
 	if ms := note / 4; ms > 0 {
-		pos = in.set.Zero + ms*millisecond
+		pos = in.set.PositionZero + ms*millisecond
 	}
 	switch note % 4 {
 	case 1:
@@ -249,14 +250,14 @@
 // report reads role, position and load from a probe's report.
 func (in *instance) report(stats []float64, out *balance.Event) {
 	told := 0
-	for i, f := range in.set.Fields {
+	for i, f := range in.set.ReportFields {
 		if i >= len(stats) {
 			break
 		}
 		switch f {
 		case "x0":
 			if stats[i] > 0 {
-				out.Position = in.set.Zero + balance.Nanos(math.Floor(stats[i]*1e3))*millisecond
+				out.Position = in.set.PositionZero + clock.Nanos(math.Floor(stats[i]*1e3))*millisecond
 			}
 		case "x1":
 			out.Role = balance.Replica
@@ -271,7 +272,7 @@
 			told++
 		}
 	}
-	out.Reported = told == 2
+	out.HasLoad = told == 2
 }
 
 // text reads a name; other JSON, such as the 0 of a site without tenants, is none.
@@ -294,28 +295,28 @@
 		out = append(out, '"')
 	}
 	switch a.Kind {
-	case balance.Send:
+	case balance.SendAttempt:
 		handle(`{"what":"dispatch","handle":"`)
-		num(`,"tryUntil":`, a.Until)
-		num(`,"node":`, int64(a.Node))
-	case balance.Refuse:
+		num(`,"tryUntil":`, a.AttemptDeadline)
+		num(`,"node":`, int64(a.Endpoint))
+	case balance.RejectRequest:
 		handle(`{"what":"decline","handle":"`)
-		num(`,"wait":`, a.Wait)
-	case balance.Fail:
+		num(`,"wait":`, a.RetryAfter)
+	case balance.FailRequest:
 		handle(`{"what":"error","handle":"`)
-	case balance.Cancel:
+	case balance.CancelAttempt:
 		handle(`{"what":"abortAttempt","handle":"`)
 		num(`,"sendNo":`, int64(a.Attempt))
-	case balance.Timer:
-		num(`{"what":"defer","alarmTime":`, a.At)
-		num(`,"keyBack":`, a.Tag)
-	case balance.Probe:
-		num(`{"what":"touch","node":`, int64(a.Node))
-	case balance.Follow:
+	case balance.SetTimer:
+		num(`{"what":"defer","alarmTime":`, a.TimerAt)
+		num(`,"keyBack":`, a.TimerID)
+	case balance.SendProbe:
+		num(`{"what":"touch","node":`, int64(a.Endpoint))
+	case balance.WatchEndpoints:
 		out = append(out, `{"what":"track","enable":true`...)
-	case balance.Log:
+	case balance.WriteLog:
 		out = append(out, `{"what":"emit","reasonText":`...)
-		quoted, _ := json.Marshal(a.Text) // a string always marshals
+		quoted, _ := json.Marshal(a.Message) // a string always marshals
 		out = append(out, quoted...)
 	}
 	return append(out, '}')
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestNotesAndReports(t *testing.T) {
-	in := &instance{set: &platformsettings.Settings{Zero: 1000, Fields: []string{"waiting", "x0", "x1", "active"}}}
+	in := &instance{set: &platformsettings.Settings{PositionZero: 1000, ReportFields: []string{"waiting", "x0", "x1", "active"}}}
 	if role, pos := in.note(25486); role != 2 || pos != 1000+6371*millisecond {
 		t.Errorf("note: %d %d", role, pos)
 	}
@@ -62,10 +62,10 @@
 		t.Errorf("a note without position: %d", pos)
 	}
 	var e balance.Event
-	if in.report([]float64{3, 1.2349, 1}, &e); e.Role != 1 || e.Position != 1000+1234*millisecond || e.Reported {
+	if in.report([]float64{3, 1.2349, 1}, &e); e.Role != 1 || e.Position != 1000+1234*millisecond || e.HasLoad {
 		t.Errorf("report without the requests held: %+v", e)
 	}
-	if in.report([]float64{3, 1.2349, 0, 5}, &e); e.Role != 2 || !e.Reported || e.Waiting != 3 || e.Active != 5 {
+	if in.report([]float64{3, 1.2349, 0, 5}, &e); e.Role != 2 || !e.HasLoad || e.Waiting != 3 || e.Active != 5 {
 		t.Errorf("report: %+v", e)
 	}
 }
--- a/internal/siteconfig/contracts.go
+++ b/internal/siteconfig/contracts.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"lotushook/policy/balance"
+	"lotushook/policy/clock"
 	"lotushook/policy/contract"
 )
 
@@ -127,17 +128,17 @@
 		if !ok {
 			cost = 1
 		}
-		classes = append(classes, contract.Class{Name: k.Name, Aim: k.Aim, Window: k.Window, Worth: k.Worth, Cost: cost,
-			Primary: k.Read == balance.Write || k.Read == balance.Fresh})
+		classes = append(classes, contract.Class{Name: k.Name, LatencyObjective: k.LatencyObjective, IdempotencyWindow: k.IdempotencyWindow, PriorityWeight: k.PriorityWeight, Cost: cost,
+			Primary: k.Consistency == balance.Write || k.Consistency == balance.FreshRead})
 	}
 	return classes
 }
 
 // Book are the settings of the decision for one of so many routers.
-func (c *Contracts) Book(classes []contract.Class, routers int, longestBack contract.Nanos) (contract.Settings, error) {
-	s := contract.Settings{Classes: classes, None: c.None, Ambiguous: c.Two, Said: c.TrustComment, Instances: routers, Skew: c.Skew,
-		PrimaryPerS: c.Fleet.PrimaryPerS, High: c.Pressure.High, Low: c.Pressure.Low, Keys: c.Keys, Shares: c.Shares,
-		OffsetS: c.UTCOffsetMin * 60, LongBack: longestBack}
+func (c *Contracts) Book(classes []contract.Class, routers int, longestBack clock.Nanos) (contract.Settings, error) {
+	s := contract.Settings{Classes: classes, DefaultTeam: c.None, Ambiguous: c.Two, TrustComment: c.TrustComment, Routers: routers, Skew: c.Skew,
+		PrimaryWorkPerSecond: c.Fleet.PrimaryPerS, HighPressure: c.Pressure.High, LowPressure: c.Pressure.Low, MaxKeys: c.Keys, MaxShares: c.Shares,
+		UTCOffsetSeconds: c.UTCOffsetMin * 60, MaxRetryAfter: longestBack}
 	if s.Skew*float64(routers) < 1 {
 		s.Skew = 1 / float64(routers)
 	}
@@ -151,8 +152,8 @@
 		}
 	}
 	for _, t := range c.Teams {
-		team := contract.Team{Name: t.Name, Worth: t.Worth, Users: t.Users, Databases: t.Databases, Applications: t.Applications,
-			Addresses: t.Addresses, PrimaryShare: t.PrimaryShare, Open: t.Open, Retry: t.RetryShare, Limits: make([]contract.Limit, len(classes))}
+		team := contract.Team{Name: t.Name, Weight: t.Worth, Users: t.Users, Databases: t.Databases, Applications: t.Applications,
+			Addresses: t.Addresses, PrimaryShare: t.PrimaryShare, MaxOpen: t.Open, RetryShare: t.RetryShare, Limits: make([]contract.Limit, len(classes))}
 		for name, l := range t.Classes {
 			i, ok := index[name]
 			if !ok {
@@ -184,11 +185,11 @@
 
 // stretches are the hours as seconds of the week.
 func (h Hours) stretches() ([]contract.Hours, error) {
-	from, err := clock(h.From)
+	from, err := timeOfDay(h.From)
 	if err != nil {
 		return nil, fmt.Errorf("from: %w", err)
 	}
-	to, err := clock(h.To)
+	to, err := timeOfDay(h.To)
 	if err != nil {
 		return nil, fmt.Errorf("to: %w", err)
 	}
@@ -205,13 +206,13 @@
 			return nil, fmt.Errorf("days: %q is none of %s", d, strings.Join(days, ", "))
 		}
 		start := int64(n) * 24 * 3600
-		list = append(list, contract.Hours{From: start + from, To: start + to, Times: h.Times})
+		list = append(list, contract.Hours{From: start + from, To: start + to, Factor: h.Times})
 	}
 	return list, nil
 }
 
-// clock is a time of day such as 18:30, in seconds.
-func clock(text string) (int64, error) {
+// timeOfDay is a time of day such as 18:30, in seconds.
+func timeOfDay(text string) (int64, error) {
 	h, m, ok := strings.Cut(text, ":")
 	hours, err1 := strconv.Atoi(h)
 	minutes, err2 := strconv.Atoi(m)
--- a/internal/siteconfig/feeds.go
+++ b/internal/siteconfig/feeds.go
@@ -36,24 +36,24 @@
 
 func usualFeeds() *Feeds {
 	const ms = 1e6
-	u := cursor.Usual()
-	return &Feeds{Classes: map[string]FeedClass{}, MostCursors: u.Most, RingEvents: u.RingEvents, RingBytes: u.RingBytes, BatchEvents: u.Batch, BatchBytes: u.BatchBytes,
-		FreshMS: u.Fresh / ms, AgainMS: u.Again / ms, FutureMS: u.Future, CatchUpPerS: u.CatchUp, ReturnPerS: u.Return, SpreadMS: u.Spread / ms, MostWaiting: 2000, ReadForMS: 800}
+	u := cursor.DefaultSettings()
+	return &Feeds{Classes: map[string]FeedClass{}, MostCursors: u.MaxCursors, RingEvents: u.RingEvents, RingBytes: u.RingBytes, BatchEvents: u.BatchEvents, BatchBytes: u.BatchBytes,
+		FreshMS: u.EndReadInterval / ms, AgainMS: u.PollInterval / ms, FutureMS: u.MaxAhead, CatchUpPerS: u.CatchUpReadsPerSecond, ReturnPerS: u.ReconnectsPerSecond, SpreadMS: u.MaxRetryAfter / ms, MostWaiting: 2000, ReadForMS: 800}
 }
 
 // Cursor are the settings of the decision, for all classes and for each.
 func (f *Feeds) Cursor() (all cursor.Settings, by map[string]cursor.Settings) {
 	const ms = 1e6
-	all = cursor.Settings{Most: f.MostCursors, RingEvents: f.RingEvents, RingBytes: f.RingBytes, Batch: f.BatchEvents, BatchBytes: f.BatchBytes, Fresh: f.FreshMS * ms, Again: f.AgainMS * ms,
-		Future: f.FutureMS, CatchUp: f.CatchUpPerS, Return: f.ReturnPerS, Spread: f.SpreadMS * ms}
+	all = cursor.Settings{MaxCursors: f.MostCursors, RingEvents: f.RingEvents, RingBytes: f.RingBytes, BatchEvents: f.BatchEvents, BatchBytes: f.BatchBytes, EndReadInterval: f.FreshMS * ms, PollInterval: f.AgainMS * ms,
+		MaxAhead: f.FutureMS, CatchUpReadsPerSecond: f.CatchUpPerS, ReconnectsPerSecond: f.ReturnPerS, MaxRetryAfter: f.SpreadMS * ms}
 	by = map[string]cursor.Settings{}
 	for name, c := range f.Classes {
 		one := all
 		if c.FreshMS != 0 {
-			one.Fresh = c.FreshMS * ms
+			one.EndReadInterval = c.FreshMS * ms
 		}
 		if c.AgainMS != 0 {
-			one.Again = c.AgainMS * ms
+			one.PollInterval = c.AgainMS * ms
 		}
 		by[name] = one
 	}
--- a/internal/siteconfig/lanes.go
+++ b/internal/siteconfig/lanes.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"slices"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/shedding"
 )
 
@@ -35,10 +36,10 @@
 }
 
 func usualLanes() *Lanes {
-	u := shedding.Usual()
+	u := shedding.DefaultSettings()
 	const ms = 1e6
-	return &Lanes{Lanes: []Lane{}, By: string(u.By), Least: 0.05, High: u.High, Low: u.Low, LookMS: u.Look / ms, FreshMS: u.Fresh / ms, AloneMS: u.Alone / ms, EpochMS: u.Epoch / ms,
-		ComeBackMS: u.ComeBack / ms, OweMS: u.OweFor / ms, Accounts: u.Accounts, Owed: u.Owed, Groups: u.Groups}
+	return &Lanes{Lanes: []Lane{}, By: string(u.AccountKey), Least: 0.05, High: u.High, Low: u.Low, LookMS: u.Interval / ms, FreshMS: u.MaxReportAge / ms, AloneMS: u.IsolationTimeout / ms, EpochMS: u.SaltPeriod / ms,
+		ComeBackMS: u.MaxRetryAfter / ms, OweMS: u.WriteAffinity / ms, Accounts: u.MaxAccounts, Owed: u.MaxWriteAffinities, Groups: u.MaxGroups}
 }
 
 // Fleet is who shares the lanes.
@@ -50,7 +51,7 @@
 }
 
 // Lane are the settings of the decision for one router; nil where there are no lanes.
-func (c *Contracts) Lane(f Fleet, longestBack shedding.Nanos) (*shedding.Settings, error) {
+func (c *Contracts) Lane(f Fleet, longestBack clock.Nanos) (*shedding.Settings, error) {
 	if c.Lanes == nil {
 		for _, t := range c.Teams {
 			if t.Lane != "" || t.LanePerS != 0 {
@@ -69,14 +70,14 @@
 			return nil, fmt.Errorf("lanes.%s: %d is not between 0 and a week", v.field, v.ms)
 		}
 	}
-	s := &shedding.Settings{By: shedding.By(l.By), Router: f.Router, Boot: f.Boot, Routers: f.Routers, Agreed: f.Agreed, High: l.High, Low: l.Low, Look: l.LookMS * ms, Fresh: l.FreshMS * ms,
-		Alone: l.AloneMS * ms, Epoch: l.EpochMS * ms, ComeBack: l.ComeBackMS * ms, LongBack: longestBack, OweFor: l.OweMS * ms, Accounts: l.Accounts, Owed: l.Owed, Groups: l.Groups}
+	s := &shedding.Settings{AccountKey: shedding.AccountKey(l.By), Router: f.Router, Epoch: f.Boot, Routers: f.Routers, Shared: f.Agreed, High: l.High, Low: l.Low, Interval: l.LookMS * ms, MaxReportAge: l.FreshMS * ms,
+		IsolationTimeout: l.AloneMS * ms, SaltPeriod: l.EpochMS * ms, MaxRetryAfter: l.ComeBackMS * ms, PlatformMaxRetryAfter: longestBack, WriteAffinity: l.OweMS * ms, MaxAccounts: l.Accounts, MaxWriteAffinities: l.Owed, MaxGroups: l.Groups}
 	for _, one := range l.Lanes {
 		least := l.Least
 		if one.Least != nil {
 			least = *one.Least
 		}
-		s.Lanes = append(s.Lanes, shedding.Lane{Name: one.Name, PerS: one.PerS, Burst: one.Burst, Least: least})
+		s.PriorityClasses = append(s.PriorityClasses, shedding.PriorityClass{Name: one.Name, PerS: one.PerS, Burst: one.Burst, ReservedShare: least})
 	}
 	for _, t := range c.Teams {
 		i := len(l.Lanes) - 1
@@ -85,7 +86,7 @@
 				return nil, fmt.Errorf("teams.%s.lane: no lane %q", t.Name, t.Lane)
 			}
 		}
-		s.Teams = append(s.Teams, shedding.Team{Name: t.Name, Lane: max(0, i), PerS: t.LanePerS, Burst: t.LaneBurst})
+		s.Teams = append(s.Teams, shedding.Team{Name: t.Name, PriorityClass: max(0, i), PerS: t.LanePerS, Burst: t.LaneBurst})
 	}
 	return s, s.Check()
 }
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -123,9 +123,9 @@
 
 func usualMembers() *Members {
 	const ms = 1e6
-	u := membership.Usual("-", "-", 0, 1)
-	return &Members{Seeds: []string{}, Modes: Modes{Default: ModeAsync, Classes: map[string]string{}, WaitMS: 20}, Alone: 0.5, PeriodMS: u.Period / ms, WaitMS: u.Wait / ms, Helpers: u.Helpers, LeastDoubtMS: u.LeastDoubt / ms,
-		MostDoubtMS: u.MostDoubt / ms, PauseMS: u.Pause / ms, ForgetS: u.Forget / 1e9, Corrections: u.Corrections}
+	u := membership.DefaultSettings("-", "-", 0, 1)
+	return &Members{Seeds: []string{}, Modes: Modes{Default: ModeAsync, Classes: map[string]string{}, WaitMS: 20}, Alone: 0.5, PeriodMS: u.ProbeInterval / ms, WaitMS: u.AckTimeout / ms, Helpers: u.IndirectChecks, LeastDoubtMS: u.MinSuspicion / ms,
+		MostDoubtMS: u.MaxSuspicion / ms, PauseMS: u.MaxTickGap / ms, ForgetS: u.ForgetAfter / 1e9, Corrections: u.Lifeguard}
 }
 
 // Member are the settings of the decision for one router.
@@ -135,11 +135,11 @@
 	if !ok {
 		return membership.Settings{}, fmt.Errorf("members: routers: %q is not among them", name)
 	}
-	s := membership.Usual(name, place.Advertise, boot, len(m.Routers))
-	s.Seeds, s.Names, s.Alone = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
-	s.Period, s.Wait, s.Helpers = m.PeriodMS*ms, m.WaitMS*ms, m.Helpers
-	s.LeastDoubt, s.MostDoubt, s.Pause, s.Forget = m.LeastDoubtMS*ms, m.MostDoubtMS*ms, m.PauseMS*ms, m.ForgetS*1e9
-	s.Corrections = m.Corrections
+	s := membership.DefaultSettings(name, place.Advertise, boot, len(m.Routers))
+	s.Seeds, s.Allowed, s.IsolatedShare = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
+	s.ProbeInterval, s.AckTimeout, s.IndirectChecks = m.PeriodMS*ms, m.WaitMS*ms, m.Helpers
+	s.MinSuspicion, s.MaxSuspicion, s.MaxTickGap, s.ForgetAfter = m.LeastDoubtMS*ms, m.MostDoubtMS*ms, m.PauseMS*ms, m.ForgetS*1e9
+	s.Lifeguard = m.Corrections
 	return s, nil
 }
 
--- a/internal/siteconfig/recovery.go
+++ b/internal/siteconfig/recovery.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/recovery"
 )
 
@@ -32,23 +33,23 @@
 
 func usualRecovery() *Recovery {
 	const ms = 1e6
-	u := recovery.Usual("-", 0, 1)
+	u := recovery.DefaultSettings("-", 0, 1)
 	b := u.Budgets
-	return &Recovery{DialsPerS: b[recovery.Dial], ProbesPerS: b[recovery.Probe], ListsPerS: b[recovery.List], CatchUpsPerS: b[recovery.CatchUp],
-		SendsPerS: b[recovery.Send], Slack: u.Slack, Keep: u.Keep, TogetherMS: u.Together / ms, EmptyMS: u.Bounds[recovery.Empty] / ms,
-		FedMS: u.Bounds[recovery.Fed] / ms, ProvingMS: u.Bounds[recovery.Proving] / ms, RampingMS: u.Bounds[recovery.Ramping] / ms,
-		Ratio: u.Ratio, FloorPerS: u.Floor, SoonestMS: u.Returns[0] / ms, LatestMS: u.Returns[1] / ms}
+	return &Recovery{DialsPerS: b[recovery.Dial], ProbesPerS: b[recovery.Probe], ListsPerS: b[recovery.ListCall], CatchUpsPerS: b[recovery.CatchUp],
+		SendsPerS: b[recovery.Send], Slack: u.MaxShareFactor, Keep: u.ServingShare, TogetherMS: u.RestartWindow / ms, EmptyMS: u.StageTimeouts[recovery.Starting] / ms,
+		FedMS: u.StageTimeouts[recovery.Restored] / ms, ProvingMS: u.StageTimeouts[recovery.Proving] / ms, RampingMS: u.StageTimeouts[recovery.Ramping] / ms,
+		Ratio: u.RetryRatio, FloorPerS: u.MinRetryRate, SoonestMS: u.RetryAfterRange[0] / ms, LatestMS: u.RetryAfterRange[1] / ms}
 }
 
 // Decision are the settings of the decision for one router.
 func (r *Recovery) Decision(name string, boot uint64, routers int) recovery.Settings {
 	const ms = 1e6
-	s := recovery.Usual(name, boot, routers)
-	s.Budgets = [recovery.Kinds]float64{recovery.Dial: r.DialsPerS, recovery.Probe: r.ProbesPerS, recovery.List: r.ListsPerS,
+	s := recovery.DefaultSettings(name, boot, routers)
+	s.Budgets = [recovery.KindCount]float64{recovery.Dial: r.DialsPerS, recovery.Probe: r.ProbesPerS, recovery.ListCall: r.ListsPerS,
 		recovery.CatchUp: r.CatchUpsPerS, recovery.Send: r.SendsPerS}
-	s.Slack, s.Keep, s.Together, s.Ratio, s.Floor = r.Slack, r.Keep, r.TogetherMS*ms, r.Ratio, r.FloorPerS
-	s.Bounds = [recovery.Serving]recovery.Nanos{r.EmptyMS * ms, r.FedMS * ms, r.ProvingMS * ms, r.RampingMS * ms}
-	s.Returns = [2]recovery.Nanos{r.SoonestMS * ms, r.LatestMS * ms}
+	s.MaxShareFactor, s.ServingShare, s.RestartWindow, s.RetryRatio, s.MinRetryRate = r.Slack, r.Keep, r.TogetherMS*ms, r.Ratio, r.FloorPerS
+	s.StageTimeouts = [recovery.Serving]clock.Nanos{r.EmptyMS * ms, r.FedMS * ms, r.ProvingMS * ms, r.RampingMS * ms}
+	s.RetryAfterRange = [2]clock.Nanos{r.SoonestMS * ms, r.LatestMS * ms}
 	return s
 }
 
--- a/internal/siteconfig/setup.go
+++ b/internal/siteconfig/setup.go
@@ -13,6 +13,7 @@
 
 	"lotushook/internal/strictjson"
 	"lotushook/policy/admission"
+	"lotushook/policy/clock"
 )
 
 // Setup is the file.
@@ -223,14 +224,14 @@
 
 // Limits are the settings of the decision for a router that may hold so many
 // client connections, and may tell times to return up to longestBack.
-func (a *Admission) Limits(connections int, longestBack admission.Nanos) admission.Settings {
+func (a *Admission) Limits(connections int, longestBack clock.Nanos) admission.Settings {
 	const ms = 1e6
 	s := admission.Settings{Connections: connections, PerAddress: a.PerAddress, PerPrefix: a.PerPrefix,
-		NewAddress: a.NewPerS, NewPrefix: a.NewPerSPrefix, NewTotal: a.NewPerSTotal, Shared: a.Shared,
-		Crowd: int(a.CrowdShare * float64(connections)), EarlyIdle: a.EarlyIdleMS * ms, Spare: a.SpareMS * ms, Green: a.GreenMS * ms,
-		Silence: a.SilenceMS * ms, Remembered: a.Remembered, ComeBack: a.ComeBackMS * ms, LongestBack: longestBack,
+		NewAddress: a.NewPerS, NewPrefix: a.NewPerSPrefix, NewTotal: a.NewPerSTotal, SharedAddresses: a.Shared,
+		CrowdedFrom: int(a.CrowdShare * float64(connections)), CrowdedIdleTimeout: a.EarlyIdleMS * ms, EvictableIdle: a.SpareMS * ms, EvictableSilence: a.GreenMS * ms,
+		SilenceTimeout: a.SilenceMS * ms, MaxSources: a.Remembered, RetryAfter: a.ComeBackMS * ms, MaxRetryAfter: longestBack,
 		Pressure: admission.Pressure{Enter: a.Pressure.Enter, Leave: a.Pressure.Leave, NewPerSecond: a.Pressure.NewPerS,
-			Hold: a.Pressure.HoldMS * ms, Caps: a.Pressure.Caps}}
+			MinDuration: a.Pressure.HoldMS * ms, CapFactor: a.Pressure.Caps}}
 	for _, r := range a.Reserve {
 		s.Reserves = append(s.Reserves, admission.Reserve{Name: r.Name, Addresses: r.Addresses, Users: r.Users,
 			Databases: r.Databases, Applications: r.Applications, Connections: r.Connections})
--- a/internal/siteconfig/setup_test.go
+++ b/internal/siteconfig/setup_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	l := s.Admission.Limits(300, 2e9)
-	if l.Connections != 300 || l.PerAddress != 40 || l.NewAddress != 100 || l.Reserves[0].Connections != 40 || l.Green != 20e6 ||
-		l.Pressure.Hold != 5e6 || l.Pressure.Enter != 0.9 || l.LongestBack != 2e9 {
+	if l.Connections != 300 || l.PerAddress != 40 || l.NewAddress != 100 || l.Reserves[0].Connections != 40 || l.EvictableSilence != 20e6 ||
+		l.Pressure.MinDuration != 5e6 || l.Pressure.Enter != 0.9 || l.MaxRetryAfter != 2e9 {
 		t.Errorf("%+v", l)
 	}
 	if s, err = Load(file(t, `{}`)); err != nil || s.Admission != nil {
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	m, err := s.Members.Member("n1", 5)
-	if err != nil || m.Configured != 2 || m.Address != "10.0.1.2:7" || m.Period != 200e6 || m.Term() != 1600e6 || len(m.Names) != 2 || m.Alone != 0.5 {
+	if err != nil || m.Configured != 2 || m.Address != "10.0.1.2:7" || m.ProbeInterval != 200e6 || m.Term() != 1600e6 || len(m.Allowed) != 2 || m.IsolatedShare != 0.5 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	if _, err := s.Members.Member("n2", 5); err == nil || !strings.Contains(err.Error(), `"n2" is not among them`) {
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	l, err := s.Contracts.Lane(Fleet{"n0", 3, 7, true}, 4e9)
-	if err != nil || l.Epoch != 9e9 || l.Look != 200e6 || l.Lanes[0].Least != 0.05 || l.Lanes[1].Least != 0 || l.Teams[0].Lane != 0 || l.Teams[1].Lane != 1 || !l.Agreed || l.Routers != 7 {
+	if err != nil || l.SaltPeriod != 9e9 || l.Interval != 200e6 || l.PriorityClasses[0].ReservedShare != 0.05 || l.PriorityClasses[1].ReservedShare != 0 || l.Teams[0].PriorityClass != 0 || l.Teams[1].PriorityClass != 1 || !l.Shared || l.Routers != 7 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if text, _ := s.Print(); !strings.Contains(text, `"fresh_ms": 1000`) {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -30,8 +30,8 @@
 // Kind is "keep-empty", "keep-torn" or "keep-spoiled".
 func (e *Damaged) Kind() string { return "keep-" + string(e.Cause) }
 
-// Remedy is for operators.
-func (*Damaged) Remedy() string {
+// Hint is for operators.
+func (*Damaged) Hint() string {
 	return "nothing at once: the other routers feed this one; check the disk, and delete the file that was moved aside once nobody wants to look at it"
 }
 
@@ -48,8 +48,8 @@
 // Kind is "keep-foreign".
 func (*Foreign) Kind() string { return "keep-foreign" }
 
-// Remedy is for operators.
-func (*Foreign) Remedy() string {
+// Hint is for operators.
+func (*Foreign) Hint() string {
 	return "give each router a directory of its own (members.keep.dir), and move the file that was moved aside back to the one whose it is"
 }
 
@@ -66,8 +66,8 @@
 // Kind is "keep-later".
 func (*Later) Kind() string { return "keep-later" }
 
-// Remedy is for operators.
-func (*Later) Remedy() string {
+// Hint is for operators.
+func (*Later) Hint() string {
 	return "start the later release again with the file moved back, or go on with this one: the other routers feed it"
 }
 
@@ -84,8 +84,8 @@
 // Kind is "keep-old".
 func (*Old) Kind() string { return "keep-old" }
 
-// Remedy is for operators.
-func (*Old) Remedy() string {
+// Hint is for operators.
+func (*Old) Hint() string {
 	return "nothing at once: the other routers feed this one; do not put copies of this directory back, an empty directory is better"
 }
 
@@ -103,8 +103,8 @@
 // Kind is "keep-locked".
 func (*Locked) Kind() string { return "keep-locked" }
 
-// Remedy is for operators.
-func (*Locked) Remedy() string {
+// Hint is for operators.
+func (*Locked) Hint() string {
 	return "end the other process, or give each router a directory of its own (members.keep.dir), and start this router again"
 }
 
@@ -122,8 +122,8 @@
 // Kind is "keep-read-only".
 func (*ReadOnly) Kind() string { return "keep-read-only" }
 
-// Remedy is for operators.
-func (*ReadOnly) Remedy() string {
+// Hint is for operators.
+func (*ReadOnly) Hint() string {
 	return "make the directory writable for the router's user (a disk with errors is often mounted read-only), and start this router again"
 }
 
@@ -141,8 +141,8 @@
 // Kind is "keep-full".
 func (*Full) Kind() string { return "keep-full" }
 
-// Remedy is for operators.
-func (*Full) Remedy() string {
+// Hint is for operators.
+func (*Full) Hint() string {
 	return "make room on the disk (the files that were moved aside may go), or raise members.keep.most_mb; writing goes on by itself"
 }
 
@@ -159,8 +159,8 @@
 // Kind is "keep-slow".
 func (*Slow) Kind() string { return "keep-slow" }
 
-// Remedy is for operators.
-func (*Slow) Remedy() string {
+// Hint is for operators.
+func (*Slow) Hint() string {
 	return "nothing is held up by it; look at what else the disk does, or name a directory on another one (members.keep.dir)"
 }
 
@@ -177,8 +177,8 @@
 // Kind is "keep-behind".
 func (*Behind) Kind() string { return "keep-behind" }
 
-// Remedy is for operators.
-func (*Behind) Remedy() string {
+// Hint is for operators.
+func (*Behind) Hint() string {
 	return "raise members.keep.queue_kb or fsyncs_per_s, or name a faster disk; after a restart the other routers make up for it"
 }
 
@@ -197,8 +197,8 @@
 // Kind is "keep-crowded".
 func (*Crowded) Kind() string { return "keep-crowded" }
 
-// Remedy is for operators.
-func (*Crowded) Remedy() string {
+// Hint is for operators.
+func (*Crowded) Hint() string {
 	return "find out why copies break (the disk, two routers with one directory), delete the files that lie aside, and start this router again"
 }
 
@@ -215,8 +215,8 @@
 // Kind is "keep-clock".
 func (*Clock) Kind() string { return "keep-clock" }
 
-// Remedy is for operators.
-func (*Clock) Remedy() string {
+// Hint is for operators.
+func (*Clock) Hint() string {
 	return "let the machine's clock be set before routers start; nothing to do for this start"
 }
 
@@ -234,8 +234,8 @@
 // Kind is "keep-failed".
 func (*Failed) Kind() string { return "keep-failed" }
 
-// Remedy is for operators.
-func (*Failed) Remedy() string {
+// Hint is for operators.
+func (*Failed) Hint() string {
 	return "check that the directory is there, is the router's and its disk is sound, and start this router again"
 }
 
--- a/internal/store/keep.go
+++ b/internal/store/keep.go
@@ -21,6 +21,7 @@
 	"time"
 
 	"lotushook/internal/operr"
+	"lotushook/policy/clock"
 	"lotushook/policy/persistence"
 )
 
@@ -39,9 +40,9 @@
 	Cluster, Name string // whose it is
 	Boot          uint64 // of this process
 	Queue         persistence.Settings
-	Windows       [256]persistence.Nanos   // by kind: older ones are let go; 0: they stay
-	Now           func() persistence.Nanos // a clock that only goes on; what it shows is not written
-	Wall          func() int64             // Unix time in nanoseconds, as the system has it now
+	Windows       [256]clock.Nanos   // by kind: older ones are let go; 0: they stay
+	Now           func() clock.Nanos // a clock that only goes on; what it shows is not written
+	Wall          func() int64       // Unix time in nanoseconds, as the system has it now
 
 	disk disk
 }
@@ -192,7 +193,7 @@
 }
 
 // due is when the next batch goes; at the end at once, and only one that has not failed.
-func (k *Keep) due(last bool) (persistence.Nanos, bool) {
+func (k *Keep) due(last bool) (clock.Nanos, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.off {
@@ -211,7 +212,7 @@
 	taken := k.set.Now()
 	b := k.queue.Take(taken)
 	h := head{format: format, cluster: k.set.Cluster, name: k.set.Name, boot: k.set.Boot, generation: k.head.generation + 1,
-		letGo: k.queue.Counts().LetGo + k.swept}
+		letGo: k.queue.Counts().Dropped + k.swept}
 	k.mu.Unlock()
 	return func() func() {
 		h.wall = k.set.Wall()
@@ -246,7 +247,7 @@
 	return fsyncs + 3, letGo, nil // the file's first pages, its growth, the directory
 }
 
-func (k *Keep) wrote(taken persistence.Nanos, h *head, fsyncs, swept int, size int64, err error) {
+func (k *Keep) wrote(taken clock.Nanos, h *head, fsyncs, swept int, size int64, err error) {
 	k.mu.Lock()
 	if err != nil {
 		k.queue.Failed(taken, k.set.Now(), fsyncs)
@@ -254,13 +255,13 @@
 			k.off = true
 		}
 	} else {
-		k.queue.Wrote(taken, fsyncs)
+		k.queue.Committed(taken, fsyncs)
 		k.head, k.size = *h, size
 		k.swept += uint64(swept)
 	}
 	again := k.failing && err == nil
 	k.failing = err != nil
-	lost := k.queue.Counts().LetGo
+	lost := k.queue.Counts().Dropped
 	k.lost, lost = lost, lost-k.lost
 	total := k.lost
 	k.mu.Unlock()
@@ -397,7 +398,7 @@
 	}
 	kept := f.Records[:0]
 	for i, r := range f.Records {
-		r.Age, r.Unsure = persistence.Aged(r.Age, walls[i], h.wall, now)
+		r.Age, r.MinAgeOnly = persistence.AgeNow(r.Age, walls[i], h.wall, now)
 		if w := k.set.Windows[r.Kind]; w == 0 || r.Age < w {
 			kept = append(kept, r)
 		}
@@ -492,7 +493,7 @@
 	Counts     persistence.Counts `json:"counts"`
 	Trouble    string             `json:"trouble,omitempty"`
 	ErrorKind  string             `json:"error_kind,omitempty"`
-	Remedy     string             `json:"remedy,omitempty"`
+	Hint       string             `json:"remedy,omitempty"`
 }
 
 // Report is as of now; nil of a nil copy.
@@ -510,7 +511,7 @@
 		r.Writes = false
 	}
 	if e := cmp.Or(k.trouble, k.start); e != nil {
-		r.Trouble, r.ErrorKind, r.Remedy = e.Error(), e.Kind(), e.Remedy()
+		r.Trouble, r.ErrorKind, r.Hint = e.Error(), e.Kind(), e.Hint()
 	}
 	return r
 }
--- a/internal/store/keep_test.go
+++ b/internal/store/keep_test.go
@@ -24,8 +24,8 @@
 var began = time.Now()
 
 func settings(dir string) Settings {
-	q := persistence.Usual()
-	q.Fsyncs, q.Retry = 1000, 1e6
+	q := persistence.DefaultSettings()
+	q.FsyncsPerSecond, q.RetryBackoff = 1000, 1e6
 	return Settings{Dir: dir, Most: 1 << 20, Cluster: "x", Name: "n0", Boot: 7, Queue: q, Now: func() int64 { return int64(time.Since(began)) },
 		Wall: func() int64 { return time.Now().UnixNano() }}
 }
@@ -115,8 +115,8 @@
 		t.Fatalf("%d records, boot %d, generation %d, let go %d", len(got), f.Boot, f.Generation, f.LetGo)
 	}
 	for _, r := range f.Records {
-		if r.Age < 3600e9 || r.Age > 3700e9 || r.Unsure {
-			t.Fatalf("%s is %d old, unsure %v", r.Key, r.Age, r.Unsure)
+		if r.Age < 3600e9 || r.Age > 3700e9 || r.MinAgeOnly {
+			t.Fatalf("%s is %d old, unsure %v", r.Key, r.Age, r.MinAgeOnly)
 		}
 	}
 	if len(k.Found().Records) != 0 {
@@ -138,8 +138,8 @@
 	defer stop()
 	<-k.Loaded()
 	for _, r := range k.Found().Records {
-		if !r.Unsure || r.Age > 3700e9 {
-			t.Fatalf("%s is %d old, unsure %v, by a clock that was set back", r.Key, r.Age, r.Unsure)
+		if !r.MinAgeOnly || r.Age > 3700e9 {
+			t.Fatalf("%s is %d old, unsure %v, by a clock that was set back", r.Key, r.Age, r.MinAgeOnly)
 		}
 	}
 	if r := k.Report(); r.ErrorKind != "keep-clock" || !r.Writes {
@@ -213,7 +213,7 @@
 			k, stop := run(t, s)
 			<-k.Loaded()
 			got, r := texts(k.Found()), k.Report()
-			if r.ErrorKind != c.kind || r.Writes != c.writes || c.finds != maps.Equal(got, want) || !c.finds && len(got) > 0 || (r.Remedy == "") != (c.kind == "") {
+			if r.ErrorKind != c.kind || r.Writes != c.writes || c.finds != maps.Equal(got, want) || !c.finds && len(got) > 0 || (r.Hint == "") != (c.kind == "") {
 				t.Errorf("%d records, %+v", len(got), r)
 			}
 			aside, _ := filepath.Glob(filepath.Join(dir, "*.aside-*"))
@@ -309,7 +309,7 @@
 		k.Put(record(fmt.Sprint("key-", i%200), fmt.Sprint(i)))
 		worst = max(worst, time.Since(at))
 	}
-	if r := k.Report(); r.Waiting > 2*4096 || r.Counts.LetGo == 0 || r.Counts.Coalesced == 0 || r.Counts.Batches != 0 {
+	if r := k.Report(); r.Waiting > 2*4096 || r.Counts.Dropped == 0 || r.Counts.Coalesced == 0 || r.Counts.Batches != 0 {
 		t.Errorf("%+v", r)
 	}
 	until(t, "it is said", func() bool { return k.Report().ErrorKind == "keep-slow" })
@@ -418,7 +418,7 @@
 // Fsyncs keep their rate.
 func TestFsyncs(t *testing.T) {
 	s := settings(t.TempDir())
-	s.Queue.Fsyncs = 20
+	s.Queue.FsyncsPerSecond = 20
 	k, _ := run(t, s)
 	at := time.Now()
 	for i := 0; time.Since(at) < time.Second; i++ {
@@ -438,9 +438,9 @@
 		&Crowded{"p", 4, why}, &Clock{"p", time.Hour}, &Failed{"p", "d", why}}
 	types, kinds := map[string]bool{}, map[string]bool{}
 	for _, e := range all {
-		types[strings.TrimPrefix(fmt.Sprintf("%T", e), "*keep.")] = true
-		if kinds[e.Kind()] || !strings.HasPrefix(e.Kind(), "keep-") || len(e.Remedy()) < 20 || !strings.Contains(e.Error(), "p") || operr.Of(fmt.Errorf("x: %w", e)) != e {
-			t.Errorf("%T: %s: %s: %s", e, e.Kind(), e, e.Remedy())
+		types[strings.TrimPrefix(fmt.Sprintf("%T", e), "*store.")] = true
+		if kinds[e.Kind()] || !strings.HasPrefix(e.Kind(), "keep-") || len(e.Hint()) < 20 || !strings.Contains(e.Error(), "p") || operr.Of(fmt.Errorf("x: %w", e)) != e {
+			t.Errorf("%T: %s: %s: %s", e, e.Kind(), e, e.Hint())
 		}
 		kinds[e.Kind()] = true
 		if u, ok := e.(interface{ Unwrap() error }); ok && u.Unwrap() != why {
@@ -461,7 +461,7 @@
 		}
 	}
 	for _, d := range f.Decls {
-		if fn, ok := d.(*ast.FuncDecl); ok && fn.Name.Name == "Remedy" {
+		if fn, ok := d.(*ast.FuncDecl); ok && fn.Name.Name == "Hint" {
 			if name := fn.Recv.List[0].Type.(*ast.StarExpr).X.(*ast.Ident).Name; !types[name] {
 				t.Errorf("%s is not looked at", name)
 			}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,6 +15,7 @@
 	"go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/persistence"
 )
 
@@ -48,7 +49,7 @@
 	sweepShare = 8 // and so much of that is made free at a time
 )
 
-type osDisk struct{ windows [256]persistence.Nanos }
+type osDisk struct{ windows [256]clock.Nanos }
 
 // lock holds a file for this process alone.
 func (osDisk) lock(path string) (io.Closer, error) {
@@ -69,7 +70,7 @@
 	most    int64 // bytes of the file; the store maps powers of two
 	live    int64 // bytes of keys and values
 	sum     uint64
-	windows [256]persistence.Nanos
+	windows [256]clock.Nanos
 	bad     bool // it has panicked: nothing of it is touched any more
 }
 
@@ -192,7 +193,7 @@
 		if err != nil {
 			return 0
 		}
-		age, _ := persistence.Aged(r.Age, written, wall, wall)
+		age, _ := persistence.AgeNow(r.Age, written, wall, wall)
 		if w := s.windows[r.Kind]; w > 0 && age >= w {
 			return 65
 		}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"lotushook/policy/clock"
 	"net/netip"
 	"strings"
 	"testing"
@@ -9,20 +10,20 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-const ms = Nanos(1e6)
+const ms = clock.Nanos(1e6)
 
 // untimed leaves the drawn times to return out.
-var untimed = cmpopts.IgnoreFields(Closing{}, "Wait")
+var untimed = cmpopts.IgnoreFields(Eviction{}, "RetryAfter")
 
 // usual are limits small enough to be met in a few steps.
 func usual() Settings {
 	return Settings{Connections: 10, PerAddress: 4, PerPrefix: 6, NewAddress: 8, NewPrefix: 12,
-		Spare: 100 * ms, Green: 20 * ms, Silence: 250 * ms, EarlyIdle: 500 * ms, Remembered: 4, ComeBack: 1000 * ms, LongestBack: 2000 * ms,
-		Pressure: Pressure{Enter: 0.9, Leave: 0.5, Hold: 1000 * ms, Caps: 0.5},
+		EvictableIdle: 100 * ms, EvictableSilence: 20 * ms, SilenceTimeout: 250 * ms, CrowdedIdleTimeout: 500 * ms, MaxSources: 4, RetryAfter: 1000 * ms, MaxRetryAfter: 2000 * ms,
+		Pressure: Pressure{Enter: 0.9, Leave: 0.5, MinDuration: 1000 * ms, CapFactor: 0.5},
 		Reserves: []Reserve{{Name: "counters", Addresses: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}, Connections: 3}}}
 }
 
-func gate(t *testing.T, s Settings) *Gate {
+func gate(t *testing.T, s Settings) *Controller {
 	t.Helper()
 	g, err := New(s, 1)
 	if err != nil {
@@ -56,7 +57,7 @@
 		{"new ones in all, but for a reserve's", func(s *Settings) { s.NewTotal = 2 }, []string{"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.9.0.1"},
 			[]Reason{None, None, TotalRate, None}},
 		{"an address that many share has no caps of its own", func(s *Settings) {
-			s.Shared = []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}
+			s.SharedAddresses = []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}
 		}, []string{"10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1"}, []Reason{None, None, None, None, None, None, None}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -79,19 +80,19 @@
 // What a refused one is told is true: it gets in when it comes back then.
 func TestComeBack(t *testing.T) {
 	set := usual()
-	set.NewAddress, set.LongestBack, set.Connections = 3, 0, 100
+	set.NewAddress, set.MaxRetryAfter, set.Connections = 3, 0, 100
 	g := gate(t, set)
-	now := Nanos(5e9 + 37*ms)
+	now := clock.Nanos(5e9 + 37*ms)
 	for i := range 3 {
 		g.Arrive(ID(i), ip("10.1.0.1"), now)
-		g.Left(ID(i))
+		g.Closed(ID(i))
 		now += 120 * ms
 	}
 	v := g.Arrive(9, ip("10.1.0.1"), now)
-	if v.Reason != AddressRate || v.Limit != 3 || v.Wait <= 0 || v.Wait > 1600*ms {
+	if v.Reason != AddressRate || v.Limit != 3 || v.RetryAfter <= 0 || v.RetryAfter > 1600*ms {
 		t.Fatalf("%+v", v)
 	}
-	if v = g.Arrive(10, ip("10.1.0.1"), now+v.Wait); !v.Taken() {
+	if v = g.Arrive(10, ip("10.1.0.1"), now+v.RetryAfter); !v.Admitted() {
 		t.Errorf("at the time that it was told: %+v", v)
 	}
 }
@@ -102,39 +103,39 @@
 	set := usual()
 	set.PerAddress, set.PerPrefix, set.NewAddress, set.NewPrefix = 0, 0, 0, 0
 	g := gate(t, set)
-	now := Nanos(5e9)
+	now := clock.Nanos(5e9)
 	for i := range 10 { // all room, three of it lent
-		if v := g.Arrive(ID(i), ip("10.1.0.1"), now); !v.Taken() {
+		if v := g.Arrive(ID(i), ip("10.1.0.1"), now); !v.Admitted() {
 			t.Fatalf("%d: %+v", i, v)
 		}
 	}
 	for i := range 9 {
-		g.Start(ID(i), Who{}, now)
+		g.Start(ID(i), Identity{}, now)
 	}
 	for i := range 8 {
 		want := None
 		if i == 7 { // the eighth would wait in lent room
 			want = Reserved
 		}
-		if v := g.Ask(ID(i), now); v.Reason != want {
+		if v := g.Request(ID(i), now); v.Reason != want {
 			t.Fatalf("%d: %+v", i, v)
 		}
 	}
-	g.Left(7)
+	g.Closed(7)
 	g.Answered(6, now)
-	if v := g.Arrive(20, ip("10.1.0.1"), now); !v.Taken() { // the room of 7
+	if v := g.Arrive(20, ip("10.1.0.1"), now); !v.Admitted() { // the room of 7
 		t.Fatalf("%+v", v)
 	}
-	for i, want := range []Closing{{ID: 9, Reason: Displaced, Word: true}, {ID: 20, Reason: Displaced, Word: true}, {ID: 6, Reason: Displaced, Word: false}} {
+	for i, want := range []Eviction{{ID: 9, Reason: Displaced, Notify: true}, {ID: 20, Reason: Displaced, Notify: true}, {ID: 6, Reason: Displaced, Notify: false}} {
 		v := g.Arrive(ID(30+i), ip("10.9.0.1"), now)
-		if !v.Taken() || !cmp.Equal(v.Close, []Closing{want}, untimed) {
+		if !v.Admitted() || !cmp.Equal(v.Close, []Eviction{want}, untimed) {
 			t.Errorf("member %d: %+v", i, v)
 		}
 	}
-	if v := g.Arrive(40, ip("10.9.0.1"), now); v.Reason != Full { // beyond the reserve it is as all others
+	if v := g.Arrive(40, ip("10.9.0.1"), now); v.Reason != AtCapacity { // beyond the reserve it is as all others
 		t.Errorf("%+v", v)
 	}
-	if v := g.Ask(6, now); v.Reason != Displaced { // it crosses its own closing
+	if v := g.Request(6, now); v.Reason != Displaced { // it crosses its own closing
 		t.Errorf("%+v", v)
 	}
 }
@@ -145,18 +146,18 @@
 	set.PerAddress, set.PerPrefix, set.NewAddress, set.NewPrefix = 0, 0, 0, 0
 	set.Reserves = []Reserve{{Name: "counters", Users: []string{"counter"}, Databases: []string{"loans"}, Applications: []string{"desk"}, Connections: 2}}
 	g := gate(t, set)
-	now := Nanos(5e9)
+	now := clock.Nanos(5e9)
 	for i := range 10 {
 		g.Arrive(ID(i), ip("10.1.0.1"), now)
-		g.Start(ID(i), Who{User: "app"}, now)
+		g.Start(ID(i), Identity{User: "app"}, now)
 	}
-	for i, who := range []Who{{User: "counter"}, {Application: "desk"}} {
+	for i, who := range []Identity{{User: "counter"}, {Application: "desk"}} {
 		v := g.Arrive(ID(20+i), ip("10.1.0.1"), now)
-		if !v.Taken() || len(v.Close) != 1 || !g.Start(ID(20+i), who, now).Taken() {
+		if !v.Admitted() || len(v.Close) != 1 || !g.Start(ID(20+i), who, now).Admitted() {
 			t.Fatalf("%+v", v)
 		}
 	}
-	if v := g.Arrive(30, ip("10.1.0.1"), now); v.Reason != Full {
+	if v := g.Arrive(30, ip("10.1.0.1"), now); v.Reason != AtCapacity {
 		t.Errorf("the reserve is in use: %+v", v)
 	}
 }
@@ -167,11 +168,11 @@
 	set := usual()
 	set.Pressure.NewPerSecond = 5
 	g := gate(t, set)
-	now := Nanos(5e9)
+	now := clock.Nanos(5e9)
 	for i := range 5 {
 		g.Arrive(ID(i), ip("10.1.0.1"), now)
 	}
-	if !g.Tight() {
+	if !g.UnderPressure() {
 		t.Fatal("not tight at 5 new ones a second")
 	}
 	if v := g.Arrive(9, ip("10.1.0.1"), now); v.Reason != AddressRate || v.Limit != 4 {
@@ -181,24 +182,24 @@
 		t.Errorf("closed early: %v", c)
 	}
 	// Two are over what the caps allow now; the others have their time.
-	want := []Closing{{ID: 0, Reason: Silent, Word: true}, {ID: 1, Reason: Silent, Word: true}}
+	want := []Eviction{{ID: 0, Reason: Silent, Notify: true}, {ID: 1, Reason: Silent, Notify: true}}
 	if diff := cmp.Diff(want, g.Sweep(now+249*ms, 0), untimed); diff != "" {
 		t.Error(diff)
 	}
-	want = []Closing{{ID: 2, Reason: Silent, Word: true}, {ID: 3, Reason: Silent, Word: true}}
+	want = []Eviction{{ID: 2, Reason: Silent, Notify: true}, {ID: 3, Reason: Silent, Notify: true}}
 	if diff := cmp.Diff(want, g.Sweep(now+250*ms, 0), untimed); diff != "" {
 		t.Error(diff)
 	}
 	g.Sweep(now+2000*ms, 0.95)
 	g.Sweep(now+2900*ms, 0)
-	if !g.Tight() {
+	if !g.UnderPressure() {
 		t.Error("not tight any more before its time")
 	}
 	g.Sweep(now+3000*ms, 0.6)
-	if !g.Tight() {
+	if !g.UnderPressure() {
 		t.Error("not tight any more between leave and enter")
 	}
-	if g.Sweep(now+3100*ms, 0.4); g.Tight() {
+	if g.Sweep(now+3100*ms, 0.4); g.UnderPressure() {
 		t.Error("still tight")
 	}
 }
@@ -209,11 +210,11 @@
 	set := usual()
 	set.Pressure.Enter = 1
 	g := gate(t, set)
-	now := Nanos(5e9)
+	now := clock.Nanos(5e9)
 	for i := range 4 {
 		g.Arrive(ID(i), ip("10.1.0.1"), now)
-		g.Start(ID(i), Who{}, now)
-		g.Ask(ID(i), now)
+		g.Start(ID(i), Identity{}, now)
+		g.Request(ID(i), now)
 	}
 	set.PerAddress = 1
 	if err := g.Set(set); err != nil {
@@ -228,7 +229,7 @@
 	if c := g.Sweep(now+50*ms, 0); len(c) > 0 {
 		t.Errorf("closed just after an answer: %v", c)
 	}
-	want := []Closing{{ID: 0, Reason: OverCap, Word: false}, {ID: 1, Reason: OverCap, Word: false}, {ID: 2, Reason: OverCap, Word: false}}
+	want := []Eviction{{ID: 0, Reason: OverCap, Notify: false}, {ID: 1, Reason: OverCap, Notify: false}, {ID: 2, Reason: OverCap, Notify: false}}
 	if diff := cmp.Diff(want, g.Sweep(now+100*ms, 0), untimed); diff != "" {
 		t.Error(diff)
 	}
@@ -256,8 +257,8 @@
 			s.Reserves[0] = Reserve{"x", []netip.Prefix{netip.MustParsePrefix("10.0.0.1/32")}, nil, nil, nil, 5}
 		},
 		"pressure: leave":         func(s *Settings) { s.Pressure.Leave = 1 },
-		"pressure.caps":           func(s *Settings) { s.Pressure.Caps = 0 },
-		"remembered":              func(s *Settings) { s.Remembered = 0 },
+		"pressure.caps":           func(s *Settings) { s.Pressure.CapFactor = 0 },
+		"remembered":              func(s *Settings) { s.MaxSources = 0 },
 		`reserve[1].name: "count`: func(s *Settings) { s.Reserves = append(s.Reserves, s.Reserves[0]) },
 	} {
 		s := usual()
@@ -271,15 +272,15 @@
 // A refusal at the accept, and a whole visit, allocate nothing.
 func BenchmarkArrive(b *testing.B) {
 	set := usual()
-	set.Connections, set.NewAddress, set.NewPrefix, set.Remembered = 1000, 0, 0, 1000
+	set.Connections, set.NewAddress, set.NewPrefix, set.MaxSources = 1000, 0, 0, 1000
 	g, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	addr, now := ip("10.1.0.1"), Nanos(5e9)
+	addr, now := ip("10.1.0.1"), clock.Nanos(5e9)
 	for i := range 4 {
 		g.Arrive(ID(i), addr, now)
-		g.Start(ID(i), Who{}, now)
+		g.Start(ID(i), Identity{}, now)
 	}
 	b.Run("refused", func(b *testing.B) {
 		b.ReportAllocs()
@@ -293,10 +294,10 @@
 		for range b.N {
 			now += 1e4
 			g.Arrive(10, other, now)
-			g.Start(10, Who{}, now)
-			g.Ask(10, now)
+			g.Start(10, Identity{}, now)
+			g.Request(10, now)
 			g.Answered(10, now)
-			g.Left(10)
+			g.Closed(10)
 		}
 	})
 }
--- a/policy/admission/gate.go
+++ b/policy/admission/gate.go
@@ -2,40 +2,41 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
 )
 
-// Gate holds the counts and decides. One goroutine at a time may use it: where
+// Controller holds the counts and decides. One goroutine at a time may use it: where
 // several do, their owner locks. It remembers the held connections and, beside
-// their addresses and prefixes, Settings.Remembered of each.
-type Gate struct {
-	set      Settings
-	rng      *rand.Rand
-	held     map[ID]*held
-	free     []*held // to be used again
-	addrs    *sources
-	prefixes *sources
-
-	queues   [][states]queue // by reserve, the common ones first
-	total    int             // held and not closing
-	members  []int           // held of each reserve
-	reserved int             // the sum of all reserves
-
-	arrivals, taken window
-	memory          float64
-	tight           bool
-	tightAt         Nanos
-	overCaps        bool // a cap was lowered, and some may hold more than it
-	counts          [Reasons]uint64
-	out             []Closing
+// their addresses and prefixes, Settings.MaxSources of each.
+type Controller struct {
+	settings    Settings
+	random      *rand.Rand
+	connections map[ID]*connection
+	free        []*connection // to be used again
+	addresses   *sources
+	prefixes    *sources
+
+	queues         [][states]queue // by reserve, the common ones first
+	total          int             // held and not closing
+	reserveMembers []int           // held of each reserve
+	reserved       int             // the sum of all reserves
+
+	arrivals, admitted rateWindow
+	memory             float64
+	underPressure      bool
+	pressureSince      clock.Nanos
+	overCaps           bool // a cap was lowered, and some may hold more than it
+	counts             [ReasonCount]uint64
+	evictions          []Eviction
 }
 
 // New returns a gate that holds nothing. Its draws, which spread the times to
 // return, follow from the seed.
-func New(s Settings, seed uint64) (*Gate, error) {
-	g := &Gate{rng: rand.New(rand.NewPCG(seed, 0xad)), held: map[ID]*held{}, addrs: newSources(s.Remembered), prefixes: newSources(s.Remembered)}
+func New(s Settings, seed uint64) (*Controller, error) {
+	g := &Controller{random: rand.New(rand.NewPCG(seed, 0xad)), connections: map[ID]*connection{}, addresses: newSources(s.MaxSources), prefixes: newSources(s.MaxSources)}
 	if err := g.Set(s); err != nil {
 		return nil, err
 	}
@@ -45,17 +46,17 @@
 // Set puts other limits in force. Who is held stays: what is over a lowered cap
 // is closed once it idles, and a reserve that has the name of an old one keeps
 // its members as far as they fit; others become common.
-func (g *Gate) Set(s Settings) error {
+func (g *Controller) Set(s Settings) error {
 	if err := s.Check(); err != nil {
 		return fmt.Errorf("admission: %w", err)
 	}
-	old := g.set
-	g.overCaps = g.overCaps || lower(s.PerAddress, old.PerAddress) || lower(s.PerPrefix, old.PerPrefix) || s.Connections < old.Connections
+	old := g.settings
+	g.overCaps = g.overCaps || isLower(s.PerAddress, old.PerAddress) || isLower(s.PerPrefix, old.PerPrefix) || s.Connections < old.Connections
 	index := make([]int, len(old.Reserves))
 	for i, r := range old.Reserves {
 		index[i] = slices.IndexFunc(s.Reserves, func(n Reserve) bool { return n.Name == r.Name })
 	}
-	g.set, g.members, g.reserved = s, make([]int, len(s.Reserves)), 0
+	g.settings, g.reserveMembers, g.reserved = s, make([]int, len(s.Reserves)), 0
 	for _, r := range s.Reserves {
 		g.reserved += r.Connections
 	}
@@ -66,90 +67,90 @@
 			for h := q.first; h != nil; {
 				next := h.next
 				if h.reserve >= 0 {
-					if h.reserve = index[h.reserve]; h.reserve >= 0 && g.members[h.reserve] >= s.Reserves[h.reserve].Connections {
+					if h.reserve = index[h.reserve]; h.reserve >= 0 && g.reserveMembers[h.reserve] >= s.Reserves[h.reserve].Connections {
 						h.reserve = -1
 					}
 				}
 				if h.reserve >= 0 {
-					g.members[h.reserve]++
+					g.reserveMembers[h.reserve]++
 				}
 				g.queues[h.reserve+1][h.state].push(h)
 				h = next
 			}
 		}
 	}
-	g.addrs.most, g.prefixes.most = s.Remembered, s.Remembered
+	g.addresses.capacity, g.prefixes.capacity = s.MaxSources, s.MaxSources
 	return nil
 }
 
-// Whole changes how many connections there is room for, as the system grants
+// SetCapacity changes how many connections there is room for, as the system grants
 // fewer than were told of, or more again. The reserves keep theirs.
-func (g *Gate) Whole(n int) {
+func (g *Controller) SetCapacity(n int) {
 	n = max(n, g.reserved+1)
-	g.overCaps = g.overCaps || n < g.set.Connections
-	g.set.Connections = n
+	g.overCaps = g.overCaps || n < g.settings.Connections
+	g.settings.Connections = n
 }
 
-// lower says whether a cap binds more than an old one.
-func lower(now, old int) bool { return now > 0 && (old == 0 || now < old) }
+// isLower says whether a cap binds more than an old one.
+func isLower(now, old int) bool { return now > 0 && (old == 0 || now < old) }
 
 // Arrive decides on a connection that has just come. Of a verdict that takes it,
 // what is to be closed is closed for its sake.
-func (g *Gate) Arrive(id ID, addr netip.Addr, now Nanos) Verdict {
-	g.out = g.out[:0]
+func (g *Controller) Arrive(id ID, addr netip.Addr, now clock.Nanos) Verdict {
+	g.evictions = g.evictions[:0]
 	g.arrivals.add(now)
-	g.press(now)
-	akey, pkey := keys(addr)
-	a, p := g.addrs.get(akey), g.prefixes.get(pkey)
-	member := g.memberOf(addr)
-	reason, limit, wait := g.caps(a, p, contains(g.set.Shared, addr), member >= 0, now)
+	g.updatePressure(now)
+	akey, pkey := sourceKeys(addr)
+	a, p := g.addresses.get(akey), g.prefixes.get(pkey)
+	member := g.reserveOf(addr)
+	reason, limit, wait := g.checkCaps(a, p, contains(g.settings.SharedAddresses, addr), member >= 0, now)
 	if reason != None {
-		return g.refuse(reason, limit, wait)
+		return g.reject(reason, limit, wait)
 	}
-	if g.total >= g.set.Connections && !g.makeRoom(member, now) {
-		return g.refuse(Full, g.set.Connections, g.comeBack())
+	if g.total >= g.settings.Connections && !g.makeRoom(member, now) {
+		return g.reject(AtCapacity, g.settings.Connections, g.retryAfter())
 	}
-	h := g.take()
-	*h = held{id: id, addr: a, prefix: p, reserve: member, state: silent, since: now}
-	g.held[id] = h
-	g.addrs.hold(a, now)
-	g.prefixes.hold(p, now)
-	g.taken.add(now)
+	h := g.newConnection()
+	*h = connection{id: id, address: a, prefix: p, reserve: member, state: silent, since: now}
+	g.connections[id] = h
+	g.addresses.connect(a, now)
+	g.prefixes.connect(p, now)
+	g.admitted.add(now)
 	if member >= 0 {
-		g.members[member]++
+		g.reserveMembers[member]++
 	}
 	g.enter(h, silent, now)
 	g.total++
-	if g.set.Crowd > 0 && g.total > g.set.Crowd { // two for each that comes, so that it gets less
+	if g.settings.CrowdedFrom > 0 && g.total > g.settings.CrowdedFrom { // two for each that comes, so that it gets less
 		for range 2 {
-			if v := g.queues[0][idle].first; v != nil && now-v.since >= g.set.EarlyIdle {
-				g.shut(v, Idle)
+			if v := g.queues[0][idle].first; v != nil && now-v.since >= g.settings.CrowdedIdleTimeout {
+				g.evict(v, Idle)
 			}
 		}
 	}
-	return Verdict{Close: g.out}
+	return Verdict{Close: g.evictions}
 }
 
-// caps are the limits on an address, its prefix, and all. Where an address holds
+// checkCaps are the limits on an address, its prefix, and all. Where an address holds
 // its most, its silent ones make room: one that starts properly goes before those
 // that say nothing.
-func (g *Gate) caps(a, p *source, shared, member bool, now Nanos) (Reason, int, Nanos) {
+func (g *Controller) checkCaps(a, p *source, shared, member bool, now clock.Nanos) (Reason, int, clock.Nanos) {
 	if !shared {
-		if most := g.cap(g.set.NewAddress, member); most > 0 && a.taken.count(now) >= most {
-			return AddressRate, most, g.later(a.taken.wait(now, most))
+		if most := g.effectiveCap(g.settings.NewAddress, member); most > 0 && a.admitted.count(now) >= most {
+			return AddressRate, most, g.spreadRetryAfter(a.admitted.wait(now, most))
 		}
-		if most := g.cap(g.set.NewPrefix, member); most > 0 && p.taken.count(now) >= most {
-			return PrefixRate, most, g.later(p.taken.wait(now, most))
+		if most := g.effectiveCap(g.settings.NewPrefix, member); most > 0 && p.admitted.count(now) >= most {
+			return PrefixRate, most, g.spreadRetryAfter(p.admitted.wait(now, most))
 		}
 	}
-	if most := g.set.NewTotal; !member && most > 0 && g.taken.count(now) >= most {
-		return TotalRate, most, g.later(g.taken.wait(now, most))
+	if most := g.settings.NewTotal; !member && most > 0 && g.admitted.count(now) >= most {
+		return TotalRate, most, g.spreadRetryAfter(g.admitted.wait(now, most))
 	}
 	if shared {
 		return None, 0, 0
 	}
-	mostA, mostP := g.cap(g.set.PerAddress, member), g.cap(g.set.PerPrefix, member)
-	overA, overP := a.held-mostA, p.held-mostP // 0: one must go for the next
+	mostA, mostP := g.effectiveCap(g.settings.PerAddress, member), g.effectiveCap(g.settings.PerPrefix, member)
+	overA, overP := a.connections-mostA, p.connections-mostP // 0: one must go for the next
 	if mostA == 0 {
 		overA = -1
 	}
@@ -159,49 +160,49 @@
 	if overA < 0 && overP < 0 {
 		return None, 0, 0
 	}
-	if v := a.mute.first; v != nil && now-v.since >= g.green() && overA <= 0 && overP <= 0 {
-		g.shut(v, Displaced)
+	if v := a.silent.first; v != nil && now-v.since >= g.evictableSilence() && overA <= 0 && overP <= 0 {
+		g.evict(v, Displaced)
 		return None, 0, 0
 	}
 	full, limit := AddressFull, mostA
 	if overA < 0 {
 		full, limit = PrefixFull, mostP
 	}
-	return full, limit, g.comeBack()
+	return full, limit, g.retryAfter()
 }
 
-// cap is a cap for an address or a prefix as it is now.
-func (g *Gate) cap(most int, member bool) int {
-	if !g.tight || member || most == 0 {
+// effectiveCap is a cap for an address or a prefix as it is now.
+func (g *Controller) effectiveCap(most int, member bool) int {
+	if !g.underPressure || member || most == 0 {
 		return most
 	}
-	return max(1, int(float64(most)*g.set.Pressure.Caps))
+	return max(1, int(float64(most)*g.settings.Pressure.CapFactor))
 }
 
-// green is how long one may say nothing before it may be closed for another.
-func (g *Gate) green() Nanos {
-	if g.tight {
-		return g.set.Green / 4
+// evictableSilence is how long one may say nothing before it may be closed for another.
+func (g *Controller) evictableSilence() clock.Nanos {
+	if g.underPressure {
+		return g.settings.EvictableSilence / 4
 	}
-	return g.set.Green
+	return g.settings.EvictableSilence
 }
 
 // makeRoom closes one connection for another. For a member whose reserve is lent
 // any that is not waiting for an answer goes, and by the rule of Ask there is
 // one. For others those go that have long been of no use.
-func (g *Gate) makeRoom(member int, now Nanos) bool {
+func (g *Controller) makeRoom(member int, now clock.Nanos) bool {
 	common := &g.queues[0]
-	longest := func(q *queue, age Nanos) *held {
+	longest := func(q *queue, age clock.Nanos) *connection {
 		if h := q.first; h != nil && now-h.since >= age {
 			return h
 		}
 		return nil
 	}
-	v := longest(&common[silent], g.green())
+	v := longest(&common[silent], g.evictableSilence())
 	if v == nil {
-		v = longest(&common[idle], g.set.Spare)
+		v = longest(&common[idle], g.settings.EvictableIdle)
 	}
-	if v == nil && (member >= 0 || g.lent() && g.namedRoom()) { // it may be a member: its startup message will tell
+	if v == nil && (member >= 0 || g.reservesLent() && g.namedReserveHasRoom()) { // it may be a member: its startup message will tell
 		for _, s := range []state{silent, idle, started} {
 			if v = common[s].first; v != nil {
 				break
@@ -209,41 +210,41 @@
 		}
 	}
 	if v == nil && member >= 0 {
-		v = longest(&g.queues[member+1][silent], g.green())
+		v = longest(&g.queues[member+1][silent], g.evictableSilence())
 	}
 	if v == nil {
 		return false
 	}
-	g.shut(v, Displaced)
+	g.evict(v, Displaced)
 	return true
 }
 
-// lent says whether common connections stand in reserved room.
-func (g *Gate) lent() bool { return g.common() > g.set.Connections-g.reserved }
+// reservesLent says whether common connections stand in reserved room.
+func (g *Controller) reservesLent() bool { return g.commonCount() > g.settings.Connections-g.reserved }
 
-// common is how many connections are in no reserve.
-func (g *Gate) common() int {
+// commonCount is how many connections are in no reserve.
+func (g *Controller) commonCount() int {
 	n := g.total
-	for _, m := range g.members {
+	for _, m := range g.reserveMembers {
 		n -= m
 	}
 	return n
 }
 
-// namedRoom says whether a reserve that is known by names has room left.
-func (g *Gate) namedRoom() bool {
-	for i, r := range g.set.Reserves {
-		if len(r.Users)+len(r.Databases)+len(r.Applications) > 0 && g.members[i] < r.Connections {
+// namedReserveHasRoom says whether a reserve that is known by names has room left.
+func (g *Controller) namedReserveHasRoom() bool {
+	for i, r := range g.settings.Reserves {
+		if len(r.Users)+len(r.Databases)+len(r.Applications) > 0 && g.reserveMembers[i] < r.Connections {
 			return true
 		}
 	}
 	return false
 }
 
-// memberOf is the reserve with room that an address belongs to, -1 for none.
-func (g *Gate) memberOf(addr netip.Addr) int {
-	for i := range g.set.Reserves {
-		if r := &g.set.Reserves[i]; g.members[i] < r.Connections && contains(r.Addresses, addr) {
+// reserveOf is the reserve with room that an address belongs to, -1 for none.
+func (g *Controller) reserveOf(addr netip.Addr) int {
+	for i := range g.settings.Reserves {
+		if r := &g.settings.Reserves[i]; g.reserveMembers[i] < r.Connections && contains(r.Addresses, addr) {
 			return i
 		}
 	}
@@ -253,9 +254,9 @@
 // Start takes in what the startup message says. A connection that belongs to a
 // reserve with room is a member from now on. One that stands in lent room while
 // all other room waits for answers is turned away: whatever it asked would be.
-func (g *Gate) Start(id ID, who Who, now Nanos) Verdict {
-	g.out = g.out[:0]
-	h := g.held[id]
+func (g *Controller) Start(id ID, who Identity, now clock.Nanos) Verdict {
+	g.evictions = g.evictions[:0]
+	h := g.connections[id]
 	if h == nil || h.state == closing {
 		return Verdict{Reason: Displaced}
 	}
@@ -263,102 +264,102 @@
 		return Verdict{}
 	}
 	if h.reserve < 0 {
-		for i := range g.set.Reserves {
-			r := &g.set.Reserves[i]
-			if g.members[i] < r.Connections && (slices.Contains(r.Users, who.User) || slices.Contains(r.Databases, who.Database) ||
+		for i := range g.settings.Reserves {
+			r := &g.settings.Reserves[i]
+			if g.reserveMembers[i] < r.Connections && (slices.Contains(r.Users, who.User) || slices.Contains(r.Databases, who.Database) ||
 				slices.Contains(r.Applications, who.Application)) {
 				g.leave(h)
 				h.reserve = i
-				g.members[i]++
+				g.reserveMembers[i]++
 				g.enter(h, started, now)
 				return Verdict{}
 			}
 		}
 	}
-	if h.reserve < 0 && g.reserved > 0 && g.queues[0][busy].len >= g.set.Connections-g.reserved {
-		g.shut(h, Reserved)
-		g.out = g.out[:0]
-		return Verdict{Reason: Reserved, Limit: g.reserved, Wait: g.comeBack()}
+	if h.reserve < 0 && g.reserved > 0 && g.queues[0][busy].len >= g.settings.Connections-g.reserved {
+		g.evict(h, Reserved)
+		g.evictions = g.evictions[:0]
+		return Verdict{Reason: Reserved, Limit: g.reserved, RetryAfter: g.retryAfter()}
 	}
 	g.move(h, started, now)
 	return Verdict{}
 }
 
-// Ask decides whether a connection's next request is taken in. Only one that is
+// Request decides whether a connection's next request is taken in. Only one that is
 // in no reserve may be turned away, when those that wait for answers would begin
 // to fill the reserves: then lent room could not be had back. Nothing has run.
-func (g *Gate) Ask(id ID, now Nanos) Verdict {
-	g.out = g.out[:0]
-	h := g.held[id]
+func (g *Controller) Request(id ID, now clock.Nanos) Verdict {
+	g.evictions = g.evictions[:0]
+	h := g.connections[id]
 	switch {
 	case h == nil || h.state == closing:
 		return Verdict{Reason: Displaced}
 	case h.state == busy:
 		return Verdict{}
-	case h.reserve < 0 && g.reserved > 0 && g.queues[0][busy].len >= g.set.Connections-g.reserved:
-		g.shut(h, Reserved)
-		g.out = g.out[:0]
-		return Verdict{Reason: Reserved, Limit: g.reserved, Wait: g.comeBack()}
+	case h.reserve < 0 && g.reserved > 0 && g.queues[0][busy].len >= g.settings.Connections-g.reserved:
+		g.evict(h, Reserved)
+		g.evictions = g.evictions[:0]
+		return Verdict{Reason: Reserved, Limit: g.reserved, RetryAfter: g.retryAfter()}
 	}
 	g.move(h, busy, now)
 	return Verdict{}
 }
 
 // Answered says that nothing of a connection is open any more.
-func (g *Gate) Answered(id ID, now Nanos) {
-	if h := g.held[id]; h != nil && h.state == busy {
+func (g *Controller) Answered(id ID, now clock.Nanos) {
+	if h := g.connections[id]; h != nil && h.state == busy {
 		g.move(h, idle, now)
 	}
 }
 
-// Left says that a connection has ended.
-func (g *Gate) Left(id ID) {
-	h := g.held[id]
+// Closed says that a connection has ended.
+func (g *Controller) Closed(id ID) {
+	h := g.connections[id]
 	if h == nil {
 		return
 	}
-	delete(g.held, id)
+	delete(g.connections, id)
 	if h.state != closing {
 		g.drop(h)
 	}
-	*h = held{}
+	*h = connection{}
 	g.free = append(g.free, h)
 }
 
 // Sweep takes in how much of the memory is in use, and returns what is to be
 // closed by now: under pressure those that say nothing, and after a cap was
 // lowered those that idle over it. It wants to be called some times a second.
-func (g *Gate) Sweep(now Nanos, memory float64) []Closing {
-	g.out = g.out[:0]
+func (g *Controller) Sweep(now clock.Nanos, memory float64) []Eviction {
+	g.evictions = g.evictions[:0]
 	g.memory = memory
-	g.press(now)
-	if g.tight {
-		for h := g.queues[0][silent].first; h != nil && now-h.since >= g.green(); {
+	g.updatePressure(now)
+	if g.underPressure {
+		for h := g.queues[0][silent].first; h != nil && now-h.since >= g.evictableSilence(); {
 			next := h.next
-			if now-h.since >= g.set.Silence || g.overTight(h) {
-				g.shut(h, Silent)
+			if now-h.since >= g.settings.SilenceTimeout || g.overCap(h) {
+				g.evict(h, Silent)
 			}
 			h = next
 		}
 	}
 	if g.overCaps {
-		g.overCaps = g.trim(now)
+		g.overCaps = g.evictOverCaps(now)
 	}
-	return g.out
+	return g.evictions
 }
 
-// overTight says whether a silent connection is over its address's or prefix's
+// overCap says whether a silent connection is over its address's or prefix's
 // cap as it is now.
-func (g *Gate) overTight(h *held) bool {
-	a, p := g.cap(g.set.PerAddress, false), g.cap(g.set.PerPrefix, false)
-	return a > 0 && h.addr.held > a || p > 0 && h.prefix.held > p
+func (g *Controller) overCap(h *connection) bool {
+	a, p := g.effectiveCap(g.settings.PerAddress, false), g.effectiveCap(g.settings.PerPrefix, false)
+	return a > 0 && h.address.connections > a || p > 0 && h.prefix.connections > p
 }
 
-// trim closes idle connections over the caps and says whether any are over.
-func (g *Gate) trim(now Nanos) bool {
-	over := func(h *held) bool {
-		return g.total > g.set.Connections || g.set.PerAddress > 0 && h.addr.held > g.set.PerAddress ||
-			g.set.PerPrefix > 0 && h.prefix.held > g.set.PerPrefix
+// evictOverCaps closes idle connections over the caps and says whether any are over.
+func (g *Controller) evictOverCaps(now clock.Nanos) bool {
+	over := func(h *connection) bool {
+		return g.total > g.settings.Connections || g.settings.PerAddress > 0 && h.address.connections > g.settings.PerAddress ||
+			g.settings.PerPrefix > 0 && h.prefix.connections > g.settings.PerPrefix
 	}
 	left := false
 	for i := range g.queues {
@@ -366,8 +367,8 @@
 			for h := g.queues[i][s].first; h != nil; {
 				next := h.next
 				if over(h) {
-					if s == silent || s == idle && now-h.since >= g.set.Spare {
-						g.shut(h, OverCap)
+					if s == silent || s == idle && now-h.since >= g.settings.EvictableIdle {
+						g.evict(h, OverCap)
 					} else {
 						left = true
 					}
@@ -379,111 +380,111 @@
 	return left
 }
 
-// press finds out whether the router is short of something. Once it was, it
+// updatePressure finds out whether the router is short of something. Once it was, it
 // stays tight until all is well under where it began.
-func (g *Gate) press(now Nanos) {
-	p := &g.set.Pressure
-	use := max(float64(g.total)/float64(g.set.Connections), g.memory)
+func (g *Controller) updatePressure(now clock.Nanos) {
+	p := &g.settings.Pressure
+	use := max(float64(g.total)/float64(g.settings.Connections), g.memory)
 	most, rate := p.NewPerSecond, 0
 	if most > 0 {
 		rate = g.arrivals.count(now)
 	}
 	switch {
 	case use >= p.Enter || most > 0 && rate >= most:
-		g.tight, g.tightAt = true, now
-	case g.tight && use < p.Leave && (most == 0 || rate < most/2) && now-g.tightAt >= p.Hold:
-		g.tight = false
+		g.underPressure, g.pressureSince = true, now
+	case g.underPressure && use < p.Leave && (most == 0 || rate < most/2) && now-g.pressureSince >= p.MinDuration:
+		g.underPressure = false
 	}
 }
 
-// Tight says whether the gate is under pressure.
-func (g *Gate) Tight() bool { return g.tight }
+// UnderPressure says whether the gate is under pressure.
+func (g *Controller) UnderPressure() bool { return g.underPressure }
 
 // Size is how many connections are held, and how many addresses and prefixes
 // remembered.
-func (g *Gate) Size() (connections, remembered int) {
-	return g.total, len(g.addrs.all) + len(g.prefixes.all)
+func (g *Controller) Size() (connections, remembered int) {
+	return g.total, len(g.addresses.all) + len(g.prefixes.all)
 }
 
 // Counts is how many were turned away or closed, by reason.
-func (g *Gate) Counts() [Reasons]uint64 { return g.counts }
+func (g *Controller) Counts() [ReasonCount]uint64 { return g.counts }
 
-// Lost is the verdict on one that can't be held, as the system has no descriptor
+// OutOfDescriptors is the verdict on one that can't be held, as the system has no descriptor
 // for it.
-func (g *Gate) Lost() Verdict {
-	g.out = g.out[:0]
-	return g.refuse(OutOfDescriptors, 0, g.comeBack())
+func (g *Controller) OutOfDescriptors() Verdict {
+	g.evictions = g.evictions[:0]
+	return g.reject(OutOfDescriptors, 0, g.retryAfter())
 }
 
-func (g *Gate) refuse(r Reason, limit int, wait Nanos) Verdict {
+func (g *Controller) reject(r Reason, limit int, wait clock.Nanos) Verdict {
 	g.counts[r]++
-	return Verdict{Reason: r, Limit: limit, Wait: wait, Close: g.out}
+	return Verdict{Reason: r, Limit: limit, RetryAfter: wait, Close: g.evictions}
 }
 
-// shut puts a connection out; it takes no room from now on.
-func (g *Gate) shut(h *held, r Reason) {
+// evict puts a connection out; it takes no room from now on.
+func (g *Controller) evict(h *connection, r Reason) {
 	g.counts[r]++
-	g.out = append(g.out, Closing{ID: h.id, Reason: r, Wait: g.comeBack(), Word: h.state != idle})
+	g.evictions = append(g.evictions, Eviction{ID: h.id, Reason: r, RetryAfter: g.retryAfter(), Notify: h.state != idle})
 	g.drop(h)
 	h.state = closing
 }
 
 // drop takes a connection out of the counts.
-func (g *Gate) drop(h *held) {
+func (g *Controller) drop(h *connection) {
 	g.leave(h)
 	if h.reserve >= 0 {
-		g.members[h.reserve]--
+		g.reserveMembers[h.reserve]--
 	}
 	g.total--
-	g.addrs.leave(h.addr)
-	g.prefixes.leave(h.prefix)
+	g.addresses.disconnect(h.address)
+	g.prefixes.disconnect(h.prefix)
 }
 
-func (g *Gate) move(h *held, to state, now Nanos) {
+func (g *Controller) move(h *connection, to state, now clock.Nanos) {
 	g.leave(h)
 	g.enter(h, to, now)
 }
 
-func (g *Gate) enter(h *held, to state, now Nanos) {
+func (g *Controller) enter(h *connection, to state, now clock.Nanos) {
 	h.state, h.since = to, now
 	g.queues[h.reserve+1][to].push(h)
 	if to == silent {
-		h.addr.mute.push(h)
+		h.address.silent.push(h)
 	}
 }
 
-func (g *Gate) leave(h *held) {
+func (g *Controller) leave(h *connection) {
 	g.queues[h.reserve+1][h.state].remove(h)
 	if h.state == silent {
-		h.addr.mute.remove(h)
+		h.address.silent.remove(h)
 	}
 }
 
-func (g *Gate) take() *held {
+func (g *Controller) newConnection() *connection {
 	if n := len(g.free); n > 0 {
 		h := g.free[n-1]
 		g.free = g.free[:n-1]
 		return h
 	}
-	return &held{}
+	return &connection{}
 }
 
-// comeBack is a time to return, spread so that those turned away together don't
+// retryAfter is a time to return, spread so that those turned away together don't
 // return together.
-func (g *Gate) comeBack() Nanos { return g.later(g.set.ComeBack) }
+func (g *Controller) retryAfter() clock.Nanos { return g.spreadRetryAfter(g.settings.RetryAfter) }
 
-func (g *Gate) later(t Nanos) Nanos {
-	t += int64(g.rng.Float64() * float64(g.set.ComeBack) / 2)
-	if g.set.LongestBack > 0 {
-		t = min(t, g.set.LongestBack)
+func (g *Controller) spreadRetryAfter(t clock.Nanos) clock.Nanos {
+	t += int64(g.random.Float64() * float64(g.settings.RetryAfter) / 2)
+	if g.settings.MaxRetryAfter > 0 {
+		t = min(t, g.settings.MaxRetryAfter)
 	}
 	return t
 }
 
-// Shed closes one connection because descriptors run out although the count said
+// EvictOne closes one connection because descriptors run out although the count said
 // otherwise, if there is one that is of no use.
-func (g *Gate) Shed(now Nanos) []Closing {
-	g.out = g.out[:0]
+func (g *Controller) EvictOne(now clock.Nanos) []Eviction {
+	g.evictions = g.evictions[:0]
 	g.makeRoom(-1, now)
-	return g.out
+	return g.evictions
 }
--- a/policy/admission/interface.go
+++ b/policy/admission/interface.go
@@ -7,12 +7,10 @@
 import (
 	"errors"
 	"fmt"
+	"lotushook/policy/clock"
 	"net/netip"
 )
 
-// Nanos is a span or a point of the router's clock, in nanoseconds.
-type Nanos = int64
-
 // ID names a connection while it is held; the caller chooses it and does not use
 // it for another one before Left.
 type ID uint64
@@ -21,22 +19,22 @@
 type Settings struct {
 	Connections int // the whole: as many are held at most
 
-	PerAddress  int // held by one address
-	PerPrefix   int // held by one prefix: IPv4 /24, IPv6 /64
-	NewAddress  int // taken from one address within any second
-	NewPrefix   int // taken from one prefix within any second
-	NewTotal    int // taken in all within any second
-	Shared      []netip.Prefix
-	Reserves    []Reserve
-	Crowd       int   // from so many held on, those that idle longer than EarlyIdle are closed early
-	EarlyIdle   Nanos //
-	Spare       Nanos // one that idles so long may be closed to make room
-	Green       Nanos // so may one that has said nothing for so long
-	Silence     Nanos // under pressure, one that has said nothing for so long is closed
-	Pressure    Pressure
-	Remembered  int   // addresses and prefixes that are known at most, beside those of held connections
-	ComeBack    Nanos // the time to return that is told where no better one is known; spread over half as much again
-	LongestBack Nanos // no longer one is told
+	PerAddress         int // held by one address
+	PerPrefix          int // held by one prefix: IPv4 /24, IPv6 /64
+	NewAddress         int // taken from one address within any second
+	NewPrefix          int // taken from one prefix within any second
+	NewTotal           int // taken in all within any second
+	SharedAddresses    []netip.Prefix
+	Reserves           []Reserve
+	CrowdedFrom        int         // from so many held on, those that idle longer than CrowdedIdleTimeout are closed early
+	CrowdedIdleTimeout clock.Nanos //
+	EvictableIdle      clock.Nanos // one that idles so long may be closed to make room
+	EvictableSilence   clock.Nanos // so may one that has said nothing for so long
+	SilenceTimeout     clock.Nanos // under pressure, one that has said nothing for so long is closed
+	Pressure           Pressure
+	MaxSources         int         // addresses and prefixes that are known at most, beside those of held connections
+	RetryAfter         clock.Nanos // the time to return that is told where no better one is known; spread over half as much again
+	MaxRetryAfter      clock.Nanos // no longer one is told
 }
 
 // Reserve is room that nobody but its members can take. A connection is a
@@ -52,10 +50,10 @@
 
 // Pressure is when the router tightens, and how far. Shares are of the whole.
 type Pressure struct {
-	Enter, Leave float64 // of connections or memory in use: tight from Enter on, until all are under Leave
-	NewPerSecond int     // arrivals, taken or not, from which on it is tight; 0: they don't count
-	Hold         Nanos   // it stays tight for at least so long
-	Caps         float64 // what is left of the caps for each address and prefix while it is tight
+	Enter, Leave float64     // of connections or memory in use: tight from Enter on, until all are under Leave
+	NewPerSecond int         // arrivals, taken or not, from which on it is tight; 0: they don't count
+	MinDuration  clock.Nanos // it stays tight for at least so long
+	CapFactor    float64     // what is left of the caps for each address and prefix while it is tight
 }
 
 // Reason says why a connection was turned away or closed.
@@ -69,22 +67,22 @@
 	PrefixFull              // its prefix holds all it may
 	PrefixRate              // too many new ones of its prefix
 	TotalRate               // too many new ones in all
-	Full                    // no room, and nobody who could be closed for it
+	AtCapacity              // no room, and nobody who could be closed for it
 	Reserved                // the room is lent and its owners may want it back
 	Displaced               // closed to make room for another
 	Silent                  // said nothing for too long while room is short
 	Idle                    // idled while room is short
 	OverCap                 // idle, and over a cap that was lowered
 	OutOfDescriptors        // the system has none left
-	Reasons                 // how many there are
+	ReasonCount             // how many there are
 )
 
-var reasonNames = [Reasons]string{"none", "address_full", "address_rate", "prefix_full", "prefix_rate", "total_rate",
+var reasonNames = [ReasonCount]string{"none", "address_full", "address_rate", "prefix_full", "prefix_rate", "total_rate",
 	"full", "reserved", "displaced", "silent", "idle", "over_cap", "out_of_descriptors"}
 
 // String is the reason's name in logs and accounts.
 func (r Reason) String() string {
-	if r < 0 || r >= Reasons {
+	if r < 0 || r >= ReasonCount {
 		return fmt.Sprintf("reason(%d)", int(r))
 	}
 	return reasonNames[r]
@@ -92,28 +90,28 @@
 
 // Verdict is what becomes of a connection that comes, starts or asks.
 type Verdict struct {
-	Reason Reason // None: it is taken
-	Limit  int    // the cap that was met
-	Wait   Nanos  // when it may come again; 0: not known
-	Close  []Closing
+	Reason     Reason      // None: it is taken
+	Limit      int         // the cap that was met
+	RetryAfter clock.Nanos // when it may come again; 0: not known
+	Close      []Eviction
 }
 
-// Taken says whether the connection is let in.
-func (v Verdict) Taken() bool { return v.Reason == None }
+// Admitted says whether the connection is let in.
+func (v Verdict) Admitted() bool { return v.Reason == None }
 
-// Closing is a held connection that is to be closed. It counts as held until
+// Eviction is a held connection that is to be closed. It counts as held until
 // Left, and whatever it asks meanwhile is not taken.
-type Closing struct {
-	ID     ID
-	Reason Reason
-	Wait   Nanos // when it may come again
+type Eviction struct {
+	ID         ID
+	Reason     Reason
+	RetryAfter clock.Nanos // when it may come again
 	// Word says whether it is to hear why: one that has asked before may be asking
 	// again right now, and would take the word for the answer.
-	Word bool
+	Notify bool
 }
 
-// Who is what a startup message says.
-type Who struct{ User, Database, Application string }
+// Identity is what a startup message says.
+type Identity struct{ User, Database, Application string }
 
 // Check says what is wrong with settings, naming the field.
 func (s *Settings) Check() error {
@@ -136,8 +134,8 @@
 		name string
 		n    int
 	}{{"new_per_s", s.NewAddress}, {"new_per_s_prefix", s.NewPrefix}, {"new_per_s_total", s.NewTotal}} {
-		if c.n < 0 || c.n > mostRate {
-			bad(c.name, "%d is not between 0 and %d", c.n, mostRate)
+		if c.n < 0 || c.n > maxRate {
+			bad(c.name, "%d is not between 0 and %d", c.n, maxRate)
 		}
 	}
 	if s.PerAddress > 0 && s.PerPrefix > 0 && s.PerPrefix < s.PerAddress {
@@ -174,11 +172,11 @@
 	if !(p.Leave >= 0 && p.Leave <= p.Enter) || p.Enter > 1 {
 		bad("pressure", "leave %v and enter %v are not in order between 0 and 1", p.Leave, p.Enter)
 	}
-	if !(p.Caps > 0 && p.Caps <= 1) {
-		bad("pressure.caps", "%v is not above 0 and up to 1", p.Caps)
+	if !(p.CapFactor > 0 && p.CapFactor <= 1) {
+		bad("pressure.caps", "%v is not above 0 and up to 1", p.CapFactor)
 	}
-	if s.Remembered < 1 {
-		bad("remembered", "%d, at least 1 needed", s.Remembered)
+	if s.MaxSources < 1 {
+		bad("remembered", "%d, at least 1 needed", s.MaxSources)
 	}
 	return errors.Join(errs...)
 }
--- a/policy/admission/list.go
+++ b/policy/admission/list.go
@@ -1,5 +1,7 @@
 package admission
 
+import "lotushook/policy/clock"
+
 // state is where a held connection stands.
 type state int
 
@@ -12,28 +14,28 @@
 	states
 )
 
-// held is one connection.
-type held struct {
+// connection is one connection.
+type connection struct {
 	id      ID
-	addr    *source
+	address *source
 	prefix  *source
 	reserve int // index in Settings.Reserves, -1: common
 	state   state
-	since   Nanos // in this state
+	since   clock.Nanos // in this state
 
-	next, prev *held // in its queue, the longest there first
-	with       *held // the next and the one before of its address, while silent
-	before     *held
+	next, prev        *connection // in its queue, the longest there first
+	nextOfAddress     *connection // the next and the one before of its address, while silent
+	previousOfAddress *connection
 }
 
 // queue is a list of connections in one state, the longest there first. Nothing
 // is allocated for it, and each is taken out in one step.
 type queue struct {
-	first, last *held
+	first, last *connection
 	len         int
 }
 
-func (q *queue) push(h *held) {
+func (q *queue) push(h *connection) {
 	h.prev, h.next = q.last, nil
 	if q.last != nil {
 		q.last.next = h
@@ -44,7 +46,7 @@
 	q.len++
 }
 
-func (q *queue) remove(h *held) {
+func (q *queue) remove(h *connection) {
 	if h.prev != nil {
 		h.prev.next = h.next
 	} else {
@@ -59,29 +61,29 @@
 	q.len--
 }
 
-// mute is the list of the silent connections of one address, the longest first.
-type mute struct{ first, last *held }
+// silentList is the list of the silent connections of one address, the longest first.
+type silentList struct{ first, last *connection }
 
-func (m *mute) push(h *held) {
-	h.before, h.with = m.last, nil
+func (m *silentList) push(h *connection) {
+	h.previousOfAddress, h.nextOfAddress = m.last, nil
 	if m.last != nil {
-		m.last.with = h
+		m.last.nextOfAddress = h
 	} else {
 		m.first = h
 	}
 	m.last = h
 }
 
-func (m *mute) remove(h *held) {
-	if h.before != nil {
-		h.before.with = h.with
+func (m *silentList) remove(h *connection) {
+	if h.previousOfAddress != nil {
+		h.previousOfAddress.nextOfAddress = h.nextOfAddress
 	} else {
-		m.first = h.with
+		m.first = h.nextOfAddress
 	}
-	if h.with != nil {
-		h.with.before = h.before
+	if h.nextOfAddress != nil {
+		h.nextOfAddress.previousOfAddress = h.previousOfAddress
 	} else {
-		m.last = h.before
+		m.last = h.previousOfAddress
 	}
-	h.with, h.before = nil, nil
+	h.nextOfAddress, h.previousOfAddress = nil, nil
 }
--- a/policy/admission/replay_test.go
+++ b/policy/admission/replay_test.go
@@ -12,14 +12,14 @@
 func replaySettings() admission.Settings {
 	return admission.Settings{
 		Connections: 40, PerAddress: 6, PerPrefix: 20, NewAddress: 10, NewPrefix: 30, NewTotal: 40,
-		Shared: []netip.Prefix{netip.MustParsePrefix("10.0.1.0/30")},
+		SharedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.1.0/30")},
 		Reserves: []admission.Reserve{
 			{Name: "named", Users: []string{"r-0"}, Connections: 5},
 			{Name: "addressed", Addresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.6/31")}, Connections: 4},
 		},
-		Crowd: 20, EarlyIdle: 1e8, Spare: 5e7, Green: 2e9, Silence: 5e8,
-		Pressure:   admission.Pressure{Enter: 0.8, Leave: 0.6, NewPerSecond: 50, Hold: 1e9, Caps: 0.5},
-		Remembered: 10, ComeBack: 1e9, LongestBack: 5e9,
+		CrowdedFrom: 20, CrowdedIdleTimeout: 1e8, EvictableIdle: 5e7, EvictableSilence: 2e9, SilenceTimeout: 5e8,
+		Pressure:   admission.Pressure{Enter: 0.8, Leave: 0.6, NewPerSecond: 50, MinDuration: 1e9, CapFactor: 0.5},
+		MaxSources: 10, RetryAfter: 1e9, MaxRetryAfter: 5e9,
 	}
 }
 
@@ -36,7 +36,7 @@
 		arrive := func(address netip.Addr, now int64) admission.Verdict {
 			next++
 			verdict := gate.Arrive(next, address, now)
-			if verdict.Taken() {
+			if verdict.Admitted() {
 				held = append(held, next)
 			}
 			return verdict
@@ -52,11 +52,11 @@
 				return "nobody"
 			}
 			i := driver.IntN(len(held))
-			gate.Left(held[i])
+			gate.Closed(held[i])
 			held = append(held[:i], held[i+1:]...)
 			return fmt.Sprint(gate.Size())
 		}
-		start := func(who admission.Who, now int64) any {
+		start := func(who admission.Identity, now int64) any {
 			if id := pick(); id != 0 {
 				return gate.Start(id, who, now)
 			}
@@ -64,7 +64,7 @@
 		}
 		ask := func(now int64) any {
 			if id := pick(); id != 0 {
-				return gate.Ask(id, now)
+				return gate.Request(id, now)
 			}
 			return nil
 		}
@@ -73,7 +73,7 @@
 				gate.Answered(id, now)
 			}
 		}
-		driver.Run(1500, arrive, arrive, arrive, leave, start, ask, ask, answered, gate.Sweep, gate.Tight, gate.Counts)
+		driver.Run(1500, arrive, arrive, arrive, leave, start, ask, ask, answered, gate.Sweep, gate.UnderPressure, gate.Counts)
 	}
 	digest.Check(t, "1fd87fe82f6a4d88/52366")
 }
--- a/policy/admission/rules_test.go
+++ b/policy/admission/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"net/netip"
 	"testing"
 
@@ -13,7 +14,7 @@
 	addr   map[ID]netip.Addr
 	waits  map[ID]bool
 	closed map[ID]bool
-	took   map[string][]Nanos // by address and by prefix
+	took   map[string][]clock.Nanos // by address and by prefix
 }
 
 func (m *model) from(same func(netip.Addr) bool) int {
@@ -26,7 +27,7 @@
 	return n
 }
 
-func (m *model) close(t *rapid.T, list []Closing) {
+func (m *model) close(t *rapid.T, list []Eviction) {
 	for _, c := range list {
 		if _, here := m.addr[c.ID]; !here || m.closed[c.ID] {
 			t.Fatalf("%+v is not held", c)
@@ -47,49 +48,49 @@
 		set.Connections = rapid.IntRange(5, 12).Draw(t, "connections")
 		set.PerPrefix = rapid.SampledFrom([]int{0, 6}).Draw(t, "per prefix")
 		set.NewAddress = rapid.SampledFrom([]int{0, 3}).Draw(t, "new")
-		set.Crowd = rapid.SampledFrom([]int{0, 5}).Draw(t, "crowd")
-		set.Remembered = 8 // all the addresses below: the rate of one that had to be forgotten starts anew
+		set.CrowdedFrom = rapid.SampledFrom([]int{0, 5}).Draw(t, "crowd")
+		set.MaxSources = 8 // all the addresses below: the rate of one that had to be forgotten starts anew
 		set.Reserves = append(set.Reserves, Reserve{Name: "desks", Users: []string{"desk"}, Connections: 1})
 		g, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := model{map[ID]netip.Addr{}, map[ID]bool{}, map[ID]bool{}, map[string][]Nanos{}}
+		m := model{map[ID]netip.Addr{}, map[ID]bool{}, map[ID]bool{}, map[string][]clock.Nanos{}}
 		addrs := []netip.Addr{ip("10.1.0.1"), ip("10.1.0.2"), ip("10.1.0.3"), ip("10.2.0.1"), ip("10.9.0.1"), ip("10.9.1.1"), ip("fd00::1"), ip("fd00::2")}
-		now, next := Nanos(5e9), ID(0)
+		now, next := clock.Nanos(5e9), ID(0)
 		any := func() ID { return ID(rapid.Uint64Range(0, uint64(next)).Draw(t, "id")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) { now += rapid.Int64Range(0, 400).Draw(t, "ms") * ms },
 			"arrive": func(t *rapid.T) {
 				a := rapid.SampledFrom(addrs).Draw(t, "from")
 				member := a.Is4() && a.As4()[1] == 9
-				used := g.members[0]
+				used := g.reserveMembers[0]
 				v := g.Arrive(next, a, now)
 				m.close(t, v.Close)
-				if v.Taken() {
+				if v.Admitted() {
 					m.addr[next] = a
 					for _, key := range sourceNames(a) {
 						m.took[key] = append(m.took[key], now)
 					}
-				} else if member && used < 3 && v.Reason == Full {
+				} else if member && used < 3 && v.Reason == AtCapacity {
 					t.Fatalf("no room for a member of a reserve that holds %d of 3", used)
 				}
 				next++
 			},
 			"start": func(t *rapid.T) {
 				id := any()
-				v := g.Start(id, Who{User: rapid.SampledFrom([]string{"app", "desk"}).Draw(t, "user")}, now)
-				if _, here := m.addr[id]; here && !v.Taken() {
+				v := g.Start(id, Identity{User: rapid.SampledFrom([]string{"app", "desk"}).Draw(t, "user")}, now)
+				if _, here := m.addr[id]; here && !v.Admitted() {
 					m.closed[id] = true
 				}
 			},
 			"ask": func(t *rapid.T) {
 				id := any()
 				_, here := m.addr[id]
-				switch v := g.Ask(id, now); {
-				case v.Taken() && (!here || m.closed[id]):
+				switch v := g.Request(id, now); {
+				case v.Admitted() && (!here || m.closed[id]):
 					t.Fatalf("%d asks and is not here", id)
-				case v.Taken():
+				case v.Admitted():
 					m.waits[id] = true
 				case here:
 					m.closed[id] = true
@@ -102,7 +103,7 @@
 			},
 			"left": func(t *rapid.T) {
 				id := any()
-				g.Left(id)
+				g.Closed(id)
 				delete(m.addr, id)
 				delete(m.waits, id)
 				delete(m.closed, id)
@@ -117,7 +118,7 @@
 				}
 				common := 0
 				for id := range m.waits {
-					if h := g.held[id]; h != nil && h.state == busy && h.reserve < 0 {
+					if h := g.connections[id]; h != nil && h.state == busy && h.reserve < 0 {
 						common++
 					}
 				}
@@ -125,12 +126,12 @@
 					t.Fatalf("%d wait in common room of %d", common, set.Connections-4)
 				}
 				for i, r := range set.Reserves {
-					if g.members[i] < 0 || g.members[i] > r.Connections {
-						t.Fatalf("reserve %s holds %d", r.Name, g.members[i])
+					if g.reserveMembers[i] < 0 || g.reserveMembers[i] > r.Connections {
+						t.Fatalf("reserve %s holds %d", r.Name, g.reserveMembers[i])
 					}
 				}
 				for _, a := range addrs {
-					_, p := keys(a)
+					_, p := sourceKeys(a)
 					if n := m.from(func(b netip.Addr) bool { return a == b }); n > set.PerAddress {
 						t.Fatalf("%s holds %d", a, n)
 					}
@@ -145,7 +146,7 @@
 						}
 					}
 				}
-				if known > 2*(set.Connections+set.Remembered) {
+				if known > 2*(set.Connections+set.MaxSources) {
 					t.Fatalf("%d addresses and prefixes are remembered", known)
 				}
 			},
@@ -156,19 +157,19 @@
 			g.Answered(id, now)
 		}
 		now += 5e9
-		for id, h := range g.held { // who started and never asks is ended by the router's own limit, not by the gate
+		for id, h := range g.connections { // who started and never asks is ended by the router's own limit, not by the gate
 			if h.state == started {
-				g.Left(id)
+				g.Closed(id)
 			}
 		}
-		if v := g.Arrive(next, ip("10.7.0.1"), now); !v.Taken() {
+		if v := g.Arrive(next, ip("10.7.0.1"), now); !v.Admitted() {
 			t.Fatalf("after a rest: %+v", v)
 		}
 	})
 }
 
 func sourceNames(a netip.Addr) []string {
-	addr, prefix := keys(a)
+	addr, prefix := sourceKeys(a)
 	return []string{addr.String(), fmt.Sprint("net ", prefix)}
 }
 
@@ -181,14 +182,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, next, refused := Nanos(5e9), ID(0), 0
+	now, next, refused := clock.Nanos(5e9), ID(0), 0
 	for round := range 2000 {
 		now += 1 * ms
 		for i := range 5 { // 5,000 a second, no two of a prefix
 			n := round*5 + i
 			v := g.Arrive(next, netip.AddrFrom4([4]byte{11, byte(n >> 8), byte(n), 1}), now)
 			for _, c := range v.Close {
-				g.Left(c.ID)
+				g.Closed(c.ID)
 			}
 			next++
 		}
@@ -197,18 +198,18 @@
 			next++
 			v := g.Arrive(id, ip("10.1.0.1"), now)
 			for _, c := range v.Close {
-				g.Left(c.ID)
+				g.Closed(c.ID)
 			}
-			if !v.Taken() {
+			if !v.Admitted() {
 				refused++
 				continue
 			}
-			g.Start(id, Who{}, now)
-			if v := g.Ask(id, now); !v.Taken() {
+			g.Start(id, Identity{}, now)
+			if v := g.Request(id, now); !v.Admitted() {
 				t.Fatalf("%+v", v)
 			}
 			g.Answered(id, now)
-			g.Left(id)
+			g.Closed(id)
 		}
 	}
 	if refused > 0 {
--- a/policy/admission/source.go
+++ b/policy/admission/source.go
@@ -1,13 +1,16 @@
 package admission
 
-import "net/netip"
+import (
+	"lotushook/policy/clock"
+	"net/netip"
+)
 
 // source is an address or a prefix that connections come from.
 type source struct {
-	key   netip.Prefix
-	held  int
-	taken window
-	mute  mute
+	key         netip.Prefix
+	connections int
+	admitted    rateWindow
+	silent      silentList
 
 	newer, older *source // among those that hold nothing, by when they held something last
 }
@@ -15,13 +18,13 @@
 // sources remembers addresses or prefixes: all that hold connections, and of the
 // others the latest, up to a bound.
 type sources struct {
-	all            map[netip.Prefix]*source
-	newest, oldest *source // of those that hold nothing
-	resting, most  int
+	all               map[netip.Prefix]*source
+	newest, oldest    *source // of those that hold nothing
+	resting, capacity int
 }
 
 func newSources(most int) *sources {
-	return &sources{all: map[netip.Prefix]*source{}, most: most}
+	return &sources{all: map[netip.Prefix]*source{}, capacity: most}
 }
 
 // get finds a source, or makes one that is not remembered before it holds or
@@ -33,20 +36,20 @@
 	return &source{key: key}
 }
 
-// hold counts a connection of a source that get returned.
-func (s *sources) hold(f *source, now Nanos) {
-	if f.held == 0 && s.all[f.key] == f {
-		s.wake(f)
+// connect counts a connection of a source that get returned.
+func (s *sources) connect(f *source, now clock.Nanos) {
+	if f.connections == 0 && s.all[f.key] == f {
+		s.unlinkIdle(f)
 	}
 	s.all[f.key] = f
-	f.held++
-	f.taken.add(now)
+	f.connections++
+	f.admitted.add(now)
 }
 
-// leave is the end of a connection of a source. What holds nothing any more is
+// disconnect is the end of a connection of a source. What holds nothing any more is
 // remembered for its rate; the one that has rested longest makes room.
-func (s *sources) leave(f *source) {
-	if f.held--; f.held > 0 {
+func (s *sources) disconnect(f *source) {
+	if f.connections--; f.connections > 0 {
 		return
 	}
 	f.older, f.newer = s.newest, nil
@@ -56,15 +59,15 @@
 		s.oldest = f
 	}
 	s.newest = f
-	if s.resting++; s.resting > s.most {
+	if s.resting++; s.resting > s.capacity {
 		old := s.oldest
-		s.wake(old)
+		s.unlinkIdle(old)
 		delete(s.all, old.key)
 	}
 }
 
-// wake takes a source out of those that hold nothing.
-func (s *sources) wake(f *source) {
+// unlinkIdle takes a source out of those that hold nothing.
+func (s *sources) unlinkIdle(f *source) {
 	if f.newer != nil {
 		f.newer.older = f.older
 	} else {
@@ -79,8 +82,8 @@
 	s.resting--
 }
 
-// keys are an address and its prefix. A v4 address in v6 clothes counts as v4.
-func keys(a netip.Addr) (addr, prefix netip.Prefix) {
+// sourceKeys are an address and its prefix. A v4 address in v6 clothes counts as v4.
+func sourceKeys(a netip.Addr) (addr, prefix netip.Prefix) {
 	a = a.Unmap().WithZone("")
 	bits := 64
 	if a.Is4() {
--- a/policy/admission/window.go
+++ b/policy/admission/window.go
@@ -1,21 +1,23 @@
 package admission
 
-// window counts what was taken within the last second. The second is cut into
+import "lotushook/policy/clock"
+
+// rateWindow counts what was taken within the last second. The second is cut into
 // parts; one part more than a second is kept, so that in no second more is taken
 // than the count allows, wherever the second begins.
-type window struct {
+type rateWindow struct {
 	parts [parts + 1]uint16
 	at    int64 // the number of the newest part since time 0
 }
 
 const (
-	parts    = 10
-	part     = Nanos(1e9 / parts)
-	mostRate = 1<<16 - 1
+	parts   = 10
+	part    = clock.Nanos(1e9 / parts)
+	maxRate = 1<<16 - 1
 )
 
-// move forgets what is over a second old.
-func (w *window) move(now Nanos) {
+// advance forgets what is over a second old.
+func (w *rateWindow) advance(now clock.Nanos) {
 	n := now / part
 	if n <= w.at { // a clock that stands or goes back forgets nothing
 		return
@@ -30,8 +32,8 @@
 	w.at = n
 }
 
-func (w *window) count(now Nanos) int {
-	w.move(now)
+func (w *rateWindow) count(now clock.Nanos) int {
+	w.advance(now)
 	sum := 0
 	for _, n := range w.parts {
 		sum += int(n)
@@ -39,15 +41,15 @@
 	return sum
 }
 
-func (w *window) add(now Nanos) {
-	w.move(now)
-	if p := &w.parts[w.at%(parts+1)]; *p < mostRate {
+func (w *rateWindow) add(now clock.Nanos) {
+	w.advance(now)
+	if p := &w.parts[w.at%(parts+1)]; *p < maxRate {
 		*p++
 	}
 }
 
 // wait is how long it takes from now until fewer than most are counted.
-func (w *window) wait(now Nanos, most int) Nanos {
+func (w *rateWindow) wait(now clock.Nanos, most int) clock.Nanos {
 	over := w.count(now) - most + 1
 	for i := w.at - parts; i <= w.at && over > 0; i++ {
 		if i >= 0 {
--- a/policy/balance/cold_test.go
+++ b/policy/balance/cold_test.go
@@ -3,6 +3,8 @@
 import (
 	"container/heap"
 	"fmt"
+	"lotushook/policy/clock"
+	"lotushook/policy/seeded"
 	"math"
 	"testing"
 )
@@ -11,8 +13,8 @@
 type crew struct {
 	t     *testing.T
 	rigs  []*rig
-	nodes map[uint32]*worker
-	now   Nanos
+	nodes map[EndpointID]*worker
+	now   clock.Nanos
 	due   dues
 	rng   uint64
 	seq   int
@@ -22,14 +24,14 @@
 
 // worker is a data server: so many requests at a time, first come first served, each as much slower as it is cold.
 type worker struct {
-	id          uint32
+	id          EndpointID
 	cores, busy int
 	primary     bool
 	queue       []func()
-	started     Nanos // 0: long ago
+	started     clock.Nanos // 0: long ago
 	share       float64
-	ramp        Nanos
-	served      []Nanos
+	ramp        clock.Nanos
+	served      []clock.Nanos
 	sends       []arrival // since the start
 	pending     []int     // by router
 	told        []bool    // by router: of the start
@@ -37,12 +39,12 @@
 
 // arrival is an attempt that reaches a cold server: when, what it costs, and whether its router had been told of the start.
 type arrival struct {
-	at   Nanos
+	at   clock.Nanos
 	work float64
 	told bool
 }
 
-func (w *worker) warmth(now Nanos) float64 {
+func (w *worker) warmth(now clock.Nanos) float64 {
 	if w.started == 0 {
 		return 1
 	}
@@ -50,7 +52,7 @@
 }
 
 type due struct {
-	at  Nanos
+	at  clock.Nanos
 	seq int
 	do  func()
 }
@@ -72,19 +74,19 @@
 // newCrew lists groups of three, whose first member is the primary: node 10 times its group's number.
 func newCrew(t *testing.T, seed uint64, routers, groups, cores int, change func(*Settings)) *crew {
 	t.Helper()
-	c := &crew{t: t, nodes: map[uint32]*worker{}, now: 1000e9, rng: seed, open: map[string]func(Outcome){},
+	c := &crew{t: t, nodes: map[EndpointID]*worker{}, now: 1000e9, rng: seed, open: map[string]func(Outcome){},
 		work: map[int]float64{cAny: 9.5e6, cKeyed: 14e6}}
 	c.rigs = fleet(t, routers, change)
-	e := Event{Kind: NodesFull}
-	for g := range uint32(groups) {
-		for m := range uint32(3) {
+	e := Event{Kind: EndpointSnapshot}
+	for g := range EndpointID(groups) {
+		for m := range EndpointID(3) {
 			id := 10*(g+1) + m
 			c.nodes[id] = &worker{id: id, cores: cores, primary: m == 0, pending: make([]int, routers), told: make([]bool, routers)}
-			e.Nodes = append(e.Nodes, NodeEntry{Node: id, Group: int64(g + 1), Zone: "a", Primary: m == 0, Weight: 1})
+			e.Endpoints = append(e.Endpoints, Endpoint{ID: id, Group: int64(g + 1), Zone: "a", Primary: m == 0, Weight: 1})
 		}
 	}
 	for i := range c.rigs {
-		c.rigs[i].b.rng += seed
+		*c.rigs[i].b.random = *seeded.New(uint64(i)*0x9e3779b97f4a7c15 + seed)
 		c.step(i, e)
 	}
 	return c
@@ -95,13 +97,13 @@
 	return float64(c.rng>>11) / (1 << 53)
 }
 
-func (c *crew) at(at Nanos, do func()) {
+func (c *crew) at(at clock.Nanos, do func()) {
 	c.seq++
 	heap.Push(&c.due, due{at, c.seq, do})
 }
 
 // run plays until a time.
-func (c *crew) run(until Nanos) {
+func (c *crew) run(until clock.Nanos) {
 	for len(c.due) > 0 && c.due[0].at <= until {
 		d := heap.Pop(&c.due).(due)
 		c.now = max(c.now, d.at)
@@ -115,11 +117,11 @@
 	r.now = c.now
 	for _, a := range r.step(e) {
 		switch a.Kind {
-		case Timer:
-			c.at(a.At, func() { c.step(i, Event{Kind: Wakeup, Tag: a.Tag}) })
-		case Send:
+		case SetTimer:
+			c.at(a.TimerAt, func() { c.step(i, Event{Kind: TimerFired, TimerID: a.TimerID}) })
+		case SendAttempt:
 			c.send(i, a)
-		case Cancel:
+		case CancelAttempt:
 			if end := c.open[a.Request]; end != nil {
 				c.at(c.now, func() { end(Canceled) })
 			}
@@ -132,19 +134,19 @@
 	r := c.rigs[i]
 	r.next++
 	id := fmt.Sprintf("%d-%d", i, r.next)
-	end := c.now + r.b.set.Classes[class].Deadline
+	end := c.now + r.b.settings.Classes[class].Deadline
 	c.at(end, func() {
-		if r.b.requests[id] != nil {
-			c.step(i, Event{Kind: RequestGone, Request: id})
+		if r.b.requests.byID[id] != nil {
+			c.step(i, Event{Kind: RequestAbandoned, Request: id})
 		}
 	})
-	c.step(i, Event{Kind: RequestIn, Request: id, Class: class, Tenant: -1, Group: group, Deadline: end})
+	c.step(i, Event{Kind: RequestArrived, Request: id, Class: class, Tenant: -1, Group: group, Deadline: end})
 }
 
 func (c *crew) send(i int, a Action) {
-	w, r := c.nodes[a.Node], c.rigs[i]
-	req := r.b.requests[a.Request]
-	no, class := len(req.attempts)-1, req.c
+	w, r := c.nodes[a.Endpoint], c.rigs[i]
+	req := r.b.requests.byID[a.Request]
+	no, class := len(req.attempts)-1, req.class
 	if w.pending[i]++; w.started > 0 {
 		w.sends = append(w.sends, arrival{c.now, c.work[class], w.told[i]})
 	}
@@ -160,20 +162,20 @@
 		if w.primary {
 			role = Primary
 		}
-		c.step(i, Event{Kind: AttemptDone, Request: a.Request, Attempt: no, Node: w.id, Outcome: o, Finished: o == Done, Role: role, Position: c.now})
+		c.step(i, Event{Kind: AttemptEnded, Request: a.Request, Attempt: no, Endpoint: w.id, Outcome: o, Final: o == Succeeded, Role: role, Position: c.now})
 	}
 	c.open[a.Request] = end
 	if class == cKeyed && !w.primary {
-		c.at(c.now+ms/2, func() { end(Miss) })
+		c.at(c.now+ms/2, func() { end(NotEligible) })
 		return
 	}
-	c.at(a.Until, func() { end(TimedOut) })
+	c.at(a.AttemptDeadline, func() { end(TimedOut) })
 	w.queue = append(w.queue, func() {
 		took := c.work[class] * (0.7 + 0.6*c.draw()) / w.warmth(c.now)
-		c.at(c.now+Nanos(took), func() {
+		c.at(c.now+clock.Nanos(took), func() {
 			w.busy--
 			w.served = append(w.served, c.now)
-			end(Done)
+			end(Succeeded)
 			w.next()
 		})
 	})
@@ -190,15 +192,15 @@
 }
 
 // restart makes a server cold; each router is told after a time of its own, up to so long.
-func (c *crew) restart(id uint32, within Nanos) {
+func (c *crew) restart(id EndpointID, within clock.Nanos) {
 	w := c.nodes[id]
-	set := &c.rigs[0].b.set
-	w.started, w.share, w.ramp = c.now, set.ColdShare, set.RampTime
+	set := &c.rigs[0].b.settings
+	w.started, w.share, w.ramp = c.now, set.ColdCapacity, set.WarmUpTime
 	for i := range c.rigs {
-		c.at(c.now+Nanos(c.draw()*float64(within)), func() {
-			n := c.rigs[i].b.nodes[id]
+		c.at(c.now+clock.Nanos(c.draw()*float64(within)), func() {
+			n := c.rigs[i].b.groups.endpoints[id]
 			w.told[i] = true
-			c.step(i, Event{Kind: NodesChanged, Nodes: []NodeEntry{{Node: id, Group: n.g.id, Zone: "a", Primary: w.primary, Weight: n.weight, Started: w.started}}})
+			c.step(i, Event{Kind: EndpointUpdate, Endpoints: []Endpoint{{ID: id, Group: n.group.id, Zone: "a", Primary: w.primary, Weight: n.weight, StartedAt: w.started}}})
 		})
 	}
 }
@@ -206,12 +208,12 @@
 // renew restarts all routers at once: they know the list and nothing else.
 func (c *crew) renew() {
 	for i, old := range c.rigs {
-		fresh := newRig(c.t, func(s *Settings) { *s = old.b.set })
-		fresh.b.rng, fresh.next = old.b.rng, old.next
-		e := Event{Kind: NodesFull}
-		for _, g := range old.b.order {
+		fresh := newRig(c.t, func(s *Settings) { *s = old.b.settings })
+		*fresh.b.random, fresh.next = *old.b.random, old.next
+		e := Event{Kind: EndpointSnapshot}
+		for _, g := range old.b.groups.order {
 			for _, n := range g.members {
-				e.Nodes = append(e.Nodes, NodeEntry{Node: n.id, Group: g.id, Zone: "a", Primary: c.nodes[n.id].primary, Weight: n.weight, Started: n.started})
+				e.Endpoints = append(e.Endpoints, Endpoint{ID: n.id, Group: g.id, Zone: "a", Primary: c.nodes[n.id].primary, Weight: n.weight, StartedAt: n.startedAt})
 			}
 		}
 		c.rigs[i] = fresh
@@ -220,8 +222,8 @@
 }
 
 // load asks so much a second of all groups, writes and reads, in bursts of so many at one router.
-func (c *crew) load(perS, writes float64, burst, groups int, until Nanos) {
-	for at := c.now; at < until; at -= Nanos(float64(burst) * math.Log(1-c.draw()) / perS * second) {
+func (c *crew) load(perS, writes float64, burst, groups int, until clock.Nanos) {
+	for at := c.now; at < until; at -= clock.Nanos(float64(burst) * math.Log(1-c.draw()) / perS * 1e9) {
 		c.at(at, func() {
 			i, g := int(c.draw()*float64(len(c.rigs))), 1+int64(c.draw()*float64(groups))
 			for range burst {
@@ -237,8 +239,8 @@
 
 // allowed is how many requests of mean work a span may bring that begins at a time, and how many of them by the settings'
 // multiple; the rest is for chance. It is reckoned from the settings and the server alone.
-func (w *worker) allowed(set *Settings, mean float64, from Nanos) (all, budget float64) {
-	budget = set.FallMultiple * w.warmth(max(from, w.started)) * float64(w.cores) * float64(set.OverloadFor) / mean
+func (w *worker) allowed(set *Settings, mean float64, from clock.Nanos) (all, budget float64) {
+	budget = set.OverloadMultiple * w.warmth(max(from, w.started)) * float64(w.cores) * float64(set.OverloadWindow) / mean
 	return budget + 2*math.Sqrt(budget) + 2, budget
 }
 
@@ -253,14 +255,14 @@
 		}
 	}
 	for _, s := range w.sends {
-		for count(s, 1); w.sends[from].at <= s.at-set.OverloadFor; from++ {
+		for count(s, 1); w.sends[from].at <= s.at-set.OverloadWindow; from++ {
 			count(w.sends[from], -1)
 		}
 		work := told
 		if told > all*2/3 {
 			work = all
 		}
-		if limit, _ := w.allowed(set, mean, s.at-set.OverloadFor); work/limit > worst {
+		if limit, _ := w.allowed(set, mean, s.at-set.OverloadWindow); work/limit > worst {
 			worst, sent, allowed = work/limit, work, limit
 		}
 	}
@@ -268,12 +270,12 @@
 }
 
 // used is the mean, over spans that begin at any time, of the work in them as a share of the budget without what chance has.
-func (w *worker) used(set *Settings, mean float64, until Nanos) float64 {
+func (w *worker) used(set *Settings, mean float64, until clock.Nanos) float64 {
 	sum, spans := 0.0, 0.0
-	for from := w.started; from+set.OverloadFor <= until; from += set.OverloadFor / 20 {
+	for from := w.started; from+set.OverloadWindow <= until; from += set.OverloadWindow / 20 {
 		_, budget := w.allowed(set, mean, from)
 		for _, s := range w.sends {
-			if s.at >= from && s.at < from+set.OverloadFor {
+			if s.at >= from && s.at < from+set.OverloadWindow {
 				sum += s.work / mean / budget
 			}
 		}
@@ -286,11 +288,11 @@
 type coldCase struct {
 	routers, groups, burst         int
 	price, share, multiple, weight float64
-	busy, writes, jump             float64 // of what the warm servers can do; of the requests; of demand at the start
-	span, within                   Nanos   // of the rule; until all are told
-	read, write                    float64 // work
-	renewed                        bool    // all routers restart together with the servers
-	victims                        []uint32
+	busy, writes, jump             float64     // of what the warm servers can do; of the requests; of demand at the start
+	span, within                   clock.Nanos // of the rule; until all are told
+	read, write                    float64     // work
+	renewed                        bool        // all routers restart together with the servers
+	victims                        []EndpointID
 }
 
 func drawColdCase(t *testing.T, seed uint64) coldCase {
@@ -302,25 +304,25 @@
 	return coldCase{routers: int(pick(2, 20, 30, 300, 300)), groups: int(pick(4, 4, 12)), burst: int(pick(1, 2, 4)),
 		price: pick(0, 0.08), share: pick(0.1, 0.17, 0.3), multiple: pick(2, 3), weight: pick(1, 1, 4),
 		busy: pick(0.3, 0.5, 0.7), writes: pick(0.1, 0.3), jump: pick(0.5, 1, 2, 3),
-		span: Nanos(pick(1000, 1500, 2500)) * ms, within: Nanos(pick(0, 50, 2000)) * ms,
+		span: clock.Nanos(pick(1000, 1500, 2500)) * ms, within: clock.Nanos(pick(0, 50, 2000)) * ms,
 		read: pick(20e6, 50e6), write: pick(30e6, 80e6), renewed: pick(0, 0, 0, 1) == 1,
-		victims: [][]uint32{{10}, {11}, {10, 20, 30, 40}, {10, 11, 12}}[int(pick(0, 1, 2, 3))]}
+		victims: [][]EndpointID{{10}, {11}, {10, 20, 30, 40}, {10, 11, 12}}[int(pick(0, 1, 2, 3))]}
 }
 
 // play lets the routers learn for so long, starts the victims anew, and plays five seconds of what then comes.
 func (k coldCase) play(t *testing.T, seed uint64) (c *crew, mean float64) {
 	const cores, learn, after = 4, 12e9, 5e9
 	c = newCrew(t, seed, k.routers, k.groups, cores, func(s *Settings) {
-		s.HandshakePrice, s.ColdShare, s.FallMultiple, s.OverloadFor = k.price, k.share, k.multiple, k.span
-		s.RampTime, s.HalfwayBound, s.Behind, s.IdleClose = 18e9, seed%2 == 0, BehindRefuse, 30e9
+		s.HandshakeCost, s.ColdCapacity, s.OverloadMultiple, s.OverloadWindow = k.price, k.share, k.multiple, k.span
+		s.WarmUpTime, s.LateRejectionCharged, s.LagHandling, s.IdleTimeout = 18e9, seed%2 == 0, LagRejected, 30e9
 	})
 	for _, r := range c.rigs {
-		for _, n := range r.b.nodes {
+		for _, n := range r.b.groups.endpoints {
 			n.weight = k.weight
 		}
 	}
 	c.work = map[int]float64{cAny: k.read, cKeyed: k.write}
-	perS := k.busy * float64(k.groups) * cores * second / max(k.writes*k.write, (1-k.writes)*k.read/2) // of the busiest member
+	perS := k.busy * float64(k.groups) * cores * 1e9 / max(k.writes*k.write, (1-k.writes)*k.read/2) // of the busiest member
 	start := c.now + learn
 	c.load(perS, k.writes, k.burst, k.groups, start)
 	c.run(start)
@@ -345,9 +347,9 @@
 		c, mean := k.play(t, seed)
 		for _, id := range k.victims {
 			w := c.nodes[id]
-			worst, sent, allowed := w.most(&c.rigs[0].b.set, mean)
+			worst, sent, allowed := w.most(&c.rigs[0].b.settings, mean)
 			t.Logf("seed %d node %d: %.2f of the bound, %.2f of the budget used, %d sends; %+v", seed, id, worst,
-				w.used(&c.rigs[0].b.set, mean, c.now), len(w.sends), k)
+				w.used(&c.rigs[0].b.settings, mean, c.now), len(w.sends), k)
 			if worst > 1 {
 				t.Errorf("seed %d node %d: %.1f requests in a span, %.1f allowed; %+v", seed, id, sent, allowed, k)
 			}
@@ -362,13 +364,15 @@
 // warm answers have earned, and fewer with each slow answer. A connection that was refused tells of the start, too.
 func TestUntoldRoutersKeepTheirLimits(t *testing.T) {
 	const routers, groups = 40, 2
-	c := newCrew(t, 7, routers, groups, 4, func(s *Settings) { s.RampTime, s.ColdShare, s.FallMultiple, s.Behind = 18e9, 0.17, 3, BehindRefuse })
+	c := newCrew(t, 7, routers, groups, 4, func(s *Settings) {
+		s.WarmUpTime, s.ColdCapacity, s.OverloadMultiple, s.LagHandling = 18e9, 0.17, 3, LagRejected
+	})
 	start := c.now + 8e9
 	c.load(1500, 0.2, 2, groups, start+6e9)
 	c.run(start)
 	before := make([]float64, routers)
 	for i, r := range c.rigs {
-		before[i] = r.b.nodes[11].limit
+		before[i] = r.b.groups.endpoints[11].limit
 	}
 	w := c.nodes[11]
 	w.started, w.share, w.ramp = c.now, 0.17, 18e9 // and nobody says so
@@ -376,14 +380,14 @@
 	for at := start; at < start+6e9; at += 5 * ms {
 		c.run(at)
 		for i, r := range c.rigs {
-			n := r.b.nodes[11]
+			n := r.b.groups.endpoints[11]
 			if float64(w.pending[i]) > max(before[i], n.limit, 1) {
 				t.Fatalf("%d ms after the start: router %d has %d out, its limit is %.1f", (at-start)/ms, i, w.pending[i], n.limit)
 			}
-			if n.load > fullLoad {
+			if n.health.Overloaded() {
 				slow++
 			}
-			if n.load > fullLoad && n.limit > before[i]+1 {
+			if n.health.Overloaded() && n.limit > before[i]+1 {
 				t.Fatalf("router %d: the limit grew from %.1f to %.1f by slow answers", i, before[i], n.limit)
 			}
 		}
@@ -391,11 +395,11 @@
 	if slow == 0 {
 		t.Error("no router saw slow answers")
 	}
-	n := c.rigs[0].b.nodes[11]
-	if n.down = true; n.started != 0 {
+	n := c.rigs[0].b.groups.endpoints[11]
+	if n.health.SetDown(); n.startedAt != 0 {
 		t.Fatal("told")
 	}
-	c.rigs[0].b.clear(n)
+	c.rigs[0].b.readmit(n)
 	if warm := c.rigs[0].b.warmth(n); warm > 0.2 {
 		t.Errorf("%.2f warm after its process was gone", warm)
 	}
--- a/policy/balance/fleet_test.go
+++ b/policy/balance/fleet_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
+	"lotushook/policy/seeded"
 	"testing"
 )
 
@@ -10,21 +12,21 @@
 // Each probe has a price and needs a connection. Where nodes check for themselves, an attempt asks the same and may
 // be served: reads that missed while their group has no primary must not set off probes.
 func TestNoProbesWhereNodesCheck(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.ProbeReports, s.Behind = true, BehindRefuse })
+	r := newRig(t, func(s *Settings) { s.ProbesReportPosition, s.LagHandling = true, LagRejected })
 	r.members(3)
-	r.b.groups[1].primary = nil
+	r.b.groups.byID[1].primary = nil
 	misses, probes := 0, 0
 	for range 20 {
 		r.now += 100 * ms
 		id, acts := r.in(cBounded, "")
 		for no := 0; ; no++ {
-			probes += len(of(Probe, acts))
-			sends := of(Send, acts)
+			probes += len(of(SendProbe, acts))
+			sends := of(SendAttempt, acts)
 			if len(sends) == 0 {
 				break
 			}
 			misses++
-			acts = r.out(id, no, sends[0].Node, Miss, Replica, r.now-2e9)
+			acts = r.out(id, no, sends[0].Endpoint, NotEligible, Replica, r.now-2e9)
 		}
 	}
 	if misses < 20 || probes != 0 {
@@ -38,12 +40,12 @@
 	rigs := make([]*rig, routers)
 	for i := range rigs {
 		rigs[i] = newRig(t, func(s *Settings) {
-			s.Instances = routers
+			s.Routers = routers
 			if change != nil {
 				change(s)
 			}
 		})
-		rigs[i].b.rng = uint64(i) * 0x9e3779b97f4a7c15
+		*rigs[i].b.random = *seeded.New(uint64(i) * 0x9e3779b97f4a7c15)
 	}
 	return rigs
 }
@@ -53,28 +55,28 @@
 // writes must go, and all together must stay under the stated multiple of what the cold node can do.
 func TestFleetUsesAColdPrimarysBudget(t *testing.T) {
 	const routers, cores, span = 80, 4.0, 20e9
-	rigs := fleet(t, routers, func(s *Settings) { s.FallMultiple = 3 })
-	set := &rigs[0].b.set
+	rigs := fleet(t, routers, func(s *Settings) { s.OverloadMultiple = 3 })
+	set := &rigs[0].b.settings
 	groups := int64(8)
-	var started Nanos
+	var started clock.Nanos
 	asked, sent := 0, 0
-	var sends []Nanos
-	for at := Nanos(0); at < span+6e9; at += 100 * ms {
+	var sends []clock.Nanos
+	for at := clock.Nanos(0); at < span+6e9; at += 100 * ms {
 		for i, r := range rigs {
 			if r.now = 1000e9 + at; at == 0 || at == span {
-				e := Event{Kind: NodesFull}
+				e := Event{Kind: EndpointSnapshot}
 				for g := range groups {
 					if at > 0 && g == 0 {
 						started = r.now
-						e.Nodes = append(e.Nodes, NodeEntry{Node: 100, Group: 0, Primary: true, Weight: 4, Started: started})
+						e.Endpoints = append(e.Endpoints, Endpoint{ID: 100, Group: 0, Primary: true, Weight: 4, StartedAt: started})
 					} else {
-						e.Nodes = append(e.Nodes, NodeEntry{Node: uint32(g), Group: g, Primary: true, Weight: 4})
+						e.Endpoints = append(e.Endpoints, Endpoint{ID: EndpointID(g), Group: g, Primary: true, Weight: 4})
 					}
 				}
 				r.step(e)
-				r.b.groups[0].primary = r.b.nodes[e.Nodes[0].Node]
+				r.b.groups.byID[0].primary = r.b.groups.endpoints[e.Endpoints[0].ID]
 			}
-			r.step(Event{Kind: Wakeup})
+			r.step(Event{Kind: TimerFired})
 			// One write a second from each router, each time to another group.
 			if (i+int(at/(100*ms)))%10 > 0 {
 				continue
@@ -82,31 +84,31 @@
 			g := (int64(i) + at/1e9) % groups
 			r.next++
 			id := fmt.Sprintf("w%d", r.next)
-			acts := r.step(Event{Kind: RequestIn, Request: id, Class: cKeyed, Tenant: -1, Group: g, Deadline: r.now + 2e9})
+			acts := r.step(Event{Kind: RequestArrived, Request: id, Class: cKeyed, Tenant: -1, Group: g, Deadline: r.now + 2e9})
 			if at > span && g == 0 {
 				asked++
 			}
-			for _, a := range of(Send, acts) {
+			for _, a := range of(SendAttempt, acts) {
 				if at > span && g == 0 {
 					sent++
 					sends = append(sends, at)
 				}
 				r.now += 80 * ms
-				r.step(Event{Kind: AttemptDone, Request: id, Attempt: a.Attempt, Node: a.Node, Outcome: Done, Finished: true,
+				r.step(Event{Kind: AttemptEnded, Request: id, Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: Succeeded, Final: true,
 					Role: Primary, Position: r.now})
 			}
-			if r.b.requests[id] != nil {
-				r.step(Event{Kind: RequestGone, Request: id})
+			if r.b.requests.byID[id] != nil {
+				r.step(Event{Kind: RequestAbandoned, Request: id})
 			}
 		}
-		share := set.ColdShare + (1-set.ColdShare)*float64(at-span)/float64(set.RampTime)
+		share := set.ColdCapacity + (1-set.ColdCapacity)*float64(at-span)/float64(set.WarmUpTime)
 		work := 0.0
 		for _, s := range sends {
-			if s > at-set.OverloadFor {
+			if s > at-set.OverloadWindow {
 				work += float64(80 * ms)
 			}
 		}
-		if limit := set.FallMultiple * share * cores * float64(set.OverloadFor); at > span && work > limit {
+		if limit := set.OverloadMultiple * share * cores * float64(set.OverloadWindow); at > span && work > limit {
 			t.Fatalf("%d ms after the start: %.1f s of work in a window, %.1f s allowed", (at-span)/ms, work/1e9, limit/1e9)
 		}
 	}
@@ -119,31 +121,31 @@
 // no request in most windows has two in some. What the cold node may get must not be lost to that.
 func TestFleetUsesAColdReplicasBudgetInBursts(t *testing.T) {
 	const routers, cores, span, after = 300, 4.0, 30e9, 4e9
-	rigs := fleet(t, routers, func(s *Settings) { s.FallMultiple = 3 })
-	set := &rigs[0].b.set
+	rigs := fleet(t, routers, func(s *Settings) { s.OverloadMultiple = 3 })
+	set := &rigs[0].b.settings
 	rng := uint64(1)
 	draw := func() float64 {
 		rng = rng*6364136223846793005 + 1442695040888963407
 		return float64(rng>>11) / (1 << 53)
 	}
-	var started Nanos
+	var started clock.Nanos
 	asked, sent := 0, 0
 	sends := []float64{}
-	for at := Nanos(0); at < span+after; at += 100 * ms {
+	for at := clock.Nanos(0); at < span+after; at += 100 * ms {
 		for _, r := range rigs {
 			if r.now = 1000e9 + at; at == 0 || at == span {
-				e := Event{Kind: NodesFull}
+				e := Event{Kind: EndpointSnapshot}
 				for g := range int64(20) {
-					n := NodeEntry{Node: uint32(g), Group: g, Weight: cores}
+					n := Endpoint{ID: EndpointID(g), Group: g, Weight: cores}
 					if at > 0 && g == 0 {
 						started = r.now - 3e9 // it can do a third by now: more than is asked
-						n.Node, n.Started = 100, started
+						n.ID, n.StartedAt = 100, started
 					}
-					e.Nodes = append(e.Nodes, n)
+					e.Endpoints = append(e.Endpoints, n)
 				}
 				r.step(e)
 			}
-			r.step(Event{Kind: Wakeup})
+			r.step(Event{Kind: TimerFired})
 			// In one of twenty steps a router has two reads for one group, a quarter second apart from any other.
 			if draw() > 0.05 {
 				continue
@@ -158,27 +160,27 @@
 				if at >= span && g == 0 {
 					asked++
 				}
-				for _, a := range of(Send, r.step(Event{Kind: RequestIn, Request: id, Class: cAny, Tenant: -1, Group: g, Deadline: r.now + 2e9})) {
+				for _, a := range of(SendAttempt, r.step(Event{Kind: RequestArrived, Request: id, Class: cAny, Tenant: -1, Group: g, Deadline: r.now + 2e9})) {
 					if at >= span && g == 0 {
 						sent++
 						sends = append(sends, float64(at))
 					}
 					r.now += 30 * ms
-					r.step(Event{Kind: AttemptDone, Request: id, Attempt: a.Attempt, Node: a.Node, Outcome: Done, Finished: true, Role: Replica, Position: r.now})
+					r.step(Event{Kind: AttemptEnded, Request: id, Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: Succeeded, Final: true, Role: Replica, Position: r.now})
 				}
-				if r.b.requests[id] != nil {
-					r.step(Event{Kind: RequestGone, Request: id})
+				if r.b.requests.byID[id] != nil {
+					r.step(Event{Kind: RequestAbandoned, Request: id})
 				}
 			}
 		}
-		share := set.ColdShare + (1-set.ColdShare)*float64(1000e9+at-started)/float64(set.RampTime)
+		share := set.ColdCapacity + (1-set.ColdCapacity)*float64(1000e9+at-started)/float64(set.WarmUpTime)
 		work := 0.0
 		for _, s := range sends {
-			if s > float64(at-set.OverloadFor) {
+			if s > float64(at-set.OverloadWindow) {
 				work += float64(30 * ms)
 			}
 		}
-		if limit := set.FallMultiple * share * cores * float64(set.OverloadFor); at > span && work > limit {
+		if limit := set.OverloadMultiple * share * cores * float64(set.OverloadWindow); at > span && work > limit {
 			t.Fatalf("%d ms after the start: %.1f s of work in a window, %.1f s allowed", (at-span)/ms, work/1e9, limit/1e9)
 		}
 	}
@@ -189,29 +191,29 @@
 }
 
 // serve ends all attempts that are out on a rig after a while; fails says which nodes answer with an error.
-func (r *rig) serve(took Nanos, acts []Action, role func(node uint32) Role, fails func(node uint32) bool) (tries []uint32) {
+func (r *rig) serve(took clock.Nanos, acts []Action, role func(node EndpointID) Role, fails func(node EndpointID) bool) (tries []EndpointID) {
 	r.t.Helper()
-	for sends := of(Send, acts); len(sends) > 0; sends = of(Send, acts) {
+	for sends := of(SendAttempt, acts); len(sends) > 0; sends = of(SendAttempt, acts) {
 		a := sends[0]
-		no := len(r.b.requests[a.Request].attempts) - 1
-		tries = append(tries, a.Node)
-		if r.now += took; fails(a.Node) {
-			acts = r.out(a.Request, no, a.Node, Failed, role(a.Node), r.now)
+		no := len(r.b.requests.byID[a.Request].attempts) - 1
+		tries = append(tries, a.Endpoint)
+		if r.now += took; fails(a.Endpoint) {
+			acts = r.out(a.Request, no, a.Endpoint, Failed, role(a.Endpoint), r.now)
 			for range 20 { // past the pause
-				if len(of(Send, acts)) > 0 || r.b.requests[a.Request] == nil {
+				if len(of(SendAttempt, acts)) > 0 || r.b.requests.byID[a.Request] == nil {
 					break
 				}
 				r.now += 20 * ms
-				acts = r.step(Event{Kind: Wakeup})
+				acts = r.step(Event{Kind: TimerFired})
 			}
 		} else {
-			acts = r.out(a.Request, no, a.Node, Done, role(a.Node), r.now)
+			acts = r.out(a.Request, no, a.Endpoint, Succeeded, role(a.Endpoint), r.now)
 		}
 	}
 	return tries
 }
 
-func roleOf(node uint32) Role {
+func roleOf(node EndpointID) Role {
 	if node == 1 {
 		return Primary
 	}
@@ -225,14 +227,14 @@
 		price     float64
 		low, high float64 // replicas met by a router, in the mean
 	}{{0, 2.9, 3}, {0.08, 1, 1.2}} {
-		met, reads := 0, map[uint32]int{}
-		for _, r := range fleet(t, 80, func(s *Settings) { s.HandshakePrice, s.IdleClose = c.price, 30e9 }) {
+		met, reads := 0, map[EndpointID]int{}
+		for _, r := range fleet(t, 80, func(s *Settings) { s.HandshakeCost, s.IdleTimeout = c.price, 30e9 }) {
 			r.members(4)
-			mine := map[uint32]bool{}
+			mine := map[EndpointID]bool{}
 			for range 25 {
-				r.now += second
+				r.now += clock.Second
 				_, acts := r.in(cAny, "")
-				for _, n := range r.serve(70*ms, acts, roleOf, func(uint32) bool { return false }) {
+				for _, n := range r.serve(70*ms, acts, roleOf, func(EndpointID) bool { return false }) {
 					mine[n] = true
 					reads[n]++
 				}
@@ -242,7 +244,7 @@
 		if mean := float64(met) / 80; mean < c.low || mean > c.high {
 			t.Errorf("price %.2f: a router met %.2f replicas, want %.1f to %.1f", c.price, mean, c.low, c.high)
 		}
-		for n := uint32(2); n <= 4; n++ {
+		for n := EndpointID(2); n <= 4; n++ {
 			if share := float64(reads[n]) / (80 * 25); share < 0.2 || share > 0.47 {
 				t.Errorf("price %.2f: replica %d had %.2f of the reads", c.price, n, share)
 			}
@@ -260,9 +262,9 @@
 		n := i
 		for at := range 60 {
 			phase := at / 30
-			r.now += second
+			r.now += clock.Second
 			_, acts := r.in(cAny, "")
-			tries := r.serve(80*ms, acts, roleOf, func(node uint32) bool { n++; return node == 3 && phase == 0 && n%5 > 0 })
+			tries := r.serve(80*ms, acts, roleOf, func(node EndpointID) bool { n++; return node == 3 && phase == 0 && n%5 > 0 })
 			if at%30 < 10 { // it learns
 				continue
 			}
@@ -285,13 +287,13 @@
 // A primary that answers with errors says that it is there, and no other member takes writes: the attempts left must not
 // be spent on replicas, each of which can only say that it is none.
 func TestErringPrimaryIsAskedAgain(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Instances = 80 })
+	r := newRig(t, func(s *Settings) { s.Routers = 80 })
 	r.members(4)
 	for range 5 {
-		r.now += second
+		r.now += clock.Second
 		n := 0
 		_, acts := r.in(cKeyed, "")
-		tries := r.serve(3*ms, acts, roleOf, func(uint32) bool { n++; return n < 5 })
+		tries := r.serve(3*ms, acts, roleOf, func(EndpointID) bool { n++; return n < 5 })
 		if len(tries) != 5 {
 			t.Fatalf("%d attempts, want one that is served after four errors", len(tries))
 		}
@@ -314,13 +316,13 @@
 			if at >= 10 {
 				took, phase = 60*ms, 1
 			}
-			r.now += second
+			r.now += clock.Second
 			_, acts := r.in(cAny, "")
 			if at >= 5 && at < 10 || at >= 14 {
 				asked[phase]++
-				refused[phase] += len(of(Refuse, acts))
+				refused[phase] += len(of(RejectRequest, acts))
 			}
-			r.serve(took, acts, roleOf, func(uint32) bool { return false })
+			r.serve(took, acts, roleOf, func(EndpointID) bool { return false })
 		}
 	}
 	if share := float64(refused[0]) / float64(asked[0]); share < 0.1 {
@@ -335,53 +337,53 @@
 // stay unanswered. Each of eighty routers must lose few reads to it all, not some to each server; and it must use the
 // hall again soon after it is back, without having sent reads there to find out.
 func TestFleetLosesAHallOnce(t *testing.T) {
-	t.Run("new connections", func(t *testing.T) { losesAHallOnce(t, Refused) })
+	t.Run("new connections", func(t *testing.T) { losesAHallOnce(t, ConnectionRefused) })
 	t.Run("open connections", func(t *testing.T) { losesAHallOnce(t, TimedOut) })
 }
 
 func losesAHallOnce(t *testing.T, how Outcome) {
 	const groups, wait = 18, 250 * ms
 	lost, probes, back := 0, 0, 0
-	rigs := fleet(t, 80, func(s *Settings) { s.ProbeReports, s.Behind = true, BehindRefuse })
+	rigs := fleet(t, 80, func(s *Settings) { s.ProbesReportPosition, s.LagHandling = true, LagRejected })
 	for _, r := range rigs {
-		e := Event{Kind: NodesFull}
-		for g := range uint32(groups) {
+		e := Event{Kind: EndpointSnapshot}
+		for g := range EndpointID(groups) {
 			for i, zone := range []string{"a", "b", "c"} {
-				e.Nodes = append(e.Nodes, NodeEntry{Node: 10*g + uint32(i), Group: int64(g), Zone: zone, Primary: i == 0, Weight: 4})
+				e.Endpoints = append(e.Endpoints, Endpoint{ID: 10*g + EndpointID(i), Group: int64(g), Zone: zone, Primary: i == 0, Weight: 4})
 			}
 		}
 		r.step(e)
-		probing := map[uint32]bool{}
+		probing := map[EndpointID]bool{}
 		for at := range 800 { // 40 s, a read every 50 ms; dark from 10 s to 25 s
 			start := r.now
 			dark := at >= 200 && at < 500
 			id := fmt.Sprintf("x%d", at)
-			acts := r.step(Event{Kind: RequestIn, Request: id, Class: cAny, Tenant: -1, Group: int64(at % groups),
-				Deadline: r.now + second})
-			for _, a := range of(Send, acts) {
-				if a.Node%10 == 2 && dark {
+			acts := r.step(Event{Kind: RequestArrived, Request: id, Class: cAny, Tenant: -1, Group: int64(at % groups),
+				Deadline: r.now + clock.Second})
+			for _, a := range of(SendAttempt, acts) {
+				if a.Endpoint%10 == 2 && dark {
 					lost++
 					r.now += wait
-					r.out(id, 0, a.Node, how, RoleUnknown, 0)
+					r.out(id, 0, a.Endpoint, how, RoleUnknown, 0)
 					break
 				}
-				if a.Node%10 == 2 && at >= 700 {
+				if a.Endpoint%10 == 2 && at >= 700 {
 					back++
 				}
 				r.now += 20 * ms
-				r.out(id, 0, a.Node, Done, Replica, r.now)
+				r.out(id, 0, a.Endpoint, Succeeded, Replica, r.now)
 			}
-			r.step(Event{Kind: RequestGone, Request: id})
-			for _, a := range of(Probe, r.step(Event{Kind: Wakeup})) {
-				probing[a.Node] = true
+			r.step(Event{Kind: RequestAbandoned, Request: id})
+			for _, a := range of(SendProbe, r.step(Event{Kind: TimerFired})) {
+				probing[a.Endpoint] = true
 			}
 			for n := range probing {
 				probes++
-				o := Done
+				o := Succeeded
 				if dark {
-					o = Refused
+					o = ConnectionRefused
 				}
-				r.step(Event{Kind: ProbeDone, Node: n, Outcome: o})
+				r.step(Event{Kind: ProbeEnded, Endpoint: n, Outcome: o})
 			}
 			clear(probing)
 			r.now = max(r.now, start+50*ms)
@@ -403,29 +405,29 @@
 func TestTrialLeavesTimeForAnother(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		others Lifecycle
+		others EndpointState
 		early  bool
-	}{{"another could take it", Ready, true}, {"no other", Gone, false}} {
+	}{{"another could take it", Ready, true}, {"no other", Removed, false}} {
 		r := newRig(t, nil)
 		r.members(3)
-		r.b.nodes[2].suspect = true
-		for _, id := range []uint32{1, 3} {
-			r.b.setState(r.b.nodes[id], c.others)
+		r.b.groups.endpoints[2].health.Eject(0)
+		for _, id := range []EndpointID{1, 3} {
+			r.b.setState(r.b.groups.endpoints[id], c.others)
 		}
 		id, acts := r.in(cAny, "")
-		sends := of(Send, acts)
-		if len(sends) != 1 || sends[0].Node != 2 || sends[0].Why != Trial {
+		sends := of(SendAttempt, acts)
+		if len(sends) != 1 || sends[0].Endpoint != 2 || sends[0].Reason != ReasonCanary {
 			t.Fatalf("%s: %+v", c.name, sends)
 		}
-		deadline := r.b.requests[id].deadline
-		if early := sends[0].Until < r.now+(deadline-r.now)/2; early != c.early {
-			t.Errorf("%s: given up after %d of %d ms", c.name, (sends[0].Until-r.now)/ms, (deadline-r.now)/ms)
+		deadline := r.b.requests.byID[id].deadline
+		if early := sends[0].AttemptDeadline < r.now+(deadline-r.now)/2; early != c.early {
+			t.Errorf("%s: given up after %d of %d ms", c.name, (sends[0].AttemptDeadline-r.now)/ms, (deadline-r.now)/ms)
 		}
 		if !c.early {
 			continue
 		}
-		r.now = sends[0].Until
-		if next := of(Send, r.out(id, 0, 2, TimedOut, RoleUnknown, 0)); len(next) != 1 || next[0].Node == 2 {
+		r.now = sends[0].AttemptDeadline
+		if next := of(SendAttempt, r.out(id, 0, 2, TimedOut, RoleUnknown, 0)); len(next) != 1 || next[0].Endpoint == 2 {
 			t.Errorf("%s: then %+v", c.name, next)
 		}
 	}
@@ -434,25 +436,25 @@
 // A machine that is gone lets connections hang. Nothing ran: the request must come back while it could still start
 // elsewhere, though nothing was sent and half of its time is all that it has.
 func TestConnectionLeavesTimeForAnother(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.HalfwayBound = true })
+	r := newRig(t, func(s *Settings) { s.LateRejectionCharged = true })
 	r.members(3)
 	for _, class := range []int{cAny, cWrite} {
 		id, acts := r.in(class, "")
-		sends := of(Send, acts)
+		sends := of(SendAttempt, acts)
 		if len(sends) != 1 {
 			t.Fatalf("%+v", acts)
 		}
 		first := sends[0]
-		if last := r.b.lastStart(r.b.requests[id]); first.Up <= r.now || first.Up >= last || first.Up > first.Until {
-			t.Errorf("class %d: up by %d of %d ms", class, (first.Up-r.now)/ms, (last-r.now)/ms)
+		if last := r.b.lastStart(r.b.requests.byID[id]); first.ConnectDeadline <= r.now || first.ConnectDeadline >= last || first.ConnectDeadline > first.AttemptDeadline {
+			t.Errorf("class %d: up by %d of %d ms", class, (first.ConnectDeadline-r.now)/ms, (last-r.now)/ms)
 		}
-		r.now = first.Up
-		acts = r.out(id, 0, first.Node, Refused, RoleUnknown, 0)
-		for tries := 0; tries < 20 && len(of(Send, acts)) == 0; tries++ { // a primary that is gone is asked again after a pause
+		r.now = first.ConnectDeadline
+		acts = r.out(id, 0, first.Endpoint, ConnectionRefused, RoleUnknown, 0)
+		for tries := 0; tries < 20 && len(of(SendAttempt, acts)) == 0; tries++ { // a primary that is gone is asked again after a pause
 			r.now += 5 * ms
-			acts = r.step(Event{Kind: Wakeup})
+			acts = r.step(Event{Kind: TimerFired})
 		}
-		if next := of(Send, acts); len(next) != 1 {
+		if next := of(SendAttempt, acts); len(next) != 1 {
 			t.Errorf("class %d: then %+v", class, acts)
 		}
 	}
--- a/policy/balance/reason.go
+++ b/policy/balance/reason.go
@@ -1,59 +1,91 @@
 package balance
 
-// What these say goes into counts and logs. No decision asks them.
+// Reason says why an action was taken: for counts, logs and people. Nothing follows from it.
+type Reason int
 
-var reasons = [...]string{"usual", "finding", "trial", "warming", "unknown", "crowd", "no_primary", "primary_away",
-	"primary_full", "no_replica", "full", "spent", "late", "jammed", "suspected", "recovered", "named", "denied"}
+// The reasons.
+const (
+	ReasonNormal Reason = iota
 
-// String is the reason's name in logs.
-func (r Reason) String() string { return reasons[r] }
+	// Of an attempt; the first that holds.
+	ReasonPrimarySearch // to whoever may be the primary, as none is known
+	ReasonCanary        // to an ejected endpoint: is it back?
+	ReasonSlowStart     // to an endpoint that is warming up
+
+	// Of a rejection or a failure.
+	ReasonUnknownClass       // the class is not in the settings
+	ReasonGroupOverloaded    // its group answers too late as it is
+	ReasonNoPrimary          // queued to the end of its time: no primary was known
+	ReasonPrimaryUnavailable // queued: the primary was ejected, paused or in a zone outage
+	ReasonPrimaryAtLimit     // queued: the primary was at its limit
+	ReasonNoReplica          // queued: no member was usable
+	ReasonReplicasAtLimit    // queued: the members that were usable were at their limits, or too far behind
+	ReasonRetriesExhausted   // an attempt failed, and no other was allowed
+	ReasonTooLate            // an attempt failed, and the time was over
+	ReasonRetrySuppressed    // an attempt failed in an overload
+
+	// Of a line for the operators, about Endpoint.
+	ReasonSuspected // it was ejected
+	ReasonRecovered
+	ReasonPrimaryNamed
+	ReasonPrimaryDenied
+
+	// ReasonCount is how many there are.
+	ReasonCount = iota
+)
+
+// reasonNames are read by tools, in logs and totals, and stay as they are.
+var reasonNames = [ReasonCount]string{"usual", "finding", "trial", "warming", "unknown", "crowd", "no_primary",
+	"primary_away", "primary_full", "no_replica", "full", "spent", "late", "jammed", "suspected", "recovered", "named",
+	"denied"}
 
-// Reasons is how many there are.
-const Reasons = len(reasons)
+// String is the reason's name in logs.
+func (r Reason) String() string { return reasonNames[r] }
 
-// sending is why a request goes to a node.
-func (b *Balancer) sending(r *request, n *node) Reason {
+// sendReason is why a request goes to an endpoint.
+func (b *Balancer) sendReason(r *request, ep *endpoint) Reason {
+	search := ep.group.search
 	switch {
-	case n.g.canary != nil && n.g.canary.r == r && !n.g.canary.done:
-		return Finding
-	case n.suspect:
-		return Trial
-	case b.warmth(n) < 1:
-		return Warming
+	case search != nil && search.request == r && !search.ended:
+		return ReasonPrimarySearch
+	case ep.health.Ejected():
+		return ReasonCanary
+	case b.warmth(ep) < 1:
+		return ReasonSlowStart
 	}
-	return Usual
+	return ReasonNormal
 }
 
-// held is why a request was never placed before its time was over.
-func (b *Balancer) held(r *request) Reason {
-	p, usable := r.g.primary, 0
-	if b.set.Classes[r.c].Read >= Fresh {
-		switch {
-		case p == nil:
-			return NoPrimary
-		case !b.usable(p):
-			return PrimaryAway
-		}
-		return PrimaryFull
+// queuedReason is why a request was never placed before its time was over.
+func (b *Balancer) queuedReason(r *request) Reason {
+	if b.classOf(r).Consistency >= FreshRead {
+		return b.primaryReason(r.group.primary)
 	}
-	for _, n := range r.g.members {
-		if b.usable(n) {
-			usable++
+	for _, ep := range r.group.members {
+		if b.usable(ep) {
+			return ReasonReplicasAtLimit
 		}
 	}
-	if usable == 0 {
-		return NoReplica
+	return ReasonNoReplica
+}
+
+func (b *Balancer) primaryReason(primary *endpoint) Reason {
+	switch {
+	case primary == nil:
+		return ReasonNoPrimary
+	case !b.usable(primary):
+		return ReasonPrimaryUnavailable
 	}
-	return Full
+	return ReasonPrimaryAtLimit
 }
 
-// spent is why no attempt follows one that failed.
-func (b *Balancer) spent(r *request) Reason {
+// noRetryReason is why no attempt follows one that failed.
+func (b *Balancer) noRetryReason(r *request) Reason {
 	switch {
-	case !b.mayRepeat(r, nil):
-		return Spent
+	case !b.mayRetry(r, nil):
+		return ReasonRetriesExhausted
 	case b.now >= b.lastStart(r):
-		return Late
+		return ReasonTooLate
 	}
-	return Jammed
+	return ReasonRetrySuppressed
 }
--- a/policy/balance/replay_test.go
+++ b/policy/balance/replay_test.go
@@ -9,7 +9,7 @@
 // The texts of log lines may change; whatever else an action says may not.
 func TestReplay(t *testing.T) {
 	const settingsKinds, seedsEach, batches = 40, 3, 300
-	digest := replaytest.NewDigest("Text")
+	digest := replaytest.NewDigest("Message")
 	for kind := range uint16(settingsKinds) {
 		for seed := range uint64(seedsEach) {
 			h, err := newHistory(seed+1, kind*1637)
--- a/policy/balance/rules_test.go
+++ b/policy/balance/rules_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"lotushook/policy/clock"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -14,37 +15,37 @@
 	rnd     *rand.Rand
 	set     Settings
 	b       *Balancer
-	now     Nanos
+	now     clock.Nanos
 	next    int
 	nodes   []*seenNode
 	open    map[string]*seenRequest
 	order   []string
 	gone    []*seenRequest // left in this batch: the router may have answered before it read that
 	timers  []Event
-	due     []Nanos
-	commit  map[string]Nanos
-	fresh   map[string]Nanos
+	due     []clock.Nanos
+	commit  map[string]clock.Nanos
+	fresh   map[string]clock.Nanos
 	trace   []string
 	observe func([]Action) // for the replay
 	fault   string
 }
 
 type seenNode struct {
-	NodeEntry
+	Endpoint
 	listedPrimary bool // excused until it says otherwise
 	saidReplica   bool
-	pos           Nanos
+	pos           clock.Nanos
 	cold          []coldSend
 	probes        int
 }
 
-type coldSend struct{ at, work Nanos }
+type coldSend struct{ at, work clock.Nanos }
 
 type seenRequest struct {
 	class    int
 	session  string
-	need     Nanos
-	deadline Nanos
+	need     clock.Nanos
+	deadline clock.Nanos
 	group    int64
 	sends    []seenSend
 	ended    bool
@@ -52,7 +53,7 @@
 
 type seenSend struct {
 	node      *seenNode
-	at        Nanos
+	at        clock.Nanos
 	done, ran bool
 }
 
@@ -60,15 +61,15 @@
 func variant(v uint16) Settings {
 	s := testSettings()
 	bit := func(i int) bool { return v>>i&1 == 1 }
-	s.Behind = Behind(v % 3)
-	s.RoleView = RoleView(v / 3 % 3)
-	s.CarriedToken, s.Cancel, s.Probing = bit(4), bit(5), bit(6)
-	s.RetryAfter, s.SoftRemoval, s.ProbeReports = bit(8), bit(9), bit(10)
-	s.Classes[cKeyed].Scope = KeyScope(v / 5 % 3)
+	s.LagHandling = LagHandling(v % 3)
+	s.RoleVisibility = RoleVisibility(v / 3 % 3)
+	s.ClientPositions, s.CancelAllowed, s.ProbesAllowed = bit(4), bit(5), bit(6)
+	s.RetryAfterAllowed, s.SoftRemoval, s.ProbesReportPosition = bit(8), bit(9), bit(10)
+	s.Classes[cKeyed].KeyScope = KeyScope(v / 5 % 3)
 	s.MaxAttempts = 1 + int(v)%7
-	s.MaxHeld = 1 + int(v)%50
+	s.MaxQueued = 1 + int(v)%50
 	if bit(12) {
-		s.Instances = 140
+		s.Routers = 140
 	}
 	if bit(11) {
 		s.Tenants = []Tenant{{Name: "t", Quota: 20}}
@@ -78,7 +79,7 @@
 
 func newHistory(seed uint64, v uint16) (*history, error) {
 	h := &history{rnd: rand.New(rand.NewPCG(seed, uint64(v))), set: variant(v), now: 5000e9,
-		open: map[string]*seenRequest{}, commit: map[string]Nanos{}, fresh: map[string]Nanos{}}
+		open: map[string]*seenRequest{}, commit: map[string]clock.Nanos{}, fresh: map[string]clock.Nanos{}}
 	b, err := New(h.set, seed)
 	h.b = b
 	return h, err
@@ -109,15 +110,15 @@
 
 // advance moves the clock, never past the next thing that is due; idle routers see long jumps.
 func (h *history) advance() {
-	to := h.now + h.set.Granularity*Nanos(1+h.rnd.IntN(12))
+	to := h.now + h.set.BatchInterval*clock.Nanos(1+h.rnd.IntN(12))
 	if len(h.order) == 0 && h.chance(10) {
 		to += 20e9
 	}
 	for _, at := range h.due {
-		to = min(to, max(at, h.now+h.set.Granularity))
+		to = min(to, max(at, h.now+h.set.BatchInterval))
 	}
 	for _, id := range h.order {
-		to = min(to, max(h.open[id].deadline, h.now+h.set.Granularity))
+		to = min(to, max(h.open[id].deadline, h.now+h.set.BatchInterval))
 	}
 	h.now = to
 }
@@ -148,12 +149,12 @@
 	for _, id := range slices.Clone(h.order) {
 		for no, s := range h.open[id].sends {
 			if !s.done && h.now < h.open[id].deadline && h.chance(12) {
-				events = append(events, h.answer(id, no, []Outcome{Done, Done, Done, Failed, Busy, TimedOut,
-					Refused, Reset, Miss, Canceled}[h.rnd.IntN(10)]))
+				events = append(events, h.answer(id, no, []Outcome{Succeeded, Succeeded, Succeeded, Failed, Busy, TimedOut,
+					ConnectionRefused, ConnectionReset, NotEligible, Canceled}[h.rnd.IntN(10)]))
 			}
 		}
 		if h.chance(1) {
-			events = append(events, Event{Kind: RequestGone, Request: id})
+			events = append(events, Event{Kind: RequestAbandoned, Request: id})
 			h.gone = append(h.gone, h.open[id])
 		}
 	}
@@ -163,14 +164,14 @@
 	for _, n := range h.nodes {
 		if n.probes > 0 && h.chance(30) {
 			n.probes--
-			n.pos = max(n.pos, h.now-Nanos(h.rnd.IntN(2000))*ms)
-			events = append(events, Event{Kind: ProbeDone, Node: n.Node, Outcome: Done, Position: n.pos})
+			n.pos = max(n.pos, h.now-clock.Nanos(h.rnd.IntN(2000))*ms)
+			events = append(events, Event{Kind: ProbeEnded, Endpoint: n.ID, Outcome: Succeeded, Position: n.pos})
 		}
 	}
 	if h.chance(5) { // nonsense that must be ignored
-		events = append(events, Event{Kind: AttemptDone, Request: "none", Attempt: 3, Outcome: Done},
-			Event{Kind: Wakeup, Tag: 1 << 40}, Event{Kind: RequestGone, Request: "none"}, Event{Kind: 99},
-			Event{Kind: ProbeDone, Node: 77, Outcome: Done})
+		events = append(events, Event{Kind: AttemptEnded, Request: "none", Attempt: 3, Outcome: Succeeded},
+			Event{Kind: TimerFired, TimerID: 1 << 40}, Event{Kind: RequestAbandoned, Request: "none"}, Event{Kind: 99},
+			Event{Kind: ProbeEnded, Endpoint: 77, Outcome: Succeeded})
 	}
 	for range h.rnd.IntN(4) {
 		events = append(events, h.arrival())
@@ -183,15 +184,15 @@
 	id := fmt.Sprint("q", h.next)
 	class := h.rnd.IntN(len(h.set.Classes))
 	r := &seenRequest{class: class, session: fmt.Sprint("s", h.rnd.IntN(8)), group: int64(h.rnd.IntN(3)),
-		deadline: h.now + h.set.Classes[class].Deadline*Nanos(40+h.rnd.IntN(60))/100}
-	e := Event{Kind: RequestIn, Request: id, Class: class, Tenant: h.rnd.IntN(2) - 1, Session: r.session,
+		deadline: h.now + h.set.Classes[class].Deadline*clock.Nanos(40+h.rnd.IntN(60))/100}
+	e := Event{Kind: RequestArrived, Request: id, Class: class, Tenant: h.rnd.IntN(2) - 1, Session: r.session,
 		Group: r.group, Deadline: r.deadline}
 	r.need = h.commit[fmt.Sprint(r.group, r.session)]
-	if h.set.CarriedToken {
+	if h.set.ClientPositions {
 		r.need = 0
 		if h.chance(60) {
-			e.TokenAge = Nanos(1+h.rnd.IntN(900)) * ms
-			r.need = h.now - e.TokenAge
+			e.CommitAge = clock.Nanos(1+h.rnd.IntN(900)) * ms
+			r.need = h.now - e.CommitAge
 		}
 	}
 	h.open[id] = r
@@ -204,22 +205,22 @@
 	r := h.open[id]
 	s := &r.sends[no]
 	s.done = true
-	s.ran = o != Busy && o != Refused && o != Skipped && o != Miss
-	e := Event{Kind: AttemptDone, Request: id, Attempt: no, Node: s.node.Node, Outcome: o,
-		Finished: r.ended || o == Done}
-	if o == Done || o == Busy || o == Miss || o == Failed {
+	s.ran = o != Busy && o != ConnectionRefused && o != NotSent && o != NotEligible
+	e := Event{Kind: AttemptEnded, Request: id, Attempt: no, Endpoint: s.node.ID, Outcome: o,
+		Final: r.ended || o == Succeeded}
+	if o == Succeeded || o == Busy || o == NotEligible || o == Failed {
 		e.Role = Replica
 		if h.chance(40) {
 			e.Role = Primary
 		}
 		if h.chance(70) {
-			s.node.pos = max(s.node.pos, h.now-Nanos(h.rnd.IntN(1500))*ms)
+			s.node.pos = max(s.node.pos, h.now-clock.Nanos(h.rnd.IntN(1500))*ms)
 			e.Position = s.node.pos
 		}
 	}
-	if o == Done {
+	if o == Succeeded {
 		r.ended = true
-		if h.set.Classes[r.class].Read == Write { // also when the request had ended before
+		if h.set.Classes[r.class].Consistency == Write { // also when the request had ended before
 			key := fmt.Sprint(r.group, r.session)
 			h.fresh[key] = max(h.fresh[key], cmp.Or(e.Position, h.now))
 		}
@@ -231,12 +232,12 @@
 func (h *history) list(full bool) Event {
 	for len(h.nodes) < 6 || (h.chance(10) && len(h.nodes) < 12) {
 		i := len(h.nodes)
-		h.nodes = append(h.nodes, &seenNode{NodeEntry: NodeEntry{Node: uint32(100 - i), Group: int64(i % 2),
+		h.nodes = append(h.nodes, &seenNode{Endpoint: Endpoint{ID: EndpointID(100 - i), Group: int64(i % 2),
 			Zone: []string{"a", "b"}[i/2%2], Primary: i < 2, Weight: float64(h.rnd.IntN(3))}})
 	}
-	e := Event{Kind: NodesChanged}
+	e := Event{Kind: EndpointUpdate}
 	if full {
-		e.Kind = NodesFull
+		e.Kind = EndpointSnapshot
 	}
 	first := h.now == 5000e9
 	shrink := 0 // percent of the nodes that a wrong list leaves out; live ones among them
@@ -253,37 +254,37 @@
 			n.State = Draining
 		case k == 1:
 			h.withdraw(n)
-			said := n.NodeEntry
-			said.State = Gone
-			e.Nodes = append(e.Nodes, said)
+			said := n.Endpoint
+			said.State = Removed
+			e.Endpoints = append(e.Endpoints, said)
 			continue
 		case k == 2 && full:
 			h.withdraw(n)
 			continue
 		case k == 3:
-			n.Started = h.now
+			n.StartedAt = h.now
 			n.State = Ready
 		case k < 8:
 			n.State = Ready
 		case !full:
 			continue
 		}
-		if n.State == Gone && h.set.SoftRemoval {
+		if n.State == Removed && h.set.SoftRemoval {
 			n.State = Draining
 		}
 		n.listedPrimary = n.listedPrimary || n.Primary
-		said := n.NodeEntry
-		if said.Started > 0 && said.Started < h.now && h.chance(20) { // an old page: the start that was told before still counts
-			said.Started -= 3e9
+		said := n.Endpoint
+		if said.StartedAt > 0 && said.StartedAt < h.now && h.chance(20) { // an old page: the start that was told before still counts
+			said.StartedAt -= 3e9
 		}
-		e.Nodes = append(e.Nodes, said)
+		e.Endpoints = append(e.Endpoints, said)
 	}
 	if !first && h.chance(10) { // ghosts, in a group that requests name and in one that none does
 		for range 3 {
-			n := &seenNode{NodeEntry: NodeEntry{Node: uint32(1000 + len(h.nodes)), Group: int64(h.rnd.IntN(2) * 7),
-				Zone: "c", Started: h.now}}
+			n := &seenNode{Endpoint: Endpoint{ID: EndpointID(1000 + len(h.nodes)), Group: int64(h.rnd.IntN(2) * 7),
+				Zone: "c", StartedAt: h.now}}
 			h.nodes = append(h.nodes, n)
-			e.Nodes = append(e.Nodes, n.NodeEntry)
+			e.Endpoints = append(e.Endpoints, n.Endpoint)
 		}
 	}
 	return e
@@ -291,7 +292,7 @@
 
 func (h *history) withdraw(n *seenNode) {
 	if !h.set.SoftRemoval || n.State == Draining {
-		n.State = Gone
+		n.State = Removed
 	}
 }
 
@@ -299,7 +300,7 @@
 func (h *history) step(events []Event) {
 	for _, e := range events {
 		for _, n := range h.nodes {
-			if e.Kind == AttemptDone && e.Role != RoleUnknown && n.Node == e.Node {
+			if e.Kind == AttemptEnded && e.Role != RoleUnknown && n.ID == e.Endpoint {
 				n.saidReplica = e.Role == Replica
 				n.listedPrimary = n.listedPrimary || e.Role == Primary
 			}
@@ -332,19 +333,19 @@
 
 func (h *history) check(a Action) {
 	switch a.Kind {
-	case Timer:
-		h.due = append(h.due, a.At)
-		h.timers = append(h.timers, Event{Kind: Wakeup, Tag: a.Tag})
-	case Probe:
-		if !h.set.Probing {
+	case SetTimer:
+		h.due = append(h.due, a.TimerAt)
+		h.timers = append(h.timers, Event{Kind: TimerFired, TimerID: a.TimerID})
+	case SendProbe:
+		if !h.set.ProbesAllowed {
 			h.failf("probe where none is allowed")
 		}
 		for _, n := range h.nodes {
-			if n.Node == a.Node {
+			if n.ID == a.Endpoint {
 				n.probes++
 			}
 		}
-	case Send, Refuse, Fail, Cancel:
+	case SendAttempt, RejectRequest, FailRequest, CancelAttempt:
 		r := h.open[a.Request]
 		if r == nil {
 			h.failf("action %v for an unknown request", a)
@@ -356,8 +357,8 @@
 
 func (h *history) checkRequest(a Action, r *seenRequest) {
 	c := &h.set.Classes[r.class]
-	if a.Kind == Cancel {
-		if !h.set.Cancel || a.Attempt >= len(r.sends) {
+	if a.Kind == CancelAttempt {
+		if !h.set.CancelAllowed || a.Attempt >= len(r.sends) {
 			h.failf("bad cancel %v", a)
 		}
 		return
@@ -366,29 +367,29 @@
 		h.failf("action %v after the end of the request", a)
 		return
 	}
-	if a.Kind == Send {
+	if a.Kind == SendAttempt {
 		h.checkSend(a, r, c)
 		return
 	}
 	r.ended = true
-	if a.Wait > h.set.MaxRetryAfter {
+	if a.RetryAfter > h.set.MaxRetryAfter {
 		h.failf("a time to come back beyond the limit")
 	}
 	may := slices.ContainsFunc(r.sends, func(s seenSend) bool { return !s.done || s.ran })
-	if a.Kind == Refuse && may && (c.Effect == Unsafe || (c.Effect == Keyed && c.Scope != ScopeAll)) {
+	if a.Kind == RejectRequest && may && (c.Idempotency == NotIdempotent || (c.Idempotency == IdempotentByKey && c.KeyScope != ScopeAll)) {
 		h.failf("refused %s, which may have run", a.Request)
 	}
 }
 
 func (h *history) checkSend(a Action, r *seenRequest, c *Class) {
-	at := slices.IndexFunc(h.nodes, func(n *seenNode) bool { return n.Node == a.Node })
+	at := slices.IndexFunc(h.nodes, func(n *seenNode) bool { return n.ID == a.Endpoint })
 	if at < 0 || h.nodes[at].Group != r.group {
-		h.failf("sent to node %d, not of the group", a.Node)
+		h.failf("sent to node %d, not of the group", a.Endpoint)
 		return
 	}
 	n := h.nodes[at]
 	if n.State != Ready {
-		h.failf("sent to node %d, which drains or is gone", a.Node)
+		h.failf("sent to node %d, which drains or is gone", a.Endpoint)
 	}
 	if len(r.sends) >= h.set.MaxAttempts {
 		h.failf("more attempts than allowed")
@@ -397,8 +398,8 @@
 		if !s.done {
 			h.failf("a second copy of %s", a.Request)
 		}
-		scoped := c.Scope != ScopeZone || s.node.Zone == n.Zone
-		if (!s.done || s.ran) && (c.Effect == Unsafe || (c.Effect == Keyed && (h.now-s.at > c.Window || !scoped))) {
+		scoped := c.KeyScope != ScopeZone || s.node.Zone == n.Zone
+		if (!s.done || s.ran) && (c.Idempotency == NotIdempotent || (c.Idempotency == IdempotentByKey && (h.now-s.at > c.IdempotencyWindow || !scoped))) {
 			h.failf("forbidden repeat of %s", a.Request)
 		}
 	}
@@ -410,34 +411,34 @@
 // checkFresh: where nodes don't check, the position must be proven, unless the node was primary and has not
 // said otherwise.
 func (h *history) checkFresh(n *seenNode, r *seenRequest, c *Class) {
-	if h.set.Behind != BehindNone || (n.listedPrimary && !n.saidReplica) {
+	if h.set.LagHandling != LagUnchecked || (n.listedPrimary && !n.saidReplica) {
 		return
 	}
-	if (c.Read == Bounded && n.pos < h.now-c.Bound) || (c.Read == Session && n.pos < r.need) || c.Read == Fresh {
-		h.failf("unproven read at node %d: %s, need %d, pos %d, listed %v said %v", n.Node, c.Name, r.need, n.pos, n.listedPrimary, n.saidReplica)
+	if (c.Consistency == BoundedStaleness && n.pos < h.now-c.StalenessBound) || (c.Consistency == ReadYourWrites && n.pos < r.need) || c.Consistency == FreshRead {
+		h.failf("unproven read at node %d: %s, need %d, pos %d, listed %v said %v", n.ID, c.Name, r.need, n.pos, n.listedPrimary, n.saidReplica)
 	}
 }
 
 // checkCold holds the work that the module itself reckons with against the stated budget of this instance's
 // part of the node, beyond the requests that draws may let through.
 func (h *history) checkCold(n *seenNode, r *seenRequest) {
-	age := h.now - n.Started
-	if n.Started == 0 || age >= h.set.RampTime {
+	age := h.now - n.StartedAt
+	if n.StartedAt == 0 || age >= h.set.WarmUpTime {
 		n.cold = nil
 		return
 	}
-	work := h.b.work[r.class]
-	n.cold = append(n.cold, coldSend{h.now, Nanos(work)})
+	work := h.b.classes.Work(r.class)
+	n.cold = append(n.cold, coldSend{h.now, clock.Nanos(work)})
 	total := 0.0
 	for _, s := range n.cold {
-		if s.at > h.now-h.set.OverloadFor && s.at >= n.Started {
+		if s.at > h.now-h.set.OverloadWindow && s.at >= n.StartedAt {
 			total += float64(s.work)
 		}
 	}
-	share := h.set.ColdShare + (1-h.set.ColdShare)*float64(age)/float64(h.set.RampTime)
-	part := h.b.part * cmp.Or(n.Weight, 1)
-	if limit := h.set.FallMultiple * share * part * float64(h.set.OverloadFor); total-3*work > limit {
-		h.failf("cold node %d over its budget: %.0f of %.0f", n.Node, total, limit)
+	share := h.set.ColdCapacity + (1-h.set.ColdCapacity)*float64(age)/float64(h.set.WarmUpTime)
+	part := h.b.slowStart.Part() * cmp.Or(n.Weight, 1)
+	if limit := h.set.OverloadMultiple * share * part * float64(h.set.OverloadWindow); total-3*work > limit {
+		h.failf("cold node %d over its budget: %.0f of %.0f", n.ID, total, limit)
 	}
 }
 
--- a/policy/contract/check.go
+++ b/policy/contract/check.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Fleet is what contracts are held against.
-type Fleet struct {
-	Groups      int
-	PrimaryPerS float64 // work units
-	Use         float64 // share of a primary that may be promised
+// Capacity is what contracts are held against.
+type Capacity struct {
+	Groups          int
+	PrimaryPerS     float64 // work units
+	PromisableShare float64 // share of a primary that may be promised
 }
 
 // Finding is something in contracts that can't be meant, and where it stands.
@@ -17,7 +17,7 @@
 
 // Findings holds the contracts against a fleet. They are valid all the same: each
 // finding is a promise that can't be kept, or one that nobody can use.
-func (s *Settings) Findings(f Fleet) []Finding {
+func (s *Settings) Findings(f Capacity) []Finding {
 	var found []Finding
 	add := func(where, text string, args ...any) {
 		found = append(found, Finding{where, fmt.Sprintf(text, args...)})
@@ -28,7 +28,7 @@
 		t := &s.Teams[i]
 		at, most := "teams."+t.Name, 1.0
 		for _, h := range t.Hours {
-			most = max(most, h.Times)
+			most = max(most, h.Factor)
 		}
 		units := 0.0
 		for c, l := range t.Limits {
@@ -48,7 +48,7 @@
 		if room := t.PrimaryShare * most * f.PrimaryPerS * float64(f.Groups); t.PrimaryShare > 0 && units > room*(1+1e-9) {
 			add(at, "rates of %.4g units a second on primaries, but its share of all primaries is %.4g", units, room)
 		}
-		if len(t.Users)+len(t.Databases)+len(t.Applications)+len(t.Addresses) == 0 && s.None != t.Name && !s.Said {
+		if len(t.Users)+len(t.Databases)+len(t.Applications)+len(t.Addresses) == 0 && s.DefaultTeam != t.Name && !s.TrustComment {
 			add(at, "nobody can be known to be of it")
 		}
 		for kind, list := range map[string][]string{"user": t.Users, "database": t.Databases, "application": t.Applications} {
@@ -65,12 +65,12 @@
 			add("classes."+class.Name, "no team may use it")
 		}
 	}
-	if most := f.Use * f.PrimaryPerS * float64(f.Groups); f.PrimaryPerS > 0 && promised > most*(1+1e-9) {
+	if most := f.PromisableShare * f.PrimaryPerS * float64(f.Groups); f.PrimaryPerS > 0 && promised > most*(1+1e-9) {
 		add("teams", "%.4g units a second are promised on primaries, of which %.4g are there (%.0f%% of %d primaries of %.4g)",
-			promised, most, 100*f.Use, f.Groups, f.PrimaryPerS)
+			promised, most, 100*f.PromisableShare, f.Groups, f.PrimaryPerS)
 	}
-	if shares > f.Use+1e-9 {
-		add("teams", "shares of %.0f%% of each primary are promised, of which %.0f%% are there", 100*shares, 100*f.Use)
+	if shares > f.PromisableShare+1e-9 {
+		add("teams", "shares of %.0f%% of each primary are promised, of which %.0f%% are there", 100*shares, 100*f.PromisableShare)
 	}
 	slices.SortStableFunc(found, func(x, y Finding) int {
 		if x.Where < y.Where {
--- a/policy/contract/contract_test.go
+++ b/policy/contract/contract_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"net/netip"
 	"strings"
 	"testing"
@@ -9,10 +10,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const ms = Nanos(1e6)
+const ms = clock.Nanos(1e6)
 
 // start is a Monday, 12:00 UTC.
-const start = Nanos(1767614400) * second
+const start = clock.Nanos(1767614400) * second
 
 const (
 	reading = iota
@@ -22,17 +23,17 @@
 func usual() Settings {
 	limits := func(reads, writes float64) []Limit { return []Limit{{reads, reads}, {writes, writes}} }
 	return Settings{
-		Classes: []Class{{Name: "read", Aim: second, Worth: 1, Cost: 1}, {Name: "write", Aim: second, Window: 5 * second, Primary: true, Worth: 6, Cost: 1}},
+		Classes: []Class{{Name: "read", LatencyObjective: second, PriorityWeight: 1, Cost: 1}, {Name: "write", LatencyObjective: second, IdempotencyWindow: 5 * second, Primary: true, PriorityWeight: 6, Cost: 1}},
 		Teams: []Team{
-			{Name: "lending", Worth: 1, Users: []string{"app"}, Addresses: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}, Limits: limits(20, 10), Open: 100, Retry: 0.1},
-			{Name: "counters", Worth: 3, Users: []string{"counter"}, Applications: []string{"desk"}, Limits: limits(20, 10), PrimaryShare: 0.3, Retry: 0.1},
-			{Name: "reports", Worth: 1, Databases: []string{"dwh"}, Limits: limits(5, 0)},
+			{Name: "lending", Weight: 1, Users: []string{"app"}, Addresses: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}, Limits: limits(20, 10), MaxOpen: 100, RetryShare: 0.1},
+			{Name: "counters", Weight: 3, Users: []string{"counter"}, Applications: []string{"desk"}, Limits: limits(20, 10), PrimaryShare: 0.3, RetryShare: 0.1},
+			{Name: "reports", Weight: 1, Databases: []string{"dwh"}, Limits: limits(5, 0)},
 		},
-		Ambiguous: "first", Instances: 1, Skew: 1, PrimaryPerS: 50, High: 0.3, Low: 0.12, Keys: 4, Shares: 8, LongBack: 2 * second,
+		Ambiguous: "first", Routers: 1, Skew: 1, PrimaryWorkPerSecond: 50, HighPressure: 0.3, LowPressure: 0.12, MaxKeys: 4, MaxShares: 8, MaxRetryAfter: 2 * second,
 	}
 }
 
-func book(t *testing.T, s Settings) *Book {
+func book(t *testing.T, s Settings) *Ledger {
 	t.Helper()
 	b, err := New(s, 1)
 	if err != nil {
@@ -51,9 +52,9 @@
 }
 
 // press makes a group suffer, as requests within their contract feel it.
-func press(b *Book, group int64, class int, now Nanos) Nanos {
+func press(b *Ledger, group int64, class int, now clock.Nanos) clock.Nanos {
 	for range 100 {
-		b.Ended(Request{Team: 1, Class: class, Group: group}, false, End{Served: true, Took: 2 * second}, now)
+		b.Ended(Request{Team: 1, Class: class, Group: group}, false, End{Served: true, Elapsed: 2 * second}, now)
 		now += 20 * ms
 	}
 	return now
@@ -64,13 +65,13 @@
 	b := book(t, set)
 	ip := netip.MustParseAddr
 	for _, c := range []struct {
-		who  Who
+		who  Identity
 		team int
 		why  Reason
 	}{
-		{Who{User: "app"}, 0, Within}, {Who{Application: "desk"}, 1, Within}, {Who{Database: "dwh"}, 2, Within},
-		{Who{Address: ip("10.1.2.3")}, 0, Within}, {Who{Address: ip("::ffff:10.1.2.3")}, 0, Within}, {Who{Address: ip("10.2.2.3")}, -1, Unknown},
-		{Who{User: "counter", Address: ip("10.1.2.3")}, 0, Within}, {Who{User: "nobody"}, -1, Unknown}, {Who{}, -1, Unknown},
+		{Identity{User: "app"}, 0, Within}, {Identity{Application: "desk"}, 1, Within}, {Identity{Database: "dwh"}, 2, Within},
+		{Identity{Address: ip("10.1.2.3")}, 0, Within}, {Identity{Address: ip("::ffff:10.1.2.3")}, 0, Within}, {Identity{Address: ip("10.2.2.3")}, -1, UnknownTeam},
+		{Identity{User: "counter", Address: ip("10.1.2.3")}, 0, Within}, {Identity{User: "nobody"}, -1, UnknownTeam}, {Identity{}, -1, UnknownTeam},
 	} {
 		if team, why := b.Match(c.who); team != c.team || why != c.why {
 			t.Errorf("%+v: %d %s", c.who, team, why)
@@ -79,14 +80,14 @@
 	if team, _ := b.Named("counters", 0, Within); team != 0 {
 		t.Error("a comment is believed where it is not to be")
 	}
-	set.Ambiguous, set.None, set.Said = "refuse", "reports", true
+	set.Ambiguous, set.DefaultTeam, set.TrustComment = "refuse", "reports", true
 	if err := b.Set(set); err != nil {
 		t.Fatal(err)
 	}
-	if team, why := b.Match(Who{User: "counter", Database: "dwh"}); team != -1 || why != TwoTeams {
+	if team, why := b.Match(Identity{User: "counter", Database: "dwh"}); team != -1 || why != AmbiguousTeam {
 		t.Errorf("%d %s", team, why)
 	}
-	if team, why := b.Match(Who{User: "nobody"}); team != 2 || why != Within {
+	if team, why := b.Match(Identity{User: "nobody"}); team != 2 || why != Within {
 		t.Errorf("%d %s", team, why)
 	}
 	if team, _ := b.Named("counters", 0, Within); team != 1 {
@@ -101,7 +102,7 @@
 // contract is refused, with the figure and a time to return that is true.
 func TestBorrow(t *testing.T) {
 	set := usual()
-	set.Teams[0].Open = 0
+	set.Teams[0].MaxOpen = 0
 	b := book(t, set)
 	now, r := start, Request{Team: 0, Class: writing, Group: 1}
 	ask := func(n int) map[Reason]int {
@@ -116,14 +117,14 @@
 	}
 	now = press(b, 1, writing, now)
 	got := ask(100)
-	if got[Within] != 10 || got[Borrowed] > 3 || got[RateOver] < 87 {
+	if got[Within] != 10 || got[Borrowed] > 3 || got[OverRate] < 87 {
 		t.Error("under pressure", got)
 	}
 	v := b.Ask(r, now)
-	if v.Reason != RateOver || v.Limit != 10 || v.Wait < 100*ms || v.Wait > second {
+	if v.Reason != OverRate || v.Limit != 10 || v.RetryAfter < 100*ms || v.RetryAfter > second {
 		t.Errorf("%+v", v)
 	}
-	if v := b.Ask(r, now+v.Wait); v.Reason != Within {
+	if v := b.Ask(r, now+v.RetryAfter); v.Reason != Within {
 		t.Errorf("when it came back as told: %+v", v)
 	}
 	if w := b.Window(1, true); w > 1 {
@@ -137,7 +138,7 @@
 		t.Errorf("another group's primary: %v", other)
 	}
 	for range 60 { // it recovers
-		b.Ended(Request{Team: 1, Class: writing, Group: 1}, false, End{Served: true, Took: 10 * ms}, now)
+		b.Ended(Request{Team: 1, Class: writing, Group: 1}, false, End{Served: true, Elapsed: 10 * ms}, now)
 		b.Due(now)
 		now += 50 * ms
 	}
@@ -154,27 +155,27 @@
 	lent := [4]int{}     // by second
 	for i := range 400 { // 4 s in which the lending team takes all
 		for range 3 {
-			taker := named(Request{Team: 0, Class: writing, Group: 1, Until: now + 4*second})
+			taker := named(Request{Team: 0, Class: writing, Group: 1, Deadline: now + 4*second})
 			v := b.Ask(taker, now)
-			if v.Reason == Borrowed && !v.Hold {
+			if v.Reason == Borrowed && !v.Queued {
 				lent[i/100]++
 			}
-			if v.Reason.Taken() && !v.Hold {
-				b.Ended(taker, v.After, End{Gone: true}, now)
+			if v.Reason.Admitted() && !v.Queued {
+				b.Ended(taker, v.LowPriority, End{Abandoned: true}, now)
 			}
 		}
 		for _, turn := range b.Due(now) {
 			if turn.Reason == Borrowed {
 				lent[i/100]++
 			}
-			b.Ended(Request{Team: 0, Class: writing, Group: 1, ID: turn.ID}, turn.After, End{Gone: true}, now)
+			b.Ended(Request{Team: 0, Class: writing, Group: 1, ID: turn.ID}, turn.LowPriority, End{Abandoned: true}, now)
 		}
 		if i >= 200 && i%10 == 0 { // from 2 s on the other comes, and waits long
 			r := named(Request{Team: 1, Class: writing, Group: 1})
-			if v := b.Ask(r, now); v.Reason != Within || v.Hold {
+			if v := b.Ask(r, now); v.Reason != Within || v.Queued {
 				t.Fatalf("at %d: %+v", i, v)
 			}
-			b.Ended(r, false, End{Served: true, Took: 1500 * ms}, now)
+			b.Ended(r, false, End{Served: true, Elapsed: 1500 * ms}, now)
 		}
 		now += 10 * ms
 	}
@@ -187,18 +188,18 @@
 // ask; whoever has no turn in time is refused, and nobody is forgotten.
 func TestTwoBorrowers(t *testing.T) {
 	set := usual()
-	set.Teams[0].Open, set.Teams[1].PrimaryShare = 0, 0
+	set.Teams[0].MaxOpen, set.Teams[1].PrimaryShare = 0, 0
 	b := book(t, set)
 	now, got, refused, waits := start, [2]int{}, 0, map[string]int{}
 	var open []Request
 	end := func(turn Turn, team int) {
 		r := Request{Team: team, Class: writing, Group: 1, ID: turn.ID}
-		if delete(waits, turn.ID); turn.Reason.Taken() {
+		if delete(waits, turn.ID); turn.Reason.Admitted() {
 			got[team]++
 			open = append(open, r)
 		} else {
 			refused++
-			b.Ended(r, false, End{Gone: true}, now)
+			b.Ended(r, false, End{Abandoned: true}, now)
 		}
 	}
 	for i := range 6000 {
@@ -206,29 +207,29 @@
 			for range n {
 				r := named(Request{Team: team, Class: writing, Group: 1})
 				v := b.Ask(r, now)
-				if v.Instead != nil {
-					end(*v.Instead, waits[v.Instead.ID])
+				if v.Displaced != nil {
+					end(*v.Displaced, waits[v.Displaced.ID])
 				}
 				switch {
-				case v.Hold:
+				case v.Queued:
 					waits[r.ID] = team
-				case v.After:
+				case v.LowPriority:
 					end(Turn{r.ID, v}, team)
-				case v.Reason.Taken():
-					b.Ended(r, false, End{Gone: true}, now)
+				case v.Reason.Admitted():
+					b.Ended(r, false, End{Abandoned: true}, now)
 				}
 			}
 		}
 		if i%2 == 0 { // the place does one in 20 ms
 			if len(open) > 0 {
-				b.Ended(open[0], true, End{Gone: true}, now)
+				b.Ended(open[0], true, End{Abandoned: true}, now)
 				open = open[1:]
 			}
 			took := 100 * ms
 			if len(open) > 4 {
 				took = 600 * ms
 			}
-			b.Ended(Request{Team: 1, Class: writing, Group: 1}, false, End{Served: true, Took: took}, now)
+			b.Ended(Request{Team: 1, Class: writing, Group: 1}, false, End{Served: true, Elapsed: took}, now)
 		}
 		for _, turn := range b.Due(now) {
 			end(turn, waits[turn.ID])
@@ -241,8 +242,8 @@
 	if share := float64(got[1]) / float64(got[0]+got[1]); share < 0.65 || share > 0.85 || got[0]+got[1] < 1000 {
 		t.Errorf("three times the worth got %.2f of %v", share, got)
 	}
-	if refused == 0 || len(waits) != b.Waiting() {
-		t.Errorf("%d refused, %d wait, %d counted", refused, b.Waiting(), len(waits))
+	if refused == 0 || len(waits) != b.QueuedCount() {
+		t.Errorf("%d refused, %d wait, %d counted", refused, b.QueuedCount(), len(waits))
 	}
 }
 
@@ -253,9 +254,9 @@
 	now := press(b, 1, writing, start)
 	got := map[Reason]int{}
 	for range 50 {
-		got[b.Ask(named(Request{Team: 0, Class: writing, Group: 1, Retry: true}), now).Reason]++
+		got[b.Ask(named(Request{Team: 0, Class: writing, Group: 1, IsRetry: true}), now).Reason]++
 	}
-	if got[Within] > 10 || got[RetryOver] < 38 {
+	if got[Within] > 10 || got[OverRetryShare] < 38 {
 		t.Error(got)
 	}
 	now += second
@@ -272,18 +273,18 @@
 	b := book(t, usual())
 	now := press(b, 1, writing, start)
 	r := Request{Team: 0, Class: writing, Group: 1}
-	for b.Ask(named(r), now).Reason.Taken() {
+	for b.Ask(named(r), now).Reason.Admitted() {
 	}
 	r.Key = "k1"
 	b.Ended(r, false, End{MayRun: true}, now)
-	if v := b.Ask(r, now+second/2); v.Reason != Repeat {
+	if v := b.Ask(r, now+second/2); v.Reason != RetryOfWrite {
 		t.Errorf("%+v", v)
 	}
-	b.Ended(r, false, End{Served: true, Took: ms}, now+second/2)
+	b.Ended(r, false, End{Served: true, Elapsed: ms}, now+second/2)
 	for range 20 {
 		b.Ask(named(Request{Team: 0, Class: writing, Group: 1}), now+second/2)
 	}
-	if v := b.Ask(r, now+second/2); v.Reason.Taken() {
+	if v := b.Ask(r, now+second/2); v.Reason.Admitted() {
 		t.Errorf("after its answer: %+v", v)
 	}
 	for i := range 100 {
@@ -304,7 +305,7 @@
 	for range 60 {
 		got[b.Ask(named(Request{Team: 1, Class: writing, Group: 1}), now).Reason]++
 	}
-	if got[Within] != 15 || got[ShareOver] < 40 {
+	if got[Within] != 15 || got[OverPrimaryShare] < 40 {
 		t.Error(got)
 	}
 	if v := b.Ask(Request{Team: 1, Class: writing, Group: 2}, now); v.Reason != Within {
@@ -320,23 +321,23 @@
 
 func TestOpenAndClass(t *testing.T) {
 	set := usual()
-	set.Teams[0].Open = 3
+	set.Teams[0].MaxOpen = 3
 	b := book(t, set)
 	r := Request{Team: 0, Class: reading, Group: 1}
 	for range 3 {
 		b.Ask(r, start)
 	}
-	if v := b.Ask(r, start); v.Reason != OpenFull || v.Limit != 3 {
+	if v := b.Ask(r, start); v.Reason != TooManyOpen || v.Limit != 3 {
 		t.Errorf("%+v", v)
 	}
-	b.Ended(r, false, End{Gone: true}, start)
+	b.Ended(r, false, End{Abandoned: true}, start)
 	if v := b.Ask(r, start); v.Reason != Within {
 		t.Errorf("%+v", v)
 	}
-	if v := b.Ask(Request{Team: 2, Class: writing, Group: 1}, start); v.Reason != NoClass {
+	if v := b.Ask(Request{Team: 2, Class: writing, Group: 1}, start); v.Reason != ClassNotAllowed {
 		t.Errorf("%+v", v)
 	}
-	if v := b.Ask(Request{Team: -1, Class: writing, Group: 1}, start); v.Reason != Unknown {
+	if v := b.Ask(Request{Team: -1, Class: writing, Group: 1}, start); v.Reason != UnknownTeam {
 		t.Errorf("%+v", v)
 	}
 }
@@ -344,13 +345,13 @@
 func TestHours(t *testing.T) {
 	set := usual()
 	const hour = 3600
-	set.Teams[0].Hours = []Hours{{From: 6*24*hour + 18*hour, To: 7*24*hour + 1*hour, Times: 2}} // Sunday 18:00 to Monday 01:00
-	set.OffsetS = hour
+	set.Teams[0].Hours = []Hours{{From: 6*24*hour + 18*hour, To: 7*24*hour + 1*hour, Factor: 2}} // Sunday 18:00 to Monday 01:00
+	set.UTCOffsetSeconds = hour
 	b := book(t, set)
-	for at, want := range map[Nanos]float64{
+	for at, want := range map[clock.Nanos]float64{
 		0: 1, (6*24 + 4) * hour: 1, (6*24 + 5) * hour: 2, (6*24 + 11) * hour: 2, (6*24 + 11.9) * hour: 2, (6*24 + 12) * hour: 1,
 	} {
-		if got := b.times(&b.set.Teams[0], start+at*second); got != want {
+		if got := b.hoursFactor(&b.settings.Teams[0], start+at*second); got != want {
 			t.Errorf("%d h after Monday noon: %v", at/hour, got)
 		}
 	}
@@ -362,27 +363,27 @@
 	b := book(t, usual())
 	now := press(b, 1, writing, start)
 	r := Request{Team: 0, Class: writing, Group: 1}
-	for b.Ask(named(r), now).Reason.Taken() {
+	for b.Ask(named(r), now).Reason.Admitted() {
 	}
 	set := usual()
 	set.Teams = []Team{set.Teams[1], set.Teams[0]} // another order, one gone
-	set.Teams[1].Open = 2
+	set.Teams[1].MaxOpen = 2
 	if err := b.Set(set); err != nil {
 		t.Fatal(err)
 	}
 	r.Team = b.Team("lending")
-	if v := b.Ask(r, now); v.Reason != OpenFull { // ten are open of two
+	if v := b.Ask(r, now); v.Reason != TooManyOpen { // ten are open of two
 		t.Errorf("%+v", v)
 	}
-	set.Teams[1].Open = 0
+	set.Teams[1].MaxOpen = 0
 	if err := b.Set(set); err != nil {
 		t.Fatal(err)
 	}
 	if v := b.Ask(r, now); v.Reason == Within {
 		t.Errorf("what was used is forgotten: %+v", v)
 	}
-	set.Instances = 0
-	if err := b.Set(set); err == nil || b.set.Instances != 1 {
+	set.Routers = 0
+	if err := b.Set(set); err == nil || b.settings.Routers != 1 {
 		t.Error("wrong contracts are in force")
 	}
 }
@@ -418,12 +419,12 @@
 // A team that sends most does not go before the others; borrowed goes last.
 func TestOrder(t *testing.T) {
 	b := book(t, usual())
-	var list []Waiting
+	var list []BatchedRequest
 	for i := range 8 {
-		list = append(list, Waiting{Team: 0, Ground: Within, Index: i})
+		list = append(list, BatchedRequest{Team: 0, Reason: Within, Index: i})
 	}
-	list = append(list, Waiting{Team: 2, Ground: Borrowed, Index: 8}, Waiting{Team: 1, Ground: Within, Index: 9},
-		Waiting{Team: 1, Ground: Within, Index: 10}, Waiting{Team: 1, Ground: Within, Index: 11})
+	list = append(list, BatchedRequest{Team: 2, Reason: Borrowed, Index: 8}, BatchedRequest{Team: 1, Reason: Within, Index: 9},
+		BatchedRequest{Team: 1, Reason: Within, Index: 10}, BatchedRequest{Team: 1, Reason: Within, Index: 11})
 	b.Order(list)
 	var got []int
 	for _, w := range list {
@@ -432,7 +433,7 @@
 	if diff := cmp.Diff([]int{0, 9, 10, 11, 1, 2, 3, 4, 5, 6, 7, 8}, got); diff != "" {
 		t.Error(diff)
 	}
-	list = []Waiting{{Team: 0, Index: 0}, {Team: 1, Index: 1}} // it has had more than its turn
+	list = []BatchedRequest{{Team: 0, Index: 0}, {Team: 1, Index: 1}} // it has had more than its turn
 	if b.Order(list); list[0].Index != 1 {
 		t.Error(list)
 	}
@@ -440,16 +441,16 @@
 
 func TestCheck(t *testing.T) {
 	for says, spoil := range map[string]func(*Settings){
-		"teams.lending.worth":                func(s *Settings) { s.Teams[0].Worth = 0 },
+		"teams.lending.worth":                func(s *Settings) { s.Teams[0].Weight = 0 },
 		"teams[0].name: missing":             func(s *Settings) { s.Teams[0].Name = "" },
 		"teams.counters: given twice":        func(s *Settings) { s.Teams[0].Name = "counters" },
 		"teams.lending.classes.write: per_s": func(s *Settings) { s.Teams[0].Limits[1].Burst = 0 },
-		"teams.counters.primary_share: what": func(s *Settings) { s.PrimaryPerS = 0 },
+		"teams.counters.primary_share: what": func(s *Settings) { s.PrimaryWorkPerSecond = 0 },
 		"teams.lending.hours[0]":             func(s *Settings) { s.Teams[0].Hours = []Hours{{5, 4, 2}} },
-		`none: no team "odd"`:                func(s *Settings) { s.None = "odd" },
+		`none: no team "odd"`:                func(s *Settings) { s.DefaultTeam = "odd" },
 		"two:":                               func(s *Settings) { s.Ambiguous = "" },
-		"skew:":                              func(s *Settings) { s.Instances, s.Skew = 3, 0.3 },
-		"pressure: low":                      func(s *Settings) { s.Low = 1 },
+		"skew:":                              func(s *Settings) { s.Routers, s.Skew = 3, 0.3 },
+		"pressure: low":                      func(s *Settings) { s.LowPressure = 1 },
 	} {
 		s := usual()
 		spoil(&s)
@@ -471,7 +472,7 @@
 	}
 	s.Teams = append(s.Teams, Team{Name: "ghost", Limits: make([]Limit, 3), PrimaryShare: 0.5})
 	var got []string
-	for _, f := range s.Findings(Fleet{Groups: 2, PrimaryPerS: 50, Use: 0.78}) {
+	for _, f := range s.Findings(Capacity{Groups: 2, PrimaryPerS: 50, PromisableShare: 0.78}) {
 		got = append(got, f.Where+": "+f.Text[:min(12, len(f.Text))])
 	}
 	want := []string{"classes.odd: no team may ", "teams: 80 units a s", "teams: shares of 80", "teams.counters: rates of 70 ", `teams.counters: user "counte`,
@@ -480,7 +481,7 @@
 		t.Error(diff)
 	}
 	clean := usual()
-	if found := clean.Findings(Fleet{Groups: 2, PrimaryPerS: 50, Use: 0.78}); len(found) > 0 {
+	if found := clean.Findings(Capacity{Groups: 2, PrimaryPerS: 50, PromisableShare: 0.78}); len(found) > 0 {
 		t.Error(found)
 	}
 }
@@ -489,7 +490,7 @@
 func BenchmarkAsk(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		s := usual()
-		s.Shares = 1 << 16
+		s.MaxShares = 1 << 16
 		team := s.Teams[1]
 		s.Teams = nil
 		for i := range n {
@@ -506,8 +507,8 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				r := Request{Team: i * 7919 % n, Class: writing, Group: int64(i % 3), ID: "x"}
-				if v := book.Ask(r, now); v.Reason.Taken() {
-					book.Ended(r, v.After, End{Served: true, Took: 5 * ms}, now)
+				if v := book.Ask(r, now); v.Reason.Admitted() {
+					book.Ended(r, v.LowPriority, End{Served: true, Elapsed: 5 * ms}, now)
 				}
 				now += 10000
 			}
--- a/policy/contract/fair.go
+++ b/policy/contract/fair.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Waiting is a request that came in the same moment as others.
-type Waiting struct {
+// BatchedRequest is a request that came in the same moment as others.
+type BatchedRequest struct {
 	Team   int
 	Class  int
-	Ground Reason
+	Reason Reason
 	Index  int // the caller's
 }
 
@@ -18,21 +18,21 @@
 // often as its worth, whatever many one of them sends. A team that has just had
 // more than its turn waits for the others, also over several calls (start-time
 // fair queueing).
-func (b *Book) Order(list []Waiting) {
+func (b *Ledger) Order(list []BatchedRequest) {
 	if len(list) < 2 {
 		return
 	}
 	starts := make([]float64, 0, len(list))
 	for _, w := range list {
 		worth, cost := 1.0, 1.0
-		if w.Team >= 0 && w.Team < len(b.set.Teams) {
-			worth = b.set.Teams[w.Team].Worth
+		if w.Team >= 0 && w.Team < len(b.settings.Teams) {
+			worth = b.settings.Teams[w.Team].Weight
 		}
-		if w.Class >= 0 && w.Class < len(b.set.Classes) {
-			cost = max(b.set.Classes[w.Class].Cost, 1e-3)
+		if w.Class >= 0 && w.Class < len(b.settings.Classes) {
+			cost = max(b.settings.Classes[w.Class].Cost, 1e-3)
 		}
-		start := max(b.clock, b.lanes[w.Team])
-		b.lanes[w.Team] = start + cost/worth
+		start := max(b.virtualTime, b.finishTimes[w.Team])
+		b.finishTimes[w.Team] = start + cost/worth
 		starts = append(starts, start)
 	}
 	order := make([]int, len(list))
@@ -40,7 +40,7 @@
 		order[i] = i
 	}
 	borrowed := func(i int) int {
-		if list[i].Ground == Borrowed {
+		if list[i].Reason == Borrowed {
 			return 1
 		}
 		return 0
@@ -48,15 +48,15 @@
 	slices.SortStableFunc(order, func(x, y int) int {
 		return cmp.Or(borrowed(x)-borrowed(y), cmp.Compare(starts[x], starts[y]))
 	})
-	out := make([]Waiting, len(list))
+	out := make([]BatchedRequest, len(list))
 	for i, j := range order {
 		out[i] = list[j]
 	}
 	copy(list, out)
-	b.clock = slices.Min(starts)
-	for t, f := range b.lanes { // who has no more than the others owes nothing
-		if f <= b.clock {
-			delete(b.lanes, t)
+	b.virtualTime = slices.Min(starts)
+	for t, f := range b.finishTimes { // who has no more than the others owes nothing
+		if f <= b.virtualTime {
+			delete(b.finishTimes, t)
 		}
 	}
 }
--- a/policy/contract/interface.go
+++ b/policy/contract/interface.go
@@ -8,55 +8,52 @@
 import (
 	"errors"
 	"fmt"
+	"lotushook/policy/clock"
 	"net/netip"
 )
 
-// Nanos is a span or a point of the router's clock, in nanoseconds; points are
-// Unix time.
-type Nanos = int64
-
 // Settings are the contracts, and what the router knows of the fleet.
 type Settings struct {
 	Teams   []Team
 	Classes []Class // as the router numbers them
 
-	None      string // the team of those that match none; "": they are refused
-	Ambiguous string // "first": who matches two is the first's; "refuse"
-	Said      bool   // what the request's comment says of its team is believed
+	DefaultTeam  string // the team of those that match none; "": they are refused
+	Ambiguous    string // "first": who matches two is the first's; "refuse"
+	TrustComment bool   // what the request's comment says of its team is believed
 
-	Instances   int     // routers that share the contracts and can't talk
-	Skew        float64 // the largest share of a team's traffic that one of them sees in usual times
-	PrimaryPerS float64 // work units a primary does in a second; 0: shares of primaries don't bind
+	Routers              int     // routers that share the contracts and can't talk
+	Skew                 float64 // the largest share of a team's traffic that one of them sees in usual times
+	PrimaryWorkPerSecond float64 // work units a primary does in a second; 0: shares of primaries don't bind
 
-	High, Low float64 // answers took this share of their aims: above, borrowing shrinks; below, it grows
-	Keys      int     // keys that are remembered as perhaps carried out
-	Shares    int     // budgets of teams in groups that are remembered
-	OffsetS   int64   // local time less UTC, in seconds, for Hours
-	LongBack  Nanos   // the longest time to return that is told
+	HighPressure, LowPressure float64     // answers took this share of their aims: above, borrowing shrinks; below, it grows
+	MaxKeys                   int         // keys that are remembered as perhaps carried out
+	MaxShares                 int         // budgets of teams in groups that are remembered
+	UTCOffsetSeconds          int64       // local time less UTC, in seconds, for Hours
+	MaxRetryAfter             clock.Nanos // the longest time to return that is told
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name    string
-	Aim     Nanos
-	Window  Nanos // how long a repeat of a key is dropped
-	Primary bool  // only the primary takes it
-	Worth   float64
-	Cost    float64 // work units of one request
+	Name              string
+	LatencyObjective  clock.Nanos
+	IdempotencyWindow clock.Nanos // how long a repeat of a key is dropped
+	Primary           bool        // only the primary takes it
+	PriorityWeight    float64
+	Cost              float64 // work units of one request
 }
 
 // Team is one team's contract.
 type Team struct {
-	Name  string
-	Worth float64 // its weight where borrowers share what is left; above 0
+	Name   string
+	Weight float64 // its weight where borrowers share what is left; above 0
 
 	Users, Databases, Applications []string // whoever says one of them at the start is of the team
 	Addresses                      []netip.Prefix
 
 	Limits       []Limit // by class; the zero Limit: it may not use the class
 	PrimaryShare float64 // of each group's primary, over all classes; 0: none is promised beyond the limits
-	Open         int     // open requests over all routers; 0: no ceiling
-	Retry        float64 // clients' repeats that belong to the contract, as a share of first tries
+	MaxOpen      int     // open requests over all routers; 0: no ceiling
+	RetryShare   float64 // clients' repeats that belong to the contract, as a share of first tries
 	Hours        []Hours
 }
 
@@ -69,7 +66,7 @@
 // Hours are a stretch of each week in which the limits are larger.
 type Hours struct {
 	From, To int64 // seconds after Monday 00:00, local time; To may lie behind the week's end
-	Times    float64
+	Factor   float64
 }
 
 // Reason says why a request was refused, or on what ground it was taken.
@@ -77,56 +74,56 @@
 
 // The grounds and reasons.
 const (
-	Within    Reason = iota // its contract covers it
-	Borrowed                // beyond it, from what others leave
-	Repeat                  // a keyed write that may have run: it always passes
-	Unknown                 // it matches no team
-	TwoTeams                // it matches two
-	NoClass                 // its team may not use the class
-	OpenFull                // its team has as many open requests as it may
-	RateOver                // beyond the class's rate, while others need the room
-	ShareOver               // beyond the share of the primary, while others need the room
-	RetryOver               // a client's repeat beyond the retry budget, while others need the room
-	Reasons
+	Within           Reason = iota // its contract covers it
+	Borrowed                       // beyond it, from what others leave
+	RetryOfWrite                   // a keyed write that may have run: it always passes
+	UnknownTeam                    // it matches no team
+	AmbiguousTeam                  // it matches two
+	ClassNotAllowed                // its team may not use the class
+	TooManyOpen                    // its team has as many open requests as it may
+	OverRate                       // beyond the class's rate, while others need the room
+	OverPrimaryShare               // beyond the share of the primary, while others need the room
+	OverRetryShare                 // a client's repeat beyond the retry budget, while others need the room
+	ReasonCount
 )
 
-var reasonNames = [Reasons]string{"within", "borrowed", "repeat", "unknown_team", "two_teams", "no_class", "open", "rate", "share", "retry"}
+var reasonNames = [ReasonCount]string{"within", "borrowed", "repeat", "unknown_team", "two_teams", "no_class", "open", "rate", "share", "retry"}
 
 // String is the reason's name in logs and accounts.
 func (r Reason) String() string {
-	if r < 0 || r >= Reasons {
+	if r < 0 || r >= ReasonCount {
 		return fmt.Sprintf("reason(%d)", int(r))
 	}
 	return reasonNames[r]
 }
 
-// Taken says whether a request with this reason goes on.
-func (r Reason) Taken() bool { return r <= Repeat }
+// Admitted says whether a request with this reason goes on.
+func (r Reason) Admitted() bool { return r <= RetryOfWrite }
 
 // Request is what counts of a request here.
 type Request struct {
-	Team  int // as Match found it
-	Class int
-	Group int64
-	Key   string // of a keyed write
-	Retry bool   // the client marked it as its own repeat
-	ID    string // while it is open, nobody else's
-	Until Nanos  // when its client gives up
+	Team     int // as Match found it
+	Class    int
+	Group    int64
+	Key      string      // of a keyed write
+	IsRetry  bool        // the client marked it as its own repeat
+	ID       string      // while it is open, nobody else's
+	Deadline clock.Nanos // when its client gives up
 }
 
 // Verdict is what becomes of a request.
 type Verdict struct {
-	Reason Reason
-	Limit  float64 // the contract's figure that was met, over all routers
-	Wait   Nanos   // when it may come again; 0: not known
+	Reason     Reason
+	Limit      float64     // the contract's figure that was met, over all routers
+	RetryAfter clock.Nanos // when it may come again; 0: not known
 	// After says that others are placed before it: it was borrowed, or it is within
 	// only because routers that can't talk must each let more through than their
 	// even part. If the team's traffic is spread evenly, it is beyond the contract.
-	After bool
+	LowPriority bool
 	// Hold says that it waits for its turn: Due tells what becomes of it.
-	Hold bool
-	// Instead is one that waited and is refused in its place; its Verdict says why.
-	Instead *Turn
+	Queued bool
+	// Displaced is one that waited and is refused in its place; its Verdict says why.
+	Displaced *Turn
 }
 
 // Turn is what becomes of a request that waited.
@@ -137,10 +134,10 @@
 
 // End is how a taken request ended.
 type End struct {
-	Served bool
-	Took   Nanos // from its arrival
-	MayRun bool  // not served, and it can't be ruled out that it ran
-	Gone   bool  // its client left, or it was refused while it waited for its turn: it says nothing of load
+	Served    bool
+	Elapsed   clock.Nanos // from its arrival
+	MayRun    bool        // not served, and it can't be ruled out that it ran
+	Abandoned bool        // its client left, or it was refused while it waited for its turn: it says nothing of load
 }
 
 // Check says what is wrong with settings, naming the field.
@@ -162,8 +159,8 @@
 			bad(at, "given twice")
 		}
 		names[t.Name] = true
-		if !(t.Worth > 0) {
-			bad(at+".worth", "%v is not above 0", t.Worth)
+		if !(t.Weight > 0) {
+			bad(at+".worth", "%v is not above 0", t.Weight)
 		}
 		if len(t.Limits) != len(s.Classes) {
 			bad(at+".classes", "%d for %d classes", len(t.Limits), len(s.Classes))
@@ -177,44 +174,44 @@
 		if !(t.PrimaryShare >= 0 && t.PrimaryShare <= 1) {
 			bad(at+".primary_share", "%v is not between 0 and 1", t.PrimaryShare)
 		}
-		if t.PrimaryShare > 0 && !(s.PrimaryPerS > 0) {
+		if t.PrimaryShare > 0 && !(s.PrimaryWorkPerSecond > 0) {
 			bad(at+".primary_share", "what a primary does in a second is not told (fleet.primary_per_s)")
 		}
-		if t.Open < 0 {
-			bad(at+".open", "%d is below 0", t.Open)
+		if t.MaxOpen < 0 {
+			bad(at+".open", "%d is below 0", t.MaxOpen)
 		}
-		if !(t.Retry >= 0) {
-			bad(at+".retry_share", "%v is below 0", t.Retry)
+		if !(t.RetryShare >= 0) {
+			bad(at+".retry_share", "%v is below 0", t.RetryShare)
 		}
 		for j, h := range t.Hours {
-			if h.From < 0 || h.From >= week || h.To <= h.From || h.To > h.From+week || !(h.Times >= 1) {
-				bad(fmt.Sprintf("%s.hours[%d]", at, j), "not a stretch of the week, or times %v under 1", h.Times)
+			if h.From < 0 || h.From >= week || h.To <= h.From || h.To > h.From+week || !(h.Factor >= 1) {
+				bad(fmt.Sprintf("%s.hours[%d]", at, j), "not a stretch of the week, or times %v under 1", h.Factor)
 			}
 		}
 	}
-	if s.None != "" && !names[s.None] {
-		bad("none", "no team %q", s.None)
+	if s.DefaultTeam != "" && !names[s.DefaultTeam] {
+		bad("none", "no team %q", s.DefaultTeam)
 	}
 	if s.Ambiguous != "first" && s.Ambiguous != "refuse" {
 		bad("two", "%q is neither first nor refuse", s.Ambiguous)
 	}
-	if s.Instances < 1 {
-		bad("instances", "%d, at least 1 needed", s.Instances)
+	if s.Routers < 1 {
+		bad("instances", "%d, at least 1 needed", s.Routers)
 	}
-	if !(s.Skew > 0 && s.Skew <= 1) || s.Skew*float64(s.Instances) < 1 {
-		bad("skew", "%v: one of %d routers sees at least 1/%[2]d of a team's traffic, and at most all", s.Skew, s.Instances)
+	if !(s.Skew > 0 && s.Skew <= 1) || s.Skew*float64(s.Routers) < 1 {
+		bad("skew", "%v: one of %d routers sees at least 1/%[2]d of a team's traffic, and at most all", s.Skew, s.Routers)
 	}
-	if !(s.Low > 0 && s.Low < s.High) {
-		bad("pressure", "low %v and high %v are not in order above 0", s.Low, s.High)
+	if !(s.LowPressure > 0 && s.LowPressure < s.HighPressure) {
+		bad("pressure", "low %v and high %v are not in order above 0", s.LowPressure, s.HighPressure)
 	}
-	if s.Keys < 1 || s.Shares < 1 {
-		bad("keys, shares", "%d, %d, at least 1 needed", s.Keys, s.Shares)
+	if s.MaxKeys < 1 || s.MaxShares < 1 {
+		bad("keys, shares", "%d, %d, at least 1 needed", s.MaxKeys, s.MaxShares)
 	}
 	return errors.Join(errs...)
 }
 
 const (
-	second = Nanos(1e9)
+	second = clock.Nanos(1e9)
 	week   = 7 * 24 * 3600 // seconds
 	monday = 4 * 24 * 3600 // the first one of Unix time, in seconds
 )
--- a/policy/contract/match.go
+++ b/policy/contract/match.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// Who is what is known of a client.
-type Who struct {
+// Identity is what is known of a client.
+type Identity struct {
 	User, Database, Application string
 	Address                     netip.Addr
 }
@@ -40,7 +40,7 @@
 // Match finds a client's team, by any of what it says and where it comes from; it
 // is -1 with the reason where there is none, or where there are two and the
 // settings refuse that.
-func (b *Book) Match(who Who) (team int, why Reason) {
+func (b *Ledger) Match(who Identity) (team int, why Reason) {
 	found, two := -1, false
 	take := func(list []int) {
 		for _, i := range list {
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	m := b.match
+	m := b.matcher
 	take(m.users[who.User])
 	take(m.databases[who.Database])
 	take(m.applications[who.Application])
@@ -62,8 +62,8 @@
 		}
 	}
 	switch {
-	case two && b.set.Ambiguous == "refuse":
-		return -1, TwoTeams
+	case two && b.settings.Ambiguous == "refuse":
+		return -1, AmbiguousTeam
 	case found >= 0:
 		return found, Within
 	}
@@ -72,19 +72,19 @@
 
 // Named finds the team that a request's comment names, where that is believed;
 // otherwise the client's own stays.
-func (b *Book) Named(name string, team int, why Reason) (int, Reason) {
-	if !b.set.Said || name == "" {
+func (b *Ledger) Named(name string, team int, why Reason) (int, Reason) {
+	if !b.settings.TrustComment || name == "" {
 		return team, why
 	}
-	if list := b.match.names[name]; len(list) > 0 {
+	if list := b.matcher.names[name]; len(list) > 0 {
 		return list[0], Within
 	}
 	return b.none()
 }
 
-func (b *Book) none() (int, Reason) {
-	if list := b.match.names[b.set.None]; b.set.None != "" && len(list) > 0 {
+func (b *Ledger) none() (int, Reason) {
+	if list := b.matcher.names[b.settings.DefaultTeam]; b.settings.DefaultTeam != "" && len(list) > 0 {
 		return list[0], Within
 	}
-	return -1, Unknown
+	return -1, UnknownTeam
 }
--- a/policy/contract/replay_test.go
+++ b/policy/contract/replay_test.go
@@ -12,18 +12,18 @@
 	limits := []contract.Limit{{PerS: 20, Burst: 10}, {PerS: 5, Burst: 5}}
 	return contract.Settings{
 		Teams: []contract.Team{
-			{Name: "r-0", Worth: 1, Users: []string{"r-0"}, Limits: limits, PrimaryShare: 0.3, Open: 20, Retry: 0.2},
-			{Name: "r-1", Worth: 3, Users: []string{"r-1", "r-2"}, Limits: limits,
-				Hours: []contract.Hours{{From: 3600, To: 90000, Times: 2}}},
-			{Name: "r-2", Worth: 1, Addresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/24")},
+			{Name: "r-0", Weight: 1, Users: []string{"r-0"}, Limits: limits, PrimaryShare: 0.3, MaxOpen: 20, RetryShare: 0.2},
+			{Name: "r-1", Weight: 3, Users: []string{"r-1", "r-2"}, Limits: limits,
+				Hours: []contract.Hours{{From: 3600, To: 90000, Factor: 2}}},
+			{Name: "r-2", Weight: 1, Addresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/24")},
 				Limits: []contract.Limit{{PerS: 50, Burst: 50}, {}}},
 		},
 		Classes: []contract.Class{
-			{Name: "read", Aim: 1e8, Worth: 1, Cost: 1},
-			{Name: "write", Aim: 3e8, Window: 10e9, Primary: true, Worth: 2, Cost: 3},
+			{Name: "read", LatencyObjective: 1e8, PriorityWeight: 1, Cost: 1},
+			{Name: "write", LatencyObjective: 3e8, IdempotencyWindow: 10e9, Primary: true, PriorityWeight: 2, Cost: 3},
 		},
-		None: "r-2", Ambiguous: "first", Said: true, Instances: 3, Skew: 0.5, PrimaryPerS: 100,
-		High: 0.35, Low: 0.25, Keys: 50, Shares: 20, LongBack: 3e9,
+		DefaultTeam: "r-2", Ambiguous: "first", TrustComment: true, Routers: 3, Skew: 0.5, PrimaryWorkPerSecond: 100,
+		HighPressure: 0.35, LowPressure: 0.25, MaxKeys: 50, MaxShares: 20, MaxRetryAfter: 3e9,
 	}
 }
 
@@ -43,10 +43,10 @@
 		ask := func(request contract.Request, now int64) contract.Verdict {
 			request.Team, request.Class = request.Team%3, request.Class%2
 			request.Group = int64(driver.IntN(3))
-			request.Until = now + 1e9
+			request.Deadline = now + 1e9
 			verdict := book.Ask(request, now)
-			if verdict.Reason.Taken() && !verdict.Hold {
-				open = append(open, taken{request, verdict.After})
+			if verdict.Reason.Admitted() && !verdict.Queued {
+				open = append(open, taken{request, verdict.LowPriority})
 			}
 			return verdict
 		}
@@ -55,15 +55,15 @@
 				return
 			}
 			i := driver.IntN(len(open))
-			end.Took = int64(driver.IntN(4e8))
+			end.Elapsed = int64(driver.IntN(4e8))
 			book.Ended(open[i].request, open[i].after, end, now)
 			open = append(open[:i], open[i+1:]...)
 		}
-		load := func(group uint8, mine, all int) { book.Load(int64(group%3), mine, mine+all) }
+		load := func(group uint8, mine, all int) { book.AddLoadReport(int64(group%3), mine, mine+all) }
 		window := func(group uint8, primary bool) float64 { return book.Window(int64(group%3), primary) }
-		part := func(group uint8) float64 { return book.Part(int64(group % 3)) }
+		part := func(group uint8) float64 { return book.Share(int64(group % 3)) }
 		driver.Run(1500, ask, ask, ask, ask, ended, ended, ended, load, book.Match, book.Named, book.Due,
-			book.Drop, book.Waiting, window, part, book.Size)
+			book.Abandon, book.QueuedCount, window, part, book.Size)
 	}
 	digest.Check(t, "d29fa2a47fca95e5/27297")
 }
