--- a/policy/crdt/explore_test.go
+++ b/policy/crdt/explore_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"maps"
 	"slices"
 	"strings"
@@ -11,9 +12,9 @@
 
 // world is three members, what is under way between them, and what clients were told; each event makes another one of it.
 type world struct {
-	now    Nanos
+	now    clock.Nanos
 	who    [3]*Store
-	tell   [3]*Teller
+	tell   [3]*Broadcaster
 	boots  [3]uint64
 	down   [3]bool
 	way    []letter
@@ -29,9 +30,9 @@
 type letter struct {
 	from, to int
 	boot     uint64 // of the receiver's process: what comes to a later one is nothing to it
-	tell     *Telling
+	tell     *Delivery
 	ack      uint64
-	runs     []Run
+	runs     []OriginRun
 	twice    bool // it has come once already
 }
 
@@ -46,9 +47,9 @@
 
 func (s *Store) clone() *Store {
 	c := *s
-	c.entries, c.logs, c.seen = map[id]*held{}, map[Origin]*log{}, maps.Clone(s.seen)
-	same := map[*held]*held{nil: nil}
-	take := func(h *held) *held {
+	c.entries, c.logs, c.seen = map[entryID]*storedEntry{}, map[Origin]*log{}, maps.Clone(s.seen)
+	same := map[*storedEntry]*storedEntry{nil: nil}
+	take := func(h *storedEntry) *storedEntry {
 		if same[h] == nil && h != nil {
 			g := *h
 			same[h] = &g
@@ -71,11 +72,11 @@
 		}
 		c.logs[o] = m
 	}
-	c.fresh = nil
+	c.pending = nil
 	return &c
 }
 
-func (t *Teller) clone() *Teller {
+func (t *Broadcaster) clone() *Broadcaster {
 	c := *t
 	c.queue, c.open = slices.Clone(t.queue), nil
 	for _, b := range t.open {
@@ -100,7 +101,7 @@
 	h := fnv.New64a()
 	for i, s := range w.who {
 		fmt.Fprint(h, w.boots[i], w.down[i], s.seq, s.seen, w.tell[i].queue, w.tell[i].number)
-		for k := Session; k < kinds; k++ {
+		for k := SessionCommit; k < kinds; k++ {
 			fmt.Fprint(h, s.digests[k])
 		}
 		for _, b := range w.tell[i].open {
@@ -118,7 +119,7 @@
 }
 
 const (
-	exploreStep = 10 * Nanos(1e6)
+	exploreStep = 10 * clock.Nanos(1e6)
 	exploreWay  = 3 // beyond it something must arrive or be lost first
 	exploreMost = 2 // writes
 )
@@ -136,15 +137,15 @@
 
 func (w *world) start(i int) {
 	w.boots[i]++
-	set := Usual(Origin{exploreNames[i], w.boots[i]})
+	set := DefaultSettings(Origin{exploreNames[i], w.boots[i]})
 	w.who[i], _ = New(set)
-	teller := UsualTeller()
+	teller := DefaultBroadcasterSettings()
 	teller.Every, teller.Soon, teller.Tries = 0, 0, 3
-	w.tell[i], _ = NewTeller(teller)
+	w.tell[i], _ = NewBroadcaster(teller)
 }
 
 func (w *world) send(i int) {
-	for _, t := range w.tell[i].Next(w.now, w.others(i)) {
+	for _, t := range w.tell[i].Deliveries(w.now, w.others(i)) {
 		j := slices.Index(exploreNames[:], t.To)
 		w.way = append(w.way, letter{from: i, to: j, boot: w.boots[j], tell: &t})
 	}
@@ -154,7 +155,7 @@
 func (w *world) write(i int, session string) {
 	w.writes++
 	at := int64(w.writes)
-	e, ok := w.who[i].Assure(w.now, Entry{Kind: Session, A: "1", B: session, At: at})
+	e, ok := w.who[i].LearnDurably(w.now, Entry{Kind: SessionCommit, A: "1", B: session, At: at})
 	if !ok {
 		return
 	}
@@ -177,15 +178,15 @@
 	i := l.to
 	switch s := w.who[i]; {
 	case l.runs != nil:
-		s.Merge(w.now, l.runs)
+		s.MergeRuns(w.now, l.runs)
 	case l.tell != nil:
 		for n, e := range l.tell.Entries {
 			changed := false
 			if w.rules == "acknowledges first" {
 				break
 			}
-			if changed = s.Take(w.now, e); changed && n < l.tell.Pass {
-				w.tell[i].Pass(w.now, e, exploreNames[l.from])
+			if changed = s.Merge(w.now, e); changed && n < l.tell.Pass {
+				w.tell[i].Forward(w.now, e, exploreNames[l.from])
 			}
 		}
 		w.send(i)
@@ -228,7 +229,7 @@
 		for j := range w.who {
 			if j != i && !w.down[j] && len(w.way) < exploreWay && w.who[i].Sum() != w.who[j].Sum() {
 				c := w.next("%s asks %s", exploreNames[i], exploreNames[j])
-				if runs := c.who[j].Since(c.now, c.who[i].Vector(), 1000); len(runs) > 0 {
+				if runs := c.who[j].Since(c.now, c.who[i].VersionVector(), 1000); len(runs) > 0 {
 					c.way = append(c.way, letter{from: j, to: i, boot: c.boots[i], runs: runs})
 					out = append(out, c)
 				}
@@ -267,8 +268,8 @@
 	return out
 }
 
-func mustStore(name string) *Store { s, _ := New(Usual(Origin{name, 1 << 40})); return s }
-func mustTeller() *Teller          { t, _ := NewTeller(UsualTeller()); return t }
+func mustStore(name string) *Store { s, _ := New(DefaultSettings(Origin{name, 1 << 40})); return s }
+func mustTeller() *Broadcaster     { t, _ := NewBroadcaster(DefaultBroadcasterSettings()); return t }
 
 // broken says which invariant an event has broken: a commit fell at a process that lives; an own write whose answer went out
 // in mode one is held by neither of the two that had it, though one of them lives; copies that ask each other differ.
@@ -278,8 +279,8 @@
 			continue
 		}
 		for _, session := range []string{"s", "t"} {
-			is, _ := s.Commit("1", session)
-			if was, _ := before.who[i].Commit("1", session); is < was {
+			is, _ := s.CommitPosition("1", session)
+			if was, _ := before.who[i].CommitPosition("1", session); is < was {
 				return fmt.Sprintf("%s: the commit of %s fell from %d to %d", exploreNames[i], session, was, is)
 			}
 		}
@@ -293,11 +294,11 @@
 			if w.down[p.with] || w.boots[p.with] != p.other {
 				continue
 			}
-			if at, _ := w.who[p.with].Commit("1", p.session); at < p.at {
+			if at, _ := w.who[p.with].CommitPosition("1", p.session); at < p.at {
 				return fmt.Sprintf("the write of %s at %d was answered by %s with the word of %s, and is lost", p.session, p.at, exploreNames[p.by], exploreNames[p.with])
 			}
 		}
-		if at, _ := all.Commit("1", p.session); at < p.at {
+		if at, _ := all.CommitPosition("1", p.session); at < p.at {
 			return fmt.Sprintf("the write of %s at %d is missed after all have met", p.session, p.at)
 		}
 	}
@@ -319,7 +320,7 @@
 		for i, x := range live {
 			for j, y := range live {
 				if i != j {
-					x.Merge(w.now, y.Since(w.now, x.Vector(), 10_000))
+					x.MergeRuns(w.now, y.Since(w.now, x.VersionVector(), 10_000))
 				}
 			}
 		}
--- a/policy/crdt/feed.go
+++ b/policy/crdt/feed.go
@@ -3,52 +3,53 @@
 import (
 	"cmp"
 	"errors"
+	"lotushook/policy/clock"
 	"maps"
 	"slices"
 )
 
-// FeedSettings bound what a router gives to those who catch up.
-type FeedSettings struct {
-	Most  int   // members that are fed at a time
-	PerS  int   // bytes a second to all of them together
-	Piece int   // bytes of one answer
-	Small int   // bytes of an answer to one that has caught up before, and lacks little
-	Pause Nanos // who asks again within it is fed on; after it another may have its place
+// CatchUpSettings bound what a router gives to those who catch up.
+type CatchUpSettings struct {
+	Most  int         // members that are fed at a time
+	PerS  int         // bytes a second to all of them together
+	Piece int         // bytes of one answer
+	Small int         // bytes of an answer to one that has caught up before, and lacks little
+	Pause clock.Nanos // who asks again within it is fed on; after it another may have its place
 }
 
-// UsualFeed are settings for a router.
-func UsualFeed() FeedSettings {
-	return FeedSettings{Most: 10, PerS: 2 << 20, Piece: 48 << 10, Small: 32 << 10, Pause: 2e9}
+// DefaultCatchUpSettings are settings for a router.
+func DefaultCatchUpSettings() CatchUpSettings {
+	return CatchUpSettings{Most: 10, PerS: 2 << 20, Piece: 48 << 10, Small: 32 << 10, Pause: 2e9}
 }
 
-func (s *FeedSettings) check() error {
+func (s *CatchUpSettings) check() error {
 	if s.Most < 1 || s.Piece < 1 || s.PerS < s.Piece || s.Small < 1 || s.Pause <= 0 {
 		return errors.New("shared: Most, PerS, Piece, Small, Pause: missing or out of range")
 	}
 	return nil
 }
 
-// Feeder decides who is fed and how fast, so that those who come back all at once don't take what a router needs to serve.
+// CatchUpServer decides who is fed and how fast, so that those who come back all at once don't take what a router needs to serve.
 // It belongs to one goroutine.
-type Feeder struct {
-	set  FeedSettings
-	fed  map[string]Nanos // who is fed, and when it asked last
-	left float64          // bytes that may be given now
-	at   Nanos
+type CatchUpServer struct {
+	set  CatchUpSettings
+	fed  map[string]clock.Nanos // who is fed, and when it asked last
+	left float64                // bytes that may be given now
+	at   clock.Nanos
 }
 
-// NewFeeder returns one that feeds nobody.
-func NewFeeder(s FeedSettings, now Nanos) (*Feeder, error) {
+// NewCatchUpServer returns one that feeds nobody.
+func NewCatchUpServer(s CatchUpSettings, now clock.Nanos) (*CatchUpServer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	return &Feeder{set: s, fed: map[string]Nanos{}, left: float64(s.Piece), at: now}, nil
+	return &CatchUpServer{set: s, fed: map[string]clock.Nanos{}, left: float64(s.Piece), at: now}, nil
 }
 
-// Ask says how many bytes a member may be answered with now; 0: none, and it is to come again after a while, or to ask
+// Admit says how many bytes a member may be answered with now; 0: none, and it is to come again after a while, or to ask
 // another. hungry is one that has not caught up since its start.
-func (f *Feeder) Ask(now Nanos, who string, hungry bool) (room int, wait Nanos) {
-	maps.DeleteFunc(f.fed, func(_ string, at Nanos) bool { return now-at > f.set.Pause })
+func (f *CatchUpServer) Admit(now clock.Nanos, who string, hungry bool) (room int, wait clock.Nanos) {
+	maps.DeleteFunc(f.fed, func(_ string, at clock.Nanos) bool { return now-at > f.set.Pause })
 	f.left = min(float64(f.set.PerS), f.left+float64(now-f.at)*float64(f.set.PerS)/1e9)
 	f.at = now
 	room = f.set.Small
@@ -60,39 +61,39 @@
 		room = f.set.Piece
 	}
 	if lack := float64(room) - f.left; lack > 0 {
-		return 0, Nanos(lack / float64(f.set.PerS) * 1e9)
+		return 0, clock.Nanos(lack / float64(f.set.PerS) * 1e9)
 	}
 	return room, 0
 }
 
-// Gave notes what an answer had. Done: the member has all, and another may have its place.
-func (f *Feeder) Gave(who string, bytes int, done bool) {
+// Served notes what an answer had. Done: the member has all, and another may have its place.
+func (f *CatchUpServer) Served(who string, bytes int, done bool) {
 	f.left -= float64(bytes)
 	if done {
 		delete(f.fed, who)
 	}
 }
 
-// Fed is how many are fed.
-func (f *Feeder) Fed() int { return len(f.fed) }
+// ClientCount is how many are fed.
+func (f *CatchUpServer) ClientCount() int { return len(f.fed) }
 
-// Source is a member that can be asked for what a copy lacks.
-type Source struct{ Name, Hall string }
+// PeerInZone is a member that can be asked for what a copy lacks.
+type PeerInZone struct{ Name, Zone string }
 
 // Choose is whom to ask: while hungry, one of the own hall as long as there is any that has not been tried, then the others;
 // tries counts those that were silent or too busy in a row. One that has caught up asks all by turns.
-func Choose(list []Source, hall string, hungry bool, tries, turn int) (of Source, ok bool) {
+func Choose(list []PeerInZone, hall string, hungry bool, tries, turn int) (of PeerInZone, ok bool) {
 	if len(list) == 0 {
-		return Source{}, false
+		return PeerInZone{}, false
 	}
 	list = slices.Clone(list)
-	far := func(s Source) int {
-		if hungry && s.Hall != hall {
+	far := func(s PeerInZone) int {
+		if hungry && s.Zone != hall {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(list, func(x, y Source) int { return cmp.Or(far(x)-far(y), cmp.Compare(x.Name, y.Name)) })
+	slices.SortFunc(list, func(x, y PeerInZone) int { return cmp.Or(far(x)-far(y), cmp.Compare(x.Name, y.Name)) })
 	if !hungry {
 		return list[turn%len(list)], true
 	}
--- a/policy/crdt/shared_test.go
+++ b/policy/crdt/shared_test.go
@@ -2,19 +2,20 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-const second = Nanos(1e9)
+const second = clock.Nanos(1e9)
 
 func store(t interface{ Fatal(...any) }, name string, most int) *Store {
-	set := Usual(Origin{name, 1})
-	set.LevelFor = set.HintFor // what is forgotten at one copy before another is no matter of joins
+	set := DefaultSettings(Origin{name, 1})
+	set.LevelLifetime = set.HintLifetime // what is forgotten at one copy before another is no matter of joins
 	if most > 0 {
-		for k := Session; k < kinds; k++ {
-			set.Most[k] = most
+		for k := SessionCommit; k < kinds; k++ {
+			set.MaxEntries[k] = most
 		}
 	}
 	s, err := New(set)
@@ -26,25 +27,25 @@
 
 // drawn is something that a router might learn; few names, so that much is joined.
 func drawn(t *rapid.T) Entry {
-	e := Entry{Kind: Kind(rapid.IntRange(int(Session), int(Last)).Draw(t, "kind")), A: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "a"),
+	e := Entry{Kind: Kind(rapid.IntRange(int(SessionCommit), int(Last)).Draw(t, "kind")), A: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "a"),
 		B: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "b")), At: int64(rapid.IntRange(1, 40).Draw(t, "at"))}
 	switch e.Kind {
-	case Primary:
+	case PrimaryClaim:
 		e.B, e.Server, e.Born = "", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), int64(rapid.IntRange(0, 2).Draw(t, "born"))
-	case Position:
+	case ServerPosition:
 		e.B, e.Born = "", int64(rapid.IntRange(0, 2).Draw(t, "born"))
-	case Use:
+	case Usage:
 		e.At, e.Count = 0, int64(rapid.IntRange(1, 40).Draw(t, "count"))
-	case Write, Hint, Level:
+	case PendingWrite, Hint, SheddingLevel:
 		e.At = 0
-	case Cursor: // few generations and histories, so that all of the order is met
+	case FeedCursor: // few generations and histories, so that all of the order is met
 		e.Count, e.Born, e.Acked = int64(rapid.IntRange(1, 3).Draw(t, "gen")), int64(rapid.IntRange(1, 2).Draw(t, "history"))<<32, e.At/2
 	}
 	return e
 }
 
 func differ(x, y *Store) string {
-	for k := Session; k < kinds; k++ {
+	for k := SessionCommit; k < kinds; k++ {
 		if x.Digest(k) != y.Digest(k) {
 			set := map[string]bool{}
 			for _, e := range x.Difference(0, k, y.All(0, k), 3) {
@@ -65,24 +66,24 @@
 			for range rapid.IntRange(0, 30).Draw(t, "learned") {
 				s.Learn(0, drawn(t))
 			}
-			for k := Session; k < kinds; k++ {
+			for k := SessionCommit; k < kinds; k++ {
 				all = append(all, s.All(0, k)...)
 			}
 		}
 		most := rapid.SampledFrom([]int{0, 3}).Draw(t, "most")
 		x, y := store(t, "x", most), store(t, "y", most)
 		for _, e := range all {
-			x.Take(0, e)
+			x.Merge(0, e)
 		}
 		for _, i := range rapid.Permutation(append(index(len(all)), index(len(all))...)).Draw(t, "order") {
-			y.Take(0, all[i])
+			y.Merge(0, all[i])
 		}
 		if d := differ(x, y); d != "" {
 			t.Fatal(d)
 		}
 		for _, e := range all {
-			ax, kx := x.Commit(e.A, e.B)
-			if ay, ky := y.Commit(e.A, e.B); e.Kind == Session && (ax != ay || kx != ky || ax < e.At && x.full[Session] || ax < e.At && kx) {
+			ax, kx := x.CommitPosition(e.A, e.B)
+			if ay, ky := y.CommitPosition(e.A, e.B); e.Kind == SessionCommit && (ax != ay || kx != ky || ax < e.At && x.evicted[SessionCommit] || ax < e.At && kx) {
 				t.Fatalf("session %s/%s at %d: %d %v, %d %v", e.A, e.B, e.At, ax, kx, ay, ky)
 			}
 		}
@@ -102,12 +103,12 @@
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "routers")
-		all, boots, now := make([]*Store, n), make([]uint64, n), Nanos(0)
+		all, boots, now := make([]*Store, n), make([]uint64, n), clock.Nanos(0)
 		for i := range all {
 			all[i], boots[i] = store(t, fmt.Sprint("r", i), 0), 1
 		}
 		room := rapid.SampledFrom([]int{250, 400, 10_000}).Draw(t, "room")
-		pull := func(i, j int) { all[i].Merge(now, all[j].Since(now, all[i].Vector(), room)) }
+		pull := func(i, j int) { all[i].MergeRuns(now, all[j].Since(now, all[i].VersionVector(), room)) }
 		had := map[string]int64{} // of sessions, by any router that is up all along
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now += second / 10
@@ -116,14 +117,14 @@
 			case 0, 1, 2, 3:
 				e := drawn(t)
 				all[i].Learn(now, e)
-				if e.Kind == Session && i == 0 {
+				if e.Kind == SessionCommit && i == 0 {
 					had[e.A+"/"+e.B] = max(had[e.A+"/"+e.B], e.At)
 				}
 			case 4, 5:
-				for _, e := range all[i].Push(now, 300) {
+				for _, e := range all[i].TakePending(now, 300) {
 					for k := range all {
 						if k != i && rapid.Bool().Draw(t, "arrives") {
-							all[k].Take(now, e)
+							all[k].Merge(now, e)
 						}
 					}
 				}
@@ -134,8 +135,8 @@
 			case 8:
 				if i > 0 { // empty, as another process
 					boots[i]++
-					set := Usual(Origin{fmt.Sprint("r", i), boots[i]})
-					set.LevelFor = set.HintFor
+					set := DefaultSettings(Origin{fmt.Sprint("r", i), boots[i]})
+					set.LevelLifetime = set.HintLifetime
 					s, err := New(set)
 					if err != nil {
 						t.Fatal(err)
@@ -161,7 +162,7 @@
 		for key, at := range had {
 			var a, b string
 			fmt.Sscanf(key, "%1s/%s", &a, &b)
-			if got, known := all[n-1].Commit(a, b); !known || got < at {
+			if got, known := all[n-1].CommitPosition(a, b); !known || got < at {
 				t.Fatalf("session %s: %d, learned %d", key, got, at)
 			}
 		}
@@ -172,19 +173,19 @@
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := store(t, "r", 5)
-		s.set.Origins = 4
+		s.settings.MaxOrigins = 4
 		for i := range 300 {
 			e := Entry{Kind: Kind(rapid.IntRange(0, 8).Draw(t, "kind")), A: rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "a"), B: fmt.Sprint(rapid.IntRange(0, 99).Draw(t, "b")),
 				Born: rapid.Int64().Draw(t, "born"), At: rapid.Int64().Draw(t, "at"), Count: rapid.Int64().Draw(t, "count"), Seq: rapid.Uint64().Draw(t, "seq"),
 				Age: rapid.Int64().Draw(t, "age"), From: Origin{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "from")), rapid.Uint64().Draw(t, "boot")}}
-			s.Take(Nanos(i), e)
-			s.Merge(Nanos(i), []Run{{From: e.From, Upto: e.Seq, Entries: []Entry{e}}})
-			s.Tick(Nanos(i))
+			s.Merge(clock.Nanos(i), e)
+			s.MergeRuns(clock.Nanos(i), []OriginRun{{From: e.From, Upto: e.Seq, Entries: []Entry{e}}})
+			s.Expire(clock.Nanos(i))
 			logged := 0
 			for _, l := range s.logs {
 				logged += len(l.list)
 			}
-			for k := Session; k < kinds; k++ {
+			for k := SessionCommit; k < kinds; k++ {
 				if s.Size(k) > 5 {
 					t.Fatalf("%d of %s", s.Size(k), k)
 				}
@@ -195,16 +196,16 @@
 		}
 	})
 	s := store(t, "r", 0)
-	s.Take(0, Entry{Kind: Position, A: "h", At: int64(1e6 * second), From: Origin{"liar", 1}, Seq: 1})
-	applied := func() int64 { at, _, _ := s.Applied(0, "h", 0); return at }
+	s.Merge(0, Entry{Kind: ServerPosition, A: "h", At: int64(1e6 * second), From: Origin{"liar", 1}, Seq: 1})
+	applied := func() int64 { at, _, _ := s.AppliedPosition(0, "h", 0); return at }
 	if applied() == 0 {
 		t.Error("a router that knows nothing believes the first it hears")
 	}
-	s.Learn(0, Entry{Kind: Position, A: "h", At: 5 * int64(second)})
-	if applied() != 5*int64(second) || s.Refused() != 1 {
-		t.Errorf("%d after it has learned better, %d refused", applied(), s.Refused())
+	s.Learn(0, Entry{Kind: ServerPosition, A: "h", At: 5 * int64(second)})
+	if applied() != 5*int64(second) || s.Rejected() != 1 {
+		t.Errorf("%d after it has learned better, %d refused", applied(), s.Rejected())
 	}
-	if s.Take(0, Entry{Kind: Session, A: "1", B: "s", At: int64(100 * second), From: Origin{"liar", 1}, Seq: 2}) {
+	if s.Merge(0, Entry{Kind: SessionCommit, A: "1", B: "s", At: int64(100 * second), From: Origin{"liar", 1}, Seq: 2}) {
 		t.Error("a commit of the future was believed")
 	}
 }
@@ -213,36 +214,36 @@
 func TestWindows(t *testing.T) {
 	a, b := store(t, "a", 0), store(t, "b", 0)
 	skew := 3600 * second
-	a.Learn(0, Entry{Kind: Write, A: "ausleihe", B: "k"})
+	a.Learn(0, Entry{Kind: PendingWrite, A: "ausleihe", B: "k"})
 	a.Learn(0, Entry{Kind: Hint, A: "halle-a dark"})
-	a.Learn(0, Leveled("1", 300, 77, 5))
-	a.Learn(4*second, Leveled("1", 310, 78, 6))
+	a.Learn(0, NewSheddingLevel("1", 300, 77, 5))
+	a.Learn(4*second, NewSheddingLevel("1", 310, 78, 6))
 	late := a.Since(20*second, nil, 1000)
-	b.Merge(20*second+skew, a.Since(5*second, nil, 1000)) // it took 15 s to come
+	b.MergeRuns(20*second+skew, a.Since(5*second, nil, 1000)) // it took 15 s to come
 	if !b.MayHaveRun(20*second+skew, "ausleihe", "k") || len(b.Hints(20*second+skew, "halle-a dark")) != 1 {
 		t.Error("what a learned is not known at b")
 	}
 	c := store(t, "c", 0)
-	c.set.LevelFor = 2 * second
-	if c.Merge(5*second+skew, a.Since(5*second, nil, 1000)); c.Size(Level) != 1 {
+	c.settings.LevelLifetime = 2 * second
+	if c.MergeRuns(5*second+skew, a.Since(5*second, nil, 1000)); c.Size(SheddingLevel) != 1 {
 		t.Error("a's level is not known at c, or twice")
 	}
-	l := c.Levels(5500*second/1000 + skew)
+	l := c.SheddingLevels(5500*second/1000 + skew)
 	if len(l) != 1 || l[0].Age != 3*second/2 {
 		t.Fatalf("%+v", l)
 	}
-	if load, wish, epoch := l[0].Leveled(); load != 310 || wish != 78 || epoch != 6 || len(c.Levels(6*second+skew)) != 0 {
+	if load, wish, epoch := l[0].SheddingLevel(); load != 310 || wish != 78 || epoch != 6 || len(c.SheddingLevels(6*second+skew)) != 0 {
 		t.Errorf("load %d, level %d, epoch %d", load, wish, epoch)
 	}
-	b.Merge(21*second+skew, late)
+	b.MergeRuns(21*second+skew, late)
 	if !b.MayHaveRun(44*second+skew, "ausleihe", "k") || b.MayHaveRun(46*second+skew, "ausleihe", "k") {
 		t.Error("the window does not end 30 s after the latest that it may have run")
 	}
-	b.Tick(60*second + skew)
-	if b.Size(Write)+b.Size(Hint) != 0 {
+	b.Expire(60*second + skew)
+	if b.Size(PendingWrite)+b.Size(Hint) != 0 {
 		t.Error("what is over is kept")
 	}
-	if b.Take(60*second+skew, a.All(31*second, Write)[0]); b.Size(Write) != 0 {
+	if b.Merge(60*second+skew, a.All(31*second, PendingWrite)[0]); b.Size(PendingWrite) != 0 {
 		t.Error("what is over came back")
 	}
 }
@@ -250,25 +251,25 @@
 // Two that claim a group: the later evidence holds, then the later start.
 func TestPrimary(t *testing.T) {
 	a, b := store(t, "a", 0), store(t, "b", 0)
-	a.Learn(0, Entry{Kind: Primary, A: "1", Server: "x", Born: 1, At: 10})
-	b.Learn(0, Entry{Kind: Primary, A: "1", Server: "y", Born: 2, At: 10})
-	a.Merge(0, b.Since(0, nil, 1000))
-	b.Merge(0, a.Since(0, b.Vector(), 1000))
+	a.Learn(0, Entry{Kind: PrimaryClaim, A: "1", Server: "x", Born: 1, At: 10})
+	b.Learn(0, Entry{Kind: PrimaryClaim, A: "1", Server: "y", Born: 2, At: 10})
+	a.MergeRuns(0, b.Since(0, nil, 1000))
+	b.MergeRuns(0, a.Since(0, b.VersionVector(), 1000))
 	for _, s := range []*Store{a, b} {
 		if server, born, at := s.Primary("1"); server != "y" || born != 2 || at != 10 {
 			t.Errorf("%s %d %d", server, born, at)
 		}
 	}
-	if a.Learn(1, Entry{Kind: Primary, A: "1", Server: "x", Born: 3, At: 11}); a.Digest(Primary) == b.Digest(Primary) {
+	if a.Learn(1, Entry{Kind: PrimaryClaim, A: "1", Server: "x", Born: 3, At: 11}); a.Digest(PrimaryClaim) == b.Digest(PrimaryClaim) {
 		t.Error("digests do not differ")
 	}
-	if d := a.Difference(1, Primary, b.All(1, Primary), 5); len(d) != 1 || d[0].Server != "x" {
+	if d := a.Difference(1, PrimaryClaim, b.All(1, PrimaryClaim), 5); len(d) != 1 || d[0].Server != "x" {
 		t.Errorf("%+v", d)
 	}
-	a.Learn(0, Entry{Kind: Use, A: "t", B: "c", Count: 500})
-	b.Learn(0, Entry{Kind: Use, A: "t", B: "c", Count: 700})
-	if a.Merge(2, b.Since(2, a.Vector(), 1000)); a.Used("t", "c") != 1200 {
-		t.Errorf("used %d", a.Used("t", "c"))
+	a.Learn(0, Entry{Kind: Usage, A: "t", B: "c", Count: 500})
+	b.Learn(0, Entry{Kind: Usage, A: "t", B: "c", Count: 700})
+	if a.MergeRuns(2, b.Since(2, a.VersionVector(), 1000)); a.Usage("t", "c") != 1200 {
+		t.Errorf("used %d", a.Usage("t", "c"))
 	}
 }
 
@@ -276,18 +277,18 @@
 func TestGap(t *testing.T) {
 	a, b := store(t, "a", 0), store(t, "b", 0)
 	for i := range 6 {
-		a.Learn(0, Entry{Kind: Session, A: "1", B: fmt.Sprint(i), At: int64(i + 1)})
+		a.Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(i), At: int64(i + 1)})
 	}
-	b.Merge(0, a.Since(0, Vector{a.set.Self: 3}, 1000))
-	if b.Size(Session) != 3 || b.Vector()[a.set.Self] != 0 {
-		t.Errorf("%d had, up to %d", b.Size(Session), b.Vector()[a.set.Self])
+	b.MergeRuns(0, a.Since(0, VersionVector{a.settings.Self: 3}, 1000))
+	if b.Size(SessionCommit) != 3 || b.VersionVector()[a.settings.Self] != 0 {
+		t.Errorf("%d had, up to %d", b.Size(SessionCommit), b.VersionVector()[a.settings.Self])
 	}
-	if b.Merge(0, a.Since(0, b.Vector(), 1000)); b.Size(Session) != 6 || b.Vector()[a.set.Self] != 6 {
-		t.Errorf("%d had, up to %d", b.Size(Session), b.Vector()[a.set.Self])
+	if b.MergeRuns(0, a.Since(0, b.VersionVector(), 1000)); b.Size(SessionCommit) != 6 || b.VersionVector()[a.settings.Self] != 6 {
+		t.Errorf("%d had, up to %d", b.Size(SessionCommit), b.VersionVector()[a.settings.Self])
 	}
 	for k, e := range []Entry{{From: Origin{"x", 1}, Age: 1 * second}, {From: Origin{"y", 1}, Age: 20 * second}, {From: Origin{"w", 1}, Age: 0}} {
-		e.Kind, e.A, e.B, e.Seq = Write, "c", "k", 1
-		if b.Take(0, e); !b.MayHaveRun(28*second, "c", "k") || k == 2 && !b.MayHaveRun(29*second, "c", "k") {
+		e.Kind, e.A, e.B, e.Seq = PendingWrite, "c", "k", 1
+		if b.Merge(0, e); !b.MayHaveRun(28*second, "c", "k") || k == 2 && !b.MayHaveRun(29*second, "c", "k") {
 			t.Errorf("after the %d. word the window ends early", k+1)
 		}
 	}
--- a/policy/crdt/spread.go
+++ b/policy/crdt/spread.go
@@ -2,67 +2,68 @@
 
 import (
 	"cmp"
+	"lotushook/policy/clock"
 	"maps"
 	"slices"
 )
 
 const entryBytes = 48 // of an entry as it travels, beside its texts
 
-// Vector says up to which number everything of each origin was had, or something that goes before it.
-type Vector map[Origin]uint64
+// VersionVector says up to which number everything of each origin was had, or something that goes before it.
+type VersionVector map[Origin]uint64
 
-// Run is what an origin learned after one number. Up to another one it is all that is left: what is missing there was joined
+// OriginRun is what an origin learned after one number. Up to another one it is all that is left: what is missing there was joined
 // away by something greater. Entries beyond that came by themselves, and something before them may be missing.
-type Run struct {
+type OriginRun struct {
 	From        Origin
 	After, Upto uint64
 	Entries     []Entry
 }
 
-// Vector is this copy's.
-func (s *Store) Vector() Vector { return maps.Clone(s.seen) }
+// VersionVector is this copy's.
+func (s *Store) VersionVector() VersionVector { return maps.Clone(s.seen) }
 
 // Size is what an entry takes on its way, in bytes.
 func (e *Entry) Size() int {
 	return entryBytes + len(e.A) + len(e.B) + len(e.Server) + len(e.From.Name)
 }
 
-// told is an entry as it travels.
-func (h *held) told(now Nanos) Entry {
+// entryAt is an entry as it travels.
+func (h *storedEntry) entryAt(now clock.Nanos) Entry {
 	e := h.Entry
-	e.Age = max(0, now-h.at)
+	e.Age = max(0, now-h.learnedAt)
 	return e
 }
 
-// Push is what this router learned since the last push, what matters soonest first, in so many bytes; what does not fit is
+// TakePending is what this router learned since the last push, what matters soonest first, in so many bytes; what does not fit is
 // left to whoever asks. It says nothing of what is complete: datagrams get lost.
-func (s *Store) Push(now Nanos, room int) []Entry {
-	fresh := slices.DeleteFunc(s.fresh, func(h *held) bool { return h.place < 0 })
-	slices.SortStableFunc(fresh, func(x, y *held) int { return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(y.Seq, x.Seq)) })
+func (s *Store) TakePending(now clock.Nanos, room int) []Entry {
+	fresh := slices.DeleteFunc(s.pending, func(h *storedEntry) bool { return h.heapIndex < 0 })
+	slices.SortStableFunc(fresh, func(x, y *storedEntry) int { return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(y.Seq, x.Seq)) })
 	var out []Entry
 	for _, h := range fresh {
 		if room -= h.Size(); room < 0 {
 			break
 		}
-		out = append(out, h.told(now))
+		out = append(out, h.entryAt(now))
 	}
-	s.fresh = nil
+	s.pending = nil
 	return out
 }
 
 // Since is what somebody with a vector has not had, in so many bytes. One that lacks everything gets everything, piece by
 // piece: each piece is complete up to its own end, so that another can go on from there. What is left of the room is for
 // entries that came by themselves, in turns: of a process that is gone they may be the only ones there will ever be.
-func (s *Store) Since(now Nanos, v Vector, room int) []Run {
-	var out []Run
-	var loose []*held
+func (s *Store) Since(now clock.Nanos, v VersionVector, room int) []OriginRun {
+	var out []OriginRun
+	var loose []*storedEntry
 	for _, o := range slices.SortedFunc(maps.Keys(s.logs), Origin.compare) {
-		r := Run{From: o, After: v[o], Upto: max(v[o], s.seen[o])}
+		r := OriginRun{From: o, After: v[o], Upto: max(v[o], s.seen[o])}
 		full := false
 		first, _ := slices.BinarySearchFunc(s.logs[o].list, r.After+1, func(x logged, seq uint64) int { return cmp.Compare(x.seq, seq) })
 		for _, x := range s.logs[o].list[first:] {
 			switch {
-			case x.h.place < 0:
+			case x.h.heapIndex < 0:
 			case x.seq > s.seen[o]:
 				loose = append(loose, x.h)
 			case full:
@@ -70,7 +71,7 @@
 				full, r.Upto = true, x.seq-1
 			default:
 				room -= x.h.Size()
-				r.Entries = append(r.Entries, x.h.told(now))
+				r.Entries = append(r.Entries, x.h.entryAt(now))
 			}
 		}
 		if r.Upto > r.After && room >= entryBytes {
@@ -84,29 +85,29 @@
 		if room -= h.Size() + entryBytes; room < 0 {
 			break
 		}
-		out = append(out, Run{From: h.From, After: v[h.From], Upto: v[h.From], Entries: []Entry{h.told(now)}})
+		out = append(out, OriginRun{From: h.From, After: v[h.From], Upto: v[h.From], Entries: []Entry{h.entryAt(now)}})
 	}
 	return out
 }
 
-// Merge takes runs in and returns how many entries changed something. A run that begins beyond what was had of its origin
+// MergeRuns takes runs in and returns how many entries changed something. A run that begins beyond what was had of its origin
 // leaves a gap: its entries are taken, and asked for again.
-func (s *Store) Merge(now Nanos, runs []Run) int {
+func (s *Store) MergeRuns(now clock.Nanos, runs []OriginRun) int {
 	changed := 0
 	for _, r := range runs {
-		sound := r.From.Name != "" && r.From != s.set.Self && r.Upto >= r.After
+		sound := r.From.Name != "" && r.From != s.settings.Self && r.Upto >= r.After
 		for _, e := range r.Entries {
 			if e.From != r.From || e.Seq <= r.After {
 				sound = false
-				s.refused++
+				s.rejected++
 				continue
 			}
-			if s.Take(now, e) {
+			if s.Merge(now, e) {
 				changed++
 			}
 		}
 		_, known := s.seen[r.From]
-		if sound && r.Upto > r.After && r.After <= s.seen[r.From] && (known || len(s.seen) < s.set.Origins) {
+		if sound && r.Upto > r.After && r.After <= s.seen[r.From] && (known || len(s.seen) < s.settings.MaxOrigins) {
 			s.seen[r.From] = max(s.seen[r.From], r.Upto)
 		}
 	}
@@ -114,16 +115,16 @@
 }
 
 // Hash is over all of an entry that is joined: a check of what came of a piece of runs.
-func (e *Entry) Hash() uint64 { return (&held{Entry: *e}).hash() }
+func (e *Entry) Hash() uint64 { return (&storedEntry{Entry: *e}).hash() }
 
-// Old are entries that are known for longer than a bound, in turns, at most so many: whoever lacks one has missed it.
-func (s *Store) Old(now, bound Nanos, most int) []Entry {
+// EntriesOlderThan are entries that are known for longer than a bound, in turns, at most so many: whoever lacks one has missed it.
+func (s *Store) EntriesOlderThan(now, bound clock.Nanos, most int) []Entry {
 	var out []Entry
-	for k := Session; k < kinds; k++ {
+	for k := SessionCommit; k < kinds; k++ {
 		p := s.piles[k]
 		for i := range p { // one of each kind, then of the next store
-			if h := p[(int(s.turn>>16)+i)%len(p)]; now-h.at > bound && len(out) < most {
-				out = append(out, h.told(now))
+			if h := p[(int(s.turn>>16)+i)%len(p)]; now-h.learnedAt > bound && len(out) < most {
+				out = append(out, h.entryAt(now))
 				break
 			}
 		}
@@ -134,32 +135,34 @@
 
 // Again forgets how far an origin was had, as when digests differ though vectors don't: somebody left something out.
 func (s *Store) Again(o Origin) {
-	if o != s.set.Self {
+	if o != s.settings.Self {
 		delete(s.seen, o)
 	}
 }
 
 // Difference names entries that one copy holds and another lacks or has otherwise, at most so many: for people.
-func (s *Store) Difference(now Nanos, k Kind, other []Entry, most int) []Entry {
-	theirs := map[id]*Entry{}
+func (s *Store) Difference(now clock.Nanos, k Kind, other []Entry, most int) []Entry {
+	theirs := map[entryID]*Entry{}
 	for i := range other {
 		theirs[other[i].id()] = &other[i]
 	}
 	var out []Entry
 	for _, h := range s.piles[k] {
 		if e := theirs[h.id()]; e == nil || e.compare(&h.Entry) != 0 {
-			out = append(out, h.told(now))
+			out = append(out, h.entryAt(now))
 		}
 	}
-	slices.SortFunc(out, func(x, y Entry) int { return cmp.Or(cmp.Compare(x.A, y.A), cmp.Compare(x.B, y.B), x.dot(&y)) })
+	slices.SortFunc(out, func(x, y Entry) int {
+		return cmp.Or(cmp.Compare(x.A, y.A), cmp.Compare(x.B, y.B), x.compareVersion(&y))
+	})
 	return out[:min(most, len(out))]
 }
 
 // All are the entries of a kind.
-func (s *Store) All(now Nanos, k Kind) []Entry {
+func (s *Store) All(now clock.Nanos, k Kind) []Entry {
 	var out []Entry
 	for _, h := range s.piles[k] {
-		out = append(out, h.told(now))
+		out = append(out, h.entryAt(now))
 	}
 	return out
 }
--- a/policy/crdt/tell.go
+++ b/policy/crdt/tell.go
@@ -3,69 +3,70 @@
 import (
 	"cmp"
 	"errors"
+	"lotushook/policy/clock"
 	"slices"
 )
 
-// TellerSettings bound what is told to whom how often.
-type TellerSettings struct {
-	Bytes   int   // of entries in one batch
-	Every   Nanos // between batches, at the least
-	Soon    Nanos // the same while somebody waits for a word
-	Members int   // to whom a batch goes, by turns where there are more
-	Pass    int   // to whom one goes on that another router's write waits for
-	First   Nanos // until a batch that was not acknowledged is told again; each time twice as long
-	Longest Nanos // but never longer
-	Tries   int   // how often it is told; then it is left to those who ask
-	Queue   int   // entries that wait for a batch; beyond it the last to come of the least kind goes
-	Batches int   // that are not acknowledged; beyond it the oldest goes
-}
-
-// UsualTeller are settings for a router.
-func UsualTeller() TellerSettings {
+// BroadcasterSettings bound what is told to whom how often.
+type BroadcasterSettings struct {
+	Bytes   int         // of entries in one batch
+	Every   clock.Nanos // between batches, at the least
+	Soon    clock.Nanos // the same while somebody waits for a word
+	Members int         // to whom a batch goes, by turns where there are more
+	Pass    int         // to whom one goes on that another router's write waits for
+	First   clock.Nanos // until a batch that was not acknowledged is told again; each time twice as long
+	Longest clock.Nanos // but never longer
+	Tries   int         // how often it is told; then it is left to those who ask
+	Queue   int         // entries that wait for a batch; beyond it the last to come of the least kind goes
+	Batches int         // that are not acknowledged; beyond it the oldest goes
+}
+
+// DefaultBroadcasterSettings are settings for a router.
+func DefaultBroadcasterSettings() BroadcasterSettings {
 	const ms = 1e6
-	return TellerSettings{Bytes: 900, Every: 5 * ms, Soon: ms / 2, Members: 16, Pass: 3, First: 10 * ms, Longest: 160 * ms, Tries: 8, Queue: 1024, Batches: 256}
+	return BroadcasterSettings{Bytes: 900, Every: 5 * ms, Soon: ms / 2, Members: 16, Pass: 3, First: 10 * ms, Longest: 160 * ms, Tries: 8, Queue: 1024, Batches: 256}
 }
 
-func (s *TellerSettings) check() error {
+func (s *BroadcasterSettings) check() error {
 	if s.Bytes < 1 || s.Every < 0 || s.Soon < 0 || s.Members < 1 || s.Pass < 0 || s.First <= 0 || s.Longest < s.First || s.Tries < 1 || s.Queue < 1 || s.Batches < 1 {
 		return errors.New("shared: Bytes, Every, Soon, Members, Pass, First, Longest, Tries, Queue, Batches: missing or out of range")
 	}
 	return nil
 }
 
-// Telling is a batch on its way to a member. What came of it is told by its number.
-type Telling struct {
+// Delivery is a batch on its way to a member. What came of it is told by its number.
+type Delivery struct {
 	To      string
 	Number  uint64
 	Pass    int // so many of the first entries are waited for: who takes one that it had not hands it on
 	Entries []Entry
 }
 
-// Told counts what became of entries and batches since the start.
-type Told struct {
+// BroadcastCounts counts what became of entries and batches since the start.
+type BroadcastCounts struct {
 	Batches uint64 `json:"batches"`
 	Again   uint64 `json:"again"`   // tellings after the first of a batch to a member
 	Left    uint64 `json:"left"`    // batches that somebody did not acknowledge in the end: it asks for them
 	Dropped uint64 `json:"dropped"` // entries for which the queue had no room: whoever lacks them asks
 }
 
-// Teller tells members what is new until each has acknowledged it. It belongs to one goroutine.
+// Broadcaster tells members what is new until each has acknowledged it. It belongs to one goroutine.
 //
 // An acknowledgement says that its sender holds the entries, or what goes before them. The first one for an entry that
 // somebody waits for ends the wait: two routers have it then, and a third of them is told again until it says so too.
-type Teller struct {
-	set    TellerSettings
+type Broadcaster struct {
+	set    BroadcasterSettings
 	queue  []queued
 	open   []*batch // in order of their numbers
 	number uint64
-	last   Nanos // when the last new batch was made
+	last   clock.Nanos // when the last new batch was made
 	turn   int
-	told   Told
+	told   BroadcastCounts
 }
 
 type queued struct {
 	Entry
-	at   Nanos
+	at   clock.Nanos
 	wait uint64
 	not  string // who told it; "": it was learned here
 }
@@ -75,26 +76,30 @@
 	list   []queued
 	pass   int
 	left   []string // who has not acknowledged it
-	due    Nanos
+	due    clock.Nanos
 	tries  int
 }
 
-// NewTeller returns one that has nothing to tell.
-func NewTeller(s TellerSettings) (*Teller, error) {
+// NewBroadcaster returns one that has nothing to tell.
+func NewBroadcaster(s BroadcasterSettings) (*Broadcaster, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	return &Teller{set: s, last: -s.Every}, nil
+	return &Broadcaster{set: s, last: -s.Every}, nil
 }
 
 // Add has an entry told that was learned here just now. wait is the number by which somebody waits for its first
 // acknowledgement; 0: nobody does.
-func (t *Teller) Add(now Nanos, e Entry, wait uint64) { t.add(queued{Entry: e, at: now, wait: wait}) }
+func (t *Broadcaster) Add(now clock.Nanos, e Entry, wait uint64) {
+	t.add(queued{Entry: e, at: now, wait: wait})
+}
 
-// Pass has an entry told on that a member told this router: its origin may die before it has told the others.
-func (t *Teller) Pass(now Nanos, e Entry, by string) { t.add(queued{Entry: e, at: now, not: by}) }
+// Forward has an entry told on that a member told this router: its origin may die before it has told the others.
+func (t *Broadcaster) Forward(now clock.Nanos, e Entry, by string) {
+	t.add(queued{Entry: e, at: now, not: by})
+}
 
-func (t *Teller) add(q queued) {
+func (t *Broadcaster) add(q queued) {
 	at, _ := slices.BinarySearchFunc(t.queue, q, func(x, y queued) int { return cmp.Or(x.order(&y), -1) })
 	t.queue = slices.Insert(t.queue, at, q)
 	if len(t.queue) > t.set.Queue {
@@ -117,9 +122,9 @@
 	return cmp.Compare(class(q), class(r))
 }
 
-// Next says what to tell now, and to whom; others are the members that are there, in a stable order. A member that is there
+// Deliveries says what to tell now, and to whom; others are the members that are there, in a stable order. A member that is there
 // no more is not waited for.
-func (t *Teller) Next(now Nanos, others []string) (out []Telling) {
+func (t *Broadcaster) Deliveries(now clock.Nanos, others []string) (out []Delivery) {
 	t.open = slices.DeleteFunc(t.open, func(b *batch) bool {
 		if now < b.due {
 			return false
@@ -155,7 +160,7 @@
 }
 
 // batch takes from the queue what fits, of one sort: what was learned here, or what one member told.
-func (t *Teller) batch(now Nanos, others []string) *batch {
+func (t *Broadcaster) batch(now clock.Nanos, others []string) *batch {
 	t.number++
 	t.told.Batches++
 	t.last = now
@@ -186,7 +191,7 @@
 	return b
 }
 
-func (t *Teller) tell(now Nanos, b *batch) (out []Telling) {
+func (t *Broadcaster) tell(now clock.Nanos, b *batch) (out []Delivery) {
 	b.due = now + min(t.set.First<<min(b.tries, 20), t.set.Longest)
 	b.tries++
 	list := make([]Entry, len(b.list))
@@ -195,14 +200,14 @@
 		list[i].Age += max(0, now-q.at)
 	}
 	for _, m := range b.left {
-		out = append(out, Telling{m, b.number, b.pass, list})
+		out = append(out, Delivery{m, b.number, b.pass, list})
 	}
 	return out
 }
 
 // Acked takes a member's word on a batch: it holds all of it but the entries at these places, which it does not believe. It
 // returns the waits that end, each at its first acknowledgement.
-func (t *Teller) Acked(from string, number uint64, lacks []uint8) (ended []uint64) {
+func (t *Broadcaster) Acked(from string, number uint64, lacks []uint8) (ended []uint64) {
 	at, ok := slices.BinarySearchFunc(t.open, number, func(b *batch, n uint64) int { return cmp.Compare(b.number, n) })
 	if !ok {
 		return nil
@@ -226,7 +231,7 @@
 }
 
 // Due says whether there is anything that Next may want to tell, and from when on.
-func (t *Teller) Due() (at Nanos, ok bool) {
+func (t *Broadcaster) Due() (at clock.Nanos, ok bool) {
 	if len(t.queue) > 0 {
 		at, ok = t.last+t.set.Every, true
 		if t.queue[0].wait != 0 {
@@ -241,8 +246,8 @@
 	return at, ok
 }
 
-// Told counts since the start.
-func (t *Teller) Told() Told { return t.told }
+// BroadcastCounts counts since the start.
+func (t *Broadcaster) Counts() BroadcastCounts { return t.told }
 
 // Size is how many entries wait, and how many batches are open.
-func (t *Teller) Size() (entries, batches int) { return len(t.queue), len(t.open) }
+func (t *Broadcaster) Size() (entries, batches int) { return len(t.queue), len(t.open) }
--- a/policy/crdt/tell_test.go
+++ b/policy/crdt/tell_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -11,27 +12,27 @@
 // waited for goes first, no batch goes to its own source or to somebody who acknowledged it, and in the end nothing is open.
 func TestTeller(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := UsualTeller()
+		set := DefaultBroadcasterSettings()
 		set.Queue, set.Batches, set.Bytes, set.Members = 6, 3, 150, 2
-		tell, err := NewTeller(set)
+		tell, err := NewBroadcaster(set)
 		if err != nil {
 			t.Fatal(err)
 		}
-		others, now, wait := []string{"b", "c", "d"}, Nanos(0), uint64(0)
+		others, now, wait := []string{"b", "c", "d"}, clock.Nanos(0), uint64(0)
 		ended, acked, times := map[uint64]bool{}, map[string]bool{}, map[string]int{}
-		var way []Telling
+		var way []Delivery
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += Nanos(rapid.IntRange(0, 20e6).Draw(t, "wait"))
-			switch e := (Entry{Kind: Session, A: "1", B: fmt.Sprint(now), From: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
+			now += clock.Nanos(rapid.IntRange(0, 20e6).Draw(t, "wait"))
+			switch e := (Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(now), From: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0:
 				wait++
 				tell.Add(now, e, wait)
 			case 1:
-				e.Kind = Position
+				e.Kind = ServerPosition
 				tell.Add(now, e, 0)
 			case 2:
 				e.From.Name = "b"
-				tell.Pass(now, e, "b")
+				tell.Forward(now, e, "b")
 			default:
 				if len(way) > 0 {
 					i := rapid.IntRange(0, len(way)-1).Draw(t, "which")
@@ -44,7 +45,7 @@
 					}
 				}
 			}
-			for _, x := range tell.Next(now, others) {
+			for _, x := range tell.Deliveries(now, others) {
 				key := fmt.Sprint(x.To, x.Number)
 				if times[key]++; acked[key] || times[key] > set.Tries || x.Pass > len(x.Entries) || len(x.Entries) == 0 {
 					t.Fatalf("%+v, acknowledged %v, told %d times", x, acked[key], times[key])
@@ -62,7 +63,7 @@
 		}
 		for range 200 {
 			now += set.Longest
-			tell.Next(now, others)
+			tell.Deliveries(now, others)
 		}
 		if entries, batches := tell.Size(); entries+batches > 0 {
 			t.Fatalf("%d wait, %d are open for good", entries, batches)
@@ -76,18 +77,18 @@
 // Ten are fed at a time, an eleventh when one has all or has stopped asking; all together get no more bytes than there are;
 // who comes back asks its own hall first.
 func TestFeeder(t *testing.T) {
-	f, err := NewFeeder(UsualFeed(), 0)
+	f, err := NewCatchUpServer(DefaultCatchUpSettings(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, gave, turned := Nanos(0), 0, 0
+	now, gave, turned := clock.Nanos(0), 0, 0
 	for round := range 200 {
 		now += second / 100
 		for i := range 12 {
 			who := fmt.Sprint("n", i)
-			room, wait := f.Ask(now, who, true)
-			if room == 0 && wait <= 0 || f.Fed() > 10 {
-				t.Fatalf("%s gets nothing and may come after %d; %d are fed", who, wait, f.Fed())
+			room, wait := f.Admit(now, who, true)
+			if room == 0 && wait <= 0 || f.ClientCount() > 10 {
+				t.Fatalf("%s gets nothing and may come after %d; %d are fed", who, wait, f.ClientCount())
 			}
 			if i >= 10 && room > 0 {
 				t.Fatalf("%s is fed beside ten, round %d", who, round)
@@ -97,27 +98,27 @@
 				continue
 			}
 			gave += room
-			f.Gave(who, room, false)
+			f.Served(who, room, false)
 		}
 	}
 	if most := 2*f.set.PerS + f.set.Piece; gave > most || gave < most/2 || turned == 0 {
 		t.Errorf("%d bytes in 2 s, at most %d; %d turned away", gave, most, turned)
 	}
-	f.Gave("n3", 0, true)
-	if now += second; f.Fed() != 9 {
-		t.Errorf("%d fed", f.Fed())
+	f.Served("n3", 0, true)
+	if now += second; f.ClientCount() != 9 {
+		t.Errorf("%d fed", f.ClientCount())
 	}
-	if room, _ := f.Ask(now, "n11", true); room == 0 {
+	if room, _ := f.Admit(now, "n11", true); room == 0 {
 		t.Error("the eleventh gets nothing though there is a place")
 	}
 	if now += 3 * second; true {
-		if room, _ := f.Ask(now, "late", true); room == 0 || f.Fed() != 1 {
-			t.Errorf("room %d; %d are fed after all others have stopped", room, f.Fed())
+		if room, _ := f.Admit(now, "late", true); room == 0 || f.ClientCount() != 1 {
+			t.Errorf("room %d; %d are fed after all others have stopped", room, f.ClientCount())
 		}
 	}
-	list := []Source{{"a", "x"}, {"b", "y"}, {"c", "x"}, {"d", "z"}}
+	list := []PeerInZone{{"a", "x"}, {"b", "y"}, {"c", "x"}, {"d", "z"}}
 	for tries, halls := range []string{"x", "x", "yz", "yz", "x"} {
-		if of, _ := Choose(list, "x", true, tries, 5); of.Hall != halls[:1] && of.Hall != halls[len(halls)-1:] {
+		if of, _ := Choose(list, "x", true, tries, 5); of.Zone != halls[:1] && of.Zone != halls[len(halls)-1:] {
 			t.Errorf("after %d tries %v", tries, of)
 		}
 	}
--- a/policy/cursor/book.go
+++ b/policy/cursor/book.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
 )
 
@@ -21,18 +22,18 @@
 // Cursor is what is known of one subscriber of one feed. The zero one is nothing.
 type Cursor struct {
 	Generation
-	Point       // delivered: what was answered last
-	Acked int64 // of the same history: what the next request showed to have come; Unheard: not even where it begins
-	Age   Nanos
+	Position       // delivered: what was answered last
+	Acked    int64 // of the same history: what the next request showed to have come; NotAcknowledged: not even where it begins
+	Age      clock.Nanos
 }
 
-// Unheard is what a subscriber that has just begun has acknowledged.
-const Unheard = -1
+// NotAcknowledged is what a subscriber that has just begun has acknowledged.
+const NotAcknowledged = -1
 
 // Compare is the order in which cursors are joined: generation, then history by ancestry, then position. It is a total order,
 // so the greater of two is their join, whatever the order, loss or doubling of what is told.
 func (c Cursor) Compare(d Cursor) int {
-	return cmp.Or(c.Generation.Compare(d.Generation), c.Point.Compare(d.Point), cmp.Compare(c.Acked, d.Acked))
+	return cmp.Or(c.Generation.Compare(d.Generation), c.Position.Compare(d.Position), cmp.Compare(c.Acked, d.Acked))
 }
 
 // Join is the greater one, with the age of the later word where they are the same.
@@ -48,22 +49,22 @@
 
 // Entry is a cursor as routers tell it.
 func (c Cursor) Entry(feed, subscriber string) crdt.Entry {
-	return crdt.Entry{Kind: crdt.Cursor, A: feed, B: subscriber, From: c.By, Count: c.Gen, Born: int64(c.Number()), At: c.At, Acked: c.Acked}
+	return crdt.Entry{Kind: crdt.FeedCursor, A: feed, B: subscriber, From: c.By, Count: c.Gen, Born: int64(c.Number()), At: c.At, Acked: c.Acked}
 }
 
 // FromEntry is the cursor that an entry tells.
 func FromEntry(e crdt.Entry) Cursor {
-	return Cursor{Generation{e.Count, e.From}, Point{Numbered(uint64(e.Born)), e.At}, e.Acked, e.Age}
+	return Cursor{Generation{e.Count, e.From}, Position{HistoryOf(uint64(e.Born)), e.At}, e.Acked, e.Age}
 }
 
-// Book holds the cursors that this router gave out, at most so many. The one that was not touched longest is let go first; from
+// Registry holds the cursors that this router gave out, at most so many. The one that was not touched longest is let go first; from
 // then on the book says of a subscriber that it does not know that it may have forgotten it. It belongs to who holds its lock.
-type Book struct {
-	self  crdt.Origin
-	most  int
-	index map[key]int32
-	slots []slot // 0 is the ring's head: next the latest, prev the one that goes first
-	letGo uint64
+type Registry struct {
+	self     crdt.Origin
+	capacity int
+	index    map[key]int32
+	slots    []slot // 0 is the ring's head: next the latest, prev the one that goes first
+	evicted  uint64
 }
 
 type key struct {
@@ -76,27 +77,27 @@
 	history    uint64
 	at, acked  int64
 	gen        int64
-	touched    Nanos
+	touched    clock.Nanos
 	prev, next int32
 }
 
-// NewBook returns an empty one for so many cursors.
-func NewBook(self crdt.Origin, most int) *Book {
-	return &Book{self: self, most: max(1, most), index: map[key]int32{}, slots: make([]slot, 1)}
+// NewRegistry returns an empty one for so many cursors.
+func NewRegistry(self crdt.Origin, most int) *Registry {
+	return &Registry{self: self, capacity: max(1, most), index: map[key]int32{}, slots: make([]slot, 1)}
 }
 
 // Get is what this router gave out last.
-func (b *Book) Get(now Nanos, feed uint32, subscriber string) (Cursor, bool) {
+func (b *Registry) Get(now clock.Nanos, feed uint32, subscriber string) (Cursor, bool) {
 	i, ok := b.index[key{feed, subscriber}]
 	if !ok {
 		return Cursor{}, false
 	}
 	s := &b.slots[i]
-	return Cursor{Generation{s.gen, b.self}, Point{Numbered(s.history), s.at}, s.acked, max(0, now-s.touched)}, true
+	return Cursor{Generation{s.gen, b.self}, Position{HistoryOf(s.history), s.at}, s.acked, max(0, now-s.touched)}, true
 }
 
 // Put keeps a cursor of this router's own, unless what is kept is greater.
-func (b *Book) Put(now Nanos, feed uint32, subscriber string, c Cursor) bool {
+func (b *Registry) Put(now clock.Nanos, feed uint32, subscriber string, c Cursor) bool {
 	k := key{feed, subscriber}
 	i, ok := b.index[k]
 	if ok {
@@ -116,25 +117,25 @@
 }
 
 // room is a slot that is free.
-func (b *Book) room() int32 {
-	if len(b.index) >= b.most {
+func (b *Registry) room() int32 {
+	if len(b.index) >= b.capacity {
 		last := b.slots[0].prev
 		b.unlink(last)
 		delete(b.index, b.slots[last].key)
-		b.letGo++
+		b.evicted++
 		return last
 	}
 	b.slots = append(b.slots, slot{})
 	return int32(len(b.slots) - 1)
 }
 
-func (b *Book) unlink(i int32) {
+func (b *Registry) unlink(i int32) {
 	s := &b.slots[i]
 	b.slots[s.prev].next, b.slots[s.next].prev = s.next, s.prev
 }
 
 // Size is how many are held.
-func (b *Book) Size() int { return len(b.index) }
+func (b *Registry) Size() int { return len(b.index) }
 
-// LetGo is how many were let go for want of room.
-func (b *Book) LetGo() uint64 { return b.letGo }
+// Evicted is how many were let go for want of room.
+func (b *Registry) Evicted() uint64 { return b.evicted }
--- a/policy/cursor/errors.go
+++ b/policy/cursor/errors.go
@@ -1,19 +1,22 @@
 package cursor
 
-import "fmt"
+import (
+	"fmt"
+	"lotushook/policy/clock"
+)
 
-// Refused is a subscriber that gets nothing, though the feed could be read: its row says why.
-type Refused struct {
+// RejectedError is a subscriber that gets nothing, though the feed could be read: its row says why.
+type RejectedError struct {
 	Row        Row
 	Forgot     bool // Snapshot: nothing is known of it any more
 	Feed       string
 	Subscriber string
-	Had        Point // what it brought or is known to have had; none: without a history
-	Begin      Point // Snapshot, Future: where it goes on after a snapshot
+	Had        Position // what it brought or is known to have had; none: without a history
+	Begin      Position // Snapshot, MaxAhead: where it goes on after a snapshot
 }
 
 // Error says what was found of its cursor.
-func (e *Refused) Error() string {
+func (e *RejectedError) Error() string {
 	at := fmt.Sprintf("feed %s, subscriber %.40q: ", e.Feed, e.Subscriber)
 	then := fmt.Sprintf("; take a snapshot at position %d, then resume with after=%d,history=%s", e.Begin.At, e.Begin.At, e.Begin.History)
 	switch {
@@ -28,7 +31,7 @@
 }
 
 // Kind is one of cursor-fenced, cursor-forgotten, cursor-future, cursor-old.
-func (e *Refused) Kind() string {
+func (e *RejectedError) Kind() string {
 	switch {
 	case e.Row == Fenced:
 		return "cursor-fenced"
@@ -40,8 +43,8 @@
 	return "cursor-old"
 }
 
-// Remedy is what its owner can do.
-func (e *Refused) Remedy() string {
+// Hint is what its owner can do.
+func (e *RejectedError) Hint() string {
 	switch e.Row {
 	case Fenced:
 		return "close this connection, or give each reader a name of its own; to take the feed back, connect again"
@@ -51,15 +54,15 @@
 	return "take the snapshot that the message names and bring the cursor of each answer along; a longer retention or a larger most_cursors makes it rarer"
 }
 
-// Crowded is a subscriber that must come again, with its cursor kept.
-type Crowded struct {
+// OverloadedError is a subscriber that must come again, with its cursor kept.
+type OverloadedError struct {
 	Why        string // returning, far, busy, waiting
 	Feed       string
 	Subscriber string
-	Wait       Nanos
+	Wait       clock.Nanos
 }
 
-// The reasons of Crowded.
+// The reasons of OverloadedError.
 const (
 	CrowdReturning = "returning" // more come back than return_per_s
 	CrowdFar       = "far"       // more are behind the ring than catch_up_per_s
@@ -68,17 +71,17 @@
 )
 
 // Error names the limit.
-func (e *Crowded) Error() string {
+func (e *OverloadedError) Error() string {
 	says := map[string]string{CrowdReturning: "many come back at once (feeds: return_per_s)", CrowdFar: "it is far behind, as are others (feeds: catch_up_per_s)",
 		CrowdBusy: "a request of it is open on this connection", CrowdWaiting: "too many wait for data servers (feeds: most_waiting)"}[e.Why]
 	return fmt.Sprintf("feed %s, subscriber %.40q: %s; its cursor is kept", e.Feed, e.Subscriber, says)
 }
 
 // Kind is feed- and the reason.
-func (e *Crowded) Kind() string { return "feed-" + e.Why }
+func (e *OverloadedError) Kind() string { return "feed-" + e.Why }
 
-// Remedy is what can be done.
-func (e *Crowded) Remedy() string {
+// Hint is what can be done.
+func (e *OverloadedError) Hint() string {
 	switch e.Why {
 	case CrowdBusy:
 		return "ask again after the answer"
@@ -88,25 +91,25 @@
 	return "come again after the time in DETAIL; raise the limit if data servers and routers have room"
 }
 
-// Unread is a feed that no member could be read for in time, or whose answer could not be right; nothing was delivered.
-type Unread struct {
+// UnreadableError is a feed that no member could be read for in time, or whose answer could not be right; nothing was delivered.
+type UnreadableError struct {
 	Feed  string
-	Wait  Nanos
+	Wait  clock.Nanos
 	Cause error
 }
 
 // Error says what the last try came to.
-func (e *Unread) Error() string {
+func (e *UnreadableError) Error() string {
 	return fmt.Sprintf("feed %s: no member could be read: %v; nothing was delivered", e.Feed, e.Cause)
 }
 
 // Unwrap is the last try's error.
-func (e *Unread) Unwrap() error { return e.Cause }
+func (e *UnreadableError) Unwrap() error { return e.Cause }
 
 // Kind is feed-unread.
-func (e *Unread) Kind() string { return "feed-unread" }
+func (e *UnreadableError) Kind() string { return "feed-unread" }
 
-// Remedy is what can be done.
-func (e *Unread) Remedy() string {
+// Hint is what can be done.
+func (e *UnreadableError) Hint() string {
 	return "ask again with the same cursor; if it stays, look whether the group's members serve the class and are on one history"
 }
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -19,7 +19,7 @@
 		known [2]Cursor
 	}
 	subs [2]struct {
-		place Point // what it was answered last
+		place Position // what it was answered last
 		gen   int64
 		got   []int64 // without what it was told to forget
 		began int64   // what was before is not its business; -1: it has nothing yet
@@ -38,7 +38,7 @@
 	}
 	for i := range c.routers {
 		f := *c.routers[i].feed
-		f.line, f.ring = slices.Clone(f.line), slices.Clone(f.ring)
+		f.lineage, f.ring = slices.Clone(f.lineage), slices.Clone(f.ring)
 		c.routers[i].feed = &f
 	}
 	for i := range c.subs {
@@ -52,21 +52,21 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, w.logs, w.from, w.subs)
 	for _, r := range w.routers {
-		fmt.Fprint(h, r.feed.line, r.feed.ring, r.feed.head, r.feed.newest, r.known)
+		fmt.Fprint(h, r.feed.lineage, r.feed.ring, r.feed.head, r.feed.newest, r.known)
 	}
 	return h.Sum64()
 }
 
 // log is a history's line and all events along it.
-func (w *world) log(n int) (Line, []int64) {
+func (w *world) log(n int) (Lineage, []int64) {
 	if n == 0 {
-		return Line{{histories[0], 0}}, w.logs[0]
+		return Lineage{{histories[0], 0}}, w.logs[0]
 	}
 	i := 0
 	for i < len(w.logs[0]) && w.logs[0][i] <= w.from {
 		i++
 	}
-	return Line{{histories[0], 0}, {histories[1], w.from}}, append(slices.Clone(w.logs[0][:i]), w.logs[1]...)
+	return Lineage{{histories[0], 0}, {histories[1], w.from}}, append(slices.Clone(w.logs[0][:i]), w.logs[1]...)
 }
 
 const mostEvents = 3
@@ -96,7 +96,7 @@
 		for m := 0; m <= newest; m++ { // whichever history the member is on: the forked one still answers
 			c := w.next("router %d reads a member of history %d", i, m)
 			line, all := c.log(m)
-			a := &Answer{Line: line}
+			a := &Response{Line: line}
 			if n := len(all); n > 0 {
 				a.Head = all[n-1]
 			}
@@ -113,7 +113,7 @@
 					a.Events = append(a.Events, Event{At: at})
 				}
 			}
-			f.Take(0, a, true)
+			f.Apply(0, a, true)
 			out = append(out, c)
 		}
 		for s := range w.subs {
@@ -136,24 +136,24 @@
 	c := w.next("subscriber %d asks router %d, lost %v", s, r, lost)
 	sub, router, self := &c.subs[s], &c.routers[r], crdt.Origin{Name: fmt.Sprint("r", r), Boot: 1}
 	known := router.known[s]
-	q := Asked{Turn: Returns, Known: known, Own: known.By == self}
+	q := Request{Turn: NewConnection, Known: known, Own: known.By == self}
 	if s == 0 || sub.at == r { // its connection remembers what went out on it
 		q.Client = sub.place
 	}
 	if sub.at == r {
-		if q.Turn = GoesOn; known.Generation.Compare(sub.held) > 0 {
-			q.Turn = Outrun
+		if q.Turn = SameConnection; known.Generation.Compare(sub.held) > 0 {
+			q.Turn = SupersededConnection
 		}
 	}
-	if end, on := router.feed.line.End(q.Client.History); broken == "positions alone" && on && end < q.Client.At {
-		q.Client.History = router.feed.line.Newest()
+	if end, on := router.feed.lineage.End(q.Client.History); broken == "positions alone" && on && end < q.Client.At {
+		q.Client.History = router.feed.lineage.Newest()
 	}
-	v := router.feed.Judge(0, q, false)
+	v := router.feed.Decide(0, q, false)
 	if broken == "the fleet's word first" && v.Row == Resume && known.Gen > 0 {
-		v.Start = known.Point
+		v.Start = known.Position
 	}
 	switch {
-	case v.Need != Nothing || v.Row == Ask:
+	case v.Need != NothingNeeded || v.Row == Ask:
 		return nil
 	case v.Row == Fenced:
 		sub.at = -1
@@ -167,7 +167,7 @@
 		list, next, _ = router.feed.Batch(v.Start, nil)
 	}
 	held := sub.held
-	if q.Turn == Returns {
+	if q.Turn == NewConnection {
 		client := sub.gen
 		if s == 1 {
 			client = 0
@@ -176,14 +176,14 @@
 	}
 	acked := min(v.Start.At, next.At)
 	if v.Row == Begin && broken != "a beginning counts as heard" {
-		acked = Unheard
+		acked = NotAcknowledged
 	}
 	kept := next
 	if v.Row == Rewind && s == 1 && broken != "a rewind counts as heard" {
 		kept, acked = v.Back, known.Acked
 	}
-	if s == 1 && kept.Compare(known.Point) < 0 { // what it may have had stays known
-		kept = known.Point
+	if s == 1 && kept.Compare(known.Position) < 0 { // what it may have had stays known
+		kept = known.Position
 	}
 	if next.At <= head.At {
 		router.known[s] = router.known[s].Join(Cursor{held, kept, acked, 0})
@@ -249,7 +249,7 @@
 
 // explore goes through all states up to a depth, breadth first.
 func explore(depth, most int, broken string) (states, reached int, path []string, wrong string) {
-	set := Usual()
+	set := DefaultSettings()
 	first := &world{path: []string{"start"}}
 	for i := range first.routers {
 		first.routers[i].feed = NewFeed(&set)
@@ -258,8 +258,8 @@
 		first.subs[i].began, first.subs[i].at = -1, -1
 	}
 	// Two events, which the first router and its subscribers know.
-	line := Line{{histories[0], 0}}
-	first.routers[0].feed.Take(0, &Answer{Line: line}, true)
+	line := Lineage{{histories[0], 0}}
+	first.routers[0].feed.Apply(0, &Response{Line: line}, true)
 	for s := range first.subs {
 		first = first.request(0, s, false, "")
 	}
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -1,42 +1,45 @@
 package cursor
 
-import "slices"
+import (
+	"lotushook/policy/clock"
+	"slices"
+)
 
 // Feed is what this router knows of one group's log: the newest line that any member showed, and the events since some
 // position. It belongs to who holds its lock.
 type Feed struct {
-	set    *Settings
-	line   Line
-	gone   int64 // events up to it are not kept by the members
-	head   int64 // the greatest position that was seen on the line
-	base   int64 // the ring has all events after it
-	newest int64 // up to it
-	ring   []Event
-	bytes  int
-	read   bool  // any member was
-	readAt Nanos // when its end was read last
+	settings      *Settings
+	lineage       Lineage
+	truncatedUpTo int64 // events up to it are not kept by the members
+	head          int64 // the greatest position that was seen on the line
+	base          int64 // the ring has all events after it
+	newest        int64 // up to it
+	ring          []Event
+	bytes         int
+	hasRead       bool        // any member was
+	readAt        clock.Nanos // when its end was read last
 }
 
 // NewFeed returns one of which nothing is known.
-func NewFeed(s *Settings) *Feed { return &Feed{set: s} }
+func NewFeed(s *Settings) *Feed { return &Feed{settings: s} }
 
 // End is what the next reading of its end asks for; none: whatever a member has.
-func (f *Feed) End() (Point, bool) { return Point{f.line.Newest(), f.newest}, f.read }
+func (f *Feed) End() (Position, bool) { return Position{f.lineage.Newest(), f.newest}, f.hasRead }
 
 // Head is the newest position that was seen, and its history.
-func (f *Feed) Head() Point { return Point{f.line.Newest(), f.head} }
+func (f *Feed) Head() Position { return Position{f.lineage.Newest(), f.head} }
 
 // Size is how many events are held, and the bytes of their texts.
 func (f *Feed) Size() (events, bytes int) { return len(f.ring), f.bytes }
 
 // ClassMember classes a member's answer against the newest line that is known: one that is on an older history is behind as long
 // as it has nothing that the line left out, and forked off from then on.
-func (f *Feed) ClassMember(a *Answer) Member {
+func (f *Feed) ClassMember(a *Response) Member {
 	newest := a.Line.Newest()
-	if !f.read || newest.Compare(f.line.Newest()) > 0 {
+	if !f.hasRead || newest.Compare(f.lineage.Newest()) > 0 {
 		return MemberCovers
 	}
-	if end, on := f.line.End(newest); !on || a.Head > end {
+	if end, on := f.lineage.End(newest); !on || a.Head > end {
 		return MemberForked
 	}
 	if a.Head < f.head {
@@ -45,32 +48,32 @@
 	return MemberCovers
 }
 
-// Take takes a member's answer in, which must be sound. Of a member that is forked off nothing is taken. End says whether it was
+// Apply takes a member's answer in, which must be sound. Of a member that is forked off nothing is taken. End says whether it was
 // asked for what follows the feed's end.
-func (f *Feed) Take(now Nanos, a *Answer, end bool) Member {
+func (f *Feed) Apply(now clock.Nanos, a *Response, end bool) Member {
 	m := f.ClassMember(a)
 	if m == MemberForked {
 		return m
 	}
-	switch n := a.Line.Newest().Compare(f.line.Newest()); {
-	case !f.read:
-		f.line, f.base, f.newest, f.read = slices.Clone(a.Line), a.From, a.From, true
+	switch n := a.Line.Newest().Compare(f.lineage.Newest()); {
+	case !f.hasRead:
+		f.lineage, f.base, f.newest, f.hasRead = slices.Clone(a.Line), a.From, a.From, true
 	case n > 0: // a take-over
-		if at, on := a.Line.End(f.line.Newest()); !on {
-			f.cut(0)
+		if at, on := a.Line.End(f.lineage.Newest()); !on {
+			f.truncate(0)
 		} else if at < f.newest {
-			f.cut(at)
+			f.truncate(at)
 		}
-		f.line, f.head, f.gone = slices.Clone(a.Line), 0, 0
+		f.lineage, f.head, f.truncatedUpTo = slices.Clone(a.Line), 0, 0
 	}
 	if f.head = max(f.head, a.Head); a.Head >= f.head {
-		f.gone = max(f.gone, a.Gone)
+		f.truncatedUpTo = max(f.truncatedUpTo, a.TruncatedUpTo)
 	}
 	if end {
 		f.readAt = now
 	}
 	if a.From > f.newest && a.From <= a.Head { // a hole: what came before it is not offered any more
-		f.cut(0)
+		f.truncate(0)
 		f.base, f.newest = a.From, a.From
 	}
 	for _, e := range a.Events {
@@ -82,7 +85,7 @@
 		f.newest = max(f.newest, a.Head)
 	}
 	drop := 0
-	for drop < len(f.ring) && (len(f.ring)-drop > f.set.RingEvents || f.bytes > f.set.RingBytes) {
+	for drop < len(f.ring) && (len(f.ring)-drop > f.settings.RingEvents || f.bytes > f.settings.RingBytes) {
 		f.bytes -= len(f.ring[drop].Text)
 		f.base = f.ring[drop].At
 		drop++
@@ -91,8 +94,8 @@
 	return m
 }
 
-// cut drops the events after a position.
-func (f *Feed) cut(at int64) {
+// truncate drops the events after a position.
+func (f *Feed) truncate(at int64) {
 	keep, _ := slices.BinarySearchFunc(f.ring, at+1, func(e Event, at int64) int { return int(min(max(e.At-at, -1), 1)) })
 	for _, e := range f.ring[keep:] {
 		f.bytes -= len(e.Text)
@@ -102,22 +105,22 @@
 }
 
 // ClassClient classes a cursor against the line; none is one without a history.
-func (f *Feed) ClassClient(p Point) Client {
-	end, on := f.line.End(p.History)
+func (f *Feed) ClassClient(p Position) Client {
+	end, on := f.lineage.End(p.History)
 	switch {
 	case p.History == (History{}):
 		return ClientNone
-	case !f.read:
+	case !f.hasRead:
 		return ClientBehind
-	case !on && p.History.Compare(f.line.Newest()) > 0 && p.Era <= f.line.Newest().Era+MostLine:
+	case !on && p.History.Compare(f.lineage.Newest()) > 0 && p.Era <= f.lineage.Newest().Era+MaxLineage:
 		return ClientAhead
-	case !on && p.History.Compare(f.line.Newest()) > 0:
+	case !on && p.History.Compare(f.lineage.Newest()) > 0:
 		return ClientFuture
-	case !on, min(p.At, end) < f.gone:
+	case !on, min(p.At, end) < f.truncatedUpTo:
 		return ClientOld
 	case p.At > end:
 		return ClientOther
-	case p.At > f.head+f.set.Future:
+	case p.At > f.head+f.settings.MaxAhead:
 		return ClientFuture
 	case p.At > f.head:
 		return ClientAhead
@@ -127,38 +130,38 @@
 	return ClientBehind
 }
 
-// Need is what must be read before a request can be answered.
-type Need uint8
+// Requirement is what must be read before a request can be answered.
+type Requirement uint8
 
 // The needs.
 const (
-	Nothing Need = iota
-	ReadEnd      // what follows the feed's end: shared by all
-	ReadFar      // what follows the start, which is behind the ring: shared by those that stand there
+	NothingNeeded Requirement = iota
+	ReadEnd                   // what follows the feed's end: shared by all
+	ReadCatchUp               // what follows the start, which is behind the ring: shared by those that stand there
 )
 
 // Verdict is what is done for one request.
 type Verdict struct {
 	Row   Row
-	Need  Need
-	Start Point // with Begin to Rewind: the answer's events are those after it
-	Back  Point // Rewind: where the client stood
+	Need  Requirement
+	Start Position // with Begin to Rewind: the answer's events are those after it
+	Back  Position // Rewind: where the client stood
 }
 
-// Asked is one request as it stands.
-type Asked struct {
-	Turn   Turn
-	Client Point  // what it brought, or was answered last on this connection; none: without a history
-	Known  Cursor // of the subscriber, of all routers; the zero one: nothing
-	Own    bool   // this router gave it out
-	LetGo  bool   // some cursors are not known any more
+// Request is one request as it stands.
+type Request struct {
+	Turn   Connection
+	Client Position // what it brought, or was answered last on this connection; none: without a history
+	Known  Cursor   // of the subscriber, of all routers; the zero one: nothing
+	Own    bool     // this router gave it out
+	LetGo  bool     // some cursors are not known any more
 }
 
-// Judge says what is done for a request now. After a reading it is asked again; patient is false where there is no time for
+// Decide says what is done for a request now. After a reading it is asked again; patient is false where there is no time for
 // another one.
-func (f *Feed) Judge(now Nanos, q Asked, patient bool) Verdict {
-	v := f.judge(q)
-	stale := !f.read || patient && now-f.readAt >= f.set.Fresh
+func (f *Feed) Decide(now clock.Nanos, q Request, patient bool) Verdict {
+	v := f.decide(q)
+	stale := !f.hasRead || patient && now-f.readAt >= f.settings.EndReadInterval
 	switch v.Row {
 	case Wait, Begin, Ask:
 		if stale {
@@ -169,7 +172,7 @@
 	case Resume, Recall, Skip, Rewind:
 		switch {
 		case v.Start.At < f.base:
-			v.Need = ReadFar
+			v.Need = ReadCatchUp
 		case v.Start.At >= f.newest && (stale || f.newest < f.head):
 			v.Need = ReadEnd
 		}
@@ -177,30 +180,30 @@
 	return v
 }
 
-func (f *Feed) judge(q Asked) Verdict {
+func (f *Feed) decide(q Request) Verdict {
 	client := f.ClassClient(q.Client)
-	_, on := f.line.End(q.Known.History)
+	_, on := f.lineage.End(q.Known.History)
 	proven := q.Own || on && q.Known.At <= f.head
-	if client == ClientNone && q.Turn == Returns && q.Known.Acked == Unheard {
+	if client == ClientNone && q.Turn == NewConnection && q.Known.Acked == NotAcknowledged {
 		q.Known = Cursor{} // nobody knows whether it heard where it begins: it begins again, and is told
 	}
 	fleet := ClassFleet(q.Client, client != ClientNone, q.Known, proven, q.LetGo)
 	v := Verdict{Row: Choose(q.Turn, client, fleet, f.member(client)), Start: q.Client}
 	switch v.Row {
 	case Recall: // its own word, as the fleet kept it
-		p := Point{q.Known.History, q.Known.Acked}
-		if q.Turn == GoesOn { // this request shows that the last answer came
+		p := Position{q.Known.History, q.Known.Acked}
+		if q.Turn == SameConnection { // this request shows that the last answer came
 			p.At = q.Known.At
 		}
 		client = f.ClassClient(p)
 		v.Start = p
-		if f.ClassClient(q.Known.Point) == ClientOther && client != ClientOld { // it may have had what was lost, acknowledged or not
-			v.Row, v.Back = Rewind, q.Known.Point
-			end, _ := f.line.End(p.History)
+		if f.ClassClient(q.Known.Position) == ClientOther && client != ClientOld { // it may have had what was lost, acknowledged or not
+			v.Row, v.Back = Rewind, q.Known.Position
+			end, _ := f.lineage.End(p.History)
 			v.Start.At = min(p.At, end)
 			return v
 		}
-		if row := Choose(Returns, client, FleetEqual, f.member(client)); row != Resume {
+		if row := Choose(NewConnection, client, FleetEqual, f.member(client)); row != Resume {
 			v.Row = row
 		}
 	case Skip:
@@ -210,7 +213,7 @@
 	}
 	if v.Row == Rewind {
 		v.Back = v.Start
-		v.Start.At, _ = f.line.End(v.Start.History)
+		v.Start.At, _ = f.lineage.End(v.Start.History)
 	}
 	return v
 }
@@ -218,7 +221,7 @@
 // member is how the log that the feed knows stands to a cursor: no answer of a forked one was taken.
 func (f *Feed) member(c Client) Member {
 	switch {
-	case !f.read:
+	case !f.hasRead:
 		return MemberUnknown
 	case c == ClientAhead:
 		return MemberBehind
@@ -228,8 +231,8 @@
 
 // Batch is what a subscriber gets from a start, out of the ring or out of a far reading's events; next is its cursor after it.
 // It carries the newest history, so that a cursor that went back to a fork still rises.
-func (f *Feed) Batch(start Point, far []Event) (events []Event, next Point, more bool) {
-	next = Point{f.line.Newest(), start.At}
+func (f *Feed) Batch(start Position, far []Event) (events []Event, next Position, more bool) {
+	next = Position{f.lineage.Newest(), start.At}
 	from := f.ring
 	if far != nil {
 		from = far
@@ -237,7 +240,7 @@
 	i, _ := slices.BinarySearchFunc(from, start.At+1, func(e Event, at int64) int { return int(min(max(e.At-at, -1), 1)) })
 	bytes := 0
 	for _, e := range from[i:] {
-		if len(events) == f.set.Batch || len(events) > 0 && bytes+len(e.Text) > f.set.BatchBytes {
+		if len(events) == f.settings.BatchEvents || len(events) > 0 && bytes+len(e.Text) > f.settings.BatchBytes {
 			return events, next, true
 		}
 		bytes += len(e.Text)
--- a/policy/cursor/interface.go
+++ b/policy/cursor/interface.go
@@ -12,14 +12,12 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"lotushook/policy/clock"
 	"math"
 	"strconv"
 	"strings"
 )
 
-// Nanos is a span or a point of this router's own clock, in nanoseconds. No verdict on a cursor rests on a clock.
-type Nanos = int64
-
 // History names one run of a log under one primary: how many take-overs there were before it, and a number drawn at its start,
 // by which two that began at once are told apart. The zero one is none.
 type History struct{ Era, ID uint32 }
@@ -55,17 +53,17 @@
 // Number packs a history; the order of the numbers is that of Compare.
 func (h History) Number() uint64 { return uint64(h.Era)<<32 | uint64(h.ID) }
 
-// Numbered unpacks one.
-func Numbered(n uint64) History { return History{uint32(n >> 32), uint32(n)} }
+// HistoryOf unpacks one.
+func HistoryOf(n uint64) History { return History{uint32(n >> 32), uint32(n)} }
 
-// Point is a place in a log: up to At, of History, all is had.
-type Point struct {
+// Position is a place in a log: up to At, of History, all is had.
+type Position struct {
 	History
 	At int64
 }
 
 // Compare goes by history, then by position.
-func (p Point) Compare(q Point) int {
+func (p Position) Compare(q Position) int {
 	return cmp.Or(p.History.Compare(q.History), cmp.Compare(p.At, q.At))
 }
 
@@ -75,15 +73,15 @@
 	From int64
 }
 
-// Line is a log's histories, oldest first: each descends from the one before.
-type Line []Fork
+// Lineage is a log's histories, oldest first: each descends from the one before.
+type Lineage []Fork
 
-// MostLine is how many histories of a line are told; what is older is forgotten, as with the retention.
-const MostLine = 16
+// MaxLineage is how many histories of a line are told; what is older is forgotten, as with the retention.
+const MaxLineage = 16
 
 // Check says whether it can be a line: eras rise, forks don't fall.
-func (l Line) Check() error {
-	if len(l) == 0 || len(l) > MostLine {
+func (l Lineage) Check() error {
+	if len(l) == 0 || len(l) > MaxLineage {
 		return fmt.Errorf("a line of %d histories", len(l))
 	}
 	for i, f := range l {
@@ -95,7 +93,7 @@
 }
 
 // Newest is the last of them.
-func (l Line) Newest() History {
+func (l Lineage) Newest() History {
 	if len(l) == 0 {
 		return History{}
 	}
@@ -103,7 +101,7 @@
 }
 
 // End is up to where a history's positions are this line's: without end for its newest.
-func (l Line) End(h History) (at int64, on bool) {
+func (l Lineage) End(h History) (at int64, on bool) {
 	for i, f := range l {
 		if f.History == h {
 			if i+1 < len(l) {
@@ -121,18 +119,18 @@
 	Text string
 }
 
-// Answer is what a member said: its line, what of its log is kept, and the events after a point.
-type Answer struct {
-	Line   Line
-	Gone   int64 // events up to this position are not kept any more; 0: all are
-	Head   int64 // its last event's position
-	From   int64 // the events are those after it
-	Events []Event
-	More   bool // there are more than these
+// Response is what a member said: its line, what of its log is kept, and the events after a point.
+type Response struct {
+	Line          Lineage
+	TruncatedUpTo int64 // events up to this position are not kept any more; 0: all are
+	Head          int64 // its last event's position
+	From          int64 // the events are those after it
+	Events        []Event
+	More          bool // there are more than these
 }
 
 // Check says whether an answer can be right.
-func (a *Answer) Check() error {
+func (a *Response) Check() error {
 	if err := a.Line.Check(); err != nil {
 		return err
 	}
@@ -143,48 +141,48 @@
 		}
 		last = e.At
 	}
-	if a.From < 0 || a.Gone < 0 || a.Head < a.Gone || a.More && len(a.Events) == 0 {
-		return fmt.Errorf("from %d, kept after %d, up to %d", a.From, a.Gone, a.Head)
+	if a.From < 0 || a.TruncatedUpTo < 0 || a.Head < a.TruncatedUpTo || a.More && len(a.Events) == 0 {
+		return fmt.Errorf("from %d, kept after %d, up to %d", a.From, a.TruncatedUpTo, a.Head)
 	}
 	return nil
 }
 
 // Settings bound what is held, and how much is asked of data servers.
 type Settings struct {
-	Most       int     // cursors in a Book
-	RingEvents int     // of one feed, recent ones
-	RingBytes  int     // of their texts
-	Batch      int     // events in one answer
-	BatchBytes int     // of their texts; one event goes whatever its length
-	Fresh      Nanos   // a feed's end is asked for again after it
-	Again      Nanos   // one that has all comes again after it
-	Future     int64   // a cursor that is so far beyond the newest position that is known is no cursor
-	CatchUp    float64 // reads a second for those that are too far behind for the ring
-	Return     float64 // subscribers a second that may come back or come new; the rest is told when
-	Spread     Nanos   // the longest time to return that one of them is told
+	MaxCursors            int         // cursors in a Book
+	RingEvents            int         // of one feed, recent ones
+	RingBytes             int         // of their texts
+	BatchEvents           int         // events in one answer
+	BatchBytes            int         // of their texts; one event goes whatever its length
+	EndReadInterval       clock.Nanos // a feed's end is asked for again after it
+	PollInterval          clock.Nanos // one that has all comes again after it
+	MaxAhead              int64       // a cursor that is so far beyond the newest position that is known is no cursor
+	CatchUpReadsPerSecond float64     // reads a second for those that are too far behind for the ring
+	ReconnectsPerSecond   float64     // subscribers a second that may come back or come new; the rest is told when
+	MaxRetryAfter         clock.Nanos // the longest time to return that one of them is told
 }
 
-// Usual are settings for a router.
-func Usual() Settings {
+// DefaultSettings are settings for a router.
+func DefaultSettings() Settings {
 	const ms = 1e6
-	return Settings{Most: 100_000, RingEvents: 1024, RingBytes: 256 << 10, Batch: 64, BatchBytes: 32 << 10, Fresh: 250 * ms, Again: 1000 * ms,
-		Future: 60_000, CatchUp: 5, Return: 500, Spread: 20_000 * ms}
+	return Settings{MaxCursors: 100_000, RingEvents: 1024, RingBytes: 256 << 10, BatchEvents: 64, BatchBytes: 32 << 10, EndReadInterval: 250 * ms, PollInterval: 1000 * ms,
+		MaxAhead: 60_000, CatchUpReadsPerSecond: 5, ReconnectsPerSecond: 500, MaxRetryAfter: 20_000 * ms}
 }
 
 // Check says which field can't be.
 func (s *Settings) Check() error {
 	switch {
-	case s.Most < 1 || s.Most > 10_000_000:
-		return fmt.Errorf("most_cursors: %d is not between 1 and ten millions", s.Most)
+	case s.MaxCursors < 1 || s.MaxCursors > 10_000_000:
+		return fmt.Errorf("most_cursors: %d is not between 1 and ten millions", s.MaxCursors)
 	case s.RingEvents < 1 || s.RingEvents > 1<<20 || s.RingBytes < 1 || s.RingBytes > 1<<28:
 		return fmt.Errorf("ring_events, ring_bytes: %d and %d are not between 1 and 1048576, and 268435456", s.RingEvents, s.RingBytes)
-	case s.Batch < 1 || s.Batch > 10_000 || s.BatchBytes < 1 || s.BatchBytes > 1<<19:
-		return fmt.Errorf("batch_events, batch_bytes: %d and %d are not between 1 and 10000, and 524288", s.Batch, s.BatchBytes)
-	case s.Fresh <= 0 || s.Again <= 0 || s.Spread <= 0:
+	case s.BatchEvents < 1 || s.BatchEvents > 10_000 || s.BatchBytes < 1 || s.BatchBytes > 1<<19:
+		return fmt.Errorf("batch_events, batch_bytes: %d and %d are not between 1 and 10000, and 524288", s.BatchEvents, s.BatchBytes)
+	case s.EndReadInterval <= 0 || s.PollInterval <= 0 || s.MaxRetryAfter <= 0:
 		return errors.New("fresh_ms, again_ms, spread_ms: not above 0")
-	case s.Future < 1:
-		return fmt.Errorf("future_ms: %d is below 1", s.Future)
-	case !(s.CatchUp > 0 && s.CatchUp <= 1e6) || !(s.Return > 0 && s.Return <= 1e6):
+	case s.MaxAhead < 1:
+		return fmt.Errorf("future_ms: %d is below 1", s.MaxAhead)
+	case !(s.CatchUpReadsPerSecond > 0 && s.CatchUpReadsPerSecond <= 1e6) || !(s.ReconnectsPerSecond > 0 && s.ReconnectsPerSecond <= 1e6):
 		return errors.New("catch_up_per_s, return_per_s: not above 0, or over a million")
 	}
 	return nil
--- a/policy/cursor/pace.go
+++ b/policy/cursor/pace.go
@@ -2,25 +2,26 @@
 
 import (
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"math"
 )
 
-// Pace spends what a router may ask for those that are far behind, and takes those that come back by turns. It belongs to who
+// Limiter spends what a router may ask for those that are far behind, and takes those that come back by turns. It belongs to who
 // holds its lock.
-type Pace struct {
-	set  *Settings
-	far  bucket
-	back bucket
-	debt float64 // of those that were told when to return; it falls as their turns come
-	at   Nanos
+type Limiter struct {
+	settings          *Settings
+	catchUp           bucket
+	reconnect         bucket
+	pendingReconnects float64 // of those that were told when to return; it falls as their turns come
+	at                clock.Nanos
 }
 
 type bucket struct {
 	rate, left float64
-	at         Nanos
+	at         clock.Nanos
 }
 
-func (b *bucket) take(now Nanos) bool {
+func (b *bucket) take(now clock.Nanos) bool {
 	most := max(1, b.rate)
 	if now > b.at {
 		b.left = min(most, b.left+b.rate*float64(now-b.at)/1e9)
@@ -33,32 +34,32 @@
 	return true
 }
 
-// NewPace starts with what one second brings.
-func NewPace(s *Settings, now Nanos) *Pace {
-	return &Pace{set: s, at: now, far: bucket{s.CatchUp, max(1, s.CatchUp), now}, back: bucket{s.Return, max(1, s.Return), now}}
+// NewLimiter starts with what one second brings.
+func NewLimiter(s *Settings, now clock.Nanos) *Limiter {
+	return &Limiter{settings: s, at: now, catchUp: bucket{s.CatchUpReadsPerSecond, max(1, s.CatchUpReadsPerSecond), now}, reconnect: bucket{s.ReconnectsPerSecond, max(1, s.ReconnectsPerSecond), now}}
 }
 
-// Far says whether one that is behind the ring may be read for now; if not, when it may come again.
-func (p *Pace) Far(now Nanos, subscriber string) (wait Nanos, ok bool) {
-	if p.far.take(now) {
+// CatchUp says whether one that is behind the ring may be read for now; if not, when it may come again.
+func (p *Limiter) CatchUp(now clock.Nanos, subscriber string) (wait clock.Nanos, ok bool) {
+	if p.catchUp.take(now) {
 		return 0, true
 	}
-	return Nanos(float64(p.set.Again) * (1 + fraction(subscriber))), false
+	return clock.Nanos(float64(p.settings.PollInterval) * (1 + fraction(subscriber))), false
 }
 
-// Return says whether one that comes back, or is new, is taken now; if not, when its turn is: after those that were told before
+// Reconnect says whether one that comes back, or is new, is taken now; if not, when its turn is: after those that were told before
 // it, moved by its hash, so that several routers that were told of the same death do not see it all at once.
-func (p *Pace) Return(now Nanos, subscriber string) (wait Nanos, ok bool) {
+func (p *Limiter) Reconnect(now clock.Nanos, subscriber string) (wait clock.Nanos, ok bool) {
 	if now > p.at {
-		p.debt = max(0, p.debt-p.set.Return*float64(now-p.at)/1e9)
+		p.pendingReconnects = max(0, p.pendingReconnects-p.settings.ReconnectsPerSecond*float64(now-p.at)/1e9)
 		p.at = now
 	}
-	if p.back.take(now) {
+	if p.reconnect.take(now) {
 		return 0, true
 	}
-	p.debt = min(p.debt+1, p.set.Return*float64(p.set.Spread)/1e9)
-	turn := p.debt / p.set.Return * (0.75 + 0.5*fraction(subscriber))
-	return min(p.set.Spread, Nanos(turn*1e9)+Nanos(1e8*fraction(subscriber))), false
+	p.pendingReconnects = min(p.pendingReconnects+1, p.settings.ReconnectsPerSecond*float64(p.settings.MaxRetryAfter)/1e9)
+	turn := p.pendingReconnects / p.settings.ReconnectsPerSecond * (0.75 + 0.5*fraction(subscriber))
+	return min(p.settings.MaxRetryAfter, clock.Nanos(turn*1e9)+clock.Nanos(1e8*fraction(subscriber))), false
 }
 
 // fraction is a subscriber's place between 0 and 1, the same at all routers.
--- a/policy/cursor/rules_test.go
+++ b/policy/cursor/rules_test.go
@@ -9,13 +9,14 @@
 
 	"pgregory.net/rapid"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
 )
 
 func drawnCursor(t *rapid.T) Cursor {
 	n := func(name string, most int) int64 { return int64(rapid.IntRange(0, most).Draw(t, name)) }
 	return Cursor{Generation{n("gen", 2), crdt.Origin{Name: fmt.Sprint("r", n("by", 1)), Boot: uint64(n("boot", 1))}},
-		Point{History{uint32(n("era", 2)), uint32(n("id", 1))}, n("at", 3)}, n("acked", 3), n("age", 3)}
+		Position{History{uint32(n("era", 2)), uint32(n("id", 1))}, n("at", 3)}, n("acked", 3), n("age", 3)}
 }
 
 // The join is a semilattice, ages and all; a raised generation wins whatever its position, and shared entries order as cursors do.
@@ -30,7 +31,7 @@
 		case a.Generation == b.Generation && a.History.Compare(b.History) > 0 && a.Join(b) != a:
 			t.Fatal("a later history lost")
 		}
-		if got := FromEntry(a.Entry("f", "s")); got != (Cursor{a.Generation, a.Point, a.Acked, 0}) {
+		if got := FromEntry(a.Entry("f", "s")); got != (Cursor{a.Generation, a.Position, a.Acked, 0}) {
 			t.Fatalf("%v came back as %v", a, got)
 		}
 		// Two copies of what is shared end with the join, in either order.
@@ -39,14 +40,14 @@
 		}
 		var kept [2]Cursor
 		for i, list := range [][]Cursor{{a, b}, {b, a, b}} {
-			s, err := crdt.New(crdt.Usual(crdt.Origin{Name: "z", Boot: 1}))
+			s, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Boot: 1}))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for j, x := range list {
 				e := x.Entry("f", "s")
 				e.Acked, e.Seq = min(e.Acked, e.At), uint64(j+1)
-				s.Take(0, e)
+				s.Merge(0, e)
 			}
 			e, _, _ := s.Cursor(0, "f", "s")
 			kept[i] = FromEntry(e)
@@ -62,7 +63,7 @@
 // A book has room for so many, keeps those touched last, never goes back, and says that it let some go.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := NewBook(crdt.Origin{Name: "r", Boot: 1}, 4), Nanos(0)
+		b, now := NewRegistry(crdt.Origin{Name: "r", Boot: 1}, 4), clock.Nanos(0)
 		model, order := map[string]Cursor{}, []string{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now++
@@ -89,8 +90,8 @@
 					t.Fatalf("%s: %v, wanted %v", name, got, want)
 				}
 			}
-			if b.Size() != len(model) || b.LetGo() > 0 && b.Size() != 4 {
-				t.Fatal(b.Size(), b.LetGo())
+			if b.Size() != len(model) || b.Evicted() > 0 && b.Size() != 4 {
+				t.Fatal(b.Size(), b.Evicted())
 			}
 		}
 	})
@@ -108,14 +109,14 @@
 		runtime.ReadMemStats(&after)
 		return int(after.HeapAlloc) - int(before.HeapAlloc)
 	}
-	book := NewBook(crdt.Origin{Name: "r", Boot: 1}, n)
+	book := NewRegistry(crdt.Origin{Name: "r", Boot: 1}, n)
 	own := heap(func() {
 		for i := range n {
 			book.Put(0, uint32(i%3), fmt.Sprintf("subscriber-%013d", i), Cursor{Generation{Gen: 1}, pt(1, 1, int64(i)), 0, 0})
 		}
 	})
-	set := crdt.Usual(crdt.Origin{Name: "r", Boot: 1})
-	set.Most[crdt.Cursor] = n
+	set := crdt.DefaultSettings(crdt.Origin{Name: "r", Boot: 1})
+	set.MaxEntries[crdt.FeedCursor] = n
 	store, err := crdt.New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -123,11 +124,11 @@
 	told := heap(func() {
 		for i := range n {
 			store.Learn(0, Cursor{Generation{Gen: 1}, pt(1, 1, int64(i)), 0, 0}.Entry("feed/1", fmt.Sprintf("subscriber-%013d", i)))
-			store.Push(0, 900)
+			store.TakePending(0, 900)
 		}
 	})
 	t.Logf("%d B a cursor, %d B of one that is shared", own/n, told/n)
-	if book.Size() != n || own/n > 200 || store.Size(crdt.Cursor) != n {
+	if book.Size() != n || own/n > 200 || store.Size(crdt.FeedCursor) != n {
 		t.Errorf("%d of %d, %d B each", book.Size(), n, own/n)
 	}
 	runtime.KeepAlive(book)
@@ -138,22 +139,22 @@
 // has more than two and a half times what may return, all are back in the spread's time and a half, and nobody is told a time
 // beyond the spread.
 func TestReturn(t *testing.T) {
-	set := Usual()
+	set := DefaultSettings()
 	const routers, most = 6, 10_000
-	var pace [routers]*Pace
+	var pace [routers]*Limiter
 	for i := range pace {
-		pace[i] = NewPace(&set, 0)
+		pace[i] = NewLimiter(&set, 0)
 	}
 	due := waiters{}
 	for i := range most {
-		due = append(due, waiter{Nanos(i) * 1e8 / most, i}) // all within a tenth of a second
+		due = append(due, waiter{clock.Nanos(i) * 1e8 / most, i}) // all within a tenth of a second
 	}
-	taken, last, refusals := map[Nanos]int{}, Nanos(0), 0
+	taken, last, refusals := map[clock.Nanos]int{}, clock.Nanos(0), 0
 	for back := 0; back < most; {
 		who := heap.Pop(&due).(waiter)
 		at, next := who.at, who.number
-		wait, ok := pace[(next+refusals)%routers].Return(at, fmt.Sprint("subscriber-", next))
-		if wait > set.Spread || !ok && wait <= 0 {
+		wait, ok := pace[(next+refusals)%routers].Reconnect(at, fmt.Sprint("subscriber-", next))
+		if wait > set.MaxRetryAfter || !ok && wait <= 0 {
 			t.Fatalf("told to wait %d", wait)
 		}
 		if ok {
@@ -170,13 +171,13 @@
 		worst = max(worst, n)
 	}
 	t.Logf("all back after %.1f s, at most %d in a second, told to wait %.2f times each", float64(last)/1e9, worst, float64(refusals)/most)
-	if last > set.Spread*3/2 || float64(worst) > 2.5*set.Return*routers {
+	if last > set.MaxRetryAfter*3/2 || float64(worst) > 2.5*set.ReconnectsPerSecond*routers {
 		t.Errorf("last after %d, %d in one second", last, worst)
 	}
 }
 
 type waiter struct {
-	at     Nanos
+	at     clock.Nanos
 	number int
 }
 
--- a/policy/cursor/table.go
+++ b/policy/cursor/table.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Turn is how a request stands to the subscriber's connections.
-type Turn uint8
+// Connection is how a request stands to the subscriber's connections.
+type Connection uint8
 
 // The turns.
 const (
-	GoesOn  Turn = iota // on the connection that asked last
-	Returns             // on another connection than it was: it raises the generation
-	Outrun              // on one whose generation was raised elsewhere
+	SameConnection       Connection = iota // on the connection that asked last
+	NewConnection                          // on another connection than it was: it raises the generation
+	SupersededConnection                   // on one whose generation was raised elsewhere
 )
 
 // Client is the subscriber's cursor against the line that this router knows.
@@ -68,10 +68,10 @@
 	Snapshot              // refused: a snapshot at the newest position, then from there
 	Future                // refused, likewise: it can't have had that
 	Fenced                // refused: another connection took over
-	Rows       = iota
+	RowCount   = iota
 )
 
-var rowNames = [Rows]string{"impossible", "begin", "recall", "resume", "skip", "rewind", "wait", "ask", "elsewhere", "snapshot", "future", "fenced"}
+var rowNames = [RowCount]string{"impossible", "begin", "recall", "resume", "skip", "rewind", "wait", "ask", "elsewhere", "snapshot", "future", "fenced"}
 
 // String is the row's name in the design note, in refusals and in counts.
 func (r Row) String() string {
@@ -83,15 +83,15 @@
 
 // Choose is the table. The client's word on what it has goes first; the fleet's is for those that bring none, and for telling
 // an overtaken request; the member's decides whether it may be used.
-func Choose(turn Turn, client Client, fleet Fleet, member Member) Row {
+func Choose(turn Connection, client Client, fleet Fleet, member Member) Row {
 	nothing := fleet == FleetNone || fleet == FleetForgot
 	compared := fleet == FleetBehind || fleet == FleetEqual || fleet == FleetOther
 	switch {
-	case turn == Outrun && nothing: // nobody knows of the connection that outran it
+	case turn == SupersededConnection && nothing: // nobody knows of the connection that outran it
 		return Impossible
 	case client == ClientNone && compared: // there is nothing to compare with
 		return Impossible
-	case turn == Outrun:
+	case turn == SupersededConnection:
 		return Fenced
 	case member == MemberUnknown && client != ClientNone && client != ClientBehind: // no line to stand so to
 		return Impossible
@@ -116,7 +116,7 @@
 		}
 		return Recall
 	case ClientBehind:
-		if turn == GoesOn && fleet == FleetAhead {
+		if turn == SameConnection && fleet == FleetAhead {
 			return Skip
 		}
 		return Resume
@@ -132,7 +132,7 @@
 }
 
 // ClassFleet classes what is known of a subscriber against what the client brought.
-func ClassFleet(client Point, brought bool, known Cursor, proven, letGo bool) Fleet {
+func ClassFleet(client Position, brought bool, known Cursor, proven, letGo bool) Fleet {
 	switch {
 	case known.Gen == 0 && letGo:
 		return FleetForgot
--- a/policy/cursor/table_test.go
+++ b/policy/cursor/table_test.go
@@ -67,7 +67,7 @@
 					at := slices.IndexFunc(rows, func(r []string) bool {
 						return fits(r[0], turn) && fits(r[1], client) && fits(r[2], fleet) && fits(r[3], member)
 					})
-					got := Choose(Turn(a), Client(b), Fleet(c), Member(d))
+					got := Choose(Connection(a), Client(b), Fleet(c), Member(d))
 					if at < 0 || rows[at][4] != got.String() {
 						t.Errorf("%s %s %s %s: %s, row %d of the note", turn, client, fleet, member, got, at)
 					}
@@ -81,20 +81,20 @@
 	}
 }
 
-func pt(era, id uint32, at int64) Point { return Point{History{era, id}, at} }
+func pt(era, id uint32, at int64) Position { return Position{History{era, id}, at} }
 
 // log is a feed after one answer: history 1 up to 100, history 2 from there, events each 10 from 60 on, up to 150; what came up to 50 is not kept.
 func log(t *testing.T, set *Settings) *Feed {
 	t.Helper()
 	f := NewFeed(set)
-	a := &Answer{Line: Line{{History{1, 7}, 0}, {History{2, 8}, 100}}, Gone: 50, Head: 150, From: 50}
+	a := &Response{Line: Lineage{{History{1, 7}, 0}, {History{2, 8}, 100}}, TruncatedUpTo: 50, Head: 150, From: 50}
 	for at := int64(60); at <= 150; at += 10 {
 		a.Events = append(a.Events, Event{at, "e"})
 	}
 	if err := a.Check(); err != nil {
 		t.Fatal(err)
 	}
-	if m := f.Take(0, a, true); m != MemberCovers {
+	if m := f.Apply(0, a, true); m != MemberCovers {
 		t.Fatal(m)
 	}
 	return f
@@ -102,64 +102,64 @@
 
 // Where the rows come from: points against a line, and what a request gets for each.
 func TestJudge(t *testing.T) {
-	set := Usual()
-	known := func(p Point, acked int64) Cursor { return Cursor{Generation{Gen: 9}, p, acked, 0} }
+	set := DefaultSettings()
+	known := func(p Position, acked int64) Cursor { return Cursor{Generation{Gen: 9}, p, acked, 0} }
 	for _, c := range []struct {
 		what  string
-		asked Asked
+		asked Request
 		row   Row
 		start int64
-		need  Need
+		need  Requirement
 	}{
-		{"new", Asked{Turn: Returns}, Begin, 150, Nothing},
-		{"nobody knows whether new", Asked{Turn: Returns, LetGo: true}, Snapshot, 0, Nothing},
-		{"none, last answer unheard of", Asked{Turn: Returns, Known: known(pt(2, 8, 130), 110), Own: true}, Recall, 110, Nothing},
-		{"none, goes on", Asked{Turn: GoesOn, Known: known(pt(2, 8, 130), 110), Own: true}, Recall, 130, Nothing},
-		{"none, had all", Asked{Turn: GoesOn, Known: known(pt(2, 8, 150), 110)}, Wait, 150, Nothing},
-		{"none, known on the lost tail", Asked{Turn: Returns, Known: known(pt(1, 7, 130), 120)}, Rewind, 100, Nothing},
-		{"none, known before what is kept", Asked{Turn: Returns, Known: known(pt(1, 7, 45), 40), Own: true}, Snapshot, 40, Nothing},
-		{"at the edge of what is kept", Asked{Turn: Returns, Client: pt(1, 7, 50)}, Resume, 50, Nothing},
-		{"older", Asked{Turn: Returns, Client: pt(1, 7, 49)}, Snapshot, 49, Nothing},
-		{"at the fork", Asked{Turn: Returns, Client: pt(1, 7, 100)}, Resume, 100, Nothing},
-		{"on the lost tail", Asked{Turn: Returns, Client: pt(1, 7, 101)}, Rewind, 100, Nothing},
-		{"of a history that nobody knows", Asked{Turn: Returns, Client: pt(2, 3, 120)}, Snapshot, 120, Nothing},
-		{"of one that is to come", Asked{Turn: Returns, Client: pt(3, 3, 120)}, Wait, 120, Nothing},
-		{"of one that can't come", Asked{Turn: Returns, Client: pt(3000, 3, 120)}, Future, 120, Nothing},
-		{"has all", Asked{Turn: GoesOn, Client: pt(2, 8, 150)}, Wait, 150, Nothing},
-		{"has all, others more", Asked{Turn: Returns, Client: pt(2, 8, 150), Known: known(pt(2, 8, 170), 170), Own: true}, Wait, 150, Nothing},
-		{"a little ahead", Asked{Turn: Returns, Client: pt(2, 8, 151)}, Wait, 151, Nothing},
-		{"of the future", Asked{Turn: Returns, Client: pt(2, 8, 150+set.Future+1)}, Future, 150 + set.Future + 1, Nothing},
-		{"overtaken", Asked{Turn: GoesOn, Client: pt(2, 8, 110), Known: known(pt(2, 8, 140), 130), Own: true}, Skip, 130, Nothing},
-		{"answer lost", Asked{Turn: Returns, Client: pt(2, 8, 110), Known: known(pt(2, 8, 140), 130), Own: true}, Resume, 110, Nothing},
-		{"outrun", Asked{Turn: Outrun, Client: pt(2, 8, 110), Known: known(pt(2, 8, 140), 130)}, Fenced, 110, Nothing},
+		{"new", Request{Turn: NewConnection}, Begin, 150, NothingNeeded},
+		{"nobody knows whether new", Request{Turn: NewConnection, LetGo: true}, Snapshot, 0, NothingNeeded},
+		{"none, last answer unheard of", Request{Turn: NewConnection, Known: known(pt(2, 8, 130), 110), Own: true}, Recall, 110, NothingNeeded},
+		{"none, goes on", Request{Turn: SameConnection, Known: known(pt(2, 8, 130), 110), Own: true}, Recall, 130, NothingNeeded},
+		{"none, had all", Request{Turn: SameConnection, Known: known(pt(2, 8, 150), 110)}, Wait, 150, NothingNeeded},
+		{"none, known on the lost tail", Request{Turn: NewConnection, Known: known(pt(1, 7, 130), 120)}, Rewind, 100, NothingNeeded},
+		{"none, known before what is kept", Request{Turn: NewConnection, Known: known(pt(1, 7, 45), 40), Own: true}, Snapshot, 40, NothingNeeded},
+		{"at the edge of what is kept", Request{Turn: NewConnection, Client: pt(1, 7, 50)}, Resume, 50, NothingNeeded},
+		{"older", Request{Turn: NewConnection, Client: pt(1, 7, 49)}, Snapshot, 49, NothingNeeded},
+		{"at the fork", Request{Turn: NewConnection, Client: pt(1, 7, 100)}, Resume, 100, NothingNeeded},
+		{"on the lost tail", Request{Turn: NewConnection, Client: pt(1, 7, 101)}, Rewind, 100, NothingNeeded},
+		{"of a history that nobody knows", Request{Turn: NewConnection, Client: pt(2, 3, 120)}, Snapshot, 120, NothingNeeded},
+		{"of one that is to come", Request{Turn: NewConnection, Client: pt(3, 3, 120)}, Wait, 120, NothingNeeded},
+		{"of one that can't come", Request{Turn: NewConnection, Client: pt(3000, 3, 120)}, Future, 120, NothingNeeded},
+		{"has all", Request{Turn: SameConnection, Client: pt(2, 8, 150)}, Wait, 150, NothingNeeded},
+		{"has all, others more", Request{Turn: NewConnection, Client: pt(2, 8, 150), Known: known(pt(2, 8, 170), 170), Own: true}, Wait, 150, NothingNeeded},
+		{"a little ahead", Request{Turn: NewConnection, Client: pt(2, 8, 151)}, Wait, 151, NothingNeeded},
+		{"of the future", Request{Turn: NewConnection, Client: pt(2, 8, 150+set.MaxAhead+1)}, Future, 150 + set.MaxAhead + 1, NothingNeeded},
+		{"overtaken", Request{Turn: SameConnection, Client: pt(2, 8, 110), Known: known(pt(2, 8, 140), 130), Own: true}, Skip, 130, NothingNeeded},
+		{"answer lost", Request{Turn: NewConnection, Client: pt(2, 8, 110), Known: known(pt(2, 8, 140), 130), Own: true}, Resume, 110, NothingNeeded},
+		{"outrun", Request{Turn: SupersededConnection, Client: pt(2, 8, 110), Known: known(pt(2, 8, 140), 130)}, Fenced, 110, NothingNeeded},
 	} {
-		v := log(t, &set).Judge(1, c.asked, true)
+		v := log(t, &set).Decide(1, c.asked, true)
 		if v.Row != c.row || v.Row != Snapshot && v.Start.At != c.start || v.Need != c.need {
 			t.Errorf("%s: %s at %d, need %d", c.what, v.Row, v.Start.At, v.Need)
 		}
 	}
 	f := log(t, &set)
-	if v := f.Judge(set.Fresh, Asked{Client: pt(2, 8, 150)}, true); v.Row != Wait || v.Need != ReadEnd {
+	if v := f.Decide(set.EndReadInterval, Request{Client: pt(2, 8, 150)}, true); v.Row != Wait || v.Need != ReadEnd {
 		t.Errorf("the end is not asked for again: %+v", v)
 	}
-	if v := NewFeed(&set).Judge(0, Asked{Client: pt(2, 8, 150)}, true); v.Row != Ask || v.Need != ReadEnd {
+	if v := NewFeed(&set).Decide(0, Request{Client: pt(2, 8, 150)}, true); v.Row != Ask || v.Need != ReadEnd {
 		t.Errorf("of a feed that nobody read: %+v", v)
 	}
 	small := set
 	small.RingEvents = 3
-	if v := log(t, &small).Judge(1, Asked{Client: pt(2, 8, 110)}, true); v.Row != Resume || v.Need != ReadFar {
+	if v := log(t, &small).Decide(1, Request{Client: pt(2, 8, 110)}, true); v.Row != Resume || v.Need != ReadCatchUp {
 		t.Errorf("behind the ring: %+v", v)
 	}
 
 	// A member of the old history: behind up to the fork, never read beyond it. A take-over rewinds the ring.
-	if m := f.ClassMember(&Answer{Line: Line{{History{1, 7}, 0}}, Head: 100}); m != MemberBehind {
+	if m := f.ClassMember(&Response{Line: Lineage{{History{1, 7}, 0}}, Head: 100}); m != MemberBehind {
 		t.Error(m)
 	}
-	if m := f.Take(1, &Answer{Line: Line{{History{1, 7}, 0}}, Head: 160, From: 150, Events: []Event{{160, "lost"}}}, true); m != MemberForked {
+	if m := f.Apply(1, &Response{Line: Lineage{{History{1, 7}, 0}}, Head: 160, From: 150, Events: []Event{{160, "lost"}}}, true); m != MemberForked {
 		t.Error(m)
 	}
-	f.Take(2, &Answer{Line: Line{{History{1, 7}, 0}, {History{2, 8}, 100}, {History{3, 9}, 120}}, Head: 140, From: 120, Events: []Event{{125, "n"}, {140, "n"}}}, true)
-	if v := f.Judge(3, Asked{Client: pt(2, 8, 150)}, true); v.Row != Rewind || v.Start.At != 120 || v.Back.At != 150 {
+	f.Apply(2, &Response{Line: Lineage{{History{1, 7}, 0}, {History{2, 8}, 100}, {History{3, 9}, 120}}, Head: 140, From: 120, Events: []Event{{125, "n"}, {140, "n"}}}, true)
+	if v := f.Decide(3, Request{Client: pt(2, 8, 150)}, true); v.Row != Rewind || v.Start.At != 120 || v.Back.At != 150 {
 		t.Errorf("%+v", v)
 	}
 	if events, next, more := f.Batch(pt(2, 8, 110), nil); len(events) != 3 || events[1].At != 125 || next != pt(3, 9, 140) || more {
--- a/policy/membership/explore_test.go
+++ b/policy/membership/explore_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"maps"
 	"slices"
 	"strings"
@@ -11,16 +12,16 @@
 
 // world is three members and what is under way between them; each event makes another one of it.
 type world struct {
-	now    Nanos
-	who    [3]*Members
+	now    clock.Nanos
+	who    [3]*Detector
 	killed [3]bool
-	asleep int   // who is stopped
-	wakes  Nanos // until then; 0: nobody has been
+	asleep int         // who is stopped
+	wakes  clock.Nanos // until then; 0: nobody has been
 	way    []Message
 	path   []string
 }
 
-func (m *Members) clone() *Members {
+func (m *Detector) clone() *Detector {
 	c := *m
 	c.peers, c.order, c.relays = map[string]*peer{}, nil, maps.Clone(m.relays)
 	for _, p := range m.order {
@@ -28,11 +29,11 @@
 		q.accusers = slices.Clone(p.accusers)
 		c.add(&q)
 	}
-	if m.asked != nil {
-		q := *m.asked
-		c.asked = &q
+	if m.probe != nil {
+		q := *m.probe
+		c.probe = &q
 	}
-	c.ring, c.news, c.out = slices.Clone(m.ring), slices.Clone(m.news), nil
+	c.probeOrder, c.updates, c.out = slices.Clone(m.probeOrder), slices.Clone(m.updates), nil
 	return &c
 }
 
@@ -47,9 +48,9 @@
 func (w *world) hash() uint64 {
 	h := fnv.New64a()
 	for i, m := range w.who {
-		fmt.Fprint(h, w.killed[i], w.asleep, w.wakes, m.self, m.since, m.ring, m.turn, m.rounds, m.seq, m.health, m.lost, m.lostAt, m.cut, m.taken, m.relays, m.news, m.rng, m.now, m.whole, m.pause, m.learnt)
-		if m.asked != nil {
-			fmt.Fprint(h, *m.asked)
+		fmt.Fprint(h, w.killed[i], w.asleep, w.wakes, m.self, m.since, m.probeOrder, m.nextProbeAt, m.rounds, m.seq, m.health, m.unanswered, m.unansweredBy, m.isolated, m.nameTaken, m.relays, m.updates, m.rng, m.now, m.nextSyncAt, m.syncInterval, m.syncTaught)
+		if m.probe != nil {
+			fmt.Fprint(h, *m.probe)
 		}
 		for _, p := range m.order {
 			fmt.Fprint(h, *p)
@@ -111,22 +112,22 @@
 func (w *world) broken(before *world) string {
 	for i, m := range w.who {
 		v := m.View()
-		if v.Majority && (v.Deaf || v.Taken || 2*v.Counting <= m.set.Configured) {
-			return fmt.Sprintf("%s takes %d of %d for a majority", m.set.Name, v.Counting, m.set.Configured)
+		if v.Majority && (v.Isolated || v.NameTaken || 2*v.Present <= m.settings.Configured) {
+			return fmt.Sprintf("%s takes %d of %d for a majority", m.settings.Name, v.Present, m.settings.Configured)
 		}
-		if m.self.State != Alive || m.Size() > 3+4+mostRelays {
-			return fmt.Sprintf("%s is %s itself, remembers %d", m.set.Name, m.self.State, m.Size())
+		if m.self.State != Alive || m.Size() > 3+4+maxRelays {
+			return fmt.Sprintf("%s is %s itself, remembers %d", m.settings.Name, m.self.State, m.Size())
 		}
 		for name, p := range m.peers {
 			old := before.who[i].peers[name]
-			if old == nil || old.Boot != p.Boot {
+			if old == nil || old.Epoch != p.Epoch {
 				continue
 			}
 			if p.Incarnation < old.Incarnation {
-				return fmt.Sprintf("%s: the incarnation of %s fell", m.set.Name, name)
+				return fmt.Sprintf("%s: the incarnation of %s fell", m.settings.Name, name)
 			}
-			if p.State >= Dead && old.State < Dead && old.Heard > old.doubted && old.Heard > 0 {
-				return fmt.Sprintf("%s: %s is dead, though heard at %d ms and doubted since %d ms", m.set.Name, name, old.Heard/ms, old.doubted/ms)
+			if p.State >= Dead && old.State < Dead && old.HeardAt > old.suspectSince && old.HeardAt > 0 {
+				return fmt.Sprintf("%s: %s is dead, though heard at %d ms and doubted since %d ms", m.settings.Name, name, old.HeardAt/ms, old.suspectSince/ms)
 			}
 		}
 	}
@@ -137,19 +138,19 @@
 func exploreStart(t *testing.T, corrections bool) *world {
 	w := &world{}
 	for i := range w.who {
-		s := Usual(name(i), address(i), 1, 3)
-		s.Period, s.Wait, s.Helpers, s.LeastDoubt, s.MostDoubt, s.Pause, s.Forget = 2*exploreStep, exploreStep, 1, exploreStep, 2*exploreStep, 5*exploreStep, 1000*exploreStep
-		s.Confirms, s.Corrections = 1, corrections
+		s := DefaultSettings(name(i), address(i), 1, 3)
+		s.ProbeInterval, s.AckTimeout, s.IndirectChecks, s.MinSuspicion, s.MaxSuspicion, s.MaxTickGap, s.ForgetAfter = 2*exploreStep, exploreStep, 1, exploreStep, 2*exploreStep, 5*exploreStep, 1000*exploreStep
+		s.Confirmations, s.Lifeguard = 1, corrections
 		m, err := New(s, uint64(i), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for j := range w.who {
 			if j != i {
-				m.add(&peer{Member: Member{Update: Update{Name: name(j), Address: address(j), Boot: 1, State: Alive}}})
+				m.add(&peer{Member: Member{Update: Update{Name: name(j), Address: address(j), Epoch: 1, State: Alive}}})
 			}
 		}
-		m.news, m.whole = nil, 1<<60 // they have compared all they know
+		m.updates, m.nextSyncAt = nil, 1<<60 // they have compared all they know
 		w.who[i] = m
 	}
 	w.who[0].accuse(w.who[0].peers[name(1)], name(0), Dead)
--- a/policy/membership/faults_test.go
+++ b/policy/membership/faults_test.go
@@ -1,9 +1,12 @@
 package membership
 
-import "testing"
+import (
+	"lotushook/policy/clock"
+	"testing"
+)
 
 // after runs until something holds in every view that is there.
-func (n *net) after(most Nanos, what string, hold func(x *node) bool) Nanos {
+func (n *net) after(most clock.Nanos, what string, hold func(x *node) bool) clock.Nanos {
 	n.t.Helper()
 	for from := n.now; n.now-from < most; n.run(100 * ms) {
 		all := true
@@ -21,12 +24,12 @@
 // What the dead had is divided once a majority calls them gone, and given back before they count again.
 func TestPartsFollowTheDead(t *testing.T) {
 	n := network(t, 9, 11)
-	even := func(x *node) bool { return near(x.View().Part.Share, 1.0/9) }
+	even := func(x *node) bool { return near(x.View().Quota.Share, 1.0/9) }
 	n.after(30_000*ms, "all hold an even part", even)
 	for i := range 4 {
 		n.nodes[i].killed = true
 	}
-	took := n.after(40_000*ms, "five share all", func(x *node) bool { return near(x.View().Part.Share, 0.5/9+0.5/5) })
+	took := n.after(40_000*ms, "five share all", func(x *node) bool { return near(x.View().Quota.Share, 0.5/9+0.5/5) })
 	t.Logf("half of nine are divided after %d ms", took/ms)
 	for i := range 4 {
 		n.start(i)
@@ -34,7 +37,7 @@
 	n.after(40_000*ms, "all hold an even part again", even)
 	n.cut = func(from, to int) bool { return (from < 4) != (to < 4) }
 	n.after(40_000*ms, "the larger side shares all, the smaller keeps the least", func(x *node) bool {
-		return near(x.View().Part.Share, map[bool]float64{true: 0.5 / 9, false: 0.5/9 + 0.5/5}[x.at < 4])
+		return near(x.View().Quota.Share, map[bool]float64{true: 0.5 / 9, false: 0.5/9 + 0.5/5}[x.at < 4])
 	})
 	n.cut = func(int, int) bool { return false }
 	n.after(60_000*ms, "all hold an even part after the split", even)
@@ -102,7 +105,7 @@
 	n.run(60_000 * ms)
 	for _, x := range n.nodes {
 		if v := x.View(); v.Majority != (x.at < 41) {
-			t.Errorf("%s: majority %v of %d", name(x.at), v.Majority, v.Counting)
+			t.Errorf("%s: majority %v of %d", name(x.at), v.Majority, v.Present)
 		}
 		x.served = n.now
 	}
--- a/policy/membership/member.go
+++ b/policy/membership/member.go
@@ -6,165 +6,166 @@
 	"math"
 	"slices"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/quotalease"
 )
 
 // Tuned values, all in the terms of the settings.
 const (
-	mostHelpers = 8
-	mostRelays  = 64  // questions asked for others that are still open
-	mostTold    = 64  // who hear it from a member itself that it leaves
-	mostHealth  = 8   // how far Lifeguard's local health stretches waits
-	cutRounds   = 4   // questions in a row without any answer, to at least two members: this router is cut off
-	knockEvery  = 5   // periods between knocks at a member that is gone, or a seed that is not there
-	heardShare  = 4.0 // of Period: who was heard so lately is not doubted on another's word alone
+	maxIndirectChecks    = 8
+	maxRelays            = 64  // questions asked for others that are still open
+	maxGoodbyes          = 64  // who hear it from a member itself that it leaves
+	maxHealthScore       = 8   // how far Lifeguard's local health stretches waits
+	isolatedRounds       = 4   // questions in a row without any answer, to at least two members: this router is cut off
+	contactEvery         = 5   // periods between knocks at a member that is gone, or a seed that is not there
+	recentlyHeardPeriods = 4.0 // of ProbeInterval: who was heard so lately is not doubted on another's word alone
 )
 
-// Members is one member's knowledge of all. It belongs to one goroutine and is bounded by Settings.Members.
-type Members struct {
-	set    Settings
-	now    Nanos
-	rng    uint64
-	self   Update
-	since  Nanos
-	peers  map[string]*peer
-	order  []*peer  // the same, by name
-	ring   []string // the order in which members are asked, drawn anew each time round
-	asked  *question
-	turn   Nanos // when the next is asked
-	rounds int
-	seq    uint32
-	health int
-	lost   int // questions in a row that nobody answered
-	lostAt string
-	cut    bool
-	taken  bool
-	left   bool
-	relays map[uint32]relay
-	news   []news
-	out    []Message
-	listed map[string]bool   // the installation's names; nil: anybody
-	parts  *quotalease.Parts // nil: fixed
-	whole  Nanos             // when somebody is asked for all it knows, so that what gossip missed is known in the end
-	pause  Nanos             // until the next time after it
-	learnt bool              // the last time taught something
+// Detector is one member's knowledge of all. It belongs to one goroutine and is bounded by Settings.MaxMembers.
+type Detector struct {
+	settings     Settings
+	now          clock.Nanos
+	rng          uint64
+	self         Update
+	since        clock.Nanos
+	peers        map[string]*peer
+	order        []*peer  // the same, by name
+	probeOrder   []string // the order in which members are asked, drawn anew each time round
+	probe        *probe
+	nextProbeAt  clock.Nanos // when the next is asked
+	rounds       int
+	seq          uint32
+	health       int
+	unanswered   int // questions in a row that nobody answered
+	unansweredBy string
+	isolated     bool
+	nameTaken    bool
+	left         bool
+	relays       map[uint32]relay
+	updates      []queuedUpdate
+	out          []Message
+	allowed      map[string]bool   // the installation's names; nil: anybody
+	lease        *quotalease.Lease // nil: fixed
+	nextSyncAt   clock.Nanos       // when somebody is asked for all it knows, so that what gossip missed is known in the end
+	syncInterval clock.Nanos       // until the next time after it
+	syncTaught   bool              // the last time taught something
 
 	majority   bool
-	majorityAt Nanos
+	majorityAt clock.Nanos
 }
 
 type peer struct {
 	Member
-	doubted  Nanos    // since when it is a suspect
-	accusers []string // distinct
-	doom     State    // what it becomes when the doubt ends: Dead, or Left
-	check    bool     // to be asked out of turn
-	rival    Nanos    // when a younger process of its name was first met; 0: never
+	suspectSince clock.Nanos // since when it is a suspect
+	accusers     []string    // distinct
+	finalState   State       // what it becomes when the doubt ends: Dead, or Left
+	probeSoon    bool        // to be asked out of turn
+	rivalSince   clock.Nanos // when a younger process of its name was first met; 0: never
 }
 
-type question struct {
-	name    string
-	seq     uint32
-	at      Nanos
-	helped  bool
-	answers int // from helpers, of either kind
-	helpers int
+type probe struct {
+	name         string
+	seq          uint32
+	sentAt       clock.Nanos
+	escalated    bool
+	answers      int // from helpers, of either kind
+	helpersAsked int
 }
 
 type relay struct {
-	address string // of who asked
-	seq     uint32
-	target  string
-	at      Nanos
-	nacked  bool
+	address    string // of who asked
+	seq        uint32
+	target     string
+	receivedAt clock.Nanos
+	nacked     bool
 }
 
-type news struct {
+type queuedUpdate struct {
 	Update
-	told int
+	transmits int
 }
 
 // New returns a member that knows itself and its seeds.
-func New(s Settings, seed uint64, now Nanos) (*Members, error) {
+func New(s Settings, seed uint64, now clock.Nanos) (*Detector, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	m := &Members{set: s, now: now, rng: seed, since: now, turn: now, peers: map[string]*peer{}, relays: map[uint32]relay{},
-		self: Update{Name: s.Name, Address: s.Address, Boot: s.Boot, State: Alive}, majorityAt: now}
-	if s.Names != nil {
-		p, err := quotalease.New(quotalease.Settings{Names: s.Names, Self: s.Name, Term: s.Term(), Alone: s.Alone}, now)
+	m := &Detector{settings: s, now: now, rng: seed, since: now, nextProbeAt: now, peers: map[string]*peer{}, relays: map[uint32]relay{},
+		self: Update{Name: s.Name, Address: s.Address, Epoch: s.Epoch, State: Alive}, majorityAt: now}
+	if s.Allowed != nil {
+		p, err := quotalease.New(quotalease.Settings{Names: s.Allowed, Self: s.Name, Term: s.Term(), IsolatedShare: s.IsolatedShare}, now)
 		if err != nil {
 			return nil, err
 		}
-		m.parts, m.listed = p, map[string]bool{}
-		for _, name := range s.Names {
-			m.listed[name] = true
+		m.lease, m.allowed = p, map[string]bool{}
+		for _, name := range s.Allowed {
+			m.allowed[name] = true
 		}
 	}
-	m.tell(m.self)
-	m.judge()
+	m.broadcast(m.self)
+	m.updateMajority()
 	return m, nil
 }
 
 // draw is seeded, from 0 to 1.
-func (m *Members) draw() float64 {
+func (m *Detector) draw() float64 {
 	m.rng = m.rng*6364136223846793005 + 1442695040888963407
 	return float64(m.rng>>11) / (1 << 53)
 }
 
 // Tick moves time on and returns what to send. It is to be called about twice a Wait.
-func (m *Members) Tick(now Nanos) []Message {
-	if gap := now - m.now; gap > m.set.Pause && m.set.Corrections {
-		m.stopped(gap)
+func (m *Detector) Tick(now clock.Nanos) []Message {
+	if gap := now - m.now; gap > m.settings.MaxTickGap && m.settings.Lifeguard {
+		m.resumeAfterGap(gap)
 	}
 	m.now = max(m.now, now)
 	m.out = nil
-	if m.left || m.taken {
+	if m.left || m.nameTaken {
 		return nil
 	}
 	m.expire()
-	m.attend()
-	if m.asked == nil && m.now >= m.turn {
-		m.ask()
+	m.checkProbe()
+	if m.probe == nil && m.now >= m.nextProbeAt {
+		m.startProbe()
 	}
-	m.judge()
+	m.updateMajority()
 	return m.out
 }
 
-// stopped is a pause of this process, from whatever cause: what ran out meanwhile proves nothing, as nobody listened.
-func (m *Members) stopped(gap Nanos) {
+// resumeAfterGap is a pause of this process, from whatever cause: what ran out meanwhile proves nothing, as nobody listened.
+func (m *Detector) resumeAfterGap(gap clock.Nanos) {
 	for _, p := range m.peers {
-		p.doubted += gap
-		p.Heard += gap
+		p.suspectSince += gap
+		p.HeardAt += gap
 	}
-	m.asked, m.turn = nil, m.turn+gap
+	m.probe, m.nextProbeAt = nil, m.nextProbeAt+gap
 	clear(m.relays)
 	m.self.Incarnation++ // whoever accused it meanwhile is answered before it is heard
-	m.tell(m.self)
+	m.broadcast(m.self)
 }
 
 // expire ends doubts whose time is over, and forgets who is gone for long.
-func (m *Members) expire() {
+func (m *Detector) expire() {
 	for _, p := range slices.Clone(m.order) {
 		switch {
-		case p.State == Suspect && m.set.Corrections && p.Heard > p.doubted:
-			m.become(p, Alive) // it speaks: no word of others goes before that
-		case p.State == Suspect && m.cut:
-			p.doubted = m.now // who hears nobody can't say who is dead
-		case p.State == Suspect && m.now-p.doubted >= m.patience(p):
-			m.become(p, p.doom)
-		case p.State == CutOff && m.now-p.Heard >= m.set.MostDoubt && !m.cut:
-			m.accuse(p, m.set.Name, Dead)
-		case p.State >= Dead && m.now-p.Since >= m.set.Forget:
+		case p.State == Suspect && m.settings.Lifeguard && p.HeardAt > p.suspectSince:
+			m.setState(p, Alive) // it speaks: no word of others goes before that
+		case p.State == Suspect && m.isolated:
+			p.suspectSince = m.now // who hears nobody can't say who is dead
+		case p.State == Suspect && m.now-p.suspectSince >= m.suspicionTimeout(p):
+			m.setState(p, p.finalState)
+		case p.State == Isolated && m.now-p.HeardAt >= m.settings.MaxSuspicion && !m.isolated:
+			m.accuse(p, m.settings.Name, Dead)
+		case p.State >= Dead && m.now-p.Since >= m.settings.ForgetAfter:
 			m.remove(p)
 		}
 	}
 	for _, seq := range slices.Sorted(maps.Keys(m.relays)) { // in a stated order, or a play could not be repeated
 		r := m.relays[seq]
 		switch {
-		case m.now-r.at >= m.set.Period:
+		case m.now-r.receivedAt >= m.settings.ProbeInterval:
 			delete(m.relays, seq)
-		case !r.nacked && m.now-r.at >= m.set.Wait:
+		case !r.nacked && m.now-r.receivedAt >= m.settings.AckTimeout:
 			r.nacked = true
 			m.relays[seq] = r
 			m.send(Message{Kind: Nack, To: r.address, Seq: r.seq, Target: r.target})
@@ -172,74 +173,74 @@
 	}
 }
 
-// patience is how long a suspect has: the more accuse it, the shorter (Lifeguard). Who misses answers itself, on a
+// suspicionTimeout is how long a suspect has: the more accuse it, the shorter (Lifeguard). Who misses answers itself, on a
 // slow machine or over lossy links, gives more.
-func (m *Members) patience(p *peer) Nanos {
-	if !m.set.Corrections {
-		return m.set.MostDoubt
+func (m *Detector) suspicionTimeout(p *peer) clock.Nanos {
+	if !m.settings.Lifeguard {
+		return m.settings.MaxSuspicion
 	}
-	return m.usualPatience(p) * Nanos(2+m.health) / 2
+	return m.baseSuspicionTimeout(p) * clock.Nanos(2+m.health) / 2
 }
 
-func (m *Members) usualPatience(p *peer) Nanos {
-	others := min(len(p.accusers)-1, m.set.Confirms)
-	share := math.Log(float64(others)+1) / math.Log(float64(m.set.Confirms)+1)
-	if m.set.Confirms == 0 {
+func (m *Detector) baseSuspicionTimeout(p *peer) clock.Nanos {
+	others := min(len(p.accusers)-1, m.settings.Confirmations)
+	share := math.Log(float64(others)+1) / math.Log(float64(m.settings.Confirmations)+1)
+	if m.settings.Confirmations == 0 {
 		share = 1
 	}
-	return max(m.set.LeastDoubt, m.set.MostDoubt-Nanos(share*float64(m.set.MostDoubt-m.set.LeastDoubt)))
+	return max(m.settings.MinSuspicion, m.settings.MaxSuspicion-clock.Nanos(share*float64(m.settings.MaxSuspicion-m.settings.MinSuspicion)))
 }
 
 // stretch is a span as a member that may be slow itself should wait.
-func (m *Members) stretch(d Nanos) Nanos {
-	if !m.set.Corrections || m.cut { // who is cut off accuses nobody, and wants to be heard
+func (m *Detector) stretch(d clock.Nanos) clock.Nanos {
+	if !m.settings.Lifeguard || m.isolated { // who is cut off accuses nobody, and wants to be heard
 		return d
 	}
-	return d * Nanos(1+m.health)
+	return d * clock.Nanos(1+m.health)
 }
 
-// attend looks after the open question: helpers after a while, and doubt at its end.
-func (m *Members) attend() {
-	q := m.asked
+// checkProbe looks after the open question: helpers after a while, and doubt at its end.
+func (m *Detector) checkProbe() {
+	q := m.probe
 	if q == nil {
 		return
 	}
 	p := m.peers[q.name]
 	if p == nil || p.State >= Dead {
-		m.asked = nil
+		m.probe = nil
 		return
 	}
-	if !q.helped && m.now-q.at >= m.stretch(m.set.Wait) {
-		q.helped = true
-		for _, h := range m.some(m.set.Helpers, q.name) {
-			q.helpers++
-			m.send(Message{Kind: Ask, To: h.Address, Seq: q.seq, Target: q.name, TargetAddress: p.Address})
+	if !q.escalated && m.now-q.sentAt >= m.stretch(m.settings.AckTimeout) {
+		q.escalated = true
+		for _, h := range m.randomPeers(m.settings.IndirectChecks, q.name) {
+			q.helpersAsked++
+			m.send(Message{Kind: IndirectPing, To: h.Address, Seq: q.seq, Target: q.name, TargetAddress: p.Address})
 		}
 	}
-	if m.now-q.at < m.stretch(m.set.Period) {
+	if m.now-q.sentAt < m.stretch(m.settings.ProbeInterval) {
 		return
 	}
-	m.asked = nil
-	if m.set.Corrections {
-		m.health = min(m.health+q.helpers-q.answers, mostHealth) // that one is dead says nothing of this router
+	m.probe = nil
+	if m.settings.Lifeguard {
+		m.health = min(m.health+q.helpersAsked-q.answers, maxHealthScore) // that one is dead says nothing of this router
 		if q.answers == 0 {
-			if m.lost++; m.lostAt != q.name {
-				m.lostAt = q.name
-				m.cut = m.cut || m.lost >= min(cutRounds, 2*max(m.alive(), 1))
+			if m.unanswered++; m.unansweredBy != q.name {
+				m.unansweredBy = q.name
+				m.isolated = m.isolated || m.unanswered >= min(isolatedRounds, 2*max(m.aliveCount(), 1))
 			}
 		}
-		if m.cut || q.answers == 0 && q.helpers > 0 { // not one of the helpers was heard: it may well be this router
+		if m.isolated || q.answers == 0 && q.helpersAsked > 0 { // not one of the helpers was heard: it may well be this router
 			return
 		}
-		if p.State == CutOff { // it can't answer; it is judged by its own silence
+		if p.State == Isolated { // it can't answer; it is judged by its own silence
 			return
 		}
 	}
-	m.accuse(p, m.set.Name, Dead)
+	m.accuse(p, m.settings.Name, Dead)
 }
 
-// alive is how many others are neither dead nor gone.
-func (m *Members) alive() int {
+// aliveCount is how many others are neither dead nor gone.
+func (m *Detector) aliveCount() int {
 	n := 0
 	for _, p := range m.order {
 		if p.State < Dead {
@@ -249,70 +250,70 @@
 	return n
 }
 
-// ask asks the next member, and now and then knocks where nobody is known to be.
-func (m *Members) ask() {
-	m.turn = max(m.turn+m.set.Period, m.now)
-	if m.rounds++; m.rounds%knockEvery == 0 || m.alive() == 0 {
-		m.knock()
+// startProbe asks the next member, and now and then knocks where nobody is known to be.
+func (m *Detector) startProbe() {
+	m.nextProbeAt = max(m.nextProbeAt+m.settings.ProbeInterval, m.now)
+	if m.rounds++; m.rounds%contactEvery == 0 || m.aliveCount() == 0 {
+		m.contactLost()
 	}
-	m.compare()
-	p := m.next()
+	m.syncState()
+	p := m.nextToProbe()
 	if p == nil {
 		return
 	}
 	m.seq++
-	m.asked = &question{name: p.Name, seq: m.seq, at: m.now}
+	m.probe = &probe{name: p.Name, seq: m.seq, sentAt: m.now}
 	m.send(Message{Kind: Ping, To: p.Address, Seq: m.seq, Target: p.Name})
 }
 
-// compare now and then asks somebody for all it knows: soon again while that teaches something, and at last once in as
+// syncState now and then asks somebody for all it knows: soon again while that teaches something, and at last once in as
 // many periods as there are members, so that the bytes a second do not grow with them.
-func (m *Members) compare() {
-	if m.now < m.whole {
+func (m *Detector) syncState() {
+	if m.now < m.nextSyncAt {
 		return
 	}
-	for _, p := range m.some(1, "") {
-		if m.pause *= 2; m.learnt {
-			m.pause = 0
+	for _, p := range m.randomPeers(1, "") {
+		if m.syncInterval *= 2; m.syncTaught {
+			m.syncInterval = 0
 		}
-		m.pause = max(knockEvery*m.set.Period, min(m.pause, Nanos(len(m.order))*m.set.Period))
-		m.whole, m.learnt = m.now+m.pause, false
-		m.send(Message{Kind: Join, To: p.Address})
+		m.syncInterval = max(contactEvery*m.settings.ProbeInterval, min(m.syncInterval, clock.Nanos(len(m.order))*m.settings.ProbeInterval))
+		m.nextSyncAt, m.syncTaught = m.now+m.syncInterval, false
+		m.send(Message{Kind: StateRequest, To: p.Address})
 	}
 }
 
-// next is who is asked: the others round and round in an order drawn anew each time, and in every second period one of
+// nextToProbe is who is asked: the others round and round in an order drawn anew each time, and in every second period one of
 // those in doubt, so that each has several questions before its time is over.
-func (m *Members) next() *peer {
-	if m.rounds%2 == 0 && m.set.Corrections {
-		doubted := m.those(func(p *peer) bool { return p.State < Dead && (p.check || p.State == Suspect) })
+func (m *Detector) nextToProbe() *peer {
+	if m.rounds%2 == 0 && m.settings.Lifeguard {
+		doubted := m.filterPeers(func(p *peer) bool { return p.State < Dead && (p.probeSoon || p.State == Suspect) })
 		if len(doubted) > 0 {
 			p := doubted[int(m.draw()*float64(len(doubted)))]
-			p.check = false
+			p.probeSoon = false
 			return p
 		}
 	}
 	for range 2 {
-		for len(m.ring) > 0 {
-			p := m.peers[m.ring[0]]
-			m.ring = m.ring[1:]
+		for len(m.probeOrder) > 0 {
+			p := m.peers[m.probeOrder[0]]
+			m.probeOrder = m.probeOrder[1:]
 			if p != nil && p.State < Dead {
 				return p
 			}
 		}
 		for _, p := range m.order {
-			m.ring = append(m.ring, p.Name)
+			m.probeOrder = append(m.probeOrder, p.Name)
 		}
-		shuffle(m, m.ring)
+		shuffle(m, m.probeOrder)
 	}
 	return nil
 }
 
-// knock asks one that is gone, or a seed that is nobody's address, for all that it knows: halves of a split find each
+// contactLost asks one that is gone, or a seed that is nobody's address, for all that it knows: halves of a split find each
 // other again, and a router that started alone finds the others.
-func (m *Members) knock() {
+func (m *Detector) contactLost() {
 	var doors []string
-	here := map[string]bool{m.set.Address: true}
+	here := map[string]bool{m.settings.Address: true}
 	for _, p := range m.order {
 		if p.State < Dead {
 			here[p.Address] = true
@@ -320,37 +321,37 @@
 			doors = append(doors, p.Address)
 		}
 	}
-	doors = append(doors, m.set.Seeds...)
+	doors = append(doors, m.settings.Seeds...)
 	doors = slices.DeleteFunc(doors, func(a string) bool { return here[a] })
 	if len(doors) > 0 {
-		m.send(Message{Kind: Join, To: doors[int(m.draw()*float64(len(doors)))]})
+		m.send(Message{Kind: StateRequest, To: doors[int(m.draw()*float64(len(doors)))]})
 	}
 }
 
 // Leave says goodbye to as many as can be told in one go; nothing is sent after it.
-func (m *Members) Leave(now Nanos) []Message {
+func (m *Detector) Leave(now clock.Nanos) []Message {
 	m.now, m.out = max(m.now, now), nil
 	m.self.State, m.left = Left, true
-	for _, p := range m.some(mostTold, "") {
-		m.send(Message{Kind: Ack, To: p.Address, Target: m.set.Name})
+	for _, p := range m.randomPeers(maxGoodbyes, "") {
+		m.send(Message{Kind: Ack, To: p.Address, Target: m.settings.Name})
 	}
 	return m.out
 }
 
 // add and remove keep both ways to find a member.
-func (m *Members) add(p *peer) {
+func (m *Detector) add(p *peer) {
 	m.peers[p.Name] = p
 	at, _ := slices.BinarySearchFunc(m.order, p.Name, func(q *peer, name string) int { return cmp.Compare(q.Name, name) })
 	m.order = slices.Insert(m.order, at, p)
 }
 
-func (m *Members) remove(p *peer) {
+func (m *Detector) remove(p *peer) {
 	delete(m.peers, p.Name)
 	m.order = slices.DeleteFunc(m.order, func(q *peer) bool { return q == p })
 }
 
-// those are the members of which something holds, by name.
-func (m *Members) those(hold func(*peer) bool) []*peer {
+// filterPeers are the members of which something holds, by name.
+func (m *Detector) filterPeers(hold func(*peer) bool) []*peer {
 	var list []*peer
 	for _, p := range m.order {
 		if hold(p) {
@@ -360,86 +361,86 @@
 	return list
 }
 
-func shuffle[T any](m *Members, list []T) {
+func shuffle[T any](m *Detector, list []T) {
 	for i := len(list) - 1; i > 0; i-- {
 		j := int(m.draw() * float64(i+1))
 		list[i], list[j] = list[j], list[i]
 	}
 }
 
-// some draws members that are alive, but not one of a name.
-func (m *Members) some(n int, but string) []*peer {
-	list := m.those(func(p *peer) bool { return p.Name != but && p.State == Alive })
+// randomPeers draws members that are alive, but not one of a name.
+func (m *Detector) randomPeers(n int, but string) []*peer {
+	list := m.filterPeers(func(p *peer) bool { return p.Name != but && p.State == Alive })
 	shuffle(m, list)
 	return list[:min(n, len(list))]
 }
 
 // send puts this router's own word and the news least told into a message.
-func (m *Members) send(msg Message) {
-	msg.From, msg.Address, msg.Boot, msg.Deaf = m.set.Name, m.set.Address, m.self.Boot, m.cut
-	most := m.set.News
-	if msg.Kind == Whole {
+func (m *Detector) send(msg Message) {
+	msg.From, msg.Address, msg.Epoch, msg.Isolated = m.settings.Name, m.settings.Address, m.self.Epoch, m.isolated
+	most := m.settings.MaxUpdates
+	if msg.Kind == StateReply {
 		most = 0
 	}
-	msg.News = append([]Update{m.self}, msg.News...)
-	limit := int(math.Ceil(m.set.Retell * math.Log2(float64(len(m.peers)+2))))
-	slices.SortStableFunc(m.news, func(x, y news) int { return cmp.Compare(x.told, y.told) })
-	for i := range m.news[:min(most, len(m.news))] {
-		m.news[i].told++
-		msg.News = append(msg.News, m.news[i].Update)
+	msg.Updates = append([]Update{m.self}, msg.Updates...)
+	limit := int(math.Ceil(m.settings.RetransmitFactor * math.Log2(float64(len(m.peers)+2))))
+	slices.SortStableFunc(m.updates, func(x, y queuedUpdate) int { return cmp.Compare(x.transmits, y.transmits) })
+	for i := range m.updates[:min(most, len(m.updates))] {
+		m.updates[i].transmits++
+		msg.Updates = append(msg.Updates, m.updates[i].Update)
 	}
-	m.news = slices.DeleteFunc(m.news, func(n news) bool { return n.told >= limit })
+	m.updates = slices.DeleteFunc(m.updates, func(n queuedUpdate) bool { return n.transmits >= limit })
 	m.out = append(m.out, msg)
 }
 
-// tell queues an update, in place of an older one of the same member.
-func (m *Members) tell(u Update) {
-	m.news = slices.DeleteFunc(m.news, func(n news) bool { return n.Name == u.Name })
-	m.news = append(m.news, news{Update: u})
+// broadcast queues an update, in place of an older one of the same member.
+func (m *Detector) broadcast(u Update) {
+	m.updates = slices.DeleteFunc(m.updates, func(n queuedUpdate) bool { return n.Name == u.Name })
+	m.updates = append(m.updates, queuedUpdate{Update: u})
 }
 
-// become changes a member's state and tells it.
-func (m *Members) become(p *peer, s State) {
+// setState changes a member's state and tells it.
+func (m *Detector) setState(p *peer, s State) {
 	if p.State == s {
 		return
 	}
-	p.State, p.Since, p.By = s, m.now, ""
+	p.State, p.Since, p.Accuser = s, m.now, ""
 	if s != Suspect {
-		p.accusers, p.check = nil, false
+		p.accusers, p.probeSoon = nil, false
 	} else {
-		p.doubted = m.now
+		p.suspectSince = m.now
 	}
 	if s == Dead {
-		p.By = m.set.Name
+		p.Accuser = m.settings.Name
 	}
-	m.tell(p.Update)
+	m.broadcast(p.Update)
 }
 
 // accuse doubts a member, or counts one more accuser.
-func (m *Members) accuse(p *peer, by string, doom State) {
+func (m *Detector) accuse(p *peer, by string, doom State) {
 	if p.State >= Dead {
 		return
 	}
 	if p.State != Suspect {
-		m.become(p, Suspect)
-		p.doom = Dead
+		m.setState(p, Suspect)
+		p.finalState = Dead
 	}
-	p.doom = max(p.doom, doom)
-	if len(p.accusers) <= m.set.Confirms && !slices.Contains(p.accusers, by) {
+	p.finalState = max(p.finalState, doom)
+	if len(p.accusers) <= m.settings.Confirmations && !slices.Contains(p.accusers, by) {
 		p.accusers = append(p.accusers, by)
-		p.By = by
-		m.tell(p.Update) // its share of the doubt travels on
+		p.Accuser = by
+		m.broadcast(p.Update) // its share of the doubt travels on
 	}
 }
 
-// judge says whether this side is more than half.
-func (m *Members) judge() {
-	if v := 2*m.counting() > m.set.Configured && !m.cut && !m.taken; v != m.majority {
+// updateMajority says whether this side is more than half.
+func (m *Detector) updateMajority() {
+	if v := 2*m.presentCount() > m.settings.Configured && !m.isolated && !m.nameTaken; v != m.majority {
 		m.majority, m.majorityAt = v, m.now
 	}
 }
 
-func (m *Members) counting() int {
+func (m *Detector) presentCount() int {
 	n := 1
 	for _, p := range m.order {
 		if p.State <= Suspect {
@@ -450,28 +451,28 @@
 }
 
 // View is what is believed now.
-func (m *Members) View() View {
-	v := View{Counting: m.counting(), Majority: m.majority, Since: m.majorityAt, Deaf: m.cut, Taken: m.taken}
-	me := Member{Update: m.self, Since: m.since, Heard: m.now}
+func (m *Detector) View() View {
+	v := View{Present: m.presentCount(), Majority: m.majority, MajoritySince: m.majorityAt, Isolated: m.isolated, NameTaken: m.nameTaken}
+	me := Member{Update: m.self, Since: m.since, HeardAt: m.now}
 	v.Members = append(v.Members, me)
 	for _, p := range m.order {
 		v.Members = append(v.Members, p.Member)
 	}
 	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	if v.Part = (quotalease.Force{Share: 1 / float64(m.set.Configured), Least: 1 / float64(m.set.Configured), Until: m.now}); m.parts != nil {
-		v.Part = m.parts.Force(m.now, m.gone)
+	if v.Quota = (quotalease.Quota{Share: 1 / float64(m.settings.Configured), Min: 1 / float64(m.settings.Configured), Until: m.now}); m.lease != nil {
+		v.Quota = m.lease.Quota(m.now, m.isGone)
 	}
 	return v
 }
 
-// gone says whether a member is believed to be dead or departed, or has never been met.
-func (m *Members) gone(name string) bool {
+// isGone says whether a member is believed to be dead or departed, or has never been met.
+func (m *Detector) isGone(name string) bool {
 	p := m.peers[name]
 	return p == nil || p.State >= Dead
 }
 
 // Others are those who are alive, by name.
-func (m *Members) Others() []Update {
+func (m *Detector) Others() []Update {
 	var out []Update
 	for _, p := range m.order {
 		if p.State == Alive {
@@ -482,10 +483,10 @@
 }
 
 // Knows says whether a name is one that is neither dead nor gone.
-func (m *Members) Knows(name string) bool {
+func (m *Detector) Knows(name string) bool {
 	p := m.peers[name]
 	return p != nil && p.State < Dead
 }
 
 // Size is how many members, updates and open questions are remembered.
-func (m *Members) Size() int { return len(m.peers) + len(m.news) + len(m.relays) }
+func (m *Detector) Size() int { return len(m.peers) + len(m.updates) + len(m.relays) }
--- a/policy/membership/member_test.go
+++ b/policy/membership/member_test.go
@@ -6,16 +6,17 @@
 	"slices"
 	"testing"
 
+	"lotushook/policy/clock"
 	"lotushook/policy/quotalease"
 )
 
-const ms = Nanos(1e6)
+const ms = clock.Nanos(1e6)
 
 // net is a simulated network of members, each on a clock of its own; what is drawn follows from a seed.
 type net struct {
 	t       *testing.T
 	rng     uint64
-	now     Nanos
+	now     clock.Nanos
 	nodes   []*node
 	flight  []sent
 	loss    float64
@@ -37,21 +38,21 @@
 }
 
 type node struct {
-	*Members
+	*Detector
 	at          int
 	boot        uint64
 	killed      bool
-	stoppedTill Nanos
-	skew        Nanos // of its clock: its points differ from all others'
+	stoppedTill clock.Nanos
+	skew        clock.Nanos // of its clock: its points differ from all others'
 	rate        float64
 	address     string
-	served      Nanos // since when it has been up and not paused
+	served      clock.Nanos // since when it has been up and not paused
 	lastIncarn  map[incarnationOf]uint32
-	force       quotalease.Force
+	force       quotalease.Quota
 }
 
 type sent struct {
-	at  Nanos
+	at  clock.Nanos
 	to  int
 	msg Message
 }
@@ -65,20 +66,20 @@
 func name(i int) string    { return fmt.Sprintf("r%03d", i) }
 
 func (n *net) settings(i int) Settings {
-	s := Usual(name(i), n.nodes[i].address, n.nodes[i].boot, len(n.nodes))
+	s := DefaultSettings(name(i), n.nodes[i].address, n.nodes[i].boot, len(n.nodes))
 	for j := range n.nodes {
-		s.Names = append(s.Names, name(j))
+		s.Allowed = append(s.Allowed, name(j))
 	}
-	s.Alone = 0.5
+	s.IsolatedShare = 0.5
 	s.Seeds = n.seeds
-	s.Corrections = !n.plain
+	s.Lifeguard = !n.plain
 	return s
 }
 
 func network(t *testing.T, members int, seed uint64) *net {
 	n := &net{t: t, rng: seed, seeds: []string{address(0), address(1)}, cut: func(int, int) bool { return false }, index: map[string]int{}, doors: map[string]int{}}
 	for i := range members {
-		n.nodes = append(n.nodes, &node{at: i, skew: Nanos(i) * 3600e9, rate: 1, address: address(i)})
+		n.nodes = append(n.nodes, &node{at: i, skew: clock.Nanos(i) * 3600e9, rate: 1, address: address(i)})
 		n.index[name(i)], n.doors[address(i)] = i, i
 	}
 	for i := range n.nodes {
@@ -94,15 +95,15 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	x.Members, x.killed, x.served, x.lastIncarn = m, false, n.now, map[incarnationOf]uint32{}
+	x.Detector, x.killed, x.served, x.lastIncarn = m, false, n.now, map[incarnationOf]uint32{}
 }
 
 func (n *net) post(from int, out []Message) {
 	for _, m := range out {
 		n.sent++
-		n.updates += len(m.News)
-		if m.Kind != Whole {
-			n.largest = max(n.largest, len(m.News))
+		n.updates += len(m.Updates)
+		if m.Kind != StateReply {
+			n.largest = max(n.largest, len(m.Updates))
 		}
 		to, ok := n.doors[m.To]
 		if !ok {
@@ -111,12 +112,12 @@
 		if n.draw() < n.loss || n.cut(from, to) {
 			continue
 		}
-		n.flight = append(n.flight, sent{n.now + ms + Nanos(n.draw()*float64(4*ms)), to, m})
+		n.flight = append(n.flight, sent{n.now + ms + clock.Nanos(n.draw()*float64(4*ms)), to, m})
 	}
 }
 
 // run plays a span in steps of 10 ms and audits each view.
-func (n *net) run(span Nanos) {
+func (n *net) run(span clock.Nanos) {
 	for end := n.now + span; n.now < end; n.now += 10 * ms {
 		slices.SortStableFunc(n.flight, func(x, y sent) int { return cmp.Compare(x.at, y.at) })
 		due := 0
@@ -151,10 +152,10 @@
 }
 
 // clock is what a member's own clock shows.
-func (n *net) clock(x *node) Nanos { return x.skew + Nanos(float64(n.now)*x.rate) }
+func (n *net) clock(x *node) clock.Nanos { return x.skew + clock.Nanos(float64(n.now)*x.rate) }
 
 // every is how many steps pass between audits.
-func (n *net) every() Nanos { return Nanos(10 + len(n.nodes)*len(n.nodes)/1000) }
+func (n *net) every() clock.Nanos { return clock.Nanos(10 + len(n.nodes)*len(n.nodes)/1000) }
 
 // auditParts: what all that run hold adds up to no more than the whole; who is paused holds what it was told last.
 func (n *net) auditParts() {
@@ -164,12 +165,12 @@
 			continue
 		}
 		if n.now >= x.stoppedTill {
-			x.force = x.View().Part
+			x.force = x.View().Quota
 		}
 		if n.clock(x) < x.force.Until {
 			sum += x.force.Share
 		} else {
-			sum += x.force.Least
+			sum += x.force.Min
 		}
 	}
 	if n.most = max(n.most, sum); sum > 1+1e-9 {
@@ -181,13 +182,13 @@
 func (n *net) audit(x *node) {
 	for _, m := range x.View().Members {
 		of := n.nodes[n.index[m.Name]]
-		key := incarnationOf{m.Name, m.Boot}
+		key := incarnationOf{m.Name, m.Epoch}
 		if m.Incarnation < x.lastIncarn[key] {
-			n.t.Fatalf("%s: the incarnation of %s fell to %d", x.set.Name, m.Name, m.Incarnation)
+			n.t.Fatalf("%s: the incarnation of %s fell to %d", x.settings.Name, m.Name, m.Incarnation)
 		}
 		x.lastIncarn[key] = m.Incarnation
-		if m.State >= Dead && m.Boot == of.boot && !of.killed && n.now >= of.stoppedTill && n.now-of.served > 5000*ms {
-			n.deaths = append(n.deaths, fmt.Sprintf("%d ms: %s takes %s for %s", n.now/ms, x.set.Name, m.Name, m.State))
+		if m.State >= Dead && m.Epoch == of.boot && !of.killed && n.now >= of.stoppedTill && n.now-of.served > 5000*ms {
+			n.deaths = append(n.deaths, fmt.Sprintf("%d ms: %s takes %s for %s", n.now/ms, x.settings.Name, m.Name, m.State))
 		}
 	}
 }
@@ -220,7 +221,7 @@
 }
 
 // until runs until all agree, and says how long that took.
-func (n *net) until(most Nanos) Nanos {
+func (n *net) until(most clock.Nanos) clock.Nanos {
 	from := n.now
 	for n.now-from < most {
 		if n.agree() {
@@ -244,7 +245,7 @@
 		}
 		for _, y := range n.nodes {
 			if s := seen[name(y.at)]; !right(s, y) {
-				return fmt.Sprintf("%s (deaf %v) has %s as %s, killed %v", x.set.Name, v.Deaf, name(y.at), s, y.killed)
+				return fmt.Sprintf("%s (deaf %v) has %s as %s, killed %v", x.settings.Name, v.Isolated, name(y.at), s, y.killed)
 			}
 		}
 	}
@@ -279,7 +280,7 @@
 	n.nodes[0].killed = true
 	n.run(6000 * ms)
 	n.start(0)
-	if v := n.nodes[0].View(); v.Majority || v.Counting != 1 {
+	if v := n.nodes[0].View(); v.Majority || v.Present != 1 {
 		t.Errorf("alone: %+v", v)
 	}
 	n.until(5000 * ms)
@@ -296,7 +297,7 @@
 	n.nodes[0].killed, n.flight = true, nil
 	n.run(5000 * ms)
 	for _, x := range n.nodes[1:] {
-		if v := x.View(); v.Majority || v.Counting != 1 || v.Part.Holder {
+		if v := x.View(); v.Majority || v.Present != 1 || v.Quota.IsHolder {
 			t.Errorf("%s: %+v", name(x.at), v)
 		}
 	}
@@ -306,11 +307,11 @@
 }
 
 func TestKilledIsKnownSoon(t *testing.T) {
-	var worst Nanos
+	var worst clock.Nanos
 	for seed := range uint64(10) {
 		n := network(t, 7, seed)
 		n.until(6000 * ms)
-		n.run(Nanos(seed) * 37 * ms)
+		n.run(clock.Nanos(seed) * 37 * ms)
 		n.nodes[3].killed = true
 		worst = max(worst, n.until(6000*ms))
 		n.noDeaths("a kill")
@@ -360,7 +361,7 @@
 }
 
 func TestPausesKillNobodyElse(t *testing.T) {
-	for _, pause := range []Nanos{200 * ms, 1000 * ms, 5000 * ms, 60_000 * ms} {
+	for _, pause := range []clock.Nanos{200 * ms, 1000 * ms, 5000 * ms, 60_000 * ms} {
 		n := network(t, 7, 3)
 		n.until(6000 * ms)
 		x := n.nodes[2]
@@ -419,8 +420,8 @@
 		n.until(6000 * ms)
 		n.cut = c.cut
 		n.run(8000 * ms)
-		if v := n.nodes[2].View(); !v.Deaf || v.Majority {
-			t.Errorf("%s: it does not know: deaf %v, majority %v", c.what, v.Deaf, v.Majority)
+		if v := n.nodes[2].View(); !v.Isolated || v.Majority {
+			t.Errorf("%s: it does not know: deaf %v, majority %v", c.what, v.Isolated, v.Majority)
 		}
 		n.run(30_000 * ms)
 		for _, x := range n.nodes {
@@ -454,8 +455,8 @@
 			if x.at >= left {
 				side = 8 - left
 			}
-			if v := x.View(); v.Majority != (2*side > 8) || v.Counting != side {
-				t.Errorf("%d of 8: %s counts %d, majority %v", side, name(x.at), v.Counting, v.Majority)
+			if v := x.View(); v.Majority != (2*side > 8) || v.Present != side {
+				t.Errorf("%d of 8: %s counts %d, majority %v", side, name(x.at), v.Present, v.Majority)
 			}
 		}
 		n.cut = func(int, int) bool { return false }
@@ -476,13 +477,13 @@
 		n.run(100 * ms)
 		for to := range 6 {
 			for of := range 6 {
-				u := Update{Name: name(of), Address: address(of), Boot: 1, Incarnation: 1 << 20, State: []State{Suspect, Dead, Left}[int(n.draw()*3)], By: name(6)}
+				u := Update{Name: name(of), Address: address(of), Epoch: 1, Incarnation: 1 << 20, State: []State{Suspect, Dead, Left}[int(n.draw()*3)], Accuser: name(6)}
 				for _, m := range n.nodes[of].View().Members {
 					if m.Name == name(of) {
 						u.Incarnation = m.Incarnation
 					}
 				}
-				n.post(6, []Message{{Kind: Ack, From: name(6), Address: address(6), Boot: 1, To: address(to), News: []Update{u}}})
+				n.post(6, []Message{{Kind: Ack, From: name(6), Address: address(6), Epoch: 1, To: address(to), Updates: []Update{u}}})
 			}
 		}
 	}
@@ -494,22 +495,22 @@
 	n := network(t, 4, 8)
 	n.until(6000 * ms)
 	s := n.settings(2)
-	s.Boot, s.Address = 99, address(3)
+	s.Epoch, s.Address = 99, address(3)
 	n.nodes[3].killed = true
 	n.run(5000 * ms)
 	second, err := New(s, 1, n.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.nodes[3].Members, n.nodes[3].killed, n.nodes[3].skew = second, false, 0
+	n.nodes[3].Detector, n.nodes[3].killed, n.nodes[3].skew = second, false, 0
 	n.run(4000 * ms)
-	if v := second.View(); !v.Taken || v.Majority {
+	if v := second.View(); !v.NameTaken || v.Majority {
 		t.Errorf("the younger one was not told: %+v", v)
 	}
 	for _, x := range n.nodes[:3] {
 		for _, m := range x.View().Members {
-			if m.Name == name(2) && (m.Boot != 1 || m.State != Alive) {
-				t.Errorf("%s has %s of boot %d as %s", name(x.at), m.Name, m.Boot, m.State)
+			if m.Name == name(2) && (m.Epoch != 1 || m.State != Alive) {
+				t.Errorf("%s has %s of boot %d as %s", name(x.at), m.Name, m.Epoch, m.State)
 			}
 		}
 	}
@@ -545,7 +546,7 @@
 		n.sent = 0
 		n.run(10_000 * ms)
 		rate[members] = float64(n.sent) / 10 / float64(members)
-		if n.largest > n.nodes[0].set.News+2 {
+		if n.largest > n.nodes[0].settings.MaxUpdates+2 {
 			t.Errorf("%d updates in a message", n.largest)
 		}
 	}
@@ -553,28 +554,28 @@
 	if rate[100] > 1.5*rate[10] {
 		t.Errorf("messages a member a second: %v", rate)
 	}
-	s := Usual("a", "x", 1, 3)
-	s.Members = 20
+	s := DefaultSettings("a", "x", 1, 3)
+	s.MaxMembers = 20
 	m, err := New(s, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		m.Receive(Nanos(i)*ms, Message{Kind: Ask, From: name(i), Address: address(i), Boot: 1, TargetAddress: "y", Target: "z",
-			News: []Update{{Name: name(i), Address: address(i), Boot: 1, State: Alive}}})
+		m.Receive(clock.Nanos(i)*ms, Message{Kind: IndirectPing, From: name(i), Address: address(i), Epoch: 1, TargetAddress: "y", Target: "z",
+			Updates: []Update{{Name: name(i), Address: address(i), Epoch: 1, State: Alive}}})
 	}
-	if m.Size() > 20+20+mostRelays {
+	if m.Size() > 20+20+maxRelays {
 		t.Errorf("%d things remembered", m.Size())
 	}
 }
 
 func TestBadSettings(t *testing.T) {
 	for _, change := range []func(*Settings){
-		func(s *Settings) { s.Name = "" }, func(s *Settings) { s.Configured = 0 }, func(s *Settings) { s.Wait = s.Period },
-		func(s *Settings) { s.MostDoubt = 1 }, func(s *Settings) { s.Helpers = 100 }, func(s *Settings) { s.Forget = 1 },
-		func(s *Settings) { s.News = 0 }, func(s *Settings) { s.Retell = 0 },
+		func(s *Settings) { s.Name = "" }, func(s *Settings) { s.Configured = 0 }, func(s *Settings) { s.AckTimeout = s.ProbeInterval },
+		func(s *Settings) { s.MaxSuspicion = 1 }, func(s *Settings) { s.IndirectChecks = 100 }, func(s *Settings) { s.ForgetAfter = 1 },
+		func(s *Settings) { s.MaxUpdates = 0 }, func(s *Settings) { s.RetransmitFactor = 0 },
 	} {
-		s := Usual("a", "x", 1, 3)
+		s := DefaultSettings("a", "x", 1, 3)
 		change(&s)
 		if _, err := New(s, 1, 0); err == nil {
 			t.Errorf("%+v was taken", s)
--- a/policy/membership/receive.go
+++ b/policy/membership/receive.go
@@ -1,84 +1,86 @@
 package membership
 
+import "lotushook/policy/clock"
+
 // Receive takes a message in and returns what to send for it.
-func (m *Members) Receive(now Nanos, msg Message) []Message {
-	if gap := now - m.now; gap > m.set.Pause && m.set.Corrections {
-		m.stopped(gap) // it is the first thing heard after the pause
+func (m *Detector) Receive(now clock.Nanos, msg Message) []Message {
+	if gap := now - m.now; gap > m.settings.MaxTickGap && m.settings.Lifeguard {
+		m.resumeAfterGap(gap) // it is the first thing heard after the pause
 	}
 	m.now, m.out = max(m.now, now), nil
-	if m.left || msg.From == "" || msg.Address == "" || m.stranger(msg.From) {
+	if m.left || msg.From == "" || msg.Address == "" || m.isForeign(msg.From) {
 		return nil
 	}
-	if msg.From == m.set.Name {
-		m.double(&msg)
+	if msg.From == m.settings.Name {
+		m.resolveDuplicateName(&msg)
 		return m.out
 	}
-	if m.taken {
+	if m.nameTaken {
 		return nil
 	}
-	for i := range msg.News {
-		m.take(&msg.News[i], &msg)
+	for i := range msg.Updates {
+		m.applyUpdate(&msg.Updates[i], &msg)
 	}
 	p := m.peers[msg.From]
-	if p == nil || p.Boot != msg.Boot { // no room for it, an older process of that name, or a younger one beside a living
+	if p == nil || p.Epoch != msg.Epoch { // no room for it, an older process of that name, or a younger one beside a living
 		switch {
 		case p == nil:
-		case msg.Boot > p.Boot && p.rival > 0 && p.Heard > p.rival: // the older one has spoken since
-			m.send(Message{Kind: Taken, To: msg.Address})
-		case msg.Boot < p.Boot && (p.Address == msg.Address || p.State >= Dead): // its clock was set back: it must start above
-			m.send(Message{Kind: Whole, To: msg.Address, News: []Update{p.Update}})
+		case msg.Epoch > p.Epoch && p.rivalSince > 0 && p.HeardAt > p.rivalSince: // the older one has spoken since
+			m.send(Message{Kind: NameTaken, To: msg.Address})
+		case msg.Epoch < p.Epoch && (p.Address == msg.Address || p.State >= Dead): // its clock was set back: it must start above
+			m.send(Message{Kind: StateReply, To: msg.Address, Updates: []Update{p.Update}})
 		}
 		return m.out
 	}
-	m.hear(p, &msg)
-	m.answer(p, &msg)
+	m.markHeard(p, &msg)
+	m.reply(p, &msg)
 	return m.out
 }
 
-// stranger says whether a name is not the installation's.
-func (m *Members) stranger(name string) bool { return m.listed != nil && !m.listed[name] }
+// isForeign says whether a name is not the installation's.
+func (m *Detector) isForeign(name string) bool { return m.allowed != nil && !m.allowed[name] }
 
-// hear notes that a member spoke.
-func (m *Members) hear(p *peer, msg *Message) {
-	p.Heard = m.now
-	if !m.set.Corrections {
+// markHeard notes that a member spoke.
+func (m *Detector) markHeard(p *peer, msg *Message) {
+	p.HeardAt = m.now
+	if !m.settings.Lifeguard {
 		return
 	}
 	switch {
-	case msg.Deaf && p.State < Dead:
-		m.become(p, CutOff)
-	case !msg.Deaf && p.State == CutOff:
-		m.become(p, Alive)
+	case msg.Isolated && p.State < Dead:
+		m.setState(p, Isolated)
+	case !msg.Isolated && p.State == Isolated:
+		m.setState(p, Alive)
 	}
 }
 
-// double settles which of two processes with one name stays: the older, which alone the others go on believing.
-func (m *Members) double(msg *Message) {
+// resolveDuplicateName settles which of two processes with one name stays: the older, which alone the others go on believing.
+func (m *Detector) resolveDuplicateName(msg *Message) {
 	switch {
-	case msg.Boot > m.self.Boot:
-		m.send(Message{Kind: Taken, To: msg.Address})
-	case msg.Boot < m.self.Boot && msg.Address != m.set.Address:
-		m.taken = true
-		m.judge()
+	case msg.Epoch > m.self.Epoch:
+		m.send(Message{Kind: NameTaken, To: msg.Address})
+	case msg.Epoch < m.self.Epoch && msg.Address != m.settings.Address:
+		m.nameTaken = true
+		m.updateMajority()
 	}
 }
 
-func (m *Members) answer(p *peer, msg *Message) {
+func (m *Detector) reply(p *peer, msg *Message) {
 	switch msg.Kind {
 	case Ping:
-		reply := Message{Kind: Ack, To: msg.Address, Seq: msg.Seq, Target: m.set.Name}
+		reply := Message{Kind: Ack, To: msg.Address, Seq: msg.Seq, Target: m.settings.Name}
 		if p.State != Alive { // it hears what is said of it, and can speak for itself
-			reply.News = []Update{p.Update}
+			reply.Updates = []Update{p.Update}
 		}
-		if m.parts != nil && msg.Target == m.set.Name {
-			row := m.parts.Answer(m.now, p.Name, p.Boot, p.Address, m.gone)
-			reply.Row = &row
+		if m.lease != nil && msg.Target == m.settings.Name {
+			row := m.lease.Vote(m.now, p.Name, p.Epoch, p.Address, m.isGone)
+			reply.Vote = &row
 		}
 		m.send(reply)
-	case Ask:
-		if len(m.relays) < mostRelays {
+	case IndirectPing:
+		if len(m.relays) < maxRelays {
 			m.seq++
-			m.relays[m.seq] = relay{address: msg.Address, seq: msg.Seq, target: msg.Target, at: m.now}
+			m.relays[m.seq] = relay{address: msg.Address, seq: msg.Seq, target: msg.Target, receivedAt: m.now}
 			m.send(Message{Kind: Ping, To: msg.TargetAddress, Seq: m.seq, Target: msg.Target})
 		}
 	case Ack:
@@ -87,114 +89,114 @@
 			m.send(Message{Kind: Ack, To: r.address, Seq: r.seq, Target: r.target})
 			return
 		}
-		m.answered(p, msg)
+		m.probeAcked(p, msg)
 	case Nack:
-		if q := m.asked; q != nil && q.seq == msg.Seq {
+		if q := m.probe; q != nil && q.seq == msg.Seq {
 			q.answers++
-			m.fine()
+			m.probeAnswered()
 		}
-	case Join:
-		m.everybody(msg.Address)
-	case Taken:
-		if msg.To == m.set.Address {
-			m.taken = true
-			m.judge()
+	case StateRequest:
+		m.sendFullState(msg.Address)
+	case NameTaken:
+		if msg.To == m.settings.Address {
+			m.nameTaken = true
+			m.updateMajority()
 		}
 	}
 }
 
-// answered ends the open question.
-func (m *Members) answered(p *peer, msg *Message) {
-	q := m.asked
+// probeAcked ends the open question.
+func (m *Detector) probeAcked(p *peer, msg *Message) {
+	q := m.probe
 	if q == nil || q.seq != msg.Seq || q.name != msg.Target {
 		return
 	}
-	m.asked = nil
+	m.probe = nil
 	m.health = max(0, m.health-1)
-	m.fine()
+	m.probeAnswered()
 	if msg.From == q.name {
-		p.Trip = m.now - q.at
-		if m.parts != nil && msg.Row != nil {
-			m.parts.Heard(q.at, p.Name, *msg.Row)
+		p.RoundTrip = m.now - q.sentAt
+		if m.lease != nil && msg.Vote != nil {
+			m.lease.AddVote(q.sentAt, p.Name, *msg.Vote)
 		}
 		return
 	}
 	if t := m.peers[q.name]; t != nil && t.State == Suspect { // a helper heard it
-		m.become(t, Alive)
+		m.setState(t, Alive)
 	}
 }
 
-// fine is an answer to this router's own question: it hears, and is heard.
-func (m *Members) fine() {
-	m.lost, m.lostAt = 0, ""
-	if m.cut {
-		m.cut = false
+// probeAnswered is an answer to this router's own question: it hears, and is heard.
+func (m *Detector) probeAnswered() {
+	m.unanswered, m.unansweredBy = 0, ""
+	if m.isolated {
+		m.isolated = false
 		m.self.Incarnation++
-		m.tell(m.self)
+		m.broadcast(m.self)
 	}
 }
 
-// everybody tells everything that is known of everybody: a long message, which Settings.Members bounds.
-func (m *Members) everybody(to string) {
+// sendFullState tells everything that is known of everybody: a long message, which Settings.MaxMembers bounds.
+func (m *Detector) sendFullState(to string) {
 	all := make([]Update, 0, len(m.order)+1)
 	for _, p := range m.order {
 		all = append(all, p.Update)
 	}
-	m.send(Message{Kind: Whole, To: to, News: all})
+	m.send(Message{Kind: StateReply, To: to, Updates: all})
 }
 
-// take takes one update in, as a message said it.
-func (m *Members) take(u *Update, msg *Message) {
-	if u.Name == "" || u.Address == "" || u.State < Alive || u.State > Left || m.stranger(u.Name) {
+// applyUpdate takes one update in, as a message said it.
+func (m *Detector) applyUpdate(u *Update, msg *Message) {
+	if u.Name == "" || u.Address == "" || u.State < Alive || u.State > Left || m.isForeign(u.Name) {
 		return
 	}
-	if u.Name == m.set.Name {
+	if u.Name == m.settings.Name {
 		m.self.refute(u, m)
 		return
 	}
-	own := u.Name == msg.From && u.Boot == msg.Boot
+	own := u.Name == msg.From && u.Epoch == msg.Epoch
 	p := m.peers[u.Name]
 	if p == nil {
-		if u.State < Dead && m.room() {
+		if u.State < Dead && m.makeRoom() {
 			p = &peer{Member: Member{Update: *u, Since: m.now}}
-			p.State, p.By = Alive, ""
+			p.State, p.Accuser = Alive, ""
 			m.add(p)
-			m.ring = append(m.ring, u.Name)
-			if msg.Kind == Whole { // others have it where this came from
-				m.learnt = true
+			m.probeOrder = append(m.probeOrder, u.Name)
+			if msg.Kind == StateReply { // others have it where this came from
+				m.syncTaught = true
 			} else {
-				m.tell(p.Update)
+				m.broadcast(p.Update)
 			}
 			if u.State == Suspect {
-				m.blame(p, u)
+				m.addAccusation(p, u)
 			}
 		}
 		return
 	}
-	if u.Boot < p.Boot {
+	if u.Epoch < p.Epoch {
 		return
 	}
-	if u.Boot > p.Boot {
+	if u.Epoch > p.Epoch {
 		// A restart. Beside a process that was heard of late at another address it is a second one with that name.
-		if p.State == Alive && p.Address != u.Address && m.set.Corrections {
-			if p.rival == 0 {
-				p.rival = m.now
+		if p.State == Alive && p.Address != u.Address && m.settings.Lifeguard {
+			if p.rivalSince == 0 {
+				p.rivalSince = m.now
 			}
-			p.check = true
+			p.probeSoon = true
 			return
 		}
 		since := p.Since
 		*p = peer{Member: Member{Update: *u, Since: since}}
-		p.State, p.By = 0, ""
-		m.become(p, Alive)
+		p.State, p.Accuser = 0, ""
+		m.setState(p, Alive)
 		return
 	}
 	if u.Incarnation > p.Incarnation {
 		p.Incarnation, p.Address = u.Incarnation, u.Address
 		if u.State == Alive && p.State != Alive {
-			m.become(p, Alive)
+			m.setState(p, Alive)
 		} else if u.State == Alive {
-			m.tell(p.Update)
+			m.broadcast(p.Update)
 		}
 	}
 	if u.Incarnation < p.Incarnation || u.State <= p.State && u.State != Suspect {
@@ -202,59 +204,59 @@
 	}
 	switch {
 	case u.State == Suspect:
-		m.blame(p, u)
-	case u.State == CutOff && own:
-		m.become(p, CutOff)
-	case u.State == Left && own, u.State >= Dead && !m.set.Corrections:
-		m.become(p, u.State)
+		m.addAccusation(p, u)
+	case u.State == Isolated && own:
+		m.setState(p, Isolated)
+	case u.State == Left && own, u.State >= Dead && !m.settings.Lifeguard:
+		m.setState(p, u.State)
 	case u.State >= Dead:
-		m.doom(p, u)
+		m.addDeathReport(p, u)
 	}
 }
 
 // refute answers what is said of this router itself: it goes on under a greater incarnation.
-func (self *Update) refute(u *Update, m *Members) {
-	if u.Boot > self.Boot && u.Boot+1 > u.Boot && (u.Address == self.Address || u.State >= Dead) {
+func (self *Update) refute(u *Update, m *Detector) {
+	if u.Epoch > self.Epoch && u.Epoch+1 > u.Epoch && (u.Address == self.Address || u.State >= Dead) {
 		// A process before this one was numbered higher, and is gone: only one has an address. The clock was set back.
-		self.Boot, self.Incarnation = u.Boot+1, 0
-		m.tell(*self)
+		self.Epoch, self.Incarnation = u.Epoch+1, 0
+		m.broadcast(*self)
 		return
 	}
-	if u.Boot != self.Boot || u.State == Alive || u.Incarnation < self.Incarnation {
+	if u.Epoch != self.Epoch || u.State == Alive || u.Incarnation < self.Incarnation {
 		return
 	}
 	self.Incarnation = u.Incarnation + 1
-	if m.set.Corrections {
-		m.health = min(m.health+1, mostHealth)
+	if m.settings.Lifeguard {
+		m.health = min(m.health+1, maxHealthScore)
 	}
-	m.tell(*self)
+	m.broadcast(*self)
 }
 
-// blame counts an accusation, unless this router heard the accused since just now.
-func (m *Members) blame(p *peer, u *Update) {
-	if p.State == CutOff {
+// addAccusation counts an accusation, unless this router heard the accused since just now.
+func (m *Detector) addAccusation(p *peer, u *Update) {
+	if p.State == Isolated {
 		return
 	}
-	if m.set.Corrections && p.Heard > 0 && float64(m.now-p.Heard) < heardShare*float64(m.set.Period) && p.State == Alive {
-		p.check = true // asked out of turn, and believed by what it answers
+	if m.settings.Lifeguard && p.HeardAt > 0 && float64(m.now-p.HeardAt) < recentlyHeardPeriods*float64(m.settings.ProbeInterval) && p.State == Alive {
+		p.probeSoon = true // asked out of turn, and believed by what it answers
 		return
 	}
-	m.accuse(p, u.By, Dead)
+	m.accuse(p, u.Accuser, Dead)
 }
 
-// doom takes the word that a member is dead or has left. One liar must not end a member that others hear: the word is an
+// addDeathReport takes the word that a member is dead or has left. One liar must not end a member that others hear: the word is an
 // accusation like others, and the accused is asked by this router itself.
-func (m *Members) doom(p *peer, u *Update) {
-	if p.State >= Dead || p.State == CutOff && m.now-p.Heard < m.set.MostDoubt {
+func (m *Detector) addDeathReport(p *peer, u *Update) {
+	if p.State >= Dead || p.State == Isolated && m.now-p.HeardAt < m.settings.MaxSuspicion {
 		return
 	}
-	p.check = p.check || p.State != Suspect
-	m.accuse(p, u.By, u.State)
+	p.probeSoon = p.probeSoon || p.State != Suspect
+	m.accuse(p, u.Accuser, u.State)
 }
 
-// room makes room for one more: whoever is gone for longest goes first.
-func (m *Members) room() bool {
-	if len(m.peers) < m.set.Members-1 {
+// makeRoom makes room for one more: whoever is gone for longest goes first.
+func (m *Detector) makeRoom() bool {
+	if len(m.peers) < m.settings.MaxMembers-1 {
 		return true
 	}
 	var oldest *peer
--- a/policy/membership/replay_test.go
+++ b/policy/membership/replay_test.go
@@ -11,11 +11,11 @@
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		settings := membership.Usual("r-0", "r-0", 3, 6)
+		settings := membership.DefaultSettings("r-0", "r-0", 3, 6)
 		settings.Seeds = []string{"r-1"}
-		settings.Alone = 0.5
+		settings.IsolatedShare = 0.5
 		if seed%2 == 0 {
-			settings.Names = []string{"r-0", "r-1", "r-2", "r-3", "r-4", "r-5"}
+			settings.Allowed = []string{"r-0", "r-1", "r-2", "r-3", "r-4", "r-5"}
 		}
 		members, err := membership.New(settings, seed, driver.Now)
 		if err != nil {
@@ -28,14 +28,14 @@
 		}
 		receive := func(now int64, message membership.Message) []membership.Message {
 			message.Address, message.From = message.From, driver.Text()
-			for i := range message.News {
-				message.News[i].State %= membership.Left + 1
-				message.News[i].Address = message.News[i].Name
+			for i := range message.Updates {
+				message.Updates[i].State %= membership.Left + 1
+				message.Updates[i].Address = message.Updates[i].Name
 			}
 			if len(sent) > 0 && driver.IntN(2) == 0 {
 				message.Kind, message.Seq, message.From = membership.Ack, sent[0].Seq, sent[0].To
 			}
-			if message.Kind > membership.Taken || message.Kind == membership.Taken && driver.IntN(50) > 0 {
+			if message.Kind > membership.NameTaken || message.Kind == membership.NameTaken && driver.IntN(50) > 0 {
 				message.Kind = membership.Ack
 			}
 			return members.Receive(now, message)
--- a/policy/persistence/queue_test.go
+++ b/policy/persistence/queue_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -11,16 +12,16 @@
 // was taken is written in the end or was counted as let go, and ages only grow.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{QueueBytes: 1 << 10, Fsyncs: 4, Retry: 1e9, MostRetry: 8e9}
+		set := Settings{QueueBytes: 1 << 10, FsyncsPerSecond: 4, RetryBackoff: 1e9, MaxRetryBackoff: 8e9}
 		q, err := New(set)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := Nanos(1e15)
+		now := clock.Nanos(1e15)
 		newest, disk := map[string]int{}, map[string]int{}
-		learned := map[int]Nanos{}
+		learned := map[int]clock.Nanos{}
 		type spent struct {
-			at Nanos
+			at clock.Nanos
 			n  int
 		}
 		var all []spent
@@ -50,7 +51,7 @@
 					t.Fatalf("%d is written as %d old, learned %d ago", v, r.Age, taken-learned[v])
 				}
 			}
-			q.Wrote(taken, n)
+			q.Committed(taken, n)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 5e8).Draw(t, "passes")
@@ -75,13 +76,13 @@
 				lacking++
 			}
 		}
-		if lacking > q.Counts().LetGo {
-			t.Fatalf("%d are not written, %d were let go", lacking, q.Counts().LetGo)
+		if lacking > q.Counts().Dropped {
+			t.Fatalf("%d are not written, %d were let go", lacking, q.Counts().Dropped)
 		}
 		for i := range all {
 			sum := 0
 			for j := i; j < len(all); j++ {
-				if sum += all[j].n; float64(sum) > float64(all[j].at-all[i].at)/1e9*set.Fsyncs+float64(all[j].n)+1e-6 {
+				if sum += all[j].n; float64(sum) > float64(all[j].at-all[i].at)/1e9*set.FsyncsPerSecond+float64(all[j].n)+1e-6 {
 					t.Fatalf("%d fsyncs in %d ns", sum, all[j].at-all[i].at)
 				}
 			}
@@ -89,25 +90,25 @@
 	})
 }
 
-func put(t *rapid.T, q *Queue, now Nanos, newest map[string]int, learned map[int]Nanos) {
+func put(t *rapid.T, q *Queue, now clock.Nanos, newest map[string]int, learned map[int]clock.Nanos) {
 	v := len(learned) + 1
 	key := fmt.Sprint("key-", rapid.IntRange(0, 30).Draw(t, "key"))
 	age := rapid.Int64Range(0, 1e10).Draw(t, "age")
 	learned[v] = now - age
-	before := q.Counts().LetGo
-	if ok := q.Put(now, Record{Kind: 1, Key: []byte(key), Value: []byte(fmt.Sprint(v)), Age: age}); ok != (q.Counts().LetGo == before) {
-		t.Fatalf("%s: taken %v, let go %d", key, ok, q.Counts().LetGo-before)
+	before := q.Counts().Dropped
+	if ok := q.Put(now, Record{Kind: 1, Key: []byte(key), Value: []byte(fmt.Sprint(v)), Age: age}); ok != (q.Counts().Dropped == before) {
+		t.Fatalf("%s: taken %v, let go %d", key, ok, q.Counts().Dropped-before)
 	}
 	newest[key] = v
 }
 
 // How old a record is that comes back, by what the wall's clock showed.
 func TestAged(t *testing.T) {
-	const s, hour = Nanos(1e9), Nanos(3600e9)
+	const s, hour = clock.Nanos(1e9), clock.Nanos(3600e9)
 	for _, c := range []struct {
 		name                    string
-		age, written, last, now Nanos
-		want                    Nanos
+		age, written, last, now clock.Nanos
+		want                    clock.Nanos
 		unsure                  bool
 	}{
 		{"usual", 5 * s, 100 * s, 110 * s, 130 * s, 35 * s, false},
@@ -119,19 +120,19 @@
 		{"no age", -1, 0, 0, 0, 0, true},
 		{"absurd", 1 << 62, 0, 0, 1 << 62, 1 << 62, true},
 	} {
-		if age, unsure := Aged(c.age, c.written, c.last, c.now); age != c.want || unsure != c.unsure {
+		if age, unsure := AgeNow(c.age, c.written, c.last, c.now); age != c.want || unsure != c.unsure {
 			t.Errorf("%s: %d, unsure %v", c.name, age, unsure)
 		}
 	}
 }
 
 func TestSettings(t *testing.T) {
-	for _, s := range []Settings{{}, {QueueBytes: 1 << 20, Fsyncs: 0, Retry: 1, MostRetry: 1}, {QueueBytes: 1 << 20, Fsyncs: 1, Retry: 2, MostRetry: 1}} {
+	for _, s := range []Settings{{}, {QueueBytes: 1 << 20, FsyncsPerSecond: 0, RetryBackoff: 1, MaxRetryBackoff: 1}, {QueueBytes: 1 << 20, FsyncsPerSecond: 1, RetryBackoff: 2, MaxRetryBackoff: 1}} {
 		if _, err := New(s); err == nil {
 			t.Errorf("%+v is taken", s)
 		}
 	}
-	if _, err := New(Usual()); err != nil {
+	if _, err := New(DefaultSettings()); err != nil {
 		t.Error(err)
 	}
 }
--- a/policy/persistence/replay_test.go
+++ b/policy/persistence/replay_test.go
@@ -12,7 +12,7 @@
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
-		queue, err := persistence.New(persistence.Settings{QueueBytes: 2 << 10, Fsyncs: 4, Retry: 1e9, MostRetry: 8e9})
+		queue, err := persistence.New(persistence.Settings{QueueBytes: 2 << 10, FsyncsPerSecond: 4, RetryBackoff: 1e9, MaxRetryBackoff: 8e9})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,11 +29,11 @@
 			if fail {
 				queue.Failed(now, now+1e8, 2)
 			} else {
-				queue.Wrote(now, 2)
+				queue.Committed(now, 2)
 			}
 			return records
 		}
-		driver.Run(500, queue.Put, queue.Put, queue.Put, write, queue.Bytes, queue.Counts, persistence.Aged)
+		driver.Run(500, queue.Put, queue.Put, queue.Put, write, queue.Bytes, queue.Counts, persistence.AgeNow)
 	}
 	digest.Check(t, "652e00ea3c9d677f/22908")
 }
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -2,17 +2,16 @@
 // counts off its own part of it, as a bucket that fills evenly. What becomes of what is beyond is not decided here.
 package quota
 
-// Nanos is a point of the router's clock, in nanoseconds.
-type Nanos = int64
+import "lotushook/policy/clock"
 
 const (
-	second = 1e9
-	least  = 4.0 // requests: a second's quota may be used at once, or so many where a router's part is less
+	second   = 1e9
+	minBurst = 4.0 // requests: a second's quota may be used at once, or so many where a router's part is less
 )
 
 type bucket struct {
-	left float64 // requests
-	at   Nanos
+	remaining float64 // requests
+	updatedAt clock.Nanos
 }
 
 // Quotas are the tenants' buckets at one router. They belong to one goroutine.
@@ -28,16 +27,16 @@
 
 // Over counts one request of a tenant and says whether it is beyond the quota, of which this router's part is one in so
 // many. A tenant that is not known has none. What is beyond uses nothing up.
-func (q *Quotas) Over(now Nanos, tenant int, routers float64) bool {
+func (q *Quotas) Over(now clock.Nanos, tenant int, routers float64) bool {
 	if tenant < 0 || tenant >= len(q.buckets) || q.rates[tenant] <= 0 {
 		return false
 	}
 	b, rate := &q.buckets[tenant], q.rates[tenant]/routers
-	b.left = min(max(rate, least), b.left+rate*float64(now-b.at)/second)
-	b.at = now
-	if b.left < 1 {
+	b.remaining = min(max(rate, minBurst), b.remaining+rate*float64(now-b.updatedAt)/second)
+	b.updatedAt = now
+	if b.remaining < 1 {
 		return true
 	}
-	b.left--
+	b.remaining--
 	return false
 }
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -1,6 +1,7 @@
 package quota
 
 import (
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -12,7 +13,7 @@
 		rate := rapid.Float64Range(1, 500).Draw(t, "rate")
 		routers := rapid.Float64Range(1, 20).Draw(t, "routers")
 		q := New([]float64{0, rate})
-		now, inside, asked := Nanos(1e18), 0.0, 0
+		now, inside, asked := clock.Nanos(1e18), 0.0, 0
 		from := now
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
 			now += rapid.Int64Range(0, 50e6).Draw(t, "pause")
@@ -25,10 +26,10 @@
 			}
 		}
 		part := rate / routers
-		if most := max(part, least) + part*float64(now-from)/second; inside > most+1e-6 {
+		if most := max(part, minBurst) + part*float64(now-from)/second; inside > most+1e-6 {
 			t.Fatalf("%v inside of %d, at most %v", inside, asked, most)
 		}
-		if first := min(float64(asked), least); inside < first {
+		if first := min(float64(asked), minBurst); inside < first {
 			t.Fatalf("%v inside of %d: the first %v are", inside, asked, first)
 		}
 	})
--- a/policy/quotalease/part.go
+++ b/policy/quotalease/part.go
@@ -15,83 +15,81 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"slices"
 )
 
-// Nanos is a span or a point of this router's own clock, in nanoseconds.
-type Nanos = int64
-
 // longer is how much longer promises are kept than they are believed: clocks may run so far apart.
-const longer = 1.05
+const clockDrift = 1.05
 
 // Settings are what one router goes by.
 type Settings struct {
-	Names []string // all routers of the installation, this one too; the same on all
-	Self  string
-	Term  Nanos   // of a promise
-	Alone float64 // from 0 to 1: what a router keeps of an even part when it may have been left out. 1: parts are fixed
+	Names         []string // all routers of the installation, this one too; the same on all
+	Self          string
+	Term          clock.Nanos // of a promise
+	IsolatedShare float64     // from 0 to 1: what a router keeps of an even part when it may have been left out. 1: parts are fixed
 }
 
-// Row is what a router promises in an answer.
-type Row struct {
-	List  uint64 // of the names that it goes by
-	Grant bool   // who asked is not called gone for a term
-	Gone  []byte // a bit for each name that is: it is granted nothing for a term
+// Vote is what a router promises in an answer.
+type Vote struct {
+	NamesHash uint64 // of the names that it goes by
+	Granted   bool   // who asked is not called gone for a term
+	Excluded  []byte // a bit for each name that is: it is granted nothing for a term
 }
 
-// Parts are one router's promises, and what was promised to it. They belong to one goroutine; what they hold follows from
+// Lease are one router's promises, and what was promised to it. They belong to one goroutine; what they hold follows from
 // the number of names.
-type Parts struct {
-	set     Settings
-	list    uint64
-	index   map[string]int
-	started Nanos
-	granted []grant // by this router
-	called  []Nanos // when it last called each gone; 0: never
-	grants  []Nanos // to this router, by when it asked; 0: none
-	rows    []row   // what each last said of the others
+type Lease struct {
+	settings    Settings
+	namesHash   uint64
+	indexByName map[string]int
+	startedAt   clock.Nanos
+	grantedTo   []grantedLease // by this router
+	excludedAt  []clock.Nanos  // when it last called each gone; 0: never
+	grantedBy   []clock.Nanos  // to this router, by when it asked; 0: none
+	votes       []receivedVote // what each last said of the others
 }
 
-type grant struct {
-	at      Nanos // 0: never
-	boot    uint64
+type grantedLease struct {
+	at      clock.Nanos // 0: never
+	epoch   uint64
 	address string
 }
 
-type row struct {
-	at   Nanos
-	gone []byte
+type receivedVote struct {
+	at       clock.Nanos
+	excluded []byte
 }
 
 // New returns the parts of a router that has just started. It has forgotten what it promised before: it promises
 // nothing for a term.
-func New(s Settings, now Nanos) (*Parts, error) {
+func New(s Settings, now clock.Nanos) (*Lease, error) {
 	s.Names = slices.Clone(s.Names)
 	slices.Sort(s.Names)
-	p := &Parts{set: s, list: digest(s.Names), index: map[string]int{}, started: now}
+	p := &Lease{settings: s, namesHash: hashNames(s.Names), indexByName: map[string]int{}, startedAt: now}
 	for i, name := range s.Names {
-		p.index[name] = i
+		p.indexByName[name] = i
 	}
 	var errs []error
-	if _, ok := p.index[s.Self]; !ok {
+	if _, ok := p.indexByName[s.Self]; !ok {
 		errs = append(errs, fmt.Errorf("part: %q is not among the names", s.Self))
 	}
-	if len(p.index) != len(s.Names) {
+	if len(p.indexByName) != len(s.Names) {
 		errs = append(errs, errors.New("part: a name is there twice"))
 	}
 	if s.Term <= 0 {
 		errs = append(errs, errors.New("part: no term"))
 	}
-	if !(s.Alone >= 0 && s.Alone <= 1) {
-		errs = append(errs, fmt.Errorf("part: alone: %v is not between 0 and 1", s.Alone))
+	if !(s.IsolatedShare >= 0 && s.IsolatedShare <= 1) {
+		errs = append(errs, fmt.Errorf("part: alone: %v is not between 0 and 1", s.IsolatedShare))
 	}
 	n := len(s.Names)
-	p.granted, p.called, p.grants, p.rows = make([]grant, n), make([]Nanos, n), make([]Nanos, n), make([]row, n)
+	p.grantedTo, p.excludedAt, p.grantedBy, p.votes = make([]grantedLease, n), make([]clock.Nanos, n), make([]clock.Nanos, n), make([]receivedVote, n)
 	return p, errors.Join(errs...)
 }
 
-// digest tells whether two routers go by the same names.
-func digest(names []string) uint64 {
+// hashNames tells whether two routers go by the same names.
+func hashNames(names []string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
 		h.Write([]byte(name + "\n"))
@@ -99,85 +97,87 @@
 	return h.Sum64()
 }
 
-// within says whether a promise that this router made at a time still binds it.
-func (p *Parts) within(at, now Nanos) bool {
-	return at != 0 && float64(now-at) < longer*float64(p.set.Term)
+// isBinding says whether a promise that this router made at a time still binds it.
+func (p *Lease) isBinding(at, now clock.Nanos) bool {
+	return at != 0 && float64(now-at) < clockDrift*float64(p.settings.Term)
 }
 
-// silent says whether promises that were made before this start may still bind.
-func (p *Parts) silent(now Nanos) bool { return float64(now-p.started) < longer*float64(p.set.Term) }
+// isQuarantined says whether promises that were made before this start may still bind.
+func (p *Lease) isQuarantined(now clock.Nanos) bool {
+	return float64(now-p.startedAt) < clockDrift*float64(p.settings.Term)
+}
 
-// Answer is what to promise a router that asked. dead says whom this router believes to be dead or departed: it is free to
+// Vote is what to promise a router that asked. dead says whom this router believes to be dead or departed: it is free to
 // be wrong.
-func (p *Parts) Answer(now Nanos, name string, boot uint64, address string, dead func(name string) bool) Row {
-	if p.silent(now) {
-		return Row{}
+func (p *Lease) Vote(now clock.Nanos, name string, boot uint64, address string, dead func(name string) bool) Vote {
+	if p.isQuarantined(now) {
+		return Vote{}
 	}
-	r := Row{List: p.list, Gone: p.gone(now, dead)}
-	i, ok := p.index[name]
-	if !ok || p.within(p.called[i], now) {
+	r := Vote{NamesHash: p.namesHash, Excluded: p.excluded(now, dead)}
+	i, ok := p.indexByName[name]
+	if !ok || p.isBinding(p.excludedAt[i], now) {
 		return r
 	}
-	if g := &p.granted[i]; p.within(g.at, now) && g.boot != boot && g.address != address {
+	if g := &p.grantedTo[i]; p.isBinding(g.at, now) && g.epoch != boot && g.address != address {
 		return r // another process of that name may still hold the part
 	}
-	p.granted[i], r.Grant = grant{now, boot, address}, true
+	p.grantedTo[i], r.Granted = grantedLease{now, boot, address}, true
 	return r
 }
 
-// gone are those that this router calls gone from now on.
-func (p *Parts) gone(now Nanos, dead func(string) bool) []byte {
-	bits := make([]byte, (len(p.set.Names)+7)/8)
-	for i, name := range p.set.Names {
-		if name != p.set.Self && !p.within(p.granted[i].at, now) && dead(name) {
-			p.called[i] = now
+// excluded are those that this router calls gone from now on.
+func (p *Lease) excluded(now clock.Nanos, dead func(string) bool) []byte {
+	bits := make([]byte, (len(p.settings.Names)+7)/8)
+	for i, name := range p.settings.Names {
+		if name != p.settings.Self && !p.isBinding(p.grantedTo[i].at, now) && dead(name) {
+			p.excludedAt[i] = now
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
 	return bits
 }
 
-// Heard takes in what a router promised in answer to a question asked at a time.
-func (p *Parts) Heard(asked Nanos, from string, r Row) {
-	i, ok := p.index[from]
-	if !ok || r.List != p.list || from == p.set.Self || len(r.Gone) != (len(p.set.Names)+7)/8 || asked <= p.rows[i].at {
+// AddVote takes in what a router promised in answer to a question asked at a time.
+func (p *Lease) AddVote(asked clock.Nanos, from string, r Vote) {
+	i, ok := p.indexByName[from]
+	if !ok || r.NamesHash != p.namesHash || from == p.settings.Self || len(r.Excluded) != (len(p.settings.Names)+7)/8 || asked <= p.votes[i].at {
 		return // a router with other names counts otherwise
 	}
-	p.rows[i] = row{asked, r.Gone}
-	if r.Grant {
-		p.grants[i] = asked
+	p.votes[i] = receivedVote{asked, r.Excluded}
+	if r.Granted {
+		p.grantedBy[i] = asked
 	}
 }
 
-// Force is what is in force.
-type Force struct {
-	Share  float64 // of the whole
-	Until  Nanos   // when Share ends unless more is heard; then it is Least
-	Least  float64 // what this router has whatever happens
-	Holder bool    // this router is sure that nobody leaves it out
-	Gone   int     // whose parts are divided
+// Quota is what is in force.
+type Quota struct {
+	Share    float64     // of the whole
+	Until    clock.Nanos // when Share ends unless more is heard; then it is Least
+	Min      float64     // what this router has whatever happens
+	IsHolder bool        // this router is sure that nobody leaves it out
+	Excluded int         // whose parts are divided
 }
 
-// Force says which part is this router's now.
-func (p *Parts) Force(now Nanos, dead func(string) bool) Force {
-	n := len(p.set.Names)
-	f := Force{Least: p.set.Alone / float64(n), Until: now}
-	f.Share = f.Least
+// Quota says which part is this router's now.
+func (p *Lease) Quota(now clock.Nanos, dead func(string) bool) Quota {
+	n := len(p.settings.Names)
+	f := Quota{Min: p.settings.IsolatedShare / float64(n), Until: now}
+	f.Share = f.Min
 	majority := n/2 + 1
-	ends, ok := p.lasting(p.grants, n-majority, now) // this router grants itself one
+	ends, ok := p.validUntil(p.grantedBy, n-majority, now) // this router grants itself one
 	if !ok {
 		return f
 	}
-	f.Holder, f.Until = true, ends
+	f.IsHolder, f.Until = true, ends
 	var own []byte
-	if !p.silent(now) {
-		own = p.gone(now, dead)
+	if !p.isQuarantined(now) {
+		own = p.excluded(now, dead)
 	}
-	said := make([]Nanos, 0, n)
-	for i := range p.set.Names {
+	said := make([]clock.Nanos, 0, n)
+	for i := range p.settings.Names {
 		said = said[:0]
-		for j, r := range p.rows {
-			if j != i && r.gone != nil && r.gone[i/8]&(1<<(i%8)) != 0 {
+		for j, r := range p.votes {
+			if j != i && r.excluded != nil && r.excluded[i/8]&(1<<(i%8)) != 0 {
 				said = append(said, r.at)
 			}
 		}
@@ -185,24 +185,24 @@
 		if own != nil && own[i/8]&(1<<(i%8)) != 0 {
 			need--
 		}
-		if ends, ok := p.lasting(said, need, now); ok {
-			f.Gone++
+		if ends, ok := p.validUntil(said, need, now); ok {
+			f.Excluded++
 			f.Until = min(f.Until, ends)
 		}
 	}
-	f.Share += (1 - p.set.Alone) / float64(n-f.Gone)
+	f.Share += (1 - p.settings.IsolatedShare) / float64(n-f.Excluded)
 	return f
 }
 
-// lasting says until when so many promises last, if they do now.
-func (p *Parts) lasting(from []Nanos, need int, now Nanos) (Nanos, bool) {
+// validUntil says until when so many promises last, if they do now.
+func (p *Lease) validUntil(from []clock.Nanos, need int, now clock.Nanos) (clock.Nanos, bool) {
 	if need <= 0 {
-		return now + p.set.Term, true
+		return now + p.settings.Term, true
 	}
-	at := slices.DeleteFunc(slices.Clone(from), func(t Nanos) bool { return t == 0 || now-t >= p.set.Term })
+	at := slices.DeleteFunc(slices.Clone(from), func(t clock.Nanos) bool { return t == 0 || now-t >= p.settings.Term })
 	if len(at) < need {
 		return 0, false
 	}
 	slices.Sort(at)
-	return at[len(at)-need] + p.set.Term, true
+	return at[len(at)-need] + p.settings.Term, true
 }
--- a/policy/quotalease/part_test.go
+++ b/policy/quotalease/part_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
 const (
-	ms   = Nanos(1e6)
+	ms   = clock.Nanos(1e6)
 	term = 1000 * ms
 )
 
@@ -17,28 +18,28 @@
 	n      int
 	names  []string
 	index  map[string]int
-	now    Nanos
+	now    clock.Nanos
 	rate   []float64
-	parts  []*Parts
+	parts  []*Lease
 	boot   []uint64
 	paused []bool
 	dead   [][]bool // whom each believes to be dead
 	way    []answer
-	force  []Force
+	force  []Quota
 	alone  float64
 }
 
 // answer is on its way, or its question is.
 type answer struct {
 	from, to int
-	asked    Nanos // of the asker's clock
+	asked    clock.Nanos // of the asker's clock
 	boot     uint64
-	row      *Row // nil: it is the question that is on its way
+	row      *Vote // nil: it is the question that is on its way
 }
 
 func newFleet(n int, alone float64) *fleet {
-	f := &fleet{n: n, index: map[string]int{}, rate: make([]float64, n), parts: make([]*Parts, n), boot: make([]uint64, n),
-		paused: make([]bool, n), dead: make([][]bool, n), force: make([]Force, n), alone: alone}
+	f := &fleet{n: n, index: map[string]int{}, rate: make([]float64, n), parts: make([]*Lease, n), boot: make([]uint64, n),
+		paused: make([]bool, n), dead: make([][]bool, n), force: make([]Quota, n), alone: alone}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("r%02d", i))
 		f.index[f.names[i]], f.dead[i] = i, make([]bool, n)
@@ -46,15 +47,17 @@
 	return f
 }
 
-func (f *fleet) clock(i int) Nanos { return Nanos(i)*7_000_000*ms + Nanos(float64(f.now)*f.rate[i]) }
+func (f *fleet) clock(i int) clock.Nanos {
+	return clock.Nanos(i)*7_000_000*ms + clock.Nanos(float64(f.now)*f.rate[i])
+}
 
 func (f *fleet) start(t interface{ Fatal(...any) }, i int) {
-	p, err := New(Settings{Names: f.names, Self: f.names[i], Term: term, Alone: f.alone}, f.clock(i))
+	p, err := New(Settings{Names: f.names, Self: f.names[i], Term: term, IsolatedShare: f.alone}, f.clock(i))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.boot[i]++
-	f.parts[i], f.force[i] = p, Force{Share: f.alone / float64(f.n), Least: f.alone / float64(f.n)}
+	f.parts[i], f.force[i] = p, Quota{Share: f.alone / float64(f.n), Min: f.alone / float64(f.n)}
 }
 
 func (f *fleet) believes(i int) func(string) bool {
@@ -65,12 +68,12 @@
 func (f *fleet) deliver(a answer) {
 	if a.row == nil {
 		if f.parts[a.to] != nil && !f.paused[a.to] {
-			r := f.parts[a.to].Answer(f.clock(a.to), f.names[a.from], a.boot, f.names[a.from], f.believes(a.to))
+			r := f.parts[a.to].Vote(f.clock(a.to), f.names[a.from], a.boot, f.names[a.from], f.believes(a.to))
 			a.row = &r
 			f.way = append(f.way, a)
 		}
 	} else if f.parts[a.from] != nil && !f.paused[a.from] && f.boot[a.from] == a.boot {
-		f.parts[a.from].Heard(a.asked, f.names[a.to], *a.row)
+		f.parts[a.from].AddVote(a.asked, f.names[a.to], *a.row)
 	}
 }
 
@@ -82,12 +85,12 @@
 			continue
 		}
 		if !f.paused[i] {
-			f.force[i] = p.Force(f.clock(i), f.believes(i))
+			f.force[i] = p.Quota(f.clock(i), f.believes(i))
 		}
 		if f.clock(i) < f.force[i].Until {
 			sum += f.force[i].Share
 		} else {
-			sum += f.force[i].Least
+			sum += f.force[i].Min
 		}
 	}
 	return sum
@@ -114,7 +117,7 @@
 		}
 		cut := func(a, b int) bool { return false }
 		for range rounds {
-			f.now += Nanos(draw(100)) * 2 * ms
+			f.now += clock.Nanos(draw(100)) * 2 * ms
 			switch draw(40) {
 			case 0:
 				i := draw(n)
@@ -177,7 +180,7 @@
 			}
 			for _, x := range f.force {
 				all++
-				if x.Gone > 0 {
+				if x.Excluded > 0 {
 					grown++
 				}
 			}
@@ -190,7 +193,7 @@
 }
 
 // calm has all ask all for a while.
-func (f *fleet) calm(span Nanos) {
+func (f *fleet) calm(span clock.Nanos) {
 	for end := f.now + span; f.now < end; f.now += 50 * ms {
 		for i := range f.n {
 			for j := range f.n {
@@ -231,8 +234,8 @@
 		}
 		f.calm(3 * term)
 		last := f.parts[c.routers-1]
-		got := last.Force(f.clock(c.routers-1), f.believes(c.routers-1))
-		if diff := got.Share - c.share; diff > 1e-9 || diff < -1e-9 || got.Holder != c.holder {
+		got := last.Quota(f.clock(c.routers-1), f.believes(c.routers-1))
+		if diff := got.Share - c.share; diff > 1e-9 || diff < -1e-9 || got.IsHolder != c.holder {
 			t.Errorf("%d of %d dead: %+v, want %v", c.dead, c.routers, got, c.share)
 		}
 	}
@@ -241,7 +244,7 @@
 func TestBadSettings(t *testing.T) {
 	for _, s := range []Settings{
 		{Names: []string{"a", "b"}, Self: "c", Term: 1}, {Names: []string{"a", "a"}, Self: "a", Term: 1}, {Names: []string{"a"}, Self: "a"},
-		{Names: []string{"a"}, Self: "a", Term: 1, Alone: 2}, {Self: "a", Term: 1},
+		{Names: []string{"a"}, Self: "a", Term: 1, IsolatedShare: 2}, {Self: "a", Term: 1},
 	} {
 		if _, err := New(s, 0); err == nil {
 			t.Errorf("%+v was taken", s)
--- a/policy/recovery/back.go
+++ b/policy/recovery/back.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"lotushook/policy/clock"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -11,64 +12,64 @@
 // from its hash, salted by this start, so that nobody is always the last and all of one account's connections come together.
 
 const (
-	dealt    = 64 // spans in which the told are counted
-	dealSpan = second / 8
+	calendarSlots = 64 // spans in which the told are counted
+	slotSpan      = second / 8
 )
 
-// returns counts who was told to come back, by when.
-type returns struct {
-	at  Nanos
-	due [dealt]float64
-	sum float64
+// retryAfterCalendar counts who was told to come back, by when.
+type retryAfterCalendar struct {
+	startsAt clock.Nanos
+	slots    [calendarSlots]float64
+	sum      float64
 }
 
-func (b *returns) move(now Nanos) {
-	steps := (now - b.at) / dealSpan
+func (b *retryAfterCalendar) advance(now clock.Nanos) {
+	steps := (now - b.startsAt) / slotSpan
 	if steps <= 0 {
 		return
 	}
-	for i := range min(steps, dealt) {
-		b.sum -= b.due[i]
+	for i := range min(steps, calendarSlots) {
+		b.sum -= b.slots[i]
 	}
-	if steps >= dealt {
-		b.due = [dealt]float64{}
+	if steps >= calendarSlots {
+		b.slots = [calendarSlots]float64{}
 		b.sum = 0
 	} else {
-		copy(b.due[:], b.due[steps:])
-		clear(b.due[dealt-steps:])
+		copy(b.slots[:], b.slots[steps:])
+		clear(b.slots[calendarSlots-steps:])
 	}
-	b.at += steps * dealSpan
+	b.startsAt += steps * slotSpan
 }
 
-// Return is how long a client of an account should stay away that is turned away now.
-func (r *Recovery) Return(now Nanos, tenant, session string, lane int) Nanos {
+// RetryAfter is how long a client of an account should stay away that is turned away now.
+func (r *Recovery) RetryAfter(now clock.Nanos, tenant, session string, lane int) clock.Nanos {
 	r.Tick(now)
 	now = r.now
-	b := &r.returns
-	b.move(now)
-	least, most := r.set.Returns[0], r.set.Returns[1]
-	span := Nanos(0)
-	switch rate := r.rate(); {
+	b := &r.retryAfters
+	b.advance(now)
+	least, most := r.settings.RetryAfterRange[0], r.settings.RetryAfterRange[1]
+	span := clock.Nanos(0)
+	switch rate := r.sendRate(); {
 	case r.stage < Proving: // until it may send at all, and then over a second
-		span = r.since + r.set.Bounds[r.stage] - now + second
+		span = r.stageSince + r.settings.StageTimeouts[r.stage] - now + second
 	case r.stage < Serving && rate > 0:
-		span = Nanos((b.sum + 1) / rate * float64(second))
+		span = clock.Nanos((b.sum + 1) / rate * float64(second))
 	default: // what it serves of late is the rate
-		span = Nanos((b.sum + 1) / max(1, r.retries.rate()) * float64(second))
+		span = clock.Nanos((b.sum + 1) / max(1, r.retries.successRate()) * float64(second))
 	}
 	span = min(max(span, least), most-least)
-	lanes := float64(r.set.Lanes)
-	at := (float64(min(max(lane, 0), r.set.Lanes-1)) + fraction(hash(tenant, session, r.salt))) / lanes
-	wait := least + Nanos(at*float64(span))
-	i := min((now+wait-b.at)/dealSpan, dealt-1)
-	b.due[i]++
+	lanes := float64(r.settings.PriorityClasses)
+	at := (float64(min(max(lane, 0), r.settings.PriorityClasses-1)) + fraction(hash(tenant, session, r.salt))) / lanes
+	wait := least + clock.Nanos(at*float64(span))
+	i := min((now+wait-b.startsAt)/slotSpan, calendarSlots-1)
+	b.slots[i]++
 	b.sum++
 	return wait
 }
 
-// rate is how many successes there were in the last second.
-func (t *retries) rate() (sum float64) {
-	for _, n := range t.won {
+// successRate is how many successes there were in the last second.
+func (t *retryBudget) successRate() (sum float64) {
+	for _, n := range t.successes {
 		sum += n
 	}
 	return sum
--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"slices"
 	"strings"
 	"testing"
@@ -10,7 +11,7 @@
 
 // world is three routers, each with what it last saw of the others; each event makes another one of it.
 type world struct {
-	now  Nanos
+	now  clock.Nanos
 	who  [3]*Recovery // nil: crashed
 	boot [3]uint64
 	path []string
@@ -23,7 +24,7 @@
 		return nil
 	}
 	c := *r // no attempts end here but in proofs: the times' map is not written
-	c.times = newTimes(1)
+	c.responseTimes = newResponseTimes(1)
 	return &c
 }
 
@@ -42,15 +43,15 @@
 			fmt.Fprint(h, i, "-")
 			continue
 		}
-		fmt.Fprint(h, i, w.now-r.started, w.now-r.since, r.stage, r.listed, r.fed, r.viewed, r.back, r.proofs, r.good, r.proven, r.ramp, r.till-w.now, w.boot[i])
+		fmt.Fprint(h, i, w.now-r.started, w.now-r.stageSince, r.stage, r.listed, r.caughtUp, r.seesMajority, r.returning, r.successes, r.succeeded, r.proven, r.ramp, r.peersReturnUntil-w.now, w.boot[i])
 	}
 	return h.Sum64()
 }
 
 func (w *world) start(t testing.TB, i int, trusting bool) {
 	w.boot[i] += uint64(w.now) + 1
-	s := Usual(string(rune('a'+i)), w.boot[i], 3)
-	s.Feeders, s.Fellows, s.trusting, s.Proofs, s.Places = true, true, trusting, 1, 1
+	s := DefaultSettings(string(rune('a'+i)), w.boot[i], 3)
+	s.CanCatchUp, s.SeesPeers, s.trustViews, s.MinSuccesses, s.TrackedTimes = true, true, trusting, 1, 1
 	w.who[i] = must(t, s, w.now)
 }
 
@@ -59,7 +60,7 @@
 	var out []Peer
 	for j, r := range w.who {
 		if j != i && r != nil {
-			out = append(out, Peer{Name: string(rune('a' + j)), Boot: w.boot[j], Up: true, Own: true})
+			out = append(out, Peer{Name: string(rune('a' + j)), Epoch: w.boot[j], Up: true, HeardDirectly: true})
 		}
 	}
 	return out
@@ -84,19 +85,19 @@
 		if r == nil {
 			do("start with its disk", i, func(c *world, _ *Recovery) {
 				c.start(t, i, trusting)
-				c.who[i].Listed(c.now)
-				c.who[i].Fed(c.now)
+				c.who[i].ListReceived(c.now)
+				c.who[i].CaughtUp(c.now)
 			})
 			do("start without", i, func(c *world, _ *Recovery) { c.start(t, i, trusting) })
 			continue
 		}
 		do("crash", i, func(c *world, _ *Recovery) { c.who[i] = nil })
-		do("deliver view", i, func(c *world, r *Recovery) { r.Seen(c.now, c.view(i)) })
-		do("lose view", i, func(c *world, r *Recovery) { r.Seen(c.now, nil) })
-		if r.stage == Empty {
-			do("list", i, func(c *world, r *Recovery) { r.Listed(c.now) })
-			do("fed", i, func(c *world, r *Recovery) { r.Fed(c.now) })
-			do("feed dies", i, func(c *world, r *Recovery) { r.FeedLost(c.now) })
+		do("deliver view", i, func(c *world, r *Recovery) { r.PeersSeen(c.now, c.view(i)) })
+		do("lose view", i, func(c *world, r *Recovery) { r.PeersSeen(c.now, nil) })
+		if r.stage == Starting {
+			do("list", i, func(c *world, r *Recovery) { r.ListReceived(c.now) })
+			do("fed", i, func(c *world, r *Recovery) { r.CaughtUp(c.now) })
+			do("feed dies", i, func(c *world, r *Recovery) { r.CatchUpLost(c.now) })
 		}
 		if r.stage >= Proving && r.stage < Serving {
 			do("answer", i, func(c *world, r *Recovery) { r.Ended(c.now, Attempt{}, true, ms) })
@@ -112,26 +113,26 @@
 		if r == nil {
 			continue
 		}
-		sum += r.clone().Part(w.now)
-		if r.stage < Serving && w.now-r.since >= r.set.Bounds[r.stage] {
-			return fmt.Sprintf("%d is %s for %d ms", i, r.stage, (w.now-r.since)/ms)
+		sum += r.clone().Share(w.now)
+		if r.stage < Serving && w.now-r.stageSince >= r.settings.StageTimeouts[r.stage] {
+			return fmt.Sprintf("%d is %s for %d ms", i, r.stage, (w.now-r.stageSince)/ms)
 		}
-		if old := before.who[i]; old != nil && before.boot[i] == w.boot[i] && (r.stage < old.stage || r.since < old.since) {
+		if old := before.who[i]; old != nil && before.boot[i] == w.boot[i] && (r.stage < old.stage || r.stageSince < old.stageSince) {
 			return fmt.Sprintf("%d fell from %s to %s", i, old.stage, r.stage)
 		}
-		if old := before.who[i]; old != nil && old.stage == Fed && r.stage == Proving && r.proven && !r.viewed {
+		if old := before.who[i]; old != nil && old.stage == Restored && r.stage == Proving && r.proven && !r.seesMajority {
 			return fmt.Sprintf("%d proves, and saw nobody", i)
 		}
-		for k, least := range map[Kind]Stage{Dial: Fed, Probe: Fed} {
-			if _, why := r.clone().Allow(w.now, k, second); why == Free && r.stage < least {
+		for k, least := range map[Kind]Stage{Dial: Restored, Probe: Restored} {
+			if _, why := r.clone().Allow(w.now, k, second); why == Allowed && r.stage < least {
 				return fmt.Sprintf("%d: a %s while %s", i, k, r.stage)
 			}
 		}
-		if why := r.clone().Send(w.now, Attempt{Until: w.now + second}); why == Free && r.stage < Proving {
+		if why := r.clone().Send(w.now, Attempt{Until: w.now + second}); why == Allowed && r.stage < Proving {
 			return fmt.Sprintf("%d sends while %s", i, r.stage)
 		}
-		if r.back < 1 || r.back > r.set.Routers {
-			return fmt.Sprintf("%d believes that %d return", i, r.back)
+		if r.returning < 1 || r.returning > r.settings.Routers {
+			return fmt.Sprintf("%d believes that %d return", i, r.returning)
 		}
 	}
 	if sum > 1.2+1e-9 {
@@ -147,8 +148,8 @@
 		w.start(t, i, trusting)
 	}
 	for i := range 2 { // they have served for long; the third has just started
-		w.who[i].started, w.who[i].since, w.who[i].till, w.boot[i], w.who[i].stage = 0, 0, 0, 1, Serving
-		w.who[i].set.Boot = 1
+		w.who[i].started, w.who[i].stageSince, w.who[i].peersReturnUntil, w.boot[i], w.who[i].stage = 0, 0, 0, 1, Serving
+		w.who[i].settings.Epoch = 1
 	}
 	seen, row := map[uint64]bool{w.hash(): true}, []*world{w}
 	for len(row) > 0 && len(seen) < most {
--- a/policy/recovery/main_test.go
+++ b/policy/recovery/main_test.go
@@ -1,10 +1,13 @@
 package recovery
 
-import "testing"
+import (
+	"lotushook/policy/clock"
+	"testing"
+)
 
 const ms = second / 1000
 
-func must(t interface{ Fatal(...any) }, s Settings, now Nanos) *Recovery {
+func must(t interface{ Fatal(...any) }, s Settings, now clock.Nanos) *Recovery {
 	r, err := New(s, now)
 	if err != nil {
 		t.Fatal(err)
@@ -13,12 +16,12 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	good := Usual("a", 1, 3)
+	good := DefaultSettings("a", 1, 3)
 	must(t, good, 0)
 	for i, spoil := range []func(*Settings){
-		func(s *Settings) { s.Name = "" }, func(s *Settings) { s.Routers = 0 }, func(s *Settings) { s.Slack = 0.9 }, func(s *Settings) { s.Keep = 2 },
-		func(s *Settings) { s.Budgets[Probe] = -1 }, func(s *Settings) { s.Bounds[Fed] = 0 }, func(s *Settings) { s.Ratio = 0.2 },
-		func(s *Settings) { s.Proofs = 0 }, func(s *Settings) { s.Returns[1] = 0 },
+		func(s *Settings) { s.Name = "" }, func(s *Settings) { s.Routers = 0 }, func(s *Settings) { s.MaxShareFactor = 0.9 }, func(s *Settings) { s.ServingShare = 2 },
+		func(s *Settings) { s.Budgets[Probe] = -1 }, func(s *Settings) { s.StageTimeouts[Restored] = 0 }, func(s *Settings) { s.RetryRatio = 0.2 },
+		func(s *Settings) { s.MinSuccesses = 0 }, func(s *Settings) { s.RetryAfterRange[1] = 0 },
 	} {
 		s := good
 		spoil(&s)
@@ -29,7 +32,7 @@
 }
 
 // serve has time go on until a router serves.
-func serve(r *Recovery, until Nanos) Nanos {
+func serve(r *Recovery, until clock.Nanos) clock.Nanos {
 	for now := r.now; now < until; now += 300 * ms {
 		r.Tick(now)
 	}
