--- a/policy/recovery/recovery_test.go
+++ b/policy/recovery/recovery_test.go
@@ -1,6 +1,7 @@
 package recovery
 
 import (
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -10,7 +11,7 @@
 func TestStages(t *testing.T) {
 	ok := Attempt{Server: 1, Until: 1 << 60}
 	type step struct {
-		at   Nanos
+		at   clock.Nanos
 		do   string
 		want Stage
 		send Reason
@@ -20,19 +21,19 @@
 		feeders bool
 		steps   []step
 	}{
-		{"alone: a list is enough to prove", false, []step{{0, "", Empty, Early}, {10, "list", Proving, Free}}},
-		{"alone, and no list: the bounds end each stage", false, []step{{299, "", Empty, Early}, {300, "", Proving, Free}, {801, "", Ramping, Free},
-			{3799, "", Ramping, Free}, {3800, "", Serving, Free}}},
-		{"fed: list and state, then a view, then answers", true, []step{{5, "list", Empty, Early}, {20, "fed", Fed, Early}, {30, "view", Proving, Free},
-			{40, "done", Proving, Free}, {50, "done", Proving, Free}, {60, "done", Ramping, Free}, {559, "done", Ramping, Free}, {560, "", Serving, Free}}},
-		{"the feed dies: it waits for another, or the bound", true, []step{{5, "fed", Empty, Early}, {6, "lost", Empty, Early}, {7, "list", Empty, Early},
-			{299, "", Empty, Early}, {300, "", Fed, Early}, {499, "", Fed, Early}, {500, "", Proving, Free}}},
-		{"stopped for five seconds: it goes on where it was", true, []step{{100, "", Empty, Early}, {5100, "stopped", Empty, Early}, {5299, "", Empty, Early},
-			{5300, "", Fed, Early}}},
-		{"failures alone prove nothing", false, []step{{1, "list", Proving, Free}, {2, "failed", Proving, Free}, {3, "failed", Proving, Free}, {4, "failed", Proving, Free}, {501, "", Ramping, Free}}},
+		{"alone: a list is enough to prove", false, []step{{0, "", Starting, TooEarly}, {10, "list", Proving, Allowed}}},
+		{"alone, and no list: the bounds end each stage", false, []step{{299, "", Starting, TooEarly}, {300, "", Proving, Allowed}, {801, "", Ramping, Allowed},
+			{3799, "", Ramping, Allowed}, {3800, "", Serving, Allowed}}},
+		{"fed: list and state, then a view, then answers", true, []step{{5, "list", Starting, TooEarly}, {20, "fed", Restored, TooEarly}, {30, "view", Proving, Allowed},
+			{40, "done", Proving, Allowed}, {50, "done", Proving, Allowed}, {60, "done", Ramping, Allowed}, {559, "done", Ramping, Allowed}, {560, "", Serving, Allowed}}},
+		{"the feed dies: it waits for another, or the bound", true, []step{{5, "fed", Starting, TooEarly}, {6, "lost", Starting, TooEarly}, {7, "list", Starting, TooEarly},
+			{299, "", Starting, TooEarly}, {300, "", Restored, TooEarly}, {499, "", Restored, TooEarly}, {500, "", Proving, Allowed}}},
+		{"stopped for five seconds: it goes on where it was", true, []step{{100, "", Starting, TooEarly}, {5100, "stopped", Starting, TooEarly}, {5299, "", Starting, TooEarly},
+			{5300, "", Restored, TooEarly}}},
+		{"failures alone prove nothing", false, []step{{1, "list", Proving, Allowed}, {2, "failed", Proving, Allowed}, {3, "failed", Proving, Allowed}, {4, "failed", Proving, Allowed}, {501, "", Ramping, Allowed}}},
 	} {
-		s := Usual("a", 1, 3)
-		s.Feeders, s.Fellows = c.feeders, c.feeders
+		s := DefaultSettings("a", 1, 3)
+		s.CanCatchUp, s.SeesPeers = c.feeders, c.feeders
 		s.Budgets[Send] = 0 // it is the stages' word that is asked for
 		r := must(t, s, 0)
 		for _, x := range c.steps {
@@ -42,13 +43,13 @@
 			}
 			switch x.do {
 			case "list":
-				r.Listed(now)
+				r.ListReceived(now)
 			case "fed":
-				r.Fed(now)
+				r.CaughtUp(now)
 			case "lost":
-				r.FeedLost(now)
+				r.CatchUpLost(now)
 			case "view":
-				r.Seen(now, []Peer{{Name: "b", Up: true, Own: true}})
+				r.PeersSeen(now, []Peer{{Name: "b", Up: true, HeardDirectly: true}})
 			case "done", "failed":
 				r.Ended(now, ok, x.do == "done", ms)
 			}
@@ -56,8 +57,8 @@
 			if got := r.Send(now, ok); r.Stage() != x.want || got != x.send {
 				t.Errorf("%s: at %d ms after %q: %s, a send is %s, want %s, %s", c.name, x.at, x.do, r.Stage(), got, x.want, x.send)
 			}
-			for k, want := range map[Kind]bool{List: true, CatchUp: true, Dial: x.want >= Fed, Probe: x.want >= Fed} {
-				if _, why := r.Allow(now, k, second); (why != Early) != want {
+			for k, want := range map[Kind]bool{ListCall: true, CatchUp: true, Dial: x.want >= Restored, Probe: x.want >= Restored} {
+				if _, why := r.Allow(now, k, second); (why != TooEarly) != want {
 					t.Errorf("%s: at %d ms: %s: %s", c.name, x.at, k, why)
 				}
 			}
@@ -68,31 +69,33 @@
 // Work that can't be in time is not sent; one in each tenth of a second finds out whether it could by now, and what is not
 // confirmed for two seconds is forgotten.
 func TestLate(t *testing.T) {
-	r := must(t, Usual("a", 1, 1), 0)
+	r := must(t, DefaultSettings("a", 1, 1), 0)
 	now := serve(r, 10*second)
 	r.Ended(now, Attempt{Server: 7}, true, 300*ms)
-	ask := func(server uint32, left Nanos) Reason { return r.Send(now, Attempt{Server: server, Until: now + left}) }
+	ask := func(server uint32, left clock.Nanos) Reason {
+		return r.Send(now, Attempt{Server: server, Until: now + left})
+	}
 	for _, c := range []struct {
 		server uint32
-		left   Nanos
+		left   clock.Nanos
 		want   Reason
-	}{{7, 301 * ms, Free}, {7, 200 * ms, Free}, {7, 200 * ms, Late}, {7, 299 * ms, Late}, {8, ms, Free}, {8, 0, Late}, {7, -ms, Late}} {
+	}{{7, 301 * ms, Allowed}, {7, 200 * ms, Allowed}, {7, 200 * ms, TooLate}, {7, 299 * ms, TooLate}, {8, ms, Allowed}, {8, 0, TooLate}, {7, -ms, TooLate}} {
 		if got := ask(c.server, c.left); got != c.want {
 			t.Errorf("server %d with %d ms left: %s, want %s", c.server, c.left/ms, got, c.want)
 		}
 	}
-	now += part
-	if got := ask(7, 200*ms); got != Free {
+	now += slotSize
+	if got := ask(7, 200*ms); got != Allowed {
 		t.Errorf("a tenth later: %s", got)
 	}
 	now += 2 * second
-	if got, again := ask(7, ms), ask(7, ms); got != Free || again != Free {
+	if got, again := ask(7, ms), ask(7, ms); got != Allowed || again != Allowed {
 		t.Errorf("two seconds later: %s, %s", got, again)
 	}
 	for i := range 10_000 {
 		r.Ended(now, Attempt{Server: uint32(i)}, true, ms)
 	}
-	if n := len(r.times.known); n != r.set.Places || len(r.times.order) != n {
+	if n := len(r.responseTimes.known); n != r.settings.TrackedTimes || len(r.responseTimes.order) != n {
 		t.Errorf("%d places are remembered", n)
 	}
 }
@@ -104,19 +107,19 @@
 		n := rapid.IntRange(1, 5).Draw(t, "routers")
 		var all []*Recovery
 		for i := range n {
-			s := Usual(string(rune('a'+i)), 1, n)
+			s := DefaultSettings(string(rune('a'+i)), 1, n)
 			all = append(all, must(t, s, 0))
 			serve(all[i], 5*second)
 		}
 		type moment struct {
-			at         Nanos
+			at         clock.Nanos
 			won, again int
 		}
 		var log []moment
 		now := 5 * second
 		won, again, denied := 0, 0, 0
 		for range rapid.IntRange(50, 400).Draw(t, "moments") {
-			now += Nanos(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
+			now += clock.Nanos(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
 			r := all[rapid.IntRange(0, n-1).Draw(t, "router")]
 			m := moment{at: now}
 			for range rapid.IntRange(0, 40).Draw(t, "won") {
@@ -124,7 +127,7 @@
 				m.won++
 			}
 			for range rapid.IntRange(0, 40).Draw(t, "again") {
-				if r.Send(now, Attempt{Again: true, Until: now + second}) == Free {
+				if r.Send(now, Attempt{IsRetry: true, Until: now + second}) == Allowed {
 					m.again++
 				} else {
 					denied++
@@ -143,8 +146,8 @@
 					won += float64(m.won)
 				}
 			}
-			s := all[0].set
-			if most := s.Ratio*won + 10*s.Floor + float64(n); again > most+1e-6 {
+			s := all[0].settings
+			if most := s.RetryRatio*won + 10*s.MinRetryRate + float64(n); again > most+1e-6 {
 				t.Fatalf("from %d ms on: %v further attempts for %v successes, %v at most", log[i].at/ms, again, won, most)
 			}
 		}
@@ -156,24 +159,24 @@
 
 // Times to return: spread over what those that were told need, better lanes first, one account's alike.
 func TestReturns(t *testing.T) {
-	s := Usual("a", 1, 1)
-	s.Lanes, s.Budgets[Send] = 3, 100
+	s := DefaultSettings("a", 1, 1)
+	s.PriorityClasses, s.Budgets[Send] = 3, 100
 	r := must(t, s, 0)
-	r.Listed(0) // proving: 25 a second
-	worst := [3]Nanos{}
-	var all []Nanos
+	r.ListReceived(0) // proving: 25 a second
+	worst := [3]clock.Nanos{}
+	var all []clock.Nanos
 	for i := range 50 {
 		name := string(rune('A' + i))
 		lane := i % 3
-		b := r.returns
-		d := r.Return(ms, "team", name, lane)
-		r.returns = b
-		if again := r.Return(ms, "team", name, lane); again != d {
+		b := r.retryAfters
+		d := r.RetryAfter(ms, "team", name, lane)
+		r.retryAfters = b
+		if again := r.RetryAfter(ms, "team", name, lane); again != d {
 			t.Errorf("%s: %d, then %d", name, d, again)
 		}
 		worst[lane] = max(worst[lane], d)
 		all = append(all, d)
-		if d < s.Returns[0] || d > s.Returns[1] {
+		if d < s.RetryAfterRange[0] || d > s.RetryAfterRange[1] {
 			t.Errorf("%s: %d ms", name, d/ms)
 		}
 	}
@@ -183,11 +186,11 @@
 	if worst[2] < second {
 		t.Errorf("50 that are told at 25 a second come back within %d ms", worst[2]/ms)
 	}
-	other := must(t, Usual("a", 2, 1), 0)
-	other.Listed(0)
+	other := must(t, DefaultSettings("a", 2, 1), 0)
+	other.ListReceived(0)
 	same := 0
 	for i, d := range all {
-		if other.Return(ms, "team", string(rune('A'+i)), 0) == d {
+		if other.RetryAfter(ms, "team", string(rune('A'+i)), 0) == d {
 			same++
 		}
 	}
@@ -195,8 +198,8 @@
 		t.Errorf("%d of 50 have the same place after another start", same)
 	}
 	serve(r, 20*second)
-	r.Return(20*second, "", "", 0)
-	if r.returns.sum != 1 {
-		t.Errorf("%v are still expected", r.returns.sum)
+	r.RetryAfter(20*second, "", "", 0)
+	if r.retryAfters.sum != 1 {
+		t.Errorf("%v are still expected", r.retryAfters.sum)
 	}
 }
--- a/policy/recovery/replay_test.go
+++ b/policy/recovery/replay_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"lotushook/internal/replaytest"
+	"lotushook/policy/clock"
 	"lotushook/policy/recovery"
 )
 
@@ -11,16 +12,16 @@
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		settings := recovery.Usual("r-0", seed, 4)
-		settings.Feeders, settings.Fellows, settings.Lanes = seed%2 == 0, seed%3 == 0, 2
-		settings.Bounds = [recovery.Serving]recovery.Nanos{2e9, 2e9, 3e9, 10e9}
+		settings := recovery.DefaultSettings("r-0", seed, 4)
+		settings.CanCatchUp, settings.SeesPeers, settings.PriorityClasses = seed%2 == 0, seed%3 == 0, 2
+		settings.StageTimeouts = [recovery.Serving]clock.Nanos{2e9, 2e9, 3e9, 10e9}
 		state, err := recovery.New(settings, driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen := func(now int64, peers []recovery.Peer) { state.Seen(now, peers) }
-		allow := func(now int64, kind uint8) (recovery.Nanos, recovery.Reason) {
-			return state.Allow(now, recovery.Kind(kind)%recovery.Kinds, 2e8)
+		seen := func(now int64, peers []recovery.Peer) { state.PeersSeen(now, peers) }
+		allow := func(now int64, kind uint8) (clock.Nanos, recovery.Reason) {
+			return state.Allow(now, recovery.Kind(kind)%recovery.KindCount, 2e8)
 		}
 		send := func(now int64, attempt recovery.Attempt) recovery.Reason {
 			attempt.Until = now + int64(driver.IntN(1e9))
@@ -29,12 +30,12 @@
 		ended := func(now int64, attempt recovery.Attempt, done bool) {
 			state.Ended(now, attempt, done, int64(driver.IntN(1e8)))
 		}
-		later := func(now int64, tenant, session string, lane int) recovery.Nanos {
-			return state.Return(now, tenant, session, lane%2)
+		later := func(now int64, tenant, session string, lane int) clock.Nanos {
+			return state.RetryAfter(now, tenant, session, lane%2)
 		}
 		driver.Run(40, seen, state.Tick, send, allow)
 		driver.Run(1500, seen, allow, allow, send, send, send, ended, ended, state.Tick, state.Tick, later,
-			state.Listed, state.Fed, state.FeedLost, state.Stage, state.Report, state.Part)
+			state.ListReceived, state.CaughtUp, state.CatchUpLost, state.Stage, state.Report, state.Share)
 	}
 	digest.Check(t, "0d2b5aa62fa39a7c/13273")
 }
--- a/policy/recovery/retry.go
+++ b/policy/recovery/retry.go
@@ -1,131 +1,135 @@
 package recovery
 
+import "lotushook/policy/clock"
+
 // A further attempt is paid for by successes of the last second, Ratio each: in any ten seconds there are at most Ratio times
 // the successes of these and of the second before, and Floor. With Ratio under 0.2 that is less than 1.2 attempts a request,
 // on each router and so over all, without a word between them. Where nothing succeeds, nothing is tried again: that breaks
 // the loop in which retries keep up the overload that made them (Bronson et al. 2021, Huang et al. 2022).
 
 const (
-	parts = 10 // of the second
-	part  = second / parts
+	slotsPerSecond = 10 // of the second
+	slotSize       = second / slotsPerSecond
 )
 
-// retries are successes by tenths of a second, and what they paid for.
-type retries struct {
-	at   Nanos // the newest tenth's start
-	won  [parts]float64
-	used [parts]float64 // of what was won in that tenth
-	free float64        // of the floor
-	paid Nanos          // until when the floor has grown
+// retryBudget are successes by tenths of a second, and what they paid for.
+type retryBudget struct {
+	at             clock.Nanos // the newest tenth's start
+	successes      [slotsPerSecond]float64
+	spent          [slotsPerSecond]float64 // of what was won in that tenth
+	floorTokens    float64                 // of the floor
+	floorPaidUntil clock.Nanos             // until when the floor has grown
 }
 
-func (t *retries) move(now Nanos) {
-	steps := (now - t.at) / part
+func (t *retryBudget) advance(now clock.Nanos) {
+	steps := (now - t.at) / slotSize
 	if steps <= 0 {
 		return
 	}
-	for range min(steps, parts) {
-		copy(t.won[1:], t.won[:parts-1])
-		copy(t.used[1:], t.used[:parts-1])
-		t.won[0], t.used[0] = 0, 0
+	for range min(steps, slotsPerSecond) {
+		copy(t.successes[1:], t.successes[:slotsPerSecond-1])
+		copy(t.spent[1:], t.spent[:slotsPerSecond-1])
+		t.successes[0], t.spent[0] = 0, 0
 	}
-	t.at += steps * part
+	t.at += steps * slotSize
 }
 
-func (t *retries) success(now Nanos) {
-	t.move(now)
-	t.won[0]++
+func (t *retryBudget) addSuccess(now clock.Nanos) {
+	t.advance(now)
+	t.successes[0]++
 }
 
 // take pays for one further attempt with the oldest successes, and failing that from the floor.
-func (t *retries) take(now Nanos, ratio, floor float64) bool {
-	t.move(now)
-	t.free, t.paid = min(1, t.free+floor*float64(now-t.paid)/float64(second)), now
+func (t *retryBudget) take(now clock.Nanos, ratio, floor float64) bool {
+	t.advance(now)
+	t.floorTokens, t.floorPaidUntil = min(1, t.floorTokens+floor*float64(now-t.floorPaidUntil)/float64(second)), now
 	left := 0.0
-	for i := range t.won {
-		left += ratio*t.won[i] - t.used[i]
+	for i := range t.successes {
+		left += ratio*t.successes[i] - t.spent[i]
 	}
 	if left < 1-1e-9 {
-		if t.free < 1 {
+		if t.floorTokens < 1 {
 			return false
 		}
-		t.free--
+		t.floorTokens--
 		return true
 	}
 	need := 1.0
-	for i := parts - 1; i >= 0 && need > 0; i-- {
-		pay := min(need, max(0, ratio*t.won[i]-t.used[i]))
-		t.used[i] += pay
+	for i := slotsPerSecond - 1; i >= 0 && need > 0; i-- {
+		pay := min(need, max(0, ratio*t.successes[i]-t.spent[i]))
+		t.spent[i] += pay
 		need -= pay
 	}
 	return true
 }
 
-// times remembers the least that answers of a server's class have lately taken: what is left of a request's time must be as
+// responseTimes remembers the least that answers of a server's class have lately taken: what is left of a request's time must be as
 // much, or the work is for nobody. Without answers for two seconds nothing is known; and one in each tenth of a second finds
 // out whether it is better by now.
-type times struct {
-	most  int
-	known map[place]*took
-	order []place // by first sight; the oldest goes when all places are taken
+type responseTimes struct {
+	capacity int
+	known    map[serverClass]*fastestResponse
+	order    []serverClass // by first sight; the oldest goes when all places are taken
 }
 
-type place struct {
+type serverClass struct {
 	server uint32
 	class  int
 }
 
-type took struct {
-	from          Nanos // of the present second
-	least, before Nanos // 0: none
-	tried         Nanos
+type fastestResponse struct {
+	startsAt          clock.Nanos // of the present second
+	current, previous clock.Nanos // 0: none
+	lastTriedAt       clock.Nanos
 }
 
-func newTimes(most int) times { return times{most: most, known: map[place]*took{}} }
+func newResponseTimes(most int) responseTimes {
+	return responseTimes{capacity: most, known: map[serverClass]*fastestResponse{}}
+}
 
-func (t *times) add(now Nanos, server uint32, class int, span Nanos) {
-	key := place{server, class}
+func (t *responseTimes) add(now clock.Nanos, server uint32, class int, span clock.Nanos) {
+	key := serverClass{server, class}
 	e := t.known[key]
 	if e == nil {
-		if len(t.order) >= t.most {
+		if len(t.order) >= t.capacity {
 			delete(t.known, t.order[0])
 			t.order = append(t.order[:0], t.order[1:]...)
 		}
-		e = &took{from: now}
+		e = &fastestResponse{startsAt: now}
 		t.known[key] = e
 		t.order = append(t.order, key)
 	}
-	e.turn(now)
-	if span = max(1, span); e.least == 0 || span < e.least {
-		e.least = span
+	e.rotate(now)
+	if span = max(1, span); e.current == 0 || span < e.current {
+		e.current = span
 	}
 }
 
-func (e *took) turn(now Nanos) {
-	switch age := now - e.from; {
+func (e *fastestResponse) rotate(now clock.Nanos) {
+	switch age := now - e.startsAt; {
 	case age < second:
 	case age < 2*second:
-		e.from, e.before, e.least = e.from+second, e.least, 0
+		e.startsAt, e.previous, e.current = e.startsAt+second, e.current, 0
 	default:
-		e.from, e.before, e.least = now, 0, 0
+		e.startsAt, e.previous, e.current = now, 0, 0
 	}
 }
 
-func (t *times) late(now Nanos, a Attempt) bool {
-	e := t.known[place{a.Server, a.Class}]
+func (t *responseTimes) isTooLate(now clock.Nanos, a Attempt) bool {
+	e := t.known[serverClass{a.Server, a.Class}]
 	if e == nil {
 		return a.Until <= now
 	}
-	e.turn(now)
-	least := e.least
-	if e.before > 0 && (least == 0 || e.before < least) {
-		least = e.before
+	e.rotate(now)
+	least := e.current
+	if e.previous > 0 && (least == 0 || e.previous < least) {
+		least = e.previous
 	}
 	if now+least < a.Until {
 		return false
 	}
-	if a.Until > now && now-e.tried >= part {
-		e.tried = now
+	if a.Until > now && now-e.lastTriedAt >= slotSize {
+		e.lastTriedAt = now
 		return false
 	}
 	return true
--- a/policy/recovery/rules_test.go
+++ b/policy/recovery/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"slices"
 	"testing"
 
@@ -13,9 +14,9 @@
 func TestPartsStayWithinSlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "routers")
-		s := Usual("", 0, n)
-		s.Slack = rapid.Float64Range(1, 4).Draw(t, "slack")
-		s.Keep = rapid.Float64Range(0, 1).Draw(t, "keep")
+		s := DefaultSettings("", 0, n)
+		s.MaxShareFactor = rapid.Float64Range(1, 4).Draw(t, "slack")
+		s.ServingShare = rapid.Float64Range(0, 1).Draw(t, "keep")
 		seed := rapid.Uint64().Draw(t, "seed")
 		draw := func(k int) int {
 			seed = seed*6364136223846793005 + 1442695040888963407
@@ -30,12 +31,12 @@
 			if i < returns {
 				boot += uint64(99*second) + uint64(draw(900))*uint64(ms)
 			}
-			truth = append(truth, Peer{Name: fmt.Sprint(i), Boot: boot, Up: true, Own: true})
+			truth = append(truth, Peer{Name: fmt.Sprint(i), Epoch: boot, Up: true, HeardDirectly: true})
 		}
 		side := draw(n)
 		sum := 0.0
 		for i := range n {
-			s.Name, s.Boot = truth[i].Name, truth[i].Boot
+			s.Name, s.Epoch = truth[i].Name, truth[i].Epoch
 			start := now - second
 			if i >= returns {
 				start = 0
@@ -44,7 +45,7 @@
 			if i >= returns {
 				serve(r, 5*second)
 			} else if draw(2) == 0 {
-				r.Listed(start)
+				r.ListReceived(start)
 			}
 			view := truth
 			switch how {
@@ -57,21 +58,21 @@
 			case "wrong":
 				view = nil
 				for range draw(min(n, 30) + 1) {
-					view = append(view, Peer{Name: fmt.Sprint(draw(n)), Boot: uint64(draw(3)) * uint64(1e15), Up: draw(2) == 0, Own: draw(2) == 0})
+					view = append(view, Peer{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(3)) * uint64(1e15), Up: draw(2) == 0, HeardDirectly: draw(2) == 0})
 				}
 				if draw(2) == 0 {
 					for j := range n { // all others have served for ever
-						view = append(view, Peer{Name: fmt.Sprint(j), Up: true, Own: true})
+						view = append(view, Peer{Name: fmt.Sprint(j), Up: true, HeardDirectly: true})
 					}
 				}
 			}
-			r.Seen(now, view)
+			r.PeersSeen(now, view)
 			if i < returns && r.Stage() == Serving {
 				t.Fatal("a router that returns serves already")
 			}
-			sum += r.Part(now)
+			sum += r.Share(now)
 		}
-		most := s.Slack
+		most := s.MaxShareFactor
 		if how == "none" || how == "right" {
 			most = 1
 		}
@@ -87,8 +88,8 @@
 		n := rapid.IntRange(1, 40).Draw(t, "routers")
 		kind := Kind(rapid.IntRange(int(Dial), int(CatchUp)).Draw(t, "kind"))
 		var all []*Recovery
-		starts := make([]Nanos, n)
-		s := Usual("", 0, n)
+		starts := make([]clock.Nanos, n)
+		s := DefaultSettings("", 0, n)
 		s.Budgets[kind] = rapid.Float64Range(1, 400).Draw(t, "budget")
 		crashes := 0.0 // a start has one turn more
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -97,29 +98,29 @@
 			return int(seed>>33) % k
 		}
 		for i := range n {
-			s.Name, s.Boot = fmt.Sprint(i), uint64(draw(1000))
-			starts[i] = Nanos(draw(300)) * ms
+			s.Name, s.Epoch = fmt.Sprint(i), uint64(draw(1000))
+			starts[i] = clock.Nanos(draw(300)) * ms
 			all = append(all, must(t, s, starts[i]))
 		}
-		done := make([][]Nanos, n)
-		for now := Nanos(0); now < 4*second; now += 20 * ms {
+		done := make([][]clock.Nanos, n)
+		for now := clock.Nanos(0); now < 4*second; now += 20 * ms {
 			for i, r := range all {
 				if now < starts[i] {
 					continue
 				}
 				switch draw(60) {
 				case 0:
-					r.Listed(now)
+					r.ListReceived(now)
 				case 1:
-					r.Seen(now, []Peer{{Name: fmt.Sprint(draw(n)), Boot: uint64(draw(1e18)), Up: true, Own: true}})
+					r.PeersSeen(now, []Peer{{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(1e18)), Up: true, HeardDirectly: true}})
 				case 2: // it crashes
 					crashes++
-					s.Name, s.Boot = fmt.Sprint(i), uint64(draw(1<<30))
+					s.Name, s.Epoch = fmt.Sprint(i), uint64(draw(1<<30))
 					all[i], starts[i] = must(t, s, now), now
-					done[i] = slices.DeleteFunc(done[i], func(at Nanos) bool { return at >= now })
+					done[i] = slices.DeleteFunc(done[i], func(at clock.Nanos) bool { return at >= now })
 				}
 				for range draw(6) {
-					if wait, why := r.Allow(now, kind, second); why == Free {
+					if wait, why := r.Allow(now, kind, second); why == Allowed {
 						done[i] = append(done[i], now+wait)
 					} else if wait <= 0 {
 						t.Fatalf("%s: denied as %s, and no time to ask again", kind, why)
@@ -127,14 +128,14 @@
 				}
 			}
 		}
-		for _, from := range []Nanos{0, 500 * ms, 1500 * ms, 3 * second} {
+		for _, from := range []clock.Nanos{0, 500 * ms, 1500 * ms, 3 * second} {
 			got := 0
 			for _, at := range slices.Concat(done...) {
 				if at >= from && at < from+second {
 					got++
 				}
 			}
-			if most := s.Budgets[kind]*s.Slack + float64(n) + crashes; float64(got) > most {
+			if most := s.Budgets[kind]*s.MaxShareFactor + float64(n) + crashes; float64(got) > most {
 				t.Fatalf("%d of %s in the second from %d ms on, %v at most", got, kind, from/ms, most)
 			}
 		}
--- a/policy/recovery/size_test.go
+++ b/policy/recovery/size_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"testing"
 )
 
@@ -10,14 +11,14 @@
 	who     []*Recovery
 	rate    float64 // requests of each router's clients a second
 	back    [][]int // by tick from now: clients that come again, by router
-	spent   [Kinds]int
-	peaks   [Kinds]int // most in a second
+	spent   [KindCount]int
+	peaks   [KindCount]int // most in a second
 	asked   []float64
 	calls   []int // list calls under way: ticks left, by router; -1: it has one
 	dials   []int
 	sent    int // in this second
-	full    Nanos
-	first   [Kinds]int // of sends; of all else the worst second
+	full    clock.Nanos
+	first   [KindCount]int // of sends; of all else the worst second
 	perEach float64
 }
 
@@ -27,36 +28,36 @@
 )
 
 // play starts so many of the routers at once; each sees all others after a while of its own, or nobody.
-func play(t *testing.T, n, returning int, reach bool, budgets [Kinds]float64, rate float64) *fleet {
+func play(t *testing.T, n, returning int, reach bool, budgets [KindCount]float64, rate float64) *fleet {
 	f := &fleet{rate: rate, asked: make([]float64, n), calls: make([]int, n), dials: make([]int, n)}
 	now, peers := 100*second, []Peer{}
 	for i := range n {
-		s := Usual(fmt.Sprintf("r%04d", i), 1e15, n)
-		s.Budgets, s.Feeders, s.Fellows = budgets, true, true
+		s := DefaultSettings(fmt.Sprintf("r%04d", i), 1e15, n)
+		s.Budgets, s.CanCatchUp, s.SeesPeers = budgets, true, true
 		if i < returning {
-			s.Boot += uint64(100*second) + uint64(i%10)*uint64(10*ms) // within a tenth of a second
+			s.Epoch += uint64(100*second) + uint64(i%10)*uint64(10*ms) // within a tenth of a second
 			f.who = append(f.who, must(t, s, now))
 		} else {
 			r := must(t, s, 0)
 			serve(r, 5*second)
-			r.back, r.till = 0, 0
+			r.returning, r.peersReturnUntil = 0, 0
 			r.Tick(now)
 			f.who = append(f.who, r)
 		}
-		peers = append(peers, Peer{Name: s.Name, Boot: s.Boot, Up: true, Own: true})
+		peers = append(peers, Peer{Name: s.Name, Epoch: s.Epoch, Up: true, HeardDirectly: true})
 		f.back = append(f.back, make([]int, 400))
 	}
-	ready := make([]Nanos, n) // of a list call
-	dialled := make([][]Nanos, n)
+	ready := make([]clock.Nanos, n) // of a list call
+	dialled := make([][]clock.Nanos, n)
 	steady, by := now, []float64{}
 	for at := now; at < now+6*second; at += tick {
 		step := int((at - now) / tick)
 		served := 0.0
 		for i, r := range f.who {
-			hears := now + 100*ms + Nanos(fraction(hash(r.set.Name, "hears", 0))*float64(300*ms))
+			hears := now + 100*ms + clock.Nanos(fraction(hash(r.settings.Name, "hears", 0))*float64(300*ms))
 			if reach && at >= hears && at < hears+tick {
-				r.Seen(at, peers)
-				r.Fed(at)
+				r.PeersSeen(at, peers)
+				r.CaughtUp(at)
 			}
 			if i >= returning {
 				f.survive(r, i, at)
@@ -79,7 +80,7 @@
 	}
 	f.full = steady - now
 	total := 0
-	for _, k := range []Kind{Dial, Probe, List, CatchUp} {
+	for _, k := range []Kind{Dial, Probe, ListCall, CatchUp} {
 		total += f.spent[k]
 	}
 	f.perEach = float64(total) / float64(returning)
@@ -94,14 +95,14 @@
 			f.first[k] = max(f.first[k], n)
 		}
 	}
-	f.peaks = [Kinds]int{}
+	f.peaks = [KindCount]int{}
 }
 
 // survive is a router that serves: it dials anew once a second and probes as often.
-func (f *fleet) survive(r *Recovery, i int, at Nanos) {
-	if at%second == Nanos(i%100)*tick {
+func (f *fleet) survive(r *Recovery, i int, at clock.Nanos) {
+	if at%second == clock.Nanos(i%100)*tick {
 		for _, k := range []Kind{Dial, Probe} {
-			if _, why := r.Allow(at, k, second); why == Free {
+			if _, why := r.Allow(at, k, second); why == Allowed {
 				f.spend(k)
 			}
 		}
@@ -109,20 +110,20 @@
 }
 
 // work is a router that returns: a list, its connections, then what its clients ask; how many it serves in this tick.
-func (f *fleet) work(r *Recovery, i int, at Nanos, step int, ready []Nanos, dialled [][]Nanos) (served float64) {
-	due := func(when Nanos) bool { return when > 0 && at >= when }
+func (f *fleet) work(r *Recovery, i int, at clock.Nanos, step int, ready []clock.Nanos, dialled [][]clock.Nanos) (served float64) {
+	due := func(when clock.Nanos) bool { return when > 0 && at >= when }
 	if ready[i] == 0 {
-		if wait, why := r.Allow(at, List, second); why == Free {
+		if wait, why := r.Allow(at, ListCall, second); why == Allowed {
 			ready[i] = at + wait + 1
 		}
 	} else if f.calls[i] == 0 && due(ready[i]) {
-		f.spend(List)
+		f.spend(ListCall)
 		f.calls[i] = 1
-		r.Listed(at + tick)
+		r.ListReceived(at + tick)
 	}
 	for f.dials[i] < servers && f.calls[i] == 1 {
 		wait, why := r.Allow(at, Dial, second)
-		if why != Free {
+		if why != Allowed {
 			break
 		}
 		f.dials[i]++
@@ -147,8 +148,8 @@
 	}
 	for k := range come {
 		a := Attempt{Server: uint32(k % servers), Until: at + second}
-		if up == 0 || r.Send(at, a) != Free {
-			wait := r.Return(at, "t", fmt.Sprint(step, k), 0)
+		if up == 0 || r.Send(at, a) != Allowed {
+			wait := r.RetryAfter(at, "t", fmt.Sprint(step, k), 0)
 			f.back[i][(step+max(1, int(wait/tick)))%400]++
 			continue
 		}
@@ -172,25 +173,25 @@
 	}{{"all restart", 1, true}, {"70% restart", 0.7, true}, {"nobody can be reached", 1, false}} {
 		var small *fleet
 		for _, n := range []int{10, 100, 1000} {
-			budgets := [Kinds]float64{5, 5, 0.8, 1, 10} // for each router, of which it wants 9, 9, 1, 0 and 25 a second
+			budgets := [KindCount]float64{5, 5, 0.8, 1, 10} // for each router, of which it wants 9, 9, 1, 0 and 25 a second
 			for k := range budgets {
 				budgets[k] *= float64(n)
 			}
 			f := play(t, n, int(c.share*float64(n)), c.reach, budgets, 25)
-			if free := play(t, n, int(c.share*float64(n)), c.reach, [Kinds]float64{}, 25); float64(free.first[Dial]) < 1.2*budgets[Dial] || float64(free.first[Send]) < 1.2*budgets[Send] {
+			if free := play(t, n, int(c.share*float64(n)), c.reach, [KindCount]float64{}, 25); float64(free.first[Dial]) < 1.2*budgets[Dial] || float64(free.first[Send]) < 1.2*budgets[Send] {
 				t.Errorf("%s: %d routers without budgets: %v: the check says nothing", c.name, n, free.first)
 			}
 			if small == nil {
 				small = f
 			}
 			t.Logf("%s: %d routers: first second: dials %d of %.0f, probes %d of %.0f, list calls %d of %.0f, sends %d of %.0f; %.1f messages for each; whole after %d ms",
-				c.name, n, f.first[Dial], budgets[Dial], f.first[Probe], budgets[Probe], f.first[List], budgets[List], f.first[Send], budgets[Send], f.perEach, f.full/ms)
+				c.name, n, f.first[Dial], budgets[Dial], f.first[Probe], budgets[Probe], f.first[ListCall], budgets[ListCall], f.first[Send], budgets[Send], f.perEach, f.full/ms)
 			for k, n := range f.first {
 				if float64(n) > 1.2*budgets[k] {
 					t.Errorf("%s: %d of %s in the first second, %v is the budget", c.name, n, Kind(k), budgets[k])
 				}
 			}
-			if f.spent[Send] == 0 || f.spent[List] == 0 || f.full == 0 {
+			if f.spent[Send] == 0 || f.spent[ListCall] == 0 || f.full == 0 {
 				t.Errorf("%s: %+v: the check says nothing", c.name, f.spent)
 			}
 			if f.perEach > 1.2*small.perEach || f.full > 5*second || f.full > 2*small.full {
@@ -203,9 +204,9 @@
 // With budgets that stay as the fleet grows, time to full service grows, and the first second stays within them.
 func TestFixedBudgets(t *testing.T) {
 	for _, n := range []int{10, 100, 1000} {
-		budgets := [Kinds]float64{2000, 1000, 200, 100, 5000}
+		budgets := [KindCount]float64{2000, 1000, 200, 100, 5000}
 		f := play(t, n, n, true, budgets, 10)
-		t.Logf("%d routers: first second: dials %d, list calls %d, sends %d; whole after %d ms", n, f.first[Dial], f.first[List], f.first[Send], f.full/ms)
+		t.Logf("%d routers: first second: dials %d, list calls %d, sends %d; whole after %d ms", n, f.first[Dial], f.first[ListCall], f.first[Send], f.full/ms)
 		for k, n := range f.first {
 			if float64(n) > 1.2*budgets[k] {
 				t.Errorf("%d of %s in the first second, %v is the budget", n, Kind(k), budgets[k])
@@ -219,7 +220,7 @@
 func jam(r *Recovery, on bool) (calm, during, after float64) {
 	const wait, patience, capacity, load, room = 250 * ms, second, 1000.0, 850.0, 400
 	type job struct {
-		left, tried Nanos // when its client leaves; when this attempt began
+		left, tried clock.Nanos // when its client leaves; when this attempt began
 		first       bool
 	}
 	var queue []job
@@ -241,7 +242,7 @@
 		}
 		send := func(j job) bool {
 			again := !j.first
-			if on && r.Send(now, Attempt{Server: server, Again: again, Until: min(j.left, now+wait)}) != Free {
+			if on && r.Send(now, Attempt{Server: server, IsRetry: again, Until: min(j.left, now+wait)}) != Allowed {
 				return false
 			}
 			if j.tried = now; len(queue) < room { // beyond it nothing is heard
@@ -300,7 +301,7 @@
 // A metastable failure: a trigger of five seconds, after which retries alone keep a queue full of work for nobody. With the
 // budget of retries, and work that can't be in time left out, service is back by itself; without, it never is.
 func TestMetastable(t *testing.T) {
-	r := must(t, Usual("a", 1, 1), 0)
+	r := must(t, DefaultSettings("a", 1, 1), 0)
 	serve(r, 5*second)
 	calm, _, stuck := jam(nil, false)
 	_, during, after := jam(r, true)
@@ -314,13 +315,13 @@
 }
 
 func BenchmarkSend(b *testing.B) {
-	r := must(b, Usual("a", 1, 7), 0)
+	r := must(b, DefaultSettings("a", 1, 7), 0)
 	now := serve(r, 5*second)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1000
-		a := Attempt{Server: uint32(now % 9), Again: now%7000 == 0, Until: now + second}
-		if r.Send(now, a) == Free {
+		a := Attempt{Server: uint32(now % 9), IsRetry: now%7000 == 0, Until: now + second}
+		if r.Send(now, a) == Allowed {
 			r.Ended(now, a, true, ms)
 		}
 	}
--- a/policy/recovery/stage.go
+++ b/policy/recovery/stage.go
@@ -1,160 +1,162 @@
 package recovery
 
+import "lotushook/policy/clock"
+
 // Recovery is one router's. It belongs to one goroutine, or to one lock; what it holds follows from the settings.
 type Recovery struct {
-	set     Settings
-	now     Nanos
-	started Nanos
-	stage   Stage
-	since   Nanos // of the stage
-	proven  bool  // the stage was reached by proof
-	listed  bool
-	fed     bool
-	viewed  bool  // enough of the others are seen to say who returns
-	back    int   // how many return
-	till    Nanos // until then a router that serves leaves room for them
-	proofs  int
+	settings         Settings
+	now              clock.Nanos
+	started          clock.Nanos
+	stage            Stage
+	stageSince       clock.Nanos // of the stage
+	proven           bool        // the stage was reached by proof
+	listed           bool
+	caughtUp         bool
+	seesMajority     bool        // enough of the others are seen to say who returns
+	returning        int         // how many return
+	peersReturnUntil clock.Nanos // until then a router that serves leaves room for them
+	successes        int
 
-	ramp      float64 // times its part of the first sends
-	stepAt    Nanos   // the present step's start
-	good, bad int     // ends of attempts in it
-	denied    Nanos   // the last send that the budget denied
-	last      [Kinds]Nanos
-	phase     [Kinds]float64
-	tokens    float64 // of sends
-	tokensAt  Nanos
-	retries   retries
-	times     times
-	returns   returns
-	counts    [Reasons]int64
-	salt      uint64
+	ramp              float64     // times its part of the first sends
+	stepAt            clock.Nanos // the present step's start
+	succeeded, failed int         // ends of attempts in it
+	deniedAt          clock.Nanos // the last send that the budget denied
+	lastTurn          [KindCount]clock.Nanos
+	phase             [KindCount]float64
+	tokens            float64 // of sends
+	tokensAt          clock.Nanos
+	retries           retryBudget
+	responseTimes     responseTimes
+	retryAfters       retryAfterCalendar
+	counts            [ReasonCount]int64
+	salt              uint64
 }
 
 // New returns the recovery of a router that has just started.
-func New(s Settings, now Nanos) (*Recovery, error) {
+func New(s Settings, now clock.Nanos) (*Recovery, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	r := &Recovery{set: s, now: now, started: now, since: now, proven: true, back: s.Routers, ramp: 1, tokensAt: now, times: newTimes(s.Places),
-		salt: hash(s.Name, "", s.Boot)}
+	r := &Recovery{settings: s, now: now, started: now, stageSince: now, proven: true, returning: s.Routers, ramp: 1, tokensAt: now, responseTimes: newResponseTimes(s.TrackedTimes),
+		salt: hash(s.Name, "", s.Epoch)}
 	for k := range r.phase {
-		r.phase[k] = fraction(hash(s.Name, kindNames[k], s.Boot))
-		r.last[k] = -1 << 62
+		r.phase[k] = fraction(hash(s.Name, kindNames[k], s.Epoch))
+		r.lastTurn[k] = -1 << 62
 	}
-	r.returns.at, r.retries.at, r.retries.paid, r.stepAt, r.till = now, now, now, now, now+s.Together
+	r.retryAfters.startsAt, r.retries.at, r.retries.floorPaidUntil, r.stepAt, r.peersReturnUntil = now, now, now, now, now+s.RestartWindow
 	return r, nil
 }
 
-// Listed notes that a list of data servers is in hand.
-func (r *Recovery) Listed(now Nanos) {
+// ListReceived notes that a list of data servers is in hand.
+func (r *Recovery) ListReceived(now clock.Nanos) {
 	r.listed = true
 	r.Tick(now)
 }
 
-// Fed notes that this router has all that it will be fed: a peer has told it everything, or a copy on disk was read.
-func (r *Recovery) Fed(now Nanos) {
-	r.fed = true
+// CaughtUp notes that this router has all that it will be fed: a peer has told it everything, or a copy on disk was read.
+func (r *Recovery) CaughtUp(now clock.Nanos) {
+	r.caughtUp = true
 	r.Tick(now)
 }
 
-// FeedLost notes that who fed this router has gone before the end. It waits for another, no longer than the bound.
-func (r *Recovery) FeedLost(now Nanos) {
-	if r.stage == Empty {
-		r.fed = false
+// CatchUpLost notes that who fed this router has gone before the end. It waits for another, no longer than the bound.
+func (r *Recovery) CatchUpLost(now clock.Nanos) {
+	if r.stage == Starting {
+		r.caughtUp = false
 	}
 	r.Tick(now)
 }
 
 // Ended notes how an attempt has ended: done, or not. One that was never sent is not told.
-func (r *Recovery) Ended(now Nanos, a Attempt, done bool, took Nanos) {
+func (r *Recovery) Ended(now clock.Nanos, a Attempt, done bool, took clock.Nanos) {
 	r.Tick(now)
 	if !done {
-		r.bad++
+		r.failed++
 		return
 	}
-	r.good++
-	r.proofs++
-	r.retries.success(now)
-	r.times.add(now, a.Server, a.Class, took)
+	r.succeeded++
+	r.successes++
+	r.retries.addSuccess(now)
+	r.responseTimes.add(now, a.Server, a.Class, took)
 	r.Tick(now)
 }
 
 // Tick moves on with time. Every other call does so too; before it serves, a router that has nothing else to do calls it within
 // each Pause. A router that was stopped goes on where it was: what it waits for can't have come meanwhile.
-func (r *Recovery) Tick(now Nanos) {
+func (r *Recovery) Tick(now clock.Nanos) {
 	if now < r.now { // a clock that goes back stands still here
 		now = r.now
 	}
-	if gap := now - r.now; gap > r.set.Pause && r.stage < Serving {
-		r.since += gap
+	if gap := now - r.now; gap > r.settings.MaxTickGap && r.stage < Serving {
+		r.stageSince += gap
 		r.stepAt += gap
-		r.denied += gap
+		r.deniedAt += gap
 		r.tokensAt += gap
 	}
 	r.now = now
 	for r.stage < Serving {
-		bound := r.since + r.set.Bounds[r.stage]
+		bound := r.stageSince + r.settings.StageTimeouts[r.stage]
 		switch {
-		case r.stage == Fed && !r.set.Fellows: // there is nothing to wait for
-			r.enter(Proving, r.since, true)
-		case r.ends(now):
+		case r.stage == Restored && !r.settings.SeesPeers: // there is nothing to wait for
+			r.enter(Proving, r.stageSince, true)
+		case r.stageProven(now):
 			r.enter(r.stage+1, now, true)
 		case now >= bound: // from when it was over, however late this was looked at
 			r.enter(r.stage+1, bound, false)
 		default:
-			r.climb(now)
+			r.advanceRamp(now)
 			return
 		}
 	}
 }
 
-// ends says whether what the present stage waits for is proven.
-func (r *Recovery) ends(now Nanos) bool {
+// stageProven says whether what the present stage waits for is proven.
+func (r *Recovery) stageProven(now clock.Nanos) bool {
 	switch r.stage {
-	case Empty:
-		return r.listed && (r.fed || !r.set.Feeders)
-	case Fed:
-		return r.viewed
+	case Starting:
+		return r.listed && (r.caughtUp || !r.settings.CanCatchUp)
+	case Restored:
+		return r.seesMajority
 	case Proving:
-		return r.proofs >= r.set.Proofs
+		return r.successes >= r.settings.MinSuccesses
 	case Ramping:
-		return r.good > 0 && now-max(r.denied, r.since) >= r.set.Calm
+		return r.succeeded > 0 && now-max(r.deniedAt, r.stageSince) >= r.settings.RampQuiet
 	}
 	return false
 }
 
-func (r *Recovery) enter(s Stage, at Nanos, proven bool) {
-	r.stage, r.since, r.proven, r.stepAt = s, at, proven, at
-	r.proofs, r.good, r.bad = 0, 0, 0
+func (r *Recovery) enter(s Stage, at clock.Nanos, proven bool) {
+	r.stage, r.stageSince, r.proven, r.stepAt = s, at, proven, at
+	r.successes, r.succeeded, r.failed = 0, 0, 0
 	if s == Proving { // from nothing, by chance up to one: all that return start alike
 		r.tokens, r.tokensAt = r.phase[Send], at
 	}
 	if s == Ramping {
-		r.stepAt = at + second - r.set.Step // the first second is the budget's
+		r.stepAt = at + second - r.settings.RampStep // the first second is the budget's
 	}
 }
 
-// climb doubles a ramp step by step while nearly all answers come, and halves it, not below its start, while most don't.
-func (r *Recovery) climb(now Nanos) {
-	if r.stage != Ramping || now-r.stepAt < r.set.Step {
+// advanceRamp doubles a ramp step by step while nearly all answers come, and halves it, not below its start, while most don't.
+func (r *Recovery) advanceRamp(now clock.Nanos) {
+	if r.stage != Ramping || now-r.stepAt < r.settings.RampStep {
 		return
 	}
 	r.refill(now)
-	switch ends := r.good + r.bad; {
+	switch ends := r.succeeded + r.failed; {
 	case ends == 0:
-	case 5*r.good >= 4*ends:
+	case 5*r.succeeded >= 4*ends:
 		r.ramp *= 2
-	case 2*r.good < ends:
+	case 2*r.succeeded < ends:
 		r.ramp = max(1, r.ramp/2)
 	}
-	r.stepAt, r.good, r.bad = now, min(r.good, 1), 0
+	r.stepAt, r.succeeded, r.failed = now, min(r.succeeded, 1), 0
 }
 
 // Stage is the present stage.
 func (r *Recovery) Stage() Stage { return r.stage }
 
 // Report says how far this router is.
-func (r *Recovery) Report(now Nanos) Report {
+func (r *Recovery) Report(now clock.Nanos) Report {
 	r.Tick(now)
 	denied := map[string]int64{}
 	for why, n := range r.counts {
@@ -162,5 +164,5 @@
 			denied[Reason(why).String()] = n
 		}
 	}
-	return Report{Stage: r.stage.String(), SinceMS: (r.now - r.since) / 1e6, Returning: r.back, Part: r.part(), Proven: r.proven, Denied: denied}
+	return Report{Stage: r.stage.String(), SinceMS: (r.now - r.stageSince) / 1e6, Returning: r.returning, Part: r.share(), Proven: r.proven, Denied: denied}
 }
--- a/policy/shedding/agree.go
+++ b/policy/shedding/agree.go
@@ -2,58 +2,59 @@
 
 import (
 	"cmp"
+	"lotushook/policy/clock"
 	"slices"
 )
 
 // mostLoad and mostEpoch bound what a report may say.
 const (
-	mostLoad  = 1 << 24
-	mostEpoch = 1 << 62
-	enough    = 12 // fresh reports that stand for any number of routers
-	sample    = 16 // the most of which the mean is taken: as many others as internal/peer pushes to at a time
+	maxLoad       = 1 << 24
+	maxEpoch      = 1 << 62
+	quorumReports = 12 // fresh reports that stand for any number of routers
+	maxSample     = 16 // the most of which the mean is taken: as many others as internal/peer pushes to at a time
 )
 
-// Joined is what reports of one group say together.
-type Joined struct {
-	Level int    // the mean of the wishes, weighted by load
-	Epoch uint64 // the greatest
-	Heard int    // routers with a fresh report that count
-	Any   bool   // some wish is above 0
+// Merged is what reports of one group say together.
+type Merged struct {
+	Threshold   int    // the mean of the wishes, weighted by load
+	SaltEpoch   uint64 // the greatest
+	Heard       int    // routers with a fresh report that count
+	AnyShedding bool   // some wish is above 0
 }
 
-// Join is one answer for the same reports whatever their order, and whether some came twice: of each router the latest word of
+// Merge is one answer for the same reports whatever their order, and whether some came twice: of each router the latest word of
 // its latest start, if it is fresh; the older age of two copies of it holds, as ages tell too little of the way. Of many
 // routers the freshest tell the mean: all of them would tell what it was half a Fresh ago.
-func Join(reports []Report, fresh Nanos, most int) Joined {
-	var j Joined
+func Merge(reports []Report, fresh clock.Nanos, most int) Merged {
+	var j Merged
 	latest := make(map[string]*Report, len(reports))
 	for i := range reports {
 		r := &reports[i]
-		if r.Epoch < mostEpoch { // also of an old word: epochs only rise
-			j.Epoch = max(j.Epoch, r.Epoch)
+		if r.SaltEpoch < maxEpoch { // also of an old word: epochs only rise
+			j.SaltEpoch = max(j.SaltEpoch, r.SaltEpoch)
 		}
-		if old := latest[r.Name]; old == nil || old.compare(r) < 0 {
-			latest[r.Name] = r
+		if old := latest[r.Router]; old == nil || old.compare(r) < 0 {
+			latest[r.Router] = r
 		}
 	}
 	list := make([]*Report, 0, len(latest))
 	for _, r := range latest {
-		if r.Age >= 0 && r.Age <= fresh && !r.Out {
+		if r.Age >= 0 && r.Age <= fresh && !r.Excluded {
 			list = append(list, r)
 		}
 	}
-	if j.Heard = len(list); j.Heard > sample {
-		slices.SortFunc(list, func(x, y *Report) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Name, y.Name)) })
-		list = list[:sample]
+	if j.Heard = len(list); j.Heard > maxSample {
+		slices.SortFunc(list, func(x, y *Report) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Router, y.Router)) })
+		list = list[:maxSample]
 	}
 	sum, all := int64(0), int64(0)
 	for _, r := range list {
-		load, wish := max(0, min(mostLoad, r.Load))+1, max(0, min(most, r.Wish))
+		load, wish := max(0, min(maxLoad, r.Load))+1, max(0, min(most, r.Threshold))
 		sum, all = sum+load*int64(wish), all+load
-		j.Any = j.Any || wish > 0
+		j.AnyShedding = j.AnyShedding || wish > 0
 	}
 	if all > 0 {
-		j.Level = int((2*sum + all) / (2 * all)) // half is up
+		j.Threshold = int((2*sum + all) / (2 * all)) // half is up
 	}
 	return j
 }
@@ -66,21 +67,21 @@
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(r.Boot, s.Boot), cmp.Compare(r.Seq, s.Seq), cmp.Compare(r.Age, s.Age), cmp.Compare(r.Wish, s.Wish), cmp.Compare(r.Load, s.Load),
-		cmp.Compare(out(r.Out), out(s.Out)))
+	return cmp.Or(cmp.Compare(r.Epoch, s.Epoch), cmp.Compare(r.Seq, s.Seq), cmp.Compare(r.Age, s.Age), cmp.Compare(r.Threshold, s.Threshold), cmp.Compare(r.Load, s.Load),
+		cmp.Compare(out(r.Excluded), out(s.Excluded)))
 }
 
 // Tick goes on to now with what the others report, each group's level first and then, where it is time, this router's wish.
 // It returns what is to be told to the others. It wants to be called some times a Look.
-func (l *Lanes) Tick(now Nanos, sight Sight, reports []Report) []Report {
-	paused := now-l.ticked > l.set.Fresh || now < l.ticked
-	if l.ticked = now; paused {
-		l.woke = now
+func (l *Shedder) Tick(now clock.Nanos, sight Connectivity, reports []Report) []Report {
+	paused := now-l.tickedAt > l.settings.MaxReportAge || now < l.tickedAt
+	if l.tickedAt = now; paused {
+		l.resumedAt = now
 	}
-	l.turn(now)
+	l.rotateSalt(now)
 	byGroup := map[int64][]Report{}
 	for _, r := range reports {
-		if r.Name != l.set.Router {
+		if r.Router != l.settings.Router {
 			byGroup[r.Group] = append(byGroup[r.Group], r)
 			l.group(r.Group, now) // others feel its pressure before any request of it came here
 		}
@@ -89,40 +90,40 @@
 	for _, number := range l.numbers() {
 		g := l.groups[number]
 		if paused {
-			g.rest(now)
+			g.forgetPressure(now)
 		}
-		j := l.hear(number, g, byGroup[number], sight, now)
-		if now-g.looked < l.set.Look {
+		j := l.applyReports(number, g, byGroup[number], sight, now)
+		if now-g.lookedAt < l.settings.Interval {
 			continue
 		}
-		g.look(&l.set, &l.order, now)
-		if l.alone(g, now) {
-			g.level = g.wish
-		} else if g.wish > g.level && !g.whole {
-			g.level = g.wish // it may rise on its own
+		g.adjustThreshold(&l.settings, &l.order, now)
+		if l.isIsolated(g, now) {
+			g.threshold = g.ownThreshold
+		} else if g.ownThreshold > g.threshold && !g.hasQuorum {
+			g.threshold = g.ownThreshold // it may rise on its own
 		}
-		if g.mute++; j.Any || g.level > 0 || g.wish > 0 {
-			g.mute = 0
+		if g.quietLooks++; j.AnyShedding || g.threshold > 0 || g.ownThreshold > 0 {
+			g.quietLooks = 0
 		}
-		if g.spoke = l.set.Agreed && g.mute <= lastWords; g.spoke {
+		if g.reported = l.settings.Shared && g.quietLooks <= finalReports; g.reported {
 			g.seq++
-			out = append(out, Report{Group: number, Name: l.set.Router, Boot: l.set.Boot, Seq: g.seq, Load: int64(g.rate), Wish: g.wish, Epoch: l.epoch})
+			out = append(out, Report{Group: number, Router: l.settings.Router, Epoch: l.settings.Epoch, Seq: g.seq, Load: int64(g.rate), Threshold: g.ownThreshold, SaltEpoch: l.saltEpoch})
 		}
 	}
 	return out
 }
 
-const lastWords = 3 // a router says so often that there is nothing to shed any more
+const finalReports = 3 // a router says so often that there is nothing to shed any more
 
-// rest forgets what was felt before this router was stopped: it tells nothing of now.
-func (g *group) rest(now Nanos) {
-	g.change(now)
-	g.wholeAt = now // and nobody could be heard meanwhile
-	g.pressure, g.calm, g.looked, g.spoke, g.now = 0, 0, now, false, 0
+// forgetPressure forgets what was felt before this router was stopped: it tells nothing of now.
+func (g *group) forgetPressure(now clock.Nanos) {
+	g.resetSamples(now)
+	g.quorumAt = now // and nobody could be heard meanwhile
+	g.pressure, g.calmLooks, g.lookedAt, g.reported, g.newArrivals = 0, 0, now, false, 0
 }
 
 // numbers are the groups in order.
-func (l *Lanes) numbers() []int64 {
+func (l *Shedder) numbers() []int64 {
 	out := make([]int64, 0, len(l.groups))
 	for n := range l.groups {
 		out = append(out, n)
@@ -131,49 +132,49 @@
 	return out
 }
 
-// hear takes the others' reports of a group in, and moves its level. Only whole evidence makes it fall: this router is on
+// applyReports takes the others' reports of a group in, and moves its level. Only whole evidence makes it fall: this router is on
 // the larger side, hears and is heard, and knows what enough of the routers want now. Short of that it may rise.
-func (l *Lanes) hear(number int64, g *group, reports []Report, sight Sight, now Nanos) Joined {
-	if g.spoke {
-		reports = append(reports, Report{Group: number, Name: l.set.Router, Boot: l.set.Boot, Seq: g.seq, Age: max(0, now-g.looked), Load: int64(g.rate), Wish: g.wish})
+func (l *Shedder) applyReports(number int64, g *group, reports []Report, sight Connectivity, now clock.Nanos) Merged {
+	if g.reported {
+		reports = append(reports, Report{Group: number, Router: l.settings.Router, Epoch: l.settings.Epoch, Seq: g.seq, Age: max(0, now-g.lookedAt), Load: int64(g.rate), Threshold: g.ownThreshold})
 	}
-	j := Join(reports, l.set.Fresh, l.order.most)
-	if j.Epoch > l.epoch {
-		l.epoch, l.turned = j.Epoch, now
+	j := Merge(reports, l.settings.MaxReportAge, l.order.maxThreshold)
+	if j.SaltEpoch > l.saltEpoch {
+		l.saltEpoch, l.saltChangedAt = j.SaltEpoch, now
 	}
-	g.heard = j.Heard
-	need := min(l.set.Routers/2+1, enough)
-	g.whole = l.set.Agreed && j.Heard >= need && sight.Majority && !sight.CutOff &&
-		now-l.woke >= l.set.Fresh // what waited in its sockets while it was stopped looks fresh
-	if g.whole || g.level == 0 && g.wish == 0 {
-		g.wholeAt = now
+	g.reporters = j.Heard
+	need := min(l.settings.Routers/2+1, quorumReports)
+	g.hasQuorum = l.settings.Shared && j.Heard >= need && sight.Majority && !sight.Isolated &&
+		now-l.resumedAt >= l.settings.MaxReportAge // what waited in its sockets while it was stopped looks fresh
+	if g.hasQuorum || g.threshold == 0 && g.ownThreshold == 0 {
+		g.quorumAt = now
 	}
 	switch {
-	case g.whole:
-		g.level = j.Level
-	case l.alone(g, now):
+	case g.hasQuorum:
+		g.threshold = j.Threshold
+	case l.isIsolated(g, now):
 	default: // of those that say nothing it is not known that they would have more shed: they count for none
-		g.level = max(g.level, j.Level*min(j.Heard, need)/need)
+		g.threshold = max(g.threshold, j.Threshold*min(j.Heard, need)/need)
 	}
 	return j
 }
 
-// alone says whether this router goes by its own pressure.
-func (l *Lanes) alone(g *group, now Nanos) bool {
-	g.alone = !l.set.Agreed || now-g.wholeAt >= l.set.Alone
-	return g.alone
+// isIsolated says whether this router goes by its own pressure.
+func (l *Shedder) isIsolated(g *group, now clock.Nanos) bool {
+	g.isolated = !l.settings.Shared || now-g.quorumAt >= l.settings.IsolationTimeout
+	return g.isolated
 }
 
-// turn begins another epoch when the present one is over by this router's clock. Whoever is first tells the others with its
+// rotateSalt begins another epoch when the present one is over by this router's clock. Whoever is first tells the others with its
 // next report, and their own spans begin anew: no clock is compared with another, and the fastest one leads.
-func (l *Lanes) turn(now Nanos) {
+func (l *Shedder) rotateSalt(now clock.Nanos) {
 	switch {
-	case l.turned == 0 || now < l.turned:
-		l.turned = now
-	case now-l.turned >= l.set.Epoch && l.epoch < mostEpoch-1:
-		l.epoch, l.turned = l.epoch+1, now
+	case l.saltChangedAt == 0 || now < l.saltChangedAt:
+		l.saltChangedAt = now
+	case now-l.saltChangedAt >= l.settings.SaltPeriod && l.saltEpoch < maxEpoch-1:
+		l.saltEpoch, l.saltChangedAt = l.saltEpoch+1, now
 	}
 }
 
-// Epoch is the number of the present salt.
-func (l *Lanes) Epoch() uint64 { return l.epoch }
+// SaltEpoch is the number of the present salt.
+func (l *Shedder) SaltEpoch() uint64 { return l.saltEpoch }
--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"maps"
 	"slices"
 	"strings"
@@ -11,8 +12,8 @@
 
 // world is three routers before one group, and the reports under way between them; each event makes another one of it.
 type world struct {
-	now    Nanos
-	who    [3]*Lanes
+	now    clock.Nanos
+	who    [3]*Shedder
 	copies [3][3]said // what each knows of the others: their latest words
 	way    []said
 	asleep int // who is stopped; -1: nobody
@@ -25,8 +26,8 @@
 type said struct {
 	Report
 	from, to int
-	made     Nanos // when it was said, which no router can know
-	came     Nanos
+	made     clock.Nanos // when it was said, which no router can know
+	came     clock.Nanos
 }
 
 const (
@@ -34,13 +35,13 @@
 	onWay       = 3 // beyond it something must arrive or be lost first
 )
 
-func (l *Lanes) clone() *Lanes {
+func (l *Shedder) clone() *Shedder {
 	c := *l
-	c.owed, c.uses = maps.Clone(l.owed), [2]map[use]*bucket{maps.Clone(l.uses[0]), maps.Clone(l.uses[1])}
+	c.affinities, c.buckets = maps.Clone(l.affinities), [2]map[bucketKey]*bucket{maps.Clone(l.buckets[0]), maps.Clone(l.buckets[1])}
 	c.groups = map[int64]*group{}
 	for n, g := range l.groups {
 		h := *g
-		h.hist = slices.Clone(g.hist)
+		h.arrivals = slices.Clone(g.arrivals)
 		c.groups[n] = &h
 	}
 	return &c
@@ -59,9 +60,9 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, w.now, w.copies, w.way, w.asleep, w.split, w.used)
 	for _, l := range w.who {
-		fmt.Fprint(h, l.epoch, l.turned, l.ticked, l.woke)
+		fmt.Fprint(h, l.saltEpoch, l.saltChangedAt, l.tickedAt, l.resumedAt)
 		if g := l.groups[1]; g != nil {
-			fmt.Fprint(h, g.level, g.wish, g.spoke, g.seq, g.sum, g.n, g.since, g.looked, g.looks, g.calm, g.hot, g.able, g.good, g.wholeAt, g.pressure, g.mute)
+			fmt.Fprint(h, g.threshold, g.ownThreshold, g.reported, g.seq, g.endedShare, g.ended, g.thresholdSince, g.lookedAt, g.looks, g.calmLooks, g.highLooks, g.servedAtOverload, g.served, g.quorumAt, g.pressure, g.quietLooks)
 		}
 	}
 	return h.Sum64()
@@ -76,9 +77,9 @@
 			continue
 		}
 		for a := range uint64(6) {
-			if v := l.Ask(Request{Team: int(a % 3), Account: a, Group: 1, Part: 1}, c.now); v.Reason != Shed {
-				l.Begun(1, c.now, 100*ms)
-				l.Ended(1, v.Lane, "", End{Came: c.now, Took: 10 * ms, Aim: 100 * ms, Served: !hot}, c.now)
+			if v := l.Ask(Request{Team: int(a % 3), Account: a, Group: 1, Share: 1}, c.now); v.Reason != Shed {
+				l.RequestStarted(1, c.now, 100*ms)
+				l.RequestEnded(1, v.PriorityClass, "", End{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot}, c.now)
 			}
 		}
 		var reports []Report
@@ -90,7 +91,7 @@
 				reports = append(reports, s.Report)
 			}
 		}
-		for _, r := range l.Tick(c.now, Sight{Majority: i != c.split}, reports) {
+		for _, r := range l.Tick(c.now, Connectivity{Majority: i != c.split}, reports) {
 			for j := range c.who {
 				if j != i && i != c.split && j != c.split {
 					c.way = append(c.way, said{r, i, j, c.now, 0})
@@ -159,10 +160,10 @@
 		if g == nil {
 			continue
 		}
-		if g.level < 0 || g.level > l.order.most || l.epoch < before.who[i].epoch {
-			return fmt.Sprintf("%d has level %d of %d, epoch %d after %d", i, g.level, l.order.most, l.epoch, before.who[i].epoch)
+		if g.threshold < 0 || g.threshold > l.order.maxThreshold || l.saltEpoch < before.who[i].saltEpoch {
+			return fmt.Sprintf("%d has level %d of %d, epoch %d after %d", i, g.threshold, l.order.maxThreshold, l.saltEpoch, before.who[i].saltEpoch)
 		}
-		if was == nil || g.level >= was.level {
+		if was == nil || g.threshold >= was.threshold {
 			continue
 		}
 		fresh := 1
@@ -172,7 +173,7 @@
 			}
 		}
 		if fresh < 2 || i == w.split {
-			return fmt.Sprintf("the level of %d fell from %d to %d with %d fresh reports, cut off: %v", i, was.level, g.level, fresh, i == w.split)
+			return fmt.Sprintf("the level of %d fell from %d to %d with %d fresh reports, cut off: %v", i, was.threshold, g.threshold, fresh, i == w.split)
 		}
 	}
 	return ""
@@ -183,18 +184,18 @@
 	w := &world{now: 10 * second, asleep: -1, split: -1, old: old}
 	for i := range w.who {
 		s := three(fmt.Sprint("r", i), 3)
-		s.Look, s.Fresh = exploreLook, 250*ms
-		for j := range s.Lanes {
-			s.Lanes[j].PerS = 0
+		s.Interval, s.MaxReportAge = exploreLook, 250*ms
+		for j := range s.PriorityClasses {
+			s.PriorityClasses[j].PerS = 0
 		}
 		l := lanes(t, s)
-		l.ticked, l.turned, l.woke = w.now, w.now, 1
+		l.tickedAt, l.saltChangedAt, l.resumedAt = w.now, w.now, 1
 		g := l.group(1, w.now)
-		g.level, g.wish, g.spoke, g.seq, g.mute = 60, 60, true, 1, 0
+		g.threshold, g.ownThreshold, g.reported, g.seq, g.quietLooks = 60, 60, true, 1, 0
 		w.who[i] = l
 		for j := range w.who {
 			if j != i {
-				w.copies[j][i] = said{Report{Group: 1, Name: s.Router, Boot: 1, Seq: 1, Wish: 60}, i, j, w.now, w.now}
+				w.copies[j][i] = said{Report{Group: 1, Router: s.Router, Epoch: 1, Seq: 1, Threshold: 60}, i, j, w.now, w.now}
 			}
 		}
 	}
--- a/policy/shedding/lane.go
+++ b/policy/shedding/lane.go
@@ -3,112 +3,113 @@
 import (
 	"cmp"
 	"hash/fnv"
+	"lotushook/policy/clock"
 	"maps"
 	"slices"
 )
 
-// Lanes hold what accounts have used and the levels of groups, and decide. One goroutine owns them.
-type Lanes struct {
-	set    Settings
-	order  order
-	uses   [2]map[use]*bucket // the younger first: where it is full the older is forgotten, and its accounts start anew
-	owed   map[string]debt
-	debts  []string // the oldest first
-	groups map[int64]*group
-	epoch  uint64
-	turned Nanos // when the epoch was last another one
-	ticked Nanos
-	woke   Nanos // it was stopped, or started, until then
-	counts [MostLanes][Reasons]uint64
-	full   uint64
+// Shedder hold what accounts have used and the levels of groups, and decide. One goroutine owns them.
+type Shedder struct {
+	settings      Settings
+	order         shedOrder
+	buckets       [2]map[bucketKey]*bucket // the younger first: where it is full the older is forgotten, and its accounts start anew
+	affinities    map[string]writeAffinity
+	affinityOrder []string // the oldest first
+	groups        map[int64]*group
+	saltEpoch     uint64
+	saltChangedAt clock.Nanos // when the epoch was last another one
+	tickedAt      clock.Nanos
+	resumedAt     clock.Nanos // it was stopped, or started, until then
+	counts        [MaxPriorityClasses][ReasonCount]uint64
+	ungrouped     uint64
 }
 
-type use struct {
-	account uint64
-	lane    int
+type bucketKey struct {
+	account  uint64
+	priority int
 }
 
-// debt is the lane of a write that may be repeated, or read after.
-type debt struct {
-	lane int
-	at   Nanos
+// writeAffinity is the lane of a write that may be repeated, or read after.
+type writeAffinity struct {
+	priority int
+	at       clock.Nanos
 }
 
 // New returns lanes in which nobody has used anything, and levels that shed nobody.
-func New(s Settings) (*Lanes, error) {
-	l := &Lanes{owed: map[string]debt{}, groups: map[int64]*group{}, uses: [2]map[use]*bucket{{}, {}}}
+func New(s Settings) (*Shedder, error) {
+	l := &Shedder{affinities: map[string]writeAffinity{}, groups: map[int64]*group{}, buckets: [2]map[bucketKey]*bucket{{}, {}}}
 	return l, l.Set(s)
 }
 
 // Set puts other settings in force in one step. What was used stays used; levels begin anew where the lanes are others.
-func (l *Lanes) Set(s Settings) error {
+func (l *Shedder) Set(s Settings) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
-	if !slices.Equal(l.set.Lanes, s.Lanes) {
+	if !slices.Equal(l.settings.PriorityClasses, s.PriorityClasses) {
 		clear(l.groups)
-		l.counts = [MostLanes][Reasons]uint64{}
-		l.uses = [2]map[use]*bucket{{}, {}}
-		clear(l.owed)
-		l.debts = nil
+		l.counts = [MaxPriorityClasses][ReasonCount]uint64{}
+		l.buckets = [2]map[bucketKey]*bucket{{}, {}}
+		clear(l.affinities)
+		l.affinityOrder = nil
 	}
-	for i := range l.uses { // teams may have other numbers now
-		maps.DeleteFunc(l.uses[i], func(k use, _ *bucket) bool { return k.lane < 0 })
+	for i := range l.buckets { // teams may have other numbers now
+		maps.DeleteFunc(l.buckets[i], func(k bucketKey, _ *bucket) bool { return k.priority < 0 })
 	}
-	l.set, l.order = s, newOrder(s.Lanes)
+	l.settings, l.order = s, newShedOrder(s.PriorityClasses)
 	return nil
 }
 
-// order is who is shed before whom. The first positions of each lane but the best go first, the worst lane before the others;
+// shedOrder is who is shed before whom. The first positions of each lane but the best go first, the worst lane before the others;
 // then the last positions of these lanes, which are their least shares; then the best lane. So one number cuts all lanes.
-type order struct {
-	free  [MostLanes]int // positions that are not of the least share
-	first [MostLanes]int // where these begin
-	least [MostLanes]int // where the least share begins
-	most  int            // the greatest level: the best lane's least share is never shed
-	whole int
+type shedOrder struct {
+	unreserved    [MaxPriorityClasses]int // positions that are not of the least share
+	first         [MaxPriorityClasses]int // where these begin
+	reservedFirst [MaxPriorityClasses]int // where the least share begins
+	maxThreshold  int                     // the greatest level: the best lane's least share is never shed
+	size          int
 }
 
-func newOrder(lanes []Lane) order {
-	var o order
+func newShedOrder(lanes []PriorityClass) shedOrder {
+	var o shedOrder
 	at := 0
 	for i, l := range lanes {
-		o.free[i] = Steps - int(l.Least*Steps+0.5)
-		if l.Least > 0 {
-			o.free[i] = min(o.free[i], Steps-1)
+		o.unreserved[i] = Steps - int(l.ReservedShare*Steps+0.5)
+		if l.ReservedShare > 0 {
+			o.unreserved[i] = min(o.unreserved[i], Steps-1)
 		}
 	}
 	for i := len(lanes) - 1; i > 0; i-- {
-		o.first[i], at = at, at+o.free[i]
+		o.first[i], at = at, at+o.unreserved[i]
 	}
 	for i := len(lanes) - 1; i > 0; i-- {
-		o.least[i], at = at, at+Steps-o.free[i]
+		o.reservedFirst[i], at = at, at+Steps-o.unreserved[i]
 	}
-	o.first[0], o.least[0] = at, at+o.free[0]
-	o.most, o.whole = o.least[0], at+Steps
+	o.first[0], o.reservedFirst[0] = at, at+o.unreserved[0]
+	o.maxThreshold, o.size = o.reservedFirst[0], at+Steps
 	return o
 }
 
-// native is where a position of a lane stands.
-func (o *order) native(lane, position int) int {
-	if position < o.free[lane] {
+// standing is where a position of a lane stands.
+func (o *shedOrder) standing(lane, position int) int {
+	if position < o.unreserved[lane] {
 		return o.first[lane] + position
 	}
-	return o.least[lane] + position - o.free[lane]
+	return o.reservedFirst[lane] + position - o.unreserved[lane]
 }
 
-// fallen is where it stands for a request that fell into the lane: never among the least share, which is the lane's own.
-func (o *order) fallen(lane, position int) int {
-	return o.first[lane] + position*o.free[lane]/Steps
+// downgradedStanding is where it stands for a request that fell into the lane: never among the least share, which is the lane's own.
+func (o *shedOrder) downgradedStanding(lane, position int) int {
+	return o.first[lane] + position*o.unreserved[lane]/Steps
 }
 
-// last is the place in a lane that is shed last.
-func (o *order) last(lane int) int { return o.native(lane, Steps-1) }
+// lastStanding is the place in a lane that is shed last.
+func (o *shedOrder) lastStanding(lane int) int { return o.standing(lane, Steps-1) }
 
-// lane is whose place a standing is.
-func (o *order) lane(lanes, standing int) int {
+// priorityClassAt is whose place a standing is.
+func (o *shedOrder) priorityClassAt(lanes, standing int) int {
 	for i := range lanes {
-		if standing >= o.first[i] && standing < o.first[i]+o.free[i] || standing >= o.least[i] && standing < o.least[i]+Steps-o.free[i] {
+		if standing >= o.first[i] && standing < o.first[i]+o.unreserved[i] || standing >= o.reservedFirst[i] && standing < o.reservedFirst[i]+Steps-o.unreserved[i] {
 			return i
 		}
 	}
@@ -118,11 +119,11 @@
 // Account is the number of an account. A request without a session is its team's.
 func (s *Settings) Account(team, session string) uint64 {
 	h := fnv.New64a()
-	if s.By != BySession || session == "" {
+	if s.AccountKey != BySession || session == "" {
 		h.Write([]byte(team))
 		h.Write([]byte{0})
 	}
-	if s.By != ByTeam {
+	if s.AccountKey != ByTeam {
 		h.Write([]byte(session))
 	}
 	return h.Sum64()
@@ -147,74 +148,74 @@
 }
 
 // salt is the same at all routers of an epoch, and another at each that goes alone.
-func (l *Lanes) salt() uint64 {
-	s := mix(l.epoch + 0x9e3779b97f4a7c15)
-	if !l.set.Agreed {
+func (l *Shedder) salt() uint64 {
+	s := mix(l.saltEpoch + 0x9e3779b97f4a7c15)
+	if !l.settings.Shared {
 		h := fnv.New64a()
-		h.Write([]byte(l.set.Router))
+		h.Write([]byte(l.settings.Router))
 		s ^= h.Sum64()
 	}
 	return s
 }
 
 // Position is where an account stands in any lane, in this epoch.
-func (l *Lanes) Position(account uint64) int { return int(mix(account^l.salt()) % Steps) }
+func (l *Shedder) Position(account uint64) int { return int(mix(account^l.salt()) % Steps) }
 
 // Ask decides on a request that has just come.
-func (l *Lanes) Ask(r Request, now Nanos) Verdict {
-	own := len(l.set.Lanes) - 1
+func (l *Shedder) Ask(r Request, now clock.Nanos) Verdict {
+	own := len(l.settings.PriorityClasses) - 1
 	var team Team
-	if r.Team >= 0 && r.Team < len(l.set.Teams) {
-		team = l.set.Teams[r.Team]
-		own = team.Lane
+	if r.Team >= 0 && r.Team < len(l.settings.Teams) {
+		team = l.settings.Teams[r.Team]
+		own = team.PriorityClass
 	}
-	v := Verdict{Reason: Above, Lane: own}
-	if lane, ok := l.owes(r, own, now); ok {
-		v.Reason, v.Lane, v.Standing = Owed, lane, l.order.last(lane)
+	v := Verdict{Reason: AboveThreshold, PriorityClass: own}
+	if lane, ok := l.affinityOf(r, own, now); ok {
+		v.Reason, v.PriorityClass, v.Standing = FollowsWrite, lane, l.order.lastStanding(lane)
 	} else {
 		position, fits := l.Position(r.Account), false
-		v.Lane, fits = l.entitled(r, team, own, now)
+		v.PriorityClass, fits = l.takeEntitlement(r, team, own, now)
 		switch {
 		case !fits: // beyond the last lane's too
-			v.Reason, v.Standing = Fell, l.order.first[v.Lane]
-		case v.Lane == own:
-			v.Standing = l.order.native(own, position)
+			v.Reason, v.Standing = Downgraded, l.order.first[v.PriorityClass]
+		case v.PriorityClass == own:
+			v.Standing = l.order.standing(own, position)
 		default:
-			v.Reason, v.Standing = Fell, l.order.fallen(v.Lane, position)
+			v.Reason, v.Standing = Downgraded, l.order.downgradedStanding(v.PriorityClass, position)
 		}
 	}
 	if g := l.group(r.Group, now); g != nil {
-		g.came(v.Standing, r.Again)
-		if v.Level = g.level; v.Standing < g.level {
-			v.Reason, v.Wait = Shed, l.wait(r.Account, v.Lane)
+		g.addArrival(v.Standing, r.IsRetry)
+		if v.Threshold = g.threshold; v.Standing < g.threshold {
+			v.Reason, v.RetryAfter = Shed, l.retryAfter(r.Account, v.PriorityClass)
 		}
 	}
-	l.counts[v.Lane][v.Reason]++
+	l.counts[v.PriorityClass][v.Reason]++
 	return v
 }
 
-// owes says whether a request belongs to a write that went before it, and in which lane that was.
-func (l *Lanes) owes(r Request, own int, now Nanos) (lane int, ok bool) {
-	for _, name := range [2]string{r.Key, r.Reads} {
-		if d, found := l.owed[name]; name != "" && found && now-d.at < l.set.OweFor {
-			return d.lane, true
+// affinityOf says whether a request belongs to a write that went before it, and in which lane that was.
+func (l *Shedder) affinityOf(r Request, own int, now clock.Nanos) (lane int, ok bool) {
+	for _, name := range [2]string{r.Key, r.ReadSession} {
+		if d, found := l.affinities[name]; name != "" && found && now-d.at < l.settings.WriteAffinity {
+			return d.priority, true
 		}
 	}
-	return own, r.Own // another router took the write: in which lane is not known here, so its account's
+	return own, r.WroteElsewhere // another router took the write: in which lane is not known here, so its account's
 }
 
-// entitled finds the lane whose entitlement covers a request, from the account's own downwards, and takes it.
-func (l *Lanes) entitled(r Request, team Team, own int, now Nanos) (lane int, fits bool) {
-	for lane = own; lane < len(l.set.Lanes); lane++ {
-		set := &l.set.Lanes[lane]
+// takeEntitlement finds the lane whose entitlement covers a request, from the account's own downwards, and takes it.
+func (l *Shedder) takeEntitlement(r Request, team Team, own int, now clock.Nanos) (lane int, fits bool) {
+	for lane = own; lane < len(l.settings.PriorityClasses); lane++ {
+		set := &l.settings.PriorityClasses[lane]
 		var mine, all *bucket
 		if set.PerS > 0 {
-			if mine = l.bucket(use{r.Account, lane}, now, set.PerS*r.Part); !mine.has(set.Burst) {
+			if mine = l.bucket(bucketKey{r.Account, lane}, now, set.PerS*r.Share); !mine.has(set.Burst) {
 				continue
 			}
 		}
 		if lane == own && team.PerS > 0 {
-			if all = l.bucket(use{uint64(r.Team), -1}, now, team.PerS*r.Part); !all.has(team.Burst) {
+			if all = l.bucket(bucketKey{uint64(r.Team), -1}, now, team.PerS*r.Share); !all.has(team.Burst) {
 				continue
 			}
 		}
@@ -226,28 +227,28 @@
 		}
 		return lane, true
 	}
-	return len(l.set.Lanes) - 1, false
+	return len(l.settings.PriorityClasses) - 1, false
 }
 
 // bucket is a token bucket that starts full.
 type bucket struct {
 	spent float64
-	at    Nanos
+	at    clock.Nanos
 }
 
 func (b *bucket) has(burst float64) bool { return b.spent+1 <= burst+1e-9 }
 
 // bucket is what an account has used of a lane, filled at a rate up to now.
-func (l *Lanes) bucket(k use, now Nanos, rate float64) *bucket {
-	b := l.uses[0][k]
+func (l *Shedder) bucket(k bucketKey, now clock.Nanos, rate float64) *bucket {
+	b := l.buckets[0][k]
 	if b == nil {
-		if len(l.uses[0]) >= l.set.Accounts {
-			l.uses[0], l.uses[1] = map[use]*bucket{}, l.uses[0]
+		if len(l.buckets[0]) >= l.settings.MaxAccounts {
+			l.buckets[0], l.buckets[1] = map[bucketKey]*bucket{}, l.buckets[0]
 		}
-		if b = l.uses[1][k]; b == nil {
+		if b = l.buckets[1][k]; b == nil {
 			b = &bucket{at: now}
 		}
-		l.uses[0][k] = b
+		l.buckets[0][k] = b
 	}
 	if now > b.at {
 		b.spent = max(0, b.spent-rate*float64(now-b.at)/1e9)
@@ -256,68 +257,68 @@
 	return b
 }
 
-// wait is when a shed account may come again: sooner in a better lane, and spread, so that they don't return together.
-func (l *Lanes) wait(account uint64, lane int) Nanos {
-	longest := min(l.set.ComeBack, l.set.LongBack)
-	window := float64(longest) * float64(lane+1) / float64(len(l.set.Lanes))
-	return Nanos(window * (0.5 + 0.5*float64(mix(account^0x5bd1e995)>>11)/(1<<53)))
+// retryAfter is when a shed account may come again: sooner in a better lane, and spread, so that they don't return together.
+func (l *Shedder) retryAfter(account uint64, lane int) clock.Nanos {
+	longest := min(l.settings.MaxRetryAfter, l.settings.PlatformMaxRetryAfter)
+	window := float64(longest) * float64(lane+1) / float64(len(l.settings.PriorityClasses))
+	return clock.Nanos(window * (0.5 + 0.5*float64(mix(account^0x5bd1e995)>>11)/(1<<53)))
 }
 
-// owe remembers the lane of a write; the oldest is forgotten where there are too many.
-func (l *Lanes) owe(name string, lane int, now Nanos) {
+// addAffinity remembers the lane of a write; the oldest is forgotten where there are too many.
+func (l *Shedder) addAffinity(name string, lane int, now clock.Nanos) {
 	if name == "" {
 		return
 	}
-	if _, ok := l.owed[name]; !ok {
-		l.debts = append(l.debts, name)
+	if _, ok := l.affinities[name]; !ok {
+		l.affinityOrder = append(l.affinityOrder, name)
 	}
-	l.owed[name] = debt{lane, now}
-	for len(l.debts) > l.set.Owed {
-		delete(l.owed, l.debts[0])
-		l.debts = l.debts[1:]
+	l.affinities[name] = writeAffinity{lane, now}
+	for len(l.affinityOrder) > l.settings.MaxWriteAffinities {
+		delete(l.affinities, l.affinityOrder[0])
+		l.affinityOrder = l.affinityOrder[1:]
 	}
 }
 
-// Begun notes that a request which was taken here is open now; Ended must follow.
-func (l *Lanes) Begun(group int64, came, aim Nanos) {
+// RequestStarted notes that a request which was taken here is open now; Ended must follow.
+func (l *Shedder) RequestStarted(group int64, came, aim clock.Nanos) {
 	if g := l.groups[group]; g != nil && aim > 0 {
-		g.begin(came, aim)
+		g.requestStarted(came, aim)
 	}
 }
 
-// Ended takes in how a request ended that had begun; lane and key are its verdict's and its own.
-func (l *Lanes) Ended(group int64, lane int, key string, e End, now Nanos) {
+// RequestEnded takes in how a request ended that had begun; lane and key are its verdict's and its own.
+func (l *Shedder) RequestEnded(group int64, lane int, key string, e End, now clock.Nanos) {
 	if key != "" && !e.Served && e.MayRun {
-		l.owe(key, lane, now)
+		l.addAffinity(key, lane, now)
 	}
-	if e.Served && e.Wrote != "" {
-		l.owe(e.Wrote, lane, now)
+	if e.Served && e.SessionWritten != "" {
+		l.addAffinity(e.SessionWritten, lane, now)
 	}
-	if g := l.groups[group]; g != nil && e.Aim > 0 {
-		g.end(e)
+	if g := l.groups[group]; g != nil && e.LatencyObjective > 0 {
+		g.requestEnded(e)
 	}
 }
 
 // group is a group's state. Where too many are remembered one goes that sheds nobody and has nothing open; failing that the
 // group has none, and its requests pass as they would without lanes: it is counted.
-func (l *Lanes) group(number int64, now Nanos) *group {
+func (l *Shedder) group(number int64, now clock.Nanos) *group {
 	g := l.groups[number]
 	if g == nil {
-		if len(l.groups) >= l.set.Groups && !l.forget() {
-			l.full++
+		if len(l.groups) >= l.settings.MaxGroups && !l.evictGroup() {
+			l.ungrouped++
 			return nil
 		}
-		g = newGroup(now, l.order.whole)
+		g = newGroup(now, l.order.size)
 		l.groups[number] = g
 	}
 	return g
 }
 
-// forget makes room for a group, by number so that the same always goes.
-func (l *Lanes) forget() bool {
+// evictGroup makes room for a group, by number so that the same always goes.
+func (l *Shedder) evictGroup() bool {
 	least, found := int64(0), false
 	for n, g := range l.groups {
-		if g.level == 0 && g.wish == 0 && g.open == 0 && (!found || n < least) {
+		if g.threshold == 0 && g.ownThreshold == 0 && g.open == 0 && (!found || n < least) {
 			least, found = n, true
 		}
 	}
@@ -325,21 +326,21 @@
 	return found
 }
 
-// Full counts requests that passed because their group found no room.
-func (l *Lanes) Full() uint64 { return l.full }
+// Ungrouped counts requests that passed because their group found no room.
+func (l *Shedder) Ungrouped() uint64 { return l.ungrouped }
 
 // Size is how many budgets, debts and groups are remembered.
-func (l *Lanes) Size() (budgets, debts, groups int) {
-	return len(l.uses[0]) + len(l.uses[1]), len(l.debts), len(l.groups)
+func (l *Shedder) Size() (budgets, debts, groups int) {
+	return len(l.buckets[0]) + len(l.buckets[1]), len(l.affinityOrder), len(l.groups)
 }
 
 // States are the levels as they stand, by group.
-func (l *Lanes) States() []State {
+func (l *Shedder) States() []State {
 	var out []State
 	for n, g := range l.groups {
-		s := State{Group: n, Level: g.level, Most: l.order.most, Wish: g.wish, Epoch: l.epoch, Heard: g.heard, Whole: g.whole, Alone: g.alone, Pressure: g.pressure, PerS: int64(g.rate)}
-		if g.level > 0 {
-			s.Lane = l.set.Lanes[l.order.lane(len(l.set.Lanes), g.level-1)].Name
+		s := State{Group: n, Threshold: g.threshold, MaxThreshold: l.order.maxThreshold, OwnThreshold: g.ownThreshold, SaltEpoch: l.saltEpoch, Heard: g.reporters, Quorum: g.hasQuorum, Isolated: g.isolated, Pressure: g.pressure, PerS: int64(g.rate)}
+		if g.threshold > 0 {
+			s.PriorityClass = l.settings.PriorityClasses[l.order.priorityClassAt(len(l.settings.PriorityClasses), g.threshold-1)].Name
 		}
 		out = append(out, s)
 	}
@@ -348,11 +349,11 @@
 }
 
 // Counts are what became of requests since the start, by the lane that they were judged in.
-func (l *Lanes) Counts() []Count {
+func (l *Shedder) Counts() []Count {
 	var out []Count
-	for i, lane := range l.set.Lanes {
-		c := Count{Lane: lane.Name, By: l.counts[i], Counts: map[string]uint64{}}
-		for r, n := range c.By {
+	for i, lane := range l.settings.PriorityClasses {
+		c := Count{PriorityClass: lane.Name, ByReason: l.counts[i], Counts: map[string]uint64{}}
+		for r, n := range c.ByReason {
 			if n > 0 {
 				c.Counts[Reason(r).String()] = n
 			}
@@ -363,4 +364,4 @@
 }
 
 // Name is a lane's name.
-func (l *Lanes) Name(lane int) string { return l.set.Lanes[lane].Name }
+func (l *Shedder) Name(lane int) string { return l.settings.PriorityClasses[lane].Name }
--- a/policy/shedding/pressure.go
+++ b/policy/shedding/pressure.go
@@ -1,210 +1,212 @@
 package shedding
 
+import "lotushook/policy/clock"
+
 const (
-	trouble  = 1.5 // what a request counts as that was taken and not served, in aims
-	few      = 3   // ends that tell something; fewer wait for more
-	weight   = 4.0 // of what was felt before, against each end
-	faded    = 0.8 // of the arrivals by standing is left, a look
-	severe   = 2.0 // times High: then one look is enough to begin
-	settle   = 2   // looks until a level shows in what ends
-	mostCut  = 0.4 // of what is taken, in one look
-	leastCut = 0.02
-	give     = 0.04 // more than is taken, in one look: stepwise, or all that were shed return together
-	giveMore = 0.01 // for each such step in a row
-	mostGive = 0.15 // where all that would be taken is well below what was served when it was too much
-	roomy    = 0.9  // of that
-	calm     = 2    // looks under Low before anything is given
-	mostStep = Steps / 4
+	unservedShare  = 1.5 // what a request counts as that was taken and not served, in aims
+	minSamples     = 3   // ends that tell something; fewer wait for more
+	priorSamples   = 4.0 // of what was felt before, against each end
+	arrivalDecay   = 0.8 // of the arrivals by standing is left, a look
+	severePressure = 2.0 // times High: then one look is enough to begin
+	settleLooks    = 2   // looks until a level shows in what ends
+	maxCut         = 0.4 // of what is taken, in one look
+	minCut         = 0.02
+	initialGive    = 0.04 // more than is taken, in one look: stepwise, or all that were shed return together
+	giveIncrement  = 0.01 // for each such step in a row
+	maxGive        = 0.15 // where all that would be taken is well below what was served when it was too much
+	headroom       = 0.9  // of that
+	minCalmLooks   = 2    // looks under Low before anything is given
+	maxStep        = Steps / 4
 )
 
 // group is the pressure and the level of one group of data servers.
 type group struct {
-	level int // in force
-	wish  int // this router's own
-	spoke bool
-	seq   uint64
-	mute  int // looks since anybody had a level above 0
-
-	hist  []float64 // arrivals by standing, fading
-	now   float64   // arrivals since the last look
-	rate  float64   // of them, a second
-	sum   float64   // of ends since then: of their times as shares of their aims
-	n     float64
-	since Nanos // what came before it tells nothing of the present level
-
-	open    int     // that came since
-	per     float64 // sums over these: of 1/aim, and of arrival/aim with arrivals counted from base
-	from    float64
-	base    Nanos
-	looked  Nanos
-	looks   int // since the last change
-	calm    int
-	hot     int     // looks above High in a row, from level 0
-	good    float64 // what was served, fading as hist does
-	able    float64 // what was served, by good, when too much was taken lately: what the servers can do. 0: it has not been since all was released
-	began   Nanos
-	wholeAt Nanos // evidence was last whole
-
-	pressure     float64
-	heard        int
-	whole, alone bool
+	threshold    int // in force
+	ownThreshold int // this router's own
+	reported     bool
+	seq          uint64
+	quietLooks   int // looks since anybody had a level above 0
+
+	arrivals       []float64 // arrivals by standing, fading
+	newArrivals    float64   // arrivals since the last look
+	rate           float64   // of them, a second
+	endedShare     float64   // of ends since then: of their times as shares of their aims
+	ended          float64
+	thresholdSince clock.Nanos // what came before it tells nothing of the present level
+
+	open              int     // that came since
+	inverseObjectives float64 // sums over these: of 1/aim, and of arrival/aim with arrivals counted from base
+	weightedArrivals  float64
+	baseTime          clock.Nanos
+	lookedAt          clock.Nanos
+	looks             int // since the last change
+	calmLooks         int
+	highLooks         int     // looks above High in a row, from level 0
+	served            float64 // what was served, fading as hist does
+	servedAtOverload  float64 // what was served, by good, when too much was taken lately: what the servers can do. 0: it has not been since all was released
+	createdAt         clock.Nanos
+	quorumAt          clock.Nanos // evidence was last whole
+
+	pressure            float64
+	reporters           int
+	hasQuorum, isolated bool
 }
 
-func newGroup(now Nanos, standings int) *group {
-	return &group{hist: make([]float64, standings), base: now, since: now, looked: now, began: now, wholeAt: now, mute: lastWords + 1}
+func newGroup(now clock.Nanos, standings int) *group {
+	return &group{arrivals: make([]float64, standings), baseTime: now, thresholdSince: now, lookedAt: now, createdAt: now, quorumAt: now, quietLooks: finalReports + 1}
 }
 
-// came counts an arrival; a repeat that its client marks asks for nothing that was not asked for.
-func (g *group) came(standing int, again bool) {
+// addArrival counts an arrival; a repeat that its client marks asks for nothing that was not asked for.
+func (g *group) addArrival(standing int, again bool) {
 	if !again {
-		g.hist[standing]++
-		g.now++
+		g.arrivals[standing]++
+		g.newArrivals++
 	}
 }
 
-func (g *group) begin(came, aim Nanos) {
-	if came < g.since { // its level was another one by the time that the owner took it
+func (g *group) requestStarted(came, aim clock.Nanos) {
+	if came < g.thresholdSince { // its level was another one by the time that the owner took it
 		return
 	}
 	g.open++
-	g.per += 1 / float64(aim)
-	g.from += float64(came-g.base) / float64(aim)
+	g.inverseObjectives += 1 / float64(aim)
+	g.weightedArrivals += float64(came-g.baseTime) / float64(aim)
 }
 
-// change forgets what came under another level: it would go on telling of that one for as long as clients wait.
-func (g *group) change(now Nanos) {
-	g.since, g.looks = now, 0
-	g.open, g.per, g.from = 0, 0, 0
-	g.sum, g.n = 0, 0
+// resetSamples forgets what came under another level: it would go on telling of that one for as long as clients wait.
+func (g *group) resetSamples(now clock.Nanos) {
+	g.thresholdSince, g.looks = now, 0
+	g.open, g.inverseObjectives, g.weightedArrivals = 0, 0, 0
+	g.endedShare, g.ended = 0, 0
 }
 
-func (g *group) end(e End) {
+func (g *group) requestEnded(e End) {
 	if e.Served {
-		g.good++
+		g.served++
 	}
-	if e.Came < g.since {
+	if e.ArrivedAt < g.thresholdSince {
 		return
 	}
 	if g.open--; g.open <= 0 {
-		g.open, g.per, g.from = 0, 0, 0
+		g.open, g.inverseObjectives, g.weightedArrivals = 0, 0, 0
 	} else {
-		g.per -= 1 / float64(e.Aim)
-		g.from -= float64(e.Came-g.base) / float64(e.Aim)
+		g.inverseObjectives -= 1 / float64(e.LatencyObjective)
+		g.weightedArrivals -= float64(e.ArrivedAt-g.baseTime) / float64(e.LatencyObjective)
 	}
-	share := trouble
+	share := unservedShare
 	switch {
-	case e.Gone && e.Took < e.Aim: // it left before it could be told anything
+	case e.Abandoned && e.Elapsed < e.LatencyObjective: // it left before it could be told anything
 		return
 	case e.Served:
-		share = min(trouble, float64(e.Took)/float64(e.Aim))
+		share = min(unservedShare, float64(e.Elapsed)/float64(e.LatencyObjective))
 	}
-	g.sum += share
-	g.n++
+	g.endedShare += share
+	g.ended++
 }
 
-// age is the mean age of what is open, as a share of the aims.
-func (g *group) age(now Nanos) float64 {
-	if g.open == 0 || g.per <= 0 {
+// openAge is the mean age of what is open, as a share of the aims.
+func (g *group) openAge(now clock.Nanos) float64 {
+	if g.open == 0 || g.inverseObjectives <= 0 {
 		return 0
 	}
-	return max(0, min(trouble, (float64(now-g.base)*g.per-g.from)/float64(g.open)))
+	return max(0, min(unservedShare, (float64(now-g.baseTime)*g.inverseObjectives-g.weightedArrivals)/float64(g.open)))
 }
 
-// feel brings the pressure up to now, and says whether it tells of the present level.
-func (g *group) feel(now Nanos) bool {
+// updatePressure brings the pressure up to now, and says whether it tells of the present level.
+func (g *group) updatePressure(now clock.Nanos) bool {
 	g.looks++
-	old := g.age(now)
+	old := g.openAge(now)
 	switch {
-	case g.n >= few || g.n > 0 && g.looks > settle:
-		g.pressure += g.n / (g.n + weight) * (max(g.sum/g.n, old) - g.pressure) // what ends soon does not hide a queue that stands
-	case g.looks > settle: // nothing ended for long: what is open tells, and nothing open is calm
+	case g.ended >= minSamples || g.ended > 0 && g.looks > settleLooks:
+		g.pressure += g.ended / (g.ended + priorSamples) * (max(g.endedShare/g.ended, old) - g.pressure) // what ends soon does not hide a queue that stands
+	case g.looks > settleLooks: // nothing ended for long: what is open tells, and nothing open is calm
 		g.pressure += 0.5 * (old - g.pressure)
 	default:
 		return false
 	}
-	g.sum, g.n = 0, 0
+	g.endedShare, g.ended = 0, 0
 	return true
 }
 
-// look moves this router's wish one step from the level in force: up by a share of what is taken, the larger the worse it
+// adjustThreshold moves this router's wish one step from the level in force: up by a share of what is taken, the larger the worse it
 // is; down by a smaller one, and only after calm looks.
-func (g *group) look(set *Settings, o *order, now Nanos) {
-	g.rate += 0.4 * (g.now/(float64(now-g.looked)/1e9) - g.rate)
-	g.now = 0
-	if g.wish = g.level; g.level == 0 {
-		g.able = 0
+func (g *group) adjustThreshold(set *Settings, o *shedOrder, now clock.Nanos) {
+	g.rate += 0.4 * (g.newArrivals/(float64(now-g.lookedAt)/1e9) - g.rate)
+	g.newArrivals = 0
+	if g.ownThreshold = g.threshold; g.threshold == 0 {
+		g.servedAtOverload = 0
 	}
-	if g.feel(now) {
+	if g.updatePressure(now) {
 		step := 0
 		switch {
-		case g.pressure > set.High && g.looks < settle: // what was queued under the last level is still felt
-			g.calm = 0
-		case g.pressure > set.High && g.level == 0 && g.hot == 0 && g.pressure < severe*set.High: // one look may be chance
-			g.hot, g.calm = 1, 0
+		case g.pressure > set.High && g.looks < settleLooks: // what was queued under the last level is still felt
+			g.calmLooks = 0
+		case g.pressure > set.High && g.threshold == 0 && g.highLooks == 0 && g.pressure < severePressure*set.High: // one look may be chance
+			g.highLooks, g.calmLooks = 1, 0
 		case g.pressure > set.High:
-			g.calm = 0
-			if g.able == 0 {
-				g.able = g.good
+			g.calmLooks = 0
+			if g.servedAtOverload == 0 {
+				g.servedAtOverload = g.served
 			} else {
-				g.able += 0.5 * (g.good - g.able)
+				g.servedAtOverload += 0.5 * (g.served - g.servedAtOverload)
 			}
-			if taken := g.taken(g.level); taken > 0 { // what is not served of what is taken is too much
-				step = g.up(min(mostCut, max(leastCut, 1-g.good/taken)), o.most)
+			if taken := g.admittedAt(g.threshold); taken > 0 { // what is not served of what is taken is too much
+				step = g.stepUp(min(maxCut, max(minCut, 1-g.served/taken)), o.maxThreshold)
 			}
 		case g.pressure >= set.Low:
-			g.calm, g.hot = 0, 0
-		case g.level == 0:
-			g.hot = 0
+			g.calmLooks, g.highLooks = 0, 0
+		case g.threshold == 0:
+			g.highLooks = 0
 		default:
-			if g.calm++; g.calm >= calm {
-				step = g.down(mostGive)
-				if g.taken(g.level-step) > roomy*g.able {
-					step = g.down(min(mostGive, give+giveMore*float64(g.calm-calm)))
+			if g.calmLooks++; g.calmLooks >= minCalmLooks {
+				step = g.stepDown(maxGive)
+				if g.admittedAt(g.threshold-step) > headroom*g.servedAtOverload {
+					step = g.stepDown(min(maxGive, initialGive+giveIncrement*float64(g.calmLooks-minCalmLooks)))
 				}
 				step = -step
 			}
 		}
 		if step != 0 {
-			g.wish = g.level + step
-			g.change(now)
+			g.ownThreshold = g.threshold + step
+			g.resetSamples(now)
 		}
 	}
-	for i := range g.hist {
-		g.hist[i] *= faded
+	for i := range g.arrivals {
+		g.arrivals[i] *= arrivalDecay
 	}
-	g.good *= faded
-	g.looked = now
+	g.served *= arrivalDecay
+	g.lookedAt = now
 }
 
-// taken is what would be taken at a level, of what came lately.
-func (g *group) taken(level int) (sum float64) {
-	for _, n := range g.hist[level:] {
+// admittedAt is what would be taken at a level, of what came lately.
+func (g *group) admittedAt(level int) (sum float64) {
+	for _, n := range g.arrivals[level:] {
 		sum += n
 	}
 	return sum
 }
 
-// up is how many standings hold a share of what is taken, from the level on.
-func (g *group) up(share float64, most int) int {
-	taken, sum := g.taken(g.level), 0.0
+// stepUp is how many standings hold a share of what is taken, from the level on.
+func (g *group) stepUp(share float64, most int) int {
+	taken, sum := g.admittedAt(g.threshold), 0.0
 	if taken == 0 { // there is nobody to shed
 		return 0
 	}
-	for i := g.level; i < most; i++ {
-		if sum += g.hist[i]; sum >= share*taken || i-g.level+1 >= Steps {
-			return i - g.level + 1
+	for i := g.threshold; i < most; i++ {
+		if sum += g.arrivals[i]; sum >= share*taken || i-g.threshold+1 >= Steps {
+			return i - g.threshold + 1
 		}
 	}
-	return max(0, most-g.level)
+	return max(0, most-g.threshold)
 }
 
-// down is how many standings below the level hold no more than a share of what is taken: one at the least.
-func (g *group) down(share float64) int {
-	taken, sum := g.taken(g.level), 0.0
-	for i := g.level - 1; i >= 0; i-- {
-		if sum += g.hist[i]; i < g.level-1 && sum > share*taken || g.level-i > mostStep {
-			return g.level - 1 - i
+// stepDown is how many standings below the level hold no more than a share of what is taken: one at the least.
+func (g *group) stepDown(share float64) int {
+	taken, sum := g.admittedAt(g.threshold), 0.0
+	for i := g.threshold - 1; i >= 0; i-- {
+		if sum += g.arrivals[i]; i < g.threshold-1 && sum > share*taken || g.threshold-i > maxStep {
+			return g.threshold - 1 - i
 		}
 	}
-	return g.level
+	return g.threshold
 }
--- a/policy/shedding/replay_test.go
+++ b/policy/shedding/replay_test.go
@@ -10,11 +10,11 @@
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
-		settings := shedding.Usual()
-		settings.Lanes = []shedding.Lane{{Name: "premium", PerS: 5, Burst: 5}, {Name: "regular"}, {Name: "background", Least: 0.1}}
-		settings.Teams = []shedding.Team{{Name: "r-0", Lane: 0, PerS: 20, Burst: 20}, {Name: "r-1", Lane: 1}, {Name: "r-2", Lane: 2}}
-		settings.Router, settings.Boot, settings.Routers = "r-0", 3, 4
-		settings.Agreed = seed%2 == 0
+		settings := shedding.DefaultSettings()
+		settings.PriorityClasses = []shedding.PriorityClass{{Name: "premium", PerS: 5, Burst: 5}, {Name: "regular"}, {Name: "background", ReservedShare: 0.1}}
+		settings.Teams = []shedding.Team{{Name: "r-0", PriorityClass: 0, PerS: 20, Burst: 20}, {Name: "r-1", PriorityClass: 1}, {Name: "r-2", PriorityClass: 2}}
+		settings.Router, settings.Epoch, settings.Routers = "r-0", 3, 4
+		settings.Shared = seed%2 == 0
 		lanes, err := shedding.New(settings)
 		if err != nil {
 			t.Fatal(err)
@@ -26,21 +26,21 @@
 			request.Group = int64(driver.IntN(3))
 			return lanes.Ask(request, now)
 		}
-		begun := func(group uint8, now int64) { lanes.Begun(int64(group%3), now-1e8, 1e8) }
+		begun := func(group uint8, now int64) { lanes.RequestStarted(int64(group%3), now-1e8, 1e8) }
 		ended := func(group uint8, lane int, key string, end shedding.End, now int64) {
-			end.Came, end.Took, end.Aim = now-2e8, int64(driver.IntN(2e8)), 1e8
-			lanes.Ended(int64(group%3), lane%3, key, end, now)
+			end.ArrivedAt, end.Elapsed, end.LatencyObjective = now-2e8, int64(driver.IntN(2e8)), 1e8
+			lanes.RequestEnded(int64(group%3), lane%3, key, end, now)
 		}
-		tick := func(now int64, sight shedding.Sight, reports []shedding.Report) []shedding.Report {
+		tick := func(now int64, sight shedding.Connectivity, reports []shedding.Report) []shedding.Report {
 			for i := range reports {
 				reports[i].Group, reports[i].Age = int64(driver.IntN(3)), int64(driver.IntN(2e9))
-				reports[i].Load, reports[i].Epoch = int64(driver.IntN(1000)), lanes.Epoch()
-				reports[i].Wish = driver.IntN(64)
+				reports[i].Load, reports[i].SaltEpoch = int64(driver.IntN(1000)), lanes.SaltEpoch()
+				reports[i].Threshold = driver.IntN(64)
 			}
 			return lanes.Tick(now, sight, reports)
 		}
 		driver.Run(1500, ask, ask, ask, ask, begun, begun, ended, ended, ended, tick, tick, lanes.Position,
-			lanes.States, lanes.Counts, lanes.Size, lanes.Full)
+			lanes.States, lanes.Counts, lanes.Size, lanes.Ungrouped)
 	}
 	digest.Check(t, "51015f332899ae1e/74685")
 }
--- a/policy/shedding/rules_test.go
+++ b/policy/shedding/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -9,9 +10,9 @@
 
 // reported is any word of one of a few routers; the number of it is its time, so that no process says two things at once.
 func reported(t *rapid.T, i int) Report {
-	return Report{Group: 1, Name: fmt.Sprint("r", rapid.IntRange(0, 6).Draw(t, "name")), Boot: uint64(rapid.IntRange(1, 2).Draw(t, "boot")), Seq: uint64(i + 1),
-		Age: Nanos(rapid.IntRange(0, 1500).Draw(t, "age")) * ms, Load: rapid.Int64Range(-5, 1<<30).Draw(t, "load"), Wish: rapid.IntRange(-5, 200).Draw(t, "wish"),
-		Epoch: uint64(rapid.IntRange(0, 9).Draw(t, "epoch")), Out: rapid.IntRange(0, 5).Draw(t, "out") == 0}
+	return Report{Group: 1, Router: fmt.Sprint("r", rapid.IntRange(0, 6).Draw(t, "name")), Epoch: uint64(rapid.IntRange(1, 2).Draw(t, "boot")), Seq: uint64(i + 1),
+		Age: clock.Nanos(rapid.IntRange(0, 1500).Draw(t, "age")) * ms, Load: rapid.Int64Range(-5, 1<<30).Draw(t, "load"), Threshold: rapid.IntRange(-5, 200).Draw(t, "wish"),
+		SaltEpoch: uint64(rapid.IntRange(0, 9).Draw(t, "epoch")), Excluded: rapid.IntRange(0, 5).Draw(t, "out") == 0}
 }
 
 // Whatever order reports come in, and however many of them come twice or come after a later word, the answer is one; without
@@ -23,27 +24,27 @@
 		for i := range rapid.IntRange(0, 20).Draw(t, "reports") {
 			r := reported(t, i)
 			all = append(all, r)
-			if old, ok := latest[r.Name]; !ok || r.Boot > old.Boot || r.Boot == old.Boot && r.Seq > old.Seq {
-				latest[r.Name] = r
+			if old, ok := latest[r.Router]; !ok || r.Epoch > old.Epoch || r.Epoch == old.Epoch && r.Seq > old.Seq {
+				latest[r.Router] = r
 			}
 		}
-		want := Join(all, second, 150)
+		want := Merge(all, second, 150)
 		heard, least, most := 0, 1<<30, 0
 		for _, r := range latest {
-			if r.Age <= second && !r.Out {
+			if r.Age <= second && !r.Excluded {
 				heard++
-				least, most = min(least, max(0, min(150, r.Wish))), max(most, max(0, min(150, r.Wish)))
+				least, most = min(least, max(0, min(150, r.Threshold))), max(most, max(0, min(150, r.Threshold)))
 			}
 		}
-		if want.Heard != heard || heard > 0 && (want.Level < least || want.Level > most) || want.Any != (heard > 0 && most > 0) {
+		if want.Heard != heard || heard > 0 && (want.Threshold < least || want.Threshold > most) || want.AnyShedding != (heard > 0 && most > 0) {
 			t.Fatalf("%+v of %d wishes from %d to %d", want, heard, least, most)
 		}
 		twice := append([]Report(nil), all...)
 		for _, r := range all {
-			r.Age -= Nanos(rapid.IntRange(0, int(r.Age/ms)).Draw(t, "younger")) * ms // a copy whose way was not counted
+			r.Age -= clock.Nanos(rapid.IntRange(0, int(r.Age/ms)).Draw(t, "younger")) * ms // a copy whose way was not counted
 			twice = append(twice, r)
 		}
-		if got := Join(rapid.Permutation(twice).Draw(t, "order"), second, 150); got != want {
+		if got := Merge(rapid.Permutation(twice).Draw(t, "order"), second, 150); got != want {
 			t.Fatalf("%+v in another order, with doubles, %+v before", got, want)
 		}
 	})
@@ -55,23 +56,23 @@
 func TestNeverFallsOnOldEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := three("r0", 7)
-		s.Accounts, s.Owed, s.Groups = 20, 10, 3
+		s.MaxAccounts, s.MaxWriteAffinities, s.MaxGroups = 20, 10, 3
 		l := lanes(t, s)
 		now, heard, woke, epoch := 1000*second, 1000*second, 1000*second, uint64(0)
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
-			gap := rapid.SampledFrom([]Nanos{50 * ms, 50 * ms, 100 * ms, 250 * ms, 3 * second, 40 * second, -100 * ms, -3600 * second}).Draw(t, "gap")
+			gap := rapid.SampledFrom([]clock.Nanos{50 * ms, 50 * ms, 100 * ms, 250 * ms, 3 * second, 40 * second, -100 * ms, -3600 * second}).Draw(t, "gap")
 			if now += gap; gap < 0 || gap > second || step == 0 {
 				heard, woke = now, now
 			}
 			hot := rapid.Bool().Draw(t, "hot")
 			for range rapid.IntRange(0, 6).Draw(t, "requests") {
-				v := l.Ask(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Part: 1}, now)
-				if (v.Reason == Shed) != (v.Standing < v.Level) {
+				v := l.Ask(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Share: 1}, now)
+				if (v.Reason == Shed) != (v.Standing < v.Threshold) {
 					t.Fatalf("%+v", v)
 				}
 				if v.Reason != Shed {
-					l.Begun(1, now, 100*ms)
-					l.Ended(1, v.Lane, fmt.Sprint("k", step), End{Came: now, Took: 10 * ms, Aim: 100 * ms, Served: !hot, MayRun: true, Wrote: fmt.Sprint("s", step)}, now)
+					l.RequestStarted(1, now, 100*ms)
+					l.RequestEnded(1, v.PriorityClass, fmt.Sprint("k", step), End{ArrivedAt: now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot, MayRun: true, SessionWritten: fmt.Sprint("s", step)}, now)
 				}
 			}
 			var reports []Report
@@ -79,39 +80,39 @@
 			for i := range rapid.IntRange(0, 7).Draw(t, "reports") {
 				r := reported(t, step*10+i)
 				reports = append(reports, r)
-				if old, ok := names[r.Name]; !ok || r.Boot > old.Boot || r.Boot == old.Boot && r.Seq > old.Seq {
-					names[r.Name] = r
+				if old, ok := names[r.Router]; !ok || r.Epoch > old.Epoch || r.Epoch == old.Epoch && r.Seq > old.Seq {
+					names[r.Router] = r
 				}
 			}
 			fresh := 1 // itself
 			for name, r := range names {
-				if name != "r0" && r.Age <= second && !r.Out {
+				if name != "r0" && r.Age <= second && !r.Excluded {
 					fresh++
 				}
 			}
-			sight := Sight{Majority: rapid.IntRange(0, 3).Draw(t, "majority") > 0, CutOff: rapid.IntRange(0, 5).Draw(t, "cut") == 0}
-			whole := fresh >= 4 && sight.Majority && !sight.CutOff && now-woke >= second
+			sight := Connectivity{Majority: rapid.IntRange(0, 3).Draw(t, "majority") > 0, Isolated: rapid.IntRange(0, 5).Draw(t, "cut") == 0}
+			whole := fresh >= 4 && sight.Majority && !sight.Isolated && now-woke >= second
 			before := map[int64]int{}
 			for n, g := range l.groups {
-				before[n] = g.level
+				before[n] = g.threshold
 			}
 			if whole || before[1] == 0 {
 				heard = now
 			}
 			l.Tick(now, sight, reports)
 			for n, g := range l.groups {
-				if g.level < 0 || g.level > l.order.most || g.wish < 0 || g.wish > l.order.most {
-					t.Fatalf("level %d, wish %d of %d", g.level, g.wish, l.order.most)
+				if g.threshold < 0 || g.threshold > l.order.maxThreshold || g.ownThreshold < 0 || g.ownThreshold > l.order.maxThreshold {
+					t.Fatalf("level %d, wish %d of %d", g.threshold, g.ownThreshold, l.order.maxThreshold)
 				}
-				if n == 1 && g.level < before[n] && !whole && now-heard < s.Alone {
-					t.Fatalf("fell from %d to %d with %d fresh reports, %+v", before[n], g.level, fresh, sight)
+				if n == 1 && g.threshold < before[n] && !whole && now-heard < s.IsolationTimeout {
+					t.Fatalf("fell from %d to %d with %d fresh reports, %+v", before[n], g.threshold, fresh, sight)
 				}
 			}
-			if l.Epoch() < epoch {
-				t.Fatalf("epoch %d after %d", l.Epoch(), epoch)
+			if l.SaltEpoch() < epoch {
+				t.Fatalf("epoch %d after %d", l.SaltEpoch(), epoch)
 			}
-			epoch = l.Epoch()
-			if u, d, g := l.Size(); u > 40 || d > 10 || g > 3 || len(l.owed) > 10 {
+			epoch = l.SaltEpoch()
+			if u, d, g := l.Size(); u > 40 || d > 10 || g > 3 || len(l.affinities) > 10 {
 				t.Fatalf("%d budgets, %d debts, %d groups", u, d, g)
 			}
 		}
@@ -121,15 +122,15 @@
 // A group that finds no room passes; the counts say so.
 func TestFull(t *testing.T) {
 	s := three("a", 1)
-	s.Groups = 1
+	s.MaxGroups = 1
 	l := lanes(t, s)
-	l.Ask(Request{Group: 1, Part: 1}, second)
-	l.groups[1].level = 5
-	if v := l.Ask(Request{Team: 2, Account: l.account(0), Group: 2, Part: 1}, second); v.Reason != Above || l.Full() != 1 {
-		t.Errorf("%+v, %d without room", v, l.Full())
+	l.Ask(Request{Group: 1, Share: 1}, second)
+	l.groups[1].threshold = 5
+	if v := l.Ask(Request{Team: 2, Account: l.account(0), Group: 2, Share: 1}, second); v.Reason != AboveThreshold || l.Ungrouped() != 1 {
+		t.Errorf("%+v, %d without room", v, l.Ungrouped())
 	}
-	l.groups[1].level = 0
-	if l.Ask(Request{Group: 2, Part: 1}, second); l.groups[2] == nil {
+	l.groups[1].threshold = 0
+	if l.Ask(Request{Group: 2, Share: 1}, second); l.groups[2] == nil {
 		t.Error("a group that sheds nobody did not make room")
 	}
 }
--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"lotushook/policy/clock"
 	"math/rand/v2"
 	"testing"
 )
@@ -12,7 +13,7 @@
 type fleet struct {
 	rng      *rand.Rand
 	routers  []*simulated
-	now      Nanos
+	now      clock.Nanos
 	way      queue
 	loss     float64
 	capacity float64 // requests that all take in a Look while answers are quick
@@ -24,10 +25,10 @@
 }
 
 type simulated struct {
-	*Lanes
+	*Shedder
 	speed  float64 // of its clock
 	turn   int
-	next   Nanos
+	next   clock.Nanos
 	copies map[string]copied // the latest word of each
 	share  float64
 	paused bool
@@ -36,11 +37,11 @@
 
 type copied struct {
 	Report
-	at Nanos
+	at clock.Nanos
 }
 
 type way struct {
-	at     Nanos
+	at     clock.Nanos
 	to     int
 	report Report
 }
@@ -63,23 +64,23 @@
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), loss: 0.1, capacity: float64(8 * n), asked: float64(11 * n / 2)}
 	for i := range n {
 		s := three(fmt.Sprintf("r%04d", i), n)
-		for j := range s.Lanes {
-			s.Lanes[j].PerS = 0 // entitlements have tests of their own
+		for j := range s.PriorityClasses {
+			s.PriorityClasses[j].PerS = 0 // entitlements have tests of their own
 		}
-		f.routers = append(f.routers, &simulated{Lanes: lanes(t, s), speed: 0.98 + 0.04*f.rng.Float64(), next: Nanos(f.rng.Int64N(int64(simTick))), copies: map[string]copied{}, turn: i, share: 1 / float64(n)})
+		f.routers = append(f.routers, &simulated{Shedder: lanes(t, s), speed: 0.98 + 0.04*f.rng.Float64(), next: clock.Nanos(f.rng.Int64N(int64(simTick))), copies: map[string]copied{}, turn: i, share: 1 / float64(n)})
 	}
 	return f
 }
 
 // run goes on for a span in steps of 10 ms.
-func (f *fleet) run(span Nanos) {
+func (f *fleet) run(span clock.Nanos) {
 	for end := f.now + span; f.now < end; {
 		f.now += 10 * ms
 		for len(f.way) > 0 && f.way[0].at <= f.now {
 			w := heap.Pop(&f.way).(way)
 			r := f.routers[w.to]
-			if old, ok := r.copies[w.report.Name]; !ok || w.report.Seq > old.Seq {
-				r.copies[w.report.Name] = copied{w.report, r.clock(f.now)}
+			if old, ok := r.copies[w.report.Router]; !ok || w.report.Seq > old.Seq {
+				r.copies[w.report.Router] = copied{w.report, r.clock(f.now)}
 			}
 		}
 		f.taken = 0
@@ -98,7 +99,9 @@
 	}
 }
 
-func (r *simulated) clock(now Nanos) Nanos { return second + Nanos(float64(now)*r.speed) }
+func (r *simulated) clock(now clock.Nanos) clock.Nanos {
+	return second + clock.Nanos(float64(now)*r.speed)
+}
 
 // ask has a step's requests come to a router: an eighth premium, five eighths regular, a quarter background.
 func (f *fleet) ask(r *simulated) {
@@ -108,17 +111,17 @@
 			break
 		}
 		account := f.rng.Uint64N(1000)
-		v := r.Ask(Request{Team: [8]int{0, 1, 1, 1, 1, 1, 2, 2}[account%8], Account: account, Group: 1, Part: 1}, now)
+		v := r.Ask(Request{Team: [8]int{0, 1, 1, 1, 1, 1, 2, 2}[account%8], Account: account, Group: 1, Share: 1}, now)
 		if v.Reason == Shed {
 			continue
 		}
 		f.taken++
-		r.Begun(1, now, 100*ms)
+		r.RequestStarted(1, now, 100*ms)
 		share := 0.1
 		if f.load > 0.9 {
 			share = 0.1 + 4*(f.load-0.9)
 		}
-		r.Ended(1, v.Lane, "", End{Came: now, Took: Nanos(share * 100e6), Aim: 100 * ms, Served: share < 1}, now)
+		r.RequestEnded(1, v.PriorityClass, "", End{ArrivedAt: now, Elapsed: clock.Nanos(share * 100e6), LatencyObjective: 100 * ms, Served: share < 1}, now)
 	}
 }
 
@@ -132,7 +135,7 @@
 		}
 		heard = append(heard, c.Report)
 	}
-	for _, said := range r.Tick(now, Sight{Majority: true}, heard) {
+	for _, said := range r.Tick(now, Connectivity{Majority: true}, heard) {
 		for range min(simFan, len(f.routers)-1) {
 			if r.turn = (r.turn + 1) % len(f.routers); r.turn == i {
 				r.turn = (r.turn + 1) % len(f.routers)
@@ -140,7 +143,7 @@
 			f.sent++
 			f.bytes += simBytes
 			if to := f.routers[r.turn]; f.rng.Float64() >= f.loss && !r.cut && !to.cut {
-				heap.Push(&f.way, way{f.now + ms + Nanos(f.rng.Int64N(int64(20*ms))), r.turn, said})
+				heap.Push(&f.way, way{f.now + ms + clock.Nanos(f.rng.Int64N(int64(20*ms))), r.turn, said})
 			}
 		}
 	}
@@ -154,9 +157,9 @@
 		if r.paused || r.cut {
 			continue
 		}
-		level := r.group(1, 0).level
+		level := r.group(1, 0).threshold
 		most, least = max(most, level), min(least, level)
-		first, last = min(first, r.epoch), max(last, r.epoch)
+		first, last = min(first, r.saltEpoch), max(last, r.saltEpoch)
 	}
 	return most - least, least, last - first
 }
@@ -172,7 +175,7 @@
 			t.Fatalf("%d routers in calm: level %d, %d messages", n, level, f.sent)
 		}
 		f.asked *= 2.2
-		agreed, began := Nanos(-1), f.now
+		agreed, began := clock.Nanos(-1), f.now
 		for f.now < began+2*second {
 			f.run(100 * ms)
 			if apart, least, _ := f.spread(); least == 0 || apart > Steps/8 {
@@ -205,7 +208,7 @@
 func TestFaults(t *testing.T) {
 	f := newFleet(t, 7, 2)
 	for _, r := range f.routers {
-		r.set.Epoch = 3 * second
+		r.settings.SaltPeriod = 3 * second
 	}
 	f.capacity, f.asked, f.loss = 700, 1200, 0.3
 	for i, r := range f.routers { // most of it comes to three
@@ -216,26 +219,26 @@
 		t.Fatalf("level %d, %d apart", least, apart)
 	}
 	f.routers[1].paused, f.routers[2].cut = true, true
-	held := f.routers[2].groups[1].level
-	differ := Nanos(0)
+	held := f.routers[2].groups[1].threshold
+	differ := clock.Nanos(0)
 	for range 500 {
 		f.run(10 * ms)
 		if _, _, epochs := f.spread(); epochs > 0 {
 			differ += 10 * ms
 		}
-		if level := f.routers[2].groups[1].level; level < held && f.now > 3*second+100*ms { // its evidence was fresh for a second
+		if level := f.routers[2].groups[1].threshold; level < held && f.now > 3*second+100*ms { // its evidence was fresh for a second
 			t.Fatalf("the level of the one that is cut off fell from %d to %d", held, level)
 		} else {
 			held = level
 		}
 	}
-	if e := f.routers[0].Epoch(); e < 2 || differ > 600*ms {
+	if e := f.routers[0].SaltEpoch(); e < 2 || differ > 600*ms {
 		t.Errorf("epoch %d, %d ms of 5 s with two salts", e, differ/ms)
 	}
-	before := f.routers[1].groups[1].level
+	before := f.routers[1].groups[1].threshold
 	f.routers[1].paused, f.routers[1].next, f.routers[2].cut = false, 0, false
 	f.tick(1, f.routers[1])
-	if level := f.routers[1].groups[1].level; level < before {
+	if level := f.routers[1].groups[1].threshold; level < before {
 		t.Errorf("one that was stopped wakes up and goes from %d to %d by what it knew", before, level)
 	}
 	f.run(1500 * ms)
@@ -245,11 +248,11 @@
 	f.routers[0].cut = true // it goes alone in the end, and serves as without the others
 	f.asked = 100
 	f.run(2 * second)
-	if f.routers[0].groups[1].level == 0 {
+	if f.routers[0].groups[1].threshold == 0 {
 		t.Error("the level of one that is cut off fell at once")
 	}
-	f.run(f.routers[0].set.Alone + 5*second)
-	if g := f.routers[0].groups[1]; g.level != 0 || !g.alone && g.wholeAt == 0 {
+	f.run(f.routers[0].settings.IsolationTimeout + 5*second)
+	if g := f.routers[0].groups[1]; g.threshold != 0 || !g.isolated && g.quorumAt == 0 {
 		t.Errorf("%+v", g)
 	}
 }
--- a/policy/trust/book.go
+++ b/policy/trust/book.go
@@ -1,62 +1,67 @@
 package trust
 
-import "lotushook/policy/crdt"
-
-// Book remembers what is known of entries that somebody else told, or the disk gave back.
-type Book struct {
-	set   Settings
-	facts map[key]*noted
-	order []key // as they were noted first, from next on
-	next  int
-	old   bool
-	sizes [Origins]int // of those not proven
+import (
+	"lotushook/policy/clock"
+	"lotushook/policy/crdt"
+)
+
+// Ledger remembers what is known of entries that somebody else told, or the disk gave back.
+type Ledger struct {
+	settings         Settings
+	facts            map[entryKey]*trackedFact
+	order            []entryKey // as they were noted first, from next on
+	next             int
+	distrustRestored bool
+	unconfirmed      [ProvenanceCount]int // of those not proven
 }
 
-type noted struct {
-	entry crdt.Entry
-	fact  Fact
-	at    Nanos // when it was learned, by this clock
+type trackedFact struct {
+	entry     crdt.Entry
+	fact      Fact
+	learnedAt clock.Nanos // when it was learned, by this clock
 }
 
-// NewBook returns an empty one.
-func NewBook(s Settings) (*Book, error) {
+// NewLedger returns an empty one.
+func NewLedger(s Settings) (*Ledger, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	return &Book{set: s, facts: map[key]*noted{}}, nil
+	return &Ledger{settings: s, facts: map[entryKey]*trackedFact{}}, nil
 }
 
-// Restored notes an entry that the disk gave back. What this process or a peer has said already stays.
-func (b *Book) Restored(now Nanos, e crdt.Entry, unsure bool) {
+// AddRestored notes an entry that the disk gave back. What this process or a peer has said already stays.
+func (b *Ledger) AddRestored(now clock.Nanos, e crdt.Entry, unsure bool) {
 	if b.facts[keyOf(&e)] == nil {
-		b.note(now, e, Fact{Origin: Restored, Unsure: unsure})
+		b.note(now, e, Fact{Provenance: FromDisk, MinAgeOnly: unsure})
 	}
 }
 
-// Own notes what this process has learned itself: whatever it says holds.
-func (b *Book) Own(now Nanos, e crdt.Entry) { b.note(now, e, Fact{Origin: Own, Proven: true}) }
+// AddOwn notes what this process has learned itself: whatever it says holds.
+func (b *Ledger) AddOwn(now clock.Nanos, e crdt.Entry) {
+	b.note(now, e, Fact{Provenance: OwnResponse, Proven: true})
+}
 
-// Told notes what a peer told. steady says that the peer has been up since before this router's last start began or its copy
+// AddFromPeer notes what a peer told. steady says that the peer has been up since before this router's last start began or its copy
 // was written: what it tells proves what came back, if it is the same or more, and refutes it if it is something else that
 // goes before it. What a peer told that is not steady is doubted, as it may itself have it from a disk.
-func (b *Book) Told(now Nanos, e crdt.Entry, steady bool) {
+func (b *Ledger) AddFromPeer(now clock.Nanos, e crdt.Entry, steady bool) {
 	n := b.facts[keyOf(&e)]
 	switch {
 	case n == nil:
-		b.note(now, e, Fact{Origin: Peer, Proven: steady})
-	case n.fact.Origin == Own:
-	case says(&e, &n.entry) == more:
-		b.note(now, e, Fact{Origin: Peer, Proven: steady})
-	case says(&e, &n.entry) == same && steady:
+		b.note(now, e, Fact{Provenance: FromPeer, Proven: steady})
+	case n.fact.Provenance == OwnResponse:
+	case compareValues(&e, &n.entry) == more:
+		b.note(now, e, Fact{Provenance: FromPeer, Proven: steady})
+	case compareValues(&e, &n.entry) == same && steady:
 		b.count(n, -1)
 		n.fact.Proven = !n.fact.Refuted
 		b.count(n, 1)
 	}
 }
 
-// Contrary notes that a data server's answer to this process says otherwise than is believed of an entry's key, without
+// Refute notes that a data server's answer to this process says otherwise than is believed of an entry's key, without
 // saying what holds instead.
-func (b *Book) Contrary(e crdt.Entry) {
+func (b *Ledger) Refute(e crdt.Entry) {
 	if n := b.facts[keyOf(&e)]; n != nil {
 		b.count(n, -1)
 		n.fact.Refuted, n.fact.Proven = true, false
@@ -64,41 +69,41 @@
 	}
 }
 
-// Old says that the copy was put back: nothing proves that what came back from it is as young as it says, so that even where
+// DistrustRestored says that the copy was put back: nothing proves that what came back from it is as young as it says, so that even where
 // a peer says the same it serves for nothing but care. Only this process's own answers and newer words help.
-func (b *Book) Old() {
-	b.old = true
+func (b *Ledger) DistrustRestored() {
+	b.distrustRestored = true
 	for _, n := range b.facts {
-		if n.fact.Origin == Restored {
+		if n.fact.Provenance == FromDisk {
 			b.count(n, -1)
-			n.fact.Unsure, n.fact.Proven = true, false
+			n.fact.MinAgeOnly, n.fact.Proven = true, false
 			b.count(n, 1)
 		}
 	}
 }
 
 // Fact is what is known of an entry's key, and the entry that it is known of.
-func (b *Book) Fact(now Nanos, e crdt.Entry) (Fact, crdt.Entry) {
+func (b *Ledger) Fact(now clock.Nanos, e crdt.Entry) (Fact, crdt.Entry) {
 	n := b.facts[keyOf(&e)]
 	if n == nil {
 		return Fact{}, crdt.Entry{}
 	}
 	f := n.fact
-	f.Age = max(0, now-n.at)
+	f.Age = max(0, now-n.learnedAt)
 	return f, n.entry
 }
 
-// Doubted counts the facts of an origin that are not proven; Size is of all.
-func (b *Book) Doubted(o Origin) int { return b.sizes[o] }
+// Unconfirmed counts the facts of an origin that are not proven; Size is of all.
+func (b *Ledger) Unconfirmed(o Provenance) int { return b.unconfirmed[o] }
 
 // Size is how many facts are remembered.
-func (b *Book) Size() int { return len(b.facts) }
+func (b *Ledger) Size() int { return len(b.facts) }
 
-func (b *Book) note(now Nanos, e crdt.Entry, f Fact) {
+func (b *Ledger) note(now clock.Nanos, e crdt.Entry, f Fact) {
 	k := keyOf(&e)
 	n := b.facts[k]
 	if n == nil {
-		if len(b.facts) >= b.set.Most {
+		if len(b.facts) >= b.settings.Capacity {
 			b.count(b.facts[b.order[b.next]], -1)
 			delete(b.facts, b.order[b.next])
 			b.order[b.next] = k
@@ -106,21 +111,21 @@
 		} else {
 			b.order = append(b.order, k)
 		}
-		n = &noted{}
+		n = &trackedFact{}
 		b.facts[k] = n
 	} else {
 		b.count(n, -1)
 	}
-	if f.Origin == Restored && b.old {
-		f.Unsure = true
+	if f.Provenance == FromDisk && b.distrustRestored {
+		f.MinAgeOnly = true
 	}
-	*n = noted{e, f, now - max(0, e.Age)}
+	*n = trackedFact{e, f, now - max(0, e.Age)}
 	b.count(n, 1)
 }
 
-func (b *Book) count(n *noted, by int) {
-	if n.fact.Origin != None && !n.fact.Proven {
-		b.sizes[n.fact.Origin] += by
+func (b *Ledger) count(n *trackedFact, by int) {
+	if n.fact.Provenance != Unknown && !n.fact.Proven {
+		b.unconfirmed[n.fact.Provenance] += by
 	}
 }
 
@@ -131,15 +136,15 @@
 	more
 )
 
-// says compares what two entries of one key say, and not who said it.
-func says(e, f *crdt.Entry) int {
+// compareValues compares what two entries of one key say, and not who said it.
+func compareValues(e, f *crdt.Entry) int {
 	x, y := e.At, f.At
 	switch e.Kind {
-	case crdt.Use:
+	case crdt.Usage:
 		x, y = e.Count, f.Count
 	case crdt.Hint:
 		x, y = int64(e.Seq), int64(f.Seq)
-	case crdt.Write:
+	case crdt.PendingWrite:
 		return same
 	}
 	switch {
@@ -147,7 +152,7 @@
 		return more
 	case x < y:
 		return less
-	case e.Kind == crdt.Primary && (e.Server != f.Server || e.Born != f.Born):
+	case e.Kind == crdt.PrimaryClaim && (e.Server != f.Server || e.Born != f.Born):
 		if e.Born > f.Born || e.Born == f.Born && e.Server > f.Server {
 			return more
 		}
--- a/policy/zone/hall.go
+++ b/policy/zone/hall.go
@@ -6,56 +6,54 @@
 import (
 	"errors"
 	"fmt"
+	"lotushook/policy/clock"
 	"math"
 )
 
-// Nanos is a span or a point of the router's clock, in nanoseconds.
-type Nanos = int64
-
 // Settings are what the decision goes by.
 type Settings struct {
-	Servers  int   // of a hall that stay silent, with no answer from any, before it counts as dark
-	Pause    Nanos // from the first such moment to the first try whether the hall is back
-	MaxPause Nanos // the pause doubles with each try that fails, up to this
+	Servers    int         // of a hall that stay silent, with no answer from any, before it counts as dark
+	Backoff    clock.Nanos // from the first such moment to the first try whether the hall is back
+	MaxBackoff clock.Nanos // the pause doubles with each try that fails, up to this
 }
 
-// Halls knows the halls by name. It belongs to one goroutine. It remembers one entry a hall that was ever met, and
+// Tracker knows the halls by name. It belongs to one goroutine. It remembers one entry a hall that was ever met, and
 // in it at most Settings.Servers servers.
-type Halls struct {
-	set   Settings
-	halls map[string]*state
+type Tracker struct {
+	settings Settings
+	zones    map[string]*state
 }
 
 type state struct {
-	heard  Nanos    // its last answer
-	silent []uint32 // servers that were asked since then and stayed silent
-	since  Nanos    // when the first of these was asked
-	tryAt  Nanos
-	pause  Nanos
+	answeredAt    clock.Nanos // its last answer
+	silentServers []uint32    // servers that were asked since then and stayed silent
+	silentSince   clock.Nanos // when the first of these was asked
+	nextTryAt     clock.Nanos
+	backoff       clock.Nanos
 }
 
 // New returns a Halls that takes every hall for lit.
-func New(s Settings) (*Halls, error) {
+func New(s Settings) (*Tracker, error) {
 	if s.Servers < 2 {
 		return nil, fmt.Errorf("hall: Servers: %d, at least 2 wanted: one server is not a hall", s.Servers)
 	}
-	if s.Pause <= 0 || s.MaxPause < s.Pause {
+	if s.Backoff <= 0 || s.MaxBackoff < s.Backoff {
 		return nil, errors.New("hall: Pause, MaxPause: missing or out of range")
 	}
-	return &Halls{set: s, halls: map[string]*state{}}, nil
+	return &Tracker{settings: s, zones: map[string]*state{}}, nil
 }
 
 // Answered tells that a server of a hall said anything at all, an error too.
-func (h *Halls) Answered(hall string, now Nanos) {
-	s := h.hall(hall)
-	s.heard, s.silent = max(s.heard, now), s.silent[:0]
+func (h *Tracker) Answered(hall string, now clock.Nanos) {
+	s := h.zone(hall)
+	s.answeredAt, s.silentServers = max(s.answeredAt, now), s.silentServers[:0]
 }
 
-func (h *Halls) hall(name string) *state {
-	s := h.halls[name]
+func (h *Tracker) zone(name string) *state {
+	s := h.zones[name]
 	if s == nil {
-		s = &state{heard: math.MinInt64}
-		h.halls[name] = s
+		s = &state{answeredAt: math.MinInt64}
+		h.zones[name] = s
 	}
 	return s
 }
@@ -63,47 +61,47 @@
 // Silent tells that a server asked at a time has not answered by now, though answers usually come sooner. A
 // connection that is refused is no silence: the machine speaks. Where the hall has spoken since, it is the server's
 // own: a slow one shows late what another's answer has long disproved.
-func (h *Halls) Silent(hall string, server uint32, asked, now Nanos) {
-	s := h.hall(hall)
-	if asked < s.heard || s.dark(h.set.Servers) {
+func (h *Tracker) Silent(hall string, server uint32, asked, now clock.Nanos) {
+	s := h.zone(hall)
+	if asked < s.answeredAt || s.inOutage(h.settings.Servers) {
 		return
 	}
-	if len(s.silent) == 0 {
-		s.since, s.pause = asked, h.set.Pause
+	if len(s.silentServers) == 0 {
+		s.silentSince, s.backoff = asked, h.settings.Backoff
 	}
-	s.since = min(s.since, asked)
-	for _, x := range s.silent {
+	s.silentSince = min(s.silentSince, asked)
+	for _, x := range s.silentServers {
 		if x == server {
 			return
 		}
 	}
-	if s.silent = append(s.silent, server); s.dark(h.set.Servers) {
-		s.tryAt = now + s.pause
+	if s.silentServers = append(s.silentServers, server); s.inOutage(h.settings.Servers) {
+		s.nextTryAt = now + s.backoff
 	}
 }
 
-func (s *state) dark(servers int) bool { return len(s.silent) >= servers }
+func (s *state) inOutage(servers int) bool { return len(s.silentServers) >= servers }
 
-// Dark says whether a server that answered last at a time is lost with its hall. A server that spoke after the hall
+// InOutage says whether a server that answered last at a time is lost with its hall. A server that spoke after the hall
 // fell silent is not; with an empty name, which is no hall, none is.
-func (h *Halls) Dark(hall string, answered Nanos) bool {
-	if len(h.halls) == 0 || hall == "" {
+func (h *Tracker) InOutage(hall string, answered clock.Nanos) bool {
+	if len(h.zones) == 0 || hall == "" {
 		return false
 	}
-	s := h.halls[hall]
-	return s != nil && s.dark(h.set.Servers) && answered <= s.since
+	s := h.zones[hall]
+	return s != nil && s.inOutage(h.settings.Servers) && answered <= s.silentSince
 }
 
-// Try says whether it is time to ask one server of a dark hall whether it is back, and counts that as done.
-func (h *Halls) Try(hall string, now Nanos) bool {
-	s := h.halls[hall]
-	if s == nil || !s.dark(h.set.Servers) || now < s.tryAt {
+// TryNow says whether it is time to ask one server of a dark hall whether it is back, and counts that as done.
+func (h *Tracker) TryNow(hall string, now clock.Nanos) bool {
+	s := h.zones[hall]
+	if s == nil || !s.inOutage(h.settings.Servers) || now < s.nextTryAt {
 		return false
 	}
-	s.tryAt = now + s.pause
-	s.pause = min(2*s.pause, h.set.MaxPause)
+	s.nextTryAt = now + s.backoff
+	s.backoff = min(2*s.backoff, h.settings.MaxBackoff)
 	return true
 }
 
 // Size is the number of halls that are remembered: all that were met.
-func (h *Halls) Size() int { return len(h.halls) }
+func (h *Tracker) Size() int { return len(h.zones) }
--- a/policy/zone/hall_test.go
+++ b/policy/zone/hall_test.go
@@ -1,19 +1,20 @@
 package zone
 
 import (
+	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-const ms = Nanos(1e6)
+const ms = clock.Nanos(1e6)
 
 func lit(t interface {
 	Helper()
 	Fatal(...any)
-}) *Halls {
+}) *Tracker {
 	t.Helper()
-	h, err := New(Settings{Servers: 3, Pause: 300 * ms, MaxPause: 2400 * ms})
+	h, err := New(Settings{Servers: 3, Backoff: 300 * ms, MaxBackoff: 2400 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,16 +28,16 @@
 	for range 5 {
 		h.Silent("a", 2, 1200*ms, 1450*ms) // the same server again is no further proof
 	}
-	if h.Dark("a", 900*ms) {
+	if h.InOutage("a", 900*ms) {
 		t.Error("dark after two servers")
 	}
 	h.Silent("a", 3, 1300*ms, 1550*ms)
 	for _, c := range []struct {
 		hall     string
-		answered Nanos
+		answered clock.Nanos
 		want     bool
 	}{{"a", 900 * ms, true}, {"a", 1000 * ms, true}, {"a", 1050 * ms, false}, {"b", 900 * ms, false}, {"", 0, false}} {
-		if got := h.Dark(c.hall, c.answered); got != c.want {
+		if got := h.InOutage(c.hall, c.answered); got != c.want {
 			t.Errorf("hall %q, last answer at %d ms: dark %v", c.hall, c.answered/ms, got)
 		}
 	}
@@ -49,18 +50,18 @@
 	}
 	h.Answered("a", 1260*ms)
 	h.Silent("a", 7, 1300*ms, 1550*ms)
-	if h.Dark("a", 0) {
+	if h.InOutage("a", 0) {
 		t.Error("dark with one silent server since the last answer")
 	}
 	for i := range uint32(3) { // slow ones, asked before it
 		h.Silent("a", i, 1200*ms, 1700*ms)
 	}
-	if h.Dark("a", 0) {
+	if h.InOutage("a", 0) {
 		t.Error("dark by what was asked before the last answer")
 	}
 	h.Silent("a", 1, 1300*ms, 1800*ms)
 	h.Silent("a", 2, 1400*ms, 1900*ms)
-	if !h.Dark("a", 1260*ms) {
+	if !h.InOutage("a", 1260*ms) {
 		t.Error("not dark after three that were asked since")
 	}
 }
@@ -70,13 +71,13 @@
 	for i := range uint32(3) {
 		h.Silent("a", i, 0, 250*ms)
 	}
-	var tries []Nanos
+	var tries []clock.Nanos
 	for now := 250 * ms; now < 10_000*ms; now += 10 * ms {
-		if h.Try("a", now) {
+		if h.TryNow("a", now) {
 			tries = append(tries, now/ms)
 		}
 	}
-	want := []Nanos{550, 850, 1450, 2650, 5050, 7450, 9850}
+	want := []clock.Nanos{550, 850, 1450, 2650, 5050, 7450, 9850}
 	if len(tries) != len(want) {
 		t.Fatalf("tries at %v ms, want %v", tries, want)
 	}
@@ -88,7 +89,7 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	for _, s := range []Settings{{}, {Servers: 1, Pause: 1, MaxPause: 1}, {Servers: 3}, {Servers: 3, Pause: 2, MaxPause: 1}} {
+	for _, s := range []Settings{{}, {Servers: 1, Backoff: 1, MaxBackoff: 1}, {Servers: 3}, {Servers: 3, Backoff: 2, MaxBackoff: 1}} {
 		if _, err := New(s); err == nil {
 			t.Errorf("%+v was taken", s)
 		}
@@ -99,10 +100,10 @@
 // with fewer than three silent servers behind it, and no more is remembered than the halls that fell silent.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, now := lit(t), Nanos(0)
-		silent, heard := map[string]map[uint32]bool{"a": {}, "b": {}}, map[string]Nanos{}
+		h, now := lit(t), clock.Nanos(0)
+		silent, heard := map[string]map[uint32]bool{"a": {}, "b": {}}, map[string]clock.Nanos{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			now += Nanos(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
+			now += clock.Nanos(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
 			hall := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hall")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -110,19 +111,19 @@
 				heard[hall] = now
 				clear(silent[hall])
 			case 1:
-				h.Try(hall, now)
+				h.TryNow(hall, now)
 			default:
 				server := uint32(rapid.IntRange(1, 5).Draw(t, "server"))
-				asked := now - Nanos(rapid.IntRange(0, 500).Draw(t, "asked"))*ms
+				asked := now - clock.Nanos(rapid.IntRange(0, 500).Draw(t, "asked"))*ms
 				h.Silent(hall, server, asked, now)
 				if at, met := heard[hall]; !met || asked >= at {
 					silent[hall][server] = true
 				}
 			}
-			if h.Dark(hall, -1000*ms) != (len(silent[hall]) >= 3) {
+			if h.InOutage(hall, -1000*ms) != (len(silent[hall]) >= 3) {
 				t.Fatalf("%d silent servers, dark %v", len(silent[hall]), !(len(silent[hall]) >= 3))
 			}
-			if h.Dark(hall, now) {
+			if h.InOutage(hall, now) {
 				t.Fatal("a server that answers now is called dark")
 			}
 			if h.Size() > 2 {
--- a/policy/zone/replay_test.go
+++ b/policy/zone/replay_test.go
@@ -10,7 +10,7 @@
 func TestReplay(t *testing.T) {
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
-		halls, err := zone.New(zone.Settings{Servers: 2 + int(seed%3), Pause: 1e9, MaxPause: 8e9})
+		halls, err := zone.New(zone.Settings{Servers: 2 + int(seed%3), Backoff: 1e9, MaxBackoff: 8e9})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -18,7 +18,7 @@
 		silent := func(name string, server uint32, now int64, age uint8) {
 			halls.Silent(name, server, now-int64(age)*1e7, now)
 		}
-		driver.Run(400, halls.Answered, silent, silent, silent, halls.Dark, halls.Try, halls.Size)
+		driver.Run(400, halls.Answered, silent, silent, silent, halls.InOutage, halls.TryNow, halls.Size)
 	}
 	digest.Check(t, "ef1ea77c18712301/1432")
 }
