--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -74,9 +74,9 @@
 }
 
 // load reads the installation's own settings; without a file nothing is switched on.
-func load(path string) (*siteconfig.Setup, error) {
+func load(path string) (*siteconfig.Config, error) {
 	if path == "" {
-		return &siteconfig.Setup{}, nil
+		return &siteconfig.Config{}, nil
 	}
 	return siteconfig.Load(path)
 }
@@ -144,7 +144,7 @@
 func reload(r *router.Router, path string, hup <-chan os.Signal) {
 	for range hup {
 		conf, err := platformconfig.Reload(os.Getenv)
-		var mine *siteconfig.Setup
+		var mine *siteconfig.Config
 		if err == nil {
 			mine, err = load(path)
 		}
--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -46,7 +46,7 @@
 	if s.Contracts == nil {
 		return nil, none, errors.New("the settings have no contracts")
 	}
-	b, err := s.Contracts.Book(s.Contracts.Named(), 1, 0)
+	b, err := s.Contracts.LedgerSettings(s.Contracts.Named(), 1, 0)
 	return s.Contracts, b, err
 }
 
@@ -123,7 +123,7 @@
 		return errors.New("accounts takes the socket that the router's settings name")
 	}
 	var rows []accounting.Row
-	if err := admin.Ask(c.Args().First(), "accounts", &rows); err != nil {
+	if err := admin.Query(c.Args().First(), "accounts", &rows); err != nil {
 		return err
 	}
 	if c.Bool("metrics") {
@@ -136,8 +136,8 @@
 		for _, n := range r.Refused {
 			refused += n
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t\n", r.Team, r.Class, r.Asked, r.Grounds["within"]+r.Grounds["repeat"],
-			r.Grounds["borrowed"], refused, r.Served, r.InAim, r.TurnedAway, r.Failed, r.Worth, r.P50MS, r.P99MS)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t\n", r.Team, r.Class, r.Requested, r.Grounds["within"]+r.Grounds["repeat"],
+			r.Grounds["borrowed"], refused, r.Served, r.InObjective, r.Rejected, r.Failed, r.Weight, r.P50MS, r.P99MS)
 	}
 	return w.Flush()
 }
@@ -157,12 +157,12 @@
 	failed := counter("requests_failed_total", "Requests that were taken and not answered.", "how")
 	worth := counter("worth_total", "Worth of what was answered within its aim.")
 	for _, r := range rows {
-		asked.WithLabelValues(r.Team, r.Class).Add(float64(r.Asked))
+		asked.WithLabelValues(r.Team, r.Class).Add(float64(r.Requested))
 		served.WithLabelValues(r.Team, r.Class).Add(float64(r.Served))
-		inAim.WithLabelValues(r.Team, r.Class).Add(float64(r.InAim))
-		worth.WithLabelValues(r.Team, r.Class).Add(r.Worth)
+		inAim.WithLabelValues(r.Team, r.Class).Add(float64(r.InObjective))
+		worth.WithLabelValues(r.Team, r.Class).Add(r.Weight)
 		failed.WithLabelValues(r.Team, r.Class, "failed").Add(float64(r.Failed))
-		failed.WithLabelValues(r.Team, r.Class, "turned_away").Add(float64(r.TurnedAway))
+		failed.WithLabelValues(r.Team, r.Class, "turned_away").Add(float64(r.Rejected))
 		for _, by := range []map[string]uint64{r.Grounds, r.Refused} {
 			for reason, n := range by {
 				decided.WithLabelValues(r.Team, r.Class, reason).Add(float64(n))
--- a/cmd/routerctl/fleet.go
+++ b/cmd/routerctl/fleet.go
@@ -17,7 +17,7 @@
 	"lotushook/internal/fleetreport"
 )
 
-const mostRows = 25 // of data servers and of outliers: those that stand out most
+const maxRows = 25 // of data servers and of outliers: those that stand out most
 
 // columns are what the table over time shows; the sums have all.
 var columns = []string{"asked", "served", "refused", "failed", "gone", "first", "repeated", "dial_up", "dial_unheard", "probes", "no_list", "node_suspected"}
@@ -88,11 +88,11 @@
 	hosts := slices.SortedFunc(maps.Keys(f.Servers), func(x, y string) int {
 		return cmp.Or(cmp.Compare(bad(y), bad(x)), strings.Compare(x, y))
 	})
-	for _, host := range hosts[:min(len(hosts), mostRows)] {
+	for _, host := range hosts[:min(len(hosts), maxRows)] {
 		s := f.Servers[host]
 		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", host, len(s.Routers), s.Done, s.Miss, s.Busy, s.Failed, s.Lost, s.Unsent)
 	}
-	if more := len(hosts) - mostRows; more > 0 {
+	if more := len(hosts) - maxRows; more > 0 {
 		fmt.Fprintf(out, "and %d with less that went wrong\n", more)
 	}
 }
@@ -103,7 +103,7 @@
 		return
 	}
 	fmt.Fprint(out, "\nstands out\tcount\tits\tmedian\n")
-	for _, o := range all[:min(len(all), mostRows)] {
+	for _, o := range all[:min(len(all), maxRows)] {
 		fmt.Fprintf(out, "%s\t%s\t%d\t%d\n", o.Router, o.Counter, o.Count, o.Median)
 	}
 }
--- a/cmd/routerctl/members.go
+++ b/cmd/routerctl/members.go
@@ -18,7 +18,7 @@
 		return errors.New("members takes the socket that the router's settings name")
 	}
 	var m peer.Report
-	if err := admin.Ask(c.Args().First(), "members", &m); err != nil {
+	if err := admin.Query(c.Args().First(), "members", &m); err != nil {
 		return err
 	}
 	out, v := c.Root().Writer, m.View
--- a/internal/accounting/accounts.go
+++ b/internal/accounting/accounting.go
@@ -11,23 +11,23 @@
 
 // Row is one team's account of one class, since the router's start.
 type Row struct {
-	Team       string            `json:"team"`
-	Class      string            `json:"class"`
-	Asked      uint64            `json:"asked"`
-	Grounds    map[string]uint64 `json:"grounds"` // on which requests were taken
-	Refused    map[string]uint64 `json:"refused"` // by the contract, by reason
-	Served     uint64            `json:"served"`
-	InAim      uint64            `json:"in_aim"`
-	TurnedAway uint64            `json:"turned_away"` // taken, and refused later
-	Failed     uint64            `json:"failed"`
-	Worth      float64           `json:"worth"`
-	P50MS      float64           `json:"p50_ms"`
-	P99MS      float64           `json:"p99_ms"`
+	Team        string            `json:"team"`
+	Class       string            `json:"class"`
+	Requested   uint64            `json:"asked"`
+	Grounds     map[string]uint64 `json:"grounds"` // on which requests were taken
+	Refused     map[string]uint64 `json:"refused"` // by the contract, by reason
+	Served      uint64            `json:"served"`
+	InObjective uint64            `json:"in_aim"`
+	Rejected    uint64            `json:"turned_away"` // taken, and refused later
+	Failed      uint64            `json:"failed"`
+	Weight      float64           `json:"worth"`
+	P50MS       float64           `json:"p50_ms"`
+	P99MS       float64           `json:"p99_ms"`
 }
 
 const (
-	mostTimes = 4096 // histograms, of 4 KB at the most; beyond it answers are not timed
-	longest   = 60 * time.Second
+	maxTimes = 4096 // histograms, of 4 KB at the most; beyond it answers are not timed
+	longest  = 60 * time.Second
 )
 
 // Times are how long answers took, by team and class. One goroutine owns them.
@@ -43,7 +43,7 @@
 	key := [2]string{team, class}
 	h := t.by[key]
 	if h == nil {
-		if len(t.by) >= mostTimes {
+		if len(t.by) >= maxTimes {
 			return
 		}
 		h = hdrhistogram.New(1, int64(longest/time.Millisecond), 1)
--- a/internal/admin/control.go
+++ b/internal/admin/admin.go
@@ -100,8 +100,8 @@
 	return failure{fmt.Sprintf("%q is not told here; there is %s", word, strings.Join(known, ", "))}
 }
 
-// Ask reads the answer to a word at a socket.
-func Ask(path, word string, to any) error {
+// Query reads the answer to a word at a socket.
+func Query(path, word string, to any) error {
 	conn, err := net.Dial("unix", path)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -6,8 +6,6 @@
 	"sync"
 	"time"
 
-	"lotushook/internal/invariant"
-	"lotushook/internal/pgwire"
 	"lotushook/policy/balance"
 	"lotushook/policy/clock"
 )
@@ -97,9 +95,6 @@
 	return res
 }
 
-// bindResult is how tying an attempt to a connection went.
-type bindResult int
-
 const (
 	bindOK         bindResult = iota
 	bindEnded                 // the attempt has ended
@@ -109,45 +104,6 @@
 	bindUnusable              // the connection can't be used
 )
 
-// bind ties the attempt to the connection that its query goes out on: the last step
-// before the first byte, and the only one that asks whether it may. What was decided
-// before a dial or a wait may have been overtaken by then.
-func (a *Attempt) bind(c *serverConn) bindResult {
-	dial, ready := c.pool.Directory.Address(c.endpoint)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	now := time.Now()
-	switch {
-	case a.ended:
-		return bindEnded
-	case !ready:
-		return bindNotAllowed
-	case !now.Before(a.deadline) || a.stillWanted != nil && !a.stillWanted():
-		return bindUnwanted
-	case dial != c.address:
-		return bindMoved
-	}
-	invariant.Check(a.conn == nil, "an attempt is sent once")
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.unsolicited || c.closed || c.hasUnread() {
-		return bindUnusable
-	}
-	a.conn = c
-	invariant.Check(c.current == nil, "a connection carries one request at a time")
-	c.current, c.sentAt = a, now
-	return bindOK
-}
-
-// unbind frees the attempt of a connection that did not take its query whole; it
-// says whether the attempt goes on.
-func (a *Attempt) unbind() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.conn = nil
-	return !a.ended
-}
-
 // finish delivers the result; what comes after the first one is dropped.
 func (a *Attempt) finish(r Result) {
 	a.mu.Lock()
@@ -159,28 +115,3 @@
 	a.cancel()
 	a.done <- r
 }
-
-// Probe asks a node for its report. It waits for the answer.
-func (p *Pool) Probe(node balance.EndpointID, wait time.Duration) (Result, pgwire.Report) {
-	end := time.Now().Add(wait)
-	a := p.Start(node, end, end, func(w io.Writer) error {
-		_, err := w.Write(pgwire.AppendQuery(nil, "SHOW vitals"))
-		return err
-	}, nil)
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	var res Result
-	select {
-	case res = <-a.Done():
-	case <-timer.C:
-		res = a.Abort(balance.TimedOut)
-	}
-	if res.Outcome != balance.Succeeded {
-		return res, pgwire.Report{}
-	}
-	rep, err := pgwire.ParseReport(string(res.Value))
-	if err != nil {
-		res.Outcome, res.Err = balance.Failed, err
-	}
-	return res, rep
-}
--- /dev/null
+++ b/internal/backend/bind.go
@@ -0,0 +1,49 @@
+package backend
+
+import (
+	"time"
+
+	"lotushook/internal/invariant"
+)
+
+// bindResult is how tying an attempt to a connection went.
+type bindResult int
+
+// bind ties the attempt to the connection that its query goes out on: the last step
+// before the first byte, and the only one that asks whether it may. What was decided
+// before a dial or a wait may have been overtaken by then.
+func (a *Attempt) bind(c *serverConn) bindResult {
+	dial, ready := c.pool.Directory.Address(c.endpoint)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := time.Now()
+	switch {
+	case a.ended:
+		return bindEnded
+	case !ready:
+		return bindNotAllowed
+	case !now.Before(a.deadline) || a.stillWanted != nil && !a.stillWanted():
+		return bindUnwanted
+	case dial != c.address:
+		return bindMoved
+	}
+	invariant.Check(a.conn == nil, "an attempt is sent once")
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.unsolicited || c.closed || c.hasUnread() {
+		return bindUnusable
+	}
+	a.conn = c
+	invariant.Check(c.current == nil, "a connection carries one request at a time")
+	c.current, c.sentAt = a, now
+	return bindOK
+}
+
+// unbind frees the attempt of a connection that did not take its query whole; it
+// says whether the attempt goes on.
+func (a *Attempt) unbind() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.conn = nil
+	return !a.ended
+}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -4,14 +4,10 @@
 
 import (
 	"context"
-	"fmt"
-	"log/slog"
-	"net"
 	"sync"
 	"time"
 
 	"lotushook/internal/fdlimit"
-	"lotushook/internal/invariant"
 	"lotushook/internal/metrics"
 	"lotushook/internal/ringbuffer"
 	"lotushook/policy/balance"
@@ -32,7 +28,7 @@
 	StallTimeout     time.Duration     // an answer that has begun must go on within this
 	SettleTime       time.Duration     // a connection rests so long after an answer: what follows unasked is seen by then
 	OutOfDescriptors func()            // told when the system has no descriptor left; nil: nobody
-	Metrics          *metrics.Tally    // counts dials; nil: nobody does
+	Metrics          *metrics.Metrics  // counts dials; nil: nobody does
 	// Pace is asked before a dial: it may be made after wait, no longer than most, or not now, and then nothing was sent.
 	// nil: at once.
 	DialDelay       func(most time.Duration) (wait time.Duration, ok bool)
@@ -195,49 +191,3 @@
 	_, idle := p.Counts()
 	return idle
 }
-
-// dialFor starts a new connection and gives it its first attempt.
-func (p *Pool) dialFor(a *Attempt, dial string) {
-	rest := time.Duration(0)
-	if p.DialDelay != nil {
-		var ok bool
-		if rest, ok = p.DialDelay(time.Until(a.connectDeadline) / 2); !ok { // the other half is for the dial
-			a.finish(Result{Outcome: outcomeNotSent, Err: errNoDialTurn})
-			return
-		}
-	}
-	if !p.Descriptors.Dial() && !(p.EvictIdle() && p.Descriptors.Dial()) {
-		slog.Warn("no descriptor free for a data server", "node", a.endpoint)
-		p.Metrics.Add(metrics.NoSocket)
-		a.finish(Result{Outcome: outcomeNotSent})
-		return
-	}
-	c := newServerConn(p, a.endpoint, dial)
-	c.dialDelay = rest
-	p.mu.Lock()
-	if p.closed {
-		p.mu.Unlock()
-		p.Descriptors.Hangup()
-		a.finish(Result{Outcome: outcomeNotSent})
-		return
-	}
-	p.all[c] = struct{}{}
-	p.mu.Unlock()
-	go c.run(a)
-}
-
-// dial connects to an address; open has taken the descriptor for it.
-func (p *Pool) dial(ctx context.Context, addr string) (*net.TCPConn, error) {
-	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	tcp, ok := conn.(*net.TCPConn)
-	if !invariant.Check(ok, "a dialled connection is TCP") {
-		conn.Close()
-		return nil, fmt.Errorf("dialled %T", conn)
-	}
-	tcp.SetNoDelay(true)
-	return tcp, nil
-}
--- /dev/null
+++ b/internal/changefeed/answer.go
@@ -0,0 +1,241 @@
+package changefeed
+
+import (
+	"errors"
+	"sync"
+
+	"lotushook/internal/invariant"
+	"lotushook/policy/crdt"
+	"lotushook/policy/cursor"
+)
+
+// Subscription is what a client's connection remembers: whose feed it asked for last, and under which generation.
+type Subscription struct {
+	mu         sync.Mutex
+	log        *log
+	subscriber string
+	held       cursor.Generation
+	point      cursor.Position // of the last answer
+	busy       bool
+}
+
+// known is what the routers know of a subscriber.
+func (p *Feeds) known(l *log, subscriber string) (c cursor.Cursor, letGo bool) {
+	now := p.opt.Now()
+	p.do(subscriber, func(b *cursor.Registry) {
+		c, _ = b.Get(now, l.number, subscriber)
+		letGo = b.Evicted() > 0
+	})
+	if p.opt.State != nil {
+		p.opt.State.Look(l.text, subscriber, func(s *crdt.Store, now int64) {
+			e, ok, forgot := s.Cursor(now, l.text, subscriber)
+			letGo = letGo || forgot
+			if told := cursor.FromEntry(e); ok && told.History != (cursor.History{}) {
+				c = c.Join(told)
+			}
+		})
+	}
+	return c, letGo
+}
+
+// Answer is a request's: one value, or a typed error after which the subscriber's cursor is what it was.
+func (p *Feeds) Answer(seat *Subscription, q *Request) ([]byte, error) {
+	value, row, n, err := p.answer(seat, q)
+	p.count.Lock()
+	p.count.rows[row]++
+	if err == nil {
+		p.count.Answers++
+		p.count.Events += uint64(n)
+	} else {
+		p.count.Refused++
+	}
+	p.count.Unlock()
+	return value, err
+}
+
+func (p *Feeds) answer(seat *Subscription, q *Request) (value []byte, row cursor.Row, n int, err error) {
+	l := p.log(q.Class, q.Group)
+	crowded := func(why string, wait int64) error {
+		return &cursor.OverloadedError{Why: why, Feed: l.text, Subscriber: q.Subscriber, Wait: wait}
+	}
+	seat.mu.Lock()
+	if seat.busy {
+		seat.mu.Unlock()
+		return nil, cursor.Wait, 0, crowded(cursor.CrowdBusy, 0)
+	}
+	seat.busy = true
+	goesOn, held, point := seat.log == l && seat.subscriber == q.Subscriber, seat.held, seat.point
+	seat.mu.Unlock()
+	defer func() {
+		seat.mu.Lock()
+		seat.busy = false
+		seat.mu.Unlock()
+	}()
+
+	asked := cursor.Request{Turn: cursor.NewConnection, Client: q.After}
+	carries := q.After.History != (cursor.History{})
+	if goesOn {
+		if asked.Turn = cursor.SameConnection; !carries { // by asking again here it shows that the last answer came
+			asked.Client = point
+		}
+	} else {
+		p.pace.Lock()
+		wait, ok := p.pace.Reconnect(p.opt.Now(), q.Subscriber)
+		p.pace.Unlock()
+		if !ok {
+			return nil, cursor.Wait, 0, crowded(cursor.CrowdReturning, wait)
+		}
+	}
+	var far *reading
+	for try := 0; ; try++ {
+		known, letGo := p.known(l, q.Subscriber)
+		now := p.opt.Now()
+		l.mu.Lock()
+		if _, read := l.feed.End(); read && known.Gen > l.feed.Head().At+maxGeneration { // nobody raised it so far: it is no word of a router's
+			known = cursor.Cursor{}
+		}
+		asked.Known, asked.Own, asked.LetGo = known, known.By == p.opt.Self, letGo
+		if goesOn && known.Generation.Compare(held) > 0 {
+			asked.Turn = cursor.SupersededConnection
+		}
+		v := l.feed.Decide(now, asked, try < maxTries)
+		row = v.Row
+		invariant.Check(row != cursor.Impossible, "no request stands as none can", "turn", asked.Turn, "client", q.After, "known", known)
+		switch row {
+		case cursor.Fenced, cursor.Snapshot, cursor.Future, cursor.Impossible:
+			begin := l.feed.Head()
+			l.mu.Unlock()
+			return nil, row, 0, &cursor.RejectedError{Row: row, Forgot: row == cursor.Snapshot && q.After.History == (cursor.History{}) && known.Gen == 0,
+				Feed: l.text, Subscriber: q.Subscriber, Had: v.Start, Begin: begin}
+		}
+		var r *reading
+		here := v.Need == cursor.NothingNeeded || v.Need == cursor.ReadCatchUp && far.serves(v.Start)
+		switch {
+		case here:
+		case v.Need == cursor.ReadEnd:
+			r = l.end
+		default:
+			r = l.far[v.Start]
+		}
+		begin := r == nil && !here
+		switch {
+		case begin && try >= maxTries:
+			cause := errors.New("members that are behind, or forked off")
+			if far != nil && far.err != nil {
+				cause = far.err
+			}
+			l.mu.Unlock()
+			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: l.set.PollInterval, Cause: cause}
+		case begin && v.Need == cursor.ReadCatchUp:
+			p.pace.Lock()
+			wait, ok := p.pace.CatchUp(now, q.Subscriber)
+			p.pace.Unlock()
+			if !ok {
+				l.mu.Unlock()
+				return nil, cursor.Wait, 0, crowded(cursor.CrowdFar, wait)
+			}
+			r = p.read(l, v.Start, false, q.Who)
+		case begin:
+			after, _ := l.feed.End()
+			r = p.read(l, after, true, q.Who)
+		}
+		if r == nil { // nothing more to read: the answer
+			var from []cursor.Event
+			if v.Need == cursor.ReadCatchUp {
+				from = far.answer.Events
+			}
+			list, next, more := []cursor.Event(nil), v.Start, false
+			if head := l.feed.Head(); row != cursor.Wait || v.Start.Compare(head) <= 0 && v.Start.At <= head.At {
+				list, next, more = l.feed.Batch(v.Start, from)
+			}
+			head := l.feed.Head()
+			l.mu.Unlock()
+			b := &Batch{Events: events(list), Next: Place{After: next.At, History: next.History.String()}, Began: row == cursor.Begin}
+			if row == cursor.Rewind {
+				b.Rewound = &Rewound{History: v.Back.History.String(), From: v.Back.At, To: v.Start.At}
+			}
+			if !more {
+				b.AgainMS = l.set.PollInterval / 1e6
+			}
+			kept := cursor.Cursor{Generation: held, Position: next, Acked: min(v.Start.At, next.At)}
+			switch {
+			case row == cursor.Begin:
+				kept.Acked = cursor.NotAcknowledged
+			case row == cursor.Rewind && !carries: // until it is known to have heard it, it is told again
+				if kept.Position, kept.Acked = v.Back, min(known.Acked, v.Back.At); known.Gen == 0 {
+					kept.Acked = cursor.NotAcknowledged
+				}
+			}
+			if !carries && kept.Position.Compare(known.Position) < 0 { // what it may have had stays known
+				kept.Position = known.Position
+			}
+			gen, ok := p.deliver(seat, l, q, goesOn, kept, next, head)
+			if !ok {
+				return nil, cursor.Fenced, 0, &cursor.RejectedError{Row: cursor.Fenced, Feed: l.text, Subscriber: q.Subscriber}
+			}
+			b.Next.Gen = gen
+			value, err = json.Marshal(b)
+			return value, row, len(list), err
+		}
+		l.mu.Unlock()
+		if err := p.await(l, r, q); err != nil {
+			return nil, cursor.Wait, 0, err
+		}
+		if r.err != nil && try+1 >= maxTries {
+			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: max(r.wait, l.set.PollInterval), Cause: r.err}
+		}
+		if r.err != nil && r.wait > 0 { // the module says when: trying at once would be pressing
+			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: r.wait, Cause: r.err}
+		}
+		if far = nil; v.Need == cursor.ReadCatchUp {
+			far = r
+		}
+	}
+}
+
+// deliver notes what goes out, unless the connection was outrun meanwhile, and returns its generation.
+func (p *Feeds) deliver(seat *Subscription, l *log, q *Request, goesOn bool, c cursor.Cursor, next, head cursor.Position) (gen int64, ok bool) {
+	held := c.Generation
+	known, _ := p.known(l, q.Subscriber)
+	if known.Gen > head.At+maxGeneration {
+		known = cursor.Cursor{}
+	}
+	if goesOn && known.Generation.Compare(held) > 0 {
+		return 0, false
+	}
+	if !goesOn {
+		client := q.Gen
+		if client > head.At+maxGeneration {
+			client = 0
+		}
+		held = cursor.Generation{Gen: max(known.Gen, client, head.At) + 1, By: p.opt.Self}
+	}
+	c.Generation = held
+	kept := next.At <= head.At // a cursor that is ahead is the client's word alone
+	put := true
+	if kept {
+		now := p.opt.Now()
+		p.do(q.Subscriber, func(b *cursor.Registry) {
+			old, had := b.Get(now, l.number, q.Subscriber)
+			if had && !goesOn && old.Gen >= held.Gen { // two come back here at once: the later holds
+				held.Gen = old.Gen + 1
+				c.Generation = held
+			}
+			if had && old.Generation.Compare(held) > 0 { // between the look and now
+				put = false
+				return
+			}
+			b.Put(now, l.number, q.Subscriber, c)
+		})
+		if put && p.opt.State != nil {
+			p.opt.State.Learn(c.Entry(l.text, q.Subscriber))
+		}
+	}
+	if !put {
+		return 0, false
+	}
+	seat.mu.Lock()
+	seat.log, seat.subscriber, seat.held, seat.point = l, q.Subscriber, held, next
+	seat.mu.Unlock()
+	return held.Gen, true
+}
--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -28,14 +28,14 @@
 	hold   chan struct{} // a reading waits for it; nil: it does not
 }
 
-func (m *member) read(a Ask) Got {
+func (m *member) read(a ReadRequest) ReadResult {
 	if m.hold != nil {
 		<-m.hold
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.reads++; m.fail != nil {
-		return Got{Err: m.fail}
+		return ReadResult{Err: m.fail}
 	}
 	out := &cursor.Response{Line: m.line, From: a.After.At}
 	if end, on := m.line.End(a.After.History); on {
@@ -50,7 +50,7 @@
 	}
 	out.More = len(out.Events) > 0 && out.Events[len(out.Events)-1].At < out.Head
 	raw, err := AppendAnswer(out)
-	return Got{Value: raw, Err: err}
+	return ReadResult{Value: raw, Err: err}
 }
 
 func (m *member) commit(at int64) {
@@ -60,7 +60,7 @@
 }
 
 // part is a Part before one member, on a clock that the test moves.
-func part(t testing.TB, m *member, change func(*cursor.Settings)) (*Part, *atomic.Int64) {
+func part(t testing.TB, m *member, change func(*cursor.Settings)) (*Feeds, *atomic.Int64) {
 	now := &atomic.Int64{}
 	now.Store(1e9)
 	set := cursor.DefaultSettings()
@@ -75,7 +75,7 @@
 	return p, now
 }
 
-func ask(p *Part, seat *Seat, who string, after cursor.Position) (*Batch, error) {
+func ask(p *Feeds, seat *Subscription, who string, after cursor.Position) (*Batch, error) {
 	raw, err := p.Answer(seat, &Request{Class: "f", Group: 1, Subscriber: who, After: after, Until: p.opt.Now() + 20e9})
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 						mu.Unlock()
 						continue
 					}
-					b, err := ask(p, &Seat{}, fmt.Sprint("s", c.who), cursor.Position{History: one, At: c.from})
+					b, err := ask(p, &Subscription{}, fmt.Sprint("s", c.who), cursor.Position{History: one, At: c.from})
 					var crowded *cursor.OverloadedError
 					if errors.As(err, &crowded) && crowded.Why == cursor.CrowdReturning && crowded.Wait > 0 && crowded.Wait <= p.opt.Settings.MaxRetryAfter {
 						late.Add(1)
@@ -166,10 +166,10 @@
 		m.commit(at)
 	}
 	p, now := part(t, m, func(s *cursor.Settings) { s.RingEvents, s.BatchEvents, s.CatchUpReadsPerSecond = 10, 20, 2 })
-	if b, err := ask(p, &Seat{}, "warm", cursor.Position{}); err != nil || !b.Began {
+	if b, err := ask(p, &Subscription{}, "warm", cursor.Position{}); err != nil || !b.Began {
 		t.Fatal(b, err)
 	}
-	for b, err := ask(p, &Seat{}, "near", cursor.Position{History: one, At: 95}); err != nil || len(b.Events) != 5; {
+	for b, err := ask(p, &Subscription{}, "near", cursor.Position{History: one, At: 95}); err != nil || len(b.Events) != 5; {
 		t.Fatal(b, err)
 	}
 	m.hold = make(chan struct{})
@@ -177,7 +177,7 @@
 	var all sync.WaitGroup
 	for i := range 5 { // the same range: one reading
 		all.Go(func() {
-			if b, err := ask(p, &Seat{}, fmt.Sprint("s", i), cursor.Position{History: one, At: 30}); err != nil || len(b.Events) != 20 || b.Events[0].At != 31 || b.AgainMS != 0 {
+			if b, err := ask(p, &Subscription{}, fmt.Sprint("s", i), cursor.Position{History: one, At: 30}); err != nil || len(b.Events) != 20 || b.Events[0].At != 31 || b.AgainMS != 0 {
 				t.Error(b, err)
 			}
 		})
@@ -190,7 +190,7 @@
 	if m.reads != before+1 {
 		t.Errorf("%d readings of one range", m.reads-before)
 	}
-	seat, place, got, refused := &Seat{}, cursor.Position{History: one}, []int64{}, 0
+	seat, place, got, refused := &Subscription{}, cursor.Position{History: one}, []int64{}, 0
 	for place.At < 100 {
 		b, err := ask(p, seat, "slow", place)
 		var crowded *cursor.OverloadedError
@@ -219,7 +219,7 @@
 	m.commit(10)
 	m.commit(20)
 	p, now := part(t, m, nil)
-	first, second := &Seat{}, &Seat{}
+	first, second := &Subscription{}, &Subscription{}
 	a, err := ask(p, first, "x", cursor.Position{History: one, At: 10})
 	if err != nil || len(a.Events) != 1 {
 		t.Fatal(a, err)
@@ -284,7 +284,7 @@
 		} else if r.History != "" && err == nil {
 			return
 		}
-		seat := &Seat{}
+		seat := &Subscription{}
 		raw, err := p.Answer(seat, q)
 		if err != nil {
 			if operr.Of(err) == nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -6,13 +6,11 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
 
 	"lotushook/internal/metrics"
-	"lotushook/internal/ringbuffer"
 )
 
 // The list's clock, derived in docs/design/fleet.md: what discovery had and could have told counts as told 6 s later, also
@@ -61,14 +59,6 @@
 	jitterShare          = 10 // of the span between two calls, such a part to either side
 )
 
-// statusError is an answer that came whole and is no list.
-type statusError struct {
-	status int
-	target string
-}
-
-func (e statusError) Error() string { return fmt.Sprintf("status %d for %s", e.status, e.target) }
-
 // Watcher follows the list at one agent at a time.
 type Watcher struct {
 	// How long a watch is; what silence is borne beyond it from an agent whose last answer was quick, and from another;
@@ -77,7 +67,7 @@
 	watchTimeout, quickSilence, patientSilence, bodyTimeout, firstBackoff, maxBackoff, maxTurnWait, doubtPeriod time.Duration
 	shared                                                                                                      bool
 
-	Metrics *metrics.Tally // counts calls; nil: nobody does
+	Metrics *metrics.Metrics // counts calls; nil: nobody does
 	// Pace is asked before a call for the whole list: it may be made after wait, or Pace is to be asked again then. What it
 	// puts off for longer than the list's clock allows is asked for all the same. nil: at once.
 	CallDelay func() (wait time.Duration, ok bool)
@@ -164,7 +154,7 @@
 		}
 		if err == nil {
 			w.applied(l)
-			w.Metrics.Add(metrics.Lists)
+			w.Metrics.Add(metrics.ListCalls)
 			pause, row = w.firstBackoff, 0
 			if hasty++; time.Since(began) > minBackoff {
 				hasty = 0
@@ -176,7 +166,7 @@
 		}
 		w.hasSnapshot = w.hasSnapshot && w.keepsSnapshot(err)
 		w.closeConnection()
-		w.Metrics.Add(metrics.NoList)
+		w.Metrics.Add(metrics.ListCallsFailed)
 		if why := errorCause(err); why != last {
 			row, last = 0, why
 		}
@@ -208,34 +198,6 @@
 	return errors.As(err, &busy) && busy.status >= 500 || w.shared && isTimeout(err)
 }
 
-// awaitTurn waits for this router's turn, for as long as the list's clock allows.
-func (w *Watcher) awaitTurn(ctx context.Context) {
-	late := time.NewTimer(w.maxTurnWait)
-	defer late.Stop()
-	for ok := false; !ok && ctx.Err() == nil; {
-		var wait time.Duration
-		wait, ok = w.CallDelay()
-		its := time.NewTimer(wait)
-		select {
-		case <-ctx.Done():
-		case <-its.C:
-		case <-late.C:
-			ok = true
-		}
-		its.Stop()
-	}
-}
-
-// sleep waits for so long.
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
 // applied notes what the list in force is.
 func (w *Watcher) applied(l *List) {
 	if !w.doubtUntil.IsZero() && !l.Doubtful {
@@ -246,21 +208,6 @@
 	w.maxVersion = max(w.maxVersion, l.Version)
 }
 
-// isTimeout says whether an error is that nothing came in time.
-func isTimeout(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && ne.Timeout()
-}
-
-// errorCause is an error without the ports of its connection.
-func errorCause(err error) string {
-	var op *net.OpError
-	if errors.As(err, &op) {
-		err = op.Err
-	}
-	return err.Error()
-}
-
 // nextList asks for the whole list, or watches for what comes after it.
 func (w *Watcher) nextList(ctx context.Context, agent string) (*List, error) {
 	if !w.doubtUntil.IsZero() && !time.Now().Before(w.doubtUntil) { // its word holds from now on, so all of it is asked for
@@ -306,126 +253,3 @@
 	}
 	return l, nil
 }
-
-// watchWait is how long a watch may be. After an error it is a call for what there is.
-func (w *Watcher) watchWait() time.Duration {
-	switch {
-	case w.responseDelay == unknownDelay:
-		return immediateWait
-	case w.shared && w.responseDelay <= sharedMaxDelay:
-		return min(w.watchTimeout, notifiedAfter-notifiedMargin-w.allowedSilence()-minBackoff*3/2-w.responseDelay).Truncate(time.Millisecond)
-	}
-	return w.watchTimeout
-}
-
-// allowedSilence is how long silence is borne beyond a call's wait, its dial included.
-func (w *Watcher) allowedSilence() time.Duration {
-	switch {
-	case w.responseDelay == unknownDelay:
-	case w.shared && w.responseDelay <= sharedMaxDelay:
-		return max(w.quickSilence, w.responseDelay+sharedDelayGrowth)
-	case w.responseDelay <= w.quickSilence/2:
-		return w.quickSilence
-	}
-	return w.patientSilence
-}
-
-func (w *Watcher) get(ctx context.Context, agent, target string, wait, quiet time.Duration) ([]byte, error) {
-	until := time.Now().Add(wait + quiet) // dialing is part of it
-	if w.conn != nil && (w.reader.Buffered() > 0 || w.input.in.Len() > 0) {
-		w.closeConnection() // nobody asked for what stands there: it is no answer to this call
-	}
-	if w.conn == nil {
-		conn, err := w.dial(ctx, agent, min(dialTimeout, wait+quiet))
-		if err != nil {
-			return nil, err
-		}
-		w.conn, w.input = conn, &timedReader{conn: conn, in: ringbuffer.New(1 << 16)}
-		w.reader = bufio.NewReader(w.input)
-	}
-	conn := w.conn // the end of the context can come when w has hung up
-	w.input.expect(ctx, quiet, w.bodyTimeout)
-	if err := conn.SetDeadline(until); err != nil {
-		return nil, err
-	}
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	defer stop()
-	req := "GET " + target + " HTTP/1.1\r\nHost: " + agent + "\r\nAccept: application/json\r\n\r\n"
-	if _, err := conn.Write([]byte(req)); err != nil {
-		return nil, err
-	}
-	status, body, keep, err := readResponse(w.reader)
-	if err != nil {
-		return nil, err
-	}
-	if !keep {
-		w.closeConnection()
-	}
-	if status != 200 {
-		return nil, statusError{status, target}
-	}
-	return body, nil
-}
-
-func dial(ctx context.Context, agent string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
-	return d.DialContext(ctx, "tcp", agent)
-}
-
-// halfJitter draws a span from half to one and a half: routers that started together
-// must not ask together.
-func halfJitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
-
-// lowJitter draws a span from half to a tenth more: those whom one failure brought together ask apart from then on.
-func lowJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+d/jitterShare) }
-
-// smallJitter draws a span from a tenth less to a tenth more.
-func smallJitter(d time.Duration) time.Duration { return d - d/jitterShare + rand.N(2*d/jitterShare) }
-
-func (w *Watcher) closeConnection() {
-	if w.conn != nil {
-		w.conn.Close()
-	}
-	w.conn = nil
-}
-
-// timedReader reads from a connection through its ring buffer. Once an answer has
-// begun, silence shows sooner than the end of the wait, and one that drips is
-// waited for, within bounds.
-type timedReader struct {
-	conn net.Conn
-	in   *ringbuffer.Buffer
-
-	ctx                  context.Context
-	silence, bodyTimeout time.Duration
-	bodyDeadline         time.Time // of the answer that has begun; zero: none has
-}
-
-// expect is called before an answer is asked for.
-func (f *timedReader) expect(ctx context.Context, quiet, drip time.Duration) {
-	f.ctx, f.silence, f.bodyTimeout, f.bodyDeadline = ctx, quiet, drip, time.Time{}
-}
-
-func (f *timedReader) Read(p []byte) (int, error) {
-	if f.in.Len() == 0 {
-		f.in.Idle()
-		if err := f.in.Fill(f.conn); err != nil {
-			return 0, err
-		}
-		now := time.Now()
-		if f.bodyDeadline.IsZero() {
-			f.bodyDeadline = now.Add(f.bodyTimeout)
-		}
-		next := now.Add(f.silence)
-		if f.bodyDeadline.Before(next) {
-			next = f.bodyDeadline
-		}
-		if err := f.conn.SetDeadline(next); err != nil {
-			return 0, err
-		}
-		if err := f.ctx.Err(); err != nil { // or the deadline that its end set would be undone
-			return 0, err
-		}
-	}
-	return f.in.Read(p)
-}
--- a/internal/experiment/fellows.go
+++ b/internal/experiment/cluster.go
@@ -196,7 +196,7 @@
 			continue
 		}
 		var r peer.Report
-		if admin.Ask(f.socket(n), "members", &r) == nil {
+		if admin.Query(f.socket(n), "members", &r) == nil {
 			f.reports[n] = r
 		}
 	}
--- a/internal/experiment/lanes.go
+++ b/internal/experiment/shedding.go
@@ -194,20 +194,4 @@
 	return m, err
 }
 
-// note keeps what a client was told of a request, where the experiment names lanes.
-func (c *caller) note(r *request, at time.Time, a answer) {
-	if c.load.Lane == "" {
-		return
-	}
-	one := asked{id: r.id, lane: c.load.Lane, account: r.oid, group: r.group, router: c.router, at: at, end: time.Now(), outcome: a.outcome}
-	if a.outcome == refused {
-		one.shed = shedLane(a.text)
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.play.asked) < mostAsked {
-		c.play.asked = append(c.play.asked, one)
-	}
-}
-
 const mostAsked = 1 << 20
--- a/internal/fleetreport/fleet.go
+++ b/internal/fleetreport/fleetreport.go
@@ -24,9 +24,9 @@
 // Bounds: what a reader keeps does not grow with the length of the logs but by these.
 const (
 	longestLine = 1 << 20
-	mostNames   = 4096  // counters, data servers, and ends of requests, each
-	mostSpans   = 10000 // spans of time
-	mostLines   = 10000 // of one request
+	maxNames    = 4096  // counters, data servers, and ends of requests, each
+	maxSpans    = 10000 // spans of time
+	maxLines    = 10000 // of one request
 )
 
 // Fleet is what the logs of a folder say.
@@ -131,10 +131,10 @@
 		}
 	case "request":
 		end := End{fields["class"], fields["end"], fields["why"]}
-		if len(f.Ends) < mostNames || f.Ends[end] > 0 {
+		if len(f.Ends) < maxNames || f.Ends[end] > 0 {
 			f.Ends[end]++
 		}
-		if request != "" && (fields["id"] == request || fields["key"] == request) && len(f.Lines) < mostLines {
+		if request != "" && (fields["id"] == request || fields["key"] == request) && len(f.Lines) < maxLines {
 			came, err := strconv.ParseInt(fields["came_ms"], 10, 64)
 			if err != nil {
 				f.Skipped++
@@ -155,7 +155,7 @@
 		}
 		s := f.Servers[host]
 		if s == nil {
-			if len(f.Servers) >= mostNames {
+			if len(f.Servers) >= maxNames {
 				f.Skipped++
 				return
 			}
@@ -177,14 +177,14 @@
 	}
 	row := f.Times[span]
 	if row == nil {
-		if len(f.Times) >= mostSpans {
+		if len(f.Times) >= maxSpans {
 			f.Skipped++
 			return
 		}
 		row = map[string]int64{}
 		f.Times[span] = row
 	}
-	if len(of) < mostNames {
+	if len(of) < maxNames {
 		of[key] += n
 		row[key] += n
 	}
@@ -213,7 +213,7 @@
 // something that nearly nobody has are no news.
 const (
 	standsOut = 12
-	leastOut  = 20
+	minOut    = 20
 )
 
 // Outliers are the routers that stand out, the farthest first.
@@ -231,7 +231,7 @@
 		}
 		spread := max(median(far), 1)
 		for name, of := range f.Routers {
-			if over := of[key] - mid; over >= leastOut && over >= standsOut*spread {
+			if over := of[key] - mid; over >= minOut && over >= standsOut*spread {
 				out = append(out, Outlier{name, key, of[key], mid, float64(over) / float64(spread)})
 			}
 		}
--- a/internal/metrics/tally.go
+++ b/internal/metrics/metrics.go
@@ -17,34 +17,34 @@
 
 // The counters.
 const (
-	Asked      Counter = iota // requests that came
-	Served                    // answered by a data server
-	Gone                      // the client left before its answer
-	Unanswered                // the module was silent past the deadline: a fault of ours
-	NoRoom                    // refused by the router itself: too many requests held, or too many bytes
-	Contract                  // refused by a team's contract
-	Lane                      // refused as its lane is shed
-	TwiceAlive                // failed, as its id was that of an open request
-
-	First    // sends of a request's first attempt
-	Repeated // sends of a further one
-
-	NotPrimary // misses by reason: a write at a node that is none
-	Behind     // a read at a node that is too far behind
-
-	Probes // sent
-	Probed // answered
-
-	Up       // dials that came to a session
-	Unheard  // that did not come up
-	TooMany  // that were turned away: the data server holds too many connections
-	NoSocket // for which no descriptor was free
-	Lists    // calls of discovery that brought a list or changes
-	NoList   // that failed
-
-	Denied // attempts, dials, probes and list calls that recovery did not allow
-	Jammed // of the attempts: further ones without successes to pay for them
-	Vain   // of the attempts: an answer could not be in time any more
+	Requests           Counter = iota // requests that came
+	Served                            // answered by a data server
+	ClientGone                        // the client left before its answer
+	Unanswered                        // the module was silent past the deadline: a fault of ours
+	TooManyHeld                       // refused by the router itself: too many requests held, or too many bytes
+	RejectedByContract                // refused by a team's contract
+	RejectedByShedding                // refused as its lane is shed
+	DuplicateID                       // failed, as its id was that of an open request
+
+	FirstAttempts // sends of a request's first attempt
+	Retries       // sends of a further one
+
+	MissesNotPrimary // misses by reason: a write at a node that is none
+	MissesBehind     // a read at a node that is too far behind
+
+	Probes         // sent
+	ProbesAnswered // answered
+
+	DialsUp                // dials that came to a session
+	DialsFailed            // that did not come up
+	DialsRejected          // that were turned away: the data server holds too many connections
+	DialsWithoutDescriptor // for which no descriptor was free
+	ListCalls              // calls of discovery that brought a list or changes
+	ListCallsFailed        // that failed
+
+	DeniedByRecovery // attempts, dials, probes and list calls that recovery did not allow
+	DeniedRetries    // of the attempts: further ones without successes to pay for them
+	DeniedLate       // of the attempts: an answer could not be in time any more
 
 	counters
 )
@@ -64,10 +64,10 @@
 
 // mostServers is how many data servers are counted one by one in a period; the work of the others is counted
 // under the name "others".
-const mostServers = 512
+const maxServers = 512
 
-// Tally is one router's counts. A nil one counts nothing. It is safe for concurrent use.
-type Tally struct {
+// Metrics is one router's counts. A nil one counts nothing. It is safe for concurrent use.
+type Metrics struct {
 	counts [counters]atomic.Int64
 	why    [actions][balance.ReasonCount]atomic.Int64 // the module's actions by kind and reason
 	ends   [len(outcomes)]atomic.Int64                // of attempts
@@ -80,24 +80,24 @@
 type Server struct{ Done, Miss, Busy, Failed, Lost, Unsent int64 }
 
 // New returns a tally of nothing.
-func New() *Tally { return &Tally{servers: map[string]*Server{}} }
+func New() *Metrics { return &Metrics{servers: map[string]*Server{}} }
 
 // Add counts one.
-func (t *Tally) Add(c Counter) {
+func (t *Metrics) Add(c Counter) {
 	if t != nil {
 		t.counts[c].Add(1)
 	}
 }
 
-// Act counts one action of the module.
-func (t *Tally) Act(a *balance.Action) {
+// CountAction counts one action of the module.
+func (t *Metrics) CountAction(a *balance.Action) {
 	if t != nil {
 		t.why[a.Kind][a.Reason].Add(1)
 	}
 }
 
-// End counts how an attempt at a data server ended.
-func (t *Tally) End(host string, o balance.Outcome) {
+// CountOutcome counts how an attempt at a data server ended.
+func (t *Metrics) CountOutcome(host string, o balance.Outcome) {
 	if t == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 	defer t.mu.Unlock()
 	s := t.servers[host]
 	if s == nil {
-		if len(t.servers) >= mostServers {
+		if len(t.servers) >= maxServers {
 			host = "others"
 		}
 		if s = t.servers[host]; s == nil {
@@ -131,7 +131,7 @@
 }
 
 // Take returns what was counted since the last Take, without what is zero, and counts on from nothing.
-func (t *Tally) Take() []slog.Attr {
+func (t *Metrics) Take() []slog.Attr {
 	var out []slog.Attr
 	put := func(name string, c *atomic.Int64) {
 		if n := c.Swap(0); n != 0 {
--- a/internal/metrics/tally_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,14 +10,14 @@
 
 func TestTake(t *testing.T) {
 	c := New()
-	c.Add(Asked)
-	c.Add(Asked)
-	c.Act(&balance.Action{Kind: balance.SendAttempt, Reason: balance.ReasonPrimarySearch})
-	c.Act(&balance.Action{Kind: balance.RejectRequest, Reason: balance.ReasonGroupOverloaded})
-	c.Act(&balance.Action{Kind: balance.SetTimer}) // nobody counts these
-	c.End("s-1", balance.Succeeded)
-	c.End("s-1", balance.TimedOut)
-	c.End("s-0", balance.ConnectionRefused)
+	c.Add(Requests)
+	c.Add(Requests)
+	c.CountAction(&balance.Action{Kind: balance.SendAttempt, Reason: balance.ReasonPrimarySearch})
+	c.CountAction(&balance.Action{Kind: balance.RejectRequest, Reason: balance.ReasonGroupOverloaded})
+	c.CountAction(&balance.Action{Kind: balance.SetTimer}) // nobody counts these
+	c.CountOutcome("s-1", balance.Succeeded)
+	c.CountOutcome("s-1", balance.TimedOut)
+	c.CountOutcome("s-0", balance.ConnectionRefused)
 	got := map[string]string{}
 	for _, a := range c.Take() {
 		got[a.Key] = a.Value.String()
@@ -36,15 +36,15 @@
 func TestServers(t *testing.T) {
 	c := New()
 	for o := balance.Succeeded; o <= balance.NotEligible; o++ {
-		c.End("s", o)
+		c.CountOutcome("s", o)
 		if Outcome(o) == "" {
 			t.Errorf("outcome %d has no name", o)
 		}
 	}
-	for i := range mostServers + 10 {
-		c.End(string(rune('a'+i%26))+string(rune('0'+i/26)), balance.Succeeded)
+	for i := range maxServers + 10 {
+		c.CountOutcome(string(rune('a'+i%26))+string(rune('0'+i/26)), balance.Succeeded)
 	}
-	if n := len(c.servers); n != mostServers+1 {
+	if n := len(c.servers); n != maxServers+1 {
 		t.Errorf("%d data servers remembered", n)
 	}
 	if s := c.servers["others"]; s == nil || s.Done != 11 {
@@ -66,8 +66,8 @@
 }
 
 func TestOffCountsNothing(t *testing.T) {
-	var c *Tally
-	c.Add(Asked)
-	c.Act(&balance.Action{Kind: balance.SendAttempt})
-	c.End("s", balance.Succeeded)
+	var c *Metrics
+	c.Add(Requests)
+	c.CountAction(&balance.Action{Kind: balance.SendAttempt})
+	c.CountOutcome("s", balance.Succeeded)
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -7,21 +7,21 @@
 	"lotushook/policy/crdt"
 )
 
-// SpoiledError is a piece of another's copy that is not what it says: it was not taken, and is asked for again elsewhere.
-type SpoiledError struct {
+// CorruptError is a piece of another's copy that is not what it says: it was not taken, and is asked for again elsewhere.
+type CorruptError struct {
 	From    string
 	Entries int
 }
 
-func (e *SpoiledError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("a piece of %d runs from %s does not match its sum: not taken, another member is asked", e.Entries, e.From)
 }
 
 // Kind is that of operr.Error.
-func (*SpoiledError) Kind() string { return "state-spoiled" }
+func (*CorruptError) Kind() string { return "state-spoiled" }
 
 // Hint is that of operr.Error.
-func (e *SpoiledError) Hint() string {
+func (e *CorruptError) Hint() string {
 	return "run the same version on all routers; if it goes on, restart " + e.From
 }
 
--- a/internal/peer/keeper.go
+++ b/internal/peer/keeper.go
@@ -8,8 +8,8 @@
 	Put(e crdt.Entry, by crdt.Origin)
 }
 
-// Tell has a keeper hear of all that is learned and told. It is to be called before the State is used.
-func (s *State) Tell(k Keeper) { s.keeper = k }
+// SetKeeper has a keeper hear of all that is learned and told. It is to be called before the State is used.
+func (s *State) SetKeeper(k Keeper) { s.keeper = k }
 
 // Restore joins what this router had before its start. It is as if somebody told it: it is not pushed, its ages go on, and
 // whoever has heard better keeps that. It returns how many entries are held now that were not.
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	leastKey = 32 // bytes
-	mostKeys = 2
+	minKeyBytes = 32 // bytes
+	maxKeys     = 2
 )
 
 // ReadKeys reads a key file: one key a line, as at least 64 hex digits; lines that start with # are notes. Messages are
@@ -28,16 +28,16 @@
 			continue
 		}
 		key, err := hex.DecodeString(line)
-		if err != nil || len(key) < leastKey {
-			return nil, &KeyError{path, i + 1, fmt.Errorf("not %d or more hex digits", 2*leastKey)} // the line itself is a secret
+		if err != nil || len(key) < minKeyBytes {
+			return nil, &KeyError{path, i + 1, fmt.Errorf("not %d or more hex digits", 2*minKeyBytes)} // the line itself is a secret
 		}
 		keys = append(keys, key)
 	}
 	switch {
 	case len(keys) == 0:
 		return nil, &KeyError{Path: path, Err: errors.New("no key")}
-	case len(keys) > mostKeys:
-		return nil, &KeyError{Path: path, Err: fmt.Errorf("%d keys, at most %d", len(keys), mostKeys)}
+	case len(keys) > maxKeys:
+		return nil, &KeyError{Path: path, Err: fmt.Errorf("%d keys, at most %d", len(keys), maxKeys)}
 	case len(keys) == 2 && string(keys[0]) == string(keys[1]):
 		return nil, &KeyError{Path: path, Err: errors.New("one key twice")}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -4,10 +4,6 @@
 
 import (
 	"context"
-	"encoding/binary"
-	"errors"
-	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -19,17 +15,17 @@
 )
 
 const (
-	viewEvery   = 100 * time.Millisecond
-	queued      = 256 // messages that wait to be taken; more are dropped and counted
-	perSlot     = 40  // datagrams are looked at in a slot; what comes beyond waits in the socket, which drops
-	slot        = 10 * time.Millisecond
-	socketBytes = 256 << 10
-	mostSenders = 4 // long messages on their way at a time; more are dropped
-	mostTakers  = 8 // connections that are read at a time; more wait in the listener's backlog
-	tcpFor      = time.Second
-	mostDoors   = 4096 // addresses whose session is remembered, and sessions whose counts are
-	mostPending = 64   // messages to whom no session is known yet
-	pendingFor  = int64(time.Second)
+	viewEvery    = 100 * time.Millisecond
+	queued       = 256 // messages that wait to be taken; more are dropped and counted
+	perSlot      = 40  // datagrams are looked at in a slot; what comes beyond waits in the socket, which drops
+	slot         = 10 * time.Millisecond
+	socketBytes  = 256 << 10
+	maxSenders   = 4 // long messages on their way at a time; more are dropped
+	maxReceivers = 8 // connections that are read at a time; more wait in the listener's backlog
+	tcpFor       = time.Second
+	maxContacts  = 4096 // addresses whose session is remembered, and sessions whose counts are
+	maxPending   = 64   // messages to whom no session is known yet
+	pendingFor   = int64(time.Second)
 )
 
 // Options are what one router's membership needs.
@@ -38,7 +34,7 @@
 	Listen  string // an address and a port, for UDP and TCP; port 0: any, and the address that others reach is made from it
 	Member  membership.Settings
 	Keys    [][]byte
-	Halls   map[string]string      // of the routers, by name: one that starts empty is fed from its own first
+	Zones   map[string]string      // of the routers, by name: one that starts empty is fed from its own first
 	Changed func(*membership.View) // called from Run's goroutine, when something of the view is new; must not wait
 	State   *State                 // what is shared beyond membership; nil: nothing is
 	Now     func() int64           // of this router's own clock, in nanoseconds
@@ -100,7 +96,7 @@
 	if err != nil {
 		return nil, &ListenError{o.Listen, err}
 	}
-	p := &Peers{opt: o, session: rand.Uint64() | 1, in: make(chan *envelope, queued), calls: make(chan func()), senders: make(chan struct{}, mostSenders),
+	p := &Peers{opt: o, session: rand.Uint64() | 1, in: make(chan *envelope, queued), calls: make(chan func()), senders: make(chan struct{}, maxSenders),
 		doors: map[string]uint64{}, windows: map[uint64]*window{}, pending: map[string]late{}}
 	p.keys.Store(&o.Keys)
 	for try := 0; ; try++ { // with port 0 the one that UDP got may be taken for TCP
@@ -202,19 +198,6 @@
 	}
 }
 
-// differ says whether something is new but how long ago who was heard.
-func differ(x, y *membership.View) bool {
-	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Isolated != y.Isolated || x.NameTaken != y.NameTaken || x.Quota != y.Quota {
-		return true
-	}
-	for i := range x.Members {
-		if x.Members[i].Update != y.Members[i].Update {
-			return true
-		}
-	}
-	return false
-}
-
 // Leave tells the others that this router goes, and sends nothing after it.
 func (p *Peers) Leave(ctx context.Context) {
 	done := make(chan struct{})
@@ -224,237 +207,3 @@
 	case <-ctx.Done():
 	}
 }
-
-// take takes one message in, if it was written for this process and not had before.
-func (p *Peers) take(e *envelope) {
-	now := p.opt.Now()
-	switch {
-	case e.Cluster != p.opt.Cluster:
-		p.counts.foreign.Add(1)
-		return
-	case e.Session == p.session: // an echo
-		p.counts.replayed.Add(1)
-		return
-	case e.To != p.session:
-		p.counts.outdated.Add(1)
-		p.post(e.Address, e.Session, nil, nil)
-		return
-	}
-	w := p.windows[e.Session]
-	if w == nil {
-		if len(p.windows) >= mostDoors {
-			p.forgetWindow()
-		}
-		w = &window{}
-		p.windows[e.Session] = w
-	}
-	if w.at = now; !w.fresh(e.Count) {
-		p.counts.replayed.Add(1)
-		return
-	}
-	p.counts.taken.Add(1)
-	if len(p.doors) >= mostDoors {
-		clear(p.doors) // each is learnt again with its next message
-	}
-	p.doors[e.Address] = e.Session
-	if l, ok := p.pending[e.Address]; ok {
-		delete(p.pending, e.Address)
-		if now-l.at < pendingFor {
-			p.send([]membership.Message{l.msg})
-		}
-	}
-	if e.Body != nil {
-		p.send(p.members.Receive(now, e.message()))
-	}
-	if e.State != nil {
-		p.takeState(now, e)
-	}
-}
-
-// forgetWindow makes room: the session that was silent for longest goes. What was recorded of it could then be taken once
-// more; that it takes as many starts as there are windows, within one life of this process, is borne.
-func (p *Peers) forgetWindow() {
-	var oldest uint64
-	for id, w := range p.windows {
-		if o := p.windows[oldest]; o == nil || w.at < o.at {
-			oldest = id
-		}
-	}
-	delete(p.windows, oldest)
-}
-
-func (p *Peers) send(list []membership.Message) {
-	now := p.opt.Now()
-	for i := range list {
-		m := &list[i]
-		to, ok := p.doors[m.To]
-		if !ok {
-			if len(p.pending) >= mostPending {
-				clear(p.pending)
-			}
-			p.pending[m.To] = late{now, *m}
-		}
-		p.post(m.To, to, wrap(m), nil)
-	}
-}
-
-// postState sends to one whose session is known; others are met by membership first.
-func (p *Peers) postState(address string, s *state) {
-	if to, ok := p.doors[address]; ok {
-		p.post(address, to, nil, s)
-	}
-}
-
-// post sends one message to an address: as a datagram, or by a connection where it is too long for one.
-func (p *Peers) post(address string, to uint64, b *body, s *state) {
-	at, err := netip.ParseAddrPort(address)
-	if err != nil {
-		p.counts.notSent.Add(1)
-		return
-	}
-	p.count++
-	raw, err := seal(&envelope{Cluster: p.opt.Cluster, From: p.opt.Member.Name, Address: p.opt.Member.Address, Session: p.session, To: to, Count: p.count, Body: b, State: s},
-		(*p.keys.Load())[0])
-	if err != nil || len(raw) > mostTCP {
-		p.counts.notSent.Add(1)
-		return
-	}
-	p.counts.sent.Add(1)
-	p.counts.sentBytes.Add(uint64(len(raw)))
-	if len(raw) <= mostUDP {
-		if _, err := p.udp.WriteToUDPAddrPort(raw, at); err != nil {
-			p.counts.notSent.Add(1)
-		}
-		return
-	}
-	select {
-	case p.senders <- struct{}{}:
-		go func() {
-			defer func() { <-p.senders }()
-			if p.connectAndSend(at, raw) != nil {
-				p.counts.notSent.Add(1)
-			}
-		}()
-	default:
-		p.counts.notSent.Add(1)
-	}
-}
-
-// connectAndSend sends one message behind its length. It comes from the address that is listened on, as datagrams do.
-func (p *Peers) connectAndSend(at netip.AddrPort, raw []byte) error {
-	from := p.udp.LocalAddr().(*net.UDPAddr).AddrPort().Addr()
-	d := net.Dialer{Timeout: tcpFor}
-	if !from.IsUnspecified() {
-		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(from, 0))
-	}
-	conn, err := d.Dial("tcp", at.String())
-	if err != nil {
-		return err
-	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(tcpFor))
-	_, err = conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...))
-	return err
-}
-
-// readAll reads datagrams. It looks at so many in a slot and leaves others to the system, so that a flood takes little of
-// the router's core.
-func (p *Peers) readAll(ctx context.Context) {
-	buf := make([]byte, mostUDP+1) // what is longer is cut, and then of no key
-	began, looked := time.Now(), 0
-	for {
-		n, _, err := p.udp.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
-			return
-		}
-		if err != nil {
-			time.Sleep(slot)
-			continue
-		}
-		p.enter(buf[:n])
-		if looked++; looked >= perSlot {
-			if left := slot - time.Since(began); left > 0 {
-				time.Sleep(left)
-			}
-			began, looked = time.Now(), 0
-		}
-	}
-}
-
-// enter checks who wrote a message and queues it.
-func (p *Peers) enter(raw []byte) {
-	e, err := open(raw, *p.keys.Load())
-	switch {
-	case errors.Is(err, errVersion):
-		p.counts.versions.Add(1)
-	case errors.Is(err, errMAC):
-		p.counts.strangers.Add(1)
-	case err != nil:
-		p.counts.garbage.Add(1)
-	default:
-		select {
-		case p.in <- e:
-		default:
-			p.counts.full.Add(1)
-		}
-	}
-}
-
-// acceptAll takes long messages, one a connection.
-func (p *Peers) acceptAll(ctx context.Context) {
-	slots := make(chan struct{}, mostTakers)
-	var all sync.WaitGroup
-	defer all.Wait()
-	for {
-		conn, err := p.tcp.Accept()
-		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
-			return
-		}
-		if err != nil { // out of descriptors: clients come first
-			time.Sleep(100 * time.Millisecond)
-			continue
-		}
-		p.counts.connections.Add(1)
-		slots <- struct{}{}
-		all.Go(func() {
-			defer func() { <-slots }()
-			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(tcpFor))
-			var size [4]byte
-			if _, err := io.ReadFull(conn, size[:]); err != nil {
-				p.counts.garbage.Add(1)
-				return
-			}
-			n := binary.BigEndian.Uint32(size[:])
-			if n > mostTCP {
-				p.counts.garbage.Add(1)
-				return
-			}
-			raw, err := io.ReadAll(io.LimitReader(conn, int64(n))) // grows with what comes, not with what is announced
-			if err != nil || len(raw) != int(n) {
-				p.counts.garbage.Add(1)
-				return
-			}
-			p.enter(raw)
-		})
-	}
-}
-
-// Log writes what is new in a view.
-func Log(before, now *membership.View) {
-	was := map[string]membership.Member{}
-	if before != nil {
-		for _, m := range before.Members {
-			was[m.Name] = m
-		}
-	}
-	for _, m := range now.Members {
-		if old := was[m.Name]; old.State != m.State || old.Epoch != m.Epoch || old.Incarnation != m.Incarnation {
-			slog.Info("member", "of", m.Name, "state", m.State.String(), "was", old.State.String(), "boot", m.Epoch, "incarnation", m.Incarnation, "by", m.Accuser)
-		}
-	}
-	if before == nil || before.Quota != now.Quota && (before.Quota.Share != now.Quota.Share || before.Quota.IsHolder != now.Quota.IsHolder) || before.Majority != now.Majority || before.Isolated != now.Isolated || before.NameTaken != now.NameTaken {
-		slog.Info("view", "counting", now.Present, "majority", now.Majority, "deaf", now.Isolated, "taken", now.NameTaken, "share", now.Quota.Share,
-			"holder", now.Quota.IsHolder, "gone", now.Quota.Excluded)
-	}
-}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	oldKey = []byte(strings.Repeat("o", leastKey))
-	newKey = []byte(strings.Repeat("n", leastKey))
+	oldKey = []byte(strings.Repeat("o", minKeyBytes))
+	newKey = []byte(strings.Repeat("n", minKeyBytes))
 	began  = time.Now()
 )
 
@@ -219,7 +219,7 @@
 }
 
 func TestReadKeys(t *testing.T) {
-	hex := strings.Repeat("ab", leastKey)
+	hex := strings.Repeat("ab", minKeyBytes)
 	for _, c := range []struct {
 		text string
 		keys int
@@ -258,7 +258,7 @@
 		if err != nil {
 			return
 		}
-		if len(e.From) == 0 || len(e.From) > mostName || len(e.Address) > mostAddr || e.Body != nil && len(e.Body.News) > 1<<12 {
+		if len(e.From) == 0 || len(e.From) > maxNameBytes || len(e.Address) > maxAddressBytes || e.Body != nil && len(e.Body.News) > 1<<12 {
 			t.Errorf("%+v", e)
 		}
 		if e.Body != nil {
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -4,14 +4,14 @@
 
 // Report is what operators read of one router.
 type Report struct {
-	Name    string `json:"name"`
-	Cluster string `json:"cluster"`
-	View    Belief `json:"view"`
-	Members []Row  `json:"members"`
-	Counts  Counts `json:"messages"`
-	State   *Copy  `json:"state,omitempty"` // what is shared; none: nothing is
-	Kept    any    `json:"keep,omitempty"`  // the copy of it on disk and what of it is doubted (internal/router); none: there is none
-	Lanes   any    `json:"lanes,omitempty"` // who is shed, where there are lanes
+	Name      string `json:"name"`
+	Cluster   string `json:"cluster"`
+	View      Belief `json:"view"`
+	Members   []Row  `json:"members"`
+	Counts    Counts `json:"messages"`
+	State     *Copy  `json:"state,omitempty"` // what is shared; none: nothing is
+	Persisted any    `json:"keep,omitempty"`  // the copy of it on disk and what of it is doubted (internal/router); none: there is none
+	Shedding  any    `json:"lanes,omitempty"` // who is shed, where there are lanes
 }
 
 // Belief is what it makes of the members.
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	spreadEvery = 5 * time.Millisecond
-	ackAfter    = 2 * time.Millisecond // acknowledgements for which nobody waits go together
-	askEvery    = time.Second
-	againAfter  = 20 * time.Millisecond // while there is more, or another shard to ask for
-	patience    = 500 * time.Millisecond
-	aloneFor    = 5 * time.Second // who has just started does not know the others yet
-	checkEvery  = 5 * time.Second
-	differFor   = 10 * time.Second // what is known for longer and lacks elsewhere is a line in the log
-	checked     = 8                // entries in one check
-	wantBytes   = 800              // of vectors in one question, so that it is a datagram
+	spreadEvery  = 5 * time.Millisecond
+	ackAfter     = 2 * time.Millisecond // acknowledgements for which nobody waits go together
+	syncInterval = time.Second
+	againAfter   = 20 * time.Millisecond // while there is more, or another shard to ask for
+	patience     = 500 * time.Millisecond
+	aloneFor     = 5 * time.Second // who has just started does not know the others yet
+	checkEvery   = 5 * time.Second
+	differFor    = 10 * time.Second // what is known for longer and lacks elsewhere is a line in the log
+	checked      = 8                // entries in one check
+	wantBytes    = 800              // of vectors in one question, so that it is a datagram
 )
 
 // spread is what Run's goroutine remembers of spreading.
@@ -154,10 +154,10 @@
 	}
 	var list []crdt.PeerInZone
 	for _, n := range names {
-		list = append(list, crdt.PeerInZone{Name: n, Zone: p.opt.Halls[n]})
+		list = append(list, crdt.PeerInZone{Name: n, Zone: p.opt.Zones[n]})
 	}
 	s.turn++
-	of, _ := crdt.Choose(list, p.opt.Halls[p.opt.Member.Name], !s.caught, s.tries, s.turn)
+	of, _ := crdt.Choose(list, p.opt.Zones[p.opt.Member.Name], !s.caught, s.tries, s.turn)
 	if address[s.of] != "" { // the same one goes on feeding; if it falls silent another is asked, and goes on from there
 		of.Name = s.of
 	}
@@ -235,7 +235,7 @@
 	}
 	if e.State.Push.Pass > 0 { // somebody waits
 		p.postState(e.Address, &state{Acks: []ack{a}})
-	} else if p.spread.acks[e.Address] = append(p.spread.acks[e.Address], a); len(p.spread.acks[e.Address]) >= mostPushed/2 {
+	} else if p.spread.acks[e.Address] = append(p.spread.acks[e.Address], a); len(p.spread.acks[e.Address]) >= maxPushed/2 {
 		p.postState(e.Address, &state{Acks: p.spread.acks[e.Address]})
 		delete(p.spread.acks, e.Address)
 	} else {
@@ -268,7 +268,7 @@
 				}
 			}
 			for _, r := range store.Since(now, v, room-gave) {
-				if len(out.Runs) == mostRuns {
+				if len(out.Runs) == maxRuns {
 					out.More = true
 					break
 				}
@@ -282,7 +282,7 @@
 				}
 				out.Runs = append(out.Runs, one)
 			}
-			if gave+runBytes+mostEntry > room {
+			if gave+runBytes+maxEntryBytes > room {
 				out.More = true
 			}
 		})
@@ -292,8 +292,8 @@
 }
 
 const (
-	runBytes  = 48
-	mostEntry = 700
+	runBytes      = 48
+	maxEntryBytes = 700
 )
 
 // takeFeed joins a piece, and says when to go on.
@@ -302,7 +302,7 @@
 	if s.asked == 0 || f.First != s.first {
 		return // the answer to a question that was given up: whatever is in it is told again
 	}
-	s.asked, s.next = 0, now+int64(askEvery)
+	s.asked, s.next = 0, now+int64(syncInterval)
 	if f.WaitMS > 0 {
 		s.tries++
 		if !s.caught { // another may be free sooner
@@ -326,7 +326,7 @@
 	}
 	if sum != f.Sum {
 		p.counts.spoiled.Add(1)
-		slog.Warn("state", operr.Attrs(&SpoiledError{From: from, Entries: len(f.Runs)})...)
+		slog.Warn("state", operr.Attrs(&CorruptError{From: from, Entries: len(f.Runs)})...)
 		s.tries++
 		return
 	}
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	pieces    = 16   // shards of a copy; the same in all routers, as numbers of what was learned are counted in each
-	mostWaits = 1024 // writes that wait for another member's word; more go out at once, and are counted
+	pieces   = 16   // shards of a copy; the same in all routers, as numbers of what was learned are counted in each
+	maxWaits = 1024 // writes that wait for another member's word; more go out at once, and are counted
 )
 
 // State is a router's copy of what all have learned, in shards by the key of what it is of: who asks for a session's commit
@@ -142,13 +142,13 @@
 		s.keeper.Put(tell, crdt.Origin{})
 	}
 	s.mu.Lock()
-	if alone := s.alone.Load(); !ok || alone || len(s.waits) >= mostWaits {
+	if alone := s.alone.Load(); !ok || alone || len(s.waits) >= maxWaits {
 		if alone {
 			s.counts.Alone++
 		} else {
 			s.counts.Full++
 		}
-		if ok && len(s.urgent) < mostWaits {
+		if ok && len(s.urgent) < maxWaits {
 			s.urgent = append(s.urgent, urgent{tell, 0})
 		}
 		s.mu.Unlock()
--- a/internal/peer/statewire.go
+++ b/internal/peer/statewire.go
@@ -3,8 +3,8 @@
 import "lotushook/policy/crdt"
 
 const (
-	mostRuns   = 1 << 10
-	mostPushed = 64
+	maxRuns   = 1 << 10
+	maxPushed = 64
 )
 
 // state is what travels of a copy. Its keys are not those of the first form, which counted over a whole copy what is counted
@@ -94,7 +94,7 @@
 	if s.Push != nil {
 		entries = append(entries, s.Push.Entries...)
 	}
-	if len(entries) > 2*mostPushed || len(s.Acks) > mostPushed {
+	if len(entries) > 2*maxPushed || len(s.Acks) > maxPushed {
 		return false
 	}
 	if w := s.Want; w != nil {
@@ -108,7 +108,7 @@
 		}
 	}
 	if f := s.Feed; f != nil {
-		if len(f.Runs) > mostRuns || f.First < 0 || f.First >= pieces || f.Shards < 0 || f.Shards > pieces {
+		if len(f.Runs) > maxRuns || f.First < 0 || f.First >= pieces || f.Shards < 0 || f.Shards > pieces {
 			return false
 		}
 		for i := range f.Runs {
@@ -119,7 +119,7 @@
 		}
 	}
 	for i := range entries {
-		if e := &entries[i]; max(len(e.A), len(e.B), len(e.Server)) > 256 || len(e.Name) > mostName {
+		if e := &entries[i]; max(len(e.A), len(e.B), len(e.Server)) > 256 || len(e.Name) > maxNameBytes {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/peer/viewlog.go
@@ -0,0 +1,39 @@
+package peer
+
+import (
+	"log/slog"
+
+	"lotushook/policy/membership"
+)
+
+// Log writes what is new in a view.
+func Log(before, now *membership.View) {
+	was := map[string]membership.Member{}
+	if before != nil {
+		for _, m := range before.Members {
+			was[m.Name] = m
+		}
+	}
+	for _, m := range now.Members {
+		if old := was[m.Name]; old.State != m.State || old.Epoch != m.Epoch || old.Incarnation != m.Incarnation {
+			slog.Info("member", "of", m.Name, "state", m.State.String(), "was", old.State.String(), "boot", m.Epoch, "incarnation", m.Incarnation, "by", m.Accuser)
+		}
+	}
+	if before == nil || before.Quota != now.Quota && (before.Quota.Share != now.Quota.Share || before.Quota.IsHolder != now.Quota.IsHolder) || before.Majority != now.Majority || before.Isolated != now.Isolated || before.NameTaken != now.NameTaken {
+		slog.Info("view", "counting", now.Present, "majority", now.Majority, "deaf", now.Isolated, "taken", now.NameTaken, "share", now.Quota.Share,
+			"holder", now.Quota.IsHolder, "gone", now.Quota.Excluded)
+	}
+}
+
+// differ says whether something is new but how long ago who was heard.
+func differ(x, y *membership.View) bool {
+	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Isolated != y.Isolated || x.NameTaken != y.NameTaken || x.Quota != y.Quota {
+		return true
+	}
+	for i := range x.Members {
+		if x.Members[i].Update != y.Members[i].Update {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	version  = 2  // 1 knew no cursors and no levels
-	macSize  = 16 // of SHA-256's 32: forging one needs 2^128 tries
-	header   = 3  // two letters, and the version
-	mostUDP  = 1200
-	mostTCP  = 256 << 10
-	mostName = 63
-	mostAddr = 63
+	version         = 2  // 1 knew no cursors and no levels
+	macSize         = 16 // of SHA-256's 32: forging one needs 2^128 tries
+	header          = 3  // two letters, and the version
+	maxUDPBytes     = 1200
+	maxTCPBytes     = 256 << 10
+	maxNameBytes    = 63
+	maxAddressBytes = 63
 )
 
 var magic = [2]byte{'l', 'h'}
@@ -130,7 +130,7 @@
 
 // sound says whether everything in an envelope is of a size that is kept.
 func (e *envelope) sound() bool {
-	if e.From == "" || len(e.From) > mostName || e.Address == "" || len(e.Address) > mostAddr || len(e.Cluster) > mostName {
+	if e.From == "" || len(e.From) > maxNameBytes || e.Address == "" || len(e.Address) > maxAddressBytes || len(e.Cluster) > maxNameBytes {
 		return false
 	}
 	b := e.Body
@@ -140,11 +140,11 @@
 	if b == nil {
 		return true
 	}
-	if len(b.Target) > mostName || len(b.TargetAddress) > mostAddr || b.Row != nil && len(b.Row.Gone) > mostUDP {
+	if len(b.Target) > maxNameBytes || len(b.TargetAddress) > maxAddressBytes || b.Row != nil && len(b.Row.Gone) > maxUDPBytes {
 		return false
 	}
 	for i := range b.News {
-		if u := &b.News[i]; len(u.Name) > mostName || len(u.Address) > mostAddr || len(u.By) > mostName {
+		if u := &b.News[i]; len(u.Name) > maxNameBytes || len(u.Address) > maxAddressBytes || len(u.By) > maxNameBytes {
 			return false
 		}
 	}
--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"math"
+
+	"lotushook/policy/clock"
 )
 
 // FieldError is a field of the settings object that no router can work with.
--- a/internal/ringbuffer/ring.go
+++ b/internal/ringbuffer/ringbuffer.go
@@ -11,7 +11,7 @@
 )
 
 // Least is the size that a buffer starts with and shrinks back to.
-const Least = 2 << 10
+const MinSize = 2 << 10
 
 // ErrFull says that more was asked of a buffer than its cap.
 var ErrFull = errors.New("ring: message is over the buffer's cap")
@@ -76,7 +76,7 @@
 	}
 	if need > len(b.buf) {
 		size := min(b.cap, round(need))
-		if !b.quota.take(size - max(len(b.buf), Least)) {
+		if !b.quota.take(size - max(len(b.buf), MinSize)) {
 			return ErrFull
 		}
 		b.resize(size)
@@ -91,7 +91,7 @@
 	if n > coarse {
 		return (n + coarse - 1) / coarse * coarse
 	}
-	return max(Least, 1<<bits.Len(uint(n-1)))
+	return max(MinSize, 1<<bits.Len(uint(n-1)))
 }
 
 func (b *Buffer) resize(size int) {
@@ -199,13 +199,13 @@
 
 // Idle gives back what a large message took, once nothing is held.
 func (b *Buffer) Idle() {
-	if b.len == 0 && len(b.buf) > Least {
+	if b.len == 0 && len(b.buf) > MinSize {
 		b.Free()
 	}
 }
 
 // Free drops all that is held and gives the memory back.
 func (b *Buffer) Free() {
-	b.quota.take(-max(len(b.buf)-Least, 0))
+	b.quota.take(-max(len(b.buf)-MinSize, 0))
 	b.buf, b.start, b.len = nil, 0, 0
 }
--- a/internal/ringbuffer/ring_test.go
+++ b/internal/ringbuffer/ringbuffer_test.go
@@ -91,7 +91,7 @@
 	for {
 		b := New(1 << 20).Within(q)
 		all = append(all, b)
-		if _, err := b.Write(make([]byte, Least+1)); err != nil {
+		if _, err := b.Write(make([]byte, MinSize+1)); err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -101,10 +101,10 @@
 	if len(all) != 5 || q.Left() != 0 {
 		t.Errorf("%d buffers, %d left", len(all), q.Left())
 	}
-	if _, err := all[4].Write(make([]byte, Least)); err != nil {
+	if _, err := all[4].Write(make([]byte, MinSize)); err != nil {
 		t.Errorf("the size that each starts with: %v", err)
 	}
-	all[0].Discard(Least + 1)
+	all[0].Discard(MinSize + 1)
 	all[0].Idle()
 	for _, b := range all[1:] {
 		b.Free()
@@ -115,20 +115,20 @@
 }
 
 func TestErrors(t *testing.T) {
-	b := New(Least)
-	if _, err := b.Write(make([]byte, Least+1)); !errors.Is(err, ErrFull) {
+	b := New(MinSize)
+	if _, err := b.Write(make([]byte, MinSize+1)); !errors.Is(err, ErrFull) {
 		t.Errorf("beyond the cap: %v", err)
 	}
 	if err := b.Fill(iotest.ErrReader(io.ErrClosedPipe)); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("fill: %v", err)
 	}
-	if _, err := b.WriteString(strings.Repeat("x", Least)); err != nil {
+	if _, err := b.WriteString(strings.Repeat("x", MinSize)); err != nil {
 		t.Error(err)
 	}
 	if err := b.Fill(strings.NewReader("y")); !errors.Is(err, ErrFull) {
 		t.Errorf("fill of a full buffer: %v", err)
 	}
-	if n, err := b.Read(make([]byte, 2*Least)); n != Least || err != nil {
+	if n, err := b.Read(make([]byte, 2*MinSize)); n != MinSize || err != nil {
 		t.Errorf("read %d, %v", n, err)
 	}
 	if _, err := b.Read(make([]byte, 1)); err != io.EOF {
--- a/internal/router/door.go
+++ b/internal/router/acceptor.go
@@ -3,18 +3,14 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
-	"net/netip"
-	"os"
 	"runtime/metrics"
 	"sync"
 	"time"
 
 	"lotushook/internal/fdlimit"
 	"lotushook/internal/invariant"
-	"lotushook/internal/pgwire"
 	"lotushook/internal/siteconfig"
 	"lotushook/policy/admission"
 	"lotushook/policy/clock"
@@ -132,7 +128,7 @@
 	defer d.spare.give()
 	for n := 1; ; n++ {
 		for !d.router.descriptors.Accept() { // those on their way out hold the rest
-			if d.router.endLingering() || !d.lingering.closeOldest() {
+			if d.router.clients.endLingering() || !d.lingering.closeOldest() {
 				select {
 				case <-d.router.descriptors.Left():
 				case <-time.After(retryAcceptAfter):
@@ -181,51 +177,8 @@
 		d.lingering.reject(conn, d.rejectionMessage(addr, v))
 		return
 	}
-	d.router.addClient(c)
-	d.router.serving.Go(c.run)
-}
-
-// acceptWithoutDescriptor is what is done when the system has no descriptor left, though the count
-// said otherwise: the spare one is given up to take a client, say so, and close.
-func (d *acceptor) acceptWithoutDescriptor(ln net.Listener) {
-	d.shrink()
-	d.mu.Lock()
-	out := d.findEvicted(d.admission.EvictOne(d.router.clock.now()))
-	d.mu.Unlock()
-	d.evict(out)
-	d.lingering.closeOldest()
-	d.spare.give()
-	conn, err := acceptWithoutWaiting(ln)
-	again := d.spare.take()
-	switch {
-	case err != nil: // another took it, or nobody waits any more
-		time.Sleep(retryAcceptAfter)
-	case again == nil: // there is room after all
-		if !d.router.descriptors.Accept() {
-			conn.Close()
-			return
-		}
-		d.admit(conn)
-	default:
-		d.mu.Lock()
-		v := d.admission.OutOfDescriptors()
-		d.mu.Unlock()
-		rejectAndShutdown(conn, d.rejectionMessage(remoteAddress(conn), v))
-		conn.Close()
-		if err := d.spare.take(); err != nil {
-			slog.Warn("no spare descriptor", "err", err)
-			time.Sleep(retryAcceptAfter)
-		}
-	}
-}
-
-// acceptWithoutWaiting is Accept that does not wait.
-func acceptWithoutWaiting(ln net.Listener) (net.Conn, error) {
-	if tcp, ok := ln.(deadlineSetter); ok {
-		tcp.SetDeadline(time.Now().Add(retryAcceptAfter))
-		defer tcp.SetDeadline(time.Time{})
-	}
-	return ln.Accept()
+	d.router.clients.add(c)
+	d.router.clients.serving.Go(c.run)
 }
 
 // sessionStarted tells the gate what a startup message says.
@@ -252,11 +205,6 @@
 	return d.rejectionFor(remoteAddress(c.conn), v)
 }
 
-// displacedRejection is what one hears that was told to close with half a message read.
-func (d *acceptor) displacedRejection(c *client) error {
-	return d.rejectionFor(remoteAddress(c.conn), admission.Verdict{Reason: admission.Displaced})
-}
-
 func (d *acceptor) answered(c *client) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -358,79 +306,3 @@
 	metrics.Read(s)
 	return float64(s[0].Value.Uint64()-s[1].Value.Uint64()) / float64(d.router.config.Limits.MemoryMB<<20)
 }
-
-// rejection is why a client is not served: it may come again after wait.
-type rejection struct {
-	text       string
-	retryAfter clock.Nanos // 0: not told
-}
-
-func (t *rejection) Error() string { return t.text }
-
-// rejectionFor words a verdict.
-func (d *acceptor) rejectionFor(addr netip.Addr, v admission.Verdict) *rejection {
-	return &rejection{text: "refused: " + rejectionText(addr, v), retryAfter: min(v.RetryAfter, d.maxRetryAfter)}
-}
-
-// rejectionMessage is a verdict as a client hears it.
-func (d *acceptor) rejectionMessage(addr netip.Addr, v admission.Verdict) []byte {
-	t := d.rejectionFor(addr, v)
-	return pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, t.text, retryAfterField(t.retryAfter))
-}
-
-// rejectionText names the limit that was met, as the settings do.
-func rejectionText(addr netip.Addr, v admission.Verdict) string {
-	a := addr.Unmap()
-	switch v.Reason {
-	case admission.AddressFull:
-		return fmt.Sprintf("address %s holds its %d connections (admission.per_address)", a, v.Limit)
-	case admission.AddressRate:
-		return fmt.Sprintf("address %s has opened its %d connections of a second (admission.new_per_s)", a, v.Limit)
-	case admission.PrefixFull:
-		return fmt.Sprintf("the network of %s holds its %d connections (admission.per_prefix)", a, v.Limit)
-	case admission.PrefixRate:
-		return fmt.Sprintf("the network of %s has opened its %d connections of a second (admission.new_per_s_prefix)", a, v.Limit)
-	case admission.TotalRate:
-		return fmt.Sprintf("%d connections of a second were opened (admission.new_per_s_total)", v.Limit)
-	case admission.AtCapacity:
-		return fmt.Sprintf("all %d connections are in use", v.Limit)
-	case admission.Reserved:
-		return fmt.Sprintf("all connections but the %d reserved are in use (admission.reserve)", v.Limit)
-	case admission.Displaced:
-		return "closed before the first query to make room for another client"
-	case admission.Silent:
-		return "no query came in time while connections are short (admission.silence_ms)"
-	case admission.OverCap:
-		return fmt.Sprintf("a limit for %s was lowered (admission)", a)
-	case admission.OutOfDescriptors:
-		return "no file descriptor is left"
-	}
-	return v.Reason.String()
-}
-
-// remoteAddress is where a connection comes from; the zero address where it can't be told.
-func remoteAddress(conn net.Conn) netip.Addr {
-	if tcp, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
-		return tcp.AddrPort().Addr()
-	}
-	return netip.Addr{}
-}
-
-// spareDescriptor is a descriptor that is held to be given up when there is none left.
-type spareDescriptor struct{ file *os.File }
-
-func (s *spareDescriptor) take() error {
-	if s.file != nil {
-		return nil
-	}
-	var err error
-	s.file, err = os.Open(os.DevNull)
-	return err
-}
-
-func (s *spareDescriptor) give() {
-	if s.file != nil {
-		s.file.Close()
-		s.file = nil
-	}
-}
--- a/internal/router/door_test.go
+++ b/internal/router/acceptor_test.go
@@ -15,7 +15,7 @@
 )
 
 // admitting is a setup with this admission.
-func admitting(t *testing.T, text string) *siteconfig.Setup {
+func admitting(t *testing.T, text string) *siteconfig.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, []byte(`{"admission":`+text+`}`), 0o600); err != nil {
@@ -172,7 +172,7 @@
 		send a3 startup | Q "/* id=03,c=read,d=20000,cluster=1 */ A"
 		expect a3 welcome
 		expect s1 Q "/* id=03,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.config, &siteconfig.Setup{}); err == nil {
+	if err := r.Reload(r.config, &siteconfig.Config{}); err == nil {
 		t.Error("admission was switched off in service")
 	}
 	if err := r.Reload(r.config, admitting(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -1,8 +1,9 @@
 package router
 
 import (
-	"lotushook/policy/clock"
 	"time"
+
+	"lotushook/policy/clock"
 )
 
 // promptRead is how long a read of bytes that were there takes at most; a longer one has waited for them.
--- a/internal/router/sends.go
+++ b/internal/router/attemptlog.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("members: decisions: %w", err)
 	}
-	return &attemptLog{file: f, remaining: s.MostMB << 20}, nil
+	return &attemptLog{file: f, remaining: s.MaxMB << 20}, nil
 }
 
 func (w *attemptLog) write(s *Send) {
--- a/internal/router/feeds.go
+++ b/internal/router/changefeed.go
@@ -24,7 +24,7 @@
 type changefeedService struct {
 	router         *Router
 	settings       *siteconfig.Feeds
-	feeds          *changefeed.Part
+	feeds          *changefeed.Feeds
 	requestCount   atomic.Uint64
 	internalClient *client // whom the router's own requests are for
 }
@@ -41,7 +41,7 @@
 			return nil, fmt.Errorf("feeds: classes.%s: not one of reads that may be repeated", name)
 		}
 	}
-	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MostWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
+	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MaxWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
 		Self: crdt.Origin{Name: r.config.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
 	if r.membership != nil {
 		o.State = r.membership.state
@@ -53,16 +53,8 @@
 	return f, nil
 }
 
-// ownFeeds are the settings in force; nil: there are none.
-func (r *Router) ownFeeds() *siteconfig.Feeds {
-	if r.changefeed == nil {
-		return nil
-	}
-	return r.changefeed.settings
-}
-
 // answer is a subscriber's. Its connection's reader set the seat before any of its tasks began.
-func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Seat, came clock.Nanos) []byte {
+func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Subscription, came clock.Nanos) []byte {
 	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.identity, Left: c.left,
 		Until: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
 	if q.Session == "" {
@@ -106,7 +98,7 @@
 }
 
 // read asks a member through the module, as a client of the class would.
-func (f *changefeedService) read(ask changefeed.Ask) changefeed.Got {
+func (f *changefeedService) read(ask changefeed.ReadRequest) changefeed.ReadResult {
 	now := f.router.clock.now()
 	var text strings.Builder
 	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.requestCount.Add(1), ask.Class, max(1, (ask.Until-now)/1e6), ask.Group)
@@ -116,16 +108,16 @@
 	fmt.Fprintf(&text, " */ SELECT feed(%d)", ask.Most)
 	parsed, err := pgwire.ParseRequest(text.String())
 	if err != nil {
-		return changefeed.Got{Err: err}
+		return changefeed.ReadResult{Err: err}
 	}
 	end := &internalResult{}
 	r := &request{Request: parsed, router: f.router, client: f.internalClient, identity: ask.Who, actions: make(chan balance.Action, actionQueueSize), deadline: ask.Until, result: end}
 	r.run()
 	switch {
 	case end.served:
-		return changefeed.Got{Value: end.value}
-	case end.wait > 0:
-		return changefeed.Got{Wait: end.wait, Err: errors.New("refused by this router's own decisions")}
+		return changefeed.ReadResult{Value: end.value}
+	case end.retryAfter > 0:
+		return changefeed.ReadResult{Wait: end.retryAfter, Err: errors.New("refused by this router's own decisions")}
 	}
-	return changefeed.Got{Err: context.DeadlineExceeded}
+	return changefeed.ReadResult{Err: context.DeadlineExceeded}
 }
--- a/internal/router/terms.go
+++ b/internal/router/contracts.go
@@ -40,7 +40,7 @@
 	swapBuffer    []balance.Event
 }
 
-func newContractService(r *Router, own *siteconfig.Setup) (*contractService, error) {
+func newContractService(r *Router, own *siteconfig.Config) (*contractService, error) {
 	t := &contractService{router: r, openAttempts: map[balance.EndpointID]int{}, groups: map[balance.EndpointID]int64{}, responseTimes: accounting.NewTimes(), settings: own.Accounts}
 	s, err := t.contractSettings(own.Contracts)
 	if err != nil {
@@ -60,7 +60,7 @@
 	if b.RetryAfterAllowed {
 		back = b.MaxRetryAfter
 	}
-	s, err := c.Book(c.Classes(b.Classes), b.Routers, back)
+	s, err := c.LedgerSettings(c.Classes(b.Classes), b.Routers, back)
 	if err != nil {
 		return s, fmt.Errorf("contracts: %w", err)
 	}
@@ -68,8 +68,8 @@
 }
 
 // sheddingSettings are the lanes as they hold with other settings, which can't switch them on or off.
-func (t *contractService) sheddingSettings(own *siteconfig.Setup) (*shedding.Settings, error) {
-	if (own.Contracts.Lanes != nil) != (t.shedding != nil) {
+func (t *contractService) sheddingSettings(own *siteconfig.Config) (*shedding.Settings, error) {
+	if (own.Contracts.Shedding != nil) != (t.shedding != nil) {
 		return nil, errors.New("contracts: lanes can't be switched on or off in service")
 	}
 	if t.shedding == nil {
@@ -153,11 +153,11 @@
 			return false, false
 		}
 		r.contractRequest = contract.Request{Team: team, Class: e.Class, Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, ID: r.ID, Deadline: r.deadline}
-		v = t.ledger.Ask(r.contractRequest, now)
+		v = t.ledger.Admit(r.contractRequest, now)
 	}
 	if r.contractReason = v.Reason; !v.Reason.Admitted() {
 		r.rejectionReason = t.rejectionFor(team, r, v)
-		t.router.metrics.Add(metrics.Contract)
+		t.router.metrics.Add(metrics.RejectedByContract)
 		r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: v.RetryAfter})
 		return false, false
 	}
@@ -177,7 +177,7 @@
 // rejectQueued ends the wait of one that has no turn.
 func (t *contractService) rejectQueued(turn contract.Turn) {
 	if r := t.router.loop.requests[turn.ID]; r != nil {
-		t.router.metrics.Add(metrics.Contract)
+		t.router.metrics.Add(metrics.RejectedByContract)
 		r.contractReason, r.rejectionReason = turn.Reason, t.rejectionFor(r.contractRequest.Team, r, turn.Verdict)
 		r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: turn.RetryAfter})
 	}
@@ -285,7 +285,7 @@
 	var rows []accounting.Row
 	t.router.loop.do(ctx, func() {
 		t.ledger.Accounts(func(team, class string, a contract.Account) {
-			row := accounting.Row{Team: team, Class: class, Asked: a.Asked, Served: a.Served, InAim: a.InObjective, TurnedAway: a.Refused, Failed: a.Failed, Worth: a.Weight,
+			row := accounting.Row{Team: team, Class: class, Requested: a.Requested, Served: a.Served, InObjective: a.InObjective, Rejected: a.Refused, Failed: a.Failed, Weight: a.Weight,
 				Grounds: map[string]uint64{}, Refused: map[string]uint64{}}
 			for r, n := range a.ByReason {
 				switch reason := contract.Reason(r); {
@@ -371,13 +371,13 @@
 	lines := 0
 	for _, row := range t.rows(ctx) {
 		key := [2]string{row.Team, row.Class}
-		if row.Asked == before[key] {
+		if row.Requested == before[key] {
 			continue
 		}
-		before[key] = row.Asked
+		before[key] = row.Requested
 		if lines++; lines <= maxAccountLines {
-			slog.Info("account", "team", row.Team, "class", row.Class, "asked", row.Asked, "grounds", row.Grounds, "refused", row.Refused,
-				"served", row.Served, "in_aim", row.InAim, "turned_away", row.TurnedAway, "failed", row.Failed, "worth", row.Worth, "p50_ms", row.P50MS, "p99_ms", row.P99MS)
+			slog.Info("account", "team", row.Team, "class", row.Class, "asked", row.Requested, "grounds", row.Grounds, "refused", row.Refused,
+				"served", row.Served, "in_aim", row.InObjective, "turned_away", row.Rejected, "failed", row.Failed, "worth", row.Weight, "p50_ms", row.P50MS, "p99_ms", row.P99MS)
 		}
 	}
 	if lines > maxAccountLines {
--- a/internal/router/terms_test.go
+++ b/internal/router/contracts_test.go
@@ -13,7 +13,7 @@
 
 // teams is a setup with contracts, as they are written: counters may have one
 // request open, and nobody may use what is not in a contract.
-func teams(t *testing.T, open string) *siteconfig.Setup {
+func teams(t *testing.T, open string) *siteconfig.Config {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "a.sock")
 	own := admitting(t, `{}, "accounts":{"every_s":1,"socket":"`+socket+`"}, "contracts":{"trust_comment":true,"teams":[
@@ -44,7 +44,7 @@
 		expect c1 welcome | T | D "v" | C | Z
 		send c1 Q "/* id=06,c=read,d=20000,cluster=1 */ A"
 		expect s1 Q "/* id=06,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.config, &siteconfig.Setup{}); err == nil {
+	if err := r.Reload(r.config, &siteconfig.Config{}); err == nil {
 		t.Error("contracts were switched off in service")
 	}
 	if err := r.Reload(r.config, teams(t, "5")); err != nil {
@@ -63,7 +63,7 @@
 	var row accounting.Row
 	for end := time.Now().Add(20 * time.Second); row.Served < 3; time.Sleep(time.Millisecond) {
 		var rows []accounting.Row
-		err := admin.Ask(own.Accounts.Socket, "accounts", &rows)
+		err := admin.Query(own.Accounts.Socket, "accounts", &rows)
 		if err != nil || time.Now().After(end) {
 			t.Fatalf("%+v, %v", rows, err)
 		}
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	if row.Asked != 4 || row.Grounds["within"] != 3 || row.Refused["open"] != 1 || row.InAim != 3 {
+	if row.Requested != 4 || row.Grounds["within"] != 3 || row.Refused["open"] != 1 || row.InObjective != 3 {
 		t.Errorf("%+v", row)
 	}
 }
@@ -99,7 +99,7 @@
 		at := r.clock.now()
 		for i := 0; i < 100_000 && (i == 0 || l.shedder.States()[0].Threshold < 64); i++ { // then it stays for an hour
 			at += 600e9
-			if v := l.shedder.Ask(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Share: 1}, at); v.Reason != shedding.Shed {
+			if v := l.shedder.Admit(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Share: 1}, at); v.Reason != shedding.Shed {
 				l.shedder.RequestStarted(1, at, 1e6)
 				l.shedder.RequestEnded(1, v.PriorityClass, "", shedding.End{ArrivedAt: at, Elapsed: 1e6, LatencyObjective: 1e6}, at)
 			}
@@ -117,17 +117,17 @@
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 T | D "v" | C | Z`)
 	var got Lanes
-	if err := admin.Ask(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Threshold != 64 || !got.Groups[0].Isolated || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
+	if err := admin.Query(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Threshold != 64 || !got.Groups[0].Isolated || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
 	var rows []accounting.Row
-	if err := admin.Ask(own.Accounts.Socket, "accounts", &rows); err != nil || len(rows) != 1 || rows[0].Team != "desk" {
+	if err := admin.Query(own.Accounts.Socket, "accounts", &rows); err != nil || len(rows) != 1 || rows[0].Team != "desk" {
 		t.Errorf("the book heard of what was shed: %+v, %v", rows, err)
 	}
 	if err := r.Reload(r.config, teams(t, "5")); err == nil {
 		t.Error("lanes were switched off in service")
 	}
-	own.Contracts.Lanes.Lanes[1].Name = "rest"
+	own.Contracts.Shedding.PriorityClasses[1].Name = "rest"
 	if err := r.Reload(r.config, own); err != nil {
 		t.Error(err)
 	}
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -40,15 +40,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, &siteconfig.Setup{})
+	r, err := New(conf, &siteconfig.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := make(chan time.Time)
 	close(now)
-	r.accepted = func() <-chan time.Time { return now }
-	r.finish = func() <-chan time.Time { return nil }
-	r.drainTimeout, r.timeouts, r.startHold = time.Hour, p, hold
+	r.shutdown.acceptOver = func() <-chan time.Time { return now }
+	r.shutdown.timeoutEnd = func() <-chan time.Time { return nil }
+	r.shutdown.timeout, r.timeouts, r.start.timeout = time.Hour, p, hold
 	r.pool.SettleTime, r.pool.DuplicateWindow, r.pool.StallTimeout = 0, 0, time.Hour
 	ctx, stop := context.WithCancel(context.Background())
 	done, broken := make(chan error, 1), len(invariant.Counts())
@@ -67,7 +67,7 @@
 
 // someone says whether some client that is here is as asked.
 func someone(r *Router, is func(c *client) bool) (found bool) {
-	r.each(func(c *client) { found = found || is(c) })
+	r.clients.each(func(c *client) { found = found || is(c) })
 	return found
 }
 
@@ -353,7 +353,7 @@
 			s.Play(c.after)
 			until(t, "its connection counts no more", func() bool {
 				n := 0
-				r.each(func(*client) { n++ })
+				r.clients.each(func(*client) { n++ })
 				return n == 1
 			})
 		})
@@ -471,7 +471,7 @@
 		{"write", false, 1<<63 - 1}, // nothing ran: there is nothing to drop
 		{"read", true, 1<<63 - 1},   // may run as often as it likes
 	} {
-		one := &request{router: r, mayHaveRun: c.ran, firstRunAt: 1000e9}
+		one := &request{router: r, requestTask: requestTask{mayHaveRun: c.ran, firstRunAt: 1000e9}}
 		one.Class = c.class
 		if got := one.lastRetryAt(); got != c.want {
 			t.Errorf("%+v: %d", c, got)
--- a/internal/router/owner.go
+++ b/internal/router/eventloop.go
@@ -10,14 +10,13 @@
 	"lotushook/internal/metrics"
 	"lotushook/policy/balance"
 	"lotushook/policy/clock"
-	"lotushook/policy/recovery"
 )
 
 const (
-	eventQueueSize  = 4096
-	maxLogLines     = 500                   // of the module's own log
-	turnInterval    = 10 * time.Millisecond // while requests wait for their turns
-	heldMemoryShare = 3                     // one part in so many of the memory is for held statements: buffers and answers need the rest
+	eventQueueSize   = 4096
+	maxLogLines      = 500                   // of the module's own log
+	turnInterval     = 10 * time.Millisecond // while requests wait for their turns
+	queryMemoryShare = 3                     // one part in so many of the memory is for held statements: buffers and answers need the rest
 )
 
 // loopEvent is what the owner hears: an event for the module, with the request that
@@ -33,24 +32,24 @@
 // eventLoop is the one goroutine that holds the module. It drains the queued events
 // into one step and hands the actions on; it never waits for a socket.
 type eventLoop struct {
-	balancer      *balance.Balancer
-	router        *Router
-	events        chan loopEvent
-	requests      map[string]*request // from RequestIn to the end of the task
-	heldBytes     int                 // bytes of their statements
-	maxHeldBytes  int                 // the most bytes that may be held
-	timers        timers
-	batch         []balance.Event
-	endedRequests []*request // tasks that ended in this batch
-	requestCount  int
-	logLines      int
-	contracts     *contractService // of the teams' contracts; nil: there are none
-	calls         chan func()
+	balancer          *balance.Balancer
+	router            *Router
+	events            chan loopEvent
+	requests          map[string]*request // from RequestIn to the end of the task
+	queryBytes        int                 // bytes of their statements
+	maxQueryBytesHeld int                 // the most bytes that may be held
+	timers            timers
+	batch             []balance.Event
+	endedRequests     []*request // tasks that ended in this batch
+	requestCount      int
+	logLines          int
+	contracts         *contractService // of the teams' contracts; nil: there are none
+	calls             chan func()
 }
 
 func newEventLoop(module *balance.Balancer, r *Router) *eventLoop {
 	return &eventLoop{balancer: module, router: r, events: make(chan loopEvent, eventQueueSize), requests: map[string]*request{},
-		maxHeldBytes: int(r.config.Limits.MemoryMB << 20 / heldMemoryShare), calls: make(chan func())}
+		maxQueryBytesHeld: int(r.config.Limits.MemoryMB << 20 / queryMemoryShare), calls: make(chan func())}
 }
 
 // do runs a function on the owner's goroutine and waits for it; it says false if
@@ -117,14 +116,14 @@
 		e.request.endsReported++
 		o.router.recovery.attemptEnded(e.request, e.Outcome)
 	case balance.RequestArrived:
-		o.router.metrics.Add(metrics.Asked)
+		o.router.metrics.Add(metrics.Requests)
 		if o.requests[e.Request] != nil {
-			o.router.metrics.Add(metrics.TwiceAlive)
+			o.router.metrics.Add(metrics.DuplicateID)
 			e.request.deliver(balance.Action{Kind: balance.FailRequest}) // the module ignores a live id
 			return
 		}
-		if len(o.requests) >= o.router.config.Settings.Balance.MaxQueued || o.heldBytes+e.request.Size() > o.maxHeldBytes {
-			o.router.metrics.Add(metrics.NoRoom)
+		if len(o.requests) >= o.router.config.Settings.Balance.MaxQueued || o.queryBytes+e.request.Size() > o.maxQueryBytesHeld {
+			o.router.metrics.Add(metrics.TooManyHeld)
 			e.request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: o.retryAfter(e.Class)})
 			return
 		}
@@ -137,7 +136,7 @@
 		}
 		o.requestCount++
 		o.requests[e.Request] = e.request
-		o.heldBytes += e.request.Size()
+		o.queryBytes += e.request.Size()
 		if hold {
 			e.request.queuedArrival = e
 		} else {
@@ -218,7 +217,7 @@
 func (o *eventLoop) removeEnded() {
 	for _, r := range o.endedRequests {
 		delete(o.requests, r.ID)
-		o.heldBytes -= r.Size()
+		o.queryBytes -= r.Size()
 		if o.contracts != nil {
 			o.contracts.requestEnded(r, o.router.clock.now())
 		}
@@ -239,7 +238,7 @@
 
 // carryOut hands one action on.
 func (o *eventLoop) carryOut(a balance.Action) {
-	o.router.metrics.Act(&a)
+	o.router.metrics.CountAction(&a)
 	switch a.Kind {
 	case balance.SendAttempt, balance.RejectRequest, balance.FailRequest, balance.CancelAttempt:
 		r := o.requests[a.Request]
@@ -251,9 +250,9 @@
 					return
 				}
 				if r.attemptsSent == 0 {
-					o.router.metrics.Add(metrics.First)
+					o.router.metrics.Add(metrics.FirstAttempts)
 				} else {
-					o.router.metrics.Add(metrics.Repeated)
+					o.router.metrics.Add(metrics.Retries)
 				}
 				r.attemptsSent, r.lastEndpoint = r.attemptsSent+1, a.Endpoint
 				if o.contracts != nil {
@@ -277,61 +276,3 @@
 		}
 	}
 }
-
-// findPosition tells the module how far a node is that it asks for: by what another router heard of it just now, or by a probe.
-func (r *Router) findPosition(node balance.EndpointID) {
-	if at := r.membership.position(node); at > 0 {
-		r.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: balance.NotSent, Position: at}, reportedActive: -1}
-		return
-	}
-	r.probe(node)
-}
-
-// probe asks a node for its report and tells the module.
-func (r *Router) probe(node balance.EndpointID) {
-	wait, ok := r.recovery.allow(recovery.Probe, time.Second)
-	if !ok {
-		r.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: balance.NotSent}, reportedActive: -1}
-		return
-	}
-	if wait > 0 {
-		time.Sleep(wait)
-	}
-	res, rep := r.pool.Probe(node, r.config.Settings.ConnectTimeout)
-	e, held := balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: res.Outcome}, -1
-	if res.Outcome == balance.Succeeded {
-		r.metrics.Add(metrics.Probed)
-		e.Position = rep.Position * 1e6
-		if rep.HasRole {
-			e.Role = balance.Replica
-			if rep.Primary {
-				e.Role = balance.Primary
-			}
-		}
-		e.HasLoad, e.Waiting, e.Active = rep.HasLoad, rep.Waiting, rep.Active
-		if rep.HasHeld {
-			held = rep.Active
-		}
-	} else {
-		slog.Debug("probe", "node", node, "outcome", res.Outcome, "err", res.Err)
-	}
-	r.loop.events <- loopEvent{Event: e, reportedActive: held}
-}
-
-type timer struct {
-	at  clock.Nanos
-	tag int64
-}
-
-type timers []timer
-
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
-	old := *t
-	x := old[len(old)-1]
-	*t = old[:len(old)-1]
-	return x
-}
--- a/internal/router/owner_test.go
+++ b/internal/router/eventloop_test.go
@@ -57,8 +57,8 @@
 		o.handle(loopEvent{request: r, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}})
 		o.handle(loopEvent{request: r, requestEnded: true})
 		o.step()
-		if len(o.requests) != 0 || o.heldBytes != 0 {
-			t.Fatalf("%d requests, %d bytes held", len(o.requests), o.heldBytes)
+		if len(o.requests) != 0 || o.queryBytes != 0 {
+			t.Fatalf("%d requests, %d bytes held", len(o.requests), o.queryBytes)
 		}
 	}
 	r := held(t, o, "02", "A")
@@ -69,7 +69,7 @@
 // What is beyond the settings' bound, or would not fit the memory, is refused at once.
 func TestBounds(t *testing.T) {
 	o := newTestOwner(t)
-	o.maxHeldBytes = 200
+	o.maxQueryBytesHeld = 200
 	big := held(t, o, "00", strings.Repeat("x", 200))
 	expectActs(t, big, balance.RejectRequest)
 	first := held(t, o, "01", "A")
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -26,11 +26,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, &siteconfig.Setup{})
+	r, err := New(conf, &siteconfig.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.timeouts, r.startHold = endless, 0
+	r.timeouts, r.start.timeout = endless, 0
 	old := r.directory.Apply(conf.Known).Endpoints[0].ID
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/router/members.go
+++ b/internal/router/membership.go
@@ -85,7 +85,7 @@
 		if m.persisted, err = newPersistedState(own, crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch}, r.clock.now); err != nil {
 			return nil, err
 		}
-		m.state.Tell(m.persisted)
+		m.state.SetKeeper(m.persisted)
 	}
 	m.keys, err = peer.ReadKeys(own.KeyFile)
 	return m, err
@@ -99,7 +99,7 @@
 			return err
 		}
 	}
-	m.peers, err = peer.Listen(peer.Options{Cluster: m.settings.Cluster, Listen: m.settings.Routers[m.detectorSettings.Name].Listen, Member: m.detectorSettings, Keys: m.keys, State: m.state, Halls: m.settings.Halls(), Changed: m.changed,
+	m.peers, err = peer.Listen(peer.Options{Cluster: m.settings.Cluster, Listen: m.settings.Routers[m.detectorSettings.Name].Listen, Member: m.detectorSettings, Keys: m.keys, State: m.state, Zones: m.settings.Zones(), Changed: m.changed,
 		Now: m.router.clock.now})
 	if err != nil {
 		return err
@@ -317,9 +317,9 @@
 		Feeds    *changefeed.Counts `json:"feeds,omitempty"`
 	}{m.peers.Report(), m.router.recovery.report(), nil}
 	if t := m.router.loop.contracts; t != nil && t.shedding != nil {
-		m.router.loop.do(ctx, func() { out.Lanes = t.shedding.report() })
+		m.router.loop.do(ctx, func() { out.Shedding = t.shedding.report() })
 	}
-	out.Kept = m.persisted.report()
+	out.Persisted = m.persisted.report()
 	if m.router.changefeed != nil {
 		counts := m.router.changefeed.feeds.Counts()
 		out.Feeds = &counts
--- a/internal/router/members_test.go
+++ b/internal/router/membership_test.go
@@ -98,7 +98,7 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	load := func(modes string) *siteconfig.Setup {
+	load := func(modes string) *siteconfig.Config {
 		own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"modes":%s,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, modes)))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/router/kept.go
+++ b/internal/router/persistence.go
@@ -28,7 +28,7 @@
 // persistedState is what a router does with its copy on disk: it writes what the state holds, gives it back after a start, and knows
 // what of it is proven. It implements peer.Keeper.
 type persistedState struct {
-	store       *store.Keep
+	store       *store.Store
 	loadTimeout time.Duration
 	self        crdt.Origin
 	now         func() int64
@@ -49,7 +49,7 @@
 	}
 	q := dkeep.DefaultSettings()
 	q.QueueBytes, q.FsyncsPerSecond = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
-	s := store.Settings{Dir: own.Keep.Dir, Most: own.Keep.MostMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
+	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
 	u := crdt.DefaultSettings(self)
 	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -62,7 +62,7 @@
 		wait, ok = time.Duration(span), why == recovery.Allowed
 	})
 	if !ok {
-		c.router.metrics.Add(metrics.Denied)
+		c.router.metrics.Add(metrics.DeniedByRecovery)
 	}
 	return wait, ok
 }
@@ -83,11 +83,11 @@
 			ok = true
 			return
 		case recovery.RetryLimited:
-			c.router.metrics.Add(metrics.Jammed)
+			c.router.metrics.Add(metrics.DeniedRetries)
 		case recovery.TooLate:
-			c.router.metrics.Add(metrics.Vain)
+			c.router.metrics.Add(metrics.DeniedLate)
 		}
-		c.router.metrics.Add(metrics.Denied)
+		c.router.metrics.Add(metrics.DeniedByRecovery)
 	})
 	return ok
 }
@@ -132,7 +132,7 @@
 	peers := make([]recovery.Peer, 0, len(v.Members))
 	for i := range v.Members {
 		m := &v.Members[i]
-		peers = append(peers, recovery.Peer{Name: m.Name, Epoch: m.Epoch, Up: m.State == membership.Alive || m.State == membership.Suspect, HeardDirectly: m.HeardAt > 0})
+		peers = append(peers, recovery.Peer{Name: m.Name, Epoch: m.Epoch, Alive: m.State == membership.Alive || m.State == membership.Suspect, HeardDirectly: m.HeardAt > 0})
 	}
 	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.PeersSeen(now, peers) })
 }
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -268,7 +268,7 @@
 			sent: `send c1 startup | Q ""`, stopped: `
 			expect c1 welcome | I | Z | EOF`},
 	} {
-		for name, own := range map[string]*siteconfig.Setup{"": {}, " (admission)": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
+		for name, own := range map[string]*siteconfig.Config{"": {}, " (admission)": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
 			t.Run(c.guards+name, func(t *testing.T) {
 				ln, accepted, finish := newTurnstile(t), make(chan time.Time), make(chan time.Time)
 				if c.at == atAccept {
@@ -305,7 +305,7 @@
 				stop()
 				accepted <- time.Time{}
 				<-ln.woken
-				until(t, "the idle clients are closed", r.isDraining)
+				until(t, "the idle clients are closed", r.clients.isDraining)
 				ln.open()
 				s.Play(c.stopped)
 				if c.over != "" {
@@ -334,7 +334,7 @@
 	}
 	p := endless
 	p.finalAnswers = time.Millisecond
-	s, r, stop, done := stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, finish, p)
+	s, r, stop, done := stageOn(t, ln, 0, &siteconfig.Config{}, accepted, finish, p)
 	s.Play(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
@@ -357,7 +357,7 @@
 	until(t, "both send", func() bool { return sent[0].Load() > 0 && sent[1].Load() > 10 })
 	stop()
 	accept()
-	until(t, "the idle clients are closed", r.isDraining)
+	until(t, "the idle clients are closed", r.clients.isDraining)
 	end()
 	if err := <-done; err != nil {
 		t.Error(err)
@@ -372,10 +372,10 @@
 	p := endless
 	p.idle = time.Millisecond
 	ln := newTurnstile(t)
-	s, r, _, _ := stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, nil, p)
+	s, r, _, _ := stageOn(t, ln, 0, &siteconfig.Config{}, accepted, nil, p)
 	asked := func() bool {
 		found := false
-		r.each(func(c *client) {
+		r.clients.each(func(c *client) {
 			found = found || c.leaves()
 		})
 		return found
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -19,11 +19,11 @@
 // are only told where it is to run.
 func newRouter(t *testing.T, known string, addresses ...string) *Router {
 	t.Helper()
-	return newOwnRouter(t, &siteconfig.Setup{}, known, addresses...)
+	return newOwnRouter(t, &siteconfig.Config{}, known, addresses...)
 }
 
 // newOwnRouter is newRouter with parts switched on.
-func newOwnRouter(t *testing.T, own *siteconfig.Setup, known string, addresses ...string) *Router {
+func newOwnRouter(t *testing.T, own *siteconfig.Config, known string, addresses ...string) *Router {
 	t.Helper()
 	addresses = append(addresses, "127.0.0.1:1", "127.0.0.1:1")
 	conf, err := platformconfig.Check(nettest.File(t, nettest.Config(addresses[0], addresses[1], known)))
@@ -59,17 +59,17 @@
 // stageUntil is stageWith a router that, told to stop, takes clients until accepted.
 func stageUntil(t *testing.T, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	return stageOwn(t, &siteconfig.Setup{}, accepted, p, hosts...)
+	return stageOwn(t, &siteconfig.Config{}, accepted, p, hosts...)
 }
 
 // stageOwn is stageUntil with parts switched on.
-func stageOwn(t *testing.T, own *siteconfig.Setup, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOwn(t *testing.T, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return stageHeld(t, 0, own, accepted, p, hosts...)
 }
 
 // stageHeld is stageOwn with a router that sends nothing at its start until the agent has answered, or some time is over.
-func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Setup, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // stageOn is stageOwn on a listener, of a router that has until finish for what is open.
-func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Setup, accepted, finish <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Config, accepted, finish <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	s := nettest.New(t, "s1", "s2", "agent")
 	if len(hosts) == 0 {
@@ -89,10 +89,10 @@
 		hosts[i] = s.Expand(h)
 	}
 	r := newOwnRouter(t, own, nettest.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
-	r.accepted = func() <-chan time.Time { return accepted }
-	r.finish = func() <-chan time.Time { return finish }
-	r.drainTimeout = time.Hour
-	r.timeouts, r.startHold = p, hold
+	r.shutdown.acceptOver = func() <-chan time.Time { return accepted }
+	r.shutdown.timeoutEnd = func() <-chan time.Time { return finish }
+	r.shutdown.timeout = time.Hour
+	r.timeouts, r.start.timeout = p, hold
 	r.pool.SettleTime, r.pool.DuplicateWindow = 0, 0 // or it would depend on the machine which connection is taken
 	r.pool.StallTimeout = time.Minute                // or whether an answer is whole
 	ctx, stop := context.WithCancel(context.Background())
@@ -278,7 +278,7 @@
 			expect c%[1]d welcome | I | Z`, i))
 		until(t, "it idles, and after the one before", func() bool {
 			open := false
-			r.each(func(c *client) {
+			r.clients.each(func(c *client) {
 				_, _, idle := c.idleState()
 				open = open || !idle && !c.leaves()
 			})
@@ -395,14 +395,14 @@
 		t.Run(hold.String(), func(t *testing.T) {
 			now := make(chan time.Time)
 			close(now)
-			s, r, _, _ := stageHeld(t, hold, &siteconfig.Setup{}, now, endless, "h-1 {s1} 1 SERVING")
+			s, r, _, _ := stageHeld(t, hold, &siteconfig.Config{}, now, endless, "h-1 {s1} 1 SERVING")
 			s.Play(ask)
 			if hold == time.Hour {
 				for late := time.Now().Add(20 * time.Second); len(r.loop.events) < 2 && time.Now().Before(late); {
 					time.Sleep(time.Millisecond) // the kept list and the request
 				}
 				select {
-				case <-r.startHoldOver:
+				case <-r.start.over:
 					t.Error("ready before the agent has answered")
 				default:
 				}
@@ -424,15 +424,15 @@
 		})
 	}
 	r := newRouter(t, "null")
-	if r.startHold != maxStartHold {
-		t.Errorf("long deadlines: %v", r.startHold)
+	if r.start.timeout != maxStartHold {
+		t.Errorf("long deadlines: %v", r.start.timeout)
 	}
 	b := &r.config.Settings.Balance
-	if b.Classes[1].Deadline = int64(400 * time.Millisecond); startHoldFor(r.config) != 100*time.Millisecond {
-		t.Errorf("a short deadline: %v", startHoldFor(r.config))
+	if b.Classes[1].Deadline = int64(400 * time.Millisecond); startHoldTimeout(r.config) != 100*time.Millisecond {
+		t.Errorf("a short deadline: %v", startHoldTimeout(r.config))
 	}
-	if b.WatchRequired = true; startHoldFor(r.config) != 0 {
-		t.Errorf("a shared service: %v", startHoldFor(r.config))
+	if b.WatchRequired = true; startHoldTimeout(r.config) != 0 {
+		t.Errorf("a shared service: %v", startHoldTimeout(r.config))
 	}
 }
 
--- a/internal/router/lanes.go
+++ b/internal/router/shedding.go
@@ -35,7 +35,7 @@
 	lane string
 }
 
-func newSheddingService(r *Router, own *siteconfig.Setup) (*sheddingService, error) {
+func newSheddingService(r *Router, own *siteconfig.Config) (*sheddingService, error) {
 	l := &sheddingService{router: r, lastLines: map[int64]thresholdLine{}}
 	s, err := l.settingsFrom(own)
 	if err != nil || s == nil {
@@ -49,7 +49,7 @@
 }
 
 // settingsFrom are the lanes as they hold on this platform; nil: there are none.
-func (l *sheddingService) settingsFrom(own *siteconfig.Setup) (*shedding.Settings, error) {
+func (l *sheddingService) settingsFrom(own *siteconfig.Config) (*shedding.Settings, error) {
 	b := &l.router.config.Settings.Balance
 	back := clock.Nanos(0)
 	if b.RetryAfterAllowed {
@@ -71,11 +71,11 @@
 		q.ReadSession = shedding.Session(r.Cluster, r.Session)
 		q.WroteElsewhere = r.sessionWroteAt > 0 && now-r.sessionWroteAt < l.settings.WriteAffinity
 	}
-	r.sheddingVerdict = l.shedder.Ask(q, now)
+	r.sheddingVerdict = l.shedder.Admit(q, now)
 	if r.sheddingVerdict.Reason != shedding.Shed {
 		return true
 	}
-	l.router.metrics.Add(metrics.Lane)
+	l.router.metrics.Add(metrics.RejectedByShedding)
 	r.rejectionReason = &rejectionReason{"lane " + l.shedder.Name(r.sheddingVerdict.PriorityClass) + " is shed at cluster " + strconv.FormatInt(r.Cluster, 10) + ", by all routers (lanes)",
 		"come back after the time in DETAIL, in ms; another router refuses the same"}
 	if !l.settings.Shared {
@@ -85,7 +85,7 @@
 	return false
 }
 
-func (l *sheddingService) aim(class int) clock.Nanos {
+func (l *sheddingService) latencyObjective(class int) clock.Nanos {
 	if classes := l.router.config.Settings.Balance.Classes; class >= 0 && class < len(classes) {
 		return classes[class].LatencyObjective
 	}
@@ -94,12 +94,12 @@
 
 // requestStarted notes a request that goes on, or waits for its turn.
 func (l *sheddingService) requestStarted(r *request) {
-	l.shedder.RequestStarted(r.Cluster, r.arrivedAt, l.aim(r.contractRequest.Class))
+	l.shedder.RequestStarted(r.Cluster, r.arrivedAt, l.latencyObjective(r.contractRequest.Class))
 }
 
 // requestEnded tells of a request's end.
 func (l *sheddingService) requestEnded(r *request, now clock.Nanos) {
-	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.aim(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
+	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
 	if l.router.config.Settings.IsWrite(r.Class) && r.Session != "" {
 		e.SessionWritten = shedding.Session(r.Cluster, r.Session)
 	}
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	accepted := make(chan time.Time)
 	close(accepted)
-	return stageOn(t, ln, 0, &siteconfig.Setup{}, accepted, finish, p, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
+	return stageOn(t, ln, 0, &siteconfig.Config{}, accepted, finish, p, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
 }
 
 // slowClient is a connection whose machine takes little before it is read.
@@ -65,14 +65,14 @@
 // unread says whether some client's socket holds bytes that the router has not read.
 func unread(r *Router) bool {
 	found := false
-	r.each(func(c *client) { found = found || c.conn.(*stopped).readable() })
+	r.clients.each(func(c *client) { found = found || c.conn.(*stopped).readable() })
 	return found
 }
 
 // connected is how many clients the router has.
 func connected(r *Router) int {
 	n := 0
-	r.each(func(*client) { n++ })
+	r.clients.each(func(*client) { n++ })
 	return n
 }
 
@@ -146,7 +146,7 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
 	open := func() int {
 		n := 0
-		r.each(func(c *client) {
+		r.clients.each(func(c *client) {
 			c.mu.Lock()
 			n += c.openQueries
 			c.mu.Unlock()
@@ -180,8 +180,10 @@
 	p := endless
 	p.evictable = 0
 	for name, closes := range map[string]func(r *Router, stop func()){
-		"idle":    func(r *Router, _ func()) { r.each(func(c *client) { c.expire(time.Now().Add(2*p.idle), false) }) },
-		"evicted": func(r *Router, _ func()) { r.evictClient(time.Now().Add(time.Minute), 0) },
+		"idle": func(r *Router, _ func()) {
+			r.clients.each(func(c *client) { c.expire(time.Now().Add(2*p.idle), false) })
+		},
+		"evicted": func(r *Router, _ func()) { r.clients.evictIdle(time.Now().Add(time.Minute), 0) },
 		"stopped": func(_ *Router, stop func()) { stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -193,7 +195,7 @@
 				expect c1 welcome | I | Z`)
 			until(t, "it idles", func() bool {
 				idle := false
-				r.each(func(c *client) {
+				r.clients.each(func(c *client) {
 					c.mu.Lock()
 					idle = idle || c.openQueries == 0
 					c.mu.Unlock()
@@ -220,7 +222,7 @@
 	s.Play(`
 		send c1 startup
 		expect c1 welcome`)
-	r.each(func(c *client) {
+	r.clients.each(func(c *client) {
 		withDescriptor(c.conn, func(fd int) bool {
 			if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 				t.Errorf("TCP_NODELAY: %d, %v", on, err)
@@ -250,7 +252,7 @@
 	s.Play(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
 	until(t, "no more is taken at a time", func() bool {
 		full := false
-		r.each(func(c *client) { full = full || len(c.slots) == maxPipelined })
+		r.clients.each(func(c *client) { full = full || len(c.slots) == maxPipelined })
 		return full
 	})
 	ln.breakWrites(true)
@@ -281,7 +283,7 @@
 		expect c1 welcome | I | Z`)
 	until(t, "one holds half a message, the other idles", func() bool {
 		half, idle := 0, 0
-		r.each(func(c *client) {
+		r.clients.each(func(c *client) {
 			if _, is := c.partialState(); is {
 				half++
 			} else if _, asked, ok := c.idleState(); ok && asked {
@@ -290,7 +292,7 @@
 		})
 		return half == 1 && idle == 1
 	})
-	if !r.evictClient(time.Now().Add(time.Minute), 0) {
+	if !r.clients.evictIdle(time.Now().Add(time.Minute), 0) {
 		t.Error("nobody goes")
 	}
 	s.Play(`
@@ -303,7 +305,7 @@
 func TestFloodOfErrors(t *testing.T) {
 	p := endless
 	p.silent, p.lingeringClose = time.Millisecond, time.Hour
-	for name, own := range map[string]*siteconfig.Setup{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
+	for name, own := range map[string]*siteconfig.Config{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan time.Time)
 			close(accepted)
@@ -332,7 +334,7 @@
 		s.Play(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
 		until(t, "the first is the oldest", func() bool {
 			half := i > 0
-			r.each(func(c *client) {
+			r.clients.each(func(c *client) {
 				_, is := c.partialState()
 				half = half || is
 			})
@@ -354,13 +356,13 @@
 			close(accepted)
 			end := sync.OnceFunc(func() { close(finish) })
 			t.Cleanup(end)
-			s, r, stop, done := stageOn(t, newTurnstile(t), time.Hour, &siteconfig.Setup{}, accepted, finish, endless, "h-1 {s1} 1 SERVING")
+			s, r, stop, done := stageOn(t, newTurnstile(t), time.Hour, &siteconfig.Config{}, accepted, finish, endless, "h-1 {s1} 1 SERVING")
 			s.Play(`
 				send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 				expect c1 welcome`)
 			until(t, "the kept list and the request wait", func() bool { return len(r.loop.events) == 2 })
 			stop()
-			until(t, "it stops", r.isDraining)
+			until(t, "it stops", r.clients.isDraining)
 			if answers {
 				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
 				s.Play(`
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -67,7 +67,7 @@
 func readStore(t *testing.T, dir string) store.Found {
 	t.Helper()
 	began := time.Now()
-	k, err := store.New(store.Settings{Dir: dir, Most: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.DefaultSettings(),
+	k, err := store.New(store.Settings{Dir: dir, MaxBytes: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.DefaultSettings(),
 		Now: func() int64 { return int64(time.Since(began)) }, Wall: func() int64 { return time.Now().UnixNano() }})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/siteconfig/feeds.go
+++ b/internal/siteconfig/changefeed.go
@@ -12,7 +12,7 @@
 // Feeds says which classes are read as feeds of changes, and what they may take. Nothing of it changes on SIGHUP.
 type Feeds struct {
 	Classes     map[string]FeedClass `json:"classes"`      // by the platform's names
-	MostCursors int                  `json:"most_cursors"` // that this router remembers; whoever is let go must bring its own, or take a snapshot
+	MaxCursors  int                  `json:"most_cursors"` // that this router remembers; whoever is let go must bring its own, or take a snapshot
 	RingEvents  int                  `json:"ring_events"`  // recent events of each feed: who is behind them is read for by itself
 	RingBytes   int                  `json:"ring_bytes"`   // of their texts
 	BatchEvents int                  `json:"batch_events"` // in one answer
@@ -23,7 +23,7 @@
 	CatchUpPerS float64              `json:"catch_up_per_s"` // readings for those behind the ring
 	ReturnPerS  float64              `json:"return_per_s"`   // subscribers that may come back, or come new
 	SpreadMS    int64                `json:"spread_ms"`      // the longest time to return that the others are told
-	MostWaiting int                  `json:"most_waiting"`   // requests that wait for data servers
+	MaxWaiting  int                  `json:"most_waiting"`   // requests that wait for data servers
 	ReadForMS   int64                `json:"read_for_ms"`    // a reading is given up after it
 }
 
@@ -34,17 +34,17 @@
 	AgainMS int64  `json:"again_ms,omitempty"`
 }
 
-func usualFeeds() *Feeds {
+func defaultFeeds() *Feeds {
 	const ms = 1e6
 	u := cursor.DefaultSettings()
-	return &Feeds{Classes: map[string]FeedClass{}, MostCursors: u.MaxCursors, RingEvents: u.RingEvents, RingBytes: u.RingBytes, BatchEvents: u.BatchEvents, BatchBytes: u.BatchBytes,
-		FreshMS: u.EndReadInterval / ms, AgainMS: u.PollInterval / ms, FutureMS: u.MaxAhead, CatchUpPerS: u.CatchUpReadsPerSecond, ReturnPerS: u.ReconnectsPerSecond, SpreadMS: u.MaxRetryAfter / ms, MostWaiting: 2000, ReadForMS: 800}
+	return &Feeds{Classes: map[string]FeedClass{}, MaxCursors: u.MaxCursors, RingEvents: u.RingEvents, RingBytes: u.RingBytes, BatchEvents: u.BatchEvents, BatchBytes: u.BatchBytes,
+		FreshMS: u.EndReadInterval / ms, AgainMS: u.PollInterval / ms, FutureMS: u.MaxAhead, CatchUpPerS: u.CatchUpReadsPerSecond, ReturnPerS: u.ReconnectsPerSecond, SpreadMS: u.MaxRetryAfter / ms, MaxWaiting: 2000, ReadForMS: 800}
 }
 
 // Cursor are the settings of the decision, for all classes and for each.
 func (f *Feeds) Cursor() (all cursor.Settings, by map[string]cursor.Settings) {
 	const ms = 1e6
-	all = cursor.Settings{MaxCursors: f.MostCursors, RingEvents: f.RingEvents, RingBytes: f.RingBytes, BatchEvents: f.BatchEvents, BatchBytes: f.BatchBytes, EndReadInterval: f.FreshMS * ms, PollInterval: f.AgainMS * ms,
+	all = cursor.Settings{MaxCursors: f.MaxCursors, RingEvents: f.RingEvents, RingBytes: f.RingBytes, BatchEvents: f.BatchEvents, BatchBytes: f.BatchBytes, EndReadInterval: f.FreshMS * ms, PollInterval: f.AgainMS * ms,
 		MaxAhead: f.FutureMS, CatchUpReadsPerSecond: f.CatchUpPerS, ReconnectsPerSecond: f.ReturnPerS, MaxRetryAfter: f.SpreadMS * ms}
 	by = map[string]cursor.Settings{}
 	for name, c := range f.Classes {
@@ -81,8 +81,8 @@
 			return fmt.Errorf("%s: %d is not between 1 and an hour", s.name, s.ms)
 		}
 	}
-	if f.MostWaiting < 1 || f.MostWaiting > 1<<20 {
-		return fmt.Errorf("most_waiting: %d is not between 1 and a million", f.MostWaiting)
+	if f.MaxWaiting < 1 || f.MaxWaiting > 1<<20 {
+		return fmt.Errorf("most_waiting: %d is not between 1 and a million", f.MaxWaiting)
 	}
 	all, _ := f.Cursor()
 	return all.Check()
--- a/internal/siteconfig/contracts.go
+++ b/internal/siteconfig/contracts.go
@@ -26,7 +26,7 @@
 	UTCOffsetMin int64        `json:"utc_offset_min"` // local time less UTC, for hours
 	Keys         int          `json:"keys"`           // keys remembered of writes that may have run
 	Shares       int          `json:"shares"`         // budgets of teams in groups that are remembered
-	Lanes        *Lanes       `json:"lanes,omitempty"`
+	Shedding     *Shedding    `json:"lanes,omitempty"`
 }
 
 // Team is one contract.
@@ -82,12 +82,12 @@
 	Socket string `json:"socket"`  // a Unix socket on which accounts can be read; "": none
 }
 
-func usualContracts() *Contracts {
+func defaultContracts() *Contracts {
 	return &Contracts{Teams: []Team{}, Two: "first", Skew: 1, Fleet: Promised{PrimaryUse: 0.78, Cost: map[string]float64{}},
 		Pressure: TeamPressure{High: 0.28, Low: 0.2}, Keys: 4096, Shares: 1 << 16}
 }
 
-func usualAccounts() *Accounts { return &Accounts{EveryS: 60} }
+func defaultAccounts() *Accounts { return &Accounts{EveryS: 60} }
 
 func (a *Accounts) check() error {
 	if a.EveryS < 0 || a.EveryS > 24*3600 {
@@ -134,8 +134,8 @@
 	return classes
 }
 
-// Book are the settings of the decision for one of so many routers.
-func (c *Contracts) Book(classes []contract.Class, routers int, longestBack clock.Nanos) (contract.Settings, error) {
+// LedgerSettings are the settings of the decision for one of so many routers.
+func (c *Contracts) LedgerSettings(classes []contract.Class, routers int, longestBack clock.Nanos) (contract.Settings, error) {
 	s := contract.Settings{Classes: classes, DefaultTeam: c.None, Ambiguous: c.Two, TrustComment: c.TrustComment, Routers: routers, Skew: c.Skew,
 		PrimaryWorkPerSecond: c.Fleet.PrimaryPerS, HighPressure: c.Pressure.High, LowPressure: c.Pressure.Low, MaxKeys: c.Keys, MaxShares: c.Shares,
 		UTCOffsetSeconds: c.UTCOffsetMin * 60, MaxRetryAfter: longestBack}
@@ -174,7 +174,7 @@
 }
 
 func (c *Contracts) check() error {
-	_, err := c.Book(c.Named(), 1, 0)
+	_, err := c.LedgerSettings(c.Named(), 1, 0)
 	if err == nil {
 		_, err = c.Lane(Fleet{Routers: 1}, 0)
 	}
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -21,18 +21,18 @@
 	Socket  string           `json:"socket"`              // a Unix socket on which the members can be read; "": none
 	Share   bool             `json:"share"`               // routers tell each other the last commits of sessions that they have seen
 	Modes   Modes            `json:"modes"`               // which writes' commits, and whether their answers wait for it
-	Keep    *Keep            `json:"keep,omitempty"`      // a copy of that on the router's disk; needs share
+	Keep    *Persistence     `json:"keep,omitempty"`      // a copy of that on the router's disk; needs share
 	Sends   *Sends           `json:"decisions,omitempty"` // a line for each send: for experiments
 	Alone   float64          `json:"alone"`               // what a router keeps of its even part while others may have left it out; 1: parts are fixed
 
-	PeriodMS     int64 `json:"period_ms"` // one router is asked in each
-	WaitMS       int64 `json:"wait_ms"`   // for its answer, before others are asked to try
-	Helpers      int   `json:"helpers"`
-	LeastDoubtMS int64 `json:"least_doubt_ms"` // one that several doubt is dead after so long
-	MostDoubtMS  int64 `json:"most_doubt_ms"`  // and one that only one doubts
-	PauseMS      int64 `json:"pause_ms"`       // a router whose clock jumps so far was stopped, and trusts no timer of its own
-	ForgetS      int64 `json:"forget_s"`       // who is dead is remembered so long
-	Corrections  bool  `json:"corrections"`    // without, it is plain SWIM: for experiments
+	PeriodMS       int64 `json:"period_ms"` // one router is asked in each
+	WaitMS         int64 `json:"wait_ms"`   // for its answer, before others are asked to try
+	Helpers        int   `json:"helpers"`
+	MinSuspicionMS int64 `json:"least_doubt_ms"` // one that several doubt is dead after so long
+	MaxSuspicionMS int64 `json:"most_doubt_ms"`  // and one that only one doubts
+	PauseMS        int64 `json:"pause_ms"`       // a router whose clock jumps so far was stopped, and trusts no timer of its own
+	ForgetS        int64 `json:"forget_s"`       // who is dead is remembered so long
+	Corrections    bool  `json:"corrections"`    // without, it is plain SWIM: for experiments
 }
 
 // Place is where a router is reached.
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Halls are those of the routers, by name.
-func (m *Members) Halls() map[string]string {
+// Zones are those of the routers, by name.
+func (m *Members) Zones() map[string]string {
 	halls := map[string]string{}
 	for name, p := range m.Routers {
 		halls[name] = p.Hall
@@ -86,10 +86,10 @@
 	return halls
 }
 
-// Keep says where a router keeps a copy of what all share, and what it may cost.
-type Keep struct {
+// Persistence says where a router keeps a copy of what all share, and what it may cost.
+type Persistence struct {
 	Dir       string  `json:"dir"`          // the router's own
-	MostMB    int64   `json:"most_mb"`      // of the file, rounded down to a power of two; records take a sixth of it
+	MaxMB     int64   `json:"most_mb"`      // of the file, rounded down to a power of two; records take a sixth of it
 	QueueKB   int     `json:"queue_kb"`     // of what waits to be written; as much again may be on its way
 	FsyncsPer float64 `json:"fsyncs_per_s"` // at the most; a batch takes two or three
 	LoadMS    int64   `json:"load_ms"`      // a start waits so long for the disk
@@ -97,20 +97,20 @@
 
 // Sends says where a router writes, for each send, on what evidence it was made.
 type Sends struct {
-	File   string `json:"file"`    // appended to
-	MostMB int64  `json:"most_mb"` // of what one process writes; what comes beyond is left out and counted
+	File  string `json:"file"`    // appended to
+	MaxMB int64  `json:"most_mb"` // of what one process writes; what comes beyond is left out and counted
 }
 
-func (k *Keep) usual() {
-	k.MostMB, k.QueueKB, k.FsyncsPer, k.LoadMS = cmp.Or(k.MostMB, 32), cmp.Or(k.QueueKB, 1024), cmp.Or(k.FsyncsPer, 4), cmp.Or(k.LoadMS, 500)
+func (k *Persistence) usual() {
+	k.MaxMB, k.QueueKB, k.FsyncsPer, k.LoadMS = cmp.Or(k.MaxMB, 32), cmp.Or(k.QueueKB, 1024), cmp.Or(k.FsyncsPer, 4), cmp.Or(k.LoadMS, 500)
 }
 
-func (k *Keep) check() error {
+func (k *Persistence) check() error {
 	switch {
 	case k.Dir == "":
 		return errors.New("dir: missing")
-	case k.MostMB < 1 || k.MostMB > 1024:
-		return fmt.Errorf("most_mb: %d is not between 1 and 1024", k.MostMB)
+	case k.MaxMB < 1 || k.MaxMB > 1024:
+		return fmt.Errorf("most_mb: %d is not between 1 and 1024", k.MaxMB)
 	case k.QueueKB < 16 || k.QueueKB > 64<<10:
 		return fmt.Errorf("queue_kb: %d is not between 16 and 65536", k.QueueKB)
 	case !(k.FsyncsPer >= 0.1 && k.FsyncsPer <= 1000):
@@ -121,11 +121,11 @@
 	return nil
 }
 
-func usualMembers() *Members {
+func defaultMembers() *Members {
 	const ms = 1e6
 	u := membership.DefaultSettings("-", "-", 0, 1)
-	return &Members{Seeds: []string{}, Modes: Modes{Default: ModeAsync, Classes: map[string]string{}, WaitMS: 20}, Alone: 0.5, PeriodMS: u.ProbeInterval / ms, WaitMS: u.AckTimeout / ms, Helpers: u.IndirectChecks, LeastDoubtMS: u.MinSuspicion / ms,
-		MostDoubtMS: u.MaxSuspicion / ms, PauseMS: u.MaxTickGap / ms, ForgetS: u.ForgetAfter / 1e9, Corrections: u.Lifeguard}
+	return &Members{Seeds: []string{}, Modes: Modes{Default: ModeAsync, Classes: map[string]string{}, WaitMS: 20}, Alone: 0.5, PeriodMS: u.ProbeInterval / ms, WaitMS: u.AckTimeout / ms, Helpers: u.IndirectChecks, MinSuspicionMS: u.MinSuspicion / ms,
+		MaxSuspicionMS: u.MaxSuspicion / ms, PauseMS: u.MaxTickGap / ms, ForgetS: u.ForgetAfter / 1e9, Corrections: u.Lifeguard}
 }
 
 // Member are the settings of the decision for one router.
@@ -138,7 +138,7 @@
 	s := membership.DefaultSettings(name, place.Advertise, boot, len(m.Routers))
 	s.Seeds, s.Allowed, s.IsolatedShare = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
 	s.ProbeInterval, s.AckTimeout, s.IndirectChecks = m.PeriodMS*ms, m.WaitMS*ms, m.Helpers
-	s.MinSuspicion, s.MaxSuspicion, s.MaxTickGap, s.ForgetAfter = m.LeastDoubtMS*ms, m.MostDoubtMS*ms, m.PauseMS*ms, m.ForgetS*1e9
+	s.MinSuspicion, s.MaxSuspicion, s.MaxTickGap, s.ForgetAfter = m.MinSuspicionMS*ms, m.MaxSuspicionMS*ms, m.PauseMS*ms, m.ForgetS*1e9
 	s.Lifeguard = m.Corrections
 	return s, nil
 }
@@ -154,8 +154,8 @@
 		}
 	}
 	if m.Sends != nil {
-		m.Sends.MostMB = cmp.Or(m.Sends.MostMB, 64)
-		if m.Sends.File == "" || m.Sends.MostMB < 1 || m.Sends.MostMB > 4096 {
+		m.Sends.MaxMB = cmp.Or(m.Sends.MaxMB, 64)
+		if m.Sends.File == "" || m.Sends.MaxMB < 1 || m.Sends.MaxMB > 4096 {
 			return errors.New("decisions: file is missing, or most_mb is not between 1 and 4096")
 		}
 	}
@@ -178,13 +178,13 @@
 		name  string
 		value int64
 		min   int64
-	}{{"period_ms", m.PeriodMS, 20}, {"wait_ms", m.WaitMS, 5}, {"least_doubt_ms", m.LeastDoubtMS, 20}, {"most_doubt_ms", m.MostDoubtMS, m.LeastDoubtMS},
+	}{{"period_ms", m.PeriodMS, 20}, {"wait_ms", m.WaitMS, 5}, {"least_doubt_ms", m.MinSuspicionMS, 20}, {"most_doubt_ms", m.MaxSuspicionMS, m.MinSuspicionMS},
 		{"pause_ms", m.PauseMS, 50}, {"forget_s", m.ForgetS, 1}, {"helpers", int64(m.Helpers), 0}} {
 		if f.value < f.min || f.value > 3600e3 {
 			return fmt.Errorf("%s: %d is not between %d and 3600000", f.name, f.value, f.min)
 		}
 	}
-	if m.WaitMS >= m.PeriodMS || m.Helpers > 8 || m.ForgetS*1000 <= m.MostDoubtMS {
+	if m.WaitMS >= m.PeriodMS || m.Helpers > 8 || m.ForgetS*1000 <= m.MaxSuspicionMS {
 		return errors.New("wait_ms must be under period_ms, most_doubt_ms under forget_s, and helpers at most 8")
 	}
 	for _, seed := range m.Seeds {
--- a/internal/siteconfig/recovery.go
+++ b/internal/siteconfig/recovery.go
@@ -31,7 +31,7 @@
 	LatestMS  int64   `json:"latest_ms"`   // and the latest
 }
 
-func usualRecovery() *Recovery {
+func defaultRecovery() *Recovery {
 	const ms = 1e6
 	u := recovery.DefaultSettings("-", 0, 1)
 	b := u.Budgets
--- a/internal/siteconfig/setup.go
+++ b/internal/siteconfig/siteconfig.go
@@ -16,8 +16,8 @@
 	"lotushook/policy/clock"
 )
 
-// Setup is the file.
-type Setup struct {
+// Config is the file.
+type Config struct {
 	Admission *Admission `json:"admission,omitempty"` // a reload changes its limits, and can't switch it on or off
 	Contracts *Contracts `json:"contracts,omitempty"` // likewise
 	Accounts  *Accounts  `json:"accounts,omitempty"`  // needs contracts
@@ -41,7 +41,7 @@
 	TraceAll   = "all"
 )
 
-func usualLog() *Log { return &Log{TotalsMS: 10000, Trace: TraceOff, TracePerS: 100} }
+func defaultLog() *Log { return &Log{TotalsMS: 10000, Trace: TraceOff, TracePerS: 100} }
 
 func (l *Log) check() error {
 	switch {
@@ -56,8 +56,8 @@
 }
 
 // Load reads and checks a file.
-func Load(path string) (*Setup, error) {
-	s := &Setup{}
+func Load(path string) (*Config, error) {
+	s := &Config{}
 	var parts struct {
 		Admission jsoniter.RawMessage `json:"admission"`
 		Contracts jsoniter.RawMessage `json:"contracts"`
@@ -70,31 +70,31 @@
 	err := strictjson.File(path, &parts)
 	if err == nil { // again, over the defaults of the parts that are there
 		if parts.Admission != nil {
-			s.Admission = usualAdmission()
+			s.Admission = defaultAdmission()
 		}
 		if parts.Contracts != nil {
-			s.Contracts = usualContracts()
+			s.Contracts = defaultContracts()
 			var has struct {
 				Lanes jsoniter.RawMessage `json:"lanes"`
 			}
 			if jsoniter.Unmarshal(parts.Contracts, &has) == nil && has.Lanes != nil { // what is wrong otherwise is found below
-				s.Contracts.Lanes = usualLanes()
+				s.Contracts.Shedding = defaultShedding()
 			}
 		}
 		if parts.Accounts != nil {
-			s.Accounts = usualAccounts()
+			s.Accounts = defaultAccounts()
 		}
 		if parts.Log != nil {
-			s.Log = usualLog()
+			s.Log = defaultLog()
 		}
 		if parts.Members != nil {
-			s.Members = usualMembers()
+			s.Members = defaultMembers()
 		}
 		if parts.Feeds != nil {
-			s.Feeds = usualFeeds()
+			s.Feeds = defaultFeeds()
 		}
 		if parts.Recovery != nil {
-			s.Recovery = usualRecovery()
+			s.Recovery = defaultRecovery()
 		}
 		err = strictjson.File(path, s)
 	}
@@ -107,7 +107,7 @@
 	return s, nil
 }
 
-func (s *Setup) check() error {
+func (s *Config) check() error {
 	var errs []error
 	part := func(name string, err error) {
 		if err != nil {
@@ -145,7 +145,7 @@
 }
 
 // Print is the file as it is in force, defaults and all.
-func (s *Setup) Print() (string, error) {
+func (s *Config) Print() (string, error) {
 	out, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(s, "", "  ")
 	return string(out), err
 }
@@ -192,9 +192,9 @@
 	Caps    float64 `json:"caps"` // what is left of the caps for each address and prefix, as a share
 }
 
-// usualAdmission are the defaults: no cap binds, and what was always done against
+// defaultAdmission are the defaults: no cap binds, and what was always done against
 // silent and idle clients is done.
-func usualAdmission() *Admission {
+func defaultAdmission() *Admission {
 	return &Admission{Shared: []netip.Prefix{}, Reserve: []Reserve{}, Pressure: Pressure{Enter: 0.9, Leave: 0.7, HoldMS: 1000, Caps: 0.5}, GreenMS: 20, SpareMS: 100,
 		SilenceMS: 500, EarlyIdleMS: 500, CrowdShare: 0.35, ComeBackMS: 1000, Remembered: 4096, LingerMS: 20}
 }
--- a/internal/siteconfig/setup_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := s.Contracts.Book(s.Contracts.Named(), 3, 0)
+	b, err := s.Contracts.LedgerSettings(s.Contracts.Named(), 3, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	if len(h) != 2 || h[0].From != 6*86400+18*3600 || h[0].To != 7*86400+5400 || h[1].From != 18*3600 || b.Classes[0].Cost != 2 || !b.Classes[0].Primary {
 		t.Errorf("%+v", b)
 	}
-	if _, err := s.Contracts.Book(nil, 3, 0); err == nil {
+	if _, err := s.Contracts.LedgerSettings(nil, 3, 0); err == nil {
 		t.Error("a class that the platform does not have")
 	}
 }
@@ -152,7 +152,7 @@
 // Lanes have their defaults, a team its lane by name, and what is wrong is named where it stands.
 func TestLanes(t *testing.T) {
 	const teams = `"teams":[{"name":"a","worth":1,"users":["u"],"lane":"%s","classes":{}},{"name":"b","worth":1,"users":["v"],"classes":{}}]`
-	with := func(lanes, lane string) (*Setup, error) {
+	with := func(lanes, lane string) (*Config, error) {
 		return Load(file(t, `{"contracts":{`+lanes+strings.Replace(teams, "%s", lane, 1)+`}}`))
 	}
 	s, err := with(`"lanes":{"lanes":[{"name":"x","per_s":5,"burst":5},{"name":"y","least":0}],"epoch_ms":9000},`, "x")
@@ -166,7 +166,7 @@
 	if text, _ := s.Print(); !strings.Contains(text, `"fresh_ms": 1000`) {
 		t.Error(text)
 	}
-	if s, err = with("", ""); err != nil || s.Contracts.Lanes != nil {
+	if s, err = with("", ""); err != nil || s.Contracts.Shedding != nil {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for want, c := range map[string][2]string{
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -12,7 +12,7 @@
 const (
 	Empty   Cause = "empty"   // no byte in it
 	Torn    Cause = "torn"    // it ends too early, or was never finished
-	Spoiled Cause = "spoiled" // a checksum or the store's own structure is wrong
+	Corrupt Cause = "spoiled" // a checksum or the store's own structure is wrong
 )
 
 // Damaged is a copy that can't be read.
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	format    = 1
-	magic     = "lotushook keep\n"
-	mostName  = 255
-	mostKey   = 1 << 12
-	mostValue = 1 << 16
+	format        = 1
+	magic         = "lotushook keep\n"
+	maxNameBytes  = 255
+	maxKeyBytes   = 1 << 12
+	maxValueBytes = 1 << 16
 )
 
 var (
--- /dev/null
+++ b/internal/store/report.go
@@ -0,0 +1,58 @@
+package store
+
+import (
+	"cmp"
+	"log/slog"
+
+	"lotushook/internal/operr"
+	"lotushook/policy/persistence"
+)
+
+// Report is what operators read of a copy.
+type Report struct {
+	Path       string             `json:"path"`
+	Writes     bool               `json:"writes"` // false: not read yet, or it goes on without a copy
+	Boot       uint64             `json:"boot"`   // that wrote last
+	Generation uint64             `json:"generation"`
+	Bytes      int64              `json:"bytes"`   // of the file
+	Waiting    int                `json:"waiting"` // bytes, with what is on its way to the disk
+	Swept      uint64             `json:"swept"`   // records that were let go for want of room in the file
+	Counts     persistence.Counts `json:"counts"`
+	Trouble    string             `json:"trouble,omitempty"`
+	ErrorKind  string             `json:"error_kind,omitempty"`
+	Hint       string             `json:"remedy,omitempty"`
+}
+
+// Report is as of now; nil of a nil copy.
+func (k *Store) Report() *Report {
+	if k == nil {
+		return nil
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	r := &Report{Path: k.path, Writes: !k.off, Boot: k.head.boot, Generation: k.head.generation, Bytes: k.size, Swept: k.swept, Counts: k.queue.Counts()}
+	_, r.Waiting = k.queue.Bytes()
+	select {
+	case <-k.loaded:
+	default:
+		r.Writes = false
+	}
+	if e := cmp.Or(k.trouble, k.start); e != nil {
+		r.Trouble, r.ErrorKind, r.Hint = e.Error(), e.Kind(), e.Hint()
+	}
+	return r
+}
+
+// note keeps what is wrong now for whoever asks, and logs it once while it lasts; nil: it is over. What ended the writing
+// for good stays.
+func (k *Store) note(e operr.Error) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if e == nil && k.off {
+		return
+	}
+	if e != nil && (k.trouble == nil || k.trouble.Kind() != e.Kind()) {
+		slog.Warn("keep", operr.Attrs(e)...)
+	}
+	k.trouble = e
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,270 +1,189 @@
+// Package keep is a router's copy of the shared state on its own disk: records of a kind, a key, a value and an age, which
+// come back after the process has ended. What they mean is the caller's business, and what waits for a batch and how old a
+// record is that comes back is decided in policy/persistence.
+//
+// Whoever has something to keep never waits for the disk: it is put into a queue of bounded size, and one goroutine writes
+// batches from it into a bbolt file. A copy that can't be used is moved aside, at most so many times, and never deleted; the
+// router then goes on without it and says what can be done. Nothing here knows what a record is worth: see policy/trust.
 package store
 
 import (
+	"context"
 	"errors"
-	"fmt"
 	"io"
-	"math/bits"
-	"os"
+	"log/slog"
 	"path/filepath"
-	"runtime/debug"
-	"strings"
-	"syscall"
+	"sync"
 	"time"
 
-	"go.etcd.io/bbolt"
-	berrors "go.etcd.io/bbolt/errors"
-
+	"lotushook/internal/operr"
 	"lotushook/policy/clock"
 	"lotushook/policy/persistence"
 )
 
-// disk is what a copy needs of the system; tests put faults between.
-type disk interface {
-	lock(path string) (io.Closer, error)
-	open(path string, most int64, readOnly bool) (store, error)
-}
-
-// store is an open copy.
-type store interface {
-	// load shows all records, and returns the head as it stands and the sum over the records. What it shows is valid for the
-	// call only.
-	load(each func(k, v []byte) error) (head []byte, sum uint64, err error)
-	// commit puts a batch and a head on disk, both or neither, and says how many fsyncs it did and how many older records
-	// it let go for want of room.
-	commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error)
-	rename(to string) error // and have that on disk too
-	size() int64
-	close() error
-}
-
-var (
-	bucketName = []byte("keep")
-	headKey    = []byte{0}
-	errNoHead  = errors.New("there is no head in it")
-)
-
 const (
-	liveShare  = 6 // records take one part in so many of the file: pages are half full at worst, and a batch may write each anew
-	sweepShare = 8 // and so much of that is made free at a time
+	fileName      = "keep.db"
+	lockName      = "lock"
+	maxMovedAside = 4
+	slowAfter     = time.Second // a step of the disk's that takes longer is told
+	lastFor       = time.Second // at the end the disk has so long
 )
 
-type osDisk struct{ windows [256]clock.Nanos }
-
-// lock holds a file for this process alone.
-func (osDisk) lock(path string) (io.Closer, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+// Settings are of one copy.
+type Settings struct {
+	Dir           string // made if it is not there
+	MaxBytes      int64  // bytes of the file; records take up to a quarter of it
+	Cluster, Name string // whose it is
+	Boot          uint64 // of this process
+	Queue         persistence.Settings
+	Windows       [256]clock.Nanos   // by kind: older ones are let go; 0: they stay
+	Now           func() clock.Nanos // a clock that only goes on; what it shows is not written
+	Wall          func() int64       // Unix time in nanoseconds, as the system has it now
+
+	disk disk
+}
+
+// Found is what a copy held.
+type Found struct {
+	Records    []persistence.Record
+	Boot       uint64 // of the process that wrote last; 0: nothing was found
+	Generation uint64
+	LetGo      uint64 // records that process could not keep: where it is not 0 the copy has gaps beside the last batch
+}
+
+// Store is a copy. A nil one keeps nothing. Put, Generation and Report may be used from any goroutine.
+type Store struct {
+	settings Settings
+	path     string
+	wake     chan struct{}
+	loaded   chan struct{}
+
+	mu       sync.Mutex // never held while the disk is used
+	queue    *persistence.Queue
+	found    Found
+	off      bool // nothing is written any more
+	readOnly bool
+	head     head // as last written
+	swept    uint64
+	size     int64
+	start    operr.Error // what was wrong with what the disk held; nil: nothing
+	trouble  operr.Error // what is wrong now; nil: nothing
+	failing  bool        // the last batch is not written
+	lost     uint64      // let go when that was last told
+
+	// The writing goroutine's.
+	engine engine
+	lock   io.Closer
+}
+
+// New returns a copy that Run opens.
+func New(s Settings) (*Store, error) {
+	if s.Dir == "" || s.MaxBytes < 1<<18 || s.Name == "" || max(len(s.Name), len(s.Cluster)) > maxNameBytes || s.Now == nil || s.Wall == nil {
+		return nil, errors.New("keep: Dir, Most, Name, Cluster, Now or Wall: missing or out of range")
+	}
+	q, err := persistence.New(s.Queue)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
-		return nil, err
+	if s.disk == nil {
+		s.disk = osDisk{s.Windows}
 	}
-	return f, nil
-}
-
-type boltStore struct {
-	db      *bbolt.DB
-	path    string
-	most    int64 // bytes of the file; the store maps powers of two
-	live    int64 // bytes of keys and values
-	sum     uint64
-	windows [256]clock.Nanos
-	bad     bool // it has panicked: nothing of it is touched any more
+	return &Store{settings: s, path: filepath.Join(s.Dir, fileName), queue: q, wake: make(chan struct{}, 1), loaded: make(chan struct{})}, nil
 }
 
-// open opens a store that is sound, or begins one.
-func (d osDisk) open(path string, most int64, readOnly bool) (store, error) {
-	most = 1 << (bits.Len64(uint64(most)) - 1)
-	s := &boltStore{path: path, most: most, windows: d.windows}
-	err := guarded(func() (err error) {
-		s.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Millisecond, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType,
-			PageSize: pageBytes, MaxSize: int(most), ReadOnly: readOnly, NoStatistics: true})
-		return err
-	})
-	if err != nil {
-		return nil, err
+// Put has a record kept, in place of the one of its kind and key. It never waits for the disk. What can't be kept is counted.
+func (k *Store) Put(r persistence.Record) {
+	if k == nil || r.Kind == 0 || len(r.Key) > maxKeyBytes || len(r.Value) > maxValueBytes {
+		return
+	}
+	k.mu.Lock()
+	if !k.off {
+		k.queue.Put(k.settings.Now(), r)
+	}
+	k.mu.Unlock()
+	select {
+	case k.wake <- struct{}{}:
+	default:
 	}
-	s.db.AllocSize = int(max(most/64, pageBytes))
-	return s, nil
-}
-
-// guarded turns a panic, and a fault in the mapped file, into an error.
-func guarded(f func() error) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %v", errPanic, p)
-		}
-	}()
-	return f()
 }
 
-var errPanic = errors.New("the store broke off")
+// Loaded is closed once what the disk held was read, or could not be.
+func (k *Store) Loaded() <-chan struct{} { return k.loaded }
 
-func (s *boltStore) load(each func(k, v []byte) error) (raw []byte, sum uint64, err error) {
-	err = guarded(func() error {
-		return s.db.View(func(tx *bbolt.Tx) error {
-			b := tx.Bucket(bucketName)
-			if b == nil {
-				return errNoHead
-			}
-			if raw = append(raw, b.Get(headKey)...); len(raw) == 0 {
-				return errNoHead
-			}
-			return b.ForEach(func(k, v []byte) error {
-				if len(k) == 1 && k[0] == headKey[0] {
-					return nil
-				}
-				s.live, s.sum = s.live+int64(len(k)+len(v)), s.sum+sumOf(v)
-				return each(k, v)
-			})
-		})
-	})
-	return raw, s.sum, err
+// Found is what the disk held, once; nothing before Loaded.
+func (k *Store) Found() Found {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	f := k.found
+	k.found.Records = nil
+	return f
 }
 
-func (s *boltStore) commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
-	if s.bad {
-		return 0, 0, errPanic
-	}
-	count := h.letGo
-	fsyncs, letGo, err = s.put(h, batch)
-	if half := len(batch) / 2; half > 0 && errors.Is(err, berrors.ErrMaxSizeReached) { // fewer pages at a time find room
-		h.letGo = count
-		for _, part := range [][]persistence.Record{batch[:half], batch[half:]} {
-			var n, gone int
-			n, gone, err = s.commit(h, part)
-			if fsyncs, letGo = fsyncs+n, letGo+gone; err != nil {
-				return fsyncs, letGo, err
-			}
-		}
-	}
-	return fsyncs, letGo, err
+// Generation is how many batches the copy has had over all processes, and which process wrote the last. It rises by one a
+// batch: a copy that is behind what somebody else remembers of it was put back (evidence.Compare).
+func (k *Store) Generation() (boot, generation uint64) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.head.boot, k.head.generation
 }
 
-// put is one batch.
-func (s *boltStore) put(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
-	before, live, sum := s.size(), s.live, s.sum
-	err = guarded(func() error {
-		return s.db.Update(func(tx *bbolt.Tx) error {
-			b, err := tx.CreateBucketIfNotExists(bucketName)
-			if err != nil {
-				return err
-			}
-			for i := range batch {
-				k, v := key(&batch[i]), appendRecord(&batch[i], h.wall)
-				if old := b.Get(k); old != nil {
-					live, sum = live-int64(len(k)+len(old)), sum-sumOf(old)
-				}
-				if err := b.Put(k, v); err != nil {
-					return err
-				}
-				live, sum = live+int64(len(k)+len(v)), sum+sumOf(v)
-			}
-			if room := s.most / liveShare; live > room {
-				n, bytes, sums, err := s.sweep(b, h.wall, live-room+room/sweepShare)
-				if err != nil {
-					return err
-				}
-				live, sum, letGo = live-bytes, sum-sums, n
-			}
-			h.letGo, h.sum = h.letGo+uint64(letGo), sum
-			return b.Put(headKey, h.append(nil))
-		})
-	})
-	fsyncs = 2 // of the pages, and of which of them count; one more where the file grew
-	if s.size() != before {
-		fsyncs = 3
-	}
-	if s.bad = errors.Is(err, errPanic); err != nil {
-		return fsyncs, 0, err
-	}
-	s.live, s.sum = live, sum
-	return fsyncs, letGo, nil
-}
-
-// sweep deletes the oldest records until so many bytes are free: first those whose time is over, then by age, as coarse as
-// powers of two of a millisecond.
-func (s *boltStore) sweep(b *bbolt.Bucket, wall int64, free int64) (count int, freed int64, sums uint64, err error) {
-	rank := func(k, v []byte) int { // 0: the head, or nothing that could be read
-		r, written, err := parseRecord(k, v)
-		if err != nil {
-			return 0
+// Run reads the copy, and writes what is put until the context ends, and once more then. The disk's steps are one other
+// goroutine's: one that hangs is told after a second, and at the end has a second before it is left alone.
+func (k *Store) Run(ctx context.Context) {
+	jobs, done := make(chan func() func(), 1), make(chan func(), 1) // one at a time: neither side ever waits to send
+	go func() {
+		for job := range jobs {
+			done <- job()
 		}
-		age, _ := persistence.AgeNow(r.Age, written, wall, wall)
-		if w := s.windows[r.Kind]; w > 0 && age >= w {
-			return 65
+	}()
+	defer close(jobs)
+	began, busy, slow := time.Now(), true, false
+	jobs <- k.open
+	var leave <-chan time.Time
+	ending, closing := ctx.Done(), false
+	timer := time.NewTimer(slowAfter)
+	defer timer.Stop()
+	for {
+		wait := time.Hour
+		if busy {
+			if !slow {
+				wait = time.Until(began.Add(slowAfter))
+			}
+		} else if closing {
+			return
+		} else if at, ok := k.due(leave != nil); ok {
+			wait = time.Duration(at - k.settings.Now())
 		}
-		return 1 + bits.Len64(uint64(age/1e6))
-	}
-	var bytes [66]int64
-	c := b.Cursor()
-	for k, v := c.First(); k != nil; k, v = c.Next() {
-		bytes[rank(k, v)] += int64(len(k) + len(v))
-	}
-	least := len(bytes)
-	for sum := int64(0); least > 1 && sum < free; {
-		least--
-		sum += bytes[least]
-	}
-	var gone [][]byte // deleting moves a cursor
-	for k, v := c.First(); k != nil; k, v = c.Next() {
-		if at := rank(k, v); at > least || at == least && freed < free && at > 0 {
-			gone, freed, sums = append(gone, append([]byte(nil), k...)), freed+int64(len(k)+len(v)), sums+sumOf(v)
+		if !busy && wait <= 0 {
+			began, busy = time.Now(), true
+			jobs <- k.batch()
+			continue
 		}
-	}
-	for _, k := range gone {
-		if err := b.Delete(k); err != nil {
-			return 0, 0, 0, err
+		if leave != nil && !busy {
+			began, busy, closing = time.Now(), true, true
+			jobs <- k.close
+			continue
 		}
-	}
-	return len(gone), freed, sums, nil
-}
-
-func (s *boltStore) size() int64 {
-	info, err := os.Stat(s.path)
-	if err != nil {
-		return -1 // it was moved by somebody
-	}
-	return info.Size()
-}
-
-func (s *boltStore) close() error {
-	if s.bad {
-		return nil // it may hold its own locks for ever
-	}
-	return guarded(s.db.Close)
-}
-
-func (s *boltStore) rename(to string) error {
-	if err := os.Rename(s.path, to); err != nil {
-		return err
-	}
-	s.path = to
-	dir, err := os.Open(filepath.Dir(to))
-	if err != nil {
-		return err
-	}
-	defer dir.Close()
-	return dir.Sync()
-}
-
-func isReadOnly(err error) bool {
-	return errors.Is(err, syscall.EROFS) || errors.Is(err, syscall.EACCES) || errors.Is(err, syscall.EPERM)
-}
-
-// isFull also looks at the text: where it makes its file larger the store passes on no more than that.
-func isFull(err error) bool {
-	for _, full := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, berrors.ErrMaxSizeReached} {
-		if err != nil && (errors.Is(err, full) || strings.Contains(err.Error(), full.Error())) {
-			return true
+		timer.Reset(max(0, wait))
+		select {
+		case f := <-done:
+			if slow {
+				slog.Info("keep: the disk goes on", "path", k.path, "took", time.Since(began))
+				k.note(nil)
+			}
+			busy, slow = false, false
+			f()
+		case <-timer.C:
+			if busy && !slow && time.Since(began) >= slowAfter {
+				slow = true
+				k.note(&Slow{k.path, time.Since(began)})
+			}
+		case <-k.wake:
+		case <-ending:
+			ending, leave = nil, time.After(lastFor)
+		case <-leave:
+			k.note(&Slow{k.path, time.Since(began)})
+			return
 		}
 	}
-	return false
-}
-
-func isTaken(err error) bool {
-	return errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, berrors.ErrTimeout)
 }
--- a/internal/store/keep_test.go
+++ b/internal/store/store_test.go
@@ -26,12 +26,12 @@
 func settings(dir string) Settings {
 	q := persistence.DefaultSettings()
 	q.FsyncsPerSecond, q.RetryBackoff = 1000, 1e6
-	return Settings{Dir: dir, Most: 1 << 20, Cluster: "x", Name: "n0", Boot: 7, Queue: q, Now: func() int64 { return int64(time.Since(began)) },
+	return Settings{Dir: dir, MaxBytes: 1 << 20, Cluster: "x", Name: "n0", Boot: 7, Queue: q, Now: func() int64 { return int64(time.Since(began)) },
 		Wall: func() int64 { return time.Now().UnixNano() }}
 }
 
 // run starts a copy; stop ends it and waits.
-func run(t testing.TB, s Settings) (k *Keep, stop func()) {
+func run(t testing.TB, s Settings) (k *Store, stop func()) {
 	t.Helper()
 	k, err := New(s)
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (k *Keep) written() bool {
+func (k *Store) written() bool {
 	r := k.Report()
 	return r.Waiting == 0 && r.Counts.Batches > 0
 }
@@ -124,7 +124,7 @@
 	}
 	k.Put(record("key-0001", "new"))
 	k.Put(persistence.Record{Kind: 2, Key: []byte("key-0001"), Value: []byte("of another kind")})
-	k.Put(record(strings.Repeat("k", mostKey+1), "too long"))
+	k.Put(record(strings.Repeat("k", maxKeyBytes+1), "too long"))
 	stop()
 	if boot, gen := k.Generation(); boot != 8 || gen <= f.Generation {
 		t.Errorf("boot %d, generation %d after %d", boot, gen, f.Generation)
@@ -196,12 +196,12 @@
 		}, "keep-read-only", true, false, 0},
 		{"a directory that is a file", func(t *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, fileName) }, "keep-failed", false, false, 0},
 		{"too many lie aside", func(t *testing.T, dir string, s *Settings) {
-			for range mostAside {
+			for range maxMovedAside {
 				change(t, dir, func([]byte) []byte { return nil })
 				read(t, *s)
 			}
 			change(t, dir, func([]byte) []byte { return nil })
-		}, "keep-crowded", false, false, mostAside},
+		}, "keep-crowded", false, false, maxMovedAside},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -267,7 +267,7 @@
 	return d.osDisk.lock(path)
 }
 
-func (d *faults) open(path string, most int64, readOnly bool) (store, error) {
+func (d *faults) open(path string, most int64, readOnly bool) (engine, error) {
 	if d.opens != nil && !readOnly {
 		return nil, &os.PathError{Op: "open", Path: path, Err: d.opens}
 	}
@@ -276,7 +276,7 @@
 }
 
 type faulty struct {
-	store
+	engine
 	disk *faults
 }
 
@@ -287,7 +287,7 @@
 			return 2, 0, err
 		}
 	}
-	return s.store.commit(h, batch)
+	return s.engine.commit(h, batch)
 }
 
 // A disk that hangs holds up nobody: what comes meanwhile waits within its bound, what finds no room is counted and said in
@@ -373,7 +373,7 @@
 // However much is put, the file stays within its bound, and the newest are kept.
 func TestBounded(t *testing.T) {
 	s := settings(t.TempDir())
-	s.Most = 1 << 18
+	s.MaxBytes = 1 << 18
 	k, _ := run(t, s)
 	<-k.Loaded()
 	for i := range 60 {
@@ -381,7 +381,7 @@
 			k.Put(persistence.Record{Kind: 1, Key: fmt.Appendf(nil, "%x-%d", (i*50+j)*7919%65536, i), Value: make([]byte, 100), Age: (60 - int64(i)) * 60e9})
 		}
 		until(t, "written", func() bool { r := k.Report(); return r.Waiting == 0 && r.Counts.Batches > 0 })
-		if r := k.Report(); r.Bytes > s.Most || r.ErrorKind != "" {
+		if r := k.Report(); r.Bytes > s.MaxBytes || r.ErrorKind != "" {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -433,7 +433,7 @@
 // All types of errors say what can be done, each under a kind of its own.
 func TestRemedies(t *testing.T) {
 	why := errors.New("why")
-	all := []operr.Error{&Damaged{"p", "a", Empty, why}, &Damaged{"p", "", Torn, why}, &Damaged{"p", "a", Spoiled, why}, &Foreign{"p", "a", "c", "n"},
+	all := []operr.Error{&Damaged{"p", "a", Empty, why}, &Damaged{"p", "", Torn, why}, &Damaged{"p", "a", Corrupt, why}, &Foreign{"p", "a", "c", "n"},
 		&Later{"p", "a", 9}, &Old{"p", "1", "2"}, &Locked{"p", why}, &ReadOnly{"p", why}, &Full{"p", why}, &Slow{"p", time.Second}, &Behind{"p", 3},
 		&Crowded{"p", 4, why}, &Clock{"p", time.Hour}, &Failed{"p", "d", why}}
 	types, kinds := map[string]bool{}, map[string]bool{}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -1,13 +1,14 @@
 package admission
 
 import (
-	"lotushook/policy/clock"
 	"net/netip"
 	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"lotushook/policy/clock"
 )
 
 const ms = clock.Nanos(1e6)
--- a/policy/admission/gate.go
+++ b/policy/admission/controller.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // Controller holds the counts and decides. One goroutine at a time may use it: where
@@ -91,9 +92,6 @@
 	g.settings.Connections = n
 }
 
-// isLower says whether a cap binds more than an old one.
-func isLower(now, old int) bool { return now > 0 && (old == 0 || now < old) }
-
 // Arrive decides on a connection that has just come. Of a verdict that takes it,
 // what is to be closed is closed for its sake.
 func (g *Controller) Arrive(id ID, addr netip.Addr, now clock.Nanos) Verdict {
@@ -131,116 +129,6 @@
 	return Verdict{Close: g.evictions}
 }
 
-// checkCaps are the limits on an address, its prefix, and all. Where an address holds
-// its most, its silent ones make room: one that starts properly goes before those
-// that say nothing.
-func (g *Controller) checkCaps(a, p *source, shared, member bool, now clock.Nanos) (Reason, int, clock.Nanos) {
-	if !shared {
-		if most := g.effectiveCap(g.settings.NewAddress, member); most > 0 && a.admitted.count(now) >= most {
-			return AddressRate, most, g.spreadRetryAfter(a.admitted.wait(now, most))
-		}
-		if most := g.effectiveCap(g.settings.NewPrefix, member); most > 0 && p.admitted.count(now) >= most {
-			return PrefixRate, most, g.spreadRetryAfter(p.admitted.wait(now, most))
-		}
-	}
-	if most := g.settings.NewTotal; !member && most > 0 && g.admitted.count(now) >= most {
-		return TotalRate, most, g.spreadRetryAfter(g.admitted.wait(now, most))
-	}
-	if shared {
-		return None, 0, 0
-	}
-	mostA, mostP := g.effectiveCap(g.settings.PerAddress, member), g.effectiveCap(g.settings.PerPrefix, member)
-	overA, overP := a.connections-mostA, p.connections-mostP // 0: one must go for the next
-	if mostA == 0 {
-		overA = -1
-	}
-	if mostP == 0 {
-		overP = -1
-	}
-	if overA < 0 && overP < 0 {
-		return None, 0, 0
-	}
-	if v := a.silent.first; v != nil && now-v.since >= g.evictableSilence() && overA <= 0 && overP <= 0 {
-		g.evict(v, Displaced)
-		return None, 0, 0
-	}
-	full, limit := AddressFull, mostA
-	if overA < 0 {
-		full, limit = PrefixFull, mostP
-	}
-	return full, limit, g.retryAfter()
-}
-
-// effectiveCap is a cap for an address or a prefix as it is now.
-func (g *Controller) effectiveCap(most int, member bool) int {
-	if !g.underPressure || member || most == 0 {
-		return most
-	}
-	return max(1, int(float64(most)*g.settings.Pressure.CapFactor))
-}
-
-// evictableSilence is how long one may say nothing before it may be closed for another.
-func (g *Controller) evictableSilence() clock.Nanos {
-	if g.underPressure {
-		return g.settings.EvictableSilence / 4
-	}
-	return g.settings.EvictableSilence
-}
-
-// makeRoom closes one connection for another. For a member whose reserve is lent
-// any that is not waiting for an answer goes, and by the rule of Ask there is
-// one. For others those go that have long been of no use.
-func (g *Controller) makeRoom(member int, now clock.Nanos) bool {
-	common := &g.queues[0]
-	longest := func(q *queue, age clock.Nanos) *connection {
-		if h := q.first; h != nil && now-h.since >= age {
-			return h
-		}
-		return nil
-	}
-	v := longest(&common[silent], g.evictableSilence())
-	if v == nil {
-		v = longest(&common[idle], g.settings.EvictableIdle)
-	}
-	if v == nil && (member >= 0 || g.reservesLent() && g.namedReserveHasRoom()) { // it may be a member: its startup message will tell
-		for _, s := range []state{silent, idle, started} {
-			if v = common[s].first; v != nil {
-				break
-			}
-		}
-	}
-	if v == nil && member >= 0 {
-		v = longest(&g.queues[member+1][silent], g.evictableSilence())
-	}
-	if v == nil {
-		return false
-	}
-	g.evict(v, Displaced)
-	return true
-}
-
-// reservesLent says whether common connections stand in reserved room.
-func (g *Controller) reservesLent() bool { return g.commonCount() > g.settings.Connections-g.reserved }
-
-// commonCount is how many connections are in no reserve.
-func (g *Controller) commonCount() int {
-	n := g.total
-	for _, m := range g.reserveMembers {
-		n -= m
-	}
-	return n
-}
-
-// namedReserveHasRoom says whether a reserve that is known by names has room left.
-func (g *Controller) namedReserveHasRoom() bool {
-	for i, r := range g.settings.Reserves {
-		if len(r.Users)+len(r.Databases)+len(r.Applications) > 0 && g.reserveMembers[i] < r.Connections {
-			return true
-		}
-	}
-	return false
-}
-
 // reserveOf is the reserve with room that an address belongs to, -1 for none.
 func (g *Controller) reserveOf(addr netip.Addr) int {
 	for i := range g.settings.Reserves {
@@ -326,80 +214,6 @@
 	g.free = append(g.free, h)
 }
 
-// Sweep takes in how much of the memory is in use, and returns what is to be
-// closed by now: under pressure those that say nothing, and after a cap was
-// lowered those that idle over it. It wants to be called some times a second.
-func (g *Controller) Sweep(now clock.Nanos, memory float64) []Eviction {
-	g.evictions = g.evictions[:0]
-	g.memory = memory
-	g.updatePressure(now)
-	if g.underPressure {
-		for h := g.queues[0][silent].first; h != nil && now-h.since >= g.evictableSilence(); {
-			next := h.next
-			if now-h.since >= g.settings.SilenceTimeout || g.overCap(h) {
-				g.evict(h, Silent)
-			}
-			h = next
-		}
-	}
-	if g.overCaps {
-		g.overCaps = g.evictOverCaps(now)
-	}
-	return g.evictions
-}
-
-// overCap says whether a silent connection is over its address's or prefix's
-// cap as it is now.
-func (g *Controller) overCap(h *connection) bool {
-	a, p := g.effectiveCap(g.settings.PerAddress, false), g.effectiveCap(g.settings.PerPrefix, false)
-	return a > 0 && h.address.connections > a || p > 0 && h.prefix.connections > p
-}
-
-// evictOverCaps closes idle connections over the caps and says whether any are over.
-func (g *Controller) evictOverCaps(now clock.Nanos) bool {
-	over := func(h *connection) bool {
-		return g.total > g.settings.Connections || g.settings.PerAddress > 0 && h.address.connections > g.settings.PerAddress ||
-			g.settings.PerPrefix > 0 && h.prefix.connections > g.settings.PerPrefix
-	}
-	left := false
-	for i := range g.queues {
-		for s := silent; s <= busy; s++ {
-			for h := g.queues[i][s].first; h != nil; {
-				next := h.next
-				if over(h) {
-					if s == silent || s == idle && now-h.since >= g.settings.EvictableIdle {
-						g.evict(h, OverCap)
-					} else {
-						left = true
-					}
-				}
-				h = next
-			}
-		}
-	}
-	return left
-}
-
-// updatePressure finds out whether the router is short of something. Once it was, it
-// stays tight until all is well under where it began.
-func (g *Controller) updatePressure(now clock.Nanos) {
-	p := &g.settings.Pressure
-	use := max(float64(g.total)/float64(g.settings.Connections), g.memory)
-	most, rate := p.NewPerSecond, 0
-	if most > 0 {
-		rate = g.arrivals.count(now)
-	}
-	switch {
-	case use >= p.Enter || most > 0 && rate >= most:
-		g.underPressure, g.pressureSince = true, now
-	case g.underPressure && use < p.Leave && (most == 0 || rate < most/2) && now-g.pressureSince >= p.MinDuration:
-		g.underPressure = false
-	}
-}
-
-// UnderPressure says whether the gate is under pressure.
-func (g *Controller) UnderPressure() bool { return g.underPressure }
-
 // Size is how many connections are held, and how many addresses and prefixes
 // remembered.
 func (g *Controller) Size() (connections, remembered int) {
@@ -421,14 +235,6 @@
 	return Verdict{Reason: r, Limit: limit, RetryAfter: wait, Close: g.evictions}
 }
 
-// evict puts a connection out; it takes no room from now on.
-func (g *Controller) evict(h *connection, r Reason) {
-	g.counts[r]++
-	g.evictions = append(g.evictions, Eviction{ID: h.id, Reason: r, RetryAfter: g.retryAfter(), Notify: h.state != idle})
-	g.drop(h)
-	h.state = closing
-}
-
 // drop takes a connection out of the counts.
 func (g *Controller) drop(h *connection) {
 	g.leave(h)
@@ -480,11 +286,3 @@
 	}
 	return t
 }
-
-// EvictOne closes one connection because descriptors run out although the count said
-// otherwise, if there is one that is of no use.
-func (g *Controller) EvictOne(now clock.Nanos) []Eviction {
-	g.evictions = g.evictions[:0]
-	g.makeRoom(-1, now)
-	return g.evictions
-}
--- a/policy/admission/rules_test.go
+++ b/policy/admission/rules_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"net/netip"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // model is what a caller of the gate could count for itself.
--- a/policy/admission/interface.go
+++ b/policy/admission/settings.go
@@ -7,8 +7,9 @@
 import (
 	"errors"
 	"fmt"
-	"lotushook/policy/clock"
 	"net/netip"
+
+	"lotushook/policy/clock"
 )
 
 // ID names a connection while it is held; the caller chooses it and does not use
--- a/policy/admission/source.go
+++ b/policy/admission/sources.go
@@ -1,8 +1,9 @@
 package admission
 
 import (
-	"lotushook/policy/clock"
 	"net/netip"
+
+	"lotushook/policy/clock"
 )
 
 // source is an address or a prefix that connections come from.
--- a/policy/balance/balance_test.go
+++ b/policy/balance/balance_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
-	"lotushook/policy/seeded"
 	"strings"
 	"testing"
+
+	"lotushook/policy/clock"
+	"lotushook/policy/seeded"
 )
 
 const ms = clock.Nanos(1e6)
--- a/policy/balance/cold_test.go
+++ b/policy/balance/cold_test.go
@@ -3,10 +3,11 @@
 import (
 	"container/heap"
 	"fmt"
-	"lotushook/policy/clock"
-	"lotushook/policy/seeded"
 	"math"
 	"testing"
+
+	"lotushook/policy/clock"
+	"lotushook/policy/seeded"
 )
 
 // crew is many routers before data servers that take their time, on one simulated clock.
--- a/policy/balance/fleet_test.go
+++ b/policy/balance/fleet_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
+	"testing"
+
 	"lotushook/policy/clock"
 	"lotushook/policy/seeded"
-	"testing"
 )
 
 // What one router does now and then, eighty do all the time: the tests here guard the sums.
--- a/policy/balance/handover_test.go
+++ b/policy/balance/handover_test.go
@@ -1,8 +1,9 @@
 package balance
 
 import (
-	"lotushook/policy/clock"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // The old primary answers a write after the new one has been heard: what it committed counts for its session, but it is not
--- a/policy/balance/queue.go
+++ b/policy/balance/queue.go
@@ -57,7 +57,7 @@
 		queue: queuesPerClass * e.Class, session: session.Key{Group: e.Group, Session: e.Session},
 		arrivedAt: b.now, objective: b.now + clock.Nanos(b.classes.Patience(e.Class)), deadline: e.Deadline}
 	class := b.classOf(r)
-	r.recentWork = b.slowStart.Asked(b.now, &r.group.demand, class.demand(), b.classes.Work(r.class))
+	r.recentWork = b.slowStart.Requested(b.now, &r.group.demand, class.demand(), b.classes.Work(r.class))
 	if b.quotas.Over(b.now, e.Tenant, b.slowStart.Routers()) || e.OverQuota {
 		r.queue++
 	}
--- a/policy/balance/rules_test.go
+++ b/policy/balance/rules_test.go
@@ -3,10 +3,11 @@
 import (
 	"cmp"
 	"fmt"
-	"lotushook/policy/clock"
 	"math/rand/v2"
 	"slices"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // history feeds one router a seeded, adversarial but legal history and checks the five rules and the
--- a/policy/contract/contract_test.go
+++ b/policy/contract/contract_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"net/netip"
 	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"lotushook/policy/clock"
 )
 
 const ms = clock.Nanos(1e6)
@@ -108,7 +109,7 @@
 	ask := func(n int) map[Reason]int {
 		got := map[Reason]int{}
 		for range n {
-			got[b.Ask(named(r), now).Reason]++
+			got[b.Admit(named(r), now).Reason]++
 		}
 		return got
 	}
@@ -120,11 +121,11 @@
 	if got[Within] != 10 || got[Borrowed] > 3 || got[OverRate] < 87 {
 		t.Error("under pressure", got)
 	}
-	v := b.Ask(r, now)
+	v := b.Admit(r, now)
 	if v.Reason != OverRate || v.Limit != 10 || v.RetryAfter < 100*ms || v.RetryAfter > second {
 		t.Errorf("%+v", v)
 	}
-	if v := b.Ask(r, now+v.RetryAfter); v.Reason != Within {
+	if v := b.Admit(r, now+v.RetryAfter); v.Reason != Within {
 		t.Errorf("when it came back as told: %+v", v)
 	}
 	if w := b.Window(1, true); w > 1 {
@@ -132,7 +133,7 @@
 	}
 	other := map[Reason]int{}
 	for range 30 {
-		other[b.Ask(named(Request{Team: 0, Class: writing, Group: 2}), now).Reason]++
+		other[b.Admit(named(Request{Team: 0, Class: writing, Group: 2}), now).Reason]++
 	}
 	if other[Borrowed] < 15 || other[Within]+other[Borrowed] != 30 {
 		t.Errorf("another group's primary: %v", other)
@@ -156,7 +157,7 @@
 	for i := range 400 { // 4 s in which the lending team takes all
 		for range 3 {
 			taker := named(Request{Team: 0, Class: writing, Group: 1, Deadline: now + 4*second})
-			v := b.Ask(taker, now)
+			v := b.Admit(taker, now)
 			if v.Reason == Borrowed && !v.Queued {
 				lent[i/100]++
 			}
@@ -172,7 +173,7 @@
 		}
 		if i >= 200 && i%10 == 0 { // from 2 s on the other comes, and waits long
 			r := named(Request{Team: 1, Class: writing, Group: 1})
-			if v := b.Ask(r, now); v.Reason != Within || v.Queued {
+			if v := b.Admit(r, now); v.Reason != Within || v.Queued {
 				t.Fatalf("at %d: %+v", i, v)
 			}
 			b.Ended(r, false, End{Served: true, Elapsed: 1500 * ms}, now)
@@ -206,7 +207,7 @@
 		for team, n := range []int{4, 2} { // 400 and 200 a second
 			for range n {
 				r := named(Request{Team: team, Class: writing, Group: 1})
-				v := b.Ask(r, now)
+				v := b.Admit(r, now)
 				if v.Displaced != nil {
 					end(*v.Displaced, waits[v.Displaced.ID])
 				}
@@ -254,14 +255,14 @@
 	now := press(b, 1, writing, start)
 	got := map[Reason]int{}
 	for range 50 {
-		got[b.Ask(named(Request{Team: 0, Class: writing, Group: 1, IsRetry: true}), now).Reason]++
+		got[b.Admit(named(Request{Team: 0, Class: writing, Group: 1, IsRetry: true}), now).Reason]++
 	}
 	if got[Within] > 10 || got[OverRetryShare] < 38 {
 		t.Error(got)
 	}
 	now += second
 	for i := range 9 {
-		if v := b.Ask(Request{Team: 0, Class: writing, Group: 1}, now); v.Reason != Within {
+		if v := b.Admit(Request{Team: 0, Class: writing, Group: 1}, now); v.Reason != Within {
 			t.Errorf("first try %d: %+v", i, v)
 		}
 	}
@@ -273,18 +274,18 @@
 	b := book(t, usual())
 	now := press(b, 1, writing, start)
 	r := Request{Team: 0, Class: writing, Group: 1}
-	for b.Ask(named(r), now).Reason.Admitted() {
+	for b.Admit(named(r), now).Reason.Admitted() {
 	}
 	r.Key = "k1"
 	b.Ended(r, false, End{MayRun: true}, now)
-	if v := b.Ask(r, now+second/2); v.Reason != RetryOfWrite {
+	if v := b.Admit(r, now+second/2); v.Reason != RetryOfWrite {
 		t.Errorf("%+v", v)
 	}
 	b.Ended(r, false, End{Served: true, Elapsed: ms}, now+second/2)
 	for range 20 {
-		b.Ask(named(Request{Team: 0, Class: writing, Group: 1}), now+second/2)
+		b.Admit(named(Request{Team: 0, Class: writing, Group: 1}), now+second/2)
 	}
-	if v := b.Ask(r, now+second/2); v.Reason.Admitted() {
+	if v := b.Admit(r, now+second/2); v.Reason.Admitted() {
 		t.Errorf("after its answer: %+v", v)
 	}
 	for i := range 100 {
@@ -303,16 +304,16 @@
 	b := book(t, set)
 	now, got := press(b, 1, writing, start), map[Reason]int{}
 	for range 60 {
-		got[b.Ask(named(Request{Team: 1, Class: writing, Group: 1}), now).Reason]++
+		got[b.Admit(named(Request{Team: 1, Class: writing, Group: 1}), now).Reason]++
 	}
 	if got[Within] != 15 || got[OverPrimaryShare] < 40 {
 		t.Error(got)
 	}
-	if v := b.Ask(Request{Team: 1, Class: writing, Group: 2}, now); v.Reason != Within {
+	if v := b.Admit(Request{Team: 1, Class: writing, Group: 2}, now); v.Reason != Within {
 		t.Errorf("another group: %+v", v)
 	}
 	for g := range int64(100) {
-		b.Ask(named(Request{Team: 1, Class: writing, Group: g}), now)
+		b.Admit(named(Request{Team: 1, Class: writing, Group: g}), now)
 	}
 	if n, _, _ := b.Size(); n > 8 {
 		t.Errorf("%d shares are remembered", n)
@@ -325,19 +326,19 @@
 	b := book(t, set)
 	r := Request{Team: 0, Class: reading, Group: 1}
 	for range 3 {
-		b.Ask(r, start)
+		b.Admit(r, start)
 	}
-	if v := b.Ask(r, start); v.Reason != TooManyOpen || v.Limit != 3 {
+	if v := b.Admit(r, start); v.Reason != TooManyOpen || v.Limit != 3 {
 		t.Errorf("%+v", v)
 	}
 	b.Ended(r, false, End{Abandoned: true}, start)
-	if v := b.Ask(r, start); v.Reason != Within {
+	if v := b.Admit(r, start); v.Reason != Within {
 		t.Errorf("%+v", v)
 	}
-	if v := b.Ask(Request{Team: 2, Class: writing, Group: 1}, start); v.Reason != ClassNotAllowed {
+	if v := b.Admit(Request{Team: 2, Class: writing, Group: 1}, start); v.Reason != ClassNotAllowed {
 		t.Errorf("%+v", v)
 	}
-	if v := b.Ask(Request{Team: -1, Class: writing, Group: 1}, start); v.Reason != UnknownTeam {
+	if v := b.Admit(Request{Team: -1, Class: writing, Group: 1}, start); v.Reason != UnknownTeam {
 		t.Errorf("%+v", v)
 	}
 }
@@ -363,7 +364,7 @@
 	b := book(t, usual())
 	now := press(b, 1, writing, start)
 	r := Request{Team: 0, Class: writing, Group: 1}
-	for b.Ask(named(r), now).Reason.Admitted() {
+	for b.Admit(named(r), now).Reason.Admitted() {
 	}
 	set := usual()
 	set.Teams = []Team{set.Teams[1], set.Teams[0]} // another order, one gone
@@ -372,14 +373,14 @@
 		t.Fatal(err)
 	}
 	r.Team = b.Team("lending")
-	if v := b.Ask(r, now); v.Reason != TooManyOpen { // ten are open of two
+	if v := b.Admit(r, now); v.Reason != TooManyOpen { // ten are open of two
 		t.Errorf("%+v", v)
 	}
 	set.Teams[1].MaxOpen = 0
 	if err := b.Set(set); err != nil {
 		t.Fatal(err)
 	}
-	if v := b.Ask(r, now); v.Reason == Within {
+	if v := b.Admit(r, now); v.Reason == Within {
 		t.Errorf("what was used is forgotten: %+v", v)
 	}
 	set.Routers = 0
@@ -395,7 +396,7 @@
 	count := func() int {
 		n := 0
 		for range 100 {
-			if b.Ask(named(r), now).Reason == Within {
+			if b.Admit(named(r), now).Reason == Within {
 				n++
 			}
 		}
@@ -507,7 +508,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				r := Request{Team: i * 7919 % n, Class: writing, Group: int64(i % 3), ID: "x"}
-				if v := book.Ask(r, now); v.Reason.Admitted() {
+				if v := book.Admit(r, now); v.Reason.Admitted() {
 					book.Ended(r, v.LowPriority, End{Served: true, Elapsed: 5 * ms}, now)
 				}
 				now += 10000
--- a/policy/contract/pressure.go
+++ b/policy/contract/pressure.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"lotushook/policy/clock"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // place is a group's primary, or its replicas.
--- a/policy/contract/replay_test.go
+++ b/policy/contract/replay_test.go
@@ -44,7 +44,7 @@
 			request.Team, request.Class = request.Team%3, request.Class%2
 			request.Group = int64(driver.IntN(3))
 			request.Deadline = now + 1e9
-			verdict := book.Ask(request, now)
+			verdict := book.Admit(request, now)
 			if verdict.Reason.Admitted() && !verdict.Queued {
 				open = append(open, taken{request, verdict.LowPriority})
 			}
--- a/policy/contract/rules_test.go
+++ b/policy/contract/rules_test.go
@@ -1,13 +1,14 @@
 package contract
 
 import (
-	"lotushook/policy/clock"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // Whatever is asked, in whatever order and however the clock goes: what a contract
@@ -48,7 +49,7 @@
 			"ask": func(t *rapid.T) {
 				r := draw(t)
 				u := &teams[r.Team]
-				v := b.Ask(r, now)
+				v := b.Admit(r, now)
 				if !v.Reason.Admitted() && v.Reason != OverRate {
 					t.Fatalf("%+v", v)
 				}
@@ -149,7 +150,7 @@
 			if rng.Float64() < perS/1000*s[i] {
 				asked[now/second]++
 				r := named(Request{Team: 0, Class: writing, Group: 1})
-				v := b.Ask(r, start+now)
+				v := b.Admit(r, start+now)
 				if v.Reason.Admitted() && !v.Queued {
 					b.Ended(r, v.LowPriority, End{Abandoned: true}, start+now)
 				}
--- a/policy/contract/interface.go
+++ b/policy/contract/settings.go
@@ -8,8 +8,9 @@
 import (
 	"errors"
 	"fmt"
-	"lotushook/policy/clock"
 	"net/netip"
+
+	"lotushook/policy/clock"
 )
 
 // Settings are the contracts, and what the router knows of the fleet.
--- a/policy/crdt/tell.go
+++ b/policy/crdt/broadcaster.go
@@ -3,8 +3,9 @@
 import (
 	"cmp"
 	"errors"
-	"lotushook/policy/clock"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // BroadcasterSettings bound what is told to whom how often.
--- a/policy/crdt/tell_test.go
+++ b/policy/crdt/broadcaster_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // Whatever is added, lost and acknowledged in whatever order: queues are bounded, a wait ends once and by a word only, what is
--- a/policy/crdt/feed.go
+++ b/policy/crdt/catchup.go
@@ -3,27 +3,28 @@
 import (
 	"cmp"
 	"errors"
-	"lotushook/policy/clock"
 	"maps"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // CatchUpSettings bound what a router gives to those who catch up.
 type CatchUpSettings struct {
-	Most  int         // members that are fed at a time
-	PerS  int         // bytes a second to all of them together
-	Piece int         // bytes of one answer
-	Small int         // bytes of an answer to one that has caught up before, and lacks little
-	Pause clock.Nanos // who asks again within it is fed on; after it another may have its place
+	MaxClients int         // members that are fed at a time
+	PerS       int         // bytes a second to all of them together
+	Piece      int         // bytes of one answer
+	Small      int         // bytes of an answer to one that has caught up before, and lacks little
+	Pause      clock.Nanos // who asks again within it is fed on; after it another may have its place
 }
 
 // DefaultCatchUpSettings are settings for a router.
 func DefaultCatchUpSettings() CatchUpSettings {
-	return CatchUpSettings{Most: 10, PerS: 2 << 20, Piece: 48 << 10, Small: 32 << 10, Pause: 2e9}
+	return CatchUpSettings{MaxClients: 10, PerS: 2 << 20, Piece: 48 << 10, Small: 32 << 10, Pause: 2e9}
 }
 
 func (s *CatchUpSettings) check() error {
-	if s.Most < 1 || s.Piece < 1 || s.PerS < s.Piece || s.Small < 1 || s.Pause <= 0 {
+	if s.MaxClients < 1 || s.Piece < 1 || s.PerS < s.Piece || s.Small < 1 || s.Pause <= 0 {
 		return errors.New("shared: Most, PerS, Piece, Small, Pause: missing or out of range")
 	}
 	return nil
@@ -54,7 +55,7 @@
 	f.at = now
 	room = f.set.Small
 	if hungry {
-		if _, ok := f.fed[who]; !ok && len(f.fed) >= f.set.Most {
+		if _, ok := f.fed[who]; !ok && len(f.fed) >= f.set.MaxClients {
 			return 0, f.set.Pause
 		}
 		f.fed[who] = now
--- a/policy/crdt/interface.go
+++ b/policy/crdt/entry.go
@@ -11,6 +11,7 @@
 	"cmp"
 	"errors"
 	"fmt"
+
 	"lotushook/policy/clock"
 )
 
--- a/policy/crdt/explore_test.go
+++ b/policy/crdt/explore_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"maps"
 	"slices"
 	"strings"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // world is three members, what is under way between them, and what clients were told; each event makes another one of it.
--- a/policy/crdt/shared.go
+++ b/policy/crdt/store.go
@@ -3,30 +3,10 @@
 import (
 	"cmp"
 	"container/heap"
-	"encoding/binary"
-	"hash/fnv"
-	"lotushook/policy/clock"
 	"slices"
-)
-
-// entryID is what an entry is of: two entries of one id are joined.
-type entryID struct {
-	kind Kind
-	a, b string
-	born int64
-	from Origin
-}
 
-func (e *Entry) id() entryID {
-	i := entryID{kind: e.Kind, a: e.A, b: e.B}
-	switch e.Kind {
-	case ServerPosition:
-		i.born = e.Born
-	case Usage, Hint, SheddingLevel:
-		i.from = e.From
-	}
-	return i
-}
+	"lotushook/policy/clock"
+)
 
 // storedEntry is an entry as it is kept.
 type storedEntry struct {
@@ -35,56 +15,6 @@
 	heapIndex int         // in its kind's heap; -1: it was let go
 }
 
-// compare orders two entries of one id: the greater one holds. It does not look at ages, which differ by the ways they came.
-func (e *Entry) compare(f *Entry) int {
-	switch e.Kind {
-	case SessionCommit, ServerPosition:
-		return cmp.Or(cmp.Compare(e.At, f.At), e.compareVersion(f))
-	case PrimaryClaim:
-		return cmp.Or(cmp.Compare(e.At, f.At), cmp.Compare(e.Born, f.Born), cmp.Compare(e.Server, f.Server), e.compareVersion(f))
-	case Usage:
-		return cmp.Or(cmp.Compare(e.Count, f.Count), cmp.Compare(e.Seq, f.Seq))
-	case FeedCursor: // generation and who raised it, history by ancestry, position
-		return cmp.Or(cmp.Compare(e.Count, f.Count), e.From.compare(f.From), cmp.Compare(uint64(e.Born), uint64(f.Born)), cmp.Compare(e.At, f.At),
-			cmp.Compare(e.Acked, f.Acked), cmp.Compare(e.Seq, f.Seq))
-	}
-	return e.compareVersion(f)
-}
-
-func (e *Entry) compareVersion(f *Entry) int {
-	return cmp.Or(e.From.compare(f.From), cmp.Compare(e.Seq, f.Seq))
-}
-
-// rank orders the entries of a kind: the least is let go first. Where joins only raise it, what is kept in the end does not
-// depend on the order in which entries came.
-func (h *storedEntry) rank(g *storedEntry) int {
-	first := 0
-	switch h.Kind {
-	case PendingWrite, Hint, SheddingLevel:
-		first = cmp.Compare(h.learnedAt, g.learnedAt)
-	case Usage, FeedCursor: // a cursor's generation begins at the position of its last reconnect: the oldest go first
-		first = cmp.Compare(h.Count, g.Count)
-	default:
-		first = cmp.Compare(h.At, g.At)
-	}
-	return cmp.Or(first, cmp.Compare(h.A, g.A), cmp.Compare(h.B, g.B), cmp.Compare(h.Born, g.Born), h.From.compare(g.From), cmp.Compare(h.Server, g.Server))
-}
-
-// entryHeap is one kind's entries, the least first.
-type entryHeap []*storedEntry
-
-func (p entryHeap) Len() int           { return len(p) }
-func (p entryHeap) Less(i, j int) bool { return p[i].rank(p[j]) < 0 }
-func (p entryHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i]; p[i].heapIndex, p[j].heapIndex = i, j }
-func (p *entryHeap) Push(x any)        { h := x.(*storedEntry); h.heapIndex = len(*p); *p = append(*p, h) }
-func (p *entryHeap) Pop() any {
-	old := *p
-	h := old[len(old)-1]
-	h.heapIndex = -1
-	*p = old[:len(old)-1]
-	return h
-}
-
 // Store is one router's copy. It belongs to one goroutine.
 type Store struct {
 	settings    Settings
@@ -311,20 +241,6 @@
 	}
 }
 
-// hash is over all that is joined, and not the age.
-func (h *storedEntry) hash() uint64 {
-	x := fnv.New64a()
-	buf := []byte{byte(h.Kind)}
-	for _, text := range []string{h.A, h.B, h.Server, h.From.Name} {
-		buf = append(append(buf, text...), 0xff)
-	}
-	for _, n := range []uint64{h.From.Boot, h.Seq, uint64(h.Born), uint64(h.At), uint64(h.Acked), uint64(h.Count)} {
-		buf = binary.LittleEndian.AppendUint64(buf, n)
-	}
-	x.Write(buf)
-	return x.Sum64()
-}
-
 // Expire forgets writes, hints and levels whose time is over.
 func (s *Store) Expire(now clock.Nanos) {
 	for kind, span := range map[Kind]clock.Nanos{PendingWrite: s.settings.WriteWindow, Hint: s.settings.HintLifetime, SheddingLevel: s.settings.LevelLifetime} {
@@ -334,83 +250,6 @@
 	}
 }
 
-// CommitPosition is the position that a session's reads must see. Of a session that is not known it is the least that any known
-// one has, once some were let go: a read then waits for a server that is fresh enough for whichever it was.
-func (s *Store) CommitPosition(group, session string) (at int64, known bool) {
-	if h := s.entries[entryID{kind: SessionCommit, a: group, b: session}]; h != nil {
-		return h.At, true
-	}
-	if p := s.piles[SessionCommit]; s.evicted[SessionCommit] && len(p) > 0 {
-		return p[0].At, false
-	}
-	return 0, false
-}
-
-// FeedCursor is what is known of a subscriber of a feed; forgot says that some cursors were let go, so that this one may have been
-// among them.
-func (s *Store) Cursor(now clock.Nanos, feed, subscriber string) (e Entry, known, forgot bool) {
-	if h := s.entries[entryID{kind: FeedCursor, a: feed, b: subscriber}]; h != nil {
-		return h.entryAt(now), true, false
-	}
-	return Entry{}, false, s.evicted[FeedCursor]
-}
-
-// PrimaryClaim is who is believed to be a group's primary: a start of a server, and at which position that was seen.
-func (s *Store) Primary(group string) (server string, born, at int64) {
-	if h := s.entries[entryID{kind: PrimaryClaim, a: group}]; h != nil {
-		return h.Server, h.Born, h.At
-	}
-	return "", 0, 0
-}
-
-// AppliedPosition is how far a server has applied the log since a start, how long ago that was learned, and whether by this router
-// itself; 0: not known.
-func (s *Store) AppliedPosition(now clock.Nanos, server string, born int64) (at int64, age clock.Nanos, own bool) {
-	if h := s.entries[entryID{kind: ServerPosition, a: server, born: born}]; h != nil {
-		return h.At, now - h.learnedAt, h.From == s.settings.Self
-	}
-	return 0, 0, false
-}
-
-// MayHaveRun says whether a keyed write may have run somewhere within its window.
-func (s *Store) MayHaveRun(now clock.Nanos, class, key string) bool {
-	h := s.entries[entryID{kind: PendingWrite, a: class, b: key}]
-	return h != nil && now-h.learnedAt < s.settings.WriteWindow
-}
-
-// Usage is what all processes together have used of a team's contract, in thousandths.
-func (s *Store) Usage(team, class string) int64 {
-	sum := int64(0)
-	for _, h := range s.piles[Usage] {
-		if h.A == team && h.B == class {
-			sum += h.Count
-		}
-	}
-	return sum
-}
-
-// Hints are the origins that say something of a name, and how long ago each learned it.
-func (s *Store) Hints(now clock.Nanos, what string) map[Origin]clock.Nanos {
-	out := map[Origin]clock.Nanos{}
-	for _, h := range s.piles[Hint] {
-		if h.A == what && now-h.learnedAt < s.settings.HintLifetime {
-			out[h.From] = now - h.learnedAt
-		}
-	}
-	return out
-}
-
-// SheddingLevels are the words of all origins that are not forgotten yet, with their ages.
-func (s *Store) SheddingLevels(now clock.Nanos) []Entry {
-	var out []Entry
-	for _, h := range s.piles[SheddingLevel] {
-		if now-h.learnedAt < s.settings.LevelLifetime {
-			out = append(out, h.entryAt(now))
-		}
-	}
-	return out
-}
-
 // Digest tells whether two copies hold the same of a kind.
 func (s *Store) Digest(k Kind) uint64 { return s.digests[k] }
 
--- a/policy/crdt/shared_test.go
+++ b/policy/crdt/store_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 const second = clock.Nanos(1e9)
--- a/policy/crdt/spread.go
+++ b/policy/crdt/sync.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"lotushook/policy/clock"
 	"maps"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 const entryBytes = 48 // of an entry as it travels, beside its texts
--- a/policy/cursor/interface.go
+++ b/policy/cursor/cursor.go
@@ -12,10 +12,11 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"lotushook/policy/clock"
 	"math"
 	"strconv"
 	"strings"
+
+	"lotushook/policy/clock"
 )
 
 // History names one run of a log under one primary: how many take-overs there were before it, and a number drawn at its start,
--- a/policy/cursor/errors.go
+++ b/policy/cursor/errors.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"lotushook/policy/clock"
 )
 
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -153,7 +153,7 @@
 		v.Start = known.Position
 	}
 	switch {
-	case v.Need != NothingNeeded || v.Row == Ask:
+	case v.Need != NothingNeeded || v.Row == ReadFirst:
 		return nil
 	case v.Row == Fenced:
 		sub.at = -1
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -1,8 +1,9 @@
 package cursor
 
 import (
-	"lotushook/policy/clock"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // Feed is what this router knows of one group's log: the newest line that any member showed, and the events since some
@@ -163,10 +164,10 @@
 	v := f.decide(q)
 	stale := !f.hasRead || patient && now-f.readAt >= f.settings.EndReadInterval
 	switch v.Row {
-	case Wait, Begin, Ask:
+	case Wait, Begin, ReadFirst:
 		if stale {
 			v.Need = ReadEnd
-		} else if v.Row == Ask {
+		} else if v.Row == ReadFirst {
 			v.Row = Wait // just asked: it is told when to come again
 		}
 	case Resume, Recall, Skip, Rewind:
--- a/policy/cursor/pace.go
+++ b/policy/cursor/limiter.go
@@ -2,8 +2,9 @@
 
 import (
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"math"
+
+	"lotushook/policy/clock"
 )
 
 // Limiter spends what a router may ask for those that are far behind, and takes those that come back by turns. It belongs to who
--- a/policy/cursor/table.go
+++ b/policy/cursor/table.go
@@ -63,7 +63,7 @@
 	Skip                  // a request that was overtaken: from what it has acknowledged since
 	Rewind                // to where its history ended, and the answer says so
 	Wait                  // nothing for it now: it is told when to come again
-	Ask                   // a member must be read first
+	ReadFirst             // a member must be read first
 	Elsewhere             // this member is never read for it: another one
 	Snapshot              // refused: a snapshot at the newest position, then from there
 	Future                // refused, likewise: it can't have had that
@@ -96,7 +96,7 @@
 	case member == MemberUnknown && client != ClientNone && client != ClientBehind: // no line to stand so to
 		return Impossible
 	case member == MemberUnknown:
-		return Ask
+		return ReadFirst
 	case member == MemberForked:
 		return Elsewhere
 	case client == ClientFuture:
@@ -122,7 +122,7 @@
 		return Resume
 	case ClientEqual:
 		if fleet == FleetAhead || fleet == FleetOther { // others have seen more than this router's line
-			return Ask
+			return ReadFirst
 		}
 		return Wait
 	case ClientOther:
--- a/policy/cursor/table_test.go
+++ b/policy/cursor/table_test.go
@@ -142,7 +142,7 @@
 	if v := f.Decide(set.EndReadInterval, Request{Client: pt(2, 8, 150)}, true); v.Row != Wait || v.Need != ReadEnd {
 		t.Errorf("the end is not asked for again: %+v", v)
 	}
-	if v := NewFeed(&set).Decide(0, Request{Client: pt(2, 8, 150)}, true); v.Row != Ask || v.Need != ReadEnd {
+	if v := NewFeed(&set).Decide(0, Request{Client: pt(2, 8, 150)}, true); v.Row != ReadFirst || v.Need != ReadEnd {
 		t.Errorf("of a feed that nobody read: %+v", v)
 	}
 	small := set
--- a/policy/membership/explore_test.go
+++ b/policy/membership/explore_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"maps"
 	"slices"
 	"strings"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // world is three members and what is under way between them; each event makes another one of it.
--- a/policy/membership/faults_test.go
+++ b/policy/membership/faults_test.go
@@ -1,8 +1,9 @@
 package membership
 
 import (
-	"lotushook/policy/clock"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // after runs until something holds in every view that is there.
--- /dev/null
+++ b/policy/membership/view.go
@@ -0,0 +1,56 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+
+	"lotushook/policy/quotalease"
+)
+
+// View is what is believed now.
+func (m *Detector) View() View {
+	v := View{Present: m.presentCount(), Majority: m.majority, MajoritySince: m.majorityAt, Isolated: m.isolated, NameTaken: m.nameTaken}
+	me := Member{Update: m.self, Since: m.since, HeardAt: m.now}
+	v.Members = append(v.Members, me)
+	for _, p := range m.order {
+		v.Members = append(v.Members, p.Member)
+	}
+	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
+	if v.Quota = (quotalease.Quota{Share: 1 / float64(m.settings.Configured), Min: 1 / float64(m.settings.Configured), Until: m.now}); m.lease != nil {
+		v.Quota = m.lease.Quota(m.now, m.isGone)
+	}
+	return v
+}
+
+// isGone says whether a member is believed to be dead or departed, or has never been met.
+func (m *Detector) isGone(name string) bool {
+	p := m.peers[name]
+	return p == nil || p.State >= Dead
+}
+
+// Others are those who are alive, by name.
+func (m *Detector) Others() []Update {
+	var out []Update
+	for _, p := range m.order {
+		if p.State == Alive {
+			out = append(out, p.Update)
+		}
+	}
+	return out
+}
+
+// Knows says whether a name is one that is neither dead nor gone.
+func (m *Detector) Knows(name string) bool {
+	p := m.peers[name]
+	return p != nil && p.State < Dead
+}
+
+// Size is how many members, updates and open questions are remembered.
+func (m *Detector) Size() int { return len(m.peers) + len(m.updates) + len(m.relays) }
+
+// updateMajority says whether this side is more than half.
+func (m *Detector) updateMajority() {
+	if v := 2*m.presentCount() > m.settings.Configured && !m.isolated && !m.nameTaken; v != m.majority {
+		m.majority, m.majorityAt = v, m.now
+	}
+}
--- a/policy/persistence/queue_test.go
+++ b/policy/persistence/queue_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // Whatever comes, fails and is written: what waits is within its bound, fsyncs keep their rate, the newest of each key that
--- a/policy/persistence/interface.go
+++ b/policy/persistence/record.go
@@ -6,6 +6,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"lotushook/policy/clock"
 )
 
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -1,10 +1,11 @@
 package quota
 
 import (
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // Over any span a tenant gets its rate and what may be used at once, not more; and its rate, if it asks steadily.
--- a/policy/quotalease/part.go
+++ b/policy/quotalease/lease.go
@@ -15,8 +15,9 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // longer is how much longer promises are kept than they are believed: clocks may run so far apart.
--- a/policy/quotalease/part_test.go
+++ b/policy/quotalease/lease_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 const (
--- a/policy/recovery/budget.go
+++ b/policy/recovery/budget.go
@@ -1,8 +1,9 @@
 package recovery
 
 import (
-	"lotushook/policy/clock"
 	"math"
+
+	"lotushook/policy/clock"
 )
 
 // PeersSeen takes the others as membership sees them. Who is not among them, or was not heard by this router itself, counts as
@@ -10,7 +11,7 @@
 func (r *Recovery) PeersSeen(now clock.Nanos, peers []Peer) {
 	serve, news := 0, 0
 	for _, p := range peers {
-		if p.Name == r.settings.Name || !p.Up || !p.HeardDirectly {
+		if p.Name == r.settings.Name || !p.Alive || !p.HeardDirectly {
 			continue
 		}
 		if news++; p.Epoch < r.settings.Epoch && r.settings.Epoch-p.Epoch > uint64(r.settings.RestartWindow) {
@@ -30,7 +31,7 @@
 func (r *Recovery) returningPeers(now clock.Nanos, peers []Peer) int {
 	n := 0
 	for _, p := range peers {
-		if p.Name != r.settings.Name && p.Up && p.Epoch > r.settings.Epoch && p.Epoch-r.settings.Epoch > uint64(max(0, now-r.started-r.settings.RestartWindow)) {
+		if p.Name != r.settings.Name && p.Alive && p.Epoch > r.settings.Epoch && p.Epoch-r.settings.Epoch > uint64(max(0, now-r.started-r.settings.RestartWindow)) {
 			n++
 		}
 	}
--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"slices"
 	"strings"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // world is three routers, each with what it last saw of the others; each event makes another one of it.
@@ -60,7 +61,7 @@
 	var out []Peer
 	for j, r := range w.who {
 		if j != i && r != nil {
-			out = append(out, Peer{Name: string(rune('a' + j)), Epoch: w.boot[j], Up: true, HeardDirectly: true})
+			out = append(out, Peer{Name: string(rune('a' + j)), Epoch: w.boot[j], Alive: true, HeardDirectly: true})
 		}
 	}
 	return out
--- a/policy/recovery/main_test.go
+++ b/policy/recovery/main_test.go
@@ -1,8 +1,9 @@
 package recovery
 
 import (
-	"lotushook/policy/clock"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 const ms = second / 1000
