--- a/policy/recovery/recovery_test.go
+++ b/policy/recovery/recovery_test.go
@@ -1,10 +1,11 @@
 package recovery
 
 import (
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // Each stage, what it admits, what proves it, and what happens when nothing does.
@@ -49,7 +50,7 @@
 			case "lost":
 				r.CatchUpLost(now)
 			case "view":
-				r.PeersSeen(now, []Peer{{Name: "b", Up: true, HeardDirectly: true}})
+				r.PeersSeen(now, []Peer{{Name: "b", Alive: true, HeardDirectly: true}})
 			case "done", "failed":
 				r.Ended(now, ok, x.do == "done", ms)
 			}
--- a/policy/recovery/back.go
+++ b/policy/recovery/retryafter.go
@@ -2,9 +2,10 @@
 
 import (
 	"encoding/binary"
-	"lotushook/policy/clock"
 
 	"github.com/cespare/xxhash/v2"
+
+	"lotushook/policy/clock"
 )
 
 // Times to return are dealt out over what those that were turned away need: as many as are told and not back yet, at the rate
--- a/policy/recovery/rules_test.go
+++ b/policy/recovery/rules_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // Whatever each sees, whether it is right, old, of one side of a split, or a lie, the parts of all that are there add up to
@@ -31,7 +32,7 @@
 			if i < returns {
 				boot += uint64(99*second) + uint64(draw(900))*uint64(ms)
 			}
-			truth = append(truth, Peer{Name: fmt.Sprint(i), Epoch: boot, Up: true, HeardDirectly: true})
+			truth = append(truth, Peer{Name: fmt.Sprint(i), Epoch: boot, Alive: true, HeardDirectly: true})
 		}
 		side := draw(n)
 		sum := 0.0
@@ -58,11 +59,11 @@
 			case "wrong":
 				view = nil
 				for range draw(min(n, 30) + 1) {
-					view = append(view, Peer{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(3)) * uint64(1e15), Up: draw(2) == 0, HeardDirectly: draw(2) == 0})
+					view = append(view, Peer{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(3)) * uint64(1e15), Alive: draw(2) == 0, HeardDirectly: draw(2) == 0})
 				}
 				if draw(2) == 0 {
 					for j := range n { // all others have served for ever
-						view = append(view, Peer{Name: fmt.Sprint(j), Up: true, HeardDirectly: true})
+						view = append(view, Peer{Name: fmt.Sprint(j), Alive: true, HeardDirectly: true})
 					}
 				}
 			}
@@ -112,7 +113,7 @@
 				case 0:
 					r.ListReceived(now)
 				case 1:
-					r.PeersSeen(now, []Peer{{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(1e18)), Up: true, HeardDirectly: true}})
+					r.PeersSeen(now, []Peer{{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(1e18)), Alive: true, HeardDirectly: true}})
 				case 2: // it crashes
 					crashes++
 					s.Name, s.Epoch = fmt.Sprint(i), uint64(draw(1<<30))
--- a/policy/recovery/interface.go
+++ b/policy/recovery/settings.go
@@ -8,6 +8,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"lotushook/policy/clock"
 )
 
@@ -143,7 +144,7 @@
 type Peer struct {
 	Name          string
 	Epoch         uint64 // a wall clock's at its start, in nanoseconds: it may be wrong, and then costs speed within Slack, nothing else
-	Up            bool   // alive or suspect
+	Alive         bool   // alive or suspect
 	HeardDirectly bool   // this router has heard it itself
 }
 
--- a/policy/recovery/size_test.go
+++ b/policy/recovery/size_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // fleet is routers that come back, their clients, and data servers that answer within a tick.
@@ -44,7 +45,7 @@
 			r.Tick(now)
 			f.who = append(f.who, r)
 		}
-		peers = append(peers, Peer{Name: s.Name, Epoch: s.Epoch, Up: true, HeardDirectly: true})
+		peers = append(peers, Peer{Name: s.Name, Epoch: s.Epoch, Alive: true, HeardDirectly: true})
 		f.back = append(f.back, make([]int, 400))
 	}
 	ready := make([]clock.Nanos, n) // of a list call
--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"maps"
 	"slices"
 	"strings"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // world is three routers before one group, and the reports under way between them; each event makes another one of it.
@@ -77,7 +78,7 @@
 			continue
 		}
 		for a := range uint64(6) {
-			if v := l.Ask(Request{Team: int(a % 3), Account: a, Group: 1, Share: 1}, c.now); v.Reason != Shed {
+			if v := l.Admit(Request{Team: int(a % 3), Account: a, Group: 1, Share: 1}, c.now); v.Reason != Shed {
 				l.RequestStarted(1, c.now, 100*ms)
 				l.RequestEnded(1, v.PriorityClass, "", End{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot}, c.now)
 			}
--- a/policy/shedding/agree.go
+++ b/policy/shedding/merge.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"lotushook/policy/clock"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // mostLoad and mostEpoch bound what a report may say.
--- a/policy/shedding/replay_test.go
+++ b/policy/shedding/replay_test.go
@@ -24,7 +24,7 @@
 			request.Team = request.Team%4 - 1
 			request.Account = settings.Account(driver.Text(), driver.Text())
 			request.Group = int64(driver.IntN(3))
-			return lanes.Ask(request, now)
+			return lanes.Admit(request, now)
 		}
 		begun := func(group uint8, now int64) { lanes.RequestStarted(int64(group%3), now-1e8, 1e8) }
 		ended := func(group uint8, lane int, key string, end shedding.End, now int64) {
--- a/policy/shedding/rules_test.go
+++ b/policy/shedding/rules_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 // reported is any word of one of a few routers; the number of it is its time, so that no process says two things at once.
@@ -66,7 +67,7 @@
 			}
 			hot := rapid.Bool().Draw(t, "hot")
 			for range rapid.IntRange(0, 6).Draw(t, "requests") {
-				v := l.Ask(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Share: 1}, now)
+				v := l.Admit(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Share: 1}, now)
 				if (v.Reason == Shed) != (v.Standing < v.Threshold) {
 					t.Fatalf("%+v", v)
 				}
@@ -124,13 +125,13 @@
 	s := three("a", 1)
 	s.MaxGroups = 1
 	l := lanes(t, s)
-	l.Ask(Request{Group: 1, Share: 1}, second)
+	l.Admit(Request{Group: 1, Share: 1}, second)
 	l.groups[1].threshold = 5
-	if v := l.Ask(Request{Team: 2, Account: l.account(0), Group: 2, Share: 1}, second); v.Reason != AboveThreshold || l.Ungrouped() != 1 {
+	if v := l.Admit(Request{Team: 2, Account: l.account(0), Group: 2, Share: 1}, second); v.Reason != AboveThreshold || l.Ungrouped() != 1 {
 		t.Errorf("%+v, %d without room", v, l.Ungrouped())
 	}
 	l.groups[1].threshold = 0
-	if l.Ask(Request{Group: 2, Share: 1}, second); l.groups[2] == nil {
+	if l.Admit(Request{Group: 2, Share: 1}, second); l.groups[2] == nil {
 		t.Error("a group that sheds nobody did not make room")
 	}
 }
--- a/policy/shedding/interface.go
+++ b/policy/shedding/settings.go
@@ -7,6 +7,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"lotushook/policy/clock"
 )
 
--- a/policy/shedding/lane.go
+++ b/policy/shedding/shedder.go
@@ -3,9 +3,10 @@
 import (
 	"cmp"
 	"hash/fnv"
-	"lotushook/policy/clock"
 	"maps"
 	"slices"
+
+	"lotushook/policy/clock"
 )
 
 // Shedder hold what accounts have used and the levels of groups, and decide. One goroutine owns them.
@@ -161,8 +162,8 @@
 // Position is where an account stands in any lane, in this epoch.
 func (l *Shedder) Position(account uint64) int { return int(mix(account^l.salt()) % Steps) }
 
-// Ask decides on a request that has just come.
-func (l *Shedder) Ask(r Request, now clock.Nanos) Verdict {
+// Admit decides on a request that has just come.
+func (l *Shedder) Admit(r Request, now clock.Nanos) Verdict {
 	own := len(l.settings.PriorityClasses) - 1
 	var team Team
 	if r.Team >= 0 && r.Team < len(l.settings.Teams) {
--- a/policy/shedding/lane_test.go
+++ b/policy/shedding/shedder_test.go
@@ -109,10 +109,10 @@
 			for range c.before {
 				r := c.r
 				r.Key, r.ReadSession = "", ""
-				l.Ask(r, second)
+				l.Admit(r, second)
 			}
 			l.group(1, second).threshold = c.level
-			v := l.Ask(c.r, second)
+			v := l.Admit(c.r, second)
 			if wait := v.RetryAfter; (v.Reason == Shed) != (wait > 0) || wait > 2*second {
 				t.Errorf("a time to return of %d ms", wait/ms)
 			}
@@ -120,7 +120,7 @@
 				t.Errorf("%+v, wanted %+v", v, c.want)
 			}
 			if v.Reason == FollowsWrite { // for a while
-				if v := l.Ask(c.r, second+s.WriteAffinity); !c.r.WroteElsewhere && v.Reason == FollowsWrite {
+				if v := l.Admit(c.r, second+s.WriteAffinity); !c.r.WroteElsewhere && v.Reason == FollowsWrite {
 					t.Error("it is owed for ever")
 				}
 			}
@@ -131,12 +131,12 @@
 	r := Request{Team: 0, Account: 9, Group: 1, Share: 0.5}
 	got := map[Reason]int{}
 	for i := range 100 {
-		got[l.Ask(r, second+clock.Nanos(i)*20*ms).Reason]++
+		got[l.Admit(r, second+clock.Nanos(i)*20*ms).Reason]++
 	}
 	if got[AboveThreshold] != 2+9 {
 		t.Errorf("%v of 100 in 2 s at 5 a second and a burst of 2", got)
 	}
-	if v := l.Ask(r, 0); v.Reason == AboveThreshold {
+	if v := l.Admit(r, 0); v.Reason == AboveThreshold {
 		t.Error("a clock that goes back fills a budget")
 	}
 }
@@ -219,6 +219,6 @@
 	l := lanes(b, three("a", 7))
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Ask(Request{Team: i % 3, Account: uint64(i % 5000), Group: int64(i % 8), Share: 0.3}, clock.Nanos(i)*10_000)
+		l.Admit(Request{Team: i % 3, Account: uint64(i % 5000), Group: int64(i % 8), Share: 0.3}, clock.Nanos(i)*10_000)
 	}
 }
--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -3,9 +3,10 @@
 import (
 	"container/heap"
 	"fmt"
-	"lotushook/policy/clock"
 	"math/rand/v2"
 	"testing"
+
+	"lotushook/policy/clock"
 )
 
 // fleet is routers before one group of servers, whose answers take longer the more is taken in. Reports go to so many others
@@ -111,7 +112,7 @@
 			break
 		}
 		account := f.rng.Uint64N(1000)
-		v := r.Ask(Request{Team: [8]int{0, 1, 1, 1, 1, 1, 2, 2}[account%8], Account: account, Group: 1, Share: 1}, now)
+		v := r.Admit(Request{Team: [8]int{0, 1, 1, 1, 1, 1, 2, 2}[account%8], Account: account, Group: 1, Share: 1}, now)
 		if v.Reason == Shed {
 			continue
 		}
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -39,8 +39,8 @@
 
 // Demand is what is asked of one group.
 type Demand struct {
-	asked [kinds]float64 // work in the present window
-	usual [kinds]float64 // work in a window, learned
+	requested [kinds]float64 // work in the present window
+	learned   [kinds]float64 // work in a window, learned
 }
 
 // Window is what was sent to one endpoint that warms up.
@@ -111,12 +111,12 @@
 // SetGroups says how many groups there are.
 func (b *Budget) SetGroups(groups int) { b.groups = groups }
 
-// Asked counts a request's work and returns the work lately asked, this request's included.
-func (b *Budget) Asked(now clock.Nanos, demand *Demand, kind Kind, work float64) (recent float64) {
+// Requested counts a request's work and returns the work lately asked, this request's included.
+func (b *Budget) Requested(now clock.Nanos, demand *Demand, kind Kind, work float64) (recent float64) {
 	fade := math.Exp(-float64(now-b.recentAt) / recentShare / float64(b.settings.Window))
 	b.recent = b.recent*fade + work
 	b.recentAt = now
-	demand.asked[kind] += work
+	demand.requested[kind] += work
 	return b.recent
 }
 
@@ -173,7 +173,7 @@
 // request arrived, that included, where this is more: a jump of demand shows in it at once.
 func (b *Budget) demandAt(e Endpoint, r Request) float64 {
 	total := (b.mean[Replica] + b.mean[Primary]) * float64(b.groups)
-	share := max(e.Demand.usual[r.Kind], b.mean[r.Kind]) / total
+	share := max(e.Demand.learned[r.Kind], b.mean[r.Kind]) / total
 	asked := share * max(total, r.RecentWork/recentShare)
 	if e.IsPrimary != (r.Kind == Primary) {
 		asked *= foreignDemand
@@ -205,11 +205,11 @@
 // learnDemand moves each group's usual demand by what was asked of it in a span, and returns the mean group's.
 func (b *Budget) learnDemand(span float64, demands []*Demand) (mean [kinds]float64) {
 	for _, d := range demands {
-		for i := range d.usual {
-			asked := d.asked[i] * float64(b.settings.Window) / span
-			d.usual[i] += learnWeight * (asked - d.usual[i])
+		for i := range d.learned {
+			asked := d.requested[i] * float64(b.settings.Window) / span
+			d.learned[i] += learnWeight * (asked - d.learned[i])
 			mean[i] += asked / float64(len(demands))
-			d.asked[i] = 0
+			d.requested[i] = 0
 		}
 	}
 	return mean
--- a/policy/zone/hall.go
+++ b/policy/zone/zone.go
@@ -6,8 +6,9 @@
 import (
 	"errors"
 	"fmt"
-	"lotushook/policy/clock"
 	"math"
+
+	"lotushook/policy/clock"
 )
 
 // Settings are what the decision goes by.
--- a/policy/zone/hall_test.go
+++ b/policy/zone/zone_test.go
@@ -1,10 +1,11 @@
 package zone
 
 import (
-	"lotushook/policy/clock"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"lotushook/policy/clock"
 )
 
 const ms = clock.Nanos(1e6)
