--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -1,4 +1,4 @@
-// Package accounts holds what teams asked and got, as it is told to operators:
+// Package accounting holds what teams asked and got, as it is told to operators:
 // the shape of a row, and how long answers took. What is counted is decided and
 // kept elsewhere; internal/admin lets it be read.
 package accounting
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,4 @@
-// Package control lets operators on a router's own machine read what it knows, over a Unix socket that only its user may
+// Package admin lets operators on a router's own machine read what it knows, over a Unix socket that only its user may
 // open. A reader writes one word in a line; the answer is JSON, and then the socket is closed.
 package admin
 
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -10,8 +10,7 @@
 	"lotushook/policy/clock"
 )
 
-// notSent is the outcome where the router itself could not send: nothing ran,
-// and the node had no part in it.
+// outcomeNotSent is where the router itself could not send: nothing ran, and the endpoint had no part in it.
 const outcomeNotSent = balance.NotSent
 
 // Result is how an attempt ended.
@@ -19,8 +18,8 @@
 	Outcome         balance.Outcome
 	Role            balance.Role
 	Position        clock.Nanos // Unix; 0: not told
-	Answer          []byte      // with Done: the messages to pass on, up to CommandComplete
-	Value           []byte      // with Done: the one column
+	Answer          []byte      // when it succeeded: the messages to pass on, up to CommandComplete
+	Value           []byte      // when it succeeded: the one column
 	ServerErrorCode string      // of a data server's error
 	Err             error       // why there is no answer
 }
@@ -41,13 +40,19 @@
 	conn  *serverConn
 }
 
-// Start begins an attempt on the most recently used idle connection, or on a
-// new one, which must be up in time. It does not wait for that. The caller aborts the
-// attempt at until, if no result has come. A dial takes its time: whether the query
-// is still wanted is asked once, right before its first byte goes out, and must not
-// wait for anything; if it is not, nothing ran and the node had no part in it.
-func (p *Pool) Start(node balance.EndpointID, up, until time.Time, word func(io.Writer) error, wanted func() bool) *Attempt {
-	a := &Attempt{endpoint: node, connectDeadline: up, deadline: until, writeQuery: word, stillWanted: wanted, done: make(chan Result, 1)}
+// Start begins an attempt on the most recently used idle connection, or on a new one, which must be up by the connect
+// deadline. It does not wait for that. The caller aborts the attempt at its deadline, if no result has come. A dial takes
+// its time: whether the query is still wanted is asked once, right before its first byte goes out, and must not wait for
+// anything; if it is not, nothing ran and the endpoint had no part in it.
+func (p *Pool) Start(endpoint balance.EndpointID, connectDeadline, deadline time.Time, writeQuery func(io.Writer) error, stillWanted func() bool) *Attempt {
+	a := &Attempt{
+		endpoint:        endpoint,
+		connectDeadline: connectDeadline,
+		deadline:        deadline,
+		writeQuery:      writeQuery,
+		stillWanted:     stillWanted,
+		done:            make(chan Result, 1),
+	}
 	a.dialContext, a.cancel = context.WithCancel(context.Background())
 	p.assign(a)
 	return a
@@ -95,15 +100,6 @@
 	return res
 }
 
-const (
-	bindOK         bindResult = iota
-	bindEnded                 // the attempt has ended
-	bindUnwanted              // its time is over, or nobody wants its answer any more
-	bindNotAllowed            // its node is to get nothing new
-	bindMoved                 // its node listens elsewhere now
-	bindUnusable              // the connection can't be used
-)
-
 // finish delivers the result; what comes after the first one is dropped.
 func (a *Attempt) finish(r Result) {
 	a.mu.Lock()
--- a/internal/backend/bind.go
+++ b/internal/backend/bind.go
@@ -9,6 +9,15 @@
 // bindResult is how tying an attempt to a connection went.
 type bindResult int
 
+const (
+	bindOK         bindResult = iota
+	bindEnded                 // the attempt has ended
+	bindUnwanted              // its time is over, or nobody wants its answer any more
+	bindNotAllowed            // its node is to get nothing new
+	bindMoved                 // its node listens elsewhere now
+	bindUnusable              // the connection can't be used
+)
+
 // bind ties the attempt to the connection that its query goes out on: the last step
 // before the first byte, and the only one that asks whether it may. What was decided
 // before a dial or a wait may have been overtaken by then.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -121,6 +121,17 @@
 	return nil
 }
 
+// add notes a new connection, unless the pool is closed.
+func (p *Pool) add(c *serverConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.all[c] = struct{}{}
+	return true
+}
+
 // putIdle makes a connection available again.
 func (p *Pool) putIdle(c *serverConn) bool {
 	p.mu.Lock()
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -14,6 +14,7 @@
 // begins in between would take what came before it for its answer.
 type replyReader struct{ *serverConn }
 
+// Read implements io.Reader.
 func (l replyReader) Read(p []byte) (n int, err error) {
 	heard := false
 	wait := l.rawSocket.Read(func(fd uintptr) bool {
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -9,10 +9,8 @@
 	"lotushook/policy/balance"
 )
 
-// send writes an attempt's query, unless bind finds that it may not. A connection that turns out to be spoilt before the
-// query went out whole is another one's turn, and the attempt is still the same.
+// send writes an attempt's query, unless bind finds that it may not.
 func (c *serverConn) send(a *Attempt) {
-	rested := !c.idleAt.IsZero()
 	err := a.writeQuery(c.out) // before bind, so that nothing lies between that and the first byte
 	if err != nil {
 		c.discardQuery()
@@ -20,61 +18,65 @@
 		a.finish(Result{Outcome: outcomeNotSent, Err: fmt.Errorf("write: %w", err)})
 		return
 	}
-	how := a.bind(c)
-	if how != bindOK {
+	if bound := a.bind(c); bound != bindOK {
 		c.discardQuery()
-	}
-	switch how {
-	case bindEnded:
-		c.returnToPool()
-		return
-	case bindUnwanted:
-		c.returnToPool()
-		a.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
-		return
-	case bindNotAllowed:
-		c.returnToPool()
-		a.finish(Result{Outcome: balance.Busy, Err: errDraining})
-		return
-	case bindMoved:
-		c.close()
-		c.pool.assign(a)
-		return
-	case bindUnusable:
-		c.close()
-		if rested {
-			c.pool.assign(a)
-		} else { // new, and nothing was written on it
-			a.finish(Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited})
-		}
+		c.refuse(a, bound)
 		return
 	}
 	c.socket.SetWriteDeadline(a.deadline)
 	_, err = c.out.WriteTo(c.socket)
-	whole := c.out.Len() == 0
+	complete := c.out.Len() == 0
 	c.discardQuery()
-	if whole {
+	if complete {
 		c.written <- true
 		return
 	}
 	c.close()
-	goesOn := a.unbind()
+	open := a.unbind()
 	c.written <- false
 	switch {
-	case !goesOn:
-	case rested && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.pool.assign(a)
+	case !open:
+	case c.hasServed() && !errors.Is(err, os.ErrDeadlineExceeded):
+		c.pool.assign(a) // nothing ran: it is another connection's turn
 	default:
 		a.finish(Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("write: %w", err)})
 	}
 }
 
+// hasServed says whether the connection was idle before, rather than new.
+func (c *serverConn) hasServed() bool { return !c.idleAt.IsZero() }
+
+// refuse ends an attempt that was not bound, or finds it another connection; nothing was written for it.
+func (c *serverConn) refuse(a *Attempt, bound bindResult) {
+	switch bound {
+	case bindMoved:
+		c.close()
+		c.pool.assign(a)
+		return
+	case bindUnusable:
+		c.close()
+		if c.hasServed() {
+			c.pool.assign(a)
+		} else {
+			a.finish(Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited})
+		}
+		return
+	}
+	c.returnToPool()
+	switch bound {
+	case bindUnwanted:
+		a.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
+	case bindNotAllowed:
+		a.finish(Result{Outcome: balance.Busy, Err: errDraining})
+	}
+}
+
 // awaitWrite waits for the end of the writing of a query, and says whether all of it went out: whatever came back of one
 // that did not was no answer to it. A server that answers and does not take the rest is not waited for long.
 func (c *serverConn) awaitWrite() bool {
 	select {
-	case whole := <-c.written: // as nearly always
-		return whole
+	case complete := <-c.written: // as nearly always
+		return complete
 	default:
 	}
 	late := time.AfterFunc(c.pool.StallTimeout, c.close)
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,4 +1,4 @@
-// Package feed answers subscribers of feeds. What to do for each says policy/cursor; this package keeps its state in shards, asks
+// Package changefeed answers subscribers of feeds. What to do for each says policy/cursor; this package keeps its state in shards, asks
 // data servers through whoever made it, once for all that want the same, and writes the answers.
 package changefeed
 
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -60,7 +60,7 @@
 }
 
 // part is a Part before one member, on a clock that the test moves.
-func part(t testing.TB, m *member, change func(*cursor.Settings)) (*Feeds, *atomic.Int64) {
+func part(tb testing.TB, m *member, change func(*cursor.Settings)) (*Feeds, *atomic.Int64) {
 	now := &atomic.Int64{}
 	now.Store(1e9)
 	set := cursor.DefaultSettings()
@@ -69,9 +69,9 @@
 	}
 	p, err := New(Options{Settings: set, Classes: map[string]cursor.Settings{"f": set}, Waiting: 20_000, ReadFor: time.Second, Self: crdt.Origin{Name: "r", Boot: 1}, Now: now.Load, Read: m.read})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(p.Close)
+	tb.Cleanup(p.Close)
 	return p, now
 }
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -76,6 +76,7 @@
 	f.ctx, f.silence, f.bodyTimeout, f.bodyDeadline = ctx, quiet, drip, time.Time{}
 }
 
+// Read implements io.Reader.
 func (f *timedReader) Read(p []byte) (int, error) {
 	if f.in.Len() == 0 {
 		f.in.Idle()
@@ -106,4 +107,5 @@
 	target string
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e statusError) Error() string { return fmt.Sprintf("status %d for %s", e.status, e.target) }
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -140,7 +140,7 @@
 // follow has a watcher follow scripted agents, a later one from a SIGHUP on, until a time. It says when seq 2 was had.
 func follow(t *testing.T, routers int, grace, until, move time.Duration, told func(*List, time.Duration) error, agents ...*script) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(_ *testing.T) {
 		began := time.Now()
 		for _, s := range agents {
 			s.until = until
@@ -219,11 +219,11 @@
 			func(x at) at { return x + 6*s }, 2080 * ms},
 		{"pushed, refused", 0, 0, func(x at) []*script { return []*script{{news: x, cut: x, shut: x, open: x + 9*s}} },
 			func(x at) at { return x + 10*s }, 9*s + 151*ms},
-		{"pushed, moved", 0, 10 * s, func(x at) []*script { return []*script{{news: never}, {}} },
+		{"pushed, moved", 0, 10 * s, func(_ at) []*script { return []*script{{news: never}, {}} },
 			func(at) at { return 14 * s }, 2 * ms},
-		{"pushed, moved, the new agent refuses for 3 s", 0, 10 * s, func(x at) []*script { return []*script{{news: never}, {open: 13 * s}} },
+		{"pushed, moved, the new agent refuses for 3 s", 0, 10 * s, func(_ at) []*script { return []*script{{news: never}, {open: 13 * s}} },
 			func(at) at { return 14 * s }, 3*s + 151*ms},
-		{"pushed, moved, the first connection is silent", 0, 10 * s, func(x at) []*script { return []*script{{news: never}, {back: 10*s + ms}} },
+		{"pushed, moved, the first connection is silent", 0, 10 * s, func(_ at) []*script { return []*script{{news: never}, {back: 10*s + ms}} },
 			func(at) at { return 14 * s }, 330 * ms},
 		{"pushed, process just started", 0, 0, func(at) []*script { return []*script{{}} },
 			func(at) at { return 50 * ms }, 2 * ms},
@@ -285,12 +285,12 @@
 			func(x at) at { return x + 6*s }, 4405 * ms},
 		{"polled, refused for 1 s", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, shut: x, open: x + s}} },
 			func(x at) at { return x + 6*s }, 5950 * ms},
-		{"polled, moved", 300, 10 * s, func(x at) []*script { return []*script{{news: never}, {delay: 400 * ms}} },
+		{"polled, moved", 300, 10 * s, func(_ at) []*script { return []*script{{news: never}, {delay: 400 * ms}} },
 			func(at) at { return 14 * s }, 402 * ms},
 		{"polled, moved, the first connection is silent", 300, 10 * s,
-			func(x at) []*script { return []*script{{news: never}, {back: 10*s + ms, delay: 400 * ms}} },
+			func(_ at) []*script { return []*script{{news: never}, {back: 10*s + ms, delay: 400 * ms}} },
 			func(at) at { return 14 * s }, 1480 * ms},
-		{"polled, moved, the new agent refuses for 1 s", 300, 10 * s, func(x at) []*script { return []*script{{news: never}, {open: 11 * s}} },
+		{"polled, moved, the new agent refuses for 1 s", 300, 10 * s, func(_ at) []*script { return []*script{{news: never}, {open: 11 * s}} },
 			func(at) at { return 14 * s }, 3600 * ms},
 		{"polled, indented", 300, 0, func(x at) []*script { return []*script{{news: x, form: indented}} },
 			func(x at) at { return x + 50*ms }, 2 * ms},
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -38,6 +38,7 @@
 // tooManyHostsError is a list that names more hosts than a router can hold.
 type tooManyHostsError struct{ hosts int }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e tooManyHostsError) Error() string {
 	return fmt.Sprintf("list: %d hosts would be listed, and at most %d may: the old list is kept", e.hosts, maxListed)
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -24,7 +24,7 @@
 	Doubtful bool `json:"-"`
 }
 
-// NameOf is one data server.
+// Host is one data server.
 type Host struct {
 	Name      string  `json:"host"`
 	Address   string  `json:"dial"`
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -1,4 +1,4 @@
-// Package standin holds what a router meets, written from the protocol alone:
+// Package emulator holds what a router meets, written from the protocol alone:
 // data servers in replicated groups, the agent that lists them, and the front
 // that deals out connections. They are for experiments on loopback, not models of
 // real machines; what they draw follows from a seed.
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -58,7 +58,7 @@
 }
 
 // once makes one request and returns how long its client rests after it.
-func (c *caller) once(ctx context.Context) time.Duration {
+func (c *caller) once(_ context.Context) time.Duration {
 	r := c.draw()
 	began := time.Now()
 	until := began.Add(r.wait)
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -81,6 +81,7 @@
 // turned is a connection that was turned away with a word.
 type turned struct{ answer }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (t *turned) Error() string { return "turned away: " + t.text }
 
 func (c *client) next() (pgwire.Message, error) {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package lab runs experiments: routers as real processes before stand-ins, a
+// Package experiment runs experiments: routers as real processes before stand-ins, a
 // load, what goes wrong and when, and checks on what was seen at both ends. An
 // experiment is a file under deploy/lab; its arms play the same with something
 // changed, one after the other.
--- a/internal/experiment/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -62,7 +62,7 @@
 		doctor func(s []router.Send, r []emulator.Ran) []emulator.Ran
 	}{
 		{"", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { return r }},
-		{"unrecorded", func(s []router.Send, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
+		{"unrecorded", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
 		{"unlisted", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].Listed = false; return r }},
 		{"blind_writes", func(s []router.Send, r []emulator.Ran) []emulator.Ran {
 			s[0].On = append(s[0].On, ground("primary", "restored", 9000, "s1"))
@@ -70,7 +70,7 @@
 		}},
 		{"ungrounded", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].On[0].Says = "s9"; return r }},
 		{"lowered", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[2].Floor = 40; return r }},
-		{"below", func(s []router.Send, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
+		{"below", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
 		{"young", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[1].On[1].AgeMS = 10; return r }},
 	} {
 		sends := []router.Send{
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -1,4 +1,4 @@
-// Package fault puts faults between processes: each ordered pair of them is a link of its own, over which datagrams and
+// Package faultinject puts faults between processes: each ordered pair of them is a link of its own, over which datagrams and
 // connections pass through this process and are lost, delayed, cut or spoiled on command. What is drawn follows from a
 // seed, link by link and packet by packet.
 package faultinject
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -1,4 +1,4 @@
-// Package budget shares the process's file descriptors out between clients and
+// Package fdlimit shares the process's file descriptors out between clients and
 // connections to data servers. Neither side can take the other's: a flood of
 // clients must leave the way to the data servers open.
 package fdlimit
--- a/internal/fleetreport/fleetreport.go
+++ b/internal/fleetreport/fleetreport.go
@@ -1,4 +1,4 @@
-// Package fleet reads the logs of many routers into one picture: what all of them did over time, which data
+// Package fleetreport reads the logs of many routers into one picture: what all of them did over time, which data
 // servers and which routers stand out, and one request's way through all of them.
 package fleetreport
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package tally counts what a router does, for one line of totals a period. Nobody decides by it.
+// Package metrics counts what a router does, for one line of totals a period. Nobody decides by it.
 package metrics
 
 import (
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestOffCountsNothing(t *testing.T) {
+func TestOffCountsNothing(_ *testing.T) {
 	var c *Metrics
 	c.Add(Requests)
 	c.CountAction(&balance.Action{Kind: balance.SendAttempt})
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,4 +1,4 @@
-// Package scenario is a small language for tests of network code. A scenario is
+// Package nettest is a small language for tests of network code. A scenario is
 // a list of steps, one a line, done in order:
 //
 //	send c1 startup | Q "SELECT 1"     write messages
@@ -50,18 +50,18 @@
 }
 
 // New returns a stage with servers of these names on loopback.
-func New(t testing.TB, servers ...string) *Stage {
-	s := &Stage{t: t, servers: map[string]net.Listener{}, conns: map[string]*peer{}, from: map[string]string{}}
+func New(tb testing.TB, servers ...string) *Stage {
+	s := &Stage{t: tb, servers: map[string]net.Listener{}, conns: map[string]*peer{}, from: map[string]string{}}
 	for _, name := range servers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		s.servers[name] = ln
 		s.Set(name, s.Addr(name))
-		t.Cleanup(func() { ln.Close() })
+		tb.Cleanup(func() { ln.Close() })
 	}
-	t.Cleanup(s.Close)
+	tb.Cleanup(s.Close)
 	return s
 }
 
--- a/internal/nettest/settings.go
+++ b/internal/nettest/settings.go
@@ -43,11 +43,11 @@
 }
 
 // File writes a configuration to a file of the test's own and returns its path.
-func File(t testing.TB, config string) string {
-	t.Helper()
-	file := filepath.Join(t.TempDir(), "config.json")
+func File(tb testing.TB, config string) string {
+	tb.Helper()
+	file := filepath.Join(tb.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return file
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -13,6 +13,7 @@
 	Entries int
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("a piece of %d runs from %s does not match its sum: not taken, another member is asked", e.Entries, e.From)
 }
@@ -32,6 +33,7 @@
 	Others int // that came with it and lacked too
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *DiffersError) Error() string {
 	return fmt.Sprintf("%s %s/%s of %s, known to %s for %s, was not here (nor %d others): taken now", e.Entry.Kind, e.Entry.A, e.Entry.B,
 		e.Entry.From.Name, e.From, time.Duration(e.Entry.Age).Round(time.Millisecond), e.Others)
@@ -51,9 +53,12 @@
 	Err     error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *ListenError) Error() string {
 	return fmt.Sprintf("peer: listen on %s: %v: not started", e.Address, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Kind is that of operr.Error.
@@ -71,12 +76,15 @@
 	Err  error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *KeyError) Error() string {
 	if e.Line > 0 {
 		return fmt.Sprintf("keys: %s:%d: %v", e.Path, e.Line, e.Err)
 	}
 	return fmt.Sprintf("keys: %s: %v", e.Path, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // Kind is that of operr.Error.
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -349,7 +349,7 @@
 }
 
 // checkState shows a member some entries that are known here for long.
-func (p *Peers) checkState(now int64, address string) {
+func (p *Peers) checkState(_ int64, address string) {
 	s := &p.spread
 	out := &state{}
 	for range pieces {
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -1,4 +1,4 @@
-// Package config reads what a router is told at its start: the NODE_*
+// Package platformconfig reads what a router is told at its start: the NODE_*
 // variables and the JSON file that one of them names.
 package platformconfig
 
--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -14,6 +14,7 @@
 	Do    string // what to write
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *FieldError) Error() string { return e.Field + ": " + e.What + "; " + e.Do }
 
 // Kind is the same for all fields.
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -29,7 +29,7 @@
 		}
 		f.Add(bad)
 	}
-	f.Fuzz(func(t *testing.T, text string) {
+	f.Fuzz(func(_ *testing.T, text string) {
 		s, err := Parse([]byte(text))
 		if err != nil {
 			return
--- a/internal/replaytest/digest.go
+++ b/internal/replaytest/digest.go
@@ -43,10 +43,10 @@
 }
 
 // Check fails the test unless the digest is the recorded one.
-func (d *Digest) Check(t testing.TB, recorded string) {
-	t.Helper()
+func (d *Digest) Check(tb testing.TB, recorded string) {
+	tb.Helper()
 	if got := d.Sum(); got != recorded {
-		t.Errorf("replay digest %s, recorded %s: a decision has changed", got, recorded)
+		tb.Errorf("replay digest %s, recorded %s: a decision has changed", got, recorded)
 	}
 }
 
--- a/internal/ringbuffer/ringbuffer.go
+++ b/internal/ringbuffer/ringbuffer.go
@@ -1,4 +1,4 @@
-// Package ring holds the byte buffer that each connection has one of in each
+// Package ringbuffer holds the byte buffer that each connection has one of in each
 // direction. A buffer starts small, grows to the message at hand up to its
 // cap, and gives the memory back when it is idle.
 package ringbuffer
@@ -10,7 +10,7 @@
 	"sync/atomic"
 )
 
-// Least is the size that a buffer starts with and shrinks back to.
+// MinSize is the size that a buffer starts with and shrinks back to.
 const MinSize = 2 << 10
 
 // ErrFull says that more was asked of a buffer than its cap.
--- a/internal/router/drainlistener.go
+++ b/internal/router/drainlistener.go
@@ -38,6 +38,7 @@
 	l.SetDeadline(pastDeadline)
 }
 
+// Accept is the listener's, until nobody waits any more.
 func (l *drainListener) Accept() (net.Conn, error) {
 	for waits := 0; ; {
 		until := l.until.Load()
--- a/internal/router/lingeringclose.go
+++ b/internal/router/lingeringclose.go
@@ -152,6 +152,7 @@
 // Only who reads the connection may use it.
 type availableReader struct{ net.Conn }
 
+// Read implements io.Reader.
 func (p availableReader) Read(b []byte) (n int, err error) {
 	gone := withDescriptor(p.Conn, func(fd int) bool {
 		for {
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -140,6 +140,7 @@
 	Known bool
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *ModeError) Error() string {
 	if e.Known {
 		return fmt.Sprintf("members: modes.classes.%s: no class of writes: not started", e.Class)
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -16,6 +16,7 @@
 	retryAfter clock.Nanos // 0: not told
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (t *rejection) Error() string { return t.text }
 
 // rejectionFor words a verdict.
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -9,14 +9,19 @@
 
 type timers []timer
 
+// Len implements heap.Interface.
 func (t timers) Len() int { return len(t) }
 
+// Less implements heap.Interface.
 func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
 
+// Swap implements heap.Interface.
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
+// Push implements heap.Interface.
 func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
 
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	old := *t
 	x := old[len(old)-1]
--- a/internal/sharded/sharded.go
+++ b/internal/sharded/sharded.go
@@ -1,4 +1,4 @@
-// Package shard keeps a value in pieces, each with a mutex of its own, so that goroutines that look at different keys do not
+// Package sharded keeps a value in pieces, each with a mutex of its own, so that goroutines that look at different keys do not
 // wait for each other. What the value is and how it is decided on is the caller's: a shard is a plain value without locks.
 //
 // A goroutine holds one shard at a time, whichever Shards it belongs to, and waits for nothing while it does: no socket,
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the simulator's JSON dialect and the types
+// Package simwire translates between the simulator's JSON dialect and the types
 // of package balance. It decides nothing.
 package simwire
 
--- a/internal/siteconfig/shedding.go
+++ b/internal/siteconfig/shedding.go
@@ -50,7 +50,7 @@
 	Agreed  bool // the routers tell each other
 }
 
-// PriorityClass are the settings of the decision for one router; nil where there are no lanes.
+// Lane are the settings of the decision for one router; nil where there are no lanes.
 func (c *Contracts) Lane(f Fleet, longestBack clock.Nanos) (*shedding.Settings, error) {
 	if c.Shedding == nil {
 		for _, t := range c.Teams {
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,4 +1,4 @@
-// Package setup reads an installation's own settings: the file that people write
+// Package siteconfig reads an installation's own settings: the file that people write
 // for their routers, beside the configuration that the platform gives to each.
 // Every subsystem has one part in it; a part that is not there is off.
 package siteconfig
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -22,9 +22,12 @@
 	Err         error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Damaged) Error() string {
 	return fmt.Sprintf("keep: %s is %s (%v): started empty%s", e.Path, e.Cause, e.Err, moved(e.Aside))
 }
+
+// Unwrap returns the cause.
 func (e *Damaged) Unwrap() error { return e.Err }
 
 // Kind is "keep-empty", "keep-torn" or "keep-spoiled".
@@ -41,6 +44,7 @@
 	Cluster, Name string // whose it is
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Foreign) Error() string {
 	return fmt.Sprintf("keep: %s is of router %q of cluster %q: started empty%s", e.Path, e.Name, e.Cluster, moved(e.Aside))
 }
@@ -59,6 +63,7 @@
 	Format      uint16
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Later) Error() string {
 	return fmt.Sprintf("keep: %s has format %d, known up to %d: started empty%s", e.Path, e.Format, format, moved(e.Aside))
 }
@@ -77,6 +82,7 @@
 	Copy, Seen string // how far each goes
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Old) Error() string {
 	return fmt.Sprintf("keep: %s goes to %s, the other routers have seen this one at %s: nothing in it counts until it is proven", e.Path, e.Copy, e.Seen)
 }
@@ -95,9 +101,12 @@
 	Err error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Locked) Error() string {
 	return fmt.Sprintf("keep: another process uses %s (%v): goes on without a copy", e.Dir, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *Locked) Unwrap() error { return e.Err }
 
 // Kind is "keep-locked".
@@ -114,9 +123,12 @@
 	Err  error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *ReadOnly) Error() string {
 	return fmt.Sprintf("keep: nothing can be written at %s (%v): goes on with what could be read, and writes nothing", e.Path, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *ReadOnly) Unwrap() error { return e.Err }
 
 // Kind is "keep-read-only".
@@ -133,9 +145,12 @@
 	Err  error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Full) Error() string {
 	return fmt.Sprintf("keep: no room for %s (%v): the last batch is not written and is tried again", e.Path, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *Full) Unwrap() error { return e.Err }
 
 // Kind is "keep-full".
@@ -152,6 +167,7 @@
 	Took time.Duration // so far
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Slow) Error() string {
 	return fmt.Sprintf("keep: %s: a step has taken %v and is not done: what comes meanwhile waits, the newest of each key", e.Path, e.Took.Round(time.Millisecond))
 }
@@ -170,6 +186,7 @@
 	LetGo uint64 // since the start
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Behind) Error() string {
 	return fmt.Sprintf("keep: %s: the queue is full, %d records were let go so far: the copy lacks them until they change", e.Path, e.LetGo)
 }
@@ -189,9 +206,12 @@
 	Err   error // why one more was to be moved
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Crowded) Error() string {
 	return fmt.Sprintf("keep: %d copies lie aside in %s, and one more can't be used (%v): goes on without a copy", e.Count, e.Dir, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *Crowded) Unwrap() error { return e.Err }
 
 // Kind is "keep-crowded".
@@ -208,6 +228,7 @@
 	Back time.Duration // at least
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Clock) Error() string {
 	return fmt.Sprintf("keep: %s was written %v after now: its records are at least as old as they were then, and nobody knows how much older", e.Path, e.Back)
 }
@@ -226,9 +247,12 @@
 	Err         error
 }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *Failed) Error() string {
 	return fmt.Sprintf("keep: %s: %s: %v: goes on without what was to be done", e.Path, e.Doing, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *Failed) Unwrap() error { return e.Err }
 
 // Kind is "keep-failed".
--- a/internal/store/file_test.go
+++ b/internal/store/file_test.go
@@ -15,19 +15,19 @@
 )
 
 // versions is a copy as its file stood after each of two batches, and what was in it.
-func versions(t testing.TB) (a, b []byte, inA, inB map[string]string) {
-	t.Helper()
-	s := settings(t.TempDir())
+func versions(tb testing.TB) (a, b []byte, inA, inB map[string]string) {
+	tb.Helper()
+	s := settings(tb.TempDir())
 	path := filepath.Join(s.Dir, fileName)
 	inA = many(0, 400)
 	once := func(records map[string]string) []byte { // all in one batch
 		k, err := New(s)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		_, h, _, trouble := k.read()
 		if trouble != nil {
-			t.Fatal(trouble)
+			tb.Fatal(trouble)
 		}
 		defer k.close()
 		var batch []persistence.Record
@@ -35,11 +35,11 @@
 			batch = append(batch, record(key, records[key]))
 		}
 		if _, _, err := k.write(&head{format: format, cluster: "x", name: "n0", boot: 7, generation: h.generation + 1, wall: 1}, batch); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		file, err := os.ReadFile(path)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		return file
 	}
@@ -50,40 +50,40 @@
 }
 
 // try reads a file and then writes to whatever copy there is after it.
-func try(t testing.TB, file []byte) (got map[string]string, kind string) {
-	t.Helper()
+func try(tb testing.TB, file []byte) (got map[string]string, kind string) {
+	tb.Helper()
 	dir, err := os.MkdirTemp("", "keep")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
 	if err := os.WriteFile(filepath.Join(dir, fileName), file, 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	k, err := New(settings(dir))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	f, h, off, trouble := k.read()
 	if trouble != nil {
 		kind = trouble.Kind()
 	}
 	if off {
-		t.Fatalf("it goes on without a copy: %v", trouble)
+		tb.Fatalf("it goes on without a copy: %v", trouble)
 	}
 	next := head{format: format, cluster: "x", name: "n0", boot: 9, generation: h.generation + 1, wall: 1}
 	if _, _, err := k.write(&next, []persistence.Record{record("one more", "1"), record("key-0200", "2")}); err != nil {
-		t.Fatalf("after %q: %v", kind, err)
+		tb.Fatalf("after %q: %v", kind, err)
 	}
 	k.close()
 	file2, err := os.Open(filepath.Join(dir, fileName))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer file2.Close()
 	info, _ := file2.Stat()
 	if err := sound(file2, info.Size()); err != nil {
-		t.Fatalf("what was written after %q is not sound: %v", kind, err)
+		tb.Fatalf("what was written after %q is not sound: %v", kind, err)
 	}
 	return texts(f), kind
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,4 +1,4 @@
-// Package keep is a router's copy of the shared state on its own disk: records of a kind, a key, a value and an age, which
+// Package store is a router's copy of the shared state on its own disk: records of a kind, a key, a value and an age, which
 // come back after the process has ended. What they mean is the caller's business, and what waits for a batch and how old a
 // record is that comes back is decided in policy/persistence.
 //
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,25 +31,25 @@
 }
 
 // run starts a copy; stop ends it and waits.
-func run(t testing.TB, s Settings) (k *Store, stop func()) {
-	t.Helper()
+func run(tb testing.TB, s Settings) (k *Store, stop func()) {
+	tb.Helper()
 	k, err := New(s)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { k.Run(ctx); close(done) }()
 	stop = func() { cancel(); <-done }
-	t.Cleanup(stop)
+	tb.Cleanup(stop)
 	return k, stop
 }
 
-func until(t testing.TB, what string, is func() bool) {
-	t.Helper()
+func until(tb testing.TB, what string, is func() bool) {
+	tb.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in 20 s: %s", what)
+			tb.Fatalf("not in 20 s: %s", what)
 		}
 	}
 }
@@ -63,9 +63,9 @@
 	return persistence.Record{Kind: 1, Key: []byte(key), Value: []byte(value)}
 }
 
-func fill(t testing.TB, s Settings, records map[string]string) {
-	t.Helper()
-	k, stop := run(t, s)
+func fill(tb testing.TB, s Settings, records map[string]string) {
+	tb.Helper()
+	k, stop := run(tb, s)
 	<-k.Loaded()
 	for key, value := range records {
 		k.Put(record(key, value))
@@ -74,9 +74,9 @@
 }
 
 // read opens a copy as Run does, and returns what it held and what was wrong.
-func read(t testing.TB, s Settings) (map[string]string, *Report) {
-	t.Helper()
-	k, stop := run(t, s)
+func read(tb testing.TB, s Settings) (map[string]string, *Report) {
+	tb.Helper()
+	k, stop := run(tb, s)
 	defer stop()
 	<-k.Loaded()
 	return texts(k.Found()), k.Report()
@@ -159,21 +159,21 @@
 		aside  int
 	}{
 		{"sound", func(*testing.T, string, *Settings) {}, "", true, true, 0},
-		{"no directory yet", func(t *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, "a", "b") }, "", false, true, 0},
+		{"no directory yet", func(_ *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, "a", "b") }, "", false, true, 0},
 		{"gone", func(t *testing.T, dir string, s *Settings) { os.Remove(filepath.Join(dir, fileName)) }, "", false, true, 0},
-		{"empty file", func(t *testing.T, dir string, s *Settings) { change(t, dir, func([]byte) []byte { return nil }) }, "keep-empty", false, true, 1},
-		{"torn", func(t *testing.T, dir string, s *Settings) {
+		{"empty file", func(t *testing.T, dir string, _ *Settings) { change(t, dir, func([]byte) []byte { return nil }) }, "keep-empty", false, true, 1},
+		{"torn", func(t *testing.T, dir string, _ *Settings) {
 			change(t, dir, func(b []byte) []byte { return b[:len(b)/2] })
 		}, "keep-torn", false, true, 1},
-		{"a flipped bit in a value", func(t *testing.T, dir string, s *Settings) {
+		{"a flipped bit in a value", func(t *testing.T, dir string, _ *Settings) {
 			change(t, dir, func(b []byte) []byte { b[strings.LastIndex(string(b), "vvvv")] ^= 4; return b })
 		}, "keep-spoiled", false, true, 1},
-		{"something else", func(t *testing.T, dir string, s *Settings) {
-			change(t, dir, func(b []byte) []byte { return []byte(strings.Repeat("what is this? ", 5000)) })
+		{"something else", func(t *testing.T, dir string, _ *Settings) {
+			change(t, dir, func(_ []byte) []byte { return []byte(strings.Repeat("what is this? ", 5000)) })
 		}, "keep-spoiled", false, true, 1},
-		{"of another router", func(t *testing.T, dir string, s *Settings) { s.Name = "n1" }, "keep-foreign", false, true, 1},
-		{"of another cluster", func(t *testing.T, dir string, s *Settings) { s.Cluster = "y" }, "keep-foreign", false, true, 1},
-		{"of a later format", func(t *testing.T, dir string, s *Settings) {
+		{"of another router", func(_ *testing.T, dir string, s *Settings) { s.Name = "n1" }, "keep-foreign", false, true, 1},
+		{"of another cluster", func(_ *testing.T, dir string, s *Settings) { s.Cluster = "y" }, "keep-foreign", false, true, 1},
+		{"of a later format", func(t *testing.T, dir string, _ *Settings) {
 			db, err := osDisk{}.open(filepath.Join(dir, fileName), 1<<20, false)
 			if err != nil {
 				t.Fatal(err)
@@ -183,18 +183,18 @@
 			}
 			db.close()
 		}, "keep-later", false, true, 1},
-		{"another process has it", func(t *testing.T, dir string, s *Settings) {
+		{"another process has it", func(t *testing.T, _ string, s *Settings) {
 			other, stop := run(t, *s)
 			<-other.Loaded()
 			t.Cleanup(stop)
 		}, "keep-locked", false, false, 0},
-		{"a directory that can't be written", func(t *testing.T, dir string, s *Settings) {
+		{"a directory that can't be written", func(_ *testing.T, dir string, s *Settings) {
 			s.disk = &faults{osDisk: osDisk{}, locks: syscall.EROFS}
 		}, "keep-read-only", true, false, 0},
-		{"a file that can't be written", func(t *testing.T, dir string, s *Settings) {
+		{"a file that can't be written", func(_ *testing.T, dir string, s *Settings) {
 			s.disk = &faults{osDisk: osDisk{}, opens: syscall.EACCES}
 		}, "keep-read-only", true, false, 0},
-		{"a directory that is a file", func(t *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, fileName) }, "keep-failed", false, false, 0},
+		{"a directory that is a file", func(_ *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, fileName) }, "keep-failed", false, false, 0},
 		{"too many lie aside", func(t *testing.T, dir string, s *Settings) {
 			for range maxMovedAside {
 				change(t, dir, func([]byte) []byte { return nil })
@@ -240,15 +240,15 @@
 	}
 }
 
-func change(t testing.TB, dir string, f func([]byte) []byte) {
-	t.Helper()
+func change(tb testing.TB, dir string, f func([]byte) []byte) {
+	tb.Helper()
 	path := filepath.Join(dir, fileName)
 	b, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := os.WriteFile(path, f(b), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,4 +1,4 @@
-// Package strict reads JSON that people are answerable for. Whatever could be a
+// Package strictjson reads JSON that people are answerable for. Whatever could be a
 // slip is an error with its path: a key that is unknown, written in other
 // letters, or given twice, a null, a value of another kind, bytes behind the end.
 package strictjson
--- a/policy/admission/rules_test.go
+++ b/policy/admission/rules_test.go
@@ -97,12 +97,12 @@
 					m.closed[id] = true
 				}
 			},
-			"answered": func(t *rapid.T) {
+			"answered": func(_ *rapid.T) {
 				id := any()
 				g.Answered(id, now)
 				m.waits[id] = false
 			},
-			"left": func(t *rapid.T) {
+			"left": func(_ *rapid.T) {
 				id := any()
 				g.Closed(id)
 				delete(m.addr, id)
--- a/policy/contract/ledger.go
+++ b/policy/contract/ledger.go
@@ -261,7 +261,7 @@
 	return t
 }
 
-// IdempotencyWindow is how many requests beyond contracts may be open at a group's primary,
+// Window is how many requests beyond contracts may be open at a group's primary,
 // or at its replicas, through this router.
 func (b *Ledger) Window(group int64, primary bool) float64 {
 	if p := b.pressures[place{group, primary}]; p != nil {
--- a/policy/contract/rules_test.go
+++ b/policy/contract/rules_test.go
@@ -117,7 +117,7 @@
 // simulate plays a team's traffic over some routers for some seconds, under
 // pressure all the time, and returns how much was asked and taken in each second.
 // shares is what each router sees of the traffic; at a time they may change.
-func simulate(t testing.TB, n int, skew float64, perS float64, seconds int, seed uint64, shares func(at clock.Nanos) []float64, restart func(at clock.Nanos) int) (asked, taken []float64) {
+func simulate(tb testing.TB, n int, skew float64, perS float64, seconds int, seed uint64, shares func(at clock.Nanos) []float64, restart func(at clock.Nanos) int) (asked, taken []float64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := usual()
 	set.Routers, set.Skew = n, skew
@@ -127,7 +127,7 @@
 	fresh := func(i int) *Ledger {
 		b, err := New(set, seed+uint64(i))
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		return b
 	}
--- a/policy/crdt/broadcaster.go
+++ b/policy/crdt/broadcaster.go
@@ -247,7 +247,7 @@
 	return at, ok
 }
 
-// BroadcastCounts counts since the start.
+// Counts counts since the start.
 func (t *Broadcaster) Counts() BroadcastCounts { return t.told }
 
 // Size is how many entries wait, and how many batches are open.
--- a/policy/crdt/entry.go
+++ b/policy/crdt/entry.go
@@ -1,4 +1,4 @@
-// Package shared holds what routers tell each other of what they have learned: positions, primaries, sessions' commits, keyed
+// Package crdt holds what routers tell each other of what they have learned: positions, primaries, sessions' commits, keyed
 // writes that may have run, use of contracts, hints. Each kind is a join-semilattice: copies that got the same entries in any
 // order, some of them twice, are equal, and copies that differ have one answer. How entries travel is not decided here.
 //
@@ -126,7 +126,7 @@
 	return Entry{Kind: SheddingLevel, A: group, Born: int64(epoch), Count: load<<levelBits | int64(wish)&(1<<levelBits-1)}
 }
 
-// NewSheddingLevel is what SheddingLevel was told.
+// SheddingLevel is what SheddingLevel was told.
 func (e *Entry) SheddingLevel() (load int64, wish int, epoch uint64) {
 	return e.Count >> levelBits, int(e.Count & (1<<levelBits - 1)), uint64(e.Born)
 }
--- a/policy/crdt/heap.go
+++ b/policy/crdt/heap.go
@@ -5,14 +5,19 @@
 // entryHeap is one kind's entries, the least first.
 type entryHeap []*storedEntry
 
+// Len implements heap.Interface.
 func (p entryHeap) Len() int { return len(p) }
 
+// Less implements heap.Interface.
 func (p entryHeap) Less(i, j int) bool { return p[i].rank(p[j]) < 0 }
 
+// Swap implements heap.Interface.
 func (p entryHeap) Swap(i, j int) { p[i], p[j] = p[j], p[i]; p[i].heapIndex, p[j].heapIndex = i, j }
 
+// Push implements heap.Interface.
 func (p *entryHeap) Push(x any) { h := x.(*storedEntry); h.heapIndex = len(*p); *p = append(*p, h) }
 
+// Pop implements heap.Interface.
 func (p *entryHeap) Pop() any {
 	old := *p
 	h := old[len(old)-1]
--- a/policy/crdt/query.go
+++ b/policy/crdt/query.go
@@ -14,7 +14,7 @@
 	return 0, false
 }
 
-// FeedCursor is what is known of a subscriber of a feed; forgot says that some cursors were let go, so that this one may have been
+// Cursor is what is known of a subscriber of a feed; forgot says that some cursors were let go, so that this one may have been
 // among them.
 func (s *Store) Cursor(now clock.Nanos, feed, subscriber string) (e Entry, known, forgot bool) {
 	if h := s.entries[entryID{kind: FeedCursor, a: feed, b: subscriber}]; h != nil {
@@ -23,7 +23,7 @@
 	return Entry{}, false, s.evicted[FeedCursor]
 }
 
-// PrimaryClaim is who is believed to be a group's primary: a start of a server, and at which position that was seen.
+// Primary is who is believed to be a group's primary: a start of a server, and at which position that was seen.
 func (s *Store) Primary(group string) (server string, born, at int64) {
 	if h := s.entries[entryID{kind: PrimaryClaim, a: group}]; h != nil {
 		return h.Server, h.Born, h.At
--- a/policy/membership/settings.go
+++ b/policy/membership/settings.go
@@ -1,4 +1,4 @@
-// Package member decides who of the routers is there. It takes what a router hears from others and what time it is, and
+// Package membership decides who of the routers is there. It takes what a router hears from others and what time it is, and
 // says what to send to whom and which view to hold: a failure detector after SWIM (Das, Gupta, Motivala 2002) with the
 // corrections of Lifeguard (Dadgar, Phillips, Currey 2017), made to bear pauses and cuts that work in one direction.
 // How messages travel, and what follows from a view, is not decided here.
--- a/policy/persistence/record.go
+++ b/policy/persistence/record.go
@@ -1,4 +1,4 @@
-// Package keep decides what a router writes of the shared state to its own disk, and when: which records wait for the next
+// Package persistence decides what a router writes of the shared state to its own disk, and when: which records wait for the next
 // batch, when that batch may go, what is put back after one that failed, and how old a record is that comes back. It knows
 // neither what the records mean nor how they lie on disk (internal/store). A Queue belongs to whoever locks it.
 package persistence
--- a/policy/quotalease/lease.go
+++ b/policy/quotalease/lease.go
@@ -1,4 +1,4 @@
-// Package part decides which part of what all routers share is this router's: of a cold server's budget, of limits, of
+// Package quotalease decides which part of what all routers share is this router's: of a cold server's budget, of limits, of
 // contracts. Each has an even part; when routers are gone beyond doubt those that are left take over what was theirs. The
 // parts of all never add up to more than the whole, whatever is paused, lost, cut or restarted, and however wrong views are.
 //
--- a/policy/quotalease/lease_test.go
+++ b/policy/quotalease/lease_test.go
@@ -116,7 +116,7 @@
 			seed = seed*6364136223846793005 + 1442695040888963407
 			return int(seed>>33) % k
 		}
-		cut := func(a, b int) bool { return false }
+		cut := func(_, b int) bool { return false }
 		for range rounds {
 			f.now += clock.Nanos(draw(100)) * 2 * ms
 			switch draw(40) {
@@ -141,7 +141,7 @@
 				k := draw(n)
 				cut = func(a, b int) bool { return (a < k) != (b < k) }
 			case 5:
-				cut = func(a, b int) bool { return false }
+				cut = func(_, b int) bool { return false }
 			case 6:
 				for j := range n / 2 { // a large part goes at once
 					if draw(3) == 0 {
--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -49,11 +49,11 @@
 	return h.Sum64()
 }
 
-func (w *world) start(t testing.TB, i int, trusting bool) {
+func (w *world) start(tb testing.TB, i int, trusting bool) {
 	w.boot[i] += uint64(w.now) + 1
 	s := DefaultSettings(string(rune('a'+i)), w.boot[i], 3)
 	s.CanCatchUp, s.SeesPeers, s.trustViews, s.MinSuccesses, s.TrackedTimes = true, true, trusting, 1, 1
-	w.who[i] = must(t, s, w.now)
+	w.who[i] = must(tb, s, w.now)
 }
 
 // view is what membership may show a router: all that are up, as it is; or nobody.
@@ -68,7 +68,7 @@
 }
 
 // events are all that can happen next.
-func (w *world) events(t testing.TB, trusting bool) []*world {
+func (w *world) events(tb testing.TB, trusting bool) []*world {
 	c := w.next("tick", -1)
 	c.now += exploreStep
 	for _, r := range c.who {
@@ -85,11 +85,11 @@
 	for i, r := range w.who {
 		if r == nil {
 			do("start with its disk", i, func(c *world, _ *Recovery) {
-				c.start(t, i, trusting)
+				c.start(tb, i, trusting)
 				c.who[i].ListReceived(c.now)
 				c.who[i].CaughtUp(c.now)
 			})
-			do("start without", i, func(c *world, _ *Recovery) { c.start(t, i, trusting) })
+			do("start without", i, func(c *world, _ *Recovery) { c.start(tb, i, trusting) })
 			continue
 		}
 		do("crash", i, func(c *world, _ *Recovery) { c.who[i] = nil })
@@ -143,10 +143,10 @@
 }
 
 // explore sees worlds breadth first, up to so many, and returns how many and how deep, and the shortest way to a broken one.
-func explore(t testing.TB, trusting bool, most int) (states, depth int, fault string) {
+func explore(tb testing.TB, trusting bool, most int) (states, depth int, fault string) {
 	w := &world{now: 100 * second}
 	for i := range w.who {
-		w.start(t, i, trusting)
+		w.start(tb, i, trusting)
 	}
 	for i := range 2 { // they have served for long; the third has just started
 		w.who[i].started, w.who[i].stageSince, w.who[i].peersReturnUntil, w.boot[i], w.who[i].stage = 0, 0, 0, 1, Serving
@@ -156,7 +156,7 @@
 	for len(row) > 0 && len(seen) < most {
 		var next []*world
 		for _, x := range row {
-			for _, y := range x.events(t, trusting) {
+			for _, y := range x.events(tb, trusting) {
 				if b := y.broken(x); b != "" {
 					return len(seen), len(y.path), b + "\n" + strings.Join(y.path, "\n")
 				}
--- a/policy/recovery/settings.go
+++ b/policy/recovery/settings.go
@@ -105,6 +105,7 @@
 // SettingError is a field that can't be gone by.
 type SettingError struct{ Field string }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("recovery: %s: missing or out of range: not started", e.Field)
 }
--- a/policy/shedding/settings.go
+++ b/policy/shedding/settings.go
@@ -1,4 +1,4 @@
-// Package lane decides which requests are shed while a group of data servers has more to do than it can, so that every router
+// Package shedding decides which requests are shed while a group of data servers has more to do than it can, so that every router
 // sheds the same accounts: the worst lane first, and within a lane by a salted hash of the account. It decides from arrivals,
 // ends and what the other routers report; how reports travel, and where a request that is not shed goes, is not decided here.
 // The compound level is DAGOR's (Zhou et al., SoCC 2018); how it is agreed without a server in the middle is this package's own.
@@ -75,6 +75,7 @@
 // SettingError is a field that can't be used.
 type SettingError struct{ Field, Why string }
 
+// Error says what failed, and what was done instead where that is not plain.
 func (e *SettingError) Error() string { return e.Field + ": " + e.Why }
 
 // Kind is the same for all of the type.
--- a/policy/trust/trust.go
+++ b/policy/trust/trust.go
@@ -1,4 +1,4 @@
-// Package evidence decides what may be done on the word of whom. What a router has heard from a data server itself it may act
+// Package trust decides what may be done on the word of whom. What a router has heard from a data server itself it may act
 // on; what another router told it, or what its own disk gave back after a restart, is doubted until it is proven: by this
 // router's own answers, or by a peer that has been up all the while. It decides neither what an entry says nor which of two
 // holds (policy/crdt), and sends nothing: whoever is about to act asks Judge first.
@@ -27,6 +27,7 @@
 
 var provenanceNames = [ProvenanceCount]string{"none", "own", "peer", "restored"}
 
+// String is the name in logs and counts.
 func (o Provenance) String() string { return provenanceNames[o] }
 
 // Fact is what is known of an entry.
@@ -59,6 +60,7 @@
 
 var useNames = [UseCount]string{"raise a floor", "lower a floor", "may have run", "has not run", "probe", "write", "read", "grant", "cold work", "count use", "shun"}
 
+// String is the name in logs and counts.
 func (u Use) String() string { return useNames[u] }
 
 // Reason is why a use is allowed or not.
@@ -80,6 +82,7 @@
 
 var reasonNames = [ReasonCount]string{"own answer", "proven by a peer", "safe", "doubted", "contradicted", "unknown", "never by others", "not listed", "too old"}
 
+// String is the name in logs and counts.
 func (r Reason) String() string { return reasonNames[r] }
 
 // Verdict says whether a use is allowed.
--- a/policy/zone/zone.go
+++ b/policy/zone/zone.go
@@ -1,4 +1,4 @@
-// Package hall decides whether a whole hall has gone dark, from how attempts at its servers end. One router among
+// Package zone decides whether a whole hall has gone dark, from how attempts at its servers end. One router among
 // many meets each server so seldom that it would lose several requests to each one of the hall, so what the hall's
 // servers show counts together. Which server gets a request, and whether a single server is well, is not decided here.
 package zone
