--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -225,9 +225,10 @@
 	p.mu.Lock()
 	cmd := p.cmd
 	p.mu.Unlock()
-	if _, most := memory(cmd.Process.Pid); most > p.mostMB {
-		p.mostMB = most
-	}
+	_, most := memory(cmd.Process.Pid)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.mostMB = max(p.mostMB, most)
 }
 
 // used is the CPU time that the running process has had so far.
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The whole verdict: formatting, vet, the deploy file's build, and every test. Where goroutines are, tests run under the
-# race detector, as released and with the invariants of debug builds; the decisions have neither (policy/pure_test.go).
+# The complete verdict: formatting, vet, the linter that tools/go.mod pins, the deploy file's build, and every test. Where
+# goroutines are, tests run under the race detector, as released and with the invariants of debug builds; the decisions
+# have neither (policy/pure_test.go).
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
@@ -10,6 +11,7 @@
 fi
 go vet ./...
 go vet -tags debug ./...
+go tool -modfile=tools/go.mod golangci-lint run ./...
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
 [ -n "$build" ]
 sh -c "$build"
