--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -10,27 +10,27 @@
 	"lotushook/policy/clock"
 )
 
-// outcomeNotSent is where the router itself could not send: nothing ran, and the endpoint had no part in it.
+// outcomeNotSent is the outcome where the router itself could not send: nothing ran, and the endpoint is not to blame.
 const outcomeNotSent = balance.NotSent
 
 // Result is how an attempt ended.
 type Result struct {
 	Outcome         balance.Outcome
 	Role            balance.Role
-	Position        clock.Nanos // Unix; 0: not told
+	Position        clock.Nanos // Unix time; 0: not reported
 	Answer          []byte      // when it succeeded: the messages to pass on, up to CommandComplete
 	Value           []byte      // when it succeeded: the one column
 	ServerErrorCode string      // of a data server's error
 	Err             error       // why there is no answer
 }
 
-// Attempt is one query on its way to a node. Exactly one Result comes.
+// Attempt is one query sent to an endpoint. It yields exactly one Result.
 type Attempt struct {
 	endpoint        balance.EndpointID
 	connectDeadline time.Time // a connection that is not there by then has failed
 	deadline        time.Time
-	writeQuery      func(io.Writer) error // writes the query, worded when it goes out
-	stillWanted     func() bool           // asked right before its first byte goes out; nil: it always is
+	writeQuery      func(io.Writer) error // writes the query in its final form
+	stillWanted     func() bool           // called right before its first byte is sent; nil: it always is
 	dialContext     context.Context
 	cancel          context.CancelFunc
 	done            chan Result
@@ -42,8 +42,8 @@
 
 // Start begins an attempt on the most recently used idle connection, or on a new one, which must be up by the connect
 // deadline. It does not wait for that. The caller aborts the attempt at its deadline, if no result has come. A dial takes
-// its time: whether the query is still wanted is asked once, right before its first byte goes out, and must not wait for
-// anything; if it is not, nothing ran and the endpoint had no part in it.
+// time: whether the query is still wanted is checked once, right before its first byte is sent, and the check must not
+// block; if it is not wanted, nothing ran and the endpoint is not to blame.
 func (p *Pool) Start(endpoint balance.EndpointID, connectDeadline, deadline time.Time, writeQuery func(io.Writer) error, stillWanted func() bool) *Attempt {
 	a := &Attempt{
 		endpoint:        endpoint,
@@ -58,7 +58,7 @@
 	return a
 }
 
-// assign finds the attempt a connection.
+// assign finds a connection for the attempt.
 func (p *Pool) assign(a *Attempt) {
 	dial, ready := p.Directory.Address(a.endpoint)
 	if !ready {
@@ -70,13 +70,13 @@
 	}
 }
 
-// Done carries the result.
+// Done returns the channel that carries the result.
 func (a *Attempt) Done() <-chan Result { return a.done }
 
-// Abort gives the attempt up: when it returns, the connection is closed and
+// Abort ends the attempt: when it returns, the connection is closed and
 // nothing more will be written for it. The result is the given outcome, unless
-// another one had come first. Of a query that never came to a connection nothing
-// ran: the node did not let it in by its time, or had no part in the call-off.
+// another one came first. A query that never got a connection did not
+// run: the endpoint did not accept it in time, or was not involved in the abort.
 func (a *Attempt) Abort(o balance.Outcome) Result {
 	a.mu.Lock()
 	c := a.conn
@@ -100,7 +100,7 @@
 	return res
 }
 
-// finish delivers the result; what comes after the first one is dropped.
+// finish delivers the result; any later one is dropped.
 func (a *Attempt) finish(r Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/backend/bind.go
+++ b/internal/backend/bind.go
@@ -6,21 +6,21 @@
 	"lotushook/internal/invariant"
 )
 
-// bindResult is how tying an attempt to a connection went.
+// bindResult is the result of binding an attempt to a connection.
 type bindResult int
 
 const (
 	bindOK         bindResult = iota
 	bindEnded                 // the attempt has ended
-	bindUnwanted              // its time is over, or nobody wants its answer any more
-	bindNotAllowed            // its node is to get nothing new
-	bindMoved                 // its node listens elsewhere now
+	bindUnwanted              // its deadline has passed, or its answer is not wanted any more
+	bindNotAllowed            // its endpoint must not get new queries
+	bindMoved                 // its endpoint has another address now
 	bindUnusable              // the connection can't be used
 )
 
-// bind ties the attempt to the connection that its query goes out on: the last step
-// before the first byte, and the only one that asks whether it may. What was decided
-// before a dial or a wait may have been overtaken by then.
+// bind binds the attempt to the connection that its query is sent on: the last step
+// before the first byte, and the only one that checks whether it may be sent. What was
+// decided before a dial or a wait may have been overtaken by then.
 func (a *Attempt) bind(c *serverConn) bindResult {
 	dial, ready := c.pool.Directory.Address(c.endpoint)
 	a.mu.Lock()
@@ -48,7 +48,7 @@
 	return bindOK
 }
 
-// unbind frees the attempt of a connection that did not take its query whole; it
+// unbind frees the attempt from a connection that did not take its query completely; it
 // says whether the attempt goes on.
 func (a *Attempt) unbind() bool {
 	a.mu.Lock()
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -13,7 +13,7 @@
 	"lotushook/policy/balance"
 )
 
-// Directory tells where a node listens, and whether it may get anything new.
+// Directory resolves endpoints to addresses, and knows which may get new queries.
 type Directory interface {
 	Address(node balance.EndpointID) (dial string, ready bool)
 }
@@ -24,15 +24,15 @@
 	Descriptors      *fdlimit.Budget
 	ConnectTimeout   time.Duration
 	IdleClose        time.Duration     // data servers close idle connections after this
-	ReadQuota        *ringbuffer.Quota // for what is here of answers; nil: no bound
-	StallTimeout     time.Duration     // an answer that has begun must go on within this
-	SettleTime       time.Duration     // a connection rests so long after an answer: what follows unasked is seen by then
-	OutOfDescriptors func()            // told when the system has no descriptor left; nil: nobody
-	Metrics          *metrics.Metrics  // counts dials; nil: nobody does
-	// Pace is asked before a dial: it may be made after wait, no longer than most, or not now, and then nothing was sent.
-	// nil: at once.
+	ReadQuota        *ringbuffer.Quota // bounds the buffered part of answers; nil: no bound
+	StallTimeout     time.Duration     // an answer that has begun must make progress within this
+	SettleTime       time.Duration     // a connection rests so long after an answer: unsolicited messages are seen by then
+	OutOfDescriptors func()            // called when the system has no descriptor left; nil: not called
+	Metrics          *metrics.Metrics  // counts dials; nil: not counted
+	// DialDelay is called before a dial, which may be made after wait, no longer than most; !ok: it must not be made, and
+	// nothing was sent. nil: at once.
 	DialDelay       func(most time.Duration) (wait time.Duration, ok bool)
-	DuplicateWindow time.Duration // so soon after its query, the same answer again is a second copy that crossed it
+	DuplicateWindow time.Duration // so soon after its query, the same answer again is a duplicate of the previous one
 }
 
 // Pool holds the idle connections to all data servers. It is safe for
@@ -40,7 +40,7 @@
 type Pool struct {
 	Options
 	mu     sync.Mutex
-	idle   map[balance.EndpointID][]*serverConn // by node; the most recently used last
+	idle   map[balance.EndpointID][]*serverConn // by endpoint; the most recently used last
 	all    map[*serverConn]struct{}
 	closed bool
 }
@@ -80,8 +80,8 @@
 	}
 }
 
-// retire closes what has been idle since before a time, and all idle
-// connections to nodes that drain, are gone, or have moved.
+// retire closes connections that have been idle since before a time, and all idle
+// connections to endpoints that drain, are gone, or have moved.
 func (p *Pool) retire(before time.Time) {
 	var old []*serverConn
 	p.mu.Lock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// takeIdle returns the most recently used idle connection to a node that has settled,
+// takeIdle returns the most recently used idle connection to an endpoint that has settled,
 // if any.
 func (p *Pool) takeIdle(node balance.EndpointID, dial string, now time.Time) *serverConn {
 	p.mu.Lock()
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// add notes a new connection, unless the pool is closed.
+// add registers a new connection, unless the pool is closed.
 func (p *Pool) add(c *serverConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,7 +152,7 @@
 	p.removeIdle(c)
 }
 
-// removeIdle takes a connection off the idle ones; the lock is held.
+// removeIdle takes a connection off the idle list; the lock is held.
 func (p *Pool) removeIdle(c *serverConn) {
 	list := p.idle[c.endpoint]
 	for i, x := range list {
@@ -187,7 +187,7 @@
 	return true
 }
 
-// Counts is the number of connections, and how many of them are idle.
+// Counts returns the number of connections, and how many of them are idle.
 func (p *Pool) Counts() (all, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,7 +197,7 @@
 	return len(p.all), idle
 }
 
-// Idle is the number of idle connections.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	_, idle := p.Counts()
 	return idle
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -8,7 +8,7 @@
 	"lotushook/policy/balance"
 )
 
-// Probe asks a node for its report. It waits for the answer.
+// Probe fetches an endpoint's report. It waits for the answer.
 func (p *Pool) Probe(node balance.EndpointID, wait time.Duration) (Result, pgwire.Report) {
 	end := time.Now().Add(wait)
 	a := p.Start(node, end, end, func(w io.Writer) error {
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -9,9 +9,9 @@
 	"lotushook/internal/pgwire"
 )
 
-// replyReader reads what a data server says of its own accord or in answer. ReadQuota
-// and looking whether there is an attempt are one step: else an attempt that
-// begins in between would take what came before it for its answer.
+// replyReader reads a data server's messages, solicited or not. Reading
+// and checking whether there is an attempt are one step: otherwise an attempt that
+// begins in between would take an earlier message for its answer.
 type replyReader struct{ *serverConn }
 
 // Read implements io.Reader.
@@ -40,7 +40,7 @@
 	return n, nil
 }
 
-// nextMessage waits for the next whole message.
+// nextMessage waits for the next complete message.
 func (c *serverConn) nextMessage() (pgwire.Message, error) {
 	for {
 		m, err := pgwire.Next(c.in)
@@ -53,8 +53,8 @@
 	}
 }
 
-// nextReply is message of an answer: nothing may come while there is no attempt, and
-// what has begun must go on coming.
+// nextReply returns the next message of an answer: none may come without an attempt, and
+// an answer that has begun must make progress.
 func (c *serverConn) nextReply(begun bool) (pgwire.Message, error) {
 	for {
 		m, err := pgwire.Next(c.in)
@@ -77,8 +77,8 @@
 }
 
 // hasUnread says whether bytes or the connection's end wait to be read, which the
-// connection's goroutine has not come to yet: whatever they are, they are not the
-// answer to what has not been asked.
+// connection's goroutine has not processed yet: whatever they are, they are not the
+// answer to a query that was not sent yet.
 func (c *serverConn) hasUnread() bool {
 	waits := false
 	err := c.rawSocket.Control(func(fd uintptr) {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -11,9 +11,9 @@
 )
 
 func (w *Watcher) get(ctx context.Context, agent, target string, wait, quiet time.Duration) ([]byte, error) {
-	until := time.Now().Add(wait + quiet) // dialing is part of it
+	until := time.Now().Add(wait + quiet) // includes the dial
 	if w.conn != nil && (w.reader.Buffered() > 0 || w.input.in.Len() > 0) {
-		w.closeConnection() // nobody asked for what stands there: it is no answer to this call
+		w.closeConnection() // unread bytes are no answer to this call
 	}
 	if w.conn == nil {
 		conn, err := w.dial(ctx, agent, min(dialTimeout, wait+quiet))
@@ -23,7 +23,7 @@
 		w.conn, w.input = conn, &timedReader{conn: conn, in: ringbuffer.New(1 << 16)}
 		w.reader = bufio.NewReader(w.input)
 	}
-	conn := w.conn // the end of the context can come when w has hung up
+	conn := w.conn // the context can end after w has closed the connection
 	w.input.expect(ctx, quiet, w.bodyTimeout)
 	if err := conn.SetDeadline(until); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 }
 
 // timedReader reads from a connection through its ring buffer. Once an answer has
-// begun, silence shows sooner than the end of the wait, and one that drips is
+// begun, silence is detected sooner than the end of the wait, and a slow answer is
 // waited for, within bounds.
 type timedReader struct {
 	conn net.Conn
@@ -71,7 +71,7 @@
 	bodyDeadline         time.Time // of the answer that has begun; zero: none has
 }
 
-// expect is called before an answer is asked for.
+// expect is called before a request is sent.
 func (f *timedReader) expect(ctx context.Context, quiet, drip time.Duration) {
 	f.ctx, f.silence, f.bodyTimeout, f.bodyDeadline = ctx, quiet, drip, time.Time{}
 }
@@ -94,18 +94,18 @@
 		if err := f.conn.SetDeadline(next); err != nil {
 			return 0, err
 		}
-		if err := f.ctx.Err(); err != nil { // or the deadline that its end set would be undone
+		if err := f.ctx.Err(); err != nil { // else the deadline that the context's end set would be undone
 			return 0, err
 		}
 	}
 	return f.in.Read(p)
 }
 
-// statusError is an answer that came whole and is no list.
+// statusError is a complete answer that is no list.
 type statusError struct {
 	status int
 	target string
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e statusError) Error() string { return fmt.Sprintf("status %d for %s", e.status, e.target) }
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -9,20 +9,20 @@
 	"lotushook/policy/balance"
 )
 
-// Directory maps hosts to the numbers that the decisions use, and numbers to
+// Directory maps hosts to the endpoint IDs that the decisions use, and IDs to
 // addresses and states. It is safe for concurrent use.
 type Directory struct {
 	mu           sync.RWMutex
 	entries      map[balance.EndpointID]directoryEntry
 	ids          map[string]balance.EndpointID
-	removedOrder []balance.EndpointID // gone, the longest ago first
+	removedOrder []balance.EndpointID // removed hosts, the earliest first
 }
 
 type directoryEntry struct {
 	name      string
 	address   string
 	group     int64
-	startedMS int64 // the latest start that was told, Unix ms
+	startedMS int64 // the latest reported start, Unix ms
 	ready     bool
 	removed   bool
 }
@@ -32,19 +32,19 @@
 	return &Directory{entries: map[balance.EndpointID]directoryEntry{}, ids: map[string]balance.EndpointID{}}
 }
 
-// errEmpty is an agent that has lost its list: servers leave one after the other, and never all.
+// errEmptyList reports an agent that has lost its list: servers leave one after the other, and never all at once.
 var errEmptyList = errors.New("list: whole and empty, though hosts were listed: the old one is kept")
 
-// tooManyHostsError is a list that names more hosts than a router can hold.
+// tooManyHostsError reports a list with more hosts than a router can hold.
 type tooManyHostsError struct{ hosts int }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e tooManyHostsError) Error() string {
 	return fmt.Sprintf("list: %d hosts would be listed, and at most %d may: the old list is kept", e.hosts, maxListed)
 }
 
-// Update is Apply of a list from discovery. One that would take away all that is listed, or list too many, changes nothing. One that is
-// doubtful withdraws and drains, and adds what is new, but lifts nothing that was told of a server's present start.
+// Update is Apply of a list from discovery. One that would remove all hosts, or list too many, changes nothing. One that is
+// doubtful may withdraw, drain and add hosts, but does not lift a withdrawal or drain of a server's present start.
 func (d *Directory) Update(l *List) (balance.Event, error) {
 	if l.Doubtful {
 		l = d.withoutRevivals(l)
@@ -58,7 +58,7 @@
 	return d.Apply(l), nil
 }
 
-// withoutRevivals is a list without what would have a server that drains or is gone get work again, or warm before its time.
+// withoutRevivals returns a list without the entries that would reactivate a draining or removed server, or end its slow start early.
 func (d *Directory) withoutRevivals(l *List) *List {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -75,7 +75,7 @@
 	return kept
 }
 
-// countAfter is how many hosts are listed once a list is taken, at most: of changes each host is counted that is not listed.
+// countAfter is the number of listed hosts after a list is applied, at most: each changed host counts that is not listed yet.
 func (d *Directory) countAfter(l *List) int {
 	if l.Complete {
 		return len(l.Hosts)
@@ -102,7 +102,7 @@
 	return false
 }
 
-// Apply takes a list in and returns it as an event for the decisions.
+// Apply applies a list and returns it as an event for the decisions.
 func (d *Directory) Apply(l *List) balance.Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +113,7 @@
 		for _, h := range l.Hosts {
 			listed[h.Name] = true
 		}
-		for id, p := range d.entries { // absent from the whole list: gone
+		for id, p := range d.entries { // absent from the complete list: removed
 			if !listed[p.name] {
 				d.remove(id, p)
 			}
@@ -126,7 +126,7 @@
 			p.address = d.entries[id].address
 		}
 		if states[h.State] == balance.Removed {
-			p.startedMS = max(p.startedMS, d.entries[id].startedMS) // a withdrawal may leave it out
+			p.startedMS = max(p.startedMS, d.entries[id].startedMS) // a withdrawal may omit it
 			d.remove(id, p)
 		} else {
 			p.removed = false
@@ -138,7 +138,7 @@
 	return e
 }
 
-// remove marks a host as gone, and forgets the ones that went long ago: with
+// remove marks a host as removed, and forgets the earliest removed ones: with
 // servers replaced all day they would pile up.
 func (d *Directory) remove(id balance.EndpointID, p directoryEntry) {
 	if p.ready = false; !p.removed {
@@ -156,7 +156,7 @@
 	}
 }
 
-// HasGroup says whether a group has a listed host. Before there is any list, every
+// HasGroup says whether a group has a listed host. Before the first list, every
 // group may have one.
 func (d *Directory) HasGroup(group int64) bool {
 	d.mu.RLock()
@@ -169,7 +169,7 @@
 	return len(d.entries) == 0
 }
 
-// id gives a host the same number at every router, but where two names share a hash.
+// id gives a host the same ID at every router, except where two names share a hash.
 func (d *Directory) id(host string) balance.EndpointID {
 	if id, ok := d.ids[host]; ok {
 		return id
@@ -187,22 +187,22 @@
 	return id
 }
 
-// NameOf is the name of a node; none of one that was never listed, or is long gone.
+// NameOf returns an endpoint's name; "" for one that was never listed, or removed long ago.
 func (d *Directory) NameOf(node balance.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.entries[node].name
 }
 
-// StartOf is the name of a node and when it started, as the list tells it.
+// StartOf returns an endpoint's name and start time, as listed.
 func (d *Directory) StartOf(node balance.EndpointID) (host string, born int64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.entries[node].name, d.entries[node].startedMS * 1e6
 }
 
-// Address is where to dial a node, and whether it may get anything new: it is
-// listed, and neither draining nor gone.
+// Address returns the address of an endpoint, and whether it may get new queries: it is
+// listed, and neither draining nor removed.
 func (d *Directory) Address(node balance.EndpointID) (dial string, ready bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -210,10 +210,10 @@
 	return p.address, p.ready
 }
 
-// mostGone is how many withdrawn hosts are remembered: connections to them may
-// still be open, and one may come back under its number.
+// maxRemoved is how many removed hosts are remembered: connections to them may
+// still be open, and one may come back under its ID.
 const maxRemoved = 64
 
-// mostListed is how many hosts may be listed at once: each costs memory here and in the decisions, and an agent that names
-// ever new ones would take all there is.
+// maxListed is how many hosts may be listed at once: each costs memory here and in the decisions, and an agent that lists
+// ever new ones would use all of it.
 const maxListed = 16 << 10
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
 // Package discovery follows the list of data servers at the router's agent and
-// knows under which number the decisions name a host and where to dial it.
+// maps each host to its endpoint ID and address.
 package discovery
 
 import (
@@ -14,13 +14,13 @@
 	"lotushook/policy/balance"
 )
 
-// List is a whole list, or the entries that changed.
+// List is a complete list, or the entries that changed.
 type List struct {
 	Version  int64  `json:"seq"`
 	Complete bool   `json:"whole"`
 	Hosts    []Host `json:"hosts"`
 
-	// An agent that had said more says so: what this would lift of a ban does not hold yet.
+	// A newer version was seen at another agent: this list must not lift a withdrawal yet.
 	Doubtful bool `json:"-"`
 }
 
@@ -41,13 +41,13 @@
 	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Removed}
 
 const (
-	// A server that started in the future would stay cold until then. All machines
-	// read one clock, but a router's own may be set wrong.
+	// A server that started in the future would stay in slow start until then. All machines
+	// share one time, but a router's own clock may be wrong.
 	maxClockAhead = time.Hour
-	maxWeight     = 1e4 // a server's size against the usual one: beyond it a slip, and every other would get nothing
+	maxWeight     = 1e4 // a server's capacity against the usual one: a larger one is a mistake, and all others would get nothing
 )
 
-// Parse reads a list and refuses one that is malformed anywhere, so that the
+// Parse parses a list and rejects one that is malformed anywhere, so that the
 // old one is kept.
 func Parse(raw []byte, now time.Time) (*List, error) {
 	var l struct {
@@ -56,7 +56,7 @@
 		Hosts *[]Host `json:"hosts"`
 	}
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &l); err != nil {
-		return nil, errors.New("list: " + strings.Join(strings.Fields(err.Error()), " ")) // it quotes the list, line ends and all
+		return nil, errors.New("list: " + strings.Join(strings.Fields(err.Error()), " ")) // the message quotes the list, line breaks included
 	}
 	if l.Seq == nil || l.Whole == nil || l.Hosts == nil {
 		return nil, errors.New("list: seq, whole or hosts is missing")
--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	// Of the clients' descriptors so many are for those that are leaving: the
-	// refused that still read why, and those closed to make room.
+	// Of the clients' descriptors so many are for connections that are closing: the
+	// rejected that still read their error, and those evicted to make room.
 	leavingShare, minLeaving, maxLeaving = 8, 4, 32
 
-	// An accept that finds somebody waiting does not give its turn away, and while
-	// it goes on nobody asks the poller what else has come. So after so many it
-	// sleeps for a moment: in a flood the requests in flight must go on.
+	// An accept call that finds a waiting connection does not yield, and while
+	// the calls go on the network poller is not run. So after so many the acceptor
+	// sleeps for a moment: in a flood the requests in flight must make progress.
 	acceptsBetweenPauses = 4
 	acceptPause          = 20 * time.Microsecond
 
 	lingerInterval        = 2 * time.Millisecond
-	acceptorSweepInterval = 25 * time.Millisecond // who is to be closed is not kept waiting for it
-	memoryCheckSweeps     = 4                     // sweeps: the memory in use is looked at
+	acceptorSweepInterval = 25 * time.Millisecond // evictions must not be delayed by it
+	memoryCheckSweeps     = 4                     // in sweeps: the memory in use is checked
 	logInterval           = 5 * time.Second
-	// After descriptors ran out, so much later the room for clients grows again, by
+	// After the descriptors ran out, the client limit grows again after this time, by
 	// one with each sweep.
 	regrowAfter      = 3 * time.Second
-	retryAcceptAfter = 5 * time.Millisecond // without any descriptor, accept rests so long
+	retryAcceptAfter = 5 * time.Millisecond // pause while there is no descriptor for accept
 )
 
-// acceptor carries out what admission decides: it takes clients in, refuses them
-// with a word before anything of theirs is read, and closes some for others.
+// acceptor carries out the admission decisions: it accepts clients, rejects them
+// before it reads anything of theirs, and evicts some to make room for others.
 type acceptor struct {
 	router        *Router
 	lingering     *lingeringCloses
 	spare         spareDescriptor
-	maxRetryAfter clock.Nanos // the longest time to return that may be told; 0: none is told
+	maxRetryAfter clock.Nanos // the longest Retry-After time; 0: none is sent
 
-	mu        sync.Mutex // the gate's and the list's; nothing that waits is done under it
+	mu        sync.Mutex // guards the gate and the list; nothing blocks while it is held
 	admission *admission.Controller
 	clients   map[admission.ID]*client
 	nextID    admission.ID
@@ -68,13 +68,13 @@
 	return d, d.spare.take()
 }
 
-// leavingDescriptors is how many descriptors are for clients on their way out.
+// leavingDescriptors is how many descriptors are for connections that are closing.
 func (d *acceptor) leavingDescriptors() int {
 	most, _ := d.router.descriptors.Clients()
 	return min(max(most/leavingShare, minLeaving), maxLeaving)
 }
 
-// capacity is how many clients may be held.
+// capacity is how many clients may be connected.
 func (d *acceptor) capacity() int {
 	most, _ := d.router.descriptors.Clients()
 	return most - d.leavingDescriptors()
@@ -84,13 +84,13 @@
 	return a.Limits(d.capacity(), d.maxRetryAfter)
 }
 
-// shrink makes room for fewer clients, as the system grants fewer descriptors than
-// the router was told of.
+// shrink lowers the client limit, as the system grants fewer descriptors than
+// its limit promised.
 func (d *acceptor) shrink() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if now.Sub(d.shrunkAt) < sweepInterval { // what is being closed has to take effect first
+	if now.Sub(d.shrunkAt) < sweepInterval { // the evictions under way have to take effect first
 		return
 	}
 	d.shrunkAt = now
@@ -100,13 +100,13 @@
 	slog.Warn("no descriptor left", "clients", used, "room", n)
 }
 
-// regrow finds out whether there are descriptors again; the lock is held.
+// regrow checks whether descriptors are available again; the lock is held.
 func (d *acceptor) regrow(now time.Time) {
 	if d.shrunkAt.IsZero() || now.Sub(d.shrunkAt) < regrowAfter {
 		return
 	}
 	was, _ := d.router.descriptors.Clients()
-	if d.router.descriptors.LimitClients(was+1) == was { // all that was told of
+	if d.router.descriptors.LimitClients(was+1) == was { // all that the limit promised
 		d.shrunkAt = time.Time{}
 	}
 	d.admission.SetCapacity(d.capacity())
@@ -123,11 +123,11 @@
 	return nil
 }
 
-// accept takes clients in until the listener closes.
+// accept accepts clients until the listener closes.
 func (d *acceptor) accept(ln net.Listener) error {
 	defer d.spare.give()
 	for n := 1; ; n++ {
-		for !d.router.descriptors.Accept() { // those on their way out hold the rest
+		for !d.router.descriptors.Accept() { // connections that are closing hold the rest
 			if d.router.clients.endLingering() || !d.lingering.closeOldest() {
 				select {
 				case <-d.router.descriptors.Left():
@@ -157,7 +157,7 @@
 	}
 }
 
-// admit asks whether a connection is taken, and does what is said.
+// admit lets admission decide about a connection, and carries the decision out.
 func (d *acceptor) admit(conn net.Conn) {
 	addr := remoteAddress(conn)
 	d.mu.Lock()
@@ -181,7 +181,7 @@
 	d.router.clients.serving.Go(c.run)
 }
 
-// sessionStarted tells the gate what a startup message says.
+// sessionStarted passes a startup message's settings to admission.
 func (d *acceptor) sessionStarted(c *client) error {
 	who := admission.Identity{User: c.identity.User, Database: c.identity.Database, Application: c.identity.Application}
 	d.mu.Lock()
@@ -189,15 +189,15 @@
 	return d.verdict(c, d.admission.Start(c.admissionID, who, d.router.clock.now()))
 }
 
-// queryArrived tells the gate that a client has sent a query, which may not be taken.
+// queryArrived tells admission that a client has sent a query, which may be rejected.
 func (d *acceptor) queryArrived(c *client) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.verdict(c, d.admission.Request(c.admissionID, d.router.clock.now()))
 }
 
-// verdict is a refusal as the reader's error. One that was told to close hears it
-// too, as a message of its has been read by now.
+// verdict returns a rejection as the reader's error. A client that is being evicted
+// receives it too, as a message of its has been read by now.
 func (d *acceptor) verdict(c *client, v admission.Verdict) error {
 	if v.Reason == admission.None {
 		return nil
@@ -218,7 +218,7 @@
 	delete(d.clients, c.admissionID)
 }
 
-// evicted is a client that is to be put out, and the word for it.
+// evicted is a client to be evicted, and the error that it receives.
 type evicted struct {
 	*client
 	rejection *rejection
@@ -247,7 +247,7 @@
 	}
 }
 
-// run sweeps and tells what was refused, until the context ends.
+// run sweeps and logs rejections until the context ends.
 func (d *acceptor) run(ctx context.Context) {
 	defer d.lingering.closeAll()
 	sweep, tick, tell := time.NewTicker(acceptorSweepInterval), time.NewTicker(lingerInterval), time.NewTicker(logInterval)
@@ -282,7 +282,7 @@
 	}
 }
 
-// logRejections logs how many were turned away since it last did.
+// logRejections logs how many clients were rejected since it last did.
 func (d *acceptor) logRejections() {
 	d.mu.Lock()
 	counts, tight := d.admission.Counts(), d.admission.UnderPressure()
@@ -300,7 +300,7 @@
 	}
 }
 
-// memoryUse is how much of its memory the router uses, as a share.
+// memoryUse returns the used share of the router's memory limit.
 func (d *acceptor) memoryUse() float64 {
 	s := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(s)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -13,7 +13,7 @@
 	"lotushook/policy/clock"
 )
 
-// retryTripShare: one part in so many of an idempotency window is left for a retry's way to the data server.
+// retryTripShare: one part in so many of an idempotency window is reserved for a retry's way to the data server.
 const retryTripShare = 8
 
 // attempt makes one attempt; there is never another while it is open. It returns the final answer if that ends the request.
@@ -42,8 +42,8 @@
 	return nil, false
 }
 
-// awaitAttempt waits for an attempt's end: its answer, its time, the module's cancel, or the client's leaving, which the
-// module is told at once.
+// awaitAttempt waits for an attempt's end: its answer, its deadline, the module's cancel, or the client's leaving, which is
+// reported to the module at once.
 func (r *request) awaitAttempt(started *backend.Attempt, action balance.Action) backend.Result {
 	late := time.NewTimer(time.Until(r.router.clock.at(action.AttemptDeadline)))
 	defer late.Stop()
@@ -89,7 +89,7 @@
 	r.report(event)
 }
 
-// shareOutcome tells the other routers what an attempt has shown.
+// shareOutcome replicates what an attempt has shown to the peers.
 func (r *request) shareOutcome(endpoint balance.EndpointID, result *backend.Result) {
 	r.router.membership.learnFrom(r.Cluster, endpoint, result)
 	if !r.router.config.Settings.IsWrite(r.Class) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// recordAttempt counts an attempt that has ended, and keeps it for the access log.
+// recordAttempt counts an attempt that has ended, and keeps it for the attempt log.
 func (r *request) recordAttempt(action balance.Action, startedAt clock.Nanos, result *backend.Result) {
 	if r.router.metrics == nil && !r.router.accessLog.wanted() {
 		return
@@ -122,15 +122,15 @@
 	}
 }
 
-// isStillWanted says whether the query may still go out, right before its first byte does: it is asked on any goroutine,
-// and waits for nothing.
+// isStillWanted says whether the query may still be sent, right before its first byte is: it is called on any goroutine,
+// and does not block.
 func (r *request) isStillWanted() bool {
 	return !r.clientGone() && !r.isCanceled() && !r.router.shutdown.isOver() && r.router.clock.now() < r.lastRetryAt()
 }
 
-// lastRetryAt is when a query may go out at the latest that may have run before. Repeats are dropped for a while that
-// counts from the first attempt; the decision module holds to it when it decides on one, and a dial may take longer than
-// what is left.
+// lastRetryAt is the last time at which a query may be sent that may have run before. Servers drop duplicates for a window
+// that starts with the first attempt; the decision module respects it when it decides on a retry, and a dial may take longer
+// than what is left of it.
 func (r *request) lastRetryAt() clock.Nanos {
 	settings := r.router.config.Settings
 	class := settings.Class(r.Class)
@@ -141,7 +141,7 @@
 	return r.firstRunAt + window - window/retryTripShare
 }
 
-// writeQuery writes the query as it goes to a data server now.
+// writeQuery writes the query in the form that data servers read, with the deadline that is left.
 func (r *request) writeQuery(w io.Writer) error {
 	return r.WriteQuery(w, time.Until(r.router.clock.at(r.deadline)))
 }
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -19,14 +19,14 @@
 	"lotushook/policy/cursor"
 )
 
-// changefeedService is the part that answers classes of feeds. Their requests don't reach the module; what it reads at data servers does, as
-// requests of the same class, so that counts of what is pending, cold servers' budgets and limits hold for it.
+// changefeedService answers the requests of feed classes. They don't reach the decision module; the reads that it makes at data servers
+// do, as requests of the same class, so that pending counts, slow start and limits apply to them.
 type changefeedService struct {
 	router         *Router
 	settings       *siteconfig.Feeds
 	feeds          *changefeed.Feeds
 	requestCount   atomic.Uint64
-	internalClient *client // whom the router's own requests are for
+	internalClient *client // the client of the router's own requests
 }
 
 func newChangefeedService(r *Router, own *siteconfig.Feeds) (*changefeedService, error) {
@@ -53,7 +53,7 @@
 	return f, nil
 }
 
-// answer is a subscriber's. Its connection's reader set the seat before any of its tasks began.
+// answer answers a subscriber. Its connection's reader set the seat before any of its tasks began.
 func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Subscription, came clock.Nanos) []byte {
 	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.identity, Left: c.left,
 		Until: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
@@ -77,7 +77,7 @@
 	return feedError(err)
 }
 
-// feedError is a refusal as clients hear it: the kind is the message's first word, the remedy its hint.
+// feedError is the error a client receives: the kind is the message's first word, the hint its HINT field.
 func feedError(err error) []byte {
 	code, wait, hint, kind := pgwire.CodeTooManyConnections, "", "", "failed"
 	var crowded *cursor.OverloadedError
@@ -97,7 +97,7 @@
 	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
 }
 
-// read asks a member through the module, as a client of the class would.
+// read reads from a member through the decision module, like a client of the class.
 func (f *changefeedService) read(ask changefeed.ReadRequest) changefeed.ReadResult {
 	now := f.router.clock.now()
 	var text strings.Builder
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -10,14 +10,14 @@
 // clientSet holds the clients that are connected. It is safe for concurrent use.
 type clientSet struct {
 	timeouts *clientTimeouts
-	serving  sync.WaitGroup // of the clients' goroutines
+	serving  sync.WaitGroup // the clients' goroutines
 
 	mu       sync.Mutex // guards what follows; a client's own lock is taken under it
 	all      map[*client]struct{}
-	draining bool // the router was told to stop
+	draining bool // the router is shutting down
 }
 
-// add counts a client among those that are connected, and returns how many are.
+// add adds a client, and returns how many are connected.
 func (s *clientSet) add(c *client) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +51,8 @@
 	return s.draining
 }
 
-// drain has the idle clients closed, and from now on each other one once it is answered. Who has just connected and not
-// queried yet is given a moment, which the sweep watches: whoever connects has something to ask.
+// drain closes the idle clients, and from now on each other one once it is answered. A client that has just connected and not
+// sent a query yet gets a moment, which the sweep limits: clients connect in order to query.
 func (s *clientSet) drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -60,7 +60,7 @@
 	s.expire(time.Now())
 }
 
-// expire ends what has taken too long.
+// expire closes what has exceeded its time limit.
 func (s *clientSet) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// sweep closes the clients that have been idle or silent too long, and ends the wait for messages that don't come to
-// their end, until the context ends.
+// sweep closes the clients that have been idle or silent too long, and ends the wait for messages that stay
+// incomplete, until the context ends.
 func (s *clientSet) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -84,7 +84,7 @@
 	}
 }
 
-// oldest returns the client of which something has held for longest; since says from when on, false if it does not hold.
+// oldest returns the client for which a condition has held longest; since returns its start, false if it does not hold.
 func (s *clientSet) oldest(since func(*client) (time.Time, bool)) *client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,9 +98,9 @@
 	return oldest
 }
 
-// evictIdle closes a client to make room for another: of those that have not queried yet the one that is connected
-// longest, and failing that the one that has been idle longest, if any may be closed by now; minSilence is the age from
-// which one that has not queried may. It says whether one is closing.
+// evictIdle closes a client to make room for another: of those without a query so far the one connected
+// longest, and otherwise the one idle longest, if any may be closed by now; minSilence is the age from
+// which one without a query may. It says whether one is closing.
 func (s *clientSet) evictIdle(now time.Time, minSilence time.Duration) bool {
 	closing := false
 	silent := s.oldest(func(c *client) (time.Time, bool) {
@@ -119,7 +119,7 @@
 	return evicted != nil || closing
 }
 
-// endLingering ends the lingering close that has gone on for longest, and says whether there was one.
+// endLingering ends the lingering close that has lasted longest, and says whether there was one.
 func (s *clientSet) endLingering() bool {
 	oldest := s.oldest((*client).lingeringState)
 	if oldest != nil {
--- a/internal/router/clientwriter.go
+++ b/internal/router/clientwriter.go
@@ -68,7 +68,7 @@
 	return before, mine, nil
 }
 
-// closeQuery counts a query as answered. Once the router is told to stop, a client that has nothing open is closed.
+// closeQuery counts a query as answered. During a shutdown, a client that has nothing open is closed.
 func (c *client) closeQuery() {
 	c.mu.Lock()
 	c.openQueries--
@@ -89,7 +89,7 @@
 	c.cancelable = slices.Delete(c.cancelable, 0, 1)
 }
 
-// write sends bytes to the client; whoever calls has the turn.
+// write sends bytes to the client; the caller has the turn to answer.
 func (c *client) write(message []byte) error {
 	if _, err := c.output.Write(message); err != nil {
 		return err
@@ -98,7 +98,7 @@
 		return err
 	}
 	_, err := c.output.WriteTo(c.conn)
-	if err != nil { // what is cut off can't go on
+	if err != nil { // a message that was cut off can't be continued
 		c.output.Discard(c.output.Len())
 		closeQuietly(c.conn)
 		c.closeWriteFailed.Do(func() { close(c.writeFailed) })
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -21,22 +21,22 @@
 const (
 	maxAccountLines = 200 // log lines a period; the rest are counted
 
-	// What a server says that it holds tells this router's part of the load. One
-	// is asked so often, by turns: some hundredths of a probe a request.
+	// The load that a server reports determines this router's share of its capacity.
+	// One endpoint is probed per interval, in turn: a few hundredths of a probe per request.
 	loadProbeInterval = 200 * time.Millisecond
 )
 
-// contractService carries the teams' contracts out. All but run and settings is the owner's
-// goroutine's.
+// contractService carries out the teams' contracts. All of it except run and settings belongs to the event loop's
+// goroutine.
 type contractService struct {
 	router        *Router
 	ledger        *contract.Ledger
-	openAttempts  map[balance.EndpointID]int   // this router's open attempts by node
-	groups        map[balance.EndpointID]int64 // of the listed nodes
+	openAttempts  map[balance.EndpointID]int   // this router's open attempts by endpoint
+	groups        map[balance.EndpointID]int64 // of the listed endpoints
 	responseTimes *accounting.Times
 	settings      *siteconfig.Accounts
-	shedding      *sheddingService          // who is shed before contracts are asked; nil: nobody
-	orderBuffer   []contract.BatchedRequest // to be used again
+	shedding      *sheddingService          // load shedding, applied before the contracts; nil: off
+	orderBuffer   []contract.BatchedRequest // reused
 	swapBuffer    []balance.Event
 }
 
@@ -53,7 +53,7 @@
 	return t, err
 }
 
-// contractSettings are contracts as they hold on this platform.
+// contractSettings are the contracts as applied on this platform.
 func (t *contractService) contractSettings(c *siteconfig.Contracts) (contract.Settings, error) {
 	b := &t.router.config.Settings.Balance
 	back := clock.Nanos(0)
@@ -67,7 +67,7 @@
 	return s, nil
 }
 
-// sheddingSettings are the lanes as they hold with other settings, which can't switch them on or off.
+// sheddingSettings returns the shedding settings that a reload brings; a reload can't switch shedding on or off.
 func (t *contractService) sheddingSettings(own *siteconfig.Config) (*shedding.Settings, error) {
 	if (own.Contracts.Shedding != nil) != (t.shedding != nil) {
 		return nil, errors.New("contracts: lanes can't be switched on or off in service")
@@ -78,7 +78,7 @@
 	return t.shedding.settingsFrom(own)
 }
 
-// reload puts contracts in force, and lanes with them.
+// reload puts new contracts in force, and new shedding settings with them.
 func (t *contractService) reload(s contract.Settings, l *shedding.Settings) error {
 	var err error
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
@@ -97,7 +97,7 @@
 	return err
 }
 
-// apply puts contracts in force; open requests stay with their teams by name.
+// apply puts new contracts in force; open requests stay with their teams by name.
 func (t *contractService) apply(s contract.Settings) error {
 	names := map[*request]string{}
 	for _, r := range t.router.loop.requests {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// observe notes what passes: which nodes there are, what ends there, and what they
-// say that they hold.
+// observe tracks the events that pass: which endpoints are listed, which attempts end, and which load the
+// endpoints report.
 func (t *contractService) observe(e *loopEvent) {
 	switch e.Kind {
 	case balance.EndpointSnapshot:
@@ -141,7 +141,7 @@
 	}
 }
 
-// admit lets a request that has come in go on, has it wait for its turn, or refuses
+// admit passes an incoming request on, queues it, or rejects
 // it at once.
 func (t *contractService) admit(e *loopEvent, now clock.Nanos) (taken, hold bool) {
 	r := e.request
@@ -174,7 +174,7 @@
 	return true, false
 }
 
-// rejectQueued ends the wait of one that has no turn.
+// rejectQueued ends the wait of a queued request.
 func (t *contractService) rejectQueued(turn contract.Turn) {
 	if r := t.router.loop.requests[turn.ID]; r != nil {
 		t.router.metrics.Add(metrics.RejectedByContract)
@@ -183,7 +183,7 @@
 	}
 }
 
-// releaseQueued lets those go on whose turn has come, and refuses those whose time is over.
+// releaseQueued passes on the requests whose turn has come, and rejects those whose deadline has passed.
 func (t *contractService) releaseQueued(now clock.Nanos) {
 	o := t.router.loop
 	for _, turn := range t.ledger.Due(now) {
@@ -201,7 +201,7 @@
 	}
 }
 
-// requestEnded tells the book of a request's end.
+// requestEnded records a request's end in the ledger.
 func (t *contractService) requestEnded(r *request, now clock.Nanos) {
 	end := r.end
 	end.Abandoned = end.Abandoned || !r.contractReason.Admitted()
@@ -214,8 +214,8 @@
 	}
 }
 
-// order puts the requests that came in one batch into the teams' turns. They stay
-// in the places that requests had, so that nothing else moves.
+// order sorts the requests that came in one batch into the teams' fair order. They stay
+// in the positions that requests had, so that no other event moves.
 func (t *contractService) order(batch []balance.Event, requests map[string]*request) {
 	t.orderBuffer = t.orderBuffer[:0]
 	for i := range batch {
@@ -241,7 +241,7 @@
 	clear(t.swapBuffer)
 }
 
-// rejectionFor names the team, the limit and its figure.
+// rejectionFor names the team, the limit and its value.
 func (t *contractService) rejectionFor(team int, r *request, v contract.Verdict) *rejectionReason {
 	name := t.ledger.Name(team)
 	figure := strconv.FormatFloat(v.Limit, 'g', 4, 64)
@@ -265,7 +265,7 @@
 	return &rejectionReason{v.Reason.String(), ""}
 }
 
-// answers are what is told at the accounts' socket.
+// answers are the commands of the accounts' socket.
 func (t *contractService) answers() admin.Answers {
 	a := admin.Answers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
 	if t.shedding != nil {
@@ -280,7 +280,7 @@
 	return a
 }
 
-// rows are the accounts as they stand.
+// rows returns the accounts' current state.
 func (t *contractService) rows(ctx context.Context) []accounting.Row {
 	var rows []accounting.Row
 	t.router.loop.do(ctx, func() {
@@ -303,7 +303,7 @@
 	return rows
 }
 
-// nextToProbe is the node to ask for its load after another: by number, round and round.
+// nextToProbe returns the endpoint to probe after another one, round-robin by ID.
 func (t *contractService) nextToProbe(after balance.EndpointID) (node balance.EndpointID, ok bool) {
 	least, found := balance.EndpointID(0), false
 	for n := range t.groups {
@@ -320,14 +320,14 @@
 	return node, ok
 }
 
-// run asks for loads, logs the accounts once a period, and lets them be read,
+// run probes loads, logs the accounts once a period, and serves them at the socket,
 // until the context ends.
 func (t *contractService) run(ctx context.Context) {
-	var asked, told <-chan time.Time
+	var probeTick, logTick <-chan time.Time
 	if b := &t.router.config.Settings.Balance; b.ProbesAllowed && b.Routers > 1 {
 		tick := time.NewTicker(loadProbeInterval)
 		defer tick.Stop()
-		asked = tick.C
+		probeTick = tick.C
 	}
 	if t.settings != nil && t.settings.Socket != "" {
 		stop, err := admin.Serve(ctx, t.settings.Socket, t.answers())
@@ -340,33 +340,33 @@
 	if t.settings != nil && t.settings.EveryS > 0 {
 		tick := time.NewTicker(time.Duration(t.settings.EveryS) * time.Second)
 		defer tick.Stop()
-		told = tick.C
+		logTick = tick.C
 	}
-	var shed <-chan time.Time
+	var sheddingTick <-chan time.Time
 	if t.shedding != nil {
 		tick := time.NewTicker(sheddingInterval)
 		defer tick.Stop()
-		shed = tick.C
+		sheddingTick = tick.C
 	}
 	before, node := map[[2]string]uint64{}, balance.EndpointID(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-probeTick:
 			found := false
 			if t.router.loop.do(ctx, func() { node, found = t.nextToProbe(node) }) && found {
 				t.router.probe(node)
 			}
-		case <-shed:
+		case <-sheddingTick:
 			t.router.loop.do(ctx, func() { t.shedding.tick(t.router.clock.now()) })
-		case <-told:
+		case <-logTick:
 			t.logAccounts(ctx, before)
 		}
 	}
 }
 
-// logAccounts logs the accounts of those that have asked since they were last told.
+// logAccounts logs the accounts that had requests since they were last logged.
 func (t *contractService) logAccounts(ctx context.Context, before map[[2]string]uint64) {
 	lines := 0
 	for _, row := range t.rows(ctx) {
--- a/internal/router/drainlistener.go
+++ b/internal/router/drainlistener.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	maxDrainAccept  = 300 * time.Millisecond // at most so long
-	drainAcceptWait = 20 * time.Millisecond  // nobody has come within this, and once more: nobody waits
+	maxDrainAccept  = 300 * time.Millisecond // the longest time to accept after stop
+	drainAcceptWait = 20 * time.Millisecond  // no connection within this time, twice in a row: none is waiting
 	drainEmptyWaits = 2
 )
 
-// drainListener is a listener that, told to stop, still hands out whom the machine has
-// accepted: closed at once, it would reset them, and their requests with them.
+// drainListener is a listener that, once stopped, still returns the connections that the kernel has
+// accepted: closing it at once would reset them, and their requests with them.
 type drainListener struct {
 	net.Listener
-	until atomic.Int64 // Unix time in ns; 0: it was not told to stop
+	until atomic.Int64 // Unix time in ns; 0: not stopped
 }
 
-// deadlineSetter is what a listener on a socket can do.
+// deadlineSetter is implemented by listeners on sockets.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// SetDeadline is the listener's own, where it has one.
+// SetDeadline calls the wrapped listener's, where it has one.
 func (l *drainListener) SetDeadline(t time.Time) error {
 	if tcp, ok := l.Listener.(deadlineSetter); ok {
 		return tcp.SetDeadline(t)
@@ -32,13 +32,13 @@
 	return nil
 }
 
-// stop makes Accept say net.ErrClosed as soon as nobody waits any more.
+// stop makes Accept return net.ErrClosed as soon as no connection is waiting.
 func (l *drainListener) stop() {
 	l.until.Store(time.Now().Add(maxDrainAccept).UnixNano())
 	_ = l.SetDeadline(pastDeadline)
 }
 
-// Accept is the listener's, until nobody waits any more.
+// Accept calls the wrapped listener's, until no connection is waiting.
 func (l *drainListener) Accept() (net.Conn, error) {
 	for waits := 0; ; {
 		until := l.until.Load()
@@ -54,7 +54,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return conn, err
 		case until != 0:
-			if time.Since(called) >= drainAcceptWait/2 { // or its time was over before it looked who is there
+			if time.Since(called) >= drainAcceptWait/2 { // or the deadline passed before it looked
 				waits++
 			}
 			if waits == drainEmptyWaits {
--- a/internal/router/eventloop.go
+++ b/internal/router/eventloop.go
@@ -15,35 +15,35 @@
 const (
 	eventQueueSize   = 4096
 	maxLogLines      = 500                   // of the module's own log
-	turnInterval     = 10 * time.Millisecond // while requests wait for their turns
-	queryMemoryShare = 3                     // one part in so many of the memory is for held statements: buffers and answers need the rest
+	queueInterval    = 10 * time.Millisecond // while requests wait in their queues
+	queryMemoryShare = 3                     // one part in so many of the memory may hold query text: buffers and answers need the rest
 )
 
-// loopEvent is what the owner hears: an event for the module, with the request that
+// loopEvent is one message to the event loop: an event for the decision module with the request that
 // it concerns, or the end of a request.
 type loopEvent struct {
 	balance.Event
 	request        *request
 	mustSee        clock.Nanos // RequestIn: the position that the read must see
-	requestEnded   bool        // the request's task has ended; nothing of it comes after this
-	reportedActive int         // ProbeDone: what the node says that it holds, -1: nothing
+	requestEnded   bool        // the request's task has ended; no event of it follows
+	reportedActive int         // ProbeDone: the number of active requests that the endpoint reports; -1: none reported
 }
 
-// eventLoop is the one goroutine that holds the module. It drains the queued events
-// into one step and hands the actions on; it never waits for a socket.
+// eventLoop is the one goroutine that owns the decision module. It drains the queued events
+// into one step and carries out the actions; it never waits for a socket.
 type eventLoop struct {
 	balancer          *balance.Balancer
 	router            *Router
 	events            chan loopEvent
 	requests          map[string]*request // from RequestIn to the end of the task
-	queryBytes        int                 // bytes of their statements
+	queryBytes        int                 // total size of their queries
 	maxQueryBytesHeld int                 // the most bytes that may be held
 	timers            timers
 	batch             []balance.Event
 	endedRequests     []*request // tasks that ended in this batch
 	requestCount      int
 	logLines          int
-	contracts         *contractService // of the teams' contracts; nil: there are none
+	contracts         *contractService // the teams' contracts; nil: there are none
 	calls             chan func()
 }
 
@@ -52,7 +52,7 @@
 		maxQueryBytesHeld: int(r.config.Limits.MemoryMB << 20 / queryMemoryShare), calls: make(chan func())}
 }
 
-// do runs a function on the owner's goroutine and waits for it; it says false if
+// do runs a function on the event loop's goroutine and waits for it; it returns false if
 // the context ended first.
 func (o *eventLoop) do(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
@@ -81,7 +81,7 @@
 			o.handle(e)
 		case f := <-o.calls:
 			f()
-		case <-o.turnTimer():
+		case <-o.queueTimer():
 		case <-o.router.recovery.tickTimer():
 			o.router.recovery.tick()
 		case <-wake.C:
@@ -93,7 +93,7 @@
 	}
 }
 
-// handle puts an event into the batch, unless it is not the module's business.
+// handle puts an event into the batch, unless the decision module must not see it.
 func (o *eventLoop) handle(e loopEvent) {
 	if e.requestEnded {
 		if o.requests[e.request.ID] == e.request {
@@ -106,10 +106,10 @@
 	}
 	switch e.Kind {
 	case balance.RequestAbandoned:
-		if o.requests[e.Request] != e.request { // a second one of a live id: the module knows only the first
+		if o.requests[e.Request] != e.request { // a second request under a live ID: the module knows only the first
 			return
 		}
-		if o.contracts != nil && o.contracts.ledger.Abandon(e.Request) { // it does not know this one yet
+		if o.contracts != nil && o.contracts.ledger.Abandon(e.Request) { // still queued: the module has not seen it yet
 			return
 		}
 	case balance.AttemptEnded:
@@ -119,7 +119,7 @@
 		o.router.metrics.Add(metrics.Requests)
 		if o.requests[e.Request] != nil {
 			o.router.metrics.Add(metrics.DuplicateID)
-			e.request.deliver(balance.Action{Kind: balance.FailRequest}) // the module ignores a live id
+			e.request.deliver(balance.Action{Kind: balance.FailRequest}) // the module ignores an ID that is live
 			return
 		}
 		if len(o.requests) >= o.router.config.Settings.Balance.MaxQueued || o.queryBytes+e.request.Size() > o.maxQueryBytesHeld {
@@ -155,7 +155,7 @@
 	o.batch = append(o.batch, e.Event)
 }
 
-// retryAfter is when a client may come again that the router itself turns away.
+// retryAfter returns the Retry-After time of a request that the router itself rejects.
 func (o *eventLoop) retryAfter(class int) clock.Nanos {
 	set := &o.router.config.Settings.Balance
 	if !set.RetryAfterAllowed || class < 0 {
@@ -164,12 +164,12 @@
 	return min(set.Classes[class].LatencyObjective, set.MaxRetryAfter)
 }
 
-// turnTimer wakes the owner while requests wait for their turns.
-func (o *eventLoop) turnTimer() <-chan time.Time {
+// queueTimer wakes the event loop while requests wait in the contracts' queues.
+func (o *eventLoop) queueTimer() <-chan time.Time {
 	if o.contracts == nil || o.contracts.ledger.QueuedCount() == 0 {
 		return nil
 	}
-	return time.After(turnInterval)
+	return time.After(queueInterval)
 }
 
 func (o *eventLoop) step() {
@@ -197,23 +197,23 @@
 	}
 	acts := o.balancer.Step(now, o.batch)
 	clear(o.batch)
-	o.batch = o.batch[:0] // what is skipped goes into the next one, at once
+	o.batch = o.batch[:0] // events that were skipped go into the next batch at once
 	for _, a := range acts {
 		o.carryOut(a)
 	}
 	o.removeEnded()
 }
 
-// reportNotSent tells the module that an attempt was not made: the one outcome that it does not hold against the node, and after
-// which it ends the request at once. Refused or Busy would have it take the node for gone, or full.
+// reportNotSent tells the module that an attempt was not made: the one outcome that it does not count against the endpoint, and
+// after which it ends the request at once. Refused or Busy would make it treat the endpoint as gone, or as full.
 func (o *eventLoop) reportNotSent(r *request, a *balance.Action) {
 	o.batch = append(o.batch, balance.Event{Kind: balance.AttemptEnded, Request: r.ID, Attempt: r.endsReported, Endpoint: a.Endpoint, Outcome: balance.NotSent})
 	r.attemptsSent, r.endsReported = r.attemptsSent+1, r.endsReported+1
 }
 
-// removeEnded drops the requests whose tasks have ended. A send that crossed the
-// task's end was never made: the module must hear so, or it would count the
-// attempt as pending for good.
+// removeEnded drops the requests whose tasks have ended. A send action that arrived after the
+// task's end was not carried out: the module must be notified, or it would count the
+// attempt as pending forever.
 func (o *eventLoop) removeEnded() {
 	for _, r := range o.endedRequests {
 		delete(o.requests, r.ID)
@@ -236,7 +236,7 @@
 	}
 }
 
-// carryOut hands one action on.
+// carryOut executes one action.
 func (o *eventLoop) carryOut(a balance.Action) {
 	o.router.metrics.CountAction(&a)
 	switch a.Kind {
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -34,24 +34,24 @@
 	maxPositionAge    = int64(300 * time.Millisecond)
 )
 
-// membershipService carries out what membership says. The owner never waits for it: it reads the part that is in force and when it
-// ends, as it stands.
+// membershipService connects the membership protocol to the router. The event loop never waits for it: it reads the quota share
+// in force and its expiry from the current view.
 type membershipService struct {
 	router           *Router
 	settings         *siteconfig.Members
 	detectorSettings membership.Settings
 	keys             [][]byte
 	peers            *peer.Peers             // from listen on
-	state            *peer.State             // what is shared of what routers learn; nil: nothing
-	suspects         chan balance.EndpointID // nodes that the module suspects, to be told
-	probes           bool                    // the module probes for positions: where it does, those that others heard answer for a probe
+	state            *peer.State             // the state that routers replicate to each other; nil: none
+	suspects         chan balance.EndpointID // endpoints that the module suspects, to be sent to the peers
+	probes           bool                    // the module probes for positions: where it does, positions that peers heard replace a probe
 	mu               sync.Mutex
-	givenPositions   map[balance.EndpointID]clock.Nanos // of those, the last of each node
-	persisted        *persistedState                    // the copy of that on disk; nil: there is none
+	givenPositions   map[balance.EndpointID]clock.Nanos // the last replicated position that was used, by endpoint
+	persisted        *persistedState                    // its copy on disk; nil: there is none
 	attemptLog       *attemptLog                        // nil: sends are not recorded
 	quota            atomic.Pointer[quotalease.Quota]
-	share            float64          // the owner's: what the module goes by
-	loggedView       *membership.View // of what was logged
+	share            float64          // the quota share that the module uses; belongs to the event loop
+	loggedView       *membership.View // the view that was last logged
 }
 
 func newMembershipService(r *Router, own *siteconfig.Members) (*membershipService, error) {
@@ -69,7 +69,7 @@
 		if b := &r.config.Settings.Balance; b.ProbesAllowed && b.ProbesReportPosition && b.LagHandling == balance.LagUnchecked {
 			m.probes, m.givenPositions = true, map[balance.EndpointID]clock.Nanos{}
 		} else {
-			set.MinLearnInterval *= 4 // nobody here reads positions
+			set.MinLearnInterval *= 4 // this router doesn't read positions
 		}
 		if m.state, err = peer.NewState(set, r.clock.now); err != nil {
 			return nil, err
@@ -91,7 +91,7 @@
 	return m, err
 }
 
-// listen opens the sockets, and the record of sends if there is one.
+// listen opens the sockets, and the attempt log if one is configured.
 func (m *membershipService) listen() error {
 	var err error
 	if m.settings.Sends != nil {
@@ -109,14 +109,14 @@
 	return nil
 }
 
-// restore reads the copy on disk, if there is one, and has it written until the context ends.
+// restore reads the copy on disk, if there is one, and keeps it written until the context ends.
 func (m *membershipService) restore(ctx context.Context, parts *sync.WaitGroup) {
 	if m.persisted != nil {
 		m.persisted.start(ctx, parts, m.state)
 	}
 }
 
-// run takes part until the context ends, and lets the members be read.
+// run takes part in the membership until the context ends, and serves the list of members.
 func (m *membershipService) run(ctx context.Context) {
 	if m.settings.Socket != "" && !m.router.controls(m.settings.Socket) {
 		stop, err := admin.Serve(ctx, m.settings.Socket, admin.Answers{"members": m.report})
@@ -134,13 +134,13 @@
 	m.peers.Run(ctx)
 }
 
-// ModeError is a class that a mode is given to and that is none of writes: the router does not start.
+// ModeError reports a replication mode given to a class that has no writes: the router does not start.
 type ModeError struct {
 	Class string
 	Known bool
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *ModeError) Error() string {
 	if e.Known {
 		return fmt.Sprintf("members: modes.classes.%s: no class of writes: not started", e.Class)
@@ -148,20 +148,20 @@
 	return fmt.Sprintf("members: modes.classes.%s: no class of that name: not started", e.Class)
 }
 
-// Kind is that of operr.Error.
+// Kind implements operr.Error.
 func (*ModeError) Kind() string { return "modes-class" }
 
-// Hint is that of operr.Error.
+// Hint implements operr.Error.
 func (e *ModeError) Hint() string {
 	return "name a class of writes that the configuration has, or take " + e.Class + " out of members.modes.classes"
 }
 
-// controls says whether accounts are read at a socket: the members can then be read there too.
+// controls says whether an admin socket is configured: the members can then be read there too.
 func (r *Router) controls(path string) bool {
 	return r.loop.contracts != nil && r.loop.contracts.settings != nil && r.loop.contracts.settings.Socket == path
 }
 
-// changed is called for each view that differs from the last, by membership's goroutine.
+// changed is called on the membership goroutine for each view that differs from the last.
 func (m *membershipService) changed(v *membership.View) {
 	force := v.Quota
 	m.quota.Store(&force)
@@ -170,8 +170,8 @@
 	m.loggedView = v
 }
 
-// committed notes that a session has written; the answer's commit is a position of its group's log. In mode "one" it returns
-// once another router has it too, or the time for that is over, or the client has left: on the request's own goroutine.
+// committed records a session's commit: its position in its group's log. In mode "one" it returns
+// once another router has it too, or the wait has timed out, or the client has left. It runs on the request's goroutine.
 func (m *membershipService) committed(r *request, at clock.Nanos) {
 	if m == nil || m.state == nil || r.Session == "" || at <= 0 {
 		return
@@ -186,8 +186,8 @@
 	}
 }
 
-// learnFrom feeds what an answer that was whole says of its server: how far it has applied the log, and whether it is the
-// primary. Each is learned anew at a pace only.
+// learnFrom learns from a complete answer how far its server has applied the log, and whether it is the
+// primary. Each is replicated at a limited rate.
 func (m *membershipService) learnFrom(group int64, node balance.EndpointID, res *backend.Result) {
 	if m == nil || m.state == nil || res.Outcome != balance.Succeeded || res.Position <= 0 {
 		return
@@ -202,14 +202,14 @@
 	}
 }
 
-// mayHaveRun notes that an attempt at a keyed write ended without a word of whether it ran.
+// mayHaveRun records that an attempt at a keyed write ended with an unknown outcome.
 func (m *membershipService) mayHaveRun(class, key string) {
 	if m != nil && m.state != nil && key != "" {
 		m.state.Learn(crdt.Entry{Kind: crdt.PendingWrite, A: class, B: key})
 	}
 }
 
-// suspected notes that the module suspects a node. The owner calls it: it waits for nothing, and what finds no room is lost.
+// suspected queues the module's suspicion of an endpoint. The event loop calls it: it does not block, and drops what finds no room.
 func (m *membershipService) suspected(node balance.EndpointID) {
 	if m == nil || m.state == nil {
 		return
@@ -220,7 +220,7 @@
 	}
 }
 
-// announceSuspects tells what was suspected, until the context ends.
+// announceSuspects sends the suspicions to the peers until the context ends.
 func (m *membershipService) announceSuspects(ctx context.Context) {
 	for {
 		select {
@@ -234,17 +234,17 @@
 	}
 }
 
-// position is how far a node had applied the log when another router heard it, if that is more than was given before and so
-// lately that a probe would tell hardly more; 0: there is no such word. A position never goes back for one start of a
-// server, so it is taken as it is; it says nothing of the server's health.
+// position returns how far an endpoint had applied the log when another router heard it, if that is newer than the last one used
+// and so recent that a probe would hardly add to it; 0: there is none. A position never goes back for one start of a
+// server, so it is used unchanged; it says nothing about the server's health.
 func (m *membershipService) position(node balance.EndpointID) (at clock.Nanos) {
 	if m == nil || !m.probes {
 		return 0
 	}
 	host, born := m.router.directory.StartOf(node)
 	m.state.Look(host, "", func(s *crdt.Store, now int64) {
-		if told, age, own := s.AppliedPosition(now, host, born); !own && age < maxPositionAge {
-			at = told
+		if reported, age, own := s.AppliedPosition(now, host, born); !own && age < maxPositionAge {
+			at = reported
 		}
 	})
 	m.mu.Lock()
@@ -253,25 +253,25 @@
 		return 0
 	}
 	if len(m.givenPositions) >= maxGivenPositions {
-		clear(m.givenPositions) // each may be given once more
+		clear(m.givenPositions) // each may be used once more
 	}
 	m.givenPositions[node] = at
 	return at
 }
 
-// evidenceFor is the evidence of a session's commit, for the record of sends.
+// evidenceFor returns the evidence of a session's commit, for the attempt log.
 func (m *membershipService) evidenceFor(group int64, session string, at clock.Nanos) positionEvidence {
 	if m == nil || m.attemptLog == nil {
 		return positionEvidence{}
 	}
 	f, e := m.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(group, 10), B: session})
 	if e.At != at {
-		f = trust.Fact{} // the client brought it, or what stands for sessions that were let go
+		f = trust.Fact{} // the client brought the position, or it stands for sessions that were evicted
 	}
 	return positionEvidence{at, f}
 }
 
-// commit is the position that a session's reads must see, as far as any router has seen it write; 0: none has.
+// commit returns the position that a session's reads must see: the latest commit that any router knows of; 0: none.
 func (m *membershipService) commit(group int64, session string) (at clock.Nanos) {
 	if m != nil && m.state != nil && session != "" {
 		name := strconv.FormatInt(group, 10)
@@ -280,7 +280,7 @@
 	return at
 }
 
-// leave tells the others that this router stops.
+// leave tells the peers that this router stops.
 func (m *membershipService) leave() {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
@@ -295,8 +295,8 @@
 	return peer.ReadKeys(own.KeyFile)
 }
 
-// quotaChange is the event that puts another part in force, if it is another one by now. A part that was not renewed in
-// time ends by itself: nobody may have looked meanwhile.
+// quotaChange returns the event that puts another quota share in force, if it has changed. A share that was not renewed in
+// time expires by itself, even if no view has come since.
 func (m *membershipService) quotaChange(now clock.Nanos) (balance.Event, bool) {
 	f := m.quota.Load()
 	share := f.Share
@@ -310,7 +310,7 @@
 	return balance.Event{Kind: balance.QuotaShareChanged, Share: share}, true
 }
 
-// report are what operators read.
+// report is the part of the operators' report about the members.
 func (m *membershipService) report(ctx context.Context) any {
 	out := struct {
 		peer.Report
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -9,7 +9,7 @@
 	"lotushook/policy/recovery"
 )
 
-// findPosition tells the module how far a node is that it asks for: by what another router heard of it just now, or by a probe.
+// findPosition tells the module the position of an endpoint: the one a peer has just replicated, or a probe's.
 func (r *Router) findPosition(node balance.EndpointID) {
 	if at := r.membership.position(node); at > 0 {
 		r.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: balance.NotSent, Position: at}, reportedActive: -1}
@@ -18,7 +18,7 @@
 	r.probe(node)
 }
 
-// probe asks a node for its report and tells the module.
+// probe fetches an endpoint's report and passes it to the module.
 func (r *Router) probe(node balance.EndpointID) {
 	wait, ok := r.recovery.allow(recovery.Probe, time.Second)
 	if !ok {
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -13,22 +13,22 @@
 	"lotushook/policy/recovery"
 )
 
-// tickEvery is how often a router that does not serve yet looks whether it is further.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is how often a router that does not serve yet checks its recovery stage.
+const tickInterval = 100 * time.Millisecond
 
-// recoveryGate carries out what recovery says. Several goroutines ask it; its lock is held for no longer than a decision takes.
-// A nil one allows everything at once.
+// recoveryGate applies the recovery decisions. Several goroutines use it; its lock is held for no longer than a decision takes.
+// A nil gate allows everything at once.
 type recoveryGate struct {
 	router *Router
 
 	mu       sync.Mutex
 	decision *recovery.Recovery
-	stage    recovery.Stage // that was logged
+	stage    recovery.Stage // the stage that was last logged
 }
 
 func newRecoveryGate(r *Router, own *siteconfig.Recovery) (*recoveryGate, error) {
 	s := own.Decision(r.config.Name, uint64(r.clock.unix), r.config.Settings.Balance.Routers)
-	s.SeesPeers = r.membership != nil // and nobody says yet when a router has been fed: a list ends Empty
+	s.SeesPeers = r.membership != nil // without peers nothing can say that the replicated state is complete: the wait ends as Empty
 	d, err := recovery.New(s, r.clock.now())
 	if err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	return c, nil
 }
 
-// update runs a function under the lock, and logs a stage that was reached.
+// update runs a function under the lock, and logs a new stage.
 func (c *recoveryGate) update(f func(d *recovery.Recovery, now clock.Nanos)) {
 	now := c.router.clock.now()
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// allow is asked before a dial, a probe or a list call that can wait for most.
+// allow is called before each dial, probe or list call; it returns how long that must wait.
 func (c *recoveryGate) allow(k recovery.Kind, most time.Duration) (wait time.Duration, ok bool) {
 	if c == nil {
 		return 0, true
@@ -67,7 +67,7 @@
 	return wait, ok
 }
 
-// allowSend says whether an attempt that the module wants goes to the wire.
+// allowSend says whether an attempt that the module wants may be sent.
 func (c *recoveryGate) allowSend(r *request, a *balance.Action) (ok bool) {
 	if c == nil {
 		return true
@@ -92,7 +92,7 @@
 	return ok
 }
 
-// attemptEnded notes how an attempt ended. Of one that was not sent, or that a node turned away at once, nothing is learned.
+// attemptEnded records how an attempt ended. Nothing is learned from one that was not sent, or that an endpoint rejected at once.
 func (c *recoveryGate) attemptEnded(r *request, o balance.Outcome) {
 	if c == nil {
 		return
@@ -106,10 +106,10 @@
 	})
 }
 
-// retryAfter is when a client may come again that is refused: as recovery spreads them, where settings tell a time at all.
+// retryAfter returns the Retry-After time of a rejected request: spread by the recovery decisions, where settings allow one.
 func (c *recoveryGate) retryAfter(r *request, wait clock.Nanos) clock.Nanos {
 	b := &c.router.config.Settings.Balance
-	if !b.RetryAfterAllowed || r.rejectionReason != nil { // a contract's refusal has a time of its own
+	if !b.RetryAfterAllowed || r.rejectionReason != nil { // a contract's rejection has a time of its own
 		return wait
 	}
 	c.update(func(d *recovery.Recovery, now clock.Nanos) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// peersSeen takes what membership believes.
+// peersSeen takes over which peers membership sees.
 func (c *recoveryGate) peersSeen(v *membership.View) {
 	if c == nil || v == nil {
 		return
@@ -137,7 +137,7 @@
 	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.PeersSeen(now, peers) })
 }
 
-// tickTimer wakes the owner while this router does not serve yet.
+// tickTimer wakes the event loop while this router does not serve yet.
 func (c *recoveryGate) tickTimer() <-chan time.Time {
 	if c == nil {
 		return nil
@@ -147,10 +147,10 @@
 	if c.stage == recovery.Serving {
 		return nil
 	}
-	return time.After(tickEvery)
+	return time.After(tickInterval)
 }
 
-// tick moves on with time.
+// tick advances the recovery's time.
 func (c *recoveryGate) tick() {
 	if m := c.router.membership; m != nil {
 		c.peersSeen(m.peers.View())
@@ -159,7 +159,7 @@
 	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.Tick(now) })
 }
 
-// report is what operators read.
+// report is the part of the operators' report about recovery.
 func (c *recoveryGate) report() *recovery.Report {
 	if c == nil {
 		return nil
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	sheddingInterval    = 50 * time.Millisecond // what others report comes into force so soon
-	sheddingLogInterval = time.Second           // a line for each group whose level moved to another lane, at most so often
+	sheddingInterval    = 50 * time.Millisecond // how soon the peers' reports come into force
+	sheddingLogInterval = time.Second           // one line at most for each group whose threshold moved to another priority class
 )
 
-// sheddingService carries out who is shed: all of it on the owner's goroutine, like the contracts' terms. What is told to the others
-// goes by what the routers share; nobody waits for them.
+// sheddingService applies load shedding. All of it belongs to the event loop's goroutine, like the contracts. Its reports to the
+// peers travel with the replicated state; nothing waits for them.
 type sheddingService struct {
 	router    *Router
 	settings  shedding.Settings
@@ -29,10 +29,10 @@
 	lastLines map[int64]thresholdLine
 }
 
-// thresholdLine is what the last line of a group said.
+// thresholdLine is the last line logged of a group.
 type thresholdLine struct {
-	at   clock.Nanos
-	lane string
+	at            clock.Nanos
+	priorityClass string
 }
 
 func newSheddingService(r *Router, own *siteconfig.Config) (*sheddingService, error) {
@@ -48,7 +48,7 @@
 	return l, nil
 }
 
-// settingsFrom are the lanes as they hold on this platform; nil: there are none.
+// settingsFrom returns the shedding settings as applied on this platform; nil: shedding is off.
 func (l *sheddingService) settingsFrom(own *siteconfig.Config) (*shedding.Settings, error) {
 	b := &l.router.config.Settings.Balance
 	back := clock.Nanos(0)
@@ -62,7 +62,7 @@
 	return s, nil
 }
 
-// admit says whether a request is taken; one that is shed is refused at once.
+// admit says whether a request is accepted; one that is shed is rejected at once.
 func (l *sheddingService) admit(r *request, team int, now clock.Nanos) bool {
 	set := l.router.config.Settings
 	terms := l.router.loop.contracts
@@ -92,12 +92,12 @@
 	return 0
 }
 
-// requestStarted notes a request that goes on, or waits for its turn.
+// requestStarted records a request that is passed on or queued.
 func (l *sheddingService) requestStarted(r *request) {
 	l.shedder.RequestStarted(r.Cluster, r.arrivedAt, l.latencyObjective(r.contractRequest.Class))
 }
 
-// requestEnded tells of a request's end.
+// requestEnded records a request's end.
 func (l *sheddingService) requestEnded(r *request, now clock.Nanos) {
 	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
 	if l.router.config.Settings.IsWrite(r.Class) && r.Session != "" {
@@ -106,7 +106,7 @@
 	l.shedder.RequestEnded(r.Cluster, r.sheddingVerdict.PriorityClass, r.Key, e, now)
 }
 
-// tick takes in what the others report, and tells them what this router would have.
+// tick takes in the peers' reports, and reports the threshold that this router would choose.
 func (l *sheddingService) tick(now clock.Nanos) {
 	m := l.router.membership
 	if !l.settings.Shared || m == nil || m.state == nil || m.peers == nil {
@@ -134,10 +134,10 @@
 	l.log(now)
 }
 
-// log writes a line when a group's level moves to another lane.
+// log writes a line when a group's threshold moves to another priority class.
 func (l *sheddingService) log(now clock.Nanos) {
 	for _, s := range l.shedder.States() {
-		if old := l.lastLines[s.Group]; s.PriorityClass != old.lane && now-old.at >= int64(sheddingLogInterval) {
+		if old := l.lastLines[s.Group]; s.PriorityClass != old.priorityClass && now-old.at >= int64(sheddingLogInterval) {
 			if len(l.lastLines) >= l.settings.MaxGroups {
 				clear(l.lastLines)
 			}
@@ -148,14 +148,14 @@
 	}
 }
 
-// Lanes is what operators read of the lanes.
+// Lanes is the operators' report of load shedding.
 type Lanes struct {
 	Groups []shedding.State `json:"groups"`
 	Lanes  []shedding.Count `json:"lanes"`
-	Full   uint64           `json:"full"` // requests that passed because their group found no room
+	Full   uint64           `json:"full"` // requests that passed because there was no room for their group
 }
 
-// report is as of now; for the owner's goroutine.
+// report returns the current state; it is called on the event loop's goroutine.
 func (l *sheddingService) report() *Lanes {
 	return &Lanes{l.shedder.States(), l.shedder.Counts(), l.shedder.Ungrouped()}
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// acceptAfterTerm is how long a router that is told to stop still takes new clients: the front goes on sending them
+	// acceptAfterTerm is how long a router still accepts clients after SIGTERM: the load balancer before it goes on sending them
 	// for a while.
 	acceptAfterTerm = 500 * time.Millisecond
-	// answerMargin before the moment from which on a router may be killed that was told to stop, whatever is open is
-	// ended, so that all of it is answered.
+	// A router may be killed some time after SIGTERM. All that is open is ended this much earlier,
+	// so that every request gets its answer.
 	answerMargin       = 300 * time.Millisecond
-	killAfterDeadline  = 700 * time.Millisecond // it may be killed after the longest deadline and so much more
+	killAfterDeadline  = 700 * time.Millisecond // it may be killed this long after the longest deadline
 	maxAwaitedDeadline = 3 * time.Second        // the longest deadline counts as at most this
 )
 
 // shutdownControl times the graceful shutdown. Its functions are replaced by tests before the router serves.
 type shutdownControl struct {
 	timeout    time.Duration           // for all that is open
-	acceptOver func() <-chan time.Time // when no new clients are taken any more
+	acceptOver func() <-chan time.Time // when no new clients are accepted any more
 	timeoutEnd func() <-chan time.Time // when timeout is over
 	over       chan struct{}           // closed then
-	deadline   atomic.Int64            // that moment on the clock, a little earlier; 0: the router was not told to stop
+	deadline   atomic.Int64            // that moment on the clock, a little earlier; 0: no shutdown
 }
 
 func newShutdownControl(classes []balance.Class) *shutdownControl {
@@ -37,7 +37,7 @@
 	return s
 }
 
-// shutdownTimeout is how long after being told to stop a router may take for what is open.
+// shutdownTimeout is how long after SIGTERM a router may take for all that is open.
 func shutdownTimeout(classes []balance.Class) time.Duration {
 	var longest time.Duration
 	for i := range classes {
@@ -51,7 +51,7 @@
 	s.deadline.Store(now + int64(s.timeout-deadlineMargin))
 }
 
-// limit is a request's deadline, or the moment by which a router that was told to stop has to have its answer.
+// limit is a request's deadline, or the moment by which a router that shuts down must have its answer.
 func (s *shutdownControl) limit(deadline clock.Nanos) clock.Nanos {
 	if last := s.deadline.Load(); last != 0 {
 		return min(deadline, last)
@@ -86,5 +86,5 @@
 	}
 }
 
-// closeQuietly closes what nobody wants to hear of any more: an error says only that it has ended already.
+// closeQuietly closes what no goroutine uses any more: an error only means that it was closed already.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
