--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -106,7 +106,7 @@
 				team, who = "", ""
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%v\t%d\t%v\t%v\t%s\n", team, who, n, t.Classes[n].PerS, t.Classes[n].Burst,
-				t.PrimaryShare, t.Open, t.RetryShare, t.Worth, strings.Join(hours, ", "))
+				t.PrimaryShare, t.Open, t.RetryShare, t.Weight, strings.Join(hours, ", "))
 		}
 	}
 	if conf.None == "" {
--- a/cmd/routerctl/main.go
+++ b/cmd/routerctl/main.go
@@ -126,13 +126,13 @@
 	fmt.Printf("%-58s %12s %14s\n", "check", "value", "bound")
 	for _, j := range res.Checks {
 		word := "held"
-		if !j.Held {
+		if !j.Passed {
 			word = "NOT HELD " + j.Note
 		}
 		fmt.Printf("%-58s %12.4g %4s %9.4g %s\n", j.Name, j.Value, j.Relation, j.Bound, word)
 	}
 	fmt.Println("report:", filepath.Join(dir, "report.md"))
-	if !res.Held {
+	if !res.Passed {
 		return errors.New("not all checks held")
 	}
 	return nil
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	readers  = 4 // at a time; one more waits
-	longest  = 64
-	wordFor  = time.Second // a reader says its word in so long
-	writeFor = 5 * time.Second
+	readers     = 4 // at a time; one more waits
+	longest     = 64
+	readTimeout = time.Second // a reader says its word in so long
+	writeFor    = 5 * time.Second
 )
 
 // Answers are by word. They are called from goroutines of their own.
@@ -68,7 +68,7 @@
 			all.Go(func() {
 				defer func() { <-slots }()
 				defer conn.Close()
-				conn.SetDeadline(time.Now().Add(wordFor))
+				conn.SetDeadline(time.Now().Add(readTimeout))
 				word, err := bufio.NewReader(io.LimitReader(conn, longest)).ReadString('\n')
 				if err != nil {
 					return
--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -153,7 +153,7 @@
 			l.mu.Unlock()
 			b := &Batch{Events: events(list), Next: Place{After: next.At, History: next.String()}, Began: row == cursor.Begin}
 			if row == cursor.Rewind {
-				b.Rewound = &Rewound{History: v.Back.String(), From: v.Back.At, To: v.Start.At}
+				b.Rewound = &Rewound{History: v.Stale.String(), From: v.Stale.At, To: v.Start.At}
 			}
 			if !more {
 				b.AgainMS = l.set.PollInterval / 1e6
@@ -163,7 +163,7 @@
 			case row == cursor.Begin:
 				kept.Acked = cursor.NotAcknowledged
 			case row == cursor.Rewind && !carries: // until it is known to have heard it, it is told again
-				if kept.Position, kept.Acked = v.Back, min(known.Acked, v.Back.At); known.Gen == 0 {
+				if kept.Position, kept.Acked = v.Stale, min(known.Acked, v.Stale.At); known.Gen == 0 {
 					kept.Acked = cursor.NotAcknowledged
 				}
 			}
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -35,12 +35,12 @@
 
 // ReadRequest is one reading: what follows a point, or the last events where it has no history.
 type ReadRequest struct {
-	Class string
-	Group int64
-	After cursor.Position
-	Most  int
-	Until int64
-	Who   contract.Identity // the first of those it is for
+	Class     string
+	Group     int64
+	After     cursor.Position
+	MaxEvents int
+	Until     int64
+	Who       contract.Identity // the first of those it is for
 }
 
 // ReadResult is what came of it: a value, or an error and a time to come again where one was told.
@@ -97,8 +97,8 @@
 
 // shard is some of the subscribers' cursors under a lock of its own.
 type shard struct {
-	mu   sync.Mutex
-	book *cursor.Registry
+	mu       sync.Mutex
+	registry *cursor.Registry
 }
 
 // do has a function look at the cursors of a key's shard. It must wait for nothing.
@@ -106,7 +106,7 @@
 	s := &p.shards[maphash.String(p.seed, key)%shards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.book)
+	f(s.registry)
 }
 
 type name struct {
@@ -134,7 +134,7 @@
 	}
 	p := &Feeds{opt: o, seed: maphash.MakeSeed()}
 	for i := range p.shards {
-		p.shards[i].book = cursor.NewRegistry(o.Self, (o.Settings.MaxCursors+shards-1)/shards)
+		p.shards[i].registry = cursor.NewRegistry(o.Self, (o.Settings.MaxCursors+shards-1)/shards)
 	}
 	p.pace.Limiter = cursor.NewLimiter(&o.Settings, o.Now())
 	p.logs.by = map[name]*log{}
@@ -173,7 +173,7 @@
 func (p *Feeds) cursors() (n int) {
 	for i := range p.shards {
 		p.shards[i].mu.Lock()
-		n += p.shards[i].book.Size()
+		n += p.shards[i].registry.Size()
 		p.shards[i].mu.Unlock()
 	}
 	return n
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -40,11 +40,11 @@
 	out := &cursor.Response{Line: m.line, From: a.After.At}
 	if end, on := m.line.End(a.After.History); on {
 		out.From = min(a.After.At, end)
-	} else if n := len(m.events) - a.Most; n > 0 {
+	} else if n := len(m.events) - a.MaxEvents; n > 0 {
 		out.From = m.events[n-1].At
 	}
 	for _, e := range m.events {
-		if out.Head = e.At; e.At > out.From && len(out.Events) < a.Most {
+		if out.Head = e.At; e.At > out.From && len(out.Events) < a.MaxEvents {
 			out.Events = append(out.Events, e)
 		}
 	}
--- a/internal/changefeed/reading.go
+++ b/internal/changefeed/reading.go
@@ -43,7 +43,7 @@
 	if end {
 		most = max(most, l.set.RingEvents/4)
 	}
-	ask := ReadRequest{Class: l.class, Group: l.group, After: after, Most: most, Until: p.opt.Now() + int64(p.opt.ReadFor), Who: who}
+	ask := ReadRequest{Class: l.class, Group: l.group, After: after, MaxEvents: most, Until: p.opt.Now() + int64(p.opt.ReadFor), Who: who}
 	p.readings.Go(func() {
 		got := p.opt.Read(ask)
 		r.err, r.wait = got.Err, got.Wait
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -15,14 +15,14 @@
 // ErrMalformed is wrapped by all that is wrong with a member's answer.
 var ErrMalformed = errors.New("member's log")
 
-// told is a member's answer as it travels: one value.
-type told struct {
-	Line   []history `json:"line"`
-	Gone   int64     `json:"gone"`
-	Head   int64     `json:"head"`
-	From   int64     `json:"from"`
-	Events []event   `json:"events"`
-	More   bool      `json:"more,omitempty"`
+// memberAnswer is a member's answer as it travels: one value.
+type memberAnswer struct {
+	Line          []history `json:"line"`
+	RemovedBefore int64     `json:"gone"`
+	Head          int64     `json:"head"`
+	From          int64     `json:"from"`
+	Events        []event   `json:"events"`
+	More          bool      `json:"more,omitempty"`
 }
 
 type history struct {
@@ -37,7 +37,7 @@
 
 // AppendAnswer writes what a member says.
 func AppendAnswer(a *cursor.Response) ([]byte, error) {
-	t := told{Gone: a.TruncatedUpTo, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
+	t := memberAnswer{RemovedBefore: a.TruncatedUpTo, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
 	for _, f := range a.Line {
 		t.Line = append(t.Line, history{f.String(), f.From})
 	}
@@ -46,11 +46,11 @@
 
 // ParseAnswer reads it, and refuses what can't be right.
 func ParseAnswer(raw []byte) (*cursor.Response, error) {
-	var t told
+	var t memberAnswer
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	a := &cursor.Response{TruncatedUpTo: t.Gone, Head: t.Head, From: t.From, More: t.More}
+	a := &cursor.Response{TruncatedUpTo: t.RemovedBefore, Head: t.Head, From: t.From, More: t.More}
 	for _, h := range t.Line {
 		one, err := cursor.ParseHistory(h.Name)
 		if err != nil {
--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -39,7 +39,7 @@
 
 // put lists a server.
 func (a *Agent) put(s *Server, health string) {
-	h := host{Host: s.Name, Dial: s.Addr(), Site: s.Hall, Class: "std-4", Block: s.group.number, Health: health, Share: 1}
+	h := host{Host: s.Name, Dial: s.Addr(), Site: s.Zone, Class: "std-4", Block: s.group.number, Health: health, Share: 1}
 	s.mu.Lock()
 	if !s.started.IsZero() {
 		h.BornMS = s.started.UnixMilli()
--- a/internal/emulator/feed.go
+++ b/internal/emulator/feed.go
@@ -52,7 +52,7 @@
 		return pos
 	}
 	h := s.history
-	pos = max(pos-g.back.Milliseconds(), h.from+1, h.last(1<<62)+1)
+	pos = max(pos-g.clockOffset.Milliseconds(), h.from+1, h.last(1<<62)+1)
 	h.events = append(h.events, cursor.Event{At: pos, Text: key})
 	return pos
 }
@@ -99,11 +99,11 @@
 	g.lose = events
 }
 
-// SetBack sets the primary's clock back: positions go on from the last one.
-func (g *Group) SetBack(by time.Duration) {
+// SetClockBack sets the primary's clock back: positions go on from the last one.
+func (g *Group) SetClockBack(by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.back = by
+	g.clockOffset = by
 }
 
 // Log is the primary's line and all of its events; nothing while there is no primary.
@@ -116,8 +116,8 @@
 	return g.primary.history.log(1 << 62)
 }
 
-// asked is how many events a statement wants: SELECT feed(64).
-func asked(r *pgwire.Request) int {
+// requestedEvents is how many events a statement wants: SELECT feed(64).
+func requestedEvents(r *pgwire.Request) int {
 	_, s, _ := strings.Cut(r.Statement(), "feed(")
 	n, _ := strconv.Atoi(strings.SplitN(s, ")", 2)[0])
 	return min(max(n, 1), 1000)
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -32,7 +32,7 @@
 	ColdShare       float64       // of its capacity that a server starts with
 	Ramp            time.Duration // until it has all
 	Takeover        time.Duration // from a primary's death to the next one
-	Halls           []string      // members are spread over them
+	Zones           []string      // members are spread over them
 	Retain          int           // events of a group's log that can be read; 0: there is no log
 	Classes         map[string]Class
 	Seed            uint64
@@ -47,7 +47,7 @@
 	Pos                 int64 // Unix ms: up to where the answer saw the log; a write's commit
 }
 
-const mostRan = 1 << 18
+const maxRecordedRuns = 1 << 18
 
 func (g *Group) ranOne(r Ran) {
 	if !g.fleet.Record {
@@ -55,7 +55,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.ran) < mostRan {
+	if len(g.ran) < maxRecordedRuns {
 		g.ran = append(g.ran, r)
 	}
 }
@@ -78,33 +78,33 @@
 	agent   *Agent
 	rates   *Rates
 
-	mu      sync.Mutex
-	primary *Server // nil: none yet
-	vacant  bool    // nobody was up to follow it
-	keys    map[string]time.Time
-	wrote   map[string]int64  // the last commit of each session, Unix ms
-	open    map[string]*visit // by request id
-	audit   Audit
-	began   []Began // where Fleet.Note
-	ran     []Ran
-	rng     *rand.Rand
-	lose    int           // events, at the next take-over
-	back    time.Duration // that the clock was set back
+	mu          sync.Mutex
+	primary     *Server // nil: none yet
+	vacant      bool    // nobody was up to follow it
+	keys        map[string]time.Time
+	wrote       map[string]int64  // the last commit of each session, Unix ms
+	open        map[string]*visit // by request id
+	audit       Audit
+	began       []Began // where Fleet.Note
+	ran         []Ran
+	rng         *rand.Rand
+	lose        int           // events, at the next take-over
+	clockOffset time.Duration // that the clock was set back
 }
 
 // Audit is what the data servers of a group saw.
 type Audit struct {
-	Requests   int // that began
-	Writes     int // that ran
-	Dropped    int // repeats of a key
-	Doubled    int // that came while another attempt of theirs was open
-	Misses     int
-	TurnedAway int
-	Probes     int
-	OwnReads   int // session reads of a session that has written here
-	Stale      int // of these, answered as of before its last commit
-	FeedReads  int
-	Late       int // that came over 1 s after the list said that the server drains
+	Requests  int // that began
+	Writes    int // that ran
+	Dropped   int // repeats of a key
+	Doubled   int // that came while another attempt of theirs was open
+	Misses    int
+	Rejected  int
+	Probes    int
+	OwnReads  int // session reads of a session that has written here
+	Stale     int // of these, answered as of before its last commit
+	FeedReads int
+	Late      int // that came over 1 s after the list said that the server drains
 }
 
 func (a *Audit) add(b Audit) {
@@ -115,7 +115,7 @@
 	a.Misses += b.Misses
 	a.OwnReads += b.OwnReads
 	a.Stale += b.Stale
-	a.TurnedAway += b.TurnedAway
+	a.Rejected += b.Rejected
 	a.Probes += b.Probes
 	a.Late += b.Late
 	a.FeedReads += b.FeedReads
@@ -220,7 +220,7 @@
 	At    time.Time
 }
 
-const mostBegan = 1 << 20 // of a group
+const maxRecordedStarts = 1 << 20 // of a group
 
 // begin keeps one.
 func (g *Group) begin(id string) {
@@ -229,7 +229,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.began) < mostBegan {
+	if len(g.began) < maxRecordedStarts {
 		g.began = append(g.began, Began{id, g.number, time.Now()})
 	}
 }
@@ -295,15 +295,15 @@
 func (f *Fleet) Start() (*Running, error) {
 	r := &Running{Agent: newAgent(), Rates: &Rates{}}
 	r.Agent.lists = &r.Rates.Lists
-	if len(f.Halls) == 0 {
-		f.Halls = []string{"a"}
+	if len(f.Zones) == 0 {
+		f.Zones = []string{"a"}
 	}
 	for n := range f.Groups {
 		g := &Group{fleet: f, number: int64(n + 1), agent: r.Agent, rates: r.Rates, keys: map[string]time.Time{}, wrote: map[string]int64{}, open: map[string]*visit{},
 			rng: rand.New(rand.NewPCG(f.Seed, uint64(n)))}
 		r.Groups = append(r.Groups, g)
 		for m := range f.Members {
-			s := &Server{Name: fmt.Sprintf("s-%d-%d", n+1, m+1), Hall: f.Halls[(n+m)%len(f.Halls)], group: g,
+			s := &Server{Name: fmt.Sprintf("s-%d-%d", n+1, m+1), Zone: f.Zones[(n+m)%len(f.Zones)], group: g,
 				cores: make(chan struct{}, f.Cores)}
 			g.servers = append(g.servers, s)
 			if err := s.start("127.0.0.1:0", false); err != nil {
--- a/internal/emulator/rate.go
+++ b/internal/emulator/rate.go
@@ -14,7 +14,7 @@
 
 const (
 	ratePart = 100 * time.Millisecond
-	mostRate = 36_000
+	maxRate  = 36_000
 )
 
 func (r *Rate) add() {
@@ -24,7 +24,7 @@
 		r.start = time.Now()
 	}
 	i := int(time.Since(r.start) / ratePart)
-	for len(r.parts) <= i && i < mostRate {
+	for len(r.parts) <= i && i < maxRate {
 		r.parts = append(r.parts, 0)
 	}
 	if i < len(r.parts) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Most is the most that came in any second of a span, to a tenth of a second.
-func (r *Rate) Most(from, to time.Time) (most int) {
+// Max is the most that came in any second of a span, to a tenth of a second.
+func (r *Rate) Max(from, to time.Time) (most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.start.IsZero() {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -17,11 +17,11 @@
 
 // Server is one data server.
 type Server struct {
-	Name, Hall string
-	group      *Group
-	cores      chan struct{}
-	held       atomic.Int64 // in work and waiting
-	history    *history     // the log that it follows; the group's lock guards it
+	Name, Zone     string
+	group          *Group
+	cores          chan struct{}
+	activeRequests atomic.Int64 // in work and waiting
+	history        *history     // the log that it follows; the group's lock guards it
 
 	mu      sync.Mutex
 	ln      net.Listener
@@ -257,7 +257,7 @@
 		if s.group.isPrimary(s) {
 			pos, role = now.UnixMilli(), 1
 		}
-		return pgwire.AppendReady(row(fmt.Sprintf("x0=%d.%03d,x1=%d,inflight=%d", pos/1000, pos%1000, role, s.held.Load())))
+		return pgwire.AppendReady(row(fmt.Sprintf("x0=%d.%03d,x1=%d,inflight=%d", pos/1000, pos%1000, role, s.activeRequests.Load())))
 	case text == "SELECT 1":
 		s.group.count(func(a *Audit) { a.Probes++ })
 		return pgwire.AppendReady(row("1"))
@@ -277,7 +277,7 @@
 	if !known || r.Cluster != g.number {
 		return pgwire.AppendError(nil, "ERROR", "XX000", "not of this group", "")
 	}
-	v := &visit{gone: func() bool { return gone(conn) }}
+	v := &visit{gone: func() bool { return isClosed(conn) }}
 	g.enter(r.ID, v)
 	g.rates.Sends.add()
 	defer g.leave(r.ID, v)
@@ -291,12 +291,12 @@
 		g.ranOne(Ran{ID: r.ID, Session: r.Session, Server: s.Name, Write: class.Write, Missed: true})
 		return miss
 	}
-	if s.held.Add(1) > int64(g.fleet.Cores+g.fleet.Queue) {
-		s.held.Add(-1)
-		g.count(func(a *Audit) { a.TurnedAway++ })
+	if s.activeRequests.Add(1) > int64(g.fleet.Cores+g.fleet.Queue) {
+		s.activeRequests.Add(-1)
+		g.count(func(a *Audit) { a.Rejected++ })
 		return s.says(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "queue full", ""), 0)
 	}
-	defer s.held.Add(-1)
+	defer s.activeRequests.Add(-1)
 	s.cores <- struct{}{}
 	g.begin(r.ID)
 	if work := g.draw(class.Work); work > 0 {
@@ -304,7 +304,7 @@
 	}
 	<-s.cores
 	if class.Feed {
-		return s.readFeed(r, asked(r))
+		return s.readFeed(r, requestedEvents(r))
 	}
 	if !class.Write {
 		pos := s.position(time.Now())
@@ -363,8 +363,8 @@
 // row is an answer of one row with one column.
 func row(value string) []byte { return pgwire.AppendRow(nil, "body", value) }
 
-// gone says whether the other side has closed a connection.
-func gone(conn net.Conn) bool {
+// isClosed says whether the other side has closed a connection.
+func isClosed(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -96,7 +96,7 @@
 		kept := c.conn != nil
 		if !kept {
 			conn, err := c.dial(r, until)
-			var t *turned
+			var t *rejectedError
 			switch {
 			case errors.As(err, &t):
 				return t.answer
@@ -108,7 +108,7 @@
 			}
 			c.conn = conn
 		}
-		a, err := c.conn.ask(r.query(), until)
+		a, err := c.conn.query(r.query(), until)
 		switch {
 		case err != nil && kept && !errors.Is(err, os.ErrDeadlineExceeded) && a.outcome == lost:
 			c.hangUp()
@@ -159,13 +159,13 @@
 	if c.load.Lane == "" {
 		return
 	}
-	one := asked{id: r.id, lane: c.load.Lane, account: r.oid, group: r.group, router: c.router, at: at, end: time.Now(), outcome: a.outcome}
+	one := sheddingRequest{id: r.id, priorityClass: c.load.Lane, account: r.oid, group: r.group, router: c.router, at: at, end: time.Now(), outcome: a.outcome}
 	if a.outcome == refused {
-		one.shed = shedLane(a.text)
+		one.shed = shedClass(a.text)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.asked) < mostAsked {
+	if len(c.asked) < maxSheddingRequests {
 		c.asked = append(c.asked, one)
 	}
 }
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -69,7 +69,7 @@
 		case m.Kind == pgwire.ErrorResponse:
 			a := c.problem(m)
 			conn.Close()
-			return nil, &turned{a}
+			return nil, &rejectedError{a}
 		case m.Kind == pgwire.ReadyForQuery:
 			c.in.Discard(m.Size)
 			return c, nil
@@ -78,11 +78,11 @@
 	}
 }
 
-// turned is a connection that was turned away with a word.
-type turned struct{ answer }
+// rejectedError is a connection that was rejected with an error message.
+type rejectedError struct{ answer }
 
 // Error says what failed, and what was done instead where that is not plain.
-func (t *turned) Error() string { return "turned away: " + t.text }
+func (t *rejectedError) Error() string { return "turned away: " + t.text }
 
 func (c *client) next() (pgwire.Message, error) {
 	for {
@@ -118,8 +118,8 @@
 	return a
 }
 
-// ask sends a query and reads its answer to the end.
-func (c *client) ask(query []byte, until time.Time) (answer, error) {
+// query sends a query and reads its complete answer.
+func (c *client) query(query []byte, until time.Time) (answer, error) {
 	c.conn.SetDeadline(until)
 	if _, err := c.conn.Write(query); err != nil {
 		return answer{}, err
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -21,9 +21,9 @@
 	"lotushook/internal/siteconfig"
 )
 
-// fellows are the routers of one arm that know each other: their settings, the links between them, and what happened to
+// memberCluster are the routers of one arm that know each other: their settings, the links between them, and what happened to
 // each when. A nil one notes nothing.
-type fellows struct {
+type memberCluster struct {
 	net     *faultinject.Net
 	count   int
 	dir     string
@@ -56,8 +56,8 @@
 
 func routerName(n int) string { return fmt.Sprintf("n%d", n) }
 
-// newFellows gives each router a loopback address of its own and one that others must use, where the arm has members.
-func newFellows(e *Experiment, arm *Arm, dir string, seed uint64, run uint32) (f *fellows, err error) {
+// newMemberCluster gives each router a loopback address of its own and one that others must use, where the arm has members.
+func newMemberCluster(e *Experiment, arm *Arm, dir string, seed uint64, run uint32) (f *memberCluster, err error) {
 	raw := e.Routers.Members
 	if arm.Members != nil {
 		raw = arm.Members
@@ -65,7 +65,7 @@
 	if raw == nil || string(raw) == "null" {
 		return nil, nil
 	}
-	f = &fellows{net: faultinject.New(seed), count: e.Routers.Count, dir: dir, members: map[string]any{}, reports: map[int]peer.Report{}}
+	f = &memberCluster{net: faultinject.New(seed), count: e.Routers.Count, dir: dir, members: map[string]any{}, reports: map[int]peer.Report{}}
 	defer func() {
 		if err != nil {
 			f.net.Close()
@@ -126,7 +126,7 @@
 }
 
 // settings are one router's own, with its part "members".
-func (f *fellows) settings(own jsoniter.RawMessage, n int) (jsoniter.RawMessage, error) {
+func (f *memberCluster) settings(own jsoniter.RawMessage, n int) (jsoniter.RawMessage, error) {
 	all := map[string]any{}
 	if own != nil && string(own) != "null" {
 		if err := jsoniter.Unmarshal(own, &all); err != nil {
@@ -161,11 +161,11 @@
 }
 
 // socket is short: a folder of results may have a longer name than a socket may.
-func (f *fellows) socket(n int) string {
+func (f *memberCluster) socket(n int) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("lotushook-lab-%d-%s", f.net.Number(), routerName(n)))
 }
 
-func (f *fellows) note(router int, is condition) {
+func (f *memberCluster) note(router int, is condition) {
 	if f == nil {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // is says how a router was at a time, and since when.
-func (f *fellows) is(router int, at time.Time) (condition, time.Time) {
+func (f *memberCluster) is(router int, at time.Time) (condition, time.Time) {
 	now, since := stopped, time.Time{}
 	for _, t := range f.turns {
 		if t.router == router && !t.at.After(at) && t.is != now {
@@ -185,8 +185,8 @@
 	return now, since
 }
 
-// ask reads what each router that is up says of its messages.
-func (f *fellows) ask(routers []*process) {
+// requestViews reads what each router that is up says of its messages.
+func (f *memberCluster) requestViews(routers []*process) {
 	if f == nil {
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 // reach says whether what one router sends came to another at a time, directly or through others that were up.
-func (f *fellows) reach(from, to int, at time.Time, cuts []faultinject.Event) bool {
+func (f *memberCluster) reach(from, to int, at time.Time, cuts []faultinject.Event) bool {
 	cut := map[[2]int]bool{}
 	for _, e := range cuts {
 		if !e.At.After(at) {
@@ -229,7 +229,7 @@
 }
 
 // moments are when something changed: between two of them all links and conditions are the same.
-func (f *fellows) moments(cuts []faultinject.Event) []time.Time {
+func (f *memberCluster) moments(cuts []faultinject.Event) []time.Time {
 	var all []time.Time
 	for _, t := range f.turns {
 		all = append(all, t.at)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -27,18 +27,18 @@
 
 // Spread is a check or a figure over several runs.
 type Spread struct {
-	Name                string
-	Median, Least, Most float64
-	Relation            string
-	Bound               float64
-	Held                int
-	Values              []float64
+	Name             string
+	Median, Min, Max float64
+	Relation         string
+	Bound            float64
+	PassedRuns       int
+	Values           []float64
 }
 
 func spread(name string, values []float64) Spread {
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
-	return Spread{Name: name, Median: stat.Quantile(0.5, stat.LinInterp, sorted, nil), Least: sorted[0], Most: sorted[len(sorted)-1], Values: values}
+	return Spread{Name: name, Median: stat.Quantile(0.5, stat.LinInterp, sorted, nil), Min: sorted[0], Max: sorted[len(sorted)-1], Values: values}
 }
 
 //go:embed compare.md.tmpl
@@ -72,12 +72,12 @@
 		var values []float64
 		held := 0
 		for _, j := range checks[c.Name] {
-			if values = append(values, j.Value); j.Held {
+			if values = append(values, j.Value); j.Passed {
 				held++
 			}
 		}
 		s := spread(c.Name, values)
-		s.Relation, s.Bound, s.Held = c.Relation, c.Bound, held
+		s.Relation, s.Bound, s.PassedRuns = c.Relation, c.Bound, held
 		data.Checks = append(data.Checks, s)
 	}
 	for arm, parts := range runs[0].Arms {
@@ -127,18 +127,18 @@
 			for _, r := range runs {
 				for i, p := range r.Series[arm][part] {
 					if i < len(sum) {
-						sum[i].Asked += p.Asked
+						sum[i].Requested += p.Requested
 						sum[i].Served += p.Served
 						sum[i].Refused += p.Refused
-						sum[i].InAim += p.InAim
+						sum[i].InObjective += p.InObjective
 					}
 				}
 			}
 			for i := range sum {
-				sum[i].Asked /= len(runs)
+				sum[i].Requested /= len(runs)
 				sum[i].Served /= len(runs)
 				sum[i].Refused /= len(runs)
-				sum[i].InAim /= len(runs)
+				sum[i].InObjective /= len(runs)
 			}
 			mean.Series[arm][part] = sum
 		}
--- a/internal/experiment/events.go
+++ b/internal/experiment/events.go
@@ -47,7 +47,7 @@
 				srv.Group().Lose(v.Lose)
 				srv.Kill()
 			case "clock":
-				srv.Group().SetBack(s(v.BackS))
+				srv.Group().SetClockBack(s(v.BackS))
 			case "restart":
 				if err := srv.Restart(); err != nil {
 					return err
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -21,20 +21,20 @@
 // Experiment is the file. Names tie its parts together: an arm plays some loads
 // and floods, and a check reads "arm.part.metric".
 type Experiment struct {
-	Name     string              `json:"name"`
-	About    string              `json:"about"`
-	Seconds  float64             `json:"seconds"`  // that each arm is measured for
-	Settle   float64             `json:"settle"`   // seconds before that
-	Platform jsoniter.RawMessage `json:"platform"` // the settings object of the routers' configuration
-	Classes  map[string]Class    `json:"classes"`
-	Fleet    Fleet               `json:"fleet"`
-	Routers  Routers             `json:"routers"`
-	Loads    []Load              `json:"loads"`
-	Readers  []Readers           `json:"readers"`
-	Floods   []Flood             `json:"floods"`
-	Lanes    []string            `json:"lanes"` // the best first, where requests are held against each other by lane: a part "lanes" of the figures
-	Arms     []Arm               `json:"arms"`
-	Checks   []Check             `json:"checks"`
+	Name            string              `json:"name"`
+	About           string              `json:"about"`
+	Seconds         float64             `json:"seconds"`  // that each arm is measured for
+	Settle          float64             `json:"settle"`   // seconds before that
+	Platform        jsoniter.RawMessage `json:"platform"` // the settings object of the routers' configuration
+	Classes         map[string]Class    `json:"classes"`
+	Fleet           Fleet               `json:"fleet"`
+	Routers         Routers             `json:"routers"`
+	Loads           []Load              `json:"loads"`
+	Readers         []Readers           `json:"readers"`
+	Floods          []Flood             `json:"floods"`
+	PriorityClasses []string            `json:"lanes"` // the best first, where requests are held against each other by lane: a part "lanes" of the figures
+	Arms            []Arm               `json:"arms"`
+	Checks          []Check             `json:"checks"`
 }
 
 // Class is a class of requests as clients and data servers see it.
@@ -169,7 +169,7 @@
 
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (e *Experiment) check() error {
-	parts := map[string]bool{"routers": true, "servers": true, "members": true, "sends": true, "lanes": len(e.Lanes) > 0}
+	parts := map[string]bool{"routers": true, "servers": true, "members": true, "sends": true, "lanes": len(e.PriorityClasses) > 0}
 	for _, l := range e.Loads {
 		parts[l.Name] = true
 		switch {
@@ -259,9 +259,9 @@
 
 // fleet is the description that the stand-ins take.
 func (e *Experiment) fleet(seed uint64) *emulator.Fleet {
-	f := &emulator.Fleet{Note: len(e.Lanes) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
+	f := &emulator.Fleet{Note: len(e.PriorityClasses) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
 		Ship: ms(e.Fleet.ShipMS), Apply: ms(e.Fleet.ApplyMS), ColdShare: e.Fleet.ColdShare, Ramp: s(e.Fleet.RampS),
-		Takeover: ms(e.Fleet.TakeoverMS), Halls: e.Fleet.Halls, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
+		Takeover: ms(e.Fleet.TakeoverMS), Zones: e.Fleet.Halls, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
 	for name, c := range e.Classes {
 		f.Classes[name] = emulator.Class{Write: c.Read == "write", Session: c.Read == "session", Feed: c.Read == "feed", Bound: ms(c.BoundMS),
 			Work: [2]time.Duration{ms(c.WorkMS[0]), ms(c.WorkMS[1])}}
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -34,7 +34,7 @@
 	cmd          *exec.Cmd
 	ended        chan error
 	startMB      float64
-	mostMB       float64
+	maxMemoryMB  float64
 	cpu          time.Duration
 	crashed      string // how it ended by itself
 	log          *os.File
@@ -44,7 +44,7 @@
 }
 
 // newProcess writes the files of one router and starts it.
-func newProcess(e *Experiment, arm *Arm, build, dir string, n int, seed uint64, agent, list string, f *fellows, run uint32) (*process, error) {
+func newProcess(e *Experiment, arm *Arm, build, dir string, n int, seed uint64, agent, list string, f *memberCluster, run uint32) (*process, error) {
 	p := &process{name: routerName(n), build: build, dir: dir, ulimit: arm.Ulimit}
 	own := e.Routers.Own
 	if arm.Own != nil {
@@ -162,7 +162,7 @@
 		return err
 	}
 	defer c.conn.Close()
-	_, err = c.ask(pgwire.AppendQuery(nil, ""), time.Now().Add(startFor))
+	_, err = c.query(pgwire.AppendQuery(nil, ""), time.Now().Add(startFor))
 	return err
 }
 
@@ -228,7 +228,7 @@
 	_, most := memory(cmd.Process.Pid)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mostMB = max(p.mostMB, most)
+	p.maxMemoryMB = max(p.maxMemoryMB, most)
 }
 
 // used is the CPU time that the running process has had so far.
--- a/internal/experiment/readers.go
+++ b/internal/experiment/readers.go
@@ -157,7 +157,7 @@
 	if c.of.Future > 0 && rng.Float64() < c.of.Future {
 		place.After += 3600e3
 	}
-	a := c.ask(place, until)
+	a := c.query(place, until)
 	if ctx.Err() != nil {
 		return 0
 	}
@@ -165,7 +165,7 @@
 		if c.of.Twice && a.outcome == served { // which must be told, once its router knows
 			was := c.conn
 			c.conn = old
-			again := c.ask(c.place, time.Now().Add(ms(class.WaitMS)))
+			again := c.query(c.place, time.Now().Add(ms(class.WaitMS)))
 			c.conn = was
 			f.mu.Lock()
 			if strings.HasPrefix(again.text, "cursor-fenced") {
@@ -237,8 +237,8 @@
 	return at, history, n == 2 && err == nil
 }
 
-// ask sends one request, on a new connection where there is none.
-func (c *subscriber) ask(place changefeed.Place, until time.Time) answer {
+// query sends one request, on a new connection where there is none.
+func (c *subscriber) query(place changefeed.Place, until time.Time) answer {
 	for dials := 0; dials < 2; dials++ {
 		kept := c.conn != nil
 		if !kept {
@@ -257,7 +257,7 @@
 			fmt.Fprintf(&b, ",after=%d,history=%s,gen=%d", place.After, place.History, place.Gen)
 		}
 		fmt.Fprintf(&b, " */ SELECT feed('%s')", c.name)
-		a, err := c.conn.ask(pgwire.AppendQuery(nil, b.String()), until)
+		a, err := c.conn.query(pgwire.AppendQuery(nil, b.String()), until)
 		if err == nil {
 			return a
 		}
--- a/internal/experiment/recover_test.go
+++ b/internal/experiment/recover_test.go
@@ -7,11 +7,11 @@
 
 // Time to full service, on series that were made up: whole at once, after four seconds, only for a while, and never.
 func TestFullService(t *testing.T) {
-	calm := slices.Repeat([]Point{{Worth: 100}}, 20)
+	calm := slices.Repeat([]Point{{Weight: 100}}, 20)
 	series := func(worth ...float64) []Point {
 		out := slices.Clone(calm)
 		for i, w := range worth {
-			out[5+i].Worth = w
+			out[5+i].Weight = w
 		}
 		return out
 	}
@@ -28,7 +28,7 @@
 		}
 	}
 	r := &Result{Arms: map[string]map[string]map[string]float64{"calm": {"a": {}}, "killed": {"a": {}}},
-		Series: map[string]map[string][]Point{"calm": {"a": calm}, "killed": {"a": series(0, 0)}}, back: map[string]float64{"killed": 5}}
+		Series: map[string]map[string][]Point{"calm": {"a": calm}, "killed": {"a": series(0, 0)}}, faultsOverAt: map[string]float64{"killed": 5}}
 	r.recovered()
 	if m := r.Arms["killed"]["a"]; m["full_service_s"] != 2 || m["worth_after"] < 0.85 || m["worth_after"] > 0.87 {
 		t.Errorf("%v", m)
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -22,23 +22,23 @@
 	Experiment string   `json:"experiment"`
 	About      string   `json:"about,omitempty"`
 	Seed       uint64   `json:"seed"`
-	Held       bool     `json:"held"`
+	Passed     bool     `json:"held"`
 	Checks     []Judged `json:"checks"`
 	// Arms are the figures by arm, part and metric.
-	Arms   map[string]map[string]map[string]float64 `json:"arms"`
-	Ended  []string                                 `json:"ended,omitempty"` // routers that ended by themselves
-	Series map[string]map[string][]Point            `json:"series"`          // by arm and part
-	back   map[string]float64                       // by arm: the second in which the last of what went wrong was over
-	Views  map[string][]Seen                        `json:"views,omitempty"` // by arm: what routers believed of each other
+	Arms         map[string]map[string]map[string]float64 `json:"arms"`
+	Ended        []string                                 `json:"ended,omitempty"` // routers that ended by themselves
+	Series       map[string]map[string][]Point            `json:"series"`          // by arm and part
+	faultsOverAt map[string]float64                       // by arm: the second in which the last of what went wrong was over
+	Views        map[string][]Seen                        `json:"views,omitempty"` // by arm: what routers believed of each other
 }
 
 // Point is one second of a part.
 type Point struct {
-	Asked   int     `json:"asked"`
-	Served  int     `json:"served"`
-	Refused int     `json:"refused"`
-	InAim   int     `json:"in_aim"`
-	Worth   float64 `json:"worth"` // of what was answered in time
+	Requested   int     `json:"asked"`
+	Served      int     `json:"served"`
+	Refused     int     `json:"refused"`
+	InObjective int     `json:"in_aim"`
+	Weight      float64 `json:"worth"` // of what was answered in time
 }
 
 // Judged is a check's verdict.
@@ -47,7 +47,7 @@
 	Value    float64 `json:"value"`
 	Relation string  `json:"relation"` // "min" or "max"
 	Bound    float64 `json:"bound"`
-	Held     bool    `json:"held"`
+	Passed   bool    `json:"held"`
 	Note     string  `json:"note,omitempty"`
 }
 
@@ -83,14 +83,14 @@
 	}
 	for name, part := range p.parts {
 		for _, s := range part.seconds {
-			series[name] = append(series[name], Point{s.asked, s.served, s.refused, s.inAim, s.worth})
+			series[name] = append(series[name], Point{s.requested, s.served, s.refused, s.inObjective, s.weight})
 		}
 	}
 	routers := map[string]float64{"cpu_us_per_request": ratio(float64(p.cpu.Microseconds()), answered),
 		"cpu_share": p.cpu.Seconds() / p.e.Seconds}
 	for _, one := range p.routers {
 		routers["start_mb"] = max(routers["start_mb"], one.startMB)
-		routers["most_mb"] = max(routers["most_mb"], one.mostMB)
+		routers["most_mb"] = max(routers["most_mb"], one.maxMemoryMB)
 		if one.crashed != "" {
 			routers["ended"]++
 			r.Ended = append(r.Ended, arm+": "+one.crashed)
@@ -115,35 +115,35 @@
 		}
 		r.Views[arm] = views
 	}
-	if len(p.e.Lanes) > 0 {
-		m, err := p.lanesFigures()
+	if len(p.e.PriorityClasses) > 0 {
+		m, err := p.sheddingFigures()
 		if err != nil {
 			r.Ended = append(r.Ended, arm+": "+err.Error())
 		}
 		parts["lanes"] = m
 	}
 	parts["servers"] = audited(p.fleet.Audit(), requests)
-	p.came(parts["servers"])
+	p.recoveryFigures(parts["servers"])
 	r.Arms[arm] = parts
 	if r.Series == nil {
 		r.Series = map[string]map[string][]Point{}
 	}
 	r.Series[arm] = series
 	if !p.back.IsZero() {
-		if r.back == nil {
-			r.back = map[string]float64{}
+		if r.faultsOverAt == nil {
+			r.faultsOverAt = map[string]float64{}
 		}
-		r.back[arm] = p.back.Sub(p.from).Seconds()
+		r.faultsOverAt[arm] = p.back.Sub(p.from).Seconds()
 	}
 }
 
 // judge compares the figures with the bounds. A figure that was not measured
 // holds nothing.
 func (r *Result) judge(checks []Check) {
-	r.Held = true
+	r.Passed = true
 	r.recovered()
 	none := 0.0
-	note := Judged{Name: "no router ended by itself", Relation: "max", Bound: none, Value: float64(len(r.Ended)), Held: len(r.Ended) == 0,
+	note := Judged{Name: "no router ended by itself", Relation: "max", Bound: none, Value: float64(len(r.Ended)), Passed: len(r.Ended) == 0,
 		Note: strings.Join(r.Ended, "; ")}
 	r.Checks = append(r.Checks, note)
 	for _, c := range checks {
@@ -155,17 +155,17 @@
 			v = ratio(v, over)
 		}
 		if c.Min != nil {
-			j.Relation, j.Bound, j.Held = "min", *c.Min, v >= *c.Min
+			j.Relation, j.Bound, j.Passed = "min", *c.Min, v >= *c.Min
 		} else {
-			j.Relation, j.Bound, j.Held = "max", *c.Max, v <= *c.Max
+			j.Relation, j.Bound, j.Passed = "max", *c.Max, v <= *c.Max
 		}
 		if j.Value = math.Round(v*1e4) / 1e4; !ok {
-			j.Held, j.Note = false, "not measured"
+			j.Passed, j.Note = false, "not measured"
 		}
 		r.Checks = append(r.Checks, j)
 	}
 	for _, j := range r.Checks {
-		r.Held = r.Held && j.Held
+		r.Passed = r.Passed && j.Passed
 	}
 }
 
@@ -285,9 +285,9 @@
 	for i, arm := range arms {
 		var points plotter.XYs
 		for sec, v := range r.Series[arm][part] {
-			y := float64(v.InAim)
+			y := float64(v.InObjective)
 			if r.isFlood(part) {
-				y = float64(v.Asked)
+				y = float64(v.Requested)
 			}
 			points = append(points, plotter.XY{X: float64(sec), Y: y})
 		}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -58,16 +58,16 @@
 	parts           map[string]*part
 	cpu             time.Duration
 	readers         map[string]*followed
-	fellows         *fellows // of routers that know each other; nil: they don't
+	fellows         *memberCluster // of routers that know each other; nil: they don't
 	mu              sync.Mutex
-	asked           []asked // of loads in lanes
+	asked           []sheddingRequest // of loads in lanes
 }
 
 //nolint:funlen // to be split (docs/ROADMAP.md, readable code)
 func (p *play) run(ctx context.Context, dir string) error {
 	var err error
 	run := runs.Add(1)
-	if p.fellows, err = newFellows(p.e, p.arm, dir, p.o.Seed, run); err != nil {
+	if p.fellows, err = newMemberCluster(p.e, p.arm, dir, p.o.Seed, run); err != nil {
 		return err
 	}
 	if p.fellows != nil {
@@ -128,7 +128,7 @@
 	for _, f := range p.readers {
 		f.keep(p.fleet)
 	}
-	p.fellows.ask(p.routers)
+	p.fellows.requestViews(p.routers)
 	p.end()
 	if err := context.Cause(ctx); errors.Is(err, context.Canceled) {
 		return err
--- a/internal/experiment/sends.go
+++ b/internal/experiment/sends.go
@@ -15,7 +15,7 @@
 func sendsName(n int) string { return routerName(n) + "-sends.jsonl" }
 
 // records says whether the routers record their sends, and so the data servers what they did.
-func (f *fellows) records() bool {
+func (f *memberCluster) records() bool {
 	if f == nil {
 		return false
 	}
@@ -24,7 +24,7 @@
 }
 
 // auditSends reads what all routers recorded of their sends and holds it against what the data servers did.
-func (f *fellows) auditSends(ran []emulator.Ran) (map[string]float64, error) {
+func (f *memberCluster) auditSends(ran []emulator.Ran) (map[string]float64, error) {
 	var all []router.Send
 	for n := range f.count {
 		one, err := readSends(filepath.Join(f.dir, sendsName(n)))
--- a/internal/experiment/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -54,8 +54,8 @@
 
 // Each figure of the audit comes from a record that was doctored for it, and from no other.
 func TestSendsAuditFails(t *testing.T) {
-	ground := func(what, origin string, age int64, says string) router.Ground {
-		return router.Ground{What: what, Origin: origin, AgeMS: age, Says: says}
+	ground := func(what, origin string, age int64, says string) router.Provenance {
+		return router.Provenance{What: what, Origin: origin, AgeMS: age, Says: says}
 	}
 	for _, c := range []struct {
 		figure string
@@ -74,9 +74,9 @@
 		{"young", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[1].On[1].AgeMS = 10; return r }},
 	} {
 		sends := []router.Send{
-			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Ground{ground("server", "own", 0, "s1")}},
-			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Ground{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
-			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Ground{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
+			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Provenance{ground("server", "own", 0, "s1")}},
+			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
+			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
 		}
 		ran := c.doctor(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
 		m := auditSends(sends, ran)
--- a/internal/experiment/shedding.go
+++ b/internal/experiment/shedding.go
@@ -10,22 +10,22 @@
 	"lotushook/internal/emulator"
 )
 
-// asked is one request of an account in a lane as its client saw it.
-type asked struct {
-	id      string
-	lane    string // by its contract
-	account string
-	group   int64
-	router  int
-	at, end time.Time
-	outcome outcome
-	shed    string // the lane that its refusal names; "": it was not refused for one
+// sheddingRequest is one request of an account in a lane as its client saw it.
+type sheddingRequest struct {
+	id            string
+	priorityClass string // by its contract
+	account       string
+	group         int64
+	router        int
+	at, end       time.Time
+	outcome       outcome
+	shed          string // the lane that its refusal names; "": it was not refused for one
 }
 
 var shedAs = regexp.MustCompile(`refused: lane (\S+) is shed .*\(lanes\)`)
 
-// shedLane is the lane that a refusal names.
-func shedLane(text string) string {
+// shedClass returns the priority class that a rejection names.
+func shedClass(text string) string {
 	if m := shedAs.FindStringSubmatch(text); m != nil {
 		return m[1]
 	}
@@ -33,23 +33,23 @@
 }
 
 const (
-	soon     = 2 * time.Second        // after a surge or a fault began, levels may differ for so long
-	together = 100 * time.Millisecond // a refusal and a start of work so close are at the same time
-	sameWord = 250 * time.Millisecond // and two words to one account
+	soon         = 2 * time.Second        // after a surge or a fault began, levels may differ for so long
+	together     = 100 * time.Millisecond // a refusal and a start of work so close are at the same time
+	rejectionGap = 250 * time.Millisecond // and two words to one account
 )
 
-// auditLanes holds what clients were told against what data servers began to work on. A refusal in the best lane by one
+// auditShedding holds what clients were told against what data servers began to work on. A refusal in the best lane by one
 // router, while a data server begins a request of the last lane that another one sent, is an inversion. From is when what
 // is measured began, marks are when a surge or a fault did; the surge was from surge to over.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func auditLanes(lanes []string, all []asked, ran []emulator.Began, from time.Time, marks []time.Time, surge, over time.Time) (map[string]float64, error) {
+func auditShedding(lanes []string, all []sheddingRequest, ran []emulator.Began, from time.Time, marks []time.Time, surge, over time.Time) (map[string]float64, error) {
 	m := map[string]float64{}
 	if len(lanes) < 2 {
 		return m, fmt.Errorf("lanes: %d of them", len(lanes))
 	}
 	best, last := lanes[0], lanes[len(lanes)-1]
-	byID := map[string]*asked{}
+	byID := map[string]*sheddingRequest{}
 	for i := range all {
 		if byID[all[i].id] != nil {
 			return m, fmt.Errorf("lanes: request %s is recorded twice", all[i].id)
@@ -67,7 +67,7 @@
 		if worked[b.ID] = true; a.group != b.Group {
 			return m, fmt.Errorf("lanes: request %s was asked of cluster %d and begun at %d", b.ID, a.group, b.Group)
 		}
-		if a.lane == last {
+		if a.priorityClass == last {
 			began[b.Group] = append(began[b.Group], b)
 		}
 	}
@@ -78,7 +78,7 @@
 		return slices.ContainsFunc(marks, func(mark time.Time) bool { return !t.Before(mark) && t.Before(mark.Add(soon)) })
 	}
 	early, earlyInv, lateInv, shed := 0.0, 0.0, 0.0, 0.0
-	words := map[string][]*asked{}
+	words := map[string][]*sheddingRequest{}
 	visits := map[string]map[string]bool{} // by account: what it asked in the surge, and whether it was served, perhaps elsewhere
 	var lastShed time.Time
 	lanesAsked, lanesServed := map[string]float64{}, map[string]float64{}
@@ -96,12 +96,12 @@
 				visits[a.account] = map[string]bool{}
 			}
 			visits[a.account][id] = visits[a.account][id] || a.outcome == served
-			lanesAsked[a.lane]++
+			lanesAsked[a.priorityClass]++
 			if a.outcome == served {
-				lanesServed[a.lane]++
+				lanesServed[a.priorityClass]++
 			}
 		}
-		if a.lane == best && first(a.at) {
+		if a.priorityClass == best && first(a.at) {
 			early++
 		}
 		words[fmt.Sprint(a.group, a.account)] = append(words[fmt.Sprint(a.group, a.account)], a)
@@ -130,10 +130,10 @@
 	}
 	torn, pairs := 0.0, 0.0
 	for _, list := range words {
-		slices.SortFunc(list, func(x, y *asked) int { return x.end.Compare(y.end) })
+		slices.SortFunc(list, func(x, y *sheddingRequest) int { return x.end.Compare(y.end) })
 		for i := 1; i < len(list); i++ {
 			x, y := list[i-1], list[i]
-			if x.router == y.router || x.shed == "" && y.shed == "" || y.end.Sub(x.end) > sameWord || first(x.at) {
+			if x.router == y.router || x.shed == "" && y.shed == "" || y.end.Sub(x.end) > rejectionGap || first(x.at) {
 				continue
 			}
 			if pairs++; (x.shed == "") != (y.shed == "") && (x.outcome == served || y.outcome == served) {
@@ -168,8 +168,8 @@
 	return m, nil
 }
 
-// lanesFigures are an arm's, where the experiment names lanes.
-func (p *play) lanesFigures() (map[string]float64, error) {
+// sheddingFigures are an arm's, where the experiment names lanes.
+func (p *play) sheddingFigures() (map[string]float64, error) {
 	var marks []time.Time
 	var surge, over time.Time
 	for _, l := range p.e.Loads {
@@ -187,7 +187,7 @@
 	p.mu.Lock()
 	all := slices.Clone(p.asked)
 	p.mu.Unlock()
-	m, err := auditLanes(p.e.Lanes, all, p.fleet.Began(), p.from, marks, surge, over)
+	m, err := auditShedding(p.e.PriorityClasses, all, p.fleet.Began(), p.from, marks, surge, over)
 	for _, part := range p.parts {
 		part.mu.Lock()
 		m["worth_per_s"] += part.earned / part.span.Seconds()
@@ -196,4 +196,4 @@
 	return m, err
 }
 
-const mostAsked = 1 << 20
+const maxSheddingRequests = 1 << 20
--- a/internal/experiment/shedding_test.go
+++ b/internal/experiment/shedding_test.go
@@ -13,9 +13,9 @@
 
 // sound is what an audit sees where all is right: at each tenth of a second router 0 sheds a regular account and serves a
 // premium one, and router 1 serves a premium and sheds a background one; a background one within its floor is served.
-func sound(from time.Time) (all []asked, ran []emulator.Began) {
+func sound(from time.Time) (all []sheddingRequest, ran []emulator.Began) {
 	add := func(router int, at time.Duration, lane, account, shed string) {
-		a := asked{id: fmt.Sprint(len(all)), lane: lane, account: account, group: 1, router: router, at: from.Add(at), end: from.Add(at + 20*time.Millisecond), outcome: served, shed: shed}
+		a := sheddingRequest{id: fmt.Sprint(len(all)), priorityClass: lane, account: account, group: 1, router: router, at: from.Add(at), end: from.Add(at + 20*time.Millisecond), outcome: served, shed: shed}
 		if shed != "" {
 			a.outcome = refused
 		} else {
@@ -41,29 +41,29 @@
 	lanes := []string{"premium", "regular", "background"}
 	for _, c := range []struct {
 		name   string
-		doctor func(all []asked, ran []emulator.Began) ([]asked, []emulator.Began)
+		doctor func(all []sheddingRequest, ran []emulator.Began) ([]sheddingRequest, []emulator.Began)
 		metric string
 		want   float64
 		err    string
 	}{
-		{"right", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { return a, r }, "inversions_after", 0, ""},
-		{"premium shed late", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
+		{"right", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) { return a, r }, "inversions_after", 0, ""},
+		{"premium shed late", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
 			a[40*6+2].shed, a[40*6+2].outcome = "premium", refused
 			return a, r
 		}, "inversions_after", 1, ""},
-		{"premium shed early", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
+		{"premium shed early", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
 			a[2].shed, a[2].outcome = "premium", refused
 			return a, r
 		}, "inversions_first_share", 1.0 / 40, ""},
-		{"premium shed by the router that serves background", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
+		{"premium shed by the router that serves background", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
 			a[40*6+3].shed, a[40*6+3].outcome = "premium", refused
 			return a, r
 		}, "inversions_after", 0, ""},
-		{"premium's excess is regular", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
+		{"premium's excess is regular", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
 			a[40*6+2].shed, a[40*6+2].outcome = "regular", refused
 			return a, r
 		}, "inversions_after", 0, ""},
-		{"one account shed here and served there", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) {
+		{"one account shed here and served there", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
 			for i := 30; i < 40; i++ {
 				x := &a[i*6+1]
 				x.shed, x.outcome = "", served
@@ -71,13 +71,18 @@
 			}
 			return a, r
 		}, "torn_share", 20.0 / 59, ""},
-		{"a server began nothing", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { return a, r[1:] }, "", 0, "no data server began it"},
-		{"another group", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { r[0].Group = 2; return a, r }, "", 0, "begun at 2"},
-		{"twice", func(a []asked, r []emulator.Began) ([]asked, []emulator.Began) { return append(a, a[0]), r }, "", 0, "twice"},
+		{"a server began nothing", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) { return a, r[1:] }, "", 0, "no data server began it"},
+		{"another group", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+			r[0].Group = 2
+			return a, r
+		}, "", 0, "begun at 2"},
+		{"twice", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+			return append(a, a[0]), r
+		}, "", 0, "twice"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			all, ran := c.doctor(sound(from))
-			m, err := auditLanes(lanes, all, ran, from, []time.Time{from}, from, from.Add(3*time.Second))
+			m, err := auditShedding(lanes, all, ran, from, []time.Time{from}, from, from.Add(3*time.Second))
 			switch {
 			case c.err != "":
 				if err == nil || !strings.Contains(err.Error(), c.err) {
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -68,7 +68,7 @@
 }
 
 // audit holds what all routers believed against what was done to them. It returns the figures, and all changes of views.
-func (f *fellows) audit(routers []*process) (map[string]float64, []Seen, error) {
+func (f *memberCluster) audit(routers []*process) (map[string]float64, []Seen, error) {
 	m := map[string]float64{}
 	var all []Seen
 	for n, r := range routers {
@@ -96,7 +96,7 @@
 		span := f.until.Sub(since).Seconds()
 		sent, bytes = sent+float64(r.Counts.Sent)/span, bytes+float64(r.Counts.SentBytes)/span
 		if c := r.State; c != nil { // answers that waited for another router's word
-			m["waits_came"] += float64(c.Waits.Came)
+			m["waits_came"] += float64(c.Waits.Acknowledged)
 			m["waits_over"] += float64(c.Waits.Over + c.Waits.Full + c.Waits.Alone)
 			m["waits_longest_ms"] = max(m["waits_longest_ms"], c.Waits.LongestMS)
 			m["state_differed"] += float64(r.Counts.Differed)
@@ -109,7 +109,7 @@
 }
 
 // wrong counts verdicts on routers that served all along and could be heard, and incarnations that fell.
-func (f *fellows) wrong(all []Seen, m map[string]float64) {
+func (f *memberCluster) wrong(all []Seen, m map[string]float64) {
 	m["false_deaths"], m["fallen"], m["doubts"] = 0, 0, 0
 	cuts := f.net.Events()
 	moments := f.moments(cuts)
@@ -149,7 +149,7 @@
 }
 
 // noticed says how long a kill took to be known to all that were up: seen as dead, or as started again.
-func (f *fellows) noticed(all []Seen, m map[string]float64) {
+func (f *memberCluster) noticed(all []Seen, m map[string]float64) {
 	var times []float64
 	m["unnoticed"] = 0
 	cuts := f.net.Events()
@@ -189,7 +189,7 @@
 }
 
 // agreed says how long after the last fault or its end all views were right: who is up alive, who is not, not.
-func (f *fellows) agreed(all []Seen, m map[string]float64) {
+func (f *memberCluster) agreed(all []Seen, m map[string]float64) {
 	last := all[0].at
 	for _, t := range f.moments(f.net.Events()) {
 		last = t
@@ -232,7 +232,7 @@
 
 // sums adds up the parts in force. One that is paused or killed has nothing, or what it was told last as long as that
 // can have held.
-func (f *fellows) sums(all []Seen, m map[string]float64) {
+func (f *memberCluster) sums(all []Seen, m map[string]float64) {
 	share := make([]float64, f.count)
 	least := f.alone / float64(f.count)
 	m["parts_most"], m["parts_over"] = 0, 0
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -31,13 +31,13 @@
 }
 
 const (
-	mostWaiting = 8192 // datagrams under way in all; more are lost
-	mostQueue   = time.Second
-	again       = 200 * time.Millisecond // until a lost segment is sent again
-	late        = 20 * time.Millisecond  // what is overtaken comes so much later
-	piece       = 4 << 10                // of a stream
-	dialFor     = time.Second
-	poll        = 20 * time.Millisecond // a stalled or cut stream looks so often whether it may go on
+	maxPackets   = 8192 // datagrams under way in all; more are lost
+	maxQueueTime = time.Second
+	again        = 200 * time.Millisecond // until a lost segment is sent again
+	late         = 20 * time.Millisecond  // what is overtaken comes so much later
+	piece        = 4 << 10                // of a stream
+	dialFor      = time.Second
+	poll         = 20 * time.Millisecond // a stalled or cut stream looks so often whether it may go on
 )
 
 // Event is a fault that was set, and when.
@@ -53,7 +53,7 @@
 	seed    uint64
 	mu      sync.Mutex
 	from    map[netip.Addr]int
-	doors   []*door
+	doors   []*proxyAddress
 	links   map[[2]int]*link
 	events  []Event
 	waiting atomic.Int64
@@ -62,7 +62,7 @@
 	all     sync.WaitGroup
 }
 
-type door struct {
+type proxyAddress struct {
 	at   int
 	real netip.AddrPort
 	udp  *net.UDPConn
@@ -90,7 +90,7 @@
 	if _, there := n.from[address.Addr()]; there {
 		return 0, netip.AddrPort{}, fmt.Errorf("fault: two processes send from %s", address.Addr())
 	}
-	d := &door{at: len(n.doors), real: address}
+	d := &proxyAddress{at: len(n.doors), real: address}
 	for range 10 { // the port that one kind got may be taken for the other
 		if d.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 			return 0, netip.AddrPort{}, fmt.Errorf("fault: %w", err)
@@ -202,8 +202,8 @@
 	return k.now
 }
 
-// fate is what becomes of one datagram or one piece.
-type fate struct {
+// packetFault is the fault drawn for one datagram or one piece of a stream.
+type packetFault struct {
 	lost   bool
 	copies int
 	wait   time.Duration
@@ -211,12 +211,12 @@
 }
 
 // draw always draws as often, so that a fault that is set does not move what is drawn for later packets.
-func (k *link) draw(size int) fate {
+func (k *link) draw(size int) packetFault {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.now
 	loss, double, reorder, garble, jitter, at := k.rng.Float64(), k.rng.Float64(), k.rng.Float64(), k.rng.Float64(), k.rng.Float64(), k.rng.IntN(max(size, 1))
-	f := fate{lost: l.Cut || loss < l.Loss, copies: 1, garble: -1, wait: time.Duration((l.DelayMS + jitter*l.JitterMS) * float64(time.Millisecond))}
+	f := packetFault{lost: l.Cut || loss < l.Loss, copies: 1, garble: -1, wait: time.Duration((l.DelayMS + jitter*l.JitterMS) * float64(time.Millisecond))}
 	if double < l.Double {
 		f.copies = 2
 	}
@@ -231,13 +231,13 @@
 		k.free = k.free.Add(max(0, now.Sub(k.free))).Add(time.Duration(float64(size) / l.BytesPerS * float64(time.Second)))
 		queue := k.free.Sub(now)
 		f.wait += queue
-		f.lost = f.lost || queue > mostQueue
+		f.lost = f.lost || queue > maxQueueTime
 	}
 	return f
 }
 
 // datagrams passes on what comes for one process.
-func (n *Net) datagrams(d *door) {
+func (n *Net) datagrams(d *proxyAddress) {
 	buf := make([]byte, 64<<10)
 	for {
 		size, src, err := d.udp.ReadFromUDPAddrPort(buf)
@@ -252,7 +252,7 @@
 			continue
 		}
 		f := n.link(i, d.at).draw(size)
-		if f.lost || n.waiting.Load() >= mostWaiting {
+		if f.lost || n.waiting.Load() >= maxPackets {
 			continue
 		}
 		raw := slices.Clone(buf[:size])
@@ -274,7 +274,7 @@
 }
 
 // connections passes on the streams to one process.
-func (n *Net) connections(d *door) {
+func (n *Net) connections(d *proxyAddress) {
 	for {
 		conn, err := d.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -294,7 +294,7 @@
 }
 
 // stream joins two connections, in each direction over that direction's link.
-func (n *Net) stream(in *net.TCPConn, from int, d *door) {
+func (n *Net) stream(in *net.TCPConn, from int, d *proxyAddress) {
 	defer in.Close()
 	there, back := n.link(from, d.at), n.link(d.at, from)
 	if there.set().Reset {
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -16,7 +16,7 @@
 	waiting          chan struct{}
 }
 
-type side struct{ most, used, told int }
+type side struct{ capacity, used, advertised int }
 
 // own covers what is neither a client nor a data server: standard streams, the
 // listener, the poller, discovery, the config file while it is read.
@@ -26,7 +26,7 @@
 func New(limit int) *Budget {
 	most := max(limit-own, 2)
 	servers := most * 3 / 8 // a third may be clients with a request open; then there are probes, and some that idle
-	return &Budget{clients: side{most: most - servers, told: most - servers}, servers: side{most: servers}, waiting: make(chan struct{}, 1)}
+	return &Budget{clients: side{capacity: most - servers, advertised: most - servers}, servers: side{capacity: servers}, waiting: make(chan struct{}, 1)}
 }
 
 // Dial takes a descriptor for a connection to a data server, if one is free.
@@ -51,7 +51,7 @@
 func (b *Budget) Clients() (most, used int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.clients.most, b.clients.used
+	return b.clients.capacity, b.clients.used
 }
 
 // LimitClients is for when the system grants fewer descriptors than were told of:
@@ -61,8 +61,8 @@
 	const leastClients = 8
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.clients.most = min(max(n, leastClients), b.clients.told)
-	return b.clients.most
+	b.clients.capacity = min(max(n, leastClients), b.clients.advertised)
+	return b.clients.capacity
 }
 
 // Exhausted says whether an error is that the process, or the system, has no
@@ -74,7 +74,7 @@
 func (b *Budget) take(s *side) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s.used >= s.most {
+	if s.used >= s.capacity {
 		return false
 	}
 	s.used++
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -18,12 +18,12 @@
 // as pairs for the log.
 func Check(ok bool, name string, args ...any) bool {
 	if !ok {
-		broken(name, args)
+		report(name, args)
 	}
 	return ok
 }
 
-func broken(name string, args []any) {
+func report(name string, args []any) {
 	if Debug {
 		panic(fmt.Sprintf("invariant broken: %s %v", name, args))
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,9 +19,9 @@
 const (
 	Requests           Counter = iota // requests that came
 	Served                            // answered by a data server
-	ClientGone                        // the client left before its answer
+	ClientLeft                        // the client left before its answer
 	Unanswered                        // the module was silent past the deadline: a fault of ours
-	TooManyHeld                       // refused by the router itself: too many requests held, or too many bytes
+	TooManyInFlight                   // refused by the router itself: too many requests held, or too many bytes
 	RejectedByContract                // refused by a team's contract
 	RejectedByShedding                // refused as its lane is shed
 	DuplicateID                       // failed, as its id was that of an open request
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -79,8 +79,8 @@
 // Shut stops a server from listening.
 func (s *Stage) Shut(name string) { s.servers[name].Close() }
 
-// Met says whether somebody has connected to a server whom no step waited for.
-func (s *Stage) Met(name string) bool {
+// HasConnection says whether somebody has connected to a server whom no step waited for.
+func (s *Stage) HasConnection(name string) bool {
 	ln := s.servers[name].(*net.TCPListener)
 	ln.SetDeadline(time.Now().Add(10 * time.Millisecond)) // one in the queue is taken at once
 	conn, err := ln.Accept()
--- a/internal/peer/errors_test.go
+++ b/internal/peer/errors_test.go
@@ -52,12 +52,12 @@
 		t.Fatal(err)
 	}
 	f := b.answerState(sb.now(), "a", w)
-	a.spread.asked = 1
+	a.spread.requestedAt = 1
 	f.Runs[0].Entries[0].At++
-	if a.takeFeed(sa.now(), "b", f); commit(sa, "s") != 0 || a.Counts().Spoiled != 1 {
-		t.Errorf("taken: %d; %d spoiled", commit(sa, "s"), a.Counts().Spoiled)
+	if a.takeFeed(sa.now(), "b", f); commit(sa, "s") != 0 || a.Counts().Malformed != 1 {
+		t.Errorf("taken: %d; %d spoiled", commit(sa, "s"), a.Counts().Malformed)
 	}
-	a.spread.asked = 1
+	a.spread.requestedAt = 1
 	f.Runs[0].Entries[0].At--
 	if a.takeFeed(sa.now(), "b", f); commit(sa, "s") != 9 || !a.spread.caught {
 		t.Errorf("not taken: %d", commit(sa, "s"))
--- a/internal/peer/keeper.go
+++ b/internal/peer/keeper.go
@@ -22,8 +22,8 @@
 	return taken
 }
 
-// keep lets the keeper hear what of a message is held now.
-func (p *Peers) keep(e *envelope) {
+// notifyKeeper passes the entries of a message that were merged to the keeper, which persists them.
+func (p *Peers) notifyKeeper(e *envelope) {
 	st := p.opt.State
 	if st.keeper == nil {
 		return
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -54,35 +54,35 @@
 	Full       uint64 `json:"full"`        // the queue was full
 	NotSent    uint64 `json:"not_sent"`    // too many long messages on their way, or the system refused
 	Connection uint64 `json:"connections"` // taken
-	Spoiled    uint64 `json:"spoiled"`     // pieces of a copy that were not what they said
+	Malformed  uint64 `json:"spoiled"`     // pieces of a copy that were not what they said
 	Differed   uint64 `json:"differed"`    // entries that lacked here though another had known them for long
 }
 
 type counters struct {
-	sent, sentBytes, taken, garbage, versions, strangers, foreign, replayed, outdated, full, notSent, connections, spoiled, differed atomic.Uint64
+	sent, sentBytes, taken, garbage, versions, strangers, foreign, replayed, outdated, full, notSent, connections, malformed, differed atomic.Uint64
 }
 
 // Peers is one router among others.
 type Peers struct {
-	opt     Options
-	udp     *net.UDPConn
-	tcp     *net.TCPListener
-	session uint64
-	count   uint64
-	keys    atomic.Pointer[[][]byte]
-	in      chan *envelope
-	calls   chan func()
-	senders chan struct{}
-	view    atomic.Pointer[membership.View]
-	counts  counters
-	told    atomic.Pointer[told]
+	opt             Options
+	udp             *net.UDPConn
+	tcp             *net.TCPListener
+	session         uint64
+	count           uint64
+	keys            atomic.Pointer[[][]byte]
+	in              chan *envelope
+	calls           chan func()
+	senders         chan struct{}
+	view            atomic.Pointer[membership.View]
+	counts          counters
+	broadcastReport atomic.Pointer[broadcastReport]
 
 	// Of Run's goroutine:
-	members *membership.Detector
-	doors   map[string]uint64 // the session at an address
-	windows map[uint64]*window
-	pending map[string]late
-	spread  spread
+	members   *membership.Detector
+	sessionAt map[string]uint64 // the session at an address
+	windows   map[uint64]*window
+	pending   map[string]late
+	spread    spread
 }
 
 type late struct {
@@ -97,7 +97,7 @@
 		return nil, &ListenError{o.Listen, err}
 	}
 	p := &Peers{opt: o, session: rand.Uint64() | 1, in: make(chan *envelope, queued), calls: make(chan func()), senders: make(chan struct{}, maxSenders),
-		doors: map[string]uint64{}, windows: map[uint64]*window{}, pending: map[string]late{}}
+		sessionAt: map[string]uint64{}, windows: map[uint64]*window{}, pending: map[string]late{}}
 	p.keys.Store(&o.Keys)
 	for try := 0; ; try++ { // with port 0 the one that UDP got may be taken for TCP
 		if p.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
@@ -145,7 +145,7 @@
 func (p *Peers) Counts() Counts {
 	c := &p.counts
 	return Counts{c.sent.Load(), c.sentBytes.Load(), c.taken.Load(), c.garbage.Load(), c.versions.Load(), c.strangers.Load(), c.foreign.Load(),
-		c.replayed.Load(), c.outdated.Load(), c.full.Load(), c.notSent.Load(), c.connections.Load(), c.spoiled.Load(), c.differed.Load()}
+		c.replayed.Load(), c.outdated.Load(), c.full.Load(), c.notSent.Load(), c.connections.Load(), c.malformed.Load(), c.differed.Load()}
 }
 
 // SetKeys puts other keys in force.
@@ -172,8 +172,8 @@
 			p.take(e)
 		case f := <-p.calls:
 			f()
-		case <-p.opt.State.wake():
-			p.wakeSpread(p.opt.Now())
+		case <-p.opt.State.pending():
+			p.scheduleSpread(p.opt.Now())
 		case <-p.spread.due():
 			p.spread.at = 0
 			p.spreadState(p.opt.Now())
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -30,10 +30,10 @@
 		return
 	}
 	p.counts.taken.Add(1)
-	if len(p.doors) >= maxContacts {
-		clear(p.doors) // each is learnt again with its next message
+	if len(p.sessionAt) >= maxContacts {
+		clear(p.sessionAt) // each is learnt again with its next message
 	}
-	p.doors[e.Address] = e.Session
+	p.sessionAt[e.Address] = e.Session
 	if l, ok := p.pending[e.Address]; ok {
 		delete(p.pending, e.Address)
 		if now-l.at < pendingFor {
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -54,37 +54,37 @@
 		}
 		out.Members = append(out.Members, r)
 	}
-	out.State = p.opt.State.copy(p.told.Load())
+	out.State = p.opt.State.copy(p.broadcastReport.Load())
 	return out
 }
 
 // Copy is what a router holds of what all share, by kind.
 type Copy struct {
-	Size    map[string]int       `json:"size"`
-	Digest  map[string]uint64    `json:"digest"` // equal where two copies are
-	Refused uint64               `json:"refused"`
-	Caught  bool                 `json:"caught_up"` // since its start it had all of some member once
-	Fed     int                  `json:"fed"`       // members that it feeds just now
-	Told    crdt.BroadcastCounts `json:"told"`
-	Waits   Waits                `json:"waits"`
+	Size      map[string]int       `json:"size"`
+	Digest    map[string]uint64    `json:"digest"` // equal where two copies are
+	Refused   uint64               `json:"refused"`
+	Caught    bool                 `json:"caught_up"` // since its start it had all of some member once
+	Fed       int                  `json:"fed"`       // members that it feeds just now
+	Broadcast crdt.BroadcastCounts `json:"told"`
+	Waits     Waits                `json:"waits"`
 }
 
 // Waits are what became of answers that waited for another member's word.
 type Waits struct {
-	Came      uint64  `json:"came"`
-	Over      uint64  `json:"over"`  // went out without: their time was over, or their clients left
-	Full      uint64  `json:"full"`  // went out without: too many waited, or there was no room for the entry
-	Alone     uint64  `json:"alone"` // went out without: no other member was there
-	LongestMS float64 `json:"longest_ms"`
+	Acknowledged uint64  `json:"came"`
+	Over         uint64  `json:"over"`  // went out without: their time was over, or their clients left
+	Full         uint64  `json:"full"`  // went out without: too many waited, or there was no room for the entry
+	Alone        uint64  `json:"alone"` // went out without: no other member was there
+	LongestMS    float64 `json:"longest_ms"`
 }
 
-func (s *State) copy(t *told) *Copy {
+func (s *State) copy(t *broadcastReport) *Copy {
 	if s == nil {
 		return nil
 	}
 	c := &Copy{Size: map[string]int{}, Digest: map[string]uint64{}}
 	if t != nil {
-		c.Caught, c.Fed, c.Told = t.Caught, t.Fed, t.BroadcastCounts
+		c.Caught, c.Fed, c.Broadcast = t.Caught, t.Fed, t.BroadcastCounts
 	}
 	s.Each(func(store *crdt.Store, _ int64) {
 		for k := crdt.SessionCommit; k <= crdt.Last; k++ {
@@ -95,6 +95,6 @@
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.Waits = Waits{s.counts.Came, s.counts.Over, s.counts.Full, s.counts.Alone, float64(s.counts.longest) / 1e6}
+	c.Waits = Waits{s.counts.Acknowledged, s.counts.Over, s.counts.Full, s.counts.Alone, float64(s.counts.longest) / 1e6}
 	return c
 }
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -23,26 +23,26 @@
 
 // spread is what Run's goroutine remembers of spreading.
 type spread struct {
-	teller  *crdt.Broadcaster
-	feeder  *crdt.CatchUpServer
-	acks    map[string][]ack // by address, until the messages at hand are taken
-	next    int64            // when to ask again
-	asked   int64            // when the open question was put; 0: none is open
-	of      string           // who has more
-	first   int              // shard of the next question
-	tries   int              // members in a row that were silent or too busy
-	turn    int
-	whole   int  // shards in a row that some member had no more of
-	caught  bool // all have been so since the start
-	began   int64
-	entries int // that it got until then
-	pieces  int
-	checks  int64
-	shard   int   // of the next check
-	alone   int64 // since when nobody else is there; 0: somebody is
-	timer   *time.Timer
-	at      int64 // when the timer runs out; 0: it does not run
-	ran     int64 // when all was last looked at
+	broadcaster   *crdt.Broadcaster
+	catchUpServer *crdt.CatchUpServer
+	acks          map[string][]ack // by address, until the messages at hand are taken
+	next          int64            // when to ask again
+	requestedAt   int64            // when the open question was put; 0: none is open
+	of            string           // who has more
+	first         int              // shard of the next question
+	tries         int              // members in a row that were silent or too busy
+	turn          int
+	coveredShards int  // shards in a row that some member had no more of
+	caught        bool // all have been so since the start
+	began         int64
+	entries       int // that it got until then
+	pieces        int
+	checks        int64
+	shard         int   // of the next check
+	alone         int64 // since when nobody else is there; 0: somebody is
+	timer         *time.Timer
+	at            int64 // when the timer runs out; 0: it does not run
+	ran           int64 // when all was last looked at
 }
 
 // due tells when something is to be told again; nothing is where nothing is shared.
@@ -67,24 +67,24 @@
 	}
 }
 
-// told is what came of telling, for reports.
-type told struct {
+// broadcastReport counts what was broadcast, for reports.
+type broadcastReport struct {
 	crdt.BroadcastCounts
 	Fed    int
 	Caught bool
 }
 
 func newSpread(now int64) (s spread, err error) {
-	if s.teller, err = crdt.NewBroadcaster(crdt.DefaultBroadcasterSettings()); err != nil {
+	if s.broadcaster, err = crdt.NewBroadcaster(crdt.DefaultBroadcasterSettings()); err != nil {
 		return s, err
 	}
-	s.feeder, err = crdt.NewCatchUpServer(crdt.DefaultCatchUpSettings(), now)
+	s.catchUpServer, err = crdt.NewCatchUpServer(crdt.DefaultCatchUpSettings(), now)
 	s.acks, s.timer = map[string][]ack{}, time.NewTimer(time.Hour)
 	return s, err
 }
 
-// wakeSpread tells at once what somebody waits for, and all else once in so long.
-func (p *Peers) wakeSpread(now int64) {
+// scheduleSpread broadcasts urgent entries at once, and all others once per spreadEvery.
+func (p *Peers) scheduleSpread(now int64) {
 	if s := &p.spread; now-s.ran >= int64(spreadEvery) || p.opt.State.pressed() {
 		p.spreadState(now)
 	} else {
@@ -103,11 +103,11 @@
 		p.postState(address, &state{Acks: acks})
 	}
 	clear(s.acks)
-	for _, u := range st.hand() {
-		s.teller.Add(now, u.entry, u.wait)
+	for _, u := range st.takeUrgent() {
+		s.broadcaster.Add(now, u.entry, u.wait)
 	}
-	for _, e := range st.news() {
-		s.teller.Add(now, e, 0)
+	for _, e := range st.takePending() {
+		s.broadcaster.Add(now, e, 0)
 	}
 	others := p.members.Others()
 	if len(others) > 0 {
@@ -122,32 +122,32 @@
 	for i, m := range others {
 		names[i], address[m.Name] = m.Name, m.Address
 	}
-	for _, t := range s.teller.Deliveries(now, names) {
+	for _, t := range s.broadcaster.Deliveries(now, names) {
 		out := &push{Number: t.Number, Pass: t.Pass}
 		for i := range t.Entries {
 			out.Entries = append(out.Entries, wire(&t.Entries[i]))
 		}
 		p.postState(address[t.To], &state{Push: out})
 	}
-	if s.asked > 0 && now-s.asked >= int64(patience) { // it is silent
-		s.asked, s.next = 0, now
+	if s.requestedAt > 0 && now-s.requestedAt >= int64(patience) { // it is silent
+		s.requestedAt, s.next = 0, now
 		s.tries++
 	}
-	if s.asked == 0 && now >= s.next {
-		p.askState(now, names, address)
+	if s.requestedAt == 0 && now >= s.next {
+		p.requestState(now, names, address)
 	}
 	if s.caught && now-s.checks >= int64(checkEvery) {
 		s.checks = now
 		p.checkState(now, address[names[int(p.count)%len(names)]])
 	}
-	if at, ok := s.teller.Due(); ok {
+	if at, ok := s.broadcaster.Due(); ok {
 		s.sooner(now, at)
 	}
-	p.told.Store(&told{s.teller.Counts(), s.feeder.ClientCount(), s.caught})
+	p.broadcastReport.Store(&broadcastReport{s.broadcaster.Counts(), s.catchUpServer.ClientCount(), s.caught})
 }
 
-// askState asks a member for what this copy lacks, of as many shards as a question has room for.
-func (p *Peers) askState(now int64, names []string, address map[string]string) {
+// requestState requests from a member what this copy lacks, for as many shards as fit into a request.
+func (p *Peers) requestState(now int64, names []string, address map[string]string) {
 	s, st := &p.spread, p.opt.State
 	if s.began == 0 {
 		s.began = now
@@ -192,7 +192,7 @@
 			w.Upto[i] = append(w.Upto[i], 0)
 		}
 	}
-	s.asked, s.of = now, ""
+	s.requestedAt, s.of = now, ""
 	p.postState(address[of.Name], &state{Want: w})
 }
 
@@ -206,7 +206,7 @@
 		p.takePush(now, e)
 	}
 	for _, a := range in.Acks {
-		p.opt.State.ended(s.teller.Acked(e.From, a.Number, a.Lacks))
+		p.opt.State.ended(s.broadcaster.Acked(e.From, a.Number, a.Lacks))
 	}
 	if in.Want != nil {
 		p.postState(e.Address, &state{Feed: p.answerState(now, e.From, in.Want)})
@@ -217,7 +217,7 @@
 	if len(in.Check) > 0 && s.caught && now-s.began > int64(differFor) {
 		p.takeCheck(e.From, in.Check)
 	}
-	p.keep(e)
+	p.notifyKeeper(e)
 }
 
 // takePush joins what is new, hands on what somebody waits for, and acknowledges what is held now.
@@ -230,7 +230,7 @@
 			a.Lacks = append(a.Lacks, byte(i))
 		}
 		if changed && i < e.State.Push.Pass {
-			p.spread.teller.Forward(now, one, e.From)
+			p.spread.broadcaster.Forward(now, one, e.From)
 		}
 	}
 	if e.State.Push.Pass > 0 { // somebody waits
@@ -241,7 +241,7 @@
 	} else {
 		p.spread.sooner(now, now+int64(ackAfter))
 	}
-	if at, ok := p.spread.teller.Due(); ok && e.State.Push.Pass > 0 {
+	if at, ok := p.spread.broadcaster.Due(); ok && e.State.Push.Pass > 0 {
 		p.spread.sooner(now, at)
 	}
 }
@@ -249,7 +249,7 @@
 // answerState is what a member lacks, as far as it may be given now.
 func (p *Peers) answerState(now int64, who string, w *want) *feed {
 	out, st, s := &feed{First: w.First, Shards: len(w.Digests)}, p.opt.State, &p.spread
-	room, wait := s.feeder.Admit(now, who, w.Hungry)
+	room, wait := s.catchUpServer.Admit(now, who, w.Hungry)
 	if room == 0 {
 		out.WaitMS = max(1, wait/1e6)
 		return out
@@ -287,7 +287,7 @@
 			}
 		})
 	}
-	s.feeder.Served(who, gave, !out.More && len(w.Digests) == pieces)
+	s.catchUpServer.Served(who, gave, !out.More && len(w.Digests) == pieces)
 	return out
 }
 
@@ -299,10 +299,10 @@
 // takeFeed joins a piece, and says when to go on.
 func (p *Peers) takeFeed(now int64, from string, f *feed) {
 	s, st := &p.spread, p.opt.State
-	if s.asked == 0 || f.First != s.first {
+	if s.requestedAt == 0 || f.First != s.first {
 		return // the answer to a question that was given up: whatever is in it is told again
 	}
-	s.asked, s.next = 0, now+int64(syncInterval)
+	s.requestedAt, s.next = 0, now+int64(syncInterval)
 	if f.WaitMS > 0 {
 		s.tries++
 		if !s.caught { // another may be free sooner
@@ -325,7 +325,7 @@
 		}
 	}
 	if sum != f.Sum {
-		p.counts.spoiled.Add(1)
+		p.counts.malformed.Add(1)
 		slog.Warn("state", operr.Attrs(&CorruptError{From: from, Entries: len(f.Runs)})...)
 		s.tries++
 		return
@@ -340,9 +340,9 @@
 		return
 	}
 	s.first = (s.first + f.Shards) % pieces
-	if s.whole += f.Shards; s.whole < pieces {
+	if s.coveredShards += f.Shards; s.coveredShards < pieces {
 		s.next = now
-	} else if s.whole = 0; !s.caught {
+	} else if s.coveredShards = 0; !s.caught {
 		s.caught = true
 		slog.Info("state caught up", "by", from, "entries", s.entries, "pieces", s.pieces, "took_ms", (now-s.began)/1e6)
 	}
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -37,8 +37,8 @@
 
 // wait is one write's, from before its entry is told until a word has come or the time is over.
 type wait struct {
-	came chan struct{}
-	at   int64
+	acknowledged chan struct{}
+	at           int64
 }
 
 type urgent struct {
@@ -47,8 +47,8 @@
 }
 
 type waits struct {
-	Came, Over, Full, Alone uint64
-	longest                 int64
+	Acknowledged, Over, Full, Alone uint64
+	longest                         int64
 }
 
 // NewState returns an empty copy on a clock.
@@ -125,17 +125,17 @@
 	}
 }
 
-// wake tells when something is to be pushed; a nil State never does.
-func (s *State) wake() <-chan struct{} {
+// pending signals that there are entries to broadcast; a nil State never does.
+func (s *State) pending() <-chan struct{} {
 	if s == nil {
 		return nil
 	}
 	return s.fresh
 }
 
-// Assure is Learn that waits until one other member has said that it holds the entry too, or what goes before it; at most so
+// LearnDurably is Learn that waits until one other member has acknowledged the entry, or one that supersedes it; at most so
 // long, and not beyond the end of gone. It says whether that word came. Where no other member is there it waits for nothing.
-func (s *State) Assure(e crdt.Entry, most time.Duration, gone <-chan struct{}) bool {
+func (s *State) LearnDurably(e crdt.Entry, most time.Duration, gone <-chan struct{}) bool {
 	s.know(&e)
 	ok := false
 	var tell crdt.Entry
@@ -166,7 +166,7 @@
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
-	case <-w.came:
+	case <-w.acknowledged:
 	case <-gone:
 	case <-timer.C:
 	}
@@ -187,8 +187,8 @@
 	return len(s.urgent) > 0
 }
 
-// hand is what waits to be told at once.
-func (s *State) hand() []urgent {
+// takeUrgent removes and returns the entries to broadcast at once.
+func (s *State) takeUrgent() []urgent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.urgent
@@ -206,9 +206,9 @@
 	for _, n := range numbers {
 		if w := s.waits[n]; w != nil {
 			delete(s.waits, n)
-			s.counts.Came++
+			s.counts.Acknowledged++
 			s.counts.longest = max(s.counts.longest, s.now()-w.at)
-			close(w.came)
+			close(w.acknowledged)
 		}
 	}
 }
@@ -219,8 +219,8 @@
 	return changed, covered
 }
 
-// news are what was learned since the last time, for the teller.
-func (s *State) news() (out []crdt.Entry) {
+// takePending removes and returns what was learned since the last call, for the broadcaster.
+func (s *State) takePending() (out []crdt.Entry) {
 	s.Each(func(store *crdt.Store, now int64) {
 		store.Expire(now)
 		out = append(out, store.TakePending(now, 1<<20)...)
--- a/internal/peer/state_test.go
+++ b/internal/peer/state_test.go
@@ -88,18 +88,18 @@
 	names := []string{"a", "b", "c"}
 	a, sa, _ := sharer(t, "a", names)
 	gone := make(chan struct{})
-	if sa.Assure(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "early", At: 1}, time.Millisecond, nil) {
+	if sa.LearnDurably(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "early", At: 1}, time.Millisecond, nil) {
 		t.Error("a word came from nobody")
 	}
 	_, sb, _ := sharer(t, "b", names, a.Address())
 	until(t, "both know both", func() bool { return states(a) == "a alive, b alive" })
 	for i := range 20 {
 		name := fmt.Sprint("s", i)
-		if !sa.Assure(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: name, At: int64(10 + i)}, 20*time.Second, gone) || commit(sb, name) != int64(10+i) {
+		if !sa.LearnDurably(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: name, At: int64(10 + i)}, 20*time.Second, gone) || commit(sb, name) != int64(10+i) {
 			t.Fatalf("%s: no word, or b has it at %d", name, commit(sb, name))
 		}
 	}
-	if c := a.Report().State; c.Waits.Came != 20 || c.Waits.Over != 1 || c.Waits.LongestMS <= 0 {
+	if c := a.Report().State; c.Waits.Acknowledged != 20 || c.Waits.Over != 1 || c.Waits.LongestMS <= 0 {
 		t.Errorf("%+v", c.Waits)
 	}
 }
@@ -145,8 +145,8 @@
 			t.Fatalf("step %d: %+v: %s and %s", step, e, was, is)
 		}
 	}
-	one.news()
-	many.news()
+	one.takePending()
+	many.takePending()
 	if x, y := one.copy(nil), many.copy(nil); fmt.Sprint(x.Size) != fmt.Sprint(y.Size) || x.Size["session"] == 0 {
 		t.Errorf("%v and %v", x.Size, y.Size)
 	}
@@ -169,7 +169,7 @@
 					t.Errorf("%s at %d, learned %d", name, at, i+1)
 				}
 				if i%100 == 0 {
-					s.news()
+					s.takePending()
 				}
 				if at := commit(s, "s0"); at < last {
 					t.Errorf("s0 fell from %d to %d", last, at)
@@ -216,7 +216,7 @@
 					}
 					all.Wait()
 					took[k] += time.Since(from)
-					s.news()
+					s.takePending()
 				}
 			}
 			count := float64(n * goroutines * looks)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -17,7 +17,7 @@
 	now := p.opt.Now()
 	for i := range list {
 		m := &list[i]
-		to, ok := p.doors[m.To]
+		to, ok := p.sessionAt[m.To]
 		if !ok {
 			if len(p.pending) >= maxPending {
 				clear(p.pending)
@@ -30,7 +30,7 @@
 
 // postState sends to one whose session is known; others are met by membership first.
 func (p *Peers) postState(address string, s *state) {
-	if to, ok := p.doors[address]; ok {
+	if to, ok := p.sessionAt[address]; ok {
 		p.post(address, to, nil, s)
 	}
 }
--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -55,7 +55,7 @@
 
 	above(int64(o.Balancers), "balancers")
 	above(o.Granularity, "granularity")
-	_, err := Word(watchRequired, "discovery", o.Discovery)
+	_, err := LookUp(watchRequired, "discovery", o.Discovery)
 	word(err)
 	within(o.OverShare, math.Inf(1), "overShareWorth")
 	say(len(o.Classes) > 0, "classes", "missing or empty", "write at least one class")
@@ -79,9 +79,9 @@
 		say(c.Name != "", at+"name", "missing", "write the name that requests give as t")
 		within(c.Quota, math.Inf(1), at+"quotaPerS")
 	}
-	_, err = Word(clientPositions, "domain.sessionMarks", o.Domain.Marks)
+	_, err = LookUp(clientPositions, "domain.sessionMarks", o.Domain.Marks)
 	word(err)
-	_, err = Word(loadReports, "report.how", o.Report.How)
+	_, err = LookUp(loadReports, "report.how", o.Report.How)
 	word(err)
 	above(int64(o.Limits.MaxAttempts), "limits.maxAttempts")
 	above(int64(o.Limits.MostHeld), "limits.mostHeld")
--- a/internal/platformsettings/dialect.go
+++ b/internal/platformsettings/dialect.go
@@ -46,8 +46,8 @@
 	}
 )
 
-// Word looks up one of the dialect's words. The error names the field and the words that it may have.
-func Word[T any](table map[string]T, field, word string) (T, error) {
+// LookUp returns the value of a keyword of the dialect. The error names the field and the keywords that it may have.
+func LookUp[T any](table map[string]T, field, word string) (T, error) {
 	value, ok := table[word]
 	if !ok {
 		words := slices.Sorted(maps.Keys(table))
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -127,11 +127,11 @@
 		IdleTimeout:          o.Limits.IdleClose,
 	}
 	var err error
-	settings.LagHandling, err = Word(lagHandlings, "domain.behind", o.Domain.Behind)
+	settings.LagHandling, err = LookUp(lagHandlings, "domain.behind", o.Domain.Behind)
 	if err != nil {
 		return settings, err
 	}
-	settings.RoleVisibility, err = Word(roleVisibilities, "domain.showsRole", o.Domain.ShowsRole)
+	settings.RoleVisibility, err = LookUp(roleVisibilities, "domain.showsRole", o.Domain.ShowsRole)
 	return settings, err
 }
 
@@ -160,14 +160,14 @@
 		class.StalenessBound = o.Domain.LagAllowed[i]
 	}
 	var err error
-	class.Consistency, err = Word(consistencies, fmt.Sprintf("domain.classRead[%d]", i), o.Domain.ClassRead[i])
+	class.Consistency, err = LookUp(consistencies, fmt.Sprintf("domain.classRead[%d]", i), o.Domain.ClassRead[i])
 	if err != nil {
 		return class, err
 	}
-	class.Idempotency, err = Word(idempotencies, fmt.Sprintf("classes[%d].effect", i), c.Effect)
+	class.Idempotency, err = LookUp(idempotencies, fmt.Sprintf("classes[%d].effect", i), c.Effect)
 	if err != nil {
 		return class, err
 	}
-	class.KeyScope, err = Word(keyScopes, fmt.Sprintf("classes[%d].keyScope", i), c.KeyScope)
+	class.KeyScope, err = LookUp(keyScopes, fmt.Sprintf("classes[%d].keyScope", i), c.KeyScope)
 	return class, err
 }
--- a/internal/replaytest/digest.go
+++ b/internal/replaytest/digest.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (d *Digest) word(w uint64) {
+func (d *Digest) hashWord(w uint64) {
 	var bytes [8]byte
 	binary.LittleEndian.PutUint64(bytes[:], w)
 	d.hash.Write(bytes[:])
@@ -61,31 +61,31 @@
 
 func (d *Digest) add(v reflect.Value) {
 	if !v.IsValid() {
-		d.word(0)
+		d.hashWord(0)
 		return
 	}
 	if v.Type().Implements(errorType) {
-		d.word(1)
+		d.hashWord(1)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Bool:
 		if v.Bool() {
-			d.word(1)
+			d.hashWord(1)
 		} else {
-			d.word(0)
+			d.hashWord(0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.word(uint64(v.Int()))
+		d.hashWord(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.word(v.Uint())
+		d.hashWord(v.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.word(math.Float64bits(v.Float()))
+		d.hashWord(math.Float64bits(v.Float()))
 	case reflect.String:
-		d.word(uint64(v.Len()))
+		d.hashWord(uint64(v.Len()))
 		d.hash.Write([]byte(v.String()))
 	case reflect.Slice, reflect.Array:
-		d.word(uint64(v.Len()))
+		d.hashWord(uint64(v.Len()))
 		for i := range v.Len() {
 			d.add(v.Index(i))
 		}
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -29,7 +29,7 @@
 	r.reportAttempt(action, startedAt, &result)
 	r.shareOutcome(action.Endpoint, &result)
 	r.end.Served = result.Outcome == balance.Succeeded
-	if r.end.Served && (waited || !r.clientGone() || r.client.failedByClient) {
+	if r.end.Served && (waited || !r.clientLeft() || r.client.failedByClient) {
 		r.outcome = endServed
 		if r.result != nil {
 			r.result.value, r.result.served = result.Value, true
@@ -125,7 +125,7 @@
 // isStillWanted says whether the query may still be sent, right before its first byte is: it is called on any goroutine,
 // and does not block.
 func (r *request) isStillWanted() bool {
-	return !r.clientGone() && !r.isCanceled() && !r.router.shutdown.isOver() && r.router.clock.now() < r.lastRetryAt()
+	return !r.clientLeft() && !r.isCanceled() && !r.router.shutdown.isOver() && r.router.clock.now() < r.lastRetryAt()
 }
 
 // lastRetryAt is the last time at which a query may be sent that may have run before. Servers drop duplicates for a window
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -18,24 +18,24 @@
 
 // Send is one line of the record of decisions: a send, and what was known for it. Ages are in ms.
 type Send struct {
-	AtMS    int64    `json:"at_ms"` // the router's clock, from its start
-	Router  string   `json:"router"`
-	Boot    uint64   `json:"boot"`
-	ID      string   `json:"id"`
-	Class   string   `json:"class"`
-	Group   int64    `json:"group"`
-	Session string   `json:"session,omitempty"`
-	Server  string   `json:"server"`
-	Listed  bool     `json:"listed"` // the list in hand names it, and not as one that drains
-	Write   bool     `json:"write"`
-	Why     string   `json:"why"`              // the module's reason for this server
-	Floor   int64    `json:"floor,omitempty"`  // ms: a session's read must see it
-	On      []Ground `json:"on"`               // what the send rests on
-	Beside  []Ground `json:"beside,omitempty"` // what was known and not used
+	AtMS    int64        `json:"at_ms"` // the router's clock, from its start
+	Router  string       `json:"router"`
+	Boot    uint64       `json:"boot"`
+	ID      string       `json:"id"`
+	Class   string       `json:"class"`
+	Group   int64        `json:"group"`
+	Session string       `json:"session,omitempty"`
+	Server  string       `json:"server"`
+	Listed  bool         `json:"listed"` // the list in hand names it, and not as one that drains
+	Write   bool         `json:"write"`
+	Why     string       `json:"why"`              // the module's reason for this server
+	Floor   int64        `json:"floor,omitempty"`  // ms: a session's read must see it
+	On      []Provenance `json:"on"`               // what the send rests on
+	Beside  []Provenance `json:"beside,omitempty"` // what was known and not used
 }
 
-// Ground is one piece of evidence.
-type Ground struct {
+// Provenance is one fact that a decision rests on, and where it came from.
+type Provenance struct {
 	What   string `json:"what"`   // server, floor, primary
 	Origin string `json:"origin"` // own, client, peer, restored
 	AgeMS  int64  `json:"age_ms"` // of own answers in the module not told: 0
@@ -92,9 +92,9 @@
 	_, listed := r.router.directory.Address(act.Endpoint)
 	s := &Send{AtMS: (r.router.clock.now() - r.router.clock.unix) / ms, Router: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch, ID: r.ID, Class: r.Class, Group: r.Cluster,
 		Session: r.Session, Server: host, Listed: listed, Write: r.router.config.Settings.IsWrite(r.Class), Why: act.Reason.String(),
-		On: []Ground{{What: "server", Origin: trust.OwnResponse.String(), Proven: true, Says: host}}}
+		On: []Provenance{{What: "server", Origin: trust.OwnResponse.String(), Proven: true, Says: host}}}
 	if r.positionEvidence.at > 0 {
-		g := Ground{What: "floor", Origin: r.positionEvidence.fact.Provenance.String(), AgeMS: r.positionEvidence.fact.Age / ms, Proven: r.positionEvidence.fact.Proven, Says: strconv.FormatInt(r.positionEvidence.at/ms, 10)}
+		g := Provenance{What: "floor", Origin: r.positionEvidence.fact.Provenance.String(), AgeMS: r.positionEvidence.fact.Age / ms, Proven: r.positionEvidence.fact.Proven, Says: strconv.FormatInt(r.positionEvidence.at/ms, 10)}
 		if r.positionEvidence.fact.Provenance == trust.Unknown {
 			g.Origin = "client"
 		}
@@ -103,7 +103,7 @@
 		s.Floor, s.On = r.positionEvidence.at/ms, append(s.On, g)
 	}
 	if f, e := m.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Provenance != trust.Unknown {
-		s.Beside = append(s.Beside, Ground{What: "primary", Origin: f.Provenance.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
+		s.Beside = append(s.Beside, Provenance{What: "primary", Origin: f.Provenance.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
 	}
 	m.attemptLog.write(s)
 }
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -105,7 +105,7 @@
 	if ask.After.History != (cursor.History{}) {
 		text.WriteString(",after=" + strconv.FormatInt(ask.After.At, 10) + ",history=" + ask.After.String())
 	}
-	fmt.Fprintf(&text, " */ SELECT feed(%d)", ask.Most)
+	fmt.Fprintf(&text, " */ SELECT feed(%d)", ask.MaxEvents)
 	parsed, err := pgwire.ParseRequest(text.String())
 	if err != nil {
 		return changefeed.ReadResult{Err: err}
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -116,7 +116,7 @@
 		expect s1 Q "/* id=02,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 T | D "v" | C | Z`)
-	var got Lanes
+	var got SheddingReport
 	if err := admin.Query(own.Accounts.Socket, "lanes", &got); err != nil || len(got.Groups) != 1 || got.Groups[0].Threshold != 64 || !got.Groups[0].Isolated || got.Lanes[1].Counts["shed"] < 1 || got.Lanes[0].Counts["above"] != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -119,7 +119,7 @@
 	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) })
 	s.Play("close s1")
 	until(t, "its request has ended", func() bool { return !someone(r, hasLeft) })
-	if s.Met("s1") {
+	if s.HasConnection("s1") {
 		t.Error("a request whose client had gone was repeated")
 	}
 }
@@ -181,7 +181,7 @@
 			expect s1 Q "/* id=b,c=read,d=#,cluster=1 */ B"
 			send s1` + value + `
 			expect c2 welcome | T | D "v" | C | Z`)
-		if s.Met("s1") {
+		if s.HasConnection("s1") {
 			t.Errorf("%d requests: one of a client that had gone was sent", n)
 		}
 	}
@@ -267,7 +267,7 @@
 	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) || !someone(r, func(*client) bool { return true }) })
 	s.Play("close s1")
 	until(t, "its requests have ended", func() bool { return !someone(r, func(*client) bool { return true }) })
-	if s.Met("s1") {
+	if s.HasConnection("s1") {
 		t.Error("a request whose client had gone was repeated")
 	}
 }
@@ -511,7 +511,7 @@
 				expect c1 welcome | T | D "v" | C | Z
 				send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ B"` + go2 + `Q "/* id=02,c=write,d=#,k=ac,cluster=1 */ B"` + took + `T | D "w" | C | Z`)
 		}
-		if s.Met("s1") {
+		if s.HasConnection("s1") {
 			t.Error("a draining server got a connection")
 		}
 	}
--- a/internal/router/eventloop.go
+++ b/internal/router/eventloop.go
@@ -32,24 +32,24 @@
 // eventLoop is the one goroutine that owns the decision module. It drains the queued events
 // into one step and carries out the actions; it never waits for a socket.
 type eventLoop struct {
-	balancer          *balance.Balancer
-	router            *Router
-	events            chan loopEvent
-	requests          map[string]*request // from RequestIn to the end of the task
-	queryBytes        int                 // total size of their queries
-	maxQueryBytesHeld int                 // the most bytes that may be held
-	timers            timers
-	batch             []balance.Event
-	endedRequests     []*request // tasks that ended in this batch
-	requestCount      int
-	logLines          int
-	contracts         *contractService // the teams' contracts; nil: there are none
-	calls             chan func()
+	balancer      *balance.Balancer
+	router        *Router
+	events        chan loopEvent
+	requests      map[string]*request // from RequestIn to the end of the task
+	queryBytes    int                 // total size of their queries
+	maxQueryBytes int                 // the most bytes that may be held
+	timers        timers
+	batch         []balance.Event
+	endedRequests []*request // tasks that ended in this batch
+	requestCount  int
+	logLines      int
+	contracts     *contractService // the teams' contracts; nil: there are none
+	calls         chan func()
 }
 
 func newEventLoop(module *balance.Balancer, r *Router) *eventLoop {
 	return &eventLoop{balancer: module, router: r, events: make(chan loopEvent, eventQueueSize), requests: map[string]*request{},
-		maxQueryBytesHeld: int(r.config.Limits.MemoryMB << 20 / queryMemoryShare), calls: make(chan func())}
+		maxQueryBytes: int(r.config.Limits.MemoryMB << 20 / queryMemoryShare), calls: make(chan func())}
 }
 
 // do runs a function on the event loop's goroutine and waits for it; it returns false if
@@ -122,8 +122,8 @@
 			e.request.deliver(balance.Action{Kind: balance.FailRequest}) // the module ignores an ID that is live
 			return
 		}
-		if len(o.requests) >= o.router.config.Settings.Balance.MaxQueued || o.queryBytes+e.request.Size() > o.maxQueryBytesHeld {
-			o.router.metrics.Add(metrics.TooManyHeld)
+		if len(o.requests) >= o.router.config.Settings.Balance.MaxQueued || o.queryBytes+e.request.Size() > o.maxQueryBytes {
+			o.router.metrics.Add(metrics.TooManyInFlight)
 			e.request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: o.retryAfter(e.Class)})
 			return
 		}
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -70,7 +70,7 @@
 // What is beyond the settings' bound, or would not fit the memory, is refused at once.
 func TestBounds(t *testing.T) {
 	o := newTestOwner(t)
-	o.maxQueryBytesHeld = 200
+	o.maxQueryBytes = 200
 	big := held(t, o, "00", strings.Repeat("x", 200))
 	expectActs(t, big, balance.RejectRequest)
 	first := held(t, o, "01", "A")
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -67,7 +67,7 @@
 		expect s2 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s2 T | D "a" | C | S rank=copy | Z
 		expect c1 T | D "a" | C | Z`)
-	if s.Met("s1") {
+	if s.HasConnection("s1") {
 		t.Error("a draining server got a connection")
 	}
 }
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -182,7 +182,7 @@
 		m.state.Learn(e)
 	case siteconfig.ModeOne:
 		most := min(time.Duration(m.settings.Modes.WaitMS)*time.Millisecond, time.Duration(r.deadline-m.router.clock.now()))
-		m.state.Assure(e, most, r.client.left)
+		m.state.LearnDurably(e, most, r.client.left)
 	}
 }
 
@@ -259,16 +259,16 @@
 	return at
 }
 
-// evidenceFor returns the evidence of a session's commit, for the attempt log.
-func (m *membershipService) evidenceFor(group int64, session string, at clock.Nanos) positionEvidence {
+// provenanceOf returns the origin of a session's commit, for the attempt log.
+func (m *membershipService) provenanceOf(group int64, session string, at clock.Nanos) positionProvenance {
 	if m == nil || m.attemptLog == nil {
-		return positionEvidence{}
+		return positionProvenance{}
 	}
 	f, e := m.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(group, 10), B: session})
 	if e.At != at {
 		f = trust.Fact{} // the client brought the position, or it stands for sessions that were evicted
 	}
-	return positionEvidence{at, f}
+	return positionProvenance{at, f}
 }
 
 // commit returns the position that a session's reads must see: the latest commit that any router knows of; 0: none.
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -200,8 +200,8 @@
 	return persistedReport{k.store.Report(), k.restored, k.ledger.Unconfirmed(trust.FromDisk), k.standing == trust.StandingBehind}
 }
 
-// positionEvidence is the evidence that a read's floor rests on.
-type positionEvidence struct {
+// positionProvenance says where the position came from that a read must see.
+type positionProvenance struct {
 	at   clock.Nanos // the floor; 0: there is none
 	fact trust.Fact
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -36,13 +36,13 @@
 
 // requestTask belongs to the request's task; the event loop reads end and sessionWroteAt when it is told of them.
 type requestTask struct {
-	attempts         int              // so far
-	mayHaveRun       bool             // an attempt may have run
-	firstRunAt       clock.Nanos      // the first that may have run can't have begun before; 0: none may have
-	abandoned        bool             // the decision module was told that nobody waits any more
-	sessionWroteAt   clock.Nanos      // when any router saw its session write last, by the log; 0: not known, or not shared
-	positionEvidence positionEvidence // what a session's read must see, and why; empty where no attempts are logged
-	trace            []tracedAttempt  // its attempts, where the access log may want them
+	attempts         int                // so far
+	mayHaveRun       bool               // an attempt may have run
+	firstRunAt       clock.Nanos        // the first that may have run can't have begun before; 0: none may have
+	abandoned        bool               // the decision module was told that nobody waits any more
+	sessionWroteAt   clock.Nanos        // when any router saw its session write last, by the log; 0: not known, or not shared
+	positionEvidence positionProvenance // what a session's read must see, and why; empty where no attempts are logged
+	trace            []tracedAttempt    // its attempts, where the access log may want them
 	end              contract.End
 	outcome          requestOutcome
 	reason           balance.Reason // of a rejection or a failure
@@ -96,7 +96,7 @@
 	case endServed:
 		r.router.metrics.Add(metrics.Served)
 	case endAbandoned:
-		r.router.metrics.Add(metrics.ClientGone)
+		r.router.metrics.Add(metrics.ClientLeft)
 	}
 	r.router.accessLog.write(r)
 	return answer
@@ -121,7 +121,7 @@
 		event.mustSee = max(1, r.After*clock.Millisecond)
 	}
 	if event.mustSee >= r.positionEvidence.at+clock.Millisecond { // the client knows of a later one
-		r.positionEvidence = positionEvidence{at: event.mustSee}
+		r.positionEvidence = positionProvenance{at: event.mustSee}
 	}
 	return event
 }
@@ -135,7 +135,7 @@
 	}
 	r.See((position + clock.Millisecond - 1) / clock.Millisecond)
 	r.sessionWroteAt = position
-	r.positionEvidence = r.router.membership.evidenceFor(r.Cluster, r.Session, position)
+	r.positionEvidence = r.router.membership.provenanceOf(r.Cluster, r.Session, position)
 }
 
 // reportEnd tells the event loop that the task has ended.
@@ -203,7 +203,7 @@
 // came in the same moment; but a cancel that crosses the final answer changes nothing.
 func (r *request) interrupt(action balance.Action) (answer []byte, ended bool) {
 	final := action.Kind == balance.RejectRequest || action.Kind == balance.FailRequest
-	if r.checkAbandoned() && (!final || r.clientGone()) {
+	if r.checkAbandoned() && (!final || r.clientLeft()) {
 		return r.canceledAnswer(), true
 	}
 	if final || !r.router.shutdown.isOver() {
@@ -231,8 +231,8 @@
 	return rejectedAnswer(retryAfter, r.rejectionReason)
 }
 
-// clientGone says whether the client has gone, or is only being closed for an error of its own.
-func (r *request) clientGone() bool { return isClosed(r.client.left) }
+// clientLeft says whether the client has gone, or is only being closed for an error of its own.
+func (r *request) clientLeft() bool { return isClosed(r.client.left) }
 
 // isCanceled says whether a CancelRequest has named the request.
 func (r *request) isCanceled() bool { return isClosed(r.canceled) }
@@ -249,7 +249,7 @@
 
 // checkAbandoned says whether nobody waits for the answer any more, and tells the decision module once.
 func (r *request) checkAbandoned() bool {
-	if !r.abandoned && (r.clientGone() || r.isCanceled()) {
+	if !r.abandoned && (r.clientLeft() || r.isCanceled()) {
 		r.abandoned, r.end.Abandoned = true, true
 		r.report(balance.Event{Kind: balance.RequestAbandoned})
 	}
@@ -260,7 +260,7 @@
 // once it has canceled the request.
 func (r *request) canceledAnswer() []byte {
 	switch {
-	case !r.clientGone():
+	case !r.clientLeft():
 		return errorAnswer(pgwire.CodeQueryCanceled, "canceled on the client's request")
 	case r.client.failedByClient:
 		return failedAnswer("called off by an error on the connection")
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -421,7 +421,7 @@
 				expect {serves} Q "/* id=01,c=read,d=#,cluster=1 */ A"
 				send {serves} T | D "a" | C | S rank=copy | Z
 				expect c1 welcome | T | D "a" | C | Z`)
-			if hold == time.Hour && s.Met("s1") {
+			if hold == time.Hour && s.HasConnection("s1") {
 				t.Error("a draining server got a connection")
 			}
 		})
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -55,7 +55,7 @@
 	if b.RetryAfterAllowed {
 		back = b.MaxRetryAfter
 	}
-	s, err := own.Contracts.Lane(siteconfig.Fleet{Router: l.router.config.Name, Boot: uint64(l.router.clock.unix), Routers: b.Routers, Agreed: own.Members != nil && own.Members.Share}, back)
+	s, err := own.Contracts.SheddingSettings(siteconfig.Fleet{Router: l.router.config.Name, Boot: uint64(l.router.clock.unix), Routers: b.Routers, Agreed: own.Members != nil && own.Members.Share}, back)
 	if err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
@@ -148,14 +148,14 @@
 	}
 }
 
-// Lanes is the operators' report of load shedding.
-type Lanes struct {
+// SheddingReport is the operators' report of load shedding.
+type SheddingReport struct {
 	Groups []shedding.State `json:"groups"`
 	Lanes  []shedding.Count `json:"lanes"`
 	Full   uint64           `json:"full"` // requests that passed because there was no room for their group
 }
 
 // report returns the current state; it is called on the event loop's goroutine.
-func (l *sheddingService) report() *Lanes {
-	return &Lanes{l.shedder.States(), l.shedder.Counts(), l.shedder.Ungrouped()}
+func (l *sheddingService) report() *SheddingReport {
+	return &SheddingReport{l.shedder.States(), l.shedder.Counts(), l.shedder.Ungrouped()}
 }
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -169,7 +169,7 @@
 		t.Error(err)
 	}
 	s.Play(`expect s1 EOF`)
-	if s.Met("s1") {
+	if s.HasConnection("s1") {
 		t.Error("the request that crossed the close was sent on")
 	}
 }
@@ -208,7 +208,7 @@
 			ln.open()
 			s.Play(`expect c1 EOF`)
 			until(t, "it is gone", func() bool { return connected(r) == 0 })
-			if s.Met("s1") {
+			if s.HasConnection("s1") {
 				t.Error("it was sent on")
 			}
 		})
@@ -264,7 +264,7 @@
 		expect s1 Q "/* id=04,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c2 welcome | T | D "v" | C | Z`)
-	if s.Met("s1") {
+	if s.HasConnection("s1") {
 		t.Error("something was sent on")
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -191,11 +191,11 @@
 		out = balance.Event{Kind: balance.AttemptEnded, Request: e.Handle, Attempt: e.SendNo, Endpoint: e.Node,
 			Final: e.Finished}
 		out.Role, out.Position = in.note(e.Note)
-		out.Outcome, err = platformsettings.Word(outcomes, "result", e.Result)
+		out.Outcome, err = platformsettings.LookUp(outcomes, "result", e.Result)
 	case "echo":
 		out = balance.Event{Kind: balance.ProbeEnded, Endpoint: e.Node}
 		in.report(e.Stats, &out)
-		out.Outcome, err = platformsettings.Word(outcomes, "result", e.Result)
+		out.Outcome, err = platformsettings.LookUp(outcomes, "result", e.Result)
 	case "abandoned":
 		out = balance.Event{Kind: balance.RequestAbandoned, Request: e.Handle}
 	case "wakeup":
@@ -222,7 +222,7 @@
 		return out, false, nil
 	}
 	for _, n := range pages[e.Page] {
-		state, err := platformsettings.Word(lifecycles, "lifecycle", n.Lifecycle)
+		state, err := platformsettings.LookUp(lifecycles, "lifecycle", n.Lifecycle)
 		if err != nil {
 			return out, false, fmt.Errorf("node %d: %w", n.Node, err)
 		}
--- a/internal/siteconfig/contracts.go
+++ b/internal/siteconfig/contracts.go
@@ -32,7 +32,7 @@
 // Team is one contract.
 type Team struct {
 	Name         string           `json:"name"`
-	Worth        float64          `json:"worth"` // weight where those over their contracts share what is left
+	Weight       float64          `json:"worth"` // weight where those over their contracts share what is left
 	Users        []string         `json:"users,omitempty"`
 	Databases    []string         `json:"databases,omitempty"`
 	Applications []string         `json:"applications,omitempty"`
@@ -152,7 +152,7 @@
 		}
 	}
 	for _, t := range c.Teams {
-		team := contract.Team{Name: t.Name, Weight: t.Worth, Users: t.Users, Databases: t.Databases, Applications: t.Applications,
+		team := contract.Team{Name: t.Name, Weight: t.Weight, Users: t.Users, Databases: t.Databases, Applications: t.Applications,
 			Addresses: t.Addresses, PrimaryShare: t.PrimaryShare, MaxOpen: t.Open, RetryShare: t.RetryShare, Limits: make([]contract.Limit, len(classes))}
 		for name, l := range t.Classes {
 			i, ok := index[name]
@@ -176,7 +176,7 @@
 func (c *Contracts) check() error {
 	_, err := c.LedgerSettings(c.Named(), 1, 0)
 	if err == nil {
-		_, err = c.Lane(Fleet{Routers: 1}, 0)
+		_, err = c.SheddingSettings(Fleet{Routers: 1}, 0)
 	}
 	return err
 }
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -101,7 +101,7 @@
 	MaxMB int64  `json:"most_mb"` // of what one process writes; what comes beyond is left out and counted
 }
 
-func (k *Persistence) usual() {
+func (k *Persistence) setDefaults() {
 	k.MaxMB, k.QueueKB, k.FsyncsPer, k.LoadMS = cmp.Or(k.MaxMB, 32), cmp.Or(k.QueueKB, 1024), cmp.Or(k.FsyncsPer, 4), cmp.Or(k.LoadMS, 500)
 }
 
@@ -146,7 +146,7 @@
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (m *Members) check() error {
 	if m.Keep != nil {
-		m.Keep.usual()
+		m.Keep.setDefaults()
 		if err := m.Keep.check(); err != nil {
 			return fmt.Errorf("keep.%w", err)
 		}
--- a/internal/siteconfig/shedding.go
+++ b/internal/siteconfig/shedding.go
@@ -50,8 +50,8 @@
 	Agreed  bool // the routers tell each other
 }
 
-// Lane are the settings of the decision for one router; nil where there are no lanes.
-func (c *Contracts) Lane(f Fleet, longestBack clock.Nanos) (*shedding.Settings, error) {
+// SheddingSettings returns the settings of load shedding for one router; nil where no priority classes are set.
+func (c *Contracts) SheddingSettings(f Fleet, longestBack clock.Nanos) (*shedding.Settings, error) {
 	if c.Shedding == nil {
 		for _, t := range c.Teams {
 			if t.Lane != "" || t.LanePerS != 0 {
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := s.Contracts.Lane(Fleet{"n0", 3, 7, true}, 4e9)
+	l, err := s.Contracts.SheddingSettings(Fleet{"n0", 3, 7, true}, 4e9)
 	if err != nil || l.SaltPeriod != 9e9 || l.Interval != 200e6 || l.PriorityClasses[0].ReservedShare != 0.05 || l.PriorityClasses[1].ReservedShare != 0 || l.Teams[0].PriorityClass != 0 || l.Teams[1].PriorityClass != 1 || !l.Shared || l.Routers != 7 {
 		t.Errorf("%+v, %v", l, err)
 	}
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -163,13 +163,13 @@
 
 // Slow is a disk on which a batch takes long.
 type Slow struct {
-	Path string
-	Took time.Duration // so far
+	Path    string
+	Elapsed time.Duration // so far
 }
 
 // Error says what failed, and what was done instead where that is not plain.
 func (e *Slow) Error() string {
-	return fmt.Sprintf("keep: %s: a step has taken %v and is not done: what comes meanwhile waits, the newest of each key", e.Path, e.Took.Round(time.Millisecond))
+	return fmt.Sprintf("keep: %s: a step has taken %v and is not done: what comes meanwhile waits, the newest of each key", e.Path, e.Elapsed.Round(time.Millisecond))
 }
 
 // Kind is "keep-slow".
@@ -224,13 +224,13 @@
 
 // Clock is a wall's clock that was set back since the copy was written.
 type Clock struct {
-	Path string
-	Back time.Duration // at least
+	Path   string
+	Offset time.Duration // at least
 }
 
 // Error says what failed, and what was done instead where that is not plain.
 func (e *Clock) Error() string {
-	return fmt.Sprintf("keep: %s was written %v after now: its records are at least as old as they were then, and nobody knows how much older", e.Path, e.Back)
+	return fmt.Sprintf("keep: %s was written %v after now: its records are at least as old as they were then, and nobody knows how much older", e.Path, e.Offset)
 }
 
 // Kind is "keep-clock".
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -69,8 +69,8 @@
 	return fmt.Errorf(strings.ReplaceAll(path, "%", "%%")+": "+text, args...)
 }
 
-// broken is the iterator's own error, on one line.
-func broken(it *jsoniter.Iterator, path string) error {
+// malformed returns the iterator's own error, on one line.
+func malformed(it *jsoniter.Iterator, path string) error {
 	if it.Error == nil || errors.Is(it.Error, io.EOF) && it.WhatIsNext() != jsoniter.InvalidValue {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	next := it.WhatIsNext()
 	if it.Attachment == (others{}) && next == jsoniter.NilValue {
 		it.Skip()
-		return broken(it, path)
+		return malformed(it, path)
 	}
 	want := func(kind jsoniter.ValueType, name string) error {
 		if next == kind {
@@ -97,7 +97,7 @@
 	switch {
 	case v.Type() == rawType:
 		v.SetBytes(it.SkipAndReturnBytes())
-		return broken(it, path)
+		return malformed(it, path)
 	case v.Kind() == reflect.Pointer:
 		if v.IsNil() {
 			v.Set(reflect.New(v.Type().Elem()))
@@ -110,7 +110,7 @@
 		if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(it.ReadString())); err != nil {
 			return at(path, "%w", err)
 		}
-		return broken(it, path)
+		return malformed(it, path)
 	}
 	switch v.Kind() {
 	case reflect.Struct:
@@ -121,7 +121,7 @@
 			f, err := field(v, key, path)
 			if err != nil && it.Attachment == (others{}) {
 				it.Skip()
-				return broken(it, path)
+				return malformed(it, path)
 			}
 			if err != nil {
 				return err
@@ -189,7 +189,7 @@
 	default:
 		return at(path, "a value that can't be set: %s", v.Type())
 	}
-	return broken(it, path)
+	return malformed(it, path)
 }
 
 var kinds = map[jsoniter.ValueType]string{jsoniter.StringValue: "a string", jsoniter.NumberValue: "a number",
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	return broken(it, path)
+	return malformed(it, path)
 }
 
 // field finds a struct's field by its json tag.
--- a/policy/balance/retry.go
+++ b/policy/balance/retry.go
@@ -118,8 +118,8 @@
 	return b.now + max((b.lastStart(r)-b.now)/2, clock.Nanos(b.classes.Work(r.class)))
 }
 
-// hasTried keeps a retry off the endpoints that failed the earlier attempts.
-func (r *request) hasTried(ep *endpoint) bool {
+// failedOn says whether an earlier attempt at an endpoint failed, so that a retry should avoid it.
+func (r *request) failedOn(ep *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		return a.endpoint == ep && (a.mayRun || ep.positionAt < a.sentAt)
 	})
--- a/policy/balance/selection.go
+++ b/policy/balance/selection.go
@@ -53,10 +53,10 @@
 // selectForBlocking places a read that keeps a replica from applying its log. Departure: the primary, which
 // applies nothing, takes it within its limits; else the replica of least use does, the one furthest behind.
 func (b *Balancer) selectForBlocking(g *group, r *request, primary *endpoint) *endpoint {
-	if primary != nil && !r.hasTried(primary) {
+	if primary != nil && !r.failedOn(primary) {
 		return primary
 	}
-	free := func(ep *endpoint) bool { return ep != g.primary && !r.hasTried(ep) && b.withinLimits(ep, r) != nil }
+	free := func(ep *endpoint) bool { return ep != g.primary && !r.failedOn(ep) && b.withinLimits(ep, r) != nil }
 	return choose.Best(g.members, free, func(x, y *endpoint) bool { return x.position < y.position })
 }
 
@@ -66,7 +66,7 @@
 	var covering, ahead candidate
 	var advanced *endpoint // the most advanced usable replica
 	for _, ep := range g.members {
-		if ep == g.primary || !b.usable(ep) || r.hasTried(ep) {
+		if ep == g.primary || !b.usable(ep) || r.failedOn(ep) {
 			continue
 		}
 		if advanced == nil || ep.position > advanced.position {
@@ -81,7 +81,7 @@
 		}
 	}
 	primary := b.withinLimits(g.primary, r)
-	if primary != nil && r.hasTried(primary) {
+	if primary != nil && r.failedOn(primary) {
 		primary = nil
 	}
 	if covering.endpoint != nil {
@@ -123,7 +123,7 @@
 // lastResort keeps ejections from emptying a group: with no endpoint left, the one that answered last.
 func (b *Balancer) lastResort(g *group, r *request) *endpoint {
 	eligible := func(ep *endpoint) bool {
-		return ep.health.Ejected() && len(ep.attempts) < 2 && !r.hasTried(ep) && b.mayTakeCanary(ep, r)
+		return ep.health.Ejected() && len(ep.attempts) < 2 && !r.failedOn(ep) && b.mayTakeCanary(ep, r)
 	}
 	return choose.Best(g.members, eligible, func(x, y *endpoint) bool { return x.answeredAt > y.answeredAt })
 }
--- a/policy/crdt/broadcaster.go
+++ b/policy/crdt/broadcaster.go
@@ -62,7 +62,7 @@
 	number uint64
 	last   clock.Nanos // when the last new batch was made
 	turn   int
-	told   BroadcastCounts
+	counts BroadcastCounts
 }
 
 type queued struct {
@@ -105,7 +105,7 @@
 	t.queue = slices.Insert(t.queue, at, q)
 	if len(t.queue) > t.set.Queue {
 		t.queue = t.queue[:t.set.Queue]
-		t.told.Dropped++
+		t.counts.Dropped++
 	}
 }
 
@@ -135,11 +135,11 @@
 			return true
 		}
 		if b.tries >= t.set.Tries {
-			t.told.Left++
+			t.counts.Left++
 			return true
 		}
-		t.told.Again += uint64(len(b.left))
-		out = append(out, t.tell(now, b)...)
+		t.counts.Again += uint64(len(b.left))
+		out = append(out, t.broadcast(now, b)...)
 		return false
 	})
 	for len(t.queue) > 0 && len(others) > 0 {
@@ -153,9 +153,9 @@
 		b := t.batch(now, others)
 		if t.open = append(t.open, b); len(t.open) > t.set.Batches {
 			t.open = slices.Delete(t.open, 0, 1)
-			t.told.Left++
+			t.counts.Left++
 		}
-		out = append(out, t.tell(now, b)...)
+		out = append(out, t.broadcast(now, b)...)
 	}
 	return out
 }
@@ -163,7 +163,7 @@
 // batch takes from the queue what fits, of one sort: what was learned here, or what one member told.
 func (t *Broadcaster) batch(now clock.Nanos, others []string) *batch {
 	t.number++
-	t.told.Batches++
+	t.counts.Batches++
 	t.last = now
 	b := &batch{number: t.number}
 	room, by := t.set.Bytes, t.queue[0].not
@@ -192,7 +192,7 @@
 	return b
 }
 
-func (t *Broadcaster) tell(now clock.Nanos, b *batch) (out []Delivery) {
+func (t *Broadcaster) broadcast(now clock.Nanos, b *batch) (out []Delivery) {
 	b.due = now + min(t.set.First<<min(b.tries, 20), t.set.Longest)
 	b.tries++
 	list := make([]Entry, len(b.list))
@@ -248,7 +248,7 @@
 }
 
 // Counts counts since the start.
-func (t *Broadcaster) Counts() BroadcastCounts { return t.told }
+func (t *Broadcaster) Counts() BroadcastCounts { return t.counts }
 
 // Size is how many entries wait, and how many batches are open.
 func (t *Broadcaster) Size() (entries, batches int) { return len(t.queue), len(t.open) }
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -184,7 +184,7 @@
 	}
 	kept := next
 	if v.Row == Rewind && s == 1 && broken != "a rewind counts as heard" {
-		kept, acked = v.Back, known.Acked
+		kept, acked = v.Stale, known.Acked
 	}
 	if s == 1 && kept.Compare(known.Position) < 0 { // what it may have had stays known
 		kept = known.Position
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -146,7 +146,7 @@
 	Row   Row
 	Need  Requirement
 	Start Position // with Begin to Rewind: the answer's events are those after it
-	Back  Position // Rewind: where the client stood
+	Stale Position // Rewind: where the client stood
 }
 
 // Request is one request as it stands.
@@ -199,7 +199,7 @@
 		client = f.ClassClient(p)
 		v.Start = p
 		if f.ClassClient(q.Known.Position) == ClientOther && client != ClientOld { // it may have had what was lost, acknowledged or not
-			v.Row, v.Back = Rewind, q.Known.Position
+			v.Row, v.Stale = Rewind, q.Known.Position
 			end, _ := f.lineage.End(p.History)
 			v.Start.At = min(p.At, end)
 			return v
@@ -213,7 +213,7 @@
 		v.Start = f.Head()
 	}
 	if v.Row == Rewind {
-		v.Back = v.Start
+		v.Stale = v.Start
 		v.Start.At, _ = f.lineage.End(v.Start.History)
 	}
 	return v
--- a/policy/cursor/table_test.go
+++ b/policy/cursor/table_test.go
@@ -163,7 +163,7 @@
 		t.Error(m)
 	}
 	f.Apply(2, &Response{Line: Lineage{{History{1, 7}, 0}, {History{2, 8}, 100}, {History{3, 9}, 120}}, Head: 140, From: 120, Events: []Event{{125, "n"}, {140, "n"}}}, true)
-	if v := f.Decide(3, Request{Client: pt(2, 8, 150)}, true); v.Row != Rewind || v.Start.At != 120 || v.Back.At != 150 {
+	if v := f.Decide(3, Request{Client: pt(2, 8, 150)}, true); v.Row != Rewind || v.Start.At != 120 || v.Stale.At != 150 {
 		t.Errorf("%+v", v)
 	}
 	if events, next, more := f.Batch(pt(2, 8, 110), nil); len(events) != 3 || events[1].At != 125 || next != pt(3, 9, 140) || more {
--- a/policy/membership/receive.go
+++ b/policy/membership/receive.go
@@ -73,7 +73,7 @@
 			reply.Updates = []Update{p.Update}
 		}
 		if m.lease != nil && msg.Target == m.settings.Name {
-			row := m.lease.Vote(m.now, p.Name, p.Epoch, p.Address, m.isGone)
+			row := m.lease.Vote(m.now, p.Name, p.Epoch, p.Address, m.isRemoved)
 			reply.Vote = &row
 		}
 		m.send(reply)
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -17,13 +17,13 @@
 	}
 	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
 	if v.Quota = (quotalease.Quota{Share: 1 / float64(m.settings.Configured), Min: 1 / float64(m.settings.Configured), Until: m.now}); m.lease != nil {
-		v.Quota = m.lease.Quota(m.now, m.isGone)
+		v.Quota = m.lease.Quota(m.now, m.isRemoved)
 	}
 	return v
 }
 
-// isGone says whether a member is believed to be dead or departed, or has never been met.
-func (m *Detector) isGone(name string) bool {
+// isRemoved says whether a member is considered dead or departed, or was never seen.
+func (m *Detector) isRemoved(name string) bool {
 	p := m.peers[name]
 	return p == nil || p.State >= Dead
 }
