--- a/internal/router/acceptor_test.go
+++ b/internal/router/acceptor_test.go
@@ -94,6 +94,28 @@
 	}
 }
 
+// waitIdle waits until so many clients that have queried are idle: a client has its answer a moment before the router counts it as
+// idle, so that without this wait two clients that are answered in turn can become idle in the other order.
+func waitIdle(t *testing.T, r *Router, want int) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+		count := 0
+		r.clients.mu.Lock()
+		for c := range r.clients.all {
+			if _, hasQueried, idle := c.idleState(); hasQueried && idle {
+				count++
+			}
+		}
+		r.clients.mu.Unlock()
+		if count == want {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("%d clients are idle, %d wanted", count, want)
+		}
+	}
+}
+
 // A member of a reserve gets in at once though its room is lent. Of those that
 // must go one that asked before just ends, so that the query that crosses the
 // close is sent elsewhere; one that never asked hears why.
@@ -104,8 +126,10 @@
 	s.Play(fmt.Sprintf(meet, "a1"))
 	s.Play(`send a2 startup
 		expect a2 welcome`)
+	waitIdle(t, r, 1)
 	for i := range whole - 2 {
 		s.Play(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
+		waitIdle(t, r, i+2)
 	}
 	s.Play(`
 		expect c1 FATAL 53300 # | EOF
