--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -9,7 +9,7 @@
 	"lotushook/policy/cursor"
 )
 
-// Subscription is what a client's connection remembers: whose feed it asked for last, and under which generation.
+// Subscription is a client connection's state: the feed that it last read, and under which generation.
 type Subscription struct {
 	mu         sync.Mutex
 	log        *log
@@ -38,7 +38,7 @@
 	return c, letGo
 }
 
-// Answer is a request's: one value, or a typed error after which the subscriber's cursor is what it was.
+// Answer answers a request: one value, or a typed error after which the subscriber's cursor is unchanged.
 func (p *Feeds) Answer(seat *Subscription, q *Request) ([]byte, error) {
 	value, row, n, err := p.answer(seat, q)
 	p.count.Lock()
@@ -76,7 +76,7 @@
 	asked := cursor.Request{Turn: cursor.NewConnection, Client: q.After}
 	carries := q.After.History != (cursor.History{})
 	if goesOn {
-		if asked.Turn = cursor.SameConnection; !carries { // by asking again here it shows that the last answer came
+		if asked.Turn = cursor.SameConnection; !carries { // this request shows that the last answer arrived
 			asked.Client = point
 		}
 	} else {
@@ -92,7 +92,7 @@
 		known, letGo := p.known(l, q.Subscriber)
 		now := p.opt.Now()
 		l.mu.Lock()
-		if _, read := l.feed.End(); read && known.Gen > l.feed.Head().At+maxGeneration { // nobody raised it so far: it is no word of a router's
+		if _, read := l.feed.End(); read && known.Gen > l.feed.Head().At+maxGeneration { // no router raised it so far: it is invalid
 			known = cursor.Cursor{}
 		}
 		asked.Known, asked.Own, asked.LetGo = known, known.By == p.opt.Self, letGo
@@ -162,12 +162,12 @@
 			switch {
 			case row == cursor.Begin:
 				kept.Acked = cursor.NotAcknowledged
-			case row == cursor.Rewind && !carries: // until it is known to have heard it, it is told again
+			case row == cursor.Rewind && !carries: // until it is known to have received it, it is notified again
 				if kept.Position, kept.Acked = v.Stale, min(known.Acked, v.Stale.At); known.Gen == 0 {
 					kept.Acked = cursor.NotAcknowledged
 				}
 			}
-			if !carries && kept.Position.Compare(known.Position) < 0 { // what it may have had stays known
+			if !carries && kept.Position.Compare(known.Position) < 0 { // it may have received these: they stay recorded
 				kept.Position = known.Position
 			}
 			gen, ok := p.deliver(seat, l, q, goesOn, kept, next, head)
@@ -185,7 +185,7 @@
 		if r.err != nil && try+1 >= maxTries {
 			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: max(r.wait, l.set.PollInterval), Cause: r.err}
 		}
-		if r.err != nil && r.wait > 0 { // the module says when: trying at once would be pressing
+		if r.err != nil && r.wait > 0 { // the module says when: an earlier try would add load
 			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: r.wait, Cause: r.err}
 		}
 		if far = nil; v.Need == cursor.ReadCatchUp {
@@ -194,7 +194,7 @@
 	}
 }
 
-// deliver notes what goes out, unless the connection was outrun meanwhile, and returns its generation.
+// deliver records what is sent, unless the connection was superseded meanwhile, and returns its generation.
 func (p *Feeds) deliver(seat *Subscription, l *log, q *Request, goesOn bool, c cursor.Cursor, next, head cursor.Position) (gen int64, ok bool) {
 	held := c.Generation
 	known, _ := p.known(l, q.Subscriber)
@@ -212,17 +212,17 @@
 		held = cursor.Generation{Gen: max(known.Gen, client, head.At) + 1, By: p.opt.Self}
 	}
 	c.Generation = held
-	kept := next.At <= head.At // a cursor that is ahead is the client's word alone
+	kept := next.At <= head.At // a cursor that is ahead is the client's claim alone
 	put := true
 	if kept {
 		now := p.opt.Now()
 		p.do(q.Subscriber, func(b *cursor.Registry) {
 			old, had := b.Get(now, l.number, q.Subscriber)
-			if had && !goesOn && old.Gen >= held.Gen { // two come back here at once: the later holds
+			if had && !goesOn && old.Gen >= held.Gen { // two reconnect here at once: the later prevails
 				held.Gen = old.Gen + 1
 				c.Generation = held
 			}
-			if had && old.Generation.Compare(held) > 0 { // between the look and now
+			if had && old.Generation.Compare(held) > 0 { // since the first check
 				put = false
 				return
 			}
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,5 +1,5 @@
-// Package changefeed answers subscribers of feeds. What to do for each says policy/cursor; this package keeps its state in shards, asks
-// data servers through whoever made it, once for all that want the same, and writes the answers.
+// Package changefeed answers subscribers of feeds. policy/cursor decides; this package keeps the state in shards, reads
+// data servers through the router, once for all requests that need the same, and writes the answers.
 package changefeed
 
 import (
@@ -17,40 +17,40 @@
 
 const (
 	shards        = 64
-	maxTries      = 3       // readings for one answer: a fork that shows needs a second, a forked member a third
+	maxTries      = 3       // reads for one answer: a fork that shows needs a second, a forked member a third
 	maxGeneration = 1 << 32 // a generation so far beyond the head was not raised by reconnects
 )
 
-// Options are what a Part works with.
+// Options are the settings of Feeds.
 type Options struct {
 	Settings cursor.Settings            // of classes that have none of their own
-	Classes  map[string]cursor.Settings // by name; only Fresh, Again and the batches may differ
-	Waiting  int                        // requests that wait for data servers at a time, beyond it they come again
-	ReadFor  time.Duration              // a reading's time
+	Classes  map[string]cursor.Settings // by name; only the intervals and the batches may differ
+	Waiting  int                        // requests that wait for data servers at a time; more are delayed
+	ReadFor  time.Duration              // a read's timeout
 	Self     crdt.Origin
-	State    *peer.State // where cursors are shared; nil: nowhere
+	State    *peer.State // where cursors are replicated; nil: nowhere
 	Now      func() int64
-	Read     func(ReadRequest) ReadResult // asks some member; returns by Ask.Until
+	Read     func(ReadRequest) ReadResult // reads from some member; returns by ReadRequest.Until
 }
 
-// ReadRequest is one reading: what follows a point, or the last events where it has no history.
+// ReadRequest is one read: of what follows a position, or of the last events where it has no history.
 type ReadRequest struct {
 	Class     string
 	Group     int64
 	After     cursor.Position
 	MaxEvents int
 	Until     int64
-	Who       contract.Identity // the first of those it is for
+	Who       contract.Identity // the first of those that it is for
 }
 
-// ReadResult is what came of it: a value, or an error and a time to come again where one was told.
+// ReadResult is the result of a read: a value, or an error with a Retry-After time if there is one.
 type ReadResult struct {
 	Value []byte
 	Wait  int64
 	Err   error
 }
 
-// Request is one subscriber's.
+// Request is one subscriber's request.
 type Request struct {
 	Class      string
 	Group      int64
@@ -62,19 +62,19 @@
 	Left       <-chan struct{} // closed when the client has gone
 }
 
-// Counts are what a Part did since its start.
+// Counts are since the start.
 type Counts struct {
 	Cursors  int               `json:"cursors"` // held now
 	Answers  uint64            `json:"answers"`
 	Events   uint64            `json:"events"`
 	EndReads uint64            `json:"end_reads"` // of feeds' ends
-	FarReads uint64            `json:"far_reads"` // for those that are behind the ring
+	FarReads uint64            `json:"far_reads"` // for subscribers behind the ring
 	Refused  uint64            `json:"refused"`
 	Rows     map[string]uint64 `json:"rows"` // of the table, by name
 	rows     [cursor.RowCount]uint64
 }
 
-// Feeds answers. All its methods may be called from any goroutine.
+// Feeds answers subscribers. It is safe for concurrent use.
 type Feeds struct {
 	opt    Options
 	seed   maphash.Seed
@@ -95,13 +95,13 @@
 	}
 }
 
-// shard is some of the subscribers' cursors under a lock of its own.
+// shard is a part of the subscribers' cursors under a lock of its own.
 type shard struct {
 	mu       sync.Mutex
 	registry *cursor.Registry
 }
 
-// do has a function look at the cursors of a key's shard. It must wait for nothing.
+// do calls a function with the cursors of a key's shard. It must not block.
 func (p *Feeds) do(key string, f func(*cursor.Registry)) {
 	s := &p.shards[maphash.String(p.seed, key)%shards]
 	s.mu.Lock()
@@ -114,10 +114,10 @@
 	group int64
 }
 
-// log is one group's, as a class reads it.
+// log is one group's log, as a class reads it.
 type log struct {
 	name
-	text   string // as routers call it
+	text   string // as routers write it
 	number uint32
 	set    cursor.Settings
 
@@ -127,7 +127,7 @@
 	far  map[cursor.Position]*reading
 }
 
-// New returns a Part that knows nothing yet.
+// New returns Feeds without any cursor.
 func New(o Options) (*Feeds, error) {
 	if err := o.Settings.Check(); err != nil {
 		return nil, err
@@ -146,16 +146,16 @@
 	return p, nil
 }
 
-// Serves says whether a class is one of feeds.
+// Serves says whether a class is a feed.
 func (p *Feeds) Serves(class string) bool {
 	_, ok := p.opt.Classes[class]
 	return ok
 }
 
-// Close waits for the readings that are under way.
+// Close waits for the reads in progress.
 func (p *Feeds) Close() { p.readings.Wait() }
 
-// Counts are as of now.
+// Counts returns the present counts.
 func (p *Feeds) Counts() Counts {
 	p.count.Lock()
 	c := p.count.Counts
@@ -179,7 +179,7 @@
 	return n
 }
 
-// log is the one that a request is of. There are as many as classes times groups that the list has.
+// log returns a request's log. There are as many as classes times listed groups.
 func (p *Feeds) log(class string, group int64) *log {
 	p.logs.Lock()
 	defer p.logs.Unlock()
--- a/internal/changefeed/reading.go
+++ b/internal/changefeed/reading.go
@@ -9,7 +9,7 @@
 	"lotushook/policy/cursor"
 )
 
-// reading is one under way; all that want it wait for done.
+// reading is one read in progress; all that need it wait for done.
 type reading struct {
 	after  cursor.Position
 	done   chan struct{}
@@ -19,12 +19,12 @@
 	wait   int64
 }
 
-// serves says whether a far reading that has ended is what a start needs.
+// serves says whether a finished catch-up read is what a start needs.
 func (r *reading) serves(start cursor.Position) bool {
 	return r != nil && r.answer != nil && r.member != cursor.MemberForked && r.after == start && r.answer.From <= start.At
 }
 
-// read starts one; the log's lock is held.
+// read starts a read; the log's lock is held.
 func (p *Feeds) read(l *log, after cursor.Position, end bool, who contract.Identity) *reading {
 	r := &reading{after: after, done: make(chan struct{})}
 	if end {
@@ -65,7 +65,7 @@
 	return r
 }
 
-// await waits for a reading as long as the request may.
+// await waits for a read as long as the request may.
 func (p *Feeds) await(l *log, r *reading, q *Request) error {
 	if p.waiting.Add(1) > int64(p.opt.Waiting) {
 		p.waiting.Add(-1)
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -9,13 +9,13 @@
 	"lotushook/policy/cursor"
 )
 
-// json is strict about what a member says: one that says more than is known here is of another version.
+// json is strict about a member's answer: one with unknown keys is of another version.
 var json = jsoniter.Config{EscapeHTML: false, DisallowUnknownFields: true, CaseSensitive: true}.Froze()
 
-// ErrMalformed is wrapped by all that is wrong with a member's answer.
+// ErrMalformed is wrapped by all errors about a member's answer.
 var ErrMalformed = errors.New("member's log")
 
-// memberAnswer is a member's answer as it travels: one value.
+// memberAnswer is a member's answer on the wire: one value.
 type memberAnswer struct {
 	Line          []history `json:"line"`
 	RemovedBefore int64     `json:"gone"`
@@ -35,7 +35,7 @@
 	Text string `json:"text"`
 }
 
-// AppendAnswer writes what a member says.
+// AppendAnswer encodes a member's answer.
 func AppendAnswer(a *cursor.Response) ([]byte, error) {
 	t := memberAnswer{RemovedBefore: a.TruncatedUpTo, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
 	for _, f := range a.Line {
@@ -44,7 +44,7 @@
 	return json.Marshal(t)
 }
 
-// ParseAnswer reads it, and refuses what can't be right.
+// ParseAnswer decodes it, and rejects an invalid one.
 func ParseAnswer(raw []byte) (*cursor.Response, error) {
 	var t memberAnswer
 	if err := json.Unmarshal(raw, &t); err != nil {
@@ -75,16 +75,16 @@
 	return out
 }
 
-// Batch is what a subscriber gets, as one value.
+// Batch is a subscriber's answer, as one value.
 type Batch struct {
 	Events  []event  `json:"events"`
 	Next    Place    `json:"next"`              // its cursor from here on
-	AgainMS int64    `json:"again_ms"`          // when to come again; 0: at once, there is more
-	Began   bool     `json:"began,omitempty"`   // nobody knew it: it starts here, and what was before is not told
-	Rewound *Rewound `json:"rewound,omitempty"` // what it had after To was lost by a take-over, and is void
+	AgainMS int64    `json:"again_ms"`          // when to return; 0: at once, there is more
+	Began   bool     `json:"began,omitempty"`   // it was unknown: it starts here, and earlier events are not sent
+	Rewound *Rewound `json:"rewound,omitempty"` // what it received after To was lost by a take-over, and is void
 }
 
-// Place is a cursor as clients carry it: in the fields after, history and gen.
+// Place is a cursor as clients send it: in the fields after, history and gen.
 type Place struct {
 	After   int64  `json:"after"`
 	History string `json:"history"`
@@ -98,7 +98,7 @@
 	To      int64  `json:"to"`
 }
 
-// ParseBatch reads what a subscriber gets.
+// ParseBatch decodes a subscriber's answer.
 func ParseBatch(raw []byte) (*Batch, error) {
 	b := &Batch{}
 	if err := json.Unmarshal(raw, b); err != nil {
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -81,7 +81,7 @@
 // rejectedError is a connection that was rejected with an error message.
 type rejectedError struct{ answer }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (t *rejectedError) Error() string { return "turned away: " + t.text }
 
 func (c *client) next() (pgwire.Message, error) {
--- a/internal/peer/keeper.go
+++ b/internal/peer/keeper.go
@@ -2,17 +2,17 @@
 
 import "lotushook/policy/crdt"
 
-// Keeper hears what a State holds from now on, with nothing locked; it must not wait for anything. By is who says so: this
-// router itself by the zero Origin, or the member that told it, with its boot. An entry may be told again.
+// Keeper receives the entries that a State holds from now on, without any lock held; it must not block. By is the source: this
+// router itself by the zero Origin, or the member that sent the entry, with its boot. An entry may be passed again.
 type Keeper interface {
 	Put(e crdt.Entry, by crdt.Origin)
 }
 
-// SetKeeper has a keeper hear of all that is learned and told. It is to be called before the State is used.
+// SetKeeper sets a keeper that receives all entries. It must be called before the State is used.
 func (s *State) SetKeeper(k Keeper) { s.keeper = k }
 
-// Restore joins what this router had before its start. It is as if somebody told it: it is not pushed, its ages go on, and
-// whoever has heard better keeps that. It returns how many entries are held now that were not.
+// Restore merges the entries that this router had before its start. They are merged like a peer's: they are not broadcast, their ages
+// go on, and newer entries prevail. It returns how many entries are held now that were not.
 func (s *State) Restore(list []crdt.Entry) (taken int) {
 	for i := range list {
 		if changed, _ := s.take(&list[i]); changed {
@@ -48,7 +48,7 @@
 	}
 }
 
-// boot is a member's as it was seen last; 0: it was not.
+// boot is a member's boot as last seen; 0: it was not.
 func (p *Peers) boot(name string) uint64 {
 	for _, m := range p.View().Members {
 		if m.Name == name {
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -13,8 +13,8 @@
 	maxKeys     = 2
 )
 
-// ReadKeys reads a key file: one key a line, as at least 64 hex digits; lines that start with # are notes. Messages are
-// written under the first, and taken under either. To replace a key without a gap, add the new one as the second
+// ReadKeys reads a key file: one key a line, as at least 64 hex digits; lines that start with # are comments. Messages are
+// signed with the first, and accepted with either. To replace a key without a gap, add the new one as the second
 // everywhere, then put it first everywhere, then drop the old one; the file is read again on SIGHUP.
 func ReadKeys(path string) ([][]byte, error) {
 	raw, err := os.ReadFile(path)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries what the routers of an installation tell each other: sockets, authentication and bounds. Who is
-// there is decided in policy/membership; nobody who serves requests ever waits for this package.
+// Package peer carries the messages between the routers of an installation: sockets, authentication and bounds. Which members are
+// alive is decided in policy/membership; no request ever waits for this package.
 package peer
 
 import (
@@ -16,53 +16,53 @@
 
 const (
 	viewEvery    = 100 * time.Millisecond
-	queued       = 256 // messages that wait to be taken; more are dropped and counted
-	perSlot      = 40  // datagrams are looked at in a slot; what comes beyond waits in the socket, which drops
+	queued       = 256 // received messages in the queue; more are dropped and counted
+	perSlot      = 40  // datagrams read in a slot; the rest waits in the socket's buffer, which drops
 	slot         = 10 * time.Millisecond
 	socketBytes  = 256 << 10
-	maxSenders   = 4 // long messages on their way at a time; more are dropped
+	maxSenders   = 4 // long messages being sent at a time; more are dropped
 	maxReceivers = 8 // connections that are read at a time; more wait in the listener's backlog
 	tcpFor       = time.Second
-	maxContacts  = 4096 // addresses whose session is remembered, and sessions whose counts are
-	maxPending   = 64   // messages to whom no session is known yet
+	maxContacts  = 4096 // addresses whose session is remembered, and sessions whose sequence numbers are
+	maxPending   = 64   // messages to addresses without a known session
 	pendingFor   = int64(time.Second)
 )
 
-// Options are what one router's membership needs.
+// Options are the settings of one router's membership.
 type Options struct {
 	Cluster string
 	Listen  string // an address and a port, for UDP and TCP; port 0: any, and the address that others reach is made from it
 	Member  membership.Settings
 	Keys    [][]byte
-	Zones   map[string]string      // of the routers, by name: one that starts empty is fed from its own first
-	Changed func(*membership.View) // called from Run's goroutine, when something of the view is new; must not wait
-	State   *State                 // what is shared beyond membership; nil: nothing is
+	Zones   map[string]string      // of the routers, by name: one that starts empty catches up from its own zone first
+	Changed func(*membership.View) // called on Run's goroutine when the view has changed; must not block
+	State   *State                 // the replicated state; nil: none
 	Now     func() int64           // of this router's own clock, in nanoseconds
 }
 
-// Counts are what happened to messages since the start.
+// Counts count messages since the start.
 type Counts struct {
 	Sent       uint64 `json:"sent"`
 	SentBytes  uint64 `json:"sent_bytes"`
 	Taken      uint64 `json:"taken"`
-	Garbage    uint64 `json:"garbage"`     // not of this protocol, or not to be understood
+	Garbage    uint64 `json:"garbage"`     // not of this protocol, or not parseable
 	Versions   uint64 `json:"versions"`    // of another version
-	Strangers  uint64 `json:"strangers"`   // of no key that is known here
+	Strangers  uint64 `json:"strangers"`   // without a known key
 	Foreign    uint64 `json:"foreign"`     // of another cluster
-	Replayed   uint64 `json:"replayed"`    // had before
-	Outdated   uint64 `json:"outdated"`    // not written for this process; answered with its session
+	Replayed   uint64 `json:"replayed"`    // received before
+	Outdated   uint64 `json:"outdated"`    // not addressed to this process; answered with its session
 	Full       uint64 `json:"full"`        // the queue was full
-	NotSent    uint64 `json:"not_sent"`    // too many long messages on their way, or the system refused
-	Connection uint64 `json:"connections"` // taken
-	Malformed  uint64 `json:"spoiled"`     // pieces of a copy that were not what they said
-	Differed   uint64 `json:"differed"`    // entries that lacked here though another had known them for long
+	NotSent    uint64 `json:"not_sent"`    // too many long messages being sent, or the system refused
+	Connection uint64 `json:"connections"` // accepted
+	Malformed  uint64 `json:"spoiled"`     // corrupt pieces of a copy
+	Differed   uint64 `json:"differed"`    // entries that were missing here though another had known them for long
 }
 
 type counters struct {
 	sent, sentBytes, taken, garbage, versions, strangers, foreign, replayed, outdated, full, notSent, connections, malformed, differed atomic.Uint64
 }
 
-// Peers is one router among others.
+// Peers is one router's connection to the others.
 type Peers struct {
 	opt             Options
 	udp             *net.UDPConn
@@ -77,7 +77,7 @@
 	counts          counters
 	broadcastReport atomic.Pointer[broadcastReport]
 
-	// Of Run's goroutine:
+	// Owned by Run's goroutine:
 	members   *membership.Detector
 	sessionAt map[string]uint64 // the session at an address
 	windows   map[uint64]*window
@@ -99,7 +99,7 @@
 	p := &Peers{opt: o, session: rand.Uint64() | 1, in: make(chan *envelope, queued), calls: make(chan func()), senders: make(chan struct{}, maxSenders),
 		sessionAt: map[string]uint64{}, windows: map[uint64]*window{}, pending: map[string]late{}}
 	p.keys.Store(&o.Keys)
-	for try := 0; ; try++ { // with port 0 the one that UDP got may be taken for TCP
+	for try := 0; ; try++ { // with port 0 the one that UDP got may be in use for TCP
 		if p.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
 			return nil, &ListenError{o.Listen, err}
 		}
@@ -135,20 +135,20 @@
 	p.tcp.Close()
 }
 
-// Address is where others reach this router.
+// Address is where other routers reach this one.
 func (p *Peers) Address() string { return p.opt.Member.Address }
 
-// View is what was believed last; it is not to be changed.
+// View is the latest view; it must not be changed.
 func (p *Peers) View() *membership.View { return p.view.Load() }
 
-// Counts are as they stand.
+// Counts returns the present counts.
 func (p *Peers) Counts() Counts {
 	c := &p.counts
 	return Counts{c.sent.Load(), c.sentBytes.Load(), c.taken.Load(), c.garbage.Load(), c.versions.Load(), c.strangers.Load(), c.foreign.Load(),
 		c.replayed.Load(), c.outdated.Load(), c.full.Load(), c.notSent.Load(), c.connections.Load(), c.malformed.Load(), c.differed.Load()}
 }
 
-// SetKeys puts other keys in force.
+// SetKeys puts new keys in force.
 func (p *Peers) SetKeys(keys [][]byte) { p.keys.Store(&keys) }
 
 // Run takes part until the context ends.
@@ -158,7 +158,7 @@
 	parts.Go(func() { p.acceptAll(ctx) })
 	defer parts.Wait()
 	defer p.close()
-	// Waits run out by half of one late, and a gap that is a pause stands out: each tick wakes the process, which is most of
+	// Timeouts are late by half a tick on average, and a gap that is a pause stands out: each tick wakes the process, which is most of
 	// what membership costs.
 	tick := time.NewTicker(time.Duration(min(p.opt.Member.AckTimeout/2, p.opt.Member.MaxTickGap/3)))
 	defer tick.Stop()
@@ -198,7 +198,7 @@
 	}
 }
 
-// Leave tells the others that this router goes, and sends nothing after it.
+// Leave notifies the others that this router leaves, and sends nothing after it.
 func (p *Peers) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -2,7 +2,7 @@
 
 import "lotushook/policy/membership"
 
-// take takes one message in, if it was written for this process and not had before.
+// take processes one message, if it is addressed to this process and was not received before.
 func (p *Peers) take(e *envelope) {
 	now := p.opt.Now()
 	switch {
@@ -31,7 +31,7 @@
 	}
 	p.counts.taken.Add(1)
 	if len(p.sessionAt) >= maxContacts {
-		clear(p.sessionAt) // each is learnt again with its next message
+		clear(p.sessionAt) // each is learned again with its next message
 	}
 	p.sessionAt[e.Address] = e.Session
 	if l, ok := p.pending[e.Address]; ok {
@@ -48,8 +48,8 @@
 	}
 }
 
-// forgetWindow makes room: the session that was silent for longest goes. What was recorded of it could then be taken once
-// more; that it takes as many starts as there are windows, within one life of this process, is borne.
+// forgetWindow makes room: the session that was silent for longest is dropped. Its recorded messages could then be accepted once
+// more; that this takes as many starts as there are windows, within one life of this process, is accepted.
 func (p *Peers) forgetWindow() {
 	var oldest uint64
 	for id, w := range p.windows {
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -2,19 +2,19 @@
 
 import "lotushook/policy/crdt"
 
-// Report is what operators read of one router.
+// Report is one router's report for operators.
 type Report struct {
 	Name      string `json:"name"`
 	Cluster   string `json:"cluster"`
 	View      Belief `json:"view"`
 	Members   []Row  `json:"members"`
 	Counts    Counts `json:"messages"`
-	State     *Copy  `json:"state,omitempty"` // what is shared; none: nothing is
-	Persisted any    `json:"keep,omitempty"`  // the copy of it on disk and what of it is doubted (internal/router); none: there is none
-	Shedding  any    `json:"lanes,omitempty"` // who is shed, where there are lanes
+	State     *Copy  `json:"state,omitempty"` // the replicated state; none: off
+	Persisted any    `json:"keep,omitempty"`  // the copy of it on disk and what is unconfirmed of it (internal/router); none: off
+	Shedding  any    `json:"lanes,omitempty"` // load shedding, where it is on
 }
 
-// Belief is what it makes of the members.
+// Belief is the router's view of the members.
 type Belief struct {
 	Counting   int     `json:"counting"`
 	Configured int     `json:"configured"`
@@ -27,7 +27,7 @@
 	Gone       int     `json:"gone"`
 }
 
-// Row is one of them.
+// Row is one member.
 type Row struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"`
@@ -37,10 +37,10 @@
 	SinceS      float64 `json:"since_s"`
 	HeardS      float64 `json:"heard_s"` // since it was last heard directly; -1: never
 	TripMS      float64 `json:"trip_ms"`
-	By          string  `json:"by"` // who says so, where that is another
+	By          string  `json:"by"` // the accuser, if it is another
 }
 
-// Report is as of now.
+// Report returns the present report.
 func (p *Peers) Report() Report {
 	v, now := p.View(), p.opt.Now()
 	ago := func(t int64) float64 { return float64(now-t) / 1e9 }
@@ -58,23 +58,23 @@
 	return out
 }
 
-// Copy is what a router holds of what all share, by kind.
+// Copy is a router's copy of the replicated state, by kind.
 type Copy struct {
 	Size      map[string]int       `json:"size"`
 	Digest    map[string]uint64    `json:"digest"` // equal where two copies are
 	Refused   uint64               `json:"refused"`
-	Caught    bool                 `json:"caught_up"` // since its start it had all of some member once
-	Fed       int                  `json:"fed"`       // members that it feeds just now
+	Caught    bool                 `json:"caught_up"` // since its start it once had all of some member's entries
+	Fed       int                  `json:"fed"`       // members that it serves catch-up to
 	Broadcast crdt.BroadcastCounts `json:"told"`
 	Waits     Waits                `json:"waits"`
 }
 
-// Waits are what became of answers that waited for another member's word.
+// Waits are the outcomes of answers that waited for another member's acknowledgement.
 type Waits struct {
 	Acknowledged uint64  `json:"came"`
-	Over         uint64  `json:"over"`  // went out without: their time was over, or their clients left
-	Full         uint64  `json:"full"`  // went out without: too many waited, or there was no room for the entry
-	Alone        uint64  `json:"alone"` // went out without: no other member was there
+	Over         uint64  `json:"over"`  // sent without: the wait timed out, or the client left
+	Full         uint64  `json:"full"`  // sent without: too many waited, or there was no room for the entry
+	Alone        uint64  `json:"alone"` // sent without: no other member was present
 	LongestMS    float64 `json:"longest_ms"`
 }
 
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -10,42 +10,42 @@
 
 const (
 	spreadEvery  = 5 * time.Millisecond
-	ackAfter     = 2 * time.Millisecond // acknowledgements for which nobody waits go together
+	ackAfter     = 2 * time.Millisecond // acknowledgements that none waits for are batched
 	syncInterval = time.Second
-	againAfter   = 20 * time.Millisecond // while there is more, or another shard to ask for
+	againAfter   = 20 * time.Millisecond // while there is more, or another shard to request
 	patience     = 500 * time.Millisecond
-	aloneFor     = 5 * time.Second // who has just started does not know the others yet
+	aloneFor     = 5 * time.Second // after a start the others are not known yet
 	checkEvery   = 5 * time.Second
-	differFor    = 10 * time.Second // what is known for longer and lacks elsewhere is a line in the log
+	differFor    = 10 * time.Second // an entry known for longer and missing elsewhere is logged
 	checked      = 8                // entries in one check
-	wantBytes    = 800              // of vectors in one question, so that it is a datagram
+	wantBytes    = 800              // of vectors in one request, so that it is a datagram
 )
 
-// spread is what Run's goroutine remembers of spreading.
+// spread is the state of the replication; it belongs to Run's goroutine.
 type spread struct {
 	broadcaster   *crdt.Broadcaster
 	catchUpServer *crdt.CatchUpServer
-	acks          map[string][]ack // by address, until the messages at hand are taken
-	next          int64            // when to ask again
-	requestedAt   int64            // when the open question was put; 0: none is open
-	of            string           // who has more
-	first         int              // shard of the next question
+	acks          map[string][]ack // by address, until the queued messages are processed
+	next          int64            // when to request again
+	requestedAt   int64            // when the open request was sent; 0: none is open
+	of            string           // the member that has more
+	first         int              // shard of the next request
 	tries         int              // members in a row that were silent or too busy
 	turn          int
-	coveredShards int  // shards in a row that some member had no more of
+	coveredShards int  // shards in a row of which some member had no more
 	caught        bool // all have been so since the start
 	began         int64
-	entries       int // that it got until then
+	entries       int // received until then
 	pieces        int
 	checks        int64
 	shard         int   // of the next check
-	alone         int64 // since when nobody else is there; 0: somebody is
+	alone         int64 // since when no other member is present; 0: one is
 	timer         *time.Timer
-	at            int64 // when the timer runs out; 0: it does not run
-	ran           int64 // when all was last looked at
+	at            int64 // when the timer expires; 0: it is stopped
+	ran           int64 // when the state was last spread
 }
 
-// due tells when something is to be told again; nothing is where nothing is shared.
+// due signals that something is to be sent again; nil where no state is replicated.
 func (s *spread) due() <-chan time.Time {
 	if s.timer == nil {
 		return nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// sooner has the timer run out at a time, if not before.
+// sooner sets the timer to a time, if it is not earlier already.
 func (s *spread) sooner(now, at int64) {
 	if s.at == 0 || at < s.at {
 		s.at = at
@@ -92,7 +92,7 @@
 	}
 }
 
-// spreadState tells what is new, and asks one member for what this copy lacks.
+// spreadState broadcasts new entries, and requests from one member what this copy lacks.
 func (p *Peers) spreadState(now int64) {
 	if p.opt.State == nil {
 		return
@@ -158,7 +158,7 @@
 	}
 	s.turn++
 	of, _ := crdt.Choose(list, p.opt.Zones[p.opt.Member.Name], !s.caught, s.tries, s.turn)
-	if address[s.of] != "" { // the same one goes on feeding; if it falls silent another is asked, and goes on from there
+	if address[s.of] != "" { // the same one goes on serving; if it falls silent another is asked, and goes on from there
 		of.Name = s.of
 	}
 	w := &want{First: s.first, Hungry: !s.caught}
@@ -187,7 +187,7 @@
 			break
 		}
 	}
-	for i := range w.Upto { // shards that were looked at before an origin was met
+	for i := range w.Upto { // shards that were visited before an origin was known
 		for len(w.Upto[i]) < len(w.Origins) {
 			w.Upto[i] = append(w.Upto[i], 0)
 		}
@@ -196,7 +196,7 @@
 	p.postState(address[of.Name], &state{Want: w})
 }
 
-// takeState takes what a member told of its copy, and answers what it wants.
+// takeState processes a member's state message, and answers its request.
 func (p *Peers) takeState(now int64, e *envelope) {
 	if p.opt.State == nil || !p.members.Knows(e.From) {
 		return
@@ -220,7 +220,7 @@
 	p.notifyKeeper(e)
 }
 
-// takePush joins what is new, hands on what somebody waits for, and acknowledges what is held now.
+// takePush merges new entries, forwards awaited ones, and acknowledges what is held now.
 func (p *Peers) takePush(now int64, e *envelope) {
 	a := ack{Number: e.State.Push.Number}
 	for i := range e.State.Push.Entries {
@@ -233,7 +233,7 @@
 			p.spread.broadcaster.Forward(now, one, e.From)
 		}
 	}
-	if e.State.Push.Pass > 0 { // somebody waits
+	if e.State.Push.Pass > 0 { // a write waits
 		p.postState(e.Address, &state{Acks: []ack{a}})
 	} else if p.spread.acks[e.Address] = append(p.spread.acks[e.Address], a); len(p.spread.acks[e.Address]) >= maxPushed/2 {
 		p.postState(e.Address, &state{Acks: p.spread.acks[e.Address]})
@@ -246,7 +246,7 @@
 	}
 }
 
-// answerState is what a member lacks, as far as it may be given now.
+// answerState returns what a member lacks, as far as the catch-up budget permits now.
 func (p *Peers) answerState(now int64, who string, w *want) *feed {
 	out, st, s := &feed{First: w.First, Shards: len(w.Digests)}, p.opt.State, &p.spread
 	room, wait := s.catchUpServer.Admit(now, who, w.Hungry)
@@ -296,11 +296,11 @@
 	maxEntryBytes = 700
 )
 
-// takeFeed joins a piece, and says when to go on.
+// takeFeed merges a piece, and says when to go on.
 func (p *Peers) takeFeed(now int64, from string, f *feed) {
 	s, st := &p.spread, p.opt.State
 	if s.requestedAt == 0 || f.First != s.first {
-		return // the answer to a question that was given up: whatever is in it is told again
+		return // the answer to an abandoned request: its entries will come again
 	}
 	s.requestedAt, s.next = 0, now+int64(syncInterval)
 	if f.WaitMS > 0 {
@@ -320,7 +320,7 @@
 			sum += one.Hash()
 			runs[i].Entries = append(runs[i].Entries, one)
 			if st.index(&one) != r.Shard {
-				sum++ // it counts its shards otherwise
+				sum++ // it has another number of shards
 			}
 		}
 	}
@@ -348,7 +348,7 @@
 	}
 }
 
-// checkState shows a member some entries that are known here for long.
+// checkState sends a member some entries that have been known here for long.
 func (p *Peers) checkState(_ int64, address string) {
 	s := &p.spread
 	out := &state{}
@@ -367,15 +367,15 @@
 	}
 }
 
-// takeCheck looks whether this copy has what another has known for long, and takes what it lacks: a line, as nothing that is
-// asked for each second should be missing for ten.
+// takeCheck checks whether this copy has what another has known for long, and merges what is missing: it is logged, as nothing that is
+// requested each second should be missing for ten.
 func (p *Peers) takeCheck(from string, list []entry) {
 	var lacks []crdt.Entry
 	for i := range list {
 		e, had := list[i].entry(), false
 		p.opt.State.at(p.opt.State.index(&e), func(store *crdt.Store, now int64) {
 			if had = store.Covers(now, &e); !had {
-				had = !store.Merge(now, e) // what is not believed here does not lack
+				had = !store.Merge(now, e) // a rejected entry is not missing
 			}
 		})
 		if !had && time.Duration(e.Age) > differFor {
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	pieces   = 16   // shards of a copy; the same in all routers, as numbers of what was learned are counted in each
-	maxWaits = 1024 // writes that wait for another member's word; more go out at once, and are counted
+	pieces   = 16   // shards of a copy; the same in all routers, as sequence numbers are counted in each
+	maxWaits = 1024 // writes that wait for another member's acknowledgement; more go on at once, and are counted
 )
 
-// State is a router's copy of what all have learned, in shards by the key of what it is of: who asks for a session's commit
-// waits for nobody who looks at another shard. It may be used from any goroutine.
+// State is a router's copy of the replicated state, in shards by the entries' keys: a query for a session's commit
+// does not wait for one that uses another shard. It is safe for concurrent use.
 //
-// Each shard is a store of its own, with numbers of its own for what each origin learned. All that is global is the greatest
-// position that this router learned by itself; a shard hears it when it is next looked at.
+// Each shard is a store of its own, with its own sequence numbers for each origin. Global is only the greatest
+// position that this router learned by itself; a shard is given it when it is next used.
 type State struct {
 	shards *sharded.Shards[crdt.Store]
 	now    func() int64
 	self   crdt.Origin
-	fresh  chan struct{} // something is to be pushed
+	fresh  chan struct{} // signals new entries to broadcast
 	top    atomic.Int64
-	keeper Keeper // nil: nobody wants to hear; set before the first use
+	keeper Keeper // nil: none; set before the first use
 
 	mu     sync.Mutex
 	waits  map[uint64]*wait // by number
 	number uint64
-	urgent []urgent // to be told, and not handed over yet
+	urgent []urgent // to be broadcast at once
 	counts waits
-	alone  atomic.Bool // nobody is there who could give a word
+	alone  atomic.Bool // no other member is present that could acknowledge
 }
 
-// wait is one write's, from before its entry is told until a word has come or the time is over.
+// wait is one write's wait for the first acknowledgement of its entry.
 type wait struct {
 	acknowledged chan struct{}
 	at           int64
@@ -60,12 +60,12 @@
 	}
 	s = s.Shard(n)
 	return &State{now: now, self: s.Self, fresh: make(chan struct{}, 1), waits: map[uint64]*wait{}, shards: sharded.New(n, func(int) crdt.Store {
-		store, _ := crdt.New(s) // it was checked
+		store, _ := crdt.New(s) // the settings were checked
 		return *store
 	})}, nil
 }
 
-// at has a function look at a shard, which it must not keep.
+// at calls a function with a shard, which it must not keep.
 func (s *State) at(i int, f func(store *crdt.Store, now int64)) {
 	now, top := s.now(), s.top.Load()
 	s.shards.At(i, func(store *crdt.Store) {
@@ -74,12 +74,12 @@
 	})
 }
 
-// Look has a function look at what is kept by a key, see shared.Entry.Key: one shard's lock is held meanwhile.
+// Look calls a function with the shard of a key, see crdt.Entry.Key: the shard's lock is held meanwhile.
 func (s *State) Look(a, b string, f func(store *crdt.Store, now int64)) {
 	s.at(s.shards.Index(a, b), f)
 }
 
-// Each has a function look at all shards, one by one: between two of them anything may change.
+// Each calls a function with all shards, one by one: between two of them anything may change.
 func (s *State) Each(f func(store *crdt.Store, now int64)) {
 	for i := range s.shards.Len() {
 		s.at(i, f)
@@ -99,7 +99,7 @@
 	}
 }
 
-// Learn takes in what this router itself has learned just now.
+// Learn stores what this router itself has learned just now.
 func (s *State) Learn(e crdt.Entry) (learned bool) {
 	s.know(&e)
 	s.at(s.index(&e), func(store *crdt.Store, now int64) {
@@ -134,7 +134,7 @@
 }
 
 // LearnDurably is Learn that waits until one other member has acknowledged the entry, or one that supersedes it; at most so
-// long, and not beyond the end of gone. It says whether that word came. Where no other member is there it waits for nothing.
+// long, and not beyond the end of gone. It says whether it was acknowledged. Where no other member is present it does not wait.
 func (s *State) LearnDurably(e crdt.Entry, most time.Duration, gone <-chan struct{}) bool {
 	s.know(&e)
 	ok := false
@@ -172,7 +172,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, open := s.waits[number]; open { // whatever ended the wait: no word has come by now
+	if _, open := s.waits[number]; open { // not acknowledged by now, whatever ended the wait
 		delete(s.waits, number)
 		s.counts.Over++
 		return false
@@ -180,7 +180,7 @@
 	return true
 }
 
-// pressed says whether something waits to be told at once.
+// pressed says whether entries wait to be broadcast at once.
 func (s *State) pressed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,7 @@
 	return out
 }
 
-// ended lets those go on for whom a word has come.
+// ended ends the waits of acknowledged entries.
 func (s *State) ended(numbers []uint64) {
 	if len(numbers) == 0 {
 		return
@@ -213,7 +213,7 @@
 	}
 }
 
-// take joins what somebody else told, says whether it changed anything, and whether this copy needs nothing more for it.
+// take merges an entry of a peer, says whether it changed anything, and whether this copy needs nothing more for it.
 func (s *State) take(e *crdt.Entry) (changed, covered bool) {
 	s.at(s.index(e), func(store *crdt.Store, now int64) { changed, covered = store.Merge(now, *e), store.Covers(now, e) })
 	return changed, covered
--- a/internal/peer/statewire.go
+++ b/internal/peer/statewire.go
@@ -7,27 +7,27 @@
 	maxPushed = 64
 )
 
-// state is what travels of a copy. Its keys are not those of the first form, which counted over a whole copy what is counted
-// by shard now: routers of the two forms keep each other as members, and share nothing.
+// state is the part of a message about the replicated state. Its keys are not those of the first format, which numbered entries over a whole
+// copy, not by shard: routers of the two formats see each other as members, and replicate nothing.
 type state struct {
-	Push  *push   `cbor:"11,keyasint,omitempty"` // what is new
-	Acks  []ack   `cbor:"12,keyasint,omitempty"` // for batches that were pushed
-	Want  *want   `cbor:"13,keyasint,omitempty"` // what its sender has, to be given what it lacks
-	Feed  *feed   `cbor:"14,keyasint,omitempty"` // what was wanted
-	Check []entry `cbor:"15,keyasint,omitempty"` // what its sender has known for long: whoever lacks it has missed it
+	Push  *push   `cbor:"11,keyasint,omitempty"` // new entries
+	Acks  []ack   `cbor:"12,keyasint,omitempty"` // for batches that were received
+	Want  *want   `cbor:"13,keyasint,omitempty"` // what its sender has, to be sent what it lacks
+	Feed  *feed   `cbor:"14,keyasint,omitempty"` // what was requested
+	Check []entry `cbor:"15,keyasint,omitempty"` // entries that its sender has known for long
 }
 
 type push struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
-	Pass    int // so many of the first are to be handed on
+	Pass    int // so many of the first are to be forwarded
 	Entries []entry
 }
 
 type ack struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
-	Lacks  []byte // the places of those that are not believed
+	Lacks  []byte // the positions of rejected entries
 }
 
 type want struct {
@@ -35,7 +35,7 @@
 	First   int      // of the shards that it is about, as many as there are digests; after the last comes the first
 	Digests []uint64
 	Origins []origin
-	Upto    [][]uint64 // by shard: how far each origin was had
+	Upto    [][]uint64 // by shard: how far each origin was received
 	Hungry  bool       // its sender has not caught up since its start
 }
 
@@ -45,15 +45,15 @@
 	Boot uint64
 }
 
-// feed is one piece. Its sum is over all entries as they are joined: what was lost between two encodings shows.
+// feed is one piece. Its sum is over the joined parts of all entries: losses between two encodings are detected.
 type feed struct {
 	_      struct{} `cbor:",toarray"`
-	First  int      // of the want that it answers
+	First  int      // of the request that it answers
 	Shards int
 	Runs   []run
 	Sum    uint64
 	More   bool  // of these shards there is more
-	WaitMS int64 // nothing now: come again after it, or ask another
+	WaitMS int64 // nothing now: request again after it, or from another
 }
 
 type run struct {
@@ -88,7 +88,7 @@
 		From: crdt.Origin{Name: e.Name, Boot: e.Boot}, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
 }
 
-// sound says whether all in it is of a size that is kept.
+// sound says whether the sizes of all its parts are within bounds.
 func (s *state) sound() bool {
 	entries := s.Check
 	if s.Push != nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -28,14 +28,14 @@
 	}
 }
 
-// postState sends to one whose session is known; others are met by membership first.
+// postState sends to a member whose session is known; others are contacted by membership first.
 func (p *Peers) postState(address string, s *state) {
 	if to, ok := p.sessionAt[address]; ok {
 		p.post(address, to, nil, s)
 	}
 }
 
-// post sends one message to an address: as a datagram, or by a connection where it is too long for one.
+// post sends one message to an address: as a datagram, or over a connection where it is too long for one.
 func (p *Peers) post(address string, to uint64, b *body, s *state) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -87,10 +87,10 @@
 	return err
 }
 
-// readAll reads datagrams. It looks at so many in a slot and leaves others to the system, so that a flood takes little of
+// readAll reads datagrams. It reads so many in a slot and leaves others in the socket, so that a flood takes little of
 // the router's core.
 func (p *Peers) readAll(ctx context.Context) {
-	buf := make([]byte, maxUDPBytes+1) // what is longer is cut, and then of no key
+	buf := make([]byte, maxUDPBytes+1) // a longer datagram is cut, and its key does not match
 	began, looked := time.Now(), 0
 	for {
 		n, _, err := p.udp.ReadFromUDPAddrPort(buf)
@@ -111,7 +111,7 @@
 	}
 }
 
-// enter checks who wrote a message and queues it.
+// enter authenticates a message and queues it.
 func (p *Peers) enter(raw []byte) {
 	e, err := open(raw, *p.keys.Load())
 	switch {
@@ -130,7 +130,7 @@
 	}
 }
 
-// acceptAll takes long messages, one a connection.
+// acceptAll receives long messages, one a connection.
 func (p *Peers) acceptAll(ctx context.Context) {
 	slots := make(chan struct{}, maxReceivers)
 	var all sync.WaitGroup
@@ -160,7 +160,7 @@
 				p.counts.garbage.Add(1)
 				return
 			}
-			raw, err := io.ReadAll(io.LimitReader(conn, int64(n))) // grows with what comes, not with what is announced
+			raw, err := io.ReadAll(io.LimitReader(conn, int64(n))) // grows with the received bytes, not with the announced length
 			if err != nil || len(raw) != int(n) {
 				p.counts.garbage.Add(1)
 				return
--- a/internal/peer/viewlog.go
+++ b/internal/peer/viewlog.go
@@ -6,7 +6,7 @@
 	"lotushook/policy/membership"
 )
 
-// Log writes what is new in a view.
+// Log logs the changes of a view.
 func Log(before, now *membership.View) {
 	was := map[string]membership.Member{}
 	if before != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// differ says whether something is new but how long ago who was heard.
+// differ says whether a view has changed in more than the times at which members were heard.
 func differ(x, y *membership.View) bool {
 	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Isolated != y.Isolated || x.NameTaken != y.NameTaken || x.Quota != y.Quota {
 		return true
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	version         = 2  // 1 knew no cursors and no levels
+	version         = 2  // 1 had no cursors and no shedding levels
 	macSize         = 16 // of SHA-256's 32: forging one needs 2^128 tries
 	header          = 3  // two letters, and the version
 	maxUDPBytes     = 1200
@@ -24,7 +24,7 @@
 
 var magic = [2]byte{'l', 'h'}
 
-// Why a message was not taken.
+// Why a message was not accepted.
 var (
 	errShort   = errors.New("too short, or not of this protocol")
 	errVersion = errors.New("of another version")
@@ -32,16 +32,16 @@
 	errBody    = errors.New("not to be understood")
 )
 
-// envelope is what travels. The receiver's session shows that it was written for this very process: nothing that was
-// recorded before a start is taken after it, and the count that nothing is taken twice.
+// envelope is a message on the wire. The receiver's session shows that it was written for this very process: nothing that was
+// recorded before a start is accepted after it, and the sequence number prevents duplicates.
 type envelope struct {
 	Cluster string `cbor:"1,keyasint"`
 	From    string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // where the sender is reached
 	Session uint64 `cbor:"4,keyasint"` // drawn at the sender's start
-	To      uint64 `cbor:"5,keyasint"` // the receiver's, as far as it is known
+	To      uint64 `cbor:"5,keyasint"` // the receiver's, if it is known
 	Count   uint64 `cbor:"6,keyasint"`
-	Body    *body  `cbor:"7,keyasint,omitempty"` // neither this nor the next: it tells the sender's session
+	Body    *body  `cbor:"7,keyasint,omitempty"` // neither this nor the next: it announces the sender's session
 	State   *state `cbor:"8,keyasint,omitempty"`
 }
 
@@ -85,7 +85,7 @@
 	return v
 }
 
-// seal writes an envelope as it travels, under a key.
+// seal encodes an envelope and signs it with a key.
 func seal(e *envelope, key []byte) ([]byte, error) {
 	raw, err := enc.Marshal(e)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// open reads what travelled, under any of the keys. What it returns is bounded, and from somebody who has a key.
+// open decodes and verifies a message with any of the keys. Its result is bounded, and from an owner of a key.
 func open(raw []byte, keys [][]byte) (*envelope, error) {
 	switch {
 	case len(raw) < header+macSize || raw[0] != magic[0] || raw[1] != magic[1]:
@@ -128,7 +128,7 @@
 	return &e, nil
 }
 
-// sound says whether everything in an envelope is of a size that is kept.
+// sound says whether the sizes of all its parts are within bounds.
 func (e *envelope) sound() bool {
 	if e.From == "" || len(e.From) > maxNameBytes || e.Address == "" || len(e.Address) > maxAddressBytes || len(e.Cluster) > maxNameBytes {
 		return false
@@ -151,7 +151,7 @@
 	return true
 }
 
-// wrap is a message as it travels.
+// wrap encodes a membership message.
 func wrap(m *membership.Message) *body {
 	b := &body{Kind: uint8(m.Kind), Boot: m.Epoch, Seq: m.Seq, Target: m.Target, TargetAddress: m.TargetAddress, Deaf: m.Isolated}
 	for _, u := range m.Updates {
@@ -163,7 +163,7 @@
 	return b
 }
 
-// message is what an envelope says.
+// message decodes a membership message.
 func (e *envelope) message() membership.Message {
 	b := e.Body
 	m := membership.Message{Kind: membership.Kind(b.Kind), From: e.From, Address: e.Address, Epoch: b.Boot, Seq: b.Seq, Target: b.Target,
@@ -177,14 +177,14 @@
 	return m
 }
 
-// window says which counts of one session were had: the greatest, and which of the 64 up to it.
+// window records which sequence numbers of one session were received: the greatest, and which of the 64 up to it.
 type window struct {
 	top  uint64
 	bits uint64
 	at   int64 // when the session was last heard
 }
 
-// fresh notes a count, and says whether it is the first time.
+// fresh records a sequence number, and says whether it is new.
 func (w *window) fresh(count uint64) bool {
 	switch {
 	case count > w.top:
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -85,7 +85,7 @@
 	Size int
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *TooLong) Error() string {
 	return fmt.Sprintf("message %q of %d bytes is too long", e.Kind, e.Size)
 }
--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -14,7 +14,7 @@
 	Do    string // what to write
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *FieldError) Error() string { return e.Field + ": " + e.What + "; " + e.Do }
 
 // Kind is the same for all fields.
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	memberRecordKind = 200    // of the copy's own records: a member's boot, as it was seen last
-	maxCrashLoss     = 10_000 // of a router's own words at most: what a queue holds
+	memberRecordKind = 200    // the store's own records: a member's epoch, as last seen
+	maxCrashLoss     = 10_000 // at most so many of a router's own entries: the capacity of the queue
 )
 
-// persistedState is what a router does with its copy on disk: it writes what the state holds, gives it back after a start, and knows
-// what of it is proven. It implements peer.Keeper.
+// persistedState connects the replicated state to its copy on disk: it writes the entries, restores them at a start, and knows
+// which of them are confirmed. It implements peer.Keeper.
 type persistedState struct {
 	store       *store.Store
 	loadTimeout time.Duration
 	self        crdt.Origin
 	now         func() int64
 
-	mu           sync.Mutex // for some map accesses; never held while anything waits
+	mu           sync.Mutex // guards the maps; never held while anything blocks
 	ledger       *trust.Ledger
-	steadyEpochs map[string]uint64 // the boots of members that the process before this one saw: who still has it was up meanwhile
-	seenEpochs   map[string]uint64 // as they are now
-	mark         trust.Mark        // how far the copy goes in this router's own words
+	steadyEpochs map[string]uint64 // the members' epochs that the previous process saw: a member that still has it was up meanwhile
+	seenEpochs   map[string]uint64 // the present epochs
+	mark         trust.Mark        // the last of this router's own entries in the copy
 	standing     trust.Standing
 	restored     int
 }
 
 func newPersistedState(own *siteconfig.Members, self crdt.Origin, now func() int64) (*persistedState, error) {
-	book, err := trust.NewLedger(trust.DefaultSettings())
+	ledger, err := trust.NewLedger(trust.DefaultSettings())
 	if err != nil {
 		return nil, err
 	}
@@ -53,12 +53,12 @@
 		Wall: func() int64 { return time.Now().UnixNano() }}
 	u := crdt.DefaultSettings(self)
 	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
-	k := &persistedState{loadTimeout: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: book, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
+	k := &persistedState{loadTimeout: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: ledger, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
 	k.store, err = store.New(s)
 	return k, err
 }
 
-// start reads the copy and gives it back, and writes from then on; it returns once that is read, or the disk has had its time.
+// start reads the copy and restores it, and writes from then on; it returns once that is done, or the load has timed out.
 func (k *persistedState) start(ctx context.Context, parts *sync.WaitGroup, state *peer.State) {
 	parts.Go(func() { k.store.Run(ctx) })
 	done := make(chan struct{})
@@ -79,7 +79,7 @@
 	}
 }
 
-// restore gives the state what the disk held. Hints of unknown age are left out; a write that may have run is taken for as
+// restore merges the disk's records into the state. Hints of unknown age are left out; a write that may have run counts as
 // young as it can be.
 func (k *persistedState) restore(state *peer.State) {
 	f := k.store.Found()
@@ -115,8 +115,8 @@
 	}
 }
 
-// Put hears what the state holds from now on. Cursors and levels are not copied: nothing says yet what may be done on the
-// strength of one that came back, and a level is worth nothing after two seconds.
+// Put stores an entry that the state holds now. Feed cursors and shedding levels are not stored: no rule says yet how
+// a restored cursor may be used, and a level expires after two seconds.
 func (k *persistedState) Put(e crdt.Entry, by crdt.Origin) {
 	if e.Kind > crdt.Hint {
 		return
@@ -140,7 +140,7 @@
 		k.store.Put(dkeep.Record{Kind: memberRecordKind, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Boot)})
 	}
 	if was.Provenance != trust.Unknown && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != crdt.PendingWrite || e.Age >= was.Age) {
-		return // it is on its way or written already
+		return // it is queued or written already
 	}
 	value, err := cbor.Marshal(e)
 	if err == nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// compareWithPeer holds the copy against what a peer remembers of this router's own words.
+// compareWithPeer compares the copy with what a peer remembers of this router's own entries.
 func (k *persistedState) compareWithPeer(e *crdt.Entry) {
 	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.Mark{}) || k.standing == trust.StandingBehind {
 		return
@@ -161,7 +161,7 @@
 	}
 }
 
-// fact is what is known of an entry's key.
+// fact returns what is known of an entry's key.
 func (k *persistedState) fact(e crdt.Entry) (trust.Fact, crdt.Entry) {
 	if k == nil {
 		return trust.Fact{}, crdt.Entry{}
@@ -171,7 +171,7 @@
 	return k.ledger.Fact(k.now(), e)
 }
 
-// entryKey is an entry's key on disk.
+// entryKey returns an entry's key on disk.
 func entryKey(e *crdt.Entry) []byte {
 	out := append(append([]byte(e.A), 0), e.B...)
 	switch e.Kind {
@@ -183,12 +183,12 @@
 	return out
 }
 
-// persistedReport is what operators read of it.
+// persistedReport is the part of the operators' report about the copy.
 type persistedReport struct {
 	*store.Report
-	Restored int  `json:"restored"` // entries, at the start
-	Doubted  int  `json:"doubted"`  // of these, not proven yet
-	Old      bool `json:"old"`      // the copy was put back
+	Restored int  `json:"restored"` // at the start
+	Doubted  int  `json:"doubted"`  // of these, not confirmed yet
+	Old      bool `json:"old"`      // the copy is an older one that was put back
 }
 
 func (k *persistedState) report() any {
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -16,7 +16,7 @@
 	retryAfter clock.Nanos // 0: not told
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (t *rejection) Error() string { return t.text }
 
 // rejectionFor words a verdict.
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -19,7 +19,7 @@
 	"lotushook/policy/persistence"
 )
 
-// disk is what a copy needs of the system; tests put faults between.
+// disk is the part of the system that a copy uses; tests inject faults.
 type disk interface {
 	lock(path string) (io.Closer, error)
 	open(path string, most int64, readOnly bool) (engine, error)
@@ -27,11 +27,11 @@
 
 // engine is an open copy.
 type engine interface {
-	// load shows all records, and returns the head as it stands and the sum over the records. What it shows is valid for the
+	// load passes all records on, and returns the stored head and the sum over the records. What it passes is valid during the
 	// call only.
 	load(each func(k, v []byte) error) (head []byte, sum uint64, err error)
-	// commit puts a batch and a head on disk, both or neither, and says how many fsyncs it did and how many older records
-	// it let go for want of room.
+	// commit puts a batch and a head on disk, both or neither, and returns how many fsyncs it made and how many older records
+	// it dropped for lack of room.
 	commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error)
 	rename(to string) error // and have that on disk too
 	size() int64
@@ -45,13 +45,13 @@
 )
 
 const (
-	liveShare  = 6 // records take one part in so many of the file: pages are half full at worst, and a batch may write each anew
-	sweepShare = 8 // and so much of that is made free at a time
+	liveShare  = 6 // records use one part in so many of the file: pages are half full at worst, and a batch may write each anew
+	sweepShare = 8 // and so much of that is freed at a time
 )
 
 type osDisk struct{ windows [256]clock.Nanos }
 
-// lock holds a file for this process alone.
+// lock locks a file for this process alone.
 func (osDisk) lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -67,14 +67,14 @@
 type boltEngine struct {
 	db       *bbolt.DB
 	path     string
-	maxBytes int64 // bytes of the file; the store maps powers of two
-	live     int64 // bytes of keys and values
+	maxBytes int64 // size of the file; the store maps powers of two
+	live     int64 // size of keys and values
 	sum      uint64
 	windows  [256]clock.Nanos
-	bad      bool // it has panicked: nothing of it is touched any more
+	bad      bool // it has panicked: it is not used any more
 }
 
-// open opens a store that is sound, or begins one.
+// open opens a store that is sound, or creates one.
 func (d osDisk) open(path string, most int64, readOnly bool) (engine, error) {
 	most = 1 << (bits.Len64(uint64(most)) - 1)
 	s := &boltEngine{path: path, maxBytes: most, windows: d.windows}
@@ -185,10 +185,10 @@
 	return fsyncs, letGo, nil
 }
 
-// sweep deletes the oldest records until so many bytes are free: first those whose time is over, then by age, as coarse as
+// sweep deletes the oldest records until so many bytes are free: first those that have expired, then by age, as coarse as
 // powers of two of a millisecond.
 func (s *boltEngine) sweep(b *bbolt.Bucket, wall int64, free int64) (count int, freed int64, sums uint64, err error) {
-	rank := func(k, v []byte) int { // 0: the head, or nothing that could be read
+	rank := func(k, v []byte) int { // 0: the head, or an unreadable record
 		r, written, err := parseRecord(k, v)
 		if err != nil {
 			return 0
@@ -226,7 +226,7 @@
 func (s *boltEngine) size() int64 {
 	info, err := os.Stat(s.path)
 	if err != nil {
-		return -1 // it was moved by somebody
+		return -1 // it was moved by another process
 	}
 	return info.Size()
 }
@@ -255,7 +255,7 @@
 	return errors.Is(err, syscall.EROFS) || errors.Is(err, syscall.EACCES) || errors.Is(err, syscall.EPERM)
 }
 
-// isFull also looks at the text: where it makes its file larger the store passes on no more than that.
+// isFull also checks the text: where it makes its file larger the store passes on no more than that.
 func isFull(err error) bool {
 	for _, full := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, berrors.ErrMaxSizeReached} {
 		if err != nil && (errors.Is(err, full) || strings.Contains(err.Error(), full.Error())) {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -22,7 +22,7 @@
 	Err         error
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Damaged) Error() string {
 	return fmt.Sprintf("keep: %s is %s (%v): started empty%s", e.Path, e.Cause, e.Err, moved(e.Aside))
 }
@@ -44,7 +44,7 @@
 	Cluster, Name string // whose it is
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Foreign) Error() string {
 	return fmt.Sprintf("keep: %s is of router %q of cluster %q: started empty%s", e.Path, e.Name, e.Cluster, moved(e.Aside))
 }
@@ -63,7 +63,7 @@
 	Format      uint16
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Later) Error() string {
 	return fmt.Sprintf("keep: %s has format %d, known up to %d: started empty%s", e.Path, e.Format, format, moved(e.Aside))
 }
@@ -82,7 +82,7 @@
 	Copy, Seen string // how far each goes
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Old) Error() string {
 	return fmt.Sprintf("keep: %s goes to %s, the other routers have seen this one at %s: nothing in it counts until it is proven", e.Path, e.Copy, e.Seen)
 }
@@ -101,7 +101,7 @@
 	Err error
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Locked) Error() string {
 	return fmt.Sprintf("keep: another process uses %s (%v): goes on without a copy", e.Dir, e.Err)
 }
@@ -123,7 +123,7 @@
 	Err  error
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *ReadOnly) Error() string {
 	return fmt.Sprintf("keep: nothing can be written at %s (%v): goes on with what could be read, and writes nothing", e.Path, e.Err)
 }
@@ -145,7 +145,7 @@
 	Err  error
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Full) Error() string {
 	return fmt.Sprintf("keep: no room for %s (%v): the last batch is not written and is tried again", e.Path, e.Err)
 }
@@ -167,7 +167,7 @@
 	Elapsed time.Duration // so far
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Slow) Error() string {
 	return fmt.Sprintf("keep: %s: a step has taken %v and is not done: what comes meanwhile waits, the newest of each key", e.Path, e.Elapsed.Round(time.Millisecond))
 }
@@ -186,7 +186,7 @@
 	LetGo uint64 // since the start
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Behind) Error() string {
 	return fmt.Sprintf("keep: %s: the queue is full, %d records were let go so far: the copy lacks them until they change", e.Path, e.LetGo)
 }
@@ -206,7 +206,7 @@
 	Err   error // why one more was to be moved
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Crowded) Error() string {
 	return fmt.Sprintf("keep: %d copies lie aside in %s, and one more can't be used (%v): goes on without a copy", e.Count, e.Dir, e.Err)
 }
@@ -228,7 +228,7 @@
 	Offset time.Duration // at least
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Clock) Error() string {
 	return fmt.Sprintf("keep: %s was written %v after now: its records are at least as old as they were then, and nobody knows how much older", e.Path, e.Offset)
 }
@@ -247,7 +247,7 @@
 	Err         error
 }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *Failed) Error() string {
 	return fmt.Sprintf("keep: %s: %s: %v: goes on without what was to be done", e.Path, e.Doing, e.Err)
 }
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -8,22 +8,22 @@
 	"lotushook/policy/persistence"
 )
 
-// Report is what operators read of a copy.
+// Report is the operators' report of a copy.
 type Report struct {
 	Path       string             `json:"path"`
-	Writes     bool               `json:"writes"` // false: not read yet, or it goes on without a copy
-	Boot       uint64             `json:"boot"`   // that wrote last
+	Writes     bool               `json:"writes"` // false: not read yet, or without a copy
+	Boot       uint64             `json:"boot"`   // of the last writer
 	Generation uint64             `json:"generation"`
 	Bytes      int64              `json:"bytes"`   // of the file
-	Waiting    int                `json:"waiting"` // bytes, with what is on its way to the disk
-	Swept      uint64             `json:"swept"`   // records that were let go for want of room in the file
+	Waiting    int                `json:"waiting"` // in bytes, including the batch in progress
+	Swept      uint64             `json:"swept"`   // records dropped for lack of room in the file
 	Counts     persistence.Counts `json:"counts"`
 	Trouble    string             `json:"trouble,omitempty"`
 	ErrorKind  string             `json:"error_kind,omitempty"`
 	Hint       string             `json:"remedy,omitempty"`
 }
 
-// Report is as of now; nil of a nil copy.
+// Report returns the present report; nil of a nil copy.
 func (k *Store) Report() *Report {
 	if k == nil {
 		return nil
@@ -43,7 +43,7 @@
 	return r
 }
 
-// note keeps what is wrong now for whoever asks, and logs it once while it lasts; nil: it is over. What ended the writing
+// note stores the present error for reports, and logs it once while it lasts; nil: it is over. An error that ended the writing
 // for good stays.
 func (k *Store) note(e operr.Error) {
 	k.mu.Lock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,10 @@
-// Package store is a router's copy of the shared state on its own disk: records of a kind, a key, a value and an age, which
-// come back after the process has ended. What they mean is the caller's business, and what waits for a batch and how old a
-// record is that comes back is decided in policy/persistence.
+// Package store is a router's copy of the replicated state on its own disk: records of a kind, a key, a value and an age, which
+// are restored after a start. Their meaning is the caller's, and which records wait for a batch and how old a
+// restored record is is decided in policy/persistence.
 //
-// Whoever has something to keep never waits for the disk: it is put into a queue of bounded size, and one goroutine writes
+// Callers never wait for the disk: records are put into a queue of bounded size, and one goroutine writes
 // batches from it into a bbolt file. A copy that can't be used is moved aside, at most so many times, and never deleted; the
-// router then goes on without it and says what can be done. Nothing here knows what a record is worth: see policy/trust.
+// router then goes on without it and reports what can be done. Whether a record is confirmed is not known here: see policy/trust.
 package store
 
 import (
@@ -25,33 +25,33 @@
 	fileName      = "keep.db"
 	lockName      = "lock"
 	maxMovedAside = 4
-	slowAfter     = time.Second // a step of the disk's that takes longer is told
-	lastFor       = time.Second // at the end the disk has so long
+	slowAfter     = time.Second // a slower step is reported
+	lastFor       = time.Second // time for the last batch at the end
 )
 
-// Settings are of one copy.
+// Settings are the settings of a copy.
 type Settings struct {
-	Dir           string // made if it is not there
+	Dir           string // created if missing
 	MaxBytes      int64  // bytes of the file; records take up to a quarter of it
-	Cluster, Name string // whose it is
+	Cluster, Name string // its owner
 	Boot          uint64 // of this process
 	Queue         persistence.Settings
-	Windows       [256]clock.Nanos   // by kind: older ones are let go; 0: they stay
-	Now           func() clock.Nanos // a clock that only goes on; what it shows is not written
+	Windows       [256]clock.Nanos   // by kind: older ones are dropped; 0: they stay
+	Now           func() clock.Nanos // a monotonic clock; its value is not written
 	Wall          func() int64       // Unix time in nanoseconds, as the system has it now
 
 	disk disk
 }
 
-// Found is what a copy held.
+// Found is the content of a copy.
 type Found struct {
 	Records    []persistence.Record
-	Boot       uint64 // of the process that wrote last; 0: nothing was found
+	Boot       uint64 // of the process that wrote last; 0: there was no copy
 	Generation uint64
-	LetGo      uint64 // records that process could not keep: where it is not 0 the copy has gaps beside the last batch
+	LetGo      uint64 // records that process could not store: where it is not 0 the copy has gaps beside the last batch
 }
 
-// Store is a copy. A nil one keeps nothing. Put, Generation and Report may be used from any goroutine.
+// Store is a copy. A nil Store stores nothing. Put, Generation and Report are safe for concurrent use.
 type Store struct {
 	settings Settings
 	path     string
@@ -65,12 +65,12 @@
 	head    head // as last written
 	swept   uint64
 	size    int64
-	start   operr.Error // what was wrong with what the disk held; nil: nothing
+	start   operr.Error // what was wrong with the copy at the start; nil: nothing
 	trouble operr.Error // what is wrong now; nil: nothing
 	failing bool        // the last batch is not written
-	lost    uint64      // let go when that was last told
+	lost    uint64      // dropped records as last reported
 
-	// The writing goroutine's.
+	// Owned by the writing goroutine.
 	engine engine
 	lock   io.Closer
 }
@@ -90,7 +90,7 @@
 	return &Store{settings: s, path: filepath.Join(s.Dir, fileName), queue: q, wake: make(chan struct{}, 1), loaded: make(chan struct{})}, nil
 }
 
-// Put has a record kept, in place of the one of its kind and key. It never waits for the disk. What can't be kept is counted.
+// Put stores a record, in place of the one of its kind and key. It never waits for the disk. Dropped records are counted.
 func (k *Store) Put(r persistence.Record) {
 	if k == nil || r.Kind == 0 || len(r.Key) > maxKeyBytes || len(r.Value) > maxValueBytes {
 		return
@@ -106,10 +106,10 @@
 	}
 }
 
-// Loaded is closed once what the disk held was read, or could not be.
+// Loaded is closed once the copy was read, or could not be.
 func (k *Store) Loaded() <-chan struct{} { return k.loaded }
 
-// Found is what the disk held, once; nothing before Loaded.
+// Found returns the content of the copy, once; nothing before Loaded.
 func (k *Store) Found() Found {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -119,15 +119,15 @@
 }
 
 // Generation is how many batches the copy has had over all processes, and which process wrote the last. It rises by one a
-// batch: a copy that is behind what somebody else remembers of it was put back (evidence.Compare).
+// batch: a copy that is behind what a peer remembers of it was put back (trust.Compare).
 func (k *Store) Generation() (boot, generation uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.head.boot, k.head.generation
 }
 
-// Run reads the copy, and writes what is put until the context ends, and once more then. The disk's steps are one other
-// goroutine's: one that hangs is told after a second, and at the end has a second before it is left alone.
+// Run reads the copy, and writes records until the context ends, and once more then. The disk's steps run on another
+// goroutine: one that hangs is reported after a second, and at the end has a second before it is abandoned.
 func (k *Store) Run(ctx context.Context) {
 	jobs, done := make(chan func() func(), 1), make(chan func(), 1) // one at a time: neither side ever waits to send
 	go func() {
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -9,7 +9,7 @@
 	"lotushook/policy/persistence"
 )
 
-// due is when the next batch goes; at the end at once, and only one that has not failed.
+// due is when the next batch is written; at the end at once, and only if the last one has not failed.
 func (k *Store) due(last bool) (clock.Nanos, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -23,7 +23,7 @@
 	return at, ok
 }
 
-// batch is the step that writes all that waits.
+// batch is the step that writes all queued records.
 func (k *Store) batch() func() func() {
 	k.mu.Lock()
 	taken := k.settings.Now()
@@ -42,13 +42,13 @@
 	}
 }
 
-// write puts a batch on disk; the first of a new copy under another name, so that no half a copy ever goes by this one.
+// write puts a batch on disk; the first of a new copy under another name, so that an incomplete copy never has this one.
 func (k *Store) write(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
 	if k.engine != nil {
 		return k.engine.commit(h, batch)
 	}
 	next := k.path + ".new"
-	os.Remove(next) // what is left of an attempt: nobody has ever read it
+	os.Remove(next) // left by an earlier attempt: it was never read
 	s, err := k.settings.disk.open(next, k.settings.MaxBytes, false)
 	if err != nil {
 		return 2, 0, err
--- a/policy/admission/caps.go
+++ b/policy/admission/caps.go
@@ -2,9 +2,9 @@
 
 import "lotushook/policy/clock"
 
-// checkCaps are the limits on an address, its prefix, and all. Where an address holds
-// its most, its silent ones make room: one that starts properly goes before those
-// that say nothing.
+// checkCaps checks the limits on an address, its prefix, and all. Where an address holds
+// its maximum, its silent connections are evicted for new ones: a client that starts properly is preferred to those
+// that send nothing.
 func (g *Controller) checkCaps(a, p *source, shared, member bool, now clock.Nanos) (Reason, int, clock.Nanos) {
 	if !shared {
 		if most := g.effectiveCap(g.settings.NewAddress, member); most > 0 && a.admitted.count(now) >= most {
@@ -21,7 +21,7 @@
 		return None, 0, 0
 	}
 	mostA, mostP := g.effectiveCap(g.settings.PerAddress, member), g.effectiveCap(g.settings.PerPrefix, member)
-	overA, overP := a.connections-mostA, p.connections-mostP // 0: one must go for the next
+	overA, overP := a.connections-mostA, p.connections-mostP // 0: one must be evicted for the next
 	if mostA == 0 {
 		overA = -1
 	}
@@ -42,7 +42,7 @@
 	return full, limit, g.retryAfter()
 }
 
-// effectiveCap is a cap for an address or a prefix as it is now.
+// effectiveCap is a cap for an address or a prefix as it is now, lower under pressure.
 func (g *Controller) effectiveCap(most int, member bool) int {
 	if !g.underPressure || member || most == 0 {
 		return most
@@ -50,11 +50,11 @@
 	return max(1, int(float64(most)*g.settings.Pressure.CapFactor))
 }
 
-// isLower says whether a cap binds more than an old one.
+// isLower says whether a cap is stricter than an old one.
 func isLower(now, old int) bool { return now > 0 && (old == 0 || now < old) }
 
-// updatePressure finds out whether the router is short of something. Once it was, it
-// stays tight until all is well under where it began.
+// updatePressure checks whether the router is short of a resource. Pressure lasts
+// until all usage is well below the level at which it began.
 func (g *Controller) updatePressure(now clock.Nanos) {
 	p := &g.settings.Pressure
 	use := max(float64(g.total)/float64(g.settings.Connections), g.memory)
@@ -70,5 +70,5 @@
 	}
 }
 
-// UnderPressure says whether the gate is under pressure.
+// UnderPressure says whether the controller is under pressure.
 func (g *Controller) UnderPressure() bool { return g.underPressure }
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -9,14 +9,14 @@
 	"lotushook/policy/clock"
 )
 
-// Controller holds the counts and decides. One goroutine at a time may use it: where
-// several do, their owner locks. It remembers the held connections and, beside
+// Controller keeps the counts and decides. It is not safe for concurrent use: callers
+// share it under a lock. It remembers the connections held and, beside
 // their addresses and prefixes, Settings.MaxSources of each.
 type Controller struct {
 	settings    Settings
 	random      *rand.Rand
 	connections map[ID]*connection
-	free        []*connection // to be used again
+	free        []*connection // reused
 	addresses   *sources
 	prefixes    *sources
 
@@ -29,13 +29,13 @@
 	memory             float64
 	underPressure      bool
 	pressureSince      clock.Nanos
-	overCaps           bool // a cap was lowered, and some may hold more than it
+	overCaps           bool // a cap was lowered, and some sources may exceed it
 	counts             [ReasonCount]uint64
 	evictions          []Eviction
 }
 
-// New returns a gate that holds nothing. Its draws, which spread the times to
-// return, follow from the seed.
+// New returns a controller without connections. Its random numbers, which spread the Retry-After
+// times, follow from the seed.
 func New(s Settings, seed uint64) (*Controller, error) {
 	g := &Controller{random: rand.New(rand.NewPCG(seed, 0xad)), connections: map[ID]*connection{}, addresses: newSources(s.MaxSources), prefixes: newSources(s.MaxSources)}
 	if err := g.Set(s); err != nil {
@@ -44,8 +44,8 @@
 	return g, nil
 }
 
-// Set puts other limits in force. Who is held stays: what is over a lowered cap
-// is closed once it idles, and a reserve that has the name of an old one keeps
+// Set puts new limits in force. Connections stay: those over a lowered cap
+// are closed once they are idle, and a reserve that has the name of an old one keeps
 // its members as far as they fit; others become common.
 func (g *Controller) Set(s Settings) error {
 	if err := s.Check(); err != nil {
@@ -84,16 +84,16 @@
 	return nil
 }
 
-// SetCapacity changes how many connections there is room for, as the system grants
-// fewer than were told of, or more again. The reserves keep theirs.
+// SetCapacity changes how many connections may be held, as the system grants
+// fewer descriptors than promised, or more again. The reserves stay.
 func (g *Controller) SetCapacity(n int) {
 	n = max(n, g.reserved+1)
 	g.overCaps = g.overCaps || n < g.settings.Connections
 	g.settings.Connections = n
 }
 
-// Arrive decides on a connection that has just come. Of a verdict that takes it,
-// what is to be closed is closed for its sake.
+// Arrive decides on a new connection. If it is accepted,
+// the evictions make room for it.
 func (g *Controller) Arrive(id ID, addr netip.Addr, now clock.Nanos) Verdict {
 	g.evictions = g.evictions[:0]
 	g.arrivals.add(now)
@@ -119,7 +119,7 @@
 	}
 	g.enter(h, silent, now)
 	g.total++
-	if g.settings.CrowdedFrom > 0 && g.total > g.settings.CrowdedFrom { // two for each that comes, so that it gets less
+	if g.settings.CrowdedFrom > 0 && g.total > g.settings.CrowdedFrom { // two for each arrival, so that the number falls
 		for range 2 {
 			if v := g.queues[0][idle].first; v != nil && now-v.since >= g.settings.CrowdedIdleTimeout {
 				g.evict(v, Idle)
@@ -129,7 +129,7 @@
 	return Verdict{Close: g.evictions}
 }
 
-// reserveOf is the reserve with room that an address belongs to, -1 for none.
+// reserveOf returns the reserve with capacity that an address belongs to; -1: none.
 func (g *Controller) reserveOf(addr netip.Addr) int {
 	for i := range g.settings.Reserves {
 		if r := &g.settings.Reserves[i]; g.reserveMembers[i] < r.Connections && contains(r.Addresses, addr) {
@@ -139,9 +139,9 @@
 	return -1
 }
 
-// Start takes in what the startup message says. A connection that belongs to a
-// reserve with room is a member from now on. One that stands in lent room while
-// all other room waits for answers is turned away: whatever it asked would be.
+// Start processes the startup message. A connection that belongs to a
+// reserve with capacity is a member from now on. One that uses lent capacity while
+// all other connections wait for answers is rejected: its queries would be anyway.
 func (g *Controller) Start(id ID, who Identity, now clock.Nanos) Verdict {
 	g.evictions = g.evictions[:0]
 	h := g.connections[id]
@@ -173,9 +173,9 @@
 	return Verdict{}
 }
 
-// Request decides whether a connection's next request is taken in. Only one that is
-// in no reserve may be turned away, when those that wait for answers would begin
-// to fill the reserves: then lent room could not be had back. Nothing has run.
+// Request decides whether a connection's next request is accepted. Only a connection
+// without a reserve may be rejected, when those that wait for answers would begin
+// to fill the reserves: lent capacity could not be reclaimed then. Nothing has run.
 func (g *Controller) Request(id ID, now clock.Nanos) Verdict {
 	g.evictions = g.evictions[:0]
 	h := g.connections[id]
@@ -193,14 +193,14 @@
 	return Verdict{}
 }
 
-// Answered says that nothing of a connection is open any more.
+// Answered reports that no request of a connection is open any more.
 func (g *Controller) Answered(id ID, now clock.Nanos) {
 	if h := g.connections[id]; h != nil && h.state == busy {
 		g.move(h, idle, now)
 	}
 }
 
-// Closed says that a connection has ended.
+// Closed reports that a connection has ended.
 func (g *Controller) Closed(id ID) {
 	h := g.connections[id]
 	if h == nil {
@@ -214,17 +214,17 @@
 	g.free = append(g.free, h)
 }
 
-// Size is how many connections are held, and how many addresses and prefixes
+// Size is how many connections are held, and how many addresses and prefixes are
 // remembered.
 func (g *Controller) Size() (connections, remembered int) {
 	return g.total, len(g.addresses.all) + len(g.prefixes.all)
 }
 
-// Counts is how many were turned away or closed, by reason.
+// Counts is how many were rejected or evicted, by reason.
 func (g *Controller) Counts() [ReasonCount]uint64 { return g.counts }
 
-// OutOfDescriptors is the verdict on one that can't be held, as the system has no descriptor
-// for it.
+// OutOfDescriptors is the verdict on a connection for which the system has no descriptor
+// left.
 func (g *Controller) OutOfDescriptors() Verdict {
 	g.evictions = g.evictions[:0]
 	return g.reject(OutOfDescriptors, 0, g.retryAfter())
@@ -235,7 +235,7 @@
 	return Verdict{Reason: r, Limit: limit, RetryAfter: wait, Close: g.evictions}
 }
 
-// drop takes a connection out of the counts.
+// drop removes a connection from the counts.
 func (g *Controller) drop(h *connection) {
 	g.leave(h)
 	if h.reserve >= 0 {
@@ -275,7 +275,7 @@
 	return &connection{}
 }
 
-// retryAfter is a time to return, spread so that those turned away together don't
+// retryAfter is a Retry-After time, spread so that clients rejected together don't
 // return together.
 func (g *Controller) retryAfter() clock.Nanos { return g.spreadRetryAfter(g.settings.RetryAfter) }
 
--- a/policy/admission/eviction.go
+++ b/policy/admission/eviction.go
@@ -2,9 +2,9 @@
 
 import "lotushook/policy/clock"
 
-// makeRoom closes one connection for another. For a member whose reserve is lent
-// any that is not waiting for an answer goes, and by the rule of Ask there is
-// one. For others those go that have long been of no use.
+// makeRoom evicts one connection for another. For a member whose reserve is lent
+// any that is not waiting for an answer is evicted, and by the rule of Request there is
+// one. For others only those are evicted that have been idle or silent for long.
 func (g *Controller) makeRoom(member int, now clock.Nanos) bool {
 	common := &g.queues[0]
 	longest := func(q *queue, age clock.Nanos) *connection {
@@ -17,7 +17,7 @@
 	if v == nil {
 		v = longest(&common[idle], g.settings.EvictableIdle)
 	}
-	if v == nil && (member >= 0 || g.reservesLent() && g.namedReserveHasRoom()) { // it may be a member: its startup message will tell
+	if v == nil && (member >= 0 || g.reservesLent() && g.namedReserveHasRoom()) { // it may be a member: its startup message will show
 		for _, s := range []state{silent, idle, started} {
 			if v = common[s].first; v != nil {
 				break
@@ -34,7 +34,7 @@
 	return true
 }
 
-// evictableSilence is how long one may say nothing before it may be closed for another.
+// evictableSilence is how long a connection may be silent before it may be evicted for another.
 func (g *Controller) evictableSilence() clock.Nanos {
 	if g.underPressure {
 		return g.settings.EvictableSilence / 4
@@ -42,7 +42,7 @@
 	return g.settings.EvictableSilence
 }
 
-// reservesLent says whether common connections stand in reserved room.
+// reservesLent says whether common connections use reserved capacity.
 func (g *Controller) reservesLent() bool { return g.commonCount() > g.settings.Connections-g.reserved }
 
 // commonCount is how many connections are in no reserve.
@@ -54,7 +54,7 @@
 	return n
 }
 
-// namedReserveHasRoom says whether a reserve that is known by names has room left.
+// namedReserveHasRoom says whether a reserve that is identified by names has capacity left.
 func (g *Controller) namedReserveHasRoom() bool {
 	for i, r := range g.settings.Reserves {
 		if len(r.Users)+len(r.Databases)+len(r.Applications) > 0 && g.reserveMembers[i] < r.Connections {
@@ -64,9 +64,9 @@
 	return false
 }
 
-// Sweep takes in how much of the memory is in use, and returns what is to be
-// closed by now: under pressure those that say nothing, and after a cap was
-// lowered those that idle over it. It wants to be called some times a second.
+// Sweep takes the share of memory in use, and returns the evictions that are
+// due: under pressure silent connections, and after a cap was
+// lowered idle ones over it. It should be called a few times a second.
 func (g *Controller) Sweep(now clock.Nanos, memory float64) []Eviction {
 	g.evictions = g.evictions[:0]
 	g.memory = memory
@@ -86,14 +86,14 @@
 	return g.evictions
 }
 
-// overCap says whether a silent connection is over its address's or prefix's
-// cap as it is now.
+// overCap says whether a silent connection exceeds the effective cap of its address or
+// prefix.
 func (g *Controller) overCap(h *connection) bool {
 	a, p := g.effectiveCap(g.settings.PerAddress, false), g.effectiveCap(g.settings.PerPrefix, false)
 	return a > 0 && h.address.connections > a || p > 0 && h.prefix.connections > p
 }
 
-// evictOverCaps closes idle connections over the caps and says whether any are over.
+// evictOverCaps evicts idle connections over the caps and says whether any are over.
 func (g *Controller) evictOverCaps(now clock.Nanos) bool {
 	over := func(h *connection) bool {
 		return g.total > g.settings.Connections || g.settings.PerAddress > 0 && h.address.connections > g.settings.PerAddress ||
@@ -118,7 +118,7 @@
 	return left
 }
 
-// evict puts a connection out; it takes no room from now on.
+// evict marks a connection as closing; it uses no capacity from now on.
 func (g *Controller) evict(h *connection, r Reason) {
 	g.counts[r]++
 	g.evictions = append(g.evictions, Eviction{ID: h.id, Reason: r, RetryAfter: g.retryAfter(), Notify: h.state != idle})
@@ -126,8 +126,8 @@
 	h.state = closing
 }
 
-// EvictOne closes one connection because descriptors run out although the count said
-// otherwise, if there is one that is of no use.
+// EvictOne evicts one idle or silent connection when descriptors run out although the count allowed
+// more, if there is one.
 func (g *Controller) EvictOne(now clock.Nanos) []Eviction {
 	g.evictions = g.evictions[:0]
 	g.makeRoom(-1, now)
--- a/policy/admission/queues.go
+++ b/policy/admission/queues.go
@@ -2,34 +2,34 @@
 
 import "lotushook/policy/clock"
 
-// state is where a held connection stands.
+// state is the state of a connection held.
 type state int
 
 const (
-	silent  state = iota // has not started
-	started              // has started and asked for nothing
-	idle                 // has asked, and nothing of it is open
+	silent  state = iota // has not sent its startup message
+	started              // has started and sent no query
+	idle                 // has queried, and no request of it is open
 	busy                 // waits for an answer
-	closing              // told to close
+	closing              // being evicted
 	states
 )
 
-// connection is one connection.
+// connection is one client connection.
 type connection struct {
 	id      ID
 	address *source
 	prefix  *source
-	reserve int // index in Settings.Reserves, -1: common
+	reserve int // index in Settings.Reserves; -1: common
 	state   state
-	since   clock.Nanos // in this state
+	since   clock.Nanos // when it entered its state
 
-	next, prev        *connection // in its queue, the longest there first
-	nextOfAddress     *connection // the next and the one before of its address, while silent
+	next, prev        *connection // in its queue, the longest in the state first
+	nextOfAddress     *connection // its neighbors among the silent ones of its address
 	previousOfAddress *connection
 }
 
-// queue is a list of connections in one state, the longest there first. Nothing
-// is allocated for it, and each is taken out in one step.
+// queue is a linked list of connections in one state, the longest in it first. It
+// allocates nothing, and removal takes constant time.
 type queue struct {
 	first, last *connection
 	len         int
--- a/policy/admission/ratewindow.go
+++ b/policy/admission/ratewindow.go
@@ -2,12 +2,12 @@
 
 import "lotushook/policy/clock"
 
-// rateWindow counts what was taken within the last second. The second is cut into
-// parts; one part more than a second is kept, so that in no second more is taken
-// than the count allows, wherever the second begins.
+// rateWindow counts arrivals within the last second. The second is divided into
+// slots; one slot more than a second is stored, so that no second has more arrivals
+// than the limit allows, wherever it begins.
 type rateWindow struct {
 	parts [parts + 1]uint16
-	at    int64 // the number of the newest part since time 0
+	at    int64 // the number of the newest slot since time 0
 }
 
 const (
@@ -16,10 +16,10 @@
 	maxRate = 1<<16 - 1
 )
 
-// advance forgets what is over a second old.
+// advance drops the slots that are over a second old.
 func (w *rateWindow) advance(now clock.Nanos) {
 	n := now / part
-	if n <= w.at { // a clock that stands or goes back forgets nothing
+	if n <= w.at { // a clock that stands still or goes back drops nothing
 		return
 	}
 	if n-w.at > parts {
@@ -48,7 +48,7 @@
 	}
 }
 
-// wait is how long it takes from now until fewer than most are counted.
+// wait is how long it takes from now until fewer than the limit are counted.
 func (w *rateWindow) wait(now clock.Nanos, most int) clock.Nanos {
 	over := w.count(now) - most + 1
 	for i := w.at - parts; i <= w.at && over > 0; i++ {
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -1,7 +1,7 @@
 // Package admission decides which client connections a router holds: at the
-// accept by the address, again when the first message tells who it is, and when
-// room must be made. It decides from counts and times that it is told, and knows
-// no sockets. What becomes of a request that was let in is not decided here.
+// accept by the address, again when the startup message identifies the client, and when
+// a connection must be evicted. It decides from counts and times passed to it, and knows
+// no sockets. Requests that were admitted are not its concern.
 package admission
 
 import (
@@ -12,34 +12,34 @@
 	"lotushook/policy/clock"
 )
 
-// ID names a connection while it is held; the caller chooses it and does not use
-// it for another one before Left.
+// ID identifies a connection while it is held; the caller chooses it and does not reuse
+// it before Closed.
 type ID uint64
 
-// Settings are the limits. A cap of 0 does not bind.
+// Settings are the limits. A cap of 0 is not enforced.
 type Settings struct {
-	Connections int // the whole: as many are held at most
+	Connections int // the maximum of all connections
 
 	PerAddress         int // held by one address
 	PerPrefix          int // held by one prefix: IPv4 /24, IPv6 /64
-	NewAddress         int // taken from one address within any second
-	NewPrefix          int // taken from one prefix within any second
-	NewTotal           int // taken in all within any second
+	NewAddress         int // arrivals from one address within any second
+	NewPrefix          int // arrivals from one prefix within any second
+	NewTotal           int // arrivals in all within any second
 	SharedAddresses    []netip.Prefix
 	Reserves           []Reserve
-	CrowdedFrom        int         // from so many held on, those that idle longer than CrowdedIdleTimeout are closed early
+	CrowdedFrom        int         // from so many connections on, those that idle longer than CrowdedIdleTimeout are closed early
 	CrowdedIdleTimeout clock.Nanos //
-	EvictableIdle      clock.Nanos // one that idles so long may be closed to make room
-	EvictableSilence   clock.Nanos // so may one that has said nothing for so long
-	SilenceTimeout     clock.Nanos // under pressure, one that has said nothing for so long is closed
+	EvictableIdle      clock.Nanos // a connection idle for so long may be evicted
+	EvictableSilence   clock.Nanos // so may one that has been silent for so long
+	SilenceTimeout     clock.Nanos // under pressure, one that has been silent for so long is closed
 	Pressure           Pressure
-	MaxSources         int         // addresses and prefixes that are known at most, beside those of held connections
-	RetryAfter         clock.Nanos // the time to return that is told where no better one is known; spread over half as much again
-	MaxRetryAfter      clock.Nanos // no longer one is told
+	MaxSources         int         // addresses and prefixes that are remembered at most, beside those of connections held
+	RetryAfter         clock.Nanos // the Retry-After time where no better one is known; spread over half as much again
+	MaxRetryAfter      clock.Nanos // the longest Retry-After time
 }
 
-// Reserve is room that nobody but its members can take. A connection is a
-// member's by its address, or once its startup message says so.
+// Reserve is capacity that only its members can take. A connection is a
+// member by its address, or once its startup message names it.
 type Reserve struct {
 	Name         string
 	Addresses    []netip.Prefix
@@ -49,33 +49,33 @@
 	Connections  int
 }
 
-// Pressure is when the router tightens, and how far. Shares are of the whole.
+// Pressure defines when the router is under pressure, and how far it lowers the caps. Shares are of the maximum.
 type Pressure struct {
-	Enter, Leave float64     // of connections or memory in use: tight from Enter on, until all are under Leave
-	NewPerSecond int         // arrivals, taken or not, from which on it is tight; 0: they don't count
-	MinDuration  clock.Nanos // it stays tight for at least so long
-	CapFactor    float64     // what is left of the caps for each address and prefix while it is tight
+	Enter, Leave float64     // of connections or memory in use: pressure begins at Enter and ends when all are under Leave
+	NewPerSecond int         // arrivals, accepted or not, at which pressure begins; 0: they don't count
+	MinDuration  clock.Nanos // pressure lasts at least so long
+	CapFactor    float64     // factor on the caps for each address and prefix under pressure
 }
 
-// Reason says why a connection was turned away or closed.
+// Reason says why a connection was rejected or evicted.
 type Reason int
 
-// The reasons. None is that of one that was taken.
+// The reasons. None is that of an accepted connection.
 const (
 	None             Reason = iota
-	AddressFull             // its address holds all it may
-	AddressRate             // too many new ones of its address
-	PrefixFull              // its prefix holds all it may
-	PrefixRate              // too many new ones of its prefix
-	TotalRate               // too many new ones in all
-	AtCapacity              // no room, and nobody who could be closed for it
-	Reserved                // the room is lent and its owners may want it back
-	Displaced               // closed to make room for another
-	Silent                  // said nothing for too long while room is short
-	Idle                    // idled while room is short
+	AddressFull             // its address holds its maximum
+	AddressRate             // too many arrivals from its address
+	PrefixFull              // its prefix holds its maximum
+	PrefixRate              // too many arrivals from its prefix
+	TotalRate               // too many arrivals in all
+	AtCapacity              // no capacity, and no connection that could be evicted
+	Reserved                // the capacity is lent and its reserve may need it back
+	Displaced               // evicted for another connection
+	Silent                  // silent for too long while capacity is short
+	Idle                    // idle while capacity is short
 	OverCap                 // idle, and over a cap that was lowered
-	OutOfDescriptors        // the system has none left
-	ReasonCount             // how many there are
+	OutOfDescriptors        // the system has no descriptors left
+	ReasonCount             // the number of reasons
 )
 
 var reasonNames = [ReasonCount]string{"none", "address_full", "address_rate", "prefix_full", "prefix_rate", "total_rate",
@@ -89,32 +89,32 @@
 	return reasonNames[r]
 }
 
-// Verdict is what becomes of a connection that comes, starts or asks.
+// Verdict is the decision on a connection that arrives, starts or sends a request.
 type Verdict struct {
-	Reason     Reason      // None: it is taken
-	Limit      int         // the cap that was met
-	RetryAfter clock.Nanos // when it may come again; 0: not known
+	Reason     Reason      // None: accepted
+	Limit      int         // the cap that was reached
+	RetryAfter clock.Nanos // when it may return; 0: not known
 	Close      []Eviction
 }
 
-// Admitted says whether the connection is let in.
+// Admitted says whether the connection is accepted.
 func (v Verdict) Admitted() bool { return v.Reason == None }
 
-// Eviction is a held connection that is to be closed. It counts as held until
-// Left, and whatever it asks meanwhile is not taken.
+// Eviction is a connection that is to be closed. It counts as held until
+// Closed, and its further requests are rejected.
 type Eviction struct {
 	ID         ID
 	Reason     Reason
-	RetryAfter clock.Nanos // when it may come again
-	// Word says whether it is to hear why: one that has asked before may be asking
-	// again right now, and would take the word for the answer.
+	RetryAfter clock.Nanos // when it may return
+	// Word says whether the client receives the error: one that has queried before may be sending
+	// a query right now, and would take the error for its answer.
 	Notify bool
 }
 
-// Identity is what a startup message says.
+// Identity is what a startup message says about its client.
 type Identity struct{ User, Database, Application string }
 
-// Check says what is wrong with settings, naming the field.
+// Check returns an error that names the first invalid field.
 //
 //nolint:funlen // to be split (docs/ROADMAP.md, readable code)
 func (s *Settings) Check() error {
--- a/policy/admission/sources.go
+++ b/policy/admission/sources.go
@@ -13,14 +13,14 @@
 	admitted    rateWindow
 	silent      silentList
 
-	newer, older *source // among those that hold nothing, by when they held something last
+	newer, older *source // neighbors among the sources without connections, by when they last had one
 }
 
-// sources remembers addresses or prefixes: all that hold connections, and of the
+// sources remembers addresses or prefixes: all that have connections, and of the
 // others the latest, up to a bound.
 type sources struct {
 	all               map[netip.Prefix]*source
-	newest, oldest    *source // of those that hold nothing
+	newest, oldest    *source // of those without connections
 	resting, capacity int
 }
 
@@ -28,8 +28,8 @@
 	return &sources{all: map[netip.Prefix]*source{}, capacity: most}
 }
 
-// get finds a source, or makes one that is not remembered before it holds or
-// took something.
+// get finds a source, or makes one that is not remembered before it has a connection or
+// an arrival.
 func (s *sources) get(key netip.Prefix) *source {
 	if f := s.all[key]; f != nil {
 		return f
@@ -47,8 +47,8 @@
 	f.admitted.add(now)
 }
 
-// disconnect is the end of a connection of a source. What holds nothing any more is
-// remembered for its rate; the one that has rested longest makes room.
+// disconnect ends a connection of a source. A source without connections is
+// remembered for its rate; the least recently used one is dropped for it.
 func (s *sources) disconnect(f *source) {
 	if f.connections--; f.connections > 0 {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// unlinkIdle takes a source out of those that hold nothing.
+// unlinkIdle removes a source from those without connections.
 func (s *sources) unlinkIdle(f *source) {
 	if f.newer != nil {
 		f.newer.older = f.older
@@ -83,7 +83,7 @@
 	s.resting--
 }
 
-// sourceKeys are an address and its prefix. A v4 address in v6 clothes counts as v4.
+// sourceKeys returns an address and its prefix. A v4-mapped v6 address counts as v4.
 func sourceKeys(a netip.Addr) (addr, prefix netip.Prefix) {
 	a = a.Unmap().WithZone("")
 	bits := 64
--- a/policy/contract/account.go
+++ b/policy/contract/account.go
@@ -2,18 +2,18 @@
 
 import "lotushook/policy/clock"
 
-// Account is what a team has asked of a class and got.
+// Account counts what a team has requested of a class, and what it got.
 type Account struct {
 	Requested   uint64
-	ByReason    [ReasonCount]uint64 // grounds and refusals
+	ByReason    [ReasonCount]uint64 // admissions and rejections
 	Served      uint64
 	InObjective uint64
-	Refused     uint64 // by the router after it was taken
+	Refused     uint64 // by the router after it was admitted
 	Failed      uint64
 	Weight      float64 // earned
 }
 
-// Accounts calls each with each team and class that was ever asked for.
+// Accounts calls each with every team and class that was ever requested.
 func (b *Ledger) Accounts(each func(team, class string, a Account)) {
 	for i := range b.teams {
 		for c := range b.teams[i].classes {
@@ -24,7 +24,7 @@
 	}
 }
 
-// teamUsage is one team's.
+// teamUsage is what one team uses.
 type teamUsage struct {
 	classes []classUsage
 	retry   bucket
@@ -33,12 +33,12 @@
 
 type classUsage struct {
 	bucket     bucket
-	guaranteed bucket // what the contract covers at the least: this router's even part
+	guaranteed bucket // what the contract guarantees: this router's even share
 	Account
 }
 
-// Ended takes in how a taken request ended; after is its verdict's. From those
-// that others are not placed before it is felt how the group does; a keyed write
+// Ended processes the end of an admitted request; after is its verdict's. Requests
+// that others are not placed before measure the group's latency; a keyed write
 // that may have run is remembered.
 func (b *Ledger) Ended(r Request, after bool, e End, now clock.Nanos) {
 	if r.Class < 0 || r.Class >= len(b.settings.Classes) {
@@ -82,7 +82,7 @@
 	b.pressure(r, now).addSample(felt)
 }
 
-// remember keeps a key; the oldest goes where there are too many.
+// remember stores a key; the oldest is dropped where there are too many.
 func (b *Ledger) remember(key string, now clock.Nanos) {
 	if _, ok := b.recentKeys[key]; !ok {
 		b.keyOrder = append(b.keyOrder, key)
--- a/policy/contract/borrow.go
+++ b/policy/contract/borrow.go
@@ -7,8 +7,8 @@
 	"lotushook/policy/clock"
 )
 
-// borrowOrQueue lets a request go on that others are placed before, has it wait for its
-// turn, or leaves it refused.
+// borrowOrQueue admits a request as borrowed, queues it for its
+// turn, or leaves it rejected.
 func (b *Ledger) borrowOrQueue(r Request, t *Team, v *Verdict, now clock.Nanos) {
 	p, aim := b.pressure(r, now), b.settings.Classes[r.Class].LatencyObjective
 	within := v.Reason == Within
@@ -22,7 +22,7 @@
 	}
 	until := now + aim/2
 	if r.Deadline > 0 {
-		until = min(until, now+(r.Deadline-now)*2/5) // a refusal past the half is charged
+		until = min(until, now+(r.Deadline-now)*2/5) // a rejection past the half is charged
 	}
 	gone := p.enqueue(queuedRequest{Request: r, verdict: *v, until: until, within: within}, t.Weight, aim)
 	b.queued[r.ID] = place{r.Group, b.settings.Classes[r.Class].Primary}
@@ -43,7 +43,7 @@
 	}
 }
 
-// recount moves one that was counted as borrowed to why it is refused.
+// recount moves a request that was counted as borrowed to the reason of its rejection.
 func (b *Ledger) recount(r Request, to Reason) {
 	if r.Team >= 0 && r.Team < len(b.teams) {
 		c := &b.teams[r.Team].classes[r.Class]
@@ -52,16 +52,16 @@
 	}
 }
 
-// spreadRetryAfter gives a refusal its time to return.
+// spreadRetryAfter sets the Retry-After time of a rejection.
 func (b *Ledger) spreadRetryAfter(t *Turn) {
 	if t.RetryAfter > 0 {
 		t.RetryAfter = b.spread(t.RetryAfter)
 	}
 }
 
-// Due is what becomes of those that wait: they go on, or are refused because
-// their time is over. It wants to be called after each end, and some times a
-// second while any wait.
+// Due returns the queued requests that are decided: admitted, or rejected because
+// their deadline has passed. It should be called after each end, and a few times a
+// second while any are queued.
 func (b *Ledger) Due(now clock.Nanos) []Turn {
 	if len(b.queued) == 0 {
 		return nil
@@ -93,10 +93,10 @@
 	return out
 }
 
-// QueuedCount is how many wait for their turns.
+// QueuedCount is how many requests are queued.
 func (b *Ledger) QueuedCount() int { return len(b.queued) }
 
-// Abandon forgets one that waits, as its client has left. It says whether it waited.
+// Abandon removes a queued request whose client has left. It says whether it was queued.
 func (b *Ledger) Abandon(id string) bool {
 	k, ok := b.queued[id]
 	if !ok {
@@ -108,7 +108,7 @@
 	return true
 }
 
-// queuedPlaces are those at which any wait, in order.
+// queuedPlaces are the places with queued requests, in order.
 func (b *Ledger) queuedPlaces() []place {
 	b.scratch = b.scratch[:0]
 	for k, p := range b.pressures {
--- a/policy/contract/check.go
+++ b/policy/contract/check.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Capacity is what contracts are held against.
+// Capacity is what contracts are checked against.
 type Capacity struct {
 	Groups          int
 	PrimaryPerS     float64 // work units
 	PromisableShare float64 // share of a primary that may be promised
 }
 
-// Finding is something in contracts that can't be meant, and where it stands.
+// Finding is a questionable part of contracts, and its path in the settings.
 type Finding struct{ Where, Text string }
 
-// Findings holds the contracts against a fleet. They are valid all the same: each
-// finding is a promise that can't be kept, or one that nobody can use.
+// Findings checks the contracts against a fleet's capacity. They are valid all the same: each
+// finding is a promise that can't be kept, or one that no client can use.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (s *Settings) Findings(f Capacity) []Finding {
--- a/policy/contract/fair.go
+++ b/policy/contract/fair.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// BatchedRequest is a request that came in the same moment as others.
+// BatchedRequest is one of the requests of a batch.
 type BatchedRequest struct {
 	Team   int
 	Class  int
@@ -13,10 +13,10 @@
 	Index  int // the caller's
 }
 
-// Order puts requests that came together into the order in which they are to be
-// placed: what is within contracts first, and among the teams by turns, each as
-// often as its worth, whatever many one of them sends. A team that has just had
-// more than its turn waits for the others, also over several calls (start-time
+// Order sorts the requests of a batch into the order in which they are to be
+// decided: those within contracts first, and the teams by weighted fair
+// queueing, independent of how many requests each sends. A team that has just had
+// more than its share waits for the others, also over several calls (start-time
 // fair queueing).
 func (b *Ledger) Order(list []BatchedRequest) {
 	if len(list) < 2 {
@@ -54,7 +54,7 @@
 	}
 	copy(list, out)
 	b.virtualTime = slices.Min(starts)
-	for t, f := range b.finishTimes { // who has no more than the others owes nothing
+	for t, f := range b.finishTimes { // a team that has no more than the others has no debt
 		if f <= b.virtualTime {
 			delete(b.finishTimes, t)
 		}
--- a/policy/contract/ledger.go
+++ b/policy/contract/ledger.go
@@ -7,9 +7,9 @@
 	"lotushook/policy/clock"
 )
 
-// Ledger holds what the teams have used, and decides. One goroutine owns it. It
+// Ledger keeps the teams' usage, and decides. It is not safe for concurrent use. It
 // remembers a budget for each team and class, Settings.MaxShares of teams in groups,
-// Settings.Keys keys, and a pressure for each group that it was told of.
+// Settings.MaxKeys keys, and the pressure of each group in load reports.
 type Ledger struct {
 	settings       Settings
 	random         *rand.Rand
@@ -23,10 +23,10 @@
 	recentKeys     map[string]clock.Nanos
 	keyOrder       []string // of the keys, the oldest first
 	finishTimes    map[int]float64
-	virtualTime    float64 // of the lanes
+	virtualTime    float64 // of the fair queues
 
 	queued  map[string]place
-	scratch []place // to be used again
+	scratch []place // reused
 }
 
 type teamGroup struct {
@@ -34,7 +34,7 @@
 	group int64
 }
 
-// New returns a book in which nothing has been used.
+// New returns a ledger without usage.
 func New(s Settings, seed uint64) (*Ledger, error) {
 	b := &Ledger{random: rand.New(rand.NewPCG(seed, 0xc0)), primaryBudgets: map[teamGroup]*bucket{}, pressures: map[place]*pressure{}, finishTimes: map[int]float64{}, queued: map[string]place{}, loads: map[int64]*observedLoad{}, recentKeys: map[string]clock.Nanos{}}
 	if err := b.Set(s); err != nil {
@@ -43,9 +43,9 @@
 	return b, nil
 }
 
-// Set puts other contracts in force in one step. What a team of the same name has
-// used stays used, and its open requests stay open under what they were taken
-// under. It returns where each old team stands now, -1 for one that is gone.
+// Set puts new contracts in force in one step. The usage of a team whose name stays
+// is kept, and its open requests stay open under the terms that admitted
+// them. It returns the new index of each old team, -1 for one that was removed.
 func (b *Ledger) Set(s Settings) error {
 	if err := s.Check(); err != nil {
 		return fmt.Errorf("contracts: %w", err)
@@ -79,7 +79,7 @@
 			share[teamGroup{i, k.group}] = v
 		}
 	}
-	for _, p := range b.pressures { // turns begin anew; who waits goes on waiting
+	for _, p := range b.pressures { // fair queueing starts anew; queued requests stay
 		clear(p.finishTimes)
 		for i := range p.queue {
 			if j, ok := now[p.queue[i].Team]; ok {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Team is the number of a team, -1 where there is none of the name.
+// Team is the index of a team, -1 where there is none of the name.
 func (b *Ledger) Team(name string) int {
 	if list := b.matcher.names[name]; len(list) > 0 {
 		return list[0]
@@ -110,7 +110,7 @@
 	return b.settings.Teams[team].Name
 }
 
-// hoursFactor is how much larger a team's contract is by the hours.
+// hoursFactor is how much larger a team's contract is at this time of the week.
 func (b *Ledger) hoursFactor(t *Team, now clock.Nanos) float64 {
 	if len(t.Hours) == 0 {
 		return 1
@@ -125,7 +125,7 @@
 	return most
 }
 
-// Admit decides on a request that has just come. One that is taken is open until
+// Admit decides on a new request. One that is admitted is open until
 // Ended.
 func (b *Ledger) Admit(r Request, now clock.Nanos) Verdict {
 	if r.Team < 0 || r.Team >= len(b.teams) {
@@ -153,12 +153,12 @@
 }
 
 const (
-	retryBurst        = 10 // repeats that a team may make at once
+	retryBurst        = 10 // retries that a team may make at once
 	defaultRetryAfter = second / 2
 )
 
-// decide finds the ground on which a request is taken, or why it is not. What is
-// within is always taken.
+// decide finds the reason for which a request is admitted or rejected. A request
+// within its contract is always admitted.
 func (b *Ledger) decide(r Request, t *Team, a *teamUsage, c *classUsage, now clock.Nanos) Verdict {
 	class, limit := &b.settings.Classes[r.Class], t.Limits[r.Class]
 	times, part := b.hoursFactor(t, now), b.shareOf(&b.totalLoad)
@@ -202,7 +202,7 @@
 		if share != nil {
 			share.take(class.Cost, shareBurst)
 		}
-		slack := b.settings.Skew * float64(b.settings.Routers) // what the part has beyond the load that is seen
+		slack := b.settings.Skew * float64(b.settings.Routers) // the margin of the share beyond the load that is seen
 		c.guaranteed.refill(now, rate/slack)
 		if v.LowPriority = !c.guaranteed.has(1, burst); !v.LowPriority {
 			c.guaranteed.take(1, burst)
@@ -214,7 +214,7 @@
 }
 
 // primaryBudget is a team's budget at a group's primary. Where too many are remembered
-// those that are full are forgotten, and failing that all: each starts full.
+// the full ones are dropped, and failing that all: each starts full.
 func (b *Ledger) primaryBudget(k teamGroup, now clock.Nanos) *bucket {
 	s := b.primaryBudgets[k]
 	if s == nil {
@@ -252,7 +252,7 @@
 	return p
 }
 
-// spread spreads a time to return, so that a team's clients don't return together.
+// spread spreads a Retry-After time, so that a team's clients don't return together.
 func (b *Ledger) spread(t clock.Nanos) clock.Nanos {
 	t += clock.Nanos(b.random.Float64() * float64(defaultRetryAfter))
 	if b.settings.MaxRetryAfter > 0 {
--- a/policy/contract/match.go
+++ b/policy/contract/match.go
@@ -8,11 +8,11 @@
 	Address                     netip.Addr
 }
 
-// matcher finds teams by what a client says and where it comes from.
+// matcher finds teams by what clients say and their addresses.
 type matcher struct {
 	users, databases, applications, names map[string][]int
 	prefixes                              map[netip.Prefix][]int
-	bits                                  []int // lengths of prefixes that occur, for either kind of address
+	bits                                  []int // the prefix lengths that occur, for either address family
 }
 
 func newMatcher(teams []Team) *matcher {
@@ -37,9 +37,9 @@
 	return m
 }
 
-// Match finds a client's team, by any of what it says and where it comes from; it
+// Match finds a client's team by its identity; it
 // is -1 with the reason where there is none, or where there are two and the
-// settings refuse that.
+// settings reject that.
 func (b *Ledger) Match(who Identity) (team int, why Reason) {
 	found, two := -1, false
 	take := func(list []int) {
@@ -70,8 +70,8 @@
 	return b.none()
 }
 
-// Named finds the team that a request's comment names, where that is believed;
-// otherwise the client's own stays.
+// Named finds the team that a request's comment names, where comments are trusted;
+// otherwise the client's own team stays.
 func (b *Ledger) Named(name string, team int, why Reason) (int, Reason) {
 	if !b.settings.TrustComment || name == "" {
 		return team, why
--- a/policy/contract/settings.go
+++ b/policy/contract/settings.go
@@ -1,8 +1,8 @@
-// Package contract decides which requests a team's contract covers, and what
-// becomes of those beyond it: they borrow what others leave, and are refused, the
-// first of all, while somebody within a contract would suffer. It decides from
-// arrivals, ends, and load reports that it is told; which server a request goes
-// to, and whether a request is tried again, is not decided here.
+// Package contract decides which requests a team's contract covers, and how
+// those beyond it are treated: they borrow unused capacity, and are the first to be
+// rejected while a request within a contract would be slow. It decides from
+// arrivals, ends, and load reports passed to it; which server a request goes
+// to, and whether a request is retried, is not decided here.
 package contract
 
 import (
@@ -18,26 +18,26 @@
 	Teams   []Team
 	Classes []Class // as the router numbers them
 
-	DefaultTeam  string // the team of those that match none; "": they are refused
-	Ambiguous    string // "first": who matches two is the first's; "refuse"
-	TrustComment bool   // what the request's comment says of its team is believed
+	DefaultTeam  string // the team of clients that match none; "": they are rejected
+	Ambiguous    string // "first": a client that matches two belongs to the first; "refuse": it is rejected
+	TrustComment bool   // a request's comment may name its team
 
-	Routers              int     // routers that share the contracts and can't talk
-	Skew                 float64 // the largest share of a team's traffic that one of them sees in usual times
-	PrimaryWorkPerSecond float64 // work units a primary does in a second; 0: shares of primaries don't bind
+	Routers              int     // routers that share the contracts without coordination
+	Skew                 float64 // the largest share of a team's traffic that one of them normally sees
+	PrimaryWorkPerSecond float64 // work units a primary does in a second; 0: shares of primaries are not enforced
 
-	HighPressure, LowPressure float64     // answers took this share of their aims: above, borrowing shrinks; below, it grows
-	MaxKeys                   int         // keys that are remembered as perhaps carried out
-	MaxShares                 int         // budgets of teams in groups that are remembered
+	HighPressure, LowPressure float64     // latencies as a share of their objectives: above, borrowing shrinks; below, it grows
+	MaxKeys                   int         // remembered keys of writes that may have run
+	MaxShares                 int         // remembered budgets of teams in groups
 	UTCOffsetSeconds          int64       // local time less UTC, in seconds, for Hours
-	MaxRetryAfter             clock.Nanos // the longest time to return that is told
+	MaxRetryAfter             clock.Nanos // the longest Retry-After time
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name              string
 	LatencyObjective  clock.Nanos
-	IdempotencyWindow clock.Nanos // how long a repeat of a key is dropped
+	IdempotencyWindow clock.Nanos // how long the servers drop a retry of a key
 	Primary           bool        // only the primary takes it
 	PriorityWeight    float64
 	Cost              float64 // work units of one request
@@ -46,45 +46,45 @@
 // Team is one team's contract.
 type Team struct {
 	Name   string
-	Weight float64 // its weight where borrowers share what is left; above 0
+	Weight float64 // its weight where borrowers share capacity; above 0
 
-	Users, Databases, Applications []string // whoever says one of them at the start is of the team
+	Users, Databases, Applications []string // a client that sends one of them at the start belongs to the team
 	Addresses                      []netip.Prefix
 
 	Limits       []Limit // by class; the zero Limit: it may not use the class
 	PrimaryShare float64 // of each group's primary, over all classes; 0: none is promised beyond the limits
-	MaxOpen      int     // open requests over all routers; 0: no ceiling
-	RetryShare   float64 // clients' repeats that belong to the contract, as a share of first tries
+	MaxOpen      int     // open requests over all routers; 0: no limit
+	RetryShare   float64 // clients' retries that the contract covers, as a share of first attempts
 	Hours        []Hours
 }
 
-// Limit is what a team may ask of a class, over all routers.
+// Limit is what a team may request of a class, over all routers.
 type Limit struct {
 	PerS  float64 // requests a second
 	Burst float64 // requests at once
 }
 
-// Hours are a stretch of each week in which the limits are larger.
+// Hours are a part of each week in which the limits are larger.
 type Hours struct {
-	From, To int64 // seconds after Monday 00:00, local time; To may lie behind the week's end
+	From, To int64 // seconds after Monday 00:00, local time; To may be after the week's end
 	Factor   float64
 }
 
-// Reason says why a request was refused, or on what ground it was taken.
+// Reason says why a request was admitted or rejected.
 type Reason int
 
-// The grounds and reasons.
+// The reasons for admission, and those for rejection.
 const (
 	Within           Reason = iota // its contract covers it
-	Borrowed                       // beyond it, from what others leave
+	Borrowed                       // beyond it, from unused capacity
 	RetryOfWrite                   // a keyed write that may have run: it always passes
 	UnknownTeam                    // it matches no team
 	AmbiguousTeam                  // it matches two
 	ClassNotAllowed                // its team may not use the class
-	TooManyOpen                    // its team has as many open requests as it may
-	OverRate                       // beyond the class's rate, while others need the room
-	OverPrimaryShare               // beyond the share of the primary, while others need the room
-	OverRetryShare                 // a client's repeat beyond the retry budget, while others need the room
+	TooManyOpen                    // its team has its maximum of open requests
+	OverRate                       // beyond the class's rate, while others need the capacity
+	OverPrimaryShare               // beyond the share of the primary, while others need the capacity
+	OverRetryShare                 // a client's retry beyond the retry budget, while others need the capacity
 	ReasonCount
 )
 
@@ -98,50 +98,50 @@
 	return reasonNames[r]
 }
 
-// Admitted says whether a request with this reason goes on.
+// Admitted says whether a request with this reason is admitted.
 func (r Reason) Admitted() bool { return r <= RetryOfWrite }
 
-// Request is what counts of a request here.
+// Request is the part of a request that decisions need.
 type Request struct {
 	Team     int // as Match found it
 	Class    int
 	Group    int64
 	Key      string      // of a keyed write
-	IsRetry  bool        // the client marked it as its own repeat
-	ID       string      // while it is open, nobody else's
+	IsRetry  bool        // the client marked it as its own retry
+	ID       string      // unique while it is open
 	Deadline clock.Nanos // when its client gives up
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Reason     Reason
-	Limit      float64     // the contract's figure that was met, over all routers
-	RetryAfter clock.Nanos // when it may come again; 0: not known
+	Limit      float64     // the contract's limit that was reached, over all routers
+	RetryAfter clock.Nanos // when it may return; 0: not known
 	// After says that others are placed before it: it was borrowed, or it is within
-	// only because routers that can't talk must each let more through than their
-	// even part. If the team's traffic is spread evenly, it is beyond the contract.
+	// only because routers without coordination must each admit more than their
+	// even share. If the team's traffic is spread evenly, it is beyond the contract.
 	LowPriority bool
-	// Hold says that it waits for its turn: Due tells what becomes of it.
+	// Hold says that it is queued: Due returns the decision later.
 	Queued bool
-	// Displaced is one that waited and is refused in its place; its Verdict says why.
+	// Displaced is a queued request that is rejected in its place; its Verdict says why.
 	Displaced *Turn
 }
 
-// Turn is what becomes of a request that waited.
+// Turn is the decision on a queued request.
 type Turn struct {
 	ID string
 	Verdict
 }
 
-// End is how a taken request ended.
+// End is how an admitted request ended.
 type End struct {
 	Served    bool
 	Elapsed   clock.Nanos // from its arrival
-	MayRun    bool        // not served, and it can't be ruled out that it ran
-	Abandoned bool        // its client left, or it was refused while it waited for its turn: it says nothing of load
+	MayRun    bool        // not served, and it may have run
+	Abandoned bool        // its client left, or it was rejected while queued: it says nothing about load
 }
 
-// Check says what is wrong with settings, naming the field.
+// Check returns an error that names the first invalid field.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (s *Settings) Check() error {
--- a/policy/contract/share.go
+++ b/policy/contract/share.go
@@ -5,13 +5,13 @@
 	"math"
 )
 
-// SetShare puts another even share in force, as when other routers' parts have been divided: what this router takes itself to
-// see of the load at the least. All routers' shares together must not exceed 1. One that sees much may have a small share
-// while others divide its part: all together then admit 2 Skew Routers times a contract at the most, in place of Multiple.
+// SetShare sets another even share, as when the quotas of other routers have been divided: the share of the load that this router is
+// assumed to see at least. All routers' shares together must not exceed 1. One that sees much may have a small share
+// while others divide its quota: all together then admit 2 Skew Routers times a contract at most, instead of Multiple.
 func (b *Ledger) SetShare(share float64) { b.evenShare = share }
 
-// AddLoadReport takes in a report: of what a server of a group holds, so many are this
-// router's. From it follows how much of the contracts is enforced here.
+// AddLoadReport processes a report: of the requests that a server of a group holds, so many are this
+// router's. The share of the contracts that is enforced here follows from it.
 func (b *Ledger) AddLoadReport(group int64, mine, all int) {
 	if all <= 0 || mine < 0 {
 		return
@@ -29,12 +29,12 @@
 	b.totalLoad.add(mine, all)
 }
 
-// Share is the share of a contract that this router lets through. Routers can't
-// talk. In usual times each lets through the most that it may see of a team's
+// Share is the share of a contract that this router admits. Routers don't
+// coordinate. Normally each admits the most that it may see of a team's
 // traffic; one that sees a larger part of the load than its even share, as when
-// another has died, lets through as much more. So all together admit at most
+// another has failed, admits as much more. So all together admit at most
 // Multiple times a contract, and never less than the contract where no router
-// sees more of a team's traffic than its part.
+// sees more of a team's traffic than its share.
 func (b *Ledger) Share(group int64) float64 {
 	p := b.loads[group]
 	if p == nil {
@@ -61,11 +61,11 @@
 
 const reportDecay = 0.9 // of the older reports, with each new one
 
-const minReports = 20 // requests in reports: less tells nothing
+const minReports = 20 // requests in reports: fewer prove nothing
 
 // Multiple bounds what all routers together admit, as a multiple of a contract.
-// What they see of the load adds up to no more than all of it, so only some can
-// see so much that they let all through; the others let through Skew.
+// The parts of the load that they see add up to no more than all of it, so only some can
+// see enough to admit all; the others admit Skew.
 func (s *Settings) Multiple() float64 {
 	n, skew := float64(s.Routers), s.Skew
 	whole := math.Floor(skew*n + 1e-9) // each of them sees 1/(skew n) of the load
--- a/policy/crdt/broadcaster.go
+++ b/policy/crdt/broadcaster.go
@@ -8,18 +8,18 @@
 	"lotushook/policy/clock"
 )
 
-// BroadcasterSettings bound what is told to whom how often.
+// BroadcasterSettings bound how much is sent to whom and how often.
 type BroadcasterSettings struct {
 	Bytes   int         // of entries in one batch
-	Every   clock.Nanos // between batches, at the least
-	Soon    clock.Nanos // the same while somebody waits for a word
-	Members int         // to whom a batch goes, by turns where there are more
-	Pass    int         // to whom one goes on that another router's write waits for
-	First   clock.Nanos // until a batch that was not acknowledged is told again; each time twice as long
-	Longest clock.Nanos // but never longer
-	Tries   int         // how often it is told; then it is left to those who ask
-	Queue   int         // entries that wait for a batch; beyond it the last to come of the least kind goes
-	Batches int         // that are not acknowledged; beyond it the oldest goes
+	Every   clock.Nanos // between batches, at least
+	Soon    clock.Nanos // the same while an acknowledgement is awaited
+	Members int         // recipients of a batch, in turn where there are more
+	Pass    int         // recipients to which an entry is forwarded that another router's write waits for
+	First   clock.Nanos // until a batch without acknowledgement is sent again; each time twice as long
+	Longest clock.Nanos // the maximum of it
+	Tries   int         // how often it is sent; then the recipients fetch it
+	Queue   int         // entries that wait for a batch; beyond it the latest of the least important kind is dropped
+	Batches int         // batches without acknowledgement; beyond it the oldest is dropped
 }
 
 // DefaultBroadcasterSettings are settings for a router.
@@ -35,26 +35,26 @@
 	return nil
 }
 
-// Delivery is a batch on its way to a member. What came of it is told by its number.
+// Delivery is a batch for a member. Its outcome is reported by its number.
 type Delivery struct {
 	To      string
 	Number  uint64
-	Pass    int // so many of the first entries are waited for: who takes one that it had not hands it on
+	Pass    int // so many of the first entries are awaited: a recipient that did not have one forwards it
 	Entries []Entry
 }
 
-// BroadcastCounts counts what became of entries and batches since the start.
+// BroadcastCounts counts the outcomes of entries and batches since the start.
 type BroadcastCounts struct {
 	Batches uint64 `json:"batches"`
-	Again   uint64 `json:"again"`   // tellings after the first of a batch to a member
-	Left    uint64 `json:"left"`    // batches that somebody did not acknowledge in the end: it asks for them
-	Dropped uint64 `json:"dropped"` // entries for which the queue had no room: whoever lacks them asks
+	Again   uint64 `json:"again"`   // repeated sends of a batch to a member
+	Left    uint64 `json:"left"`    // batches that some member did not acknowledge in the end: it will fetch them
+	Dropped uint64 `json:"dropped"` // entries for which the queue had no room: members that lack them fetch them
 }
 
-// Broadcaster tells members what is new until each has acknowledged it. It belongs to one goroutine.
+// Broadcaster sends new entries to members until each has acknowledged them. It is not safe for concurrent use.
 //
-// An acknowledgement says that its sender holds the entries, or what goes before them. The first one for an entry that
-// somebody waits for ends the wait: two routers have it then, and a third of them is told again until it says so too.
+// An acknowledgement says that its sender holds the entries, or ones that supersede them. The first one for an awaited
+// entry ends the wait: two routers have it then, and a third gets it until it acknowledges it too.
 type Broadcaster struct {
 	set    BroadcasterSettings
 	queue  []queued
@@ -69,19 +69,19 @@
 	Entry
 	at   clock.Nanos
 	wait uint64
-	not  string // who told it; "": it was learned here
+	not  string // its sender; "": it was learned here
 }
 
 type batch struct {
 	number uint64
 	list   []queued
 	pass   int
-	left   []string // who has not acknowledged it
+	left   []string // members that have not acknowledged it
 	due    clock.Nanos
 	tries  int
 }
 
-// NewBroadcaster returns one that has nothing to tell.
+// NewBroadcaster returns a broadcaster with nothing to send.
 func NewBroadcaster(s BroadcasterSettings) (*Broadcaster, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -89,13 +89,13 @@
 	return &Broadcaster{set: s, last: -s.Every}, nil
 }
 
-// Add has an entry told that was learned here just now. wait is the number by which somebody waits for its first
-// acknowledgement; 0: nobody does.
+// Add queues an entry that was learned here just now. wait is the number by which its first
+// acknowledgement is awaited; 0: it is not.
 func (t *Broadcaster) Add(now clock.Nanos, e Entry, wait uint64) {
 	t.add(queued{Entry: e, at: now, wait: wait})
 }
 
-// Forward has an entry told on that a member told this router: its origin may die before it has told the others.
+// Forward queues an entry that a member sent to this router: its origin may fail before it has sent it to the others.
 func (t *Broadcaster) Forward(now clock.Nanos, e Entry, by string) {
 	t.add(queued{Entry: e, at: now, not: by})
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-// order: what is waited for, then by kind; what came first goes first.
+// order: awaited entries, then by kind; the earlier first.
 func (q *queued) order(r *queued) int {
 	class := func(q *queued) int {
 		switch {
@@ -123,8 +123,8 @@
 	return cmp.Compare(class(q), class(r))
 }
 
-// Deliveries says what to tell now, and to whom; others are the members that are there, in a stable order. A member that is there
-// no more is not waited for.
+// Deliveries returns what to send now, and to whom; others are the members present, in a stable order. No acknowledgement is awaited
+// of a member that is not present.
 func (t *Broadcaster) Deliveries(now clock.Nanos, others []string) (out []Delivery) {
 	t.open = slices.DeleteFunc(t.open, func(b *batch) bool {
 		if now < b.due {
@@ -160,7 +160,7 @@
 	return out
 }
 
-// batch takes from the queue what fits, of one sort: what was learned here, or what one member told.
+// batch takes from the queue what fits, from one source: learned here, or sent by one member.
 func (t *Broadcaster) batch(now clock.Nanos, others []string) *batch {
 	t.number++
 	t.counts.Batches++
@@ -206,7 +206,7 @@
 	return out
 }
 
-// Acked takes a member's word on a batch: it holds all of it but the entries at these places, which it does not believe. It
+// Acked processes a member's acknowledgement: it holds all of the batch but the entries at these places, which it rejects. It
 // returns the waits that end, each at its first acknowledgement.
 func (t *Broadcaster) Acked(from string, number uint64, lacks []uint8) (ended []uint64) {
 	at, ok := slices.BinarySearchFunc(t.open, number, func(b *batch, n uint64) int { return cmp.Compare(b.number, n) })
@@ -231,7 +231,7 @@
 	return ended
 }
 
-// Due says whether there is anything that Next may want to tell, and from when on.
+// Due says whether Deliveries may have anything to send, and from when on.
 func (t *Broadcaster) Due() (at clock.Nanos, ok bool) {
 	if len(t.queue) > 0 {
 		at, ok = t.last+t.set.Every, true
--- a/policy/crdt/catchup.go
+++ b/policy/crdt/catchup.go
@@ -9,13 +9,13 @@
 	"lotushook/policy/clock"
 )
 
-// CatchUpSettings bound what a router gives to those who catch up.
+// CatchUpSettings bound what a router sends to those that catch up.
 type CatchUpSettings struct {
-	MaxClients int         // members that are fed at a time
+	MaxClients int         // served at a time
 	PerS       int         // bytes a second to all of them together
 	Piece      int         // bytes of one answer
 	Small      int         // bytes of an answer to one that has caught up before, and lacks little
-	Pause      clock.Nanos // who asks again within it is fed on; after it another may have its place
+	Pause      clock.Nanos // a client that returns within it keeps its place; after it another may have it
 }
 
 // DefaultCatchUpSettings are settings for a router.
@@ -30,16 +30,16 @@
 	return nil
 }
 
-// CatchUpServer decides who is fed and how fast, so that those who come back all at once don't take what a router needs to serve.
-// It belongs to one goroutine.
+// CatchUpServer decides which clients are served and how fast, so that many that restart at once don't use what a router needs to serve.
+// It is not safe for concurrent use.
 type CatchUpServer struct {
 	set  CatchUpSettings
-	fed  map[string]clock.Nanos // who is fed, and when it asked last
-	left float64                // bytes that may be given now
+	fed  map[string]clock.Nanos // the clients served, and their last requests
+	left float64                // bytes that may be sent now
 	at   clock.Nanos
 }
 
-// NewCatchUpServer returns one that feeds nobody.
+// NewCatchUpServer returns one without clients.
 func NewCatchUpServer(s CatchUpSettings, now clock.Nanos) (*CatchUpServer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 	return &CatchUpServer{set: s, fed: map[string]clock.Nanos{}, left: float64(s.Piece), at: now}, nil
 }
 
-// Admit says how many bytes a member may be answered with now; 0: none, and it is to come again after a while, or to ask
+// Admit says how many bytes a member may be answered with now; 0: none, and it should retry later, or try
 // another. hungry is one that has not caught up since its start.
 func (f *CatchUpServer) Admit(now clock.Nanos, who string, hungry bool) (room int, wait clock.Nanos) {
 	maps.DeleteFunc(f.fed, func(_ string, at clock.Nanos) bool { return now-at > f.set.Pause })
@@ -67,7 +67,7 @@
 	return room, 0
 }
 
-// Served notes what an answer had. Done: the member has all, and another may have its place.
+// Served records an answer. Done: the member has everything, and another may have its place.
 func (f *CatchUpServer) Served(who string, bytes int, done bool) {
 	f.left -= float64(bytes)
 	if done {
@@ -75,14 +75,14 @@
 	}
 }
 
-// ClientCount is how many are fed.
+// ClientCount is how many are served.
 func (f *CatchUpServer) ClientCount() int { return len(f.fed) }
 
 // PeerInZone is a member that can be asked for what a copy lacks.
 type PeerInZone struct{ Name, Zone string }
 
-// Choose is whom to ask: while hungry, one of the own hall as long as there is any that has not been tried, then the others;
-// tries counts those that were silent or too busy in a row. One that has caught up asks all by turns.
+// Choose returns the member to ask: while hungry, one of the own zone as long as there is any that has not been tried, then the others;
+// tries counts those that were silent or too busy in a row. One that has caught up asks all in turn.
 func Choose(list []PeerInZone, hall string, hungry bool, tries, turn int) (of PeerInZone, ok bool) {
 	if len(list) == 0 {
 		return PeerInZone{}, false
--- a/policy/crdt/entry.go
+++ b/policy/crdt/entry.go
@@ -1,10 +1,10 @@
-// Package crdt holds what routers tell each other of what they have learned: positions, primaries, sessions' commits, keyed
-// writes that may have run, use of contracts, hints. Each kind is a join-semilattice: copies that got the same entries in any
-// order, some of them twice, are equal, and copies that differ have one answer. How entries travel is not decided here.
+// Package crdt holds the state that routers replicate: positions, primaries, sessions' commits, keyed
+// writes that may have run, usage of contracts, hints. Each kind is a join-semilattice: copies that merged the same entries in any
+// order, some of them twice, are equal. How entries travel is not decided here.
 //
-// No entry is an order. A router sends only to servers that its own list names; a position that a peer tells too high makes a
-// read go to servers that lack it and be refused there, never be answered stale; a commit told too high delays a
-// session's read, one told too low changes nothing, as joins only raise.
+// No entry is an order. A router sends only to servers that its own list names; a position that a peer reports too high makes a
+// read go to servers that lack it and be rejected there, never be answered stale; a commit reported too high delays a
+// session's read, one reported too low changes nothing, as joins only raise.
 package crdt
 
 import (
@@ -15,19 +15,19 @@
 	"lotushook/policy/clock"
 )
 
-// Kind says what an entry is of. Those that matter soonest come first when they are told.
+// Kind is the kind of an entry, the most urgent first.
 type Kind uint8
 
 // The kinds.
 const (
-	SessionCommit  Kind = iota + 1 // A group, B session: the position of its last commit. The greater holds
-	PrimaryClaim                   // A group: the position of the evidence, then the server's start, then who says so
+	SessionCommit  Kind = iota + 1 // A group, B session: the position of its last commit. The greater prevails
+	PrimaryClaim                   // A group: the position of the evidence, then the server's start, then the origin
 	PendingWrite                   // A class and scope, B key: it may have run, until its window is over
-	ServerPosition                 // A server, Born its start: how far it has applied the log. The greater holds
-	Usage                          // A team, B class, by origin: what it has used. The greater holds
-	Hint                           // A what, by origin: dark halls, cold starts, suspects. The later word of the origin holds
-	FeedCursor                     // A feed, B subscriber: Count its generation, Born its history, At and Acked positions. In this order the greater holds
-	SheddingLevel                  // A group, by origin: the level below which accounts would be shed, and its load. The later word of the origin holds
+	ServerPosition                 // A server, Born its start: how far it has applied the log. The greater prevails
+	Usage                          // A team, B class, by origin: what it has used. The greater prevails
+	Hint                           // A subject, by origin: zones in outage, slow starts, suspects. The origin's latest prevails
+	FeedCursor                     // A feed, B subscriber: Count its generation, Born its history, At and Acked positions. In this order the greater prevails
+	SheddingLevel                  // A group, by origin: the shedding threshold, and its load. The origin's latest prevails
 
 	// Last is the last of them.
 	Last  = SheddingLevel
@@ -44,7 +44,7 @@
 	return "unknown"
 }
 
-// Origin is one process of a router: a name that comes back has another boot.
+// Origin is one process of a router: a name that restarts has another boot.
 type Origin struct {
 	Name string
 	Boot uint64
@@ -54,44 +54,44 @@
 	return cmp.Or(cmp.Compare(o.Name, p.Name), cmp.Compare(o.Boot, p.Boot))
 }
 
-// Entry is one thing that a router has learned.
+// Entry is one fact that a router has learned.
 type Entry struct {
 	Kind   Kind
 	A, B   string
-	Born   int64  // ServerPosition, PrimaryClaim: the server's start, as the list tells it
+	Born   int64  // ServerPosition, PrimaryClaim: the server's start, as listed
 	At     int64  // SessionCommit, PrimaryClaim, ServerPosition, FeedCursor: a log position
-	Acked  int64  // FeedCursor: what its subscriber is known to have had; -1: nothing
-	Count  int64  // Use: in thousandths; FeedCursor: its generation, which never falls; Level: see SheddingLevel
+	Acked  int64  // FeedCursor: what its subscriber has acknowledged; -1: nothing
+	Count  int64  // Usage: in thousandths; FeedCursor: its generation, which never falls; SheddingLevel: see NewSheddingLevel
 	Server string // PrimaryClaim
 	From   Origin
-	Seq    uint64      // among all that its origin learned, from 1
-	Age    clock.Nanos // since it was learned; what it waited on the way is not in it
+	Seq    uint64      // among all entries that its origin learned, from 1
+	Age    clock.Nanos // since it was learned; the time in transit is not in it
 }
 
-// Key is what an entry is kept by: all entries that a question is about have one key, and so one shard of those that keep
+// Key is the key by which an entry is stored: all entries that one query is about have one key, and so one shard of those that store
 // copies in several.
 func (e *Entry) Key() (a, b string) {
-	if e.Kind == Hint { // asked for by what it is of, whoever says it of whichever part
+	if e.Kind == Hint { // found by its subject, whatever its origin and part
 		return e.A, ""
 	}
 	return e.A, e.B
 }
 
-// Settings bound what is kept.
+// Settings bound the store.
 type Settings struct {
 	Self             Origin
-	MaxEntries       [kinds]int  // entries of each kind, by Kind; sessions and writes of each group or class
-	MaxOrigins       int         // processes whose numbers are remembered
+	MaxEntries       [kinds]int  // of each kind, by Kind; sessions and writes of each group or class
+	MaxOrigins       int         // processes whose sequence numbers are remembered
 	WriteWindow      clock.Nanos // of keyed writes
-	HintLifetime     clock.Nanos // hints are forgotten after it
+	HintLifetime     clock.Nanos // hints expire after it
 	LevelLifetime    clock.Nanos // and levels
-	MaxAhead         int64       // a position beyond the greatest of this router's own knowledge by more is not believed
+	MaxAhead         int64       // a position further beyond the greatest of this router's own is rejected
 	MaxText          int         // bytes of a name or key
-	MinLearnInterval clock.Nanos // a server's position, and a primary that stays, are learned anew so often at the most: each answer tells them
-	MaxPending       int         // what waits to be pushed; what is beyond is left to those who ask
+	MinLearnInterval clock.Nanos // a server's position, and a primary that stays, are learned anew so often at most: each answer carries them
+	MaxPending       int         // entries that wait to be sent; beyond it they are left to be fetched
 }
 
-// Shard are the settings of one of so many stores, over which the keys are spread.
+// Shard returns the settings of one of so many stores, over which the keys are spread.
 func (s Settings) Shard(of int) Settings {
 	for k := range s.MaxEntries {
 		s.MaxEntries[k] = (s.MaxEntries[k] + of - 1) / of
@@ -119,14 +119,14 @@
 	return errors.Join(errs...)
 }
 
-const levelBits = 10 // of Count, for the level
+const levelBits = 10 // of Count, for the threshold
 
-// NewSheddingLevel is what a router says of a group: its load in requests a second, the level that it would have, and its epoch.
+// NewSheddingLevel returns a router's report on a group: its load in requests a second, the threshold that it would choose, and its epoch.
 func NewSheddingLevel(group string, load int64, wish int, epoch uint64) Entry {
 	return Entry{Kind: SheddingLevel, A: group, Born: int64(epoch), Count: load<<levelBits | int64(wish)&(1<<levelBits-1)}
 }
 
-// SheddingLevel is what SheddingLevel was told.
+// SheddingLevel returns what NewSheddingLevel stored.
 func (e *Entry) SheddingLevel() (load int64, wish int, epoch uint64) {
 	return e.Count >> levelBits, int(e.Count & (1<<levelBits - 1)), uint64(e.Born)
 }
--- a/policy/crdt/heap.go
+++ b/policy/crdt/heap.go
@@ -26,14 +26,14 @@
 	return h
 }
 
-// rank orders the entries of a kind: the least is let go first. Where joins only raise it, what is kept in the end does not
-// depend on the order in which entries came.
+// rank orders the entries of a kind: the least is evicted first. Where joins only raise it, the entries that stay do not
+// depend on the order in which they came.
 func (h *storedEntry) rank(g *storedEntry) int {
 	var first int
 	switch h.Kind {
 	case PendingWrite, Hint, SheddingLevel:
 		first = cmp.Compare(h.learnedAt, g.learnedAt)
-	case Usage, FeedCursor: // a cursor's generation begins at the position of its last reconnect: the oldest go first
+	case Usage, FeedCursor: // a cursor's generation begins at the position of its last reconnect: the oldest are evicted first
 		first = cmp.Compare(h.Count, g.Count)
 	default:
 		first = cmp.Compare(h.At, g.At)
--- a/policy/crdt/order.go
+++ b/policy/crdt/order.go
@@ -6,7 +6,7 @@
 	"hash/fnv"
 )
 
-// entryID is what an entry is of: two entries of one id are joined.
+// entryID identifies an entry's subject: two entries of one ID are joined.
 type entryID struct {
 	kind Kind
 	a, b string
@@ -25,7 +25,7 @@
 	return i
 }
 
-// compare orders two entries of one id: the greater one holds. It does not look at ages, which differ by the ways they came.
+// compare orders two entries of one ID: the greater one prevails. It ignores ages, which differ by the paths they came on.
 func (e *Entry) compare(f *Entry) int {
 	switch e.Kind {
 	case SessionCommit, ServerPosition:
@@ -45,7 +45,7 @@
 	return cmp.Or(e.From.compare(f.From), cmp.Compare(e.Seq, f.Seq))
 }
 
-// hash is over all that is joined, and not the age.
+// hash covers all that is joined, and not the age.
 func (h *storedEntry) hash() uint64 {
 	x := fnv.New64a()
 	buf := []byte{byte(h.Kind)}
--- a/policy/crdt/query.go
+++ b/policy/crdt/query.go
@@ -14,8 +14,8 @@
 	return 0, false
 }
 
-// Cursor is what is known of a subscriber of a feed; forgot says that some cursors were let go, so that this one may have been
-// among them.
+// Cursor is what is known of a subscriber of a feed; forgot says that some cursors were evicted, perhaps this one
+// too.
 func (s *Store) Cursor(now clock.Nanos, feed, subscriber string) (e Entry, known, forgot bool) {
 	if h := s.entries[entryID{kind: FeedCursor, a: feed, b: subscriber}]; h != nil {
 		return h.entryAt(now), true, false
@@ -23,7 +23,7 @@
 	return Entry{}, false, s.evicted[FeedCursor]
 }
 
-// Primary is who is believed to be a group's primary: a start of a server, and at which position that was seen.
+// Primary is the server believed to be a group's primary: one of its starts, and at which position that was seen.
 func (s *Store) Primary(group string) (server string, born, at int64) {
 	if h := s.entries[entryID{kind: PrimaryClaim, a: group}]; h != nil {
 		return h.Server, h.Born, h.At
@@ -40,7 +40,7 @@
 	return 0, 0, false
 }
 
-// MayHaveRun says whether a keyed write may have run somewhere within its window.
+// MayHaveRun says whether a keyed write may have run at any router within its window.
 func (s *Store) MayHaveRun(now clock.Nanos, class, key string) bool {
 	h := s.entries[entryID{kind: PendingWrite, a: class, b: key}]
 	return h != nil && now-h.learnedAt < s.settings.WriteWindow
@@ -57,7 +57,7 @@
 	return sum
 }
 
-// Hints are the origins that say something of a name, and how long ago each learned it.
+// Hints are the origins with a hint on a subject, and how long ago each learned it.
 func (s *Store) Hints(now clock.Nanos, what string) map[Origin]clock.Nanos {
 	out := map[Origin]clock.Nanos{}
 	for _, h := range s.piles[Hint] {
@@ -68,7 +68,7 @@
 	return out
 }
 
-// SheddingLevels are the words of all origins that are not forgotten yet, with their ages.
+// SheddingLevels are the levels of all origins that have not expired, with their ages.
 func (s *Store) SheddingLevels(now clock.Nanos) []Entry {
 	var out []Entry
 	for _, h := range s.piles[SheddingLevel] {
--- a/policy/crdt/store.go
+++ b/policy/crdt/store.go
@@ -8,30 +8,30 @@
 	"lotushook/policy/clock"
 )
 
-// storedEntry is an entry as it is kept.
+// storedEntry is an entry in the store.
 type storedEntry struct {
 	Entry
-	learnedAt clock.Nanos // when it was learned, by this router's clock
-	heapIndex int         // in its kind's heap; -1: it was let go
+	learnedAt clock.Nanos // by this router's clock
+	heapIndex int         // in its kind's heap; -1: it was evicted
 }
 
-// Store is one router's copy. It belongs to one goroutine.
+// Store is one router's copy. It is not safe for concurrent use.
 type Store struct {
 	settings    Settings
 	entries     map[entryID]*storedEntry
 	piles       [kinds]entryHeap
 	digests     [kinds]uint64
-	evicted     [kinds]bool // something was let go for want of room
+	evicted     [kinds]bool // an entry was evicted for lack of capacity
 	seen        map[Origin]uint64
 	logs        map[Origin]*log
 	seq         uint64
 	maxPosition int64 // the greatest position that this router learned itself; 0: none
 	pending     []*storedEntry
-	turn        uint32 // of the entries that are told though what was before them is not known
+	turn        uint32 // of the entries that are sent though what precedes them is not known
 	rejected    uint64
 }
 
-// log is what one origin learned, by number; an entry that was joined away stays until the log is tidied.
+// log is what one origin learned, by number; an entry that was superseded stays until the log is compacted.
 type log struct {
 	list  []logged
 	stale int
@@ -50,8 +50,8 @@
 	return &Store{settings: s, entries: map[entryID]*storedEntry{}, seen: map[Origin]uint64{}, logs: map[Origin]*log{}}, nil
 }
 
-// ObservePosition says which position is the greatest that this router has learned by itself, in whichever store: what is far beyond it
-// is not believed.
+// ObservePosition sets the greatest position that this router has learned by itself, in whichever store: positions far beyond it
+// are rejected.
 func (s *Store) ObservePosition(at int64) {
 	if at <= s.maxPosition {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// Learn takes in what this router itself has learned just now, and says whether anything is new.
+// Learn stores what this router itself has learned just now, and says whether anything is new.
 func (s *Store) Learn(now clock.Nanos, e Entry) bool {
 	h := s.learn(now, &e)
 	if h == nil {
@@ -75,7 +75,7 @@
 }
 
 // LearnDurably is Learn for what another member must have before it counts: it returns the entry that is held then, this router's
-// own or one that goes before it, for its caller to push. None where there is no room for it.
+// own or one that supersedes it, for its caller to send. None where there is no room for it.
 func (s *Store) LearnDurably(now clock.Nanos, e Entry) (Entry, bool) {
 	s.learn(now, &e)
 	if h := s.entries[e.id()]; h != nil {
@@ -95,7 +95,7 @@
 			return nil
 		}
 	}
-	if e.Kind == FeedCursor { // told again without news, it would travel for nothing
+	if e.Kind == FeedCursor { // repeated without a change, it would be sent for nothing
 		if old := s.entries[e.id()]; old != nil && old.From == e.From && old.Count == e.Count && old.Born == e.Born && old.At == e.At && old.Acked == e.Acked {
 			return nil
 		}
@@ -108,16 +108,16 @@
 	return h
 }
 
-// Last is the last word of this router's own: it is what Learn made of the entry that it took.
+// Last is this router's own latest entry: what Learn made of the entry that it took.
 func (s *Store) Last() (Origin, uint64) { return s.settings.Self, s.seq }
 
-// Holds says whether an entry is what is held of its key, whoever said it first.
+// Holds says whether an entry is the one held for its key, whatever its origin.
 func (s *Store) Holds(e Entry) bool {
 	h := s.entries[e.id()]
 	return h != nil && h.compare(&e) == 0
 }
 
-// dropAhead drops what was told of the future before this router knew better.
+// dropAhead drops positions of the future that were received before this router knew better.
 func (s *Store) dropAhead() {
 	for _, h := range s.entries {
 		if h.Kind <= ServerPosition && h.At > s.maxPosition+s.settings.MaxAhead {
@@ -127,12 +127,12 @@
 	}
 }
 
-// Merge joins an entry that somebody else told, and says whether it changed anything.
+// Merge joins an entry that a peer sent, and says whether it changed anything.
 func (s *Store) Merge(now clock.Nanos, e Entry) bool {
 	switch {
 	case e.Kind < SessionCommit || e.Kind >= kinds || e.From.Name == "" || e.Seq == 0 || e.Age < 0, e.From == s.settings.Self && e.Seq > s.seq,
 		max(len(e.A), len(e.B), len(e.Server), len(e.From.Name)) > s.settings.MaxText,
-		e.Kind == FeedCursor && (e.Count < 1 || e.At < e.Acked || e.Acked < -1), s.maxPosition > 0 && e.Kind != FeedCursor && e.At > s.maxPosition+s.settings.MaxAhead: // a cursor is held against its feed
+		e.Kind == FeedCursor && (e.Count < 1 || e.At < e.Acked || e.Acked < -1), s.maxPosition > 0 && e.Kind != FeedCursor && e.At > s.maxPosition+s.settings.MaxAhead: // a cursor is checked against its feed
 		s.rejected++
 		return false
 	case e.Kind == PendingWrite && e.Age >= s.settings.WriteWindow, e.Kind == Hint && e.Age >= s.settings.HintLifetime, e.Kind == SheddingLevel && e.Age >= s.settings.LevelLifetime:
@@ -145,7 +145,7 @@
 	return changed
 }
 
-// advanceVector notes an entry that came by itself, where everything before it of its origin was had: it need not be asked for again.
+// advanceVector records an entry that came by itself, where all entries before it of its origin were had: it need not be fetched again.
 func (s *Store) advanceVector(e *Entry) {
 	seen, known := s.seen[e.From]
 	if e.From == s.settings.Self || e.Seq != seen+1 || !known && len(s.seen) >= s.settings.MaxOrigins {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Covers says whether this copy needs nothing more for an entry: it is held, or something that goes before it, or its time is
-// over, or it would be the first to go for want of room.
+// Covers says whether this copy needs nothing more for an entry: it is held, or superseded, or has
+// expired, or would be evicted first for lack of capacity.
 func (s *Store) Covers(now clock.Nanos, e *Entry) bool {
 	if h := s.entries[e.id()]; h != nil {
 		return e.compare(&h.Entry) <= 0
@@ -216,7 +216,7 @@
 	return h
 }
 
-// forgetOrigin makes room: a process goes of whose words nothing is left.
+// forgetOrigin makes room: an origin without entries is dropped.
 func (s *Store) forgetOrigin() bool {
 	for o, l := range s.logs {
 		if o != s.settings.Self && !slices.ContainsFunc(l.list, func(x logged) bool { return x.h.heapIndex >= 0 }) {
@@ -228,7 +228,7 @@
 	return false
 }
 
-// remove takes an entry out.
+// remove removes an entry.
 func (s *Store) remove(h *storedEntry) {
 	delete(s.entries, h.id())
 	heap.Remove(&s.piles[h.Kind], h.heapIndex)
@@ -241,7 +241,7 @@
 	}
 }
 
-// Expire forgets writes, hints and levels whose time is over.
+// Expire drops writes, hints and levels that have expired.
 func (s *Store) Expire(now clock.Nanos) {
 	for kind, span := range map[Kind]clock.Nanos{PendingWrite: s.settings.WriteWindow, Hint: s.settings.HintLifetime, SheddingLevel: s.settings.LevelLifetime} {
 		for p := s.piles[kind]; len(p) > 0 && now-p[0].learnedAt >= span; p = s.piles[kind] {
@@ -250,7 +250,7 @@
 	}
 }
 
-// Digest tells whether two copies hold the same of a kind.
+// Digest says whether two copies hold the same entries of a kind.
 func (s *Store) Digest(k Kind) uint64 { return s.digests[k] }
 
 // Size is how many entries of a kind are held.
@@ -264,5 +264,5 @@
 	return sum
 }
 
-// Rejected counts what was told and can't be right, or of more processes than are remembered.
+// Rejected counts received entries that can't be right, or of more origins than are remembered.
 func (s *Store) Rejected() uint64 { return s.rejected }
--- a/policy/crdt/sync.go
+++ b/policy/crdt/sync.go
@@ -8,36 +8,36 @@
 	"lotushook/policy/clock"
 )
 
-const entryBytes = 48 // of an entry as it travels, beside its texts
+const entryBytes = 48 // of an entry in transit, beside its texts
 
-// VersionVector says up to which number everything of each origin was had, or something that goes before it.
+// VersionVector says up to which number all entries of each origin, or ones that supersede them, are held.
 type VersionVector map[Origin]uint64
 
-// OriginRun is what an origin learned after one number. Up to another one it is all that is left: what is missing there was joined
-// away by something greater. Entries beyond that came by themselves, and something before them may be missing.
+// OriginRun holds what an origin learned after one number. Up to another number it is all that is left: missing entries were
+// superseded. Entries beyond that came by themselves, and some before them may be missing.
 type OriginRun struct {
 	From        Origin
 	After, Upto uint64
 	Entries     []Entry
 }
 
-// VersionVector is this copy's.
+// VersionVector returns this copy's vector.
 func (s *Store) VersionVector() VersionVector { return maps.Clone(s.seen) }
 
-// Size is what an entry takes on its way, in bytes.
+// Size is an entry's size in transit, in bytes.
 func (e *Entry) Size() int {
 	return entryBytes + len(e.A) + len(e.B) + len(e.Server) + len(e.From.Name)
 }
 
-// entryAt is an entry as it travels.
+// entryAt is an entry with its age in transit.
 func (h *storedEntry) entryAt(now clock.Nanos) Entry {
 	e := h.Entry
 	e.Age = max(0, now-h.learnedAt)
 	return e
 }
 
-// TakePending is what this router learned since the last push, what matters soonest first, in so many bytes; what does not fit is
-// left to whoever asks. It says nothing of what is complete: datagrams get lost.
+// TakePending removes and returns what this router learned since the last call, the most urgent first, up to so many bytes; the rest
+// is left to be fetched. It says nothing about completeness: datagrams get lost.
 func (s *Store) TakePending(now clock.Nanos, room int) []Entry {
 	fresh := slices.DeleteFunc(s.pending, func(h *storedEntry) bool { return h.heapIndex < 0 })
 	slices.SortStableFunc(fresh, func(x, y *storedEntry) int { return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(y.Seq, x.Seq)) })
@@ -52,9 +52,9 @@
 	return out
 }
 
-// Since is what somebody with a vector has not had, in so many bytes. One that lacks everything gets everything, piece by
-// piece: each piece is complete up to its own end, so that another can go on from there. What is left of the room is for
-// entries that came by themselves, in turns: of a process that is gone they may be the only ones there will ever be.
+// Since returns what the owner of a vector lacks, up to so many bytes. One that lacks everything gets everything, piece by
+// piece: each piece is complete up to its own end, so that another member can go on from there. The remaining bytes are for
+// entries that came by themselves, in turn: of an origin that is gone they may be the only ones there will ever be.
 func (s *Store) Since(now clock.Nanos, v VersionVector, room int) []OriginRun {
 	var out []OriginRun
 	var loose []*storedEntry
@@ -80,7 +80,7 @@
 			out = append(out, r)
 		}
 	}
-	s.turn = s.turn*1664525 + 1013904223 // drawn: by turns, two that ask alternately could get the same halves for ever
+	s.turn = s.turn*1664525 + 1013904223 // drawn: in turn, two that fetch alternately could get the same halves for ever
 	for i := range loose {
 		h := loose[(int(s.turn>>16)+i)%len(loose)]
 		if room -= h.Size() + entryBytes; room < 0 {
@@ -91,8 +91,8 @@
 	return out
 }
 
-// MergeRuns takes runs in and returns how many entries changed something. A run that begins beyond what was had of its origin
-// leaves a gap: its entries are taken, and asked for again.
+// MergeRuns merges runs and returns how many entries changed the copy. A run that begins beyond the held entries of its origin
+// leaves a gap: its entries are merged, and fetched again.
 func (s *Store) MergeRuns(now clock.Nanos, runs []OriginRun) int {
 	changed := 0
 	for _, r := range runs {
@@ -115,10 +115,10 @@
 	return changed
 }
 
-// Hash is over all of an entry that is joined: a check of what came of a piece of runs.
+// Hash covers the joined part of an entry: a check of a received piece of runs.
 func (e *Entry) Hash() uint64 { return (&storedEntry{Entry: *e}).hash() }
 
-// EntriesOlderThan are entries that are known for longer than a bound, in turns, at most so many: whoever lacks one has missed it.
+// EntriesOlderThan returns entries known for longer than a bound, in turn, at most so many: a copy without them has missed them.
 func (s *Store) EntriesOlderThan(now, bound clock.Nanos, most int) []Entry {
 	var out []Entry
 	for k := SessionCommit; k < kinds; k++ {
@@ -134,14 +134,14 @@
 	return out
 }
 
-// Again forgets how far an origin was had, as when digests differ though vectors don't: somebody left something out.
+// Again forgets an origin's version, as when digests differ though vectors don't: some member left an entry out.
 func (s *Store) Again(o Origin) {
 	if o != s.settings.Self {
 		delete(s.seen, o)
 	}
 }
 
-// Difference names entries that one copy holds and another lacks or has otherwise, at most so many: for people.
+// Difference names entries that differ between two copies, at most so many: for people.
 func (s *Store) Difference(now clock.Nanos, k Kind, other []Entry, most int) []Entry {
 	theirs := map[entryID]*Entry{}
 	for i := range other {
--- a/policy/cursor/cursor.go
+++ b/policy/cursor/cursor.go
@@ -1,11 +1,11 @@
-// Package cursor decides where a subscriber's reading of a feed goes on: from the cursor that the subscriber brings, from what
-// the routers know of it, and from what the member that was read says of its log. What is decided is a row of one table
-// (Choose), which docs/design/cursors.md prints; a Book holds the cursors that this router gave out, a Feed the recent events
-// of one group's log, a Pace how many may be far behind, or come back, at a time. How cursors travel between routers, how
-// members are asked and which of them it is, is not decided here.
+// Package cursor decides where a subscriber's reading of a feed resumes: from the cursor that the subscriber sends, from what
+// the routers know of it, and from the log of the member that was read. The decision is a row of one table
+// (Choose), which docs/design/cursors.md prints; a Registry holds the cursors that this router issued, a Feed the recent events
+// of one group's log, a Limiter how many may catch up, or reconnect, at a time. How cursors travel between routers, how
+// members are read and which of them it is, is not decided here.
 //
-// A log belongs to a history, and each take-over begins another one, which has the log of the one before it up to the position
-// where it forked. Positions are never compared across histories except along a line of them.
+// A log belongs to a history, and each take-over begins another one, which contains the log of the one before it up to the position
+// where it forked. Positions are never compared across histories except along a lineage.
 package cursor
 
 import (
@@ -20,13 +20,13 @@
 )
 
 // History names one run of a log under one primary: how many take-overs there were before it, and a number drawn at its start,
-// by which two that began at once are told apart. The zero one is none.
+// by which two that began at once are told apart. The zero History is none.
 type History struct{ Era, ID uint32 }
 
-// ErrHistory is of a history's name that can't be read.
+// ErrHistory reports a history's name that can't be parsed.
 var ErrHistory = errors.New("no history")
 
-// ParseHistory reads a name as String writes it, such as 3-9f2c11ab.
+// ParseHistory parses a name as String writes it, such as 3-9f2c11ab.
 func ParseHistory(s string) (History, error) {
 	era, id, ok := strings.Cut(s, "-")
 	e, err := strconv.ParseUint(era, 10, 32)
@@ -38,7 +38,7 @@
 	return h, nil
 }
 
-// String is the name, "" of none.
+// String is the name; "" of none.
 func (h History) String() string {
 	if h == (History{}) {
 		return ""
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("%d-%08x", h.Era, h.ID)
 }
 
-// Compare puts a history behind all that it descends from, and two of one era in a stated order.
+// Compare orders a history after all that it descends from, and two of one era in a fixed order.
 func (h History) Compare(g History) int {
 	return cmp.Or(cmp.Compare(h.Era, g.Era), cmp.Compare(h.ID, g.ID))
 }
@@ -57,7 +57,7 @@
 // HistoryOf unpacks one.
 func HistoryOf(n uint64) History { return History{uint32(n >> 32), uint32(n)} }
 
-// Position is a place in a log: up to At, of History, all is had.
+// Position is a place in a log: the events up to At, of History, are received.
 type Position struct {
 	History
 	At int64
@@ -68,7 +68,7 @@
 	return cmp.Or(p.History.Compare(q.History), cmp.Compare(p.At, q.At))
 }
 
-// Fork is one history of a line, and up to which position it is the one before.
+// Fork is one history of a lineage, and the position up to which it equals the one before.
 type Fork struct {
 	History
 	From int64
@@ -77,10 +77,10 @@
 // Lineage is a log's histories, oldest first: each descends from the one before.
 type Lineage []Fork
 
-// MaxLineage is how many histories of a line are told; what is older is forgotten, as with the retention.
+// MaxLineage is the maximum length of a lineage; older histories are dropped, as with the retention.
 const MaxLineage = 16
 
-// Check says whether it can be a line: eras rise, forks don't fall.
+// Check says whether it can be a lineage: eras rise, forks don't fall.
 func (l Lineage) Check() error {
 	if len(l) == 0 || len(l) > MaxLineage {
 		return fmt.Errorf("a line of %d histories", len(l))
@@ -101,7 +101,7 @@
 	return l[len(l)-1].History
 }
 
-// End is up to where a history's positions are this line's: without end for its newest.
+// End is the position up to which a history is part of this lineage: unbounded for the newest.
 func (l Lineage) End(h History) (at int64, on bool) {
 	for i, f := range l {
 		if f.History == h {
@@ -114,23 +114,23 @@
 	return 0, false
 }
 
-// Event is one thing that happened, by its position. Positions of a history rise.
+// Event is one event with its position. Positions of a history rise.
 type Event struct {
 	At   int64
 	Text string
 }
 
-// Response is what a member said: its line, what of its log is kept, and the events after a point.
+// Response is a member's answer: its lineage, what is retained of its log, and the events after a position.
 type Response struct {
 	Line          Lineage
-	TruncatedUpTo int64 // events up to this position are not kept any more; 0: all are
+	TruncatedUpTo int64 // events up to this position are not retained any more; 0: all are
 	Head          int64 // its last event's position
 	From          int64 // the events are those after it
 	Events        []Event
 	More          bool // there are more than these
 }
 
-// Check says whether an answer can be right.
+// Check says whether a response can be right.
 func (a *Response) Check() error {
 	if err := a.Line.Check(); err != nil {
 		return err
@@ -148,19 +148,19 @@
 	return nil
 }
 
-// Settings bound what is held, and how much is asked of data servers.
+// Settings bound what is held, and the reads at data servers.
 type Settings struct {
-	MaxCursors            int         // cursors in a Book
-	RingEvents            int         // of one feed, recent ones
+	MaxCursors            int         // in a Registry
+	RingEvents            int         // recent ones of one feed
 	RingBytes             int         // of their texts
 	BatchEvents           int         // events in one answer
 	BatchBytes            int         // of their texts; one event goes whatever its length
-	EndReadInterval       clock.Nanos // a feed's end is asked for again after it
-	PollInterval          clock.Nanos // one that has all comes again after it
-	MaxAhead              int64       // a cursor that is so far beyond the newest position that is known is no cursor
-	CatchUpReadsPerSecond float64     // reads a second for those that are too far behind for the ring
-	ReconnectsPerSecond   float64     // subscribers a second that may come back or come new; the rest is told when
-	MaxRetryAfter         clock.Nanos // the longest time to return that one of them is told
+	EndReadInterval       clock.Nanos // a feed's end is read again after it
+	PollInterval          clock.Nanos // a subscriber that has everything is told to return after it
+	MaxAhead              int64       // a cursor so far beyond the newest known position is invalid
+	CatchUpReadsPerSecond float64     // reads a second for subscribers behind the ring
+	ReconnectsPerSecond   float64     // subscribers a second that may reconnect or start; the rest gets a Retry-After time
+	MaxRetryAfter         clock.Nanos // the longest Retry-After time
 }
 
 // DefaultSettings are settings for a router.
@@ -170,7 +170,7 @@
 		MaxAhead: 60_000, CatchUpReadsPerSecond: 5, ReconnectsPerSecond: 500, MaxRetryAfter: 20_000 * ms}
 }
 
-// Check says which field can't be.
+// Check returns an error that names the first invalid field.
 func (s *Settings) Check() error {
 	switch {
 	case s.MaxCursors < 1 || s.MaxCursors > 10_000_000:
--- a/policy/cursor/errors.go
+++ b/policy/cursor/errors.go
@@ -6,17 +6,17 @@
 	"lotushook/policy/clock"
 )
 
-// RejectedError is a subscriber that gets nothing, though the feed could be read: its row says why.
+// RejectedError reports a subscriber that is rejected although the feed could be read: its row says why.
 type RejectedError struct {
 	Row        Row
 	Forgot     bool // Snapshot: nothing is known of it any more
 	Feed       string
 	Subscriber string
-	Had        Position // what it brought or is known to have had; none: without a history
-	Begin      Position // Snapshot, MaxAhead: where it goes on after a snapshot
+	Had        Position // what it sent or is known to have received; none: without a history
+	Begin      Position // Snapshot, Future: where it resumes after a snapshot
 }
 
-// Error says what was found of its cursor.
+// Error describes the subscriber's cursor.
 func (e *RejectedError) Error() string {
 	at := fmt.Sprintf("feed %s, subscriber %.40q: ", e.Feed, e.Subscriber)
 	then := fmt.Sprintf("; take a snapshot at position %d, then resume with after=%d,history=%s", e.Begin.At, e.Begin.At, e.Begin.History)
@@ -44,7 +44,7 @@
 	return "cursor-old"
 }
 
-// Hint is what its owner can do.
+// Hint is for the subscriber's owner.
 func (e *RejectedError) Hint() string {
 	switch e.Row {
 	case Fenced:
@@ -55,7 +55,7 @@
 	return "take the snapshot that the message names and bring the cursor of each answer along; a longer retention or a larger most_cursors makes it rarer"
 }
 
-// OverloadedError is a subscriber that must come again, with its cursor kept.
+// OverloadedError reports a subscriber that must return later, with its cursor kept.
 type OverloadedError struct {
 	Why        string // returning, far, busy, waiting
 	Feed       string
@@ -65,9 +65,9 @@
 
 // The reasons of OverloadedError.
 const (
-	CrowdReturning = "returning" // more come back than return_per_s
+	CrowdReturning = "returning" // more reconnect than return_per_s
 	CrowdFar       = "far"       // more are behind the ring than catch_up_per_s
-	CrowdBusy      = "busy"      // its connection has a request of the feed open
+	CrowdBusy      = "busy"      // its connection has an open request of the feed
 	CrowdWaiting   = "waiting"   // most_waiting requests wait for data servers
 )
 
@@ -81,7 +81,7 @@
 // Kind is feed- and the reason.
 func (e *OverloadedError) Kind() string { return "feed-" + e.Why }
 
-// Hint is what can be done.
+// Hint is for operators.
 func (e *OverloadedError) Hint() string {
 	switch e.Why {
 	case CrowdBusy:
@@ -92,25 +92,25 @@
 	return "come again after the time in DETAIL; raise the limit if data servers and routers have room"
 }
 
-// UnreadableError is a feed that no member could be read for in time, or whose answer could not be right; nothing was delivered.
+// UnreadableError reports a feed that no member could be read for in time, or whose response was invalid; nothing was delivered.
 type UnreadableError struct {
 	Feed  string
 	Wait  clock.Nanos
 	Cause error
 }
 
-// Error says what the last try came to.
+// Error describes the last try.
 func (e *UnreadableError) Error() string {
 	return fmt.Sprintf("feed %s: no member could be read: %v; nothing was delivered", e.Feed, e.Cause)
 }
 
-// Unwrap is the last try's error.
+// Unwrap returns the last try's error.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
 // Kind is feed-unread.
 func (e *UnreadableError) Kind() string { return "feed-unread" }
 
-// Hint is what can be done.
+// Hint is for operators.
 func (e *UnreadableError) Hint() string {
 	return "ask again with the same cursor; if it stays, look whether the group's members serve the class and are on one history"
 }
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -6,35 +6,35 @@
 	"lotushook/policy/clock"
 )
 
-// Feed is what this router knows of one group's log: the newest line that any member showed, and the events since some
-// position. It belongs to who holds its lock.
+// Feed is what this router knows of one group's log: the newest lineage that any member showed, and the events since some
+// position. It is not safe for concurrent use.
 type Feed struct {
 	settings      *Settings
 	lineage       Lineage
-	truncatedUpTo int64 // events up to it are not kept by the members
-	head          int64 // the greatest position that was seen on the line
+	truncatedUpTo int64 // events up to it are not retained by the members
+	head          int64 // the greatest position seen on the lineage
 	base          int64 // the ring has all events after it
 	newest        int64 // up to it
 	ring          []Event
 	bytes         int
-	hasRead       bool        // any member was
-	readAt        clock.Nanos // when its end was read last
+	hasRead       bool        // of any member
+	readAt        clock.Nanos // when its end was last read
 }
 
-// NewFeed returns one of which nothing is known.
+// NewFeed returns a feed of which nothing is known.
 func NewFeed(s *Settings) *Feed { return &Feed{settings: s} }
 
-// End is what the next reading of its end asks for; none: whatever a member has.
+// End is the position that the next read of its end starts from; none: the member's choice.
 func (f *Feed) End() (Position, bool) { return Position{f.lineage.Newest(), f.newest}, f.hasRead }
 
 // Head is the newest position that was seen, and its history.
 func (f *Feed) Head() Position { return Position{f.lineage.Newest(), f.head} }
 
-// Size is how many events are held, and the bytes of their texts.
+// Size is how many events are held, and the size of their texts.
 func (f *Feed) Size() (events, bytes int) { return len(f.ring), f.bytes }
 
-// ClassMember classes a member's answer against the newest line that is known: one that is on an older history is behind as long
-// as it has nothing that the line left out, and forked off from then on.
+// ClassMember classifies a member's response against the newest known lineage: one on an older history is behind as long
+// as it has no events that the lineage left out, and forked from then on.
 func (f *Feed) ClassMember(a *Response) Member {
 	newest := a.Line.Newest()
 	if !f.hasRead || newest.Compare(f.lineage.Newest()) > 0 {
@@ -49,8 +49,8 @@
 	return MemberCovers
 }
 
-// Apply takes a member's answer in, which must be sound. Of a member that is forked off nothing is taken. End says whether it was
-// asked for what follows the feed's end.
+// Apply merges a member's response, which must have passed Check. That of a forked member is ignored. End says whether it
+// was for what follows the feed's end.
 func (f *Feed) Apply(now clock.Nanos, a *Response, end bool) Member {
 	m := f.ClassMember(a)
 	if m == MemberForked {
@@ -73,7 +73,7 @@
 	if end {
 		f.readAt = now
 	}
-	if a.From > f.newest && a.From <= a.Head { // a hole: what came before it is not offered any more
+	if a.From > f.newest && a.From <= a.Head { // a gap: the events before it are not available any more
 		f.truncate(0)
 		f.base, f.newest = a.From, a.From
 	}
@@ -105,7 +105,7 @@
 	f.newest, f.base = min(f.newest, at), min(f.base, at)
 }
 
-// ClassClient classes a cursor against the line; none is one without a history.
+// ClassClient classifies a cursor against the lineage; none is one without a history.
 func (f *Feed) ClassClient(p Position) Client {
 	end, on := f.lineage.End(p.History)
 	switch {
@@ -134,14 +134,14 @@
 // Requirement is what must be read before a request can be answered.
 type Requirement uint8
 
-// The needs.
+// The requirements.
 const (
 	NothingNeeded Requirement = iota
 	ReadEnd                   // what follows the feed's end: shared by all
-	ReadCatchUp               // what follows the start, which is behind the ring: shared by those that stand there
+	ReadCatchUp               // what follows a start behind the ring: shared by those with the same start
 )
 
-// Verdict is what is done for one request.
+// Verdict is the decision on one request.
 type Verdict struct {
 	Row   Row
 	Need  Requirement
@@ -149,17 +149,17 @@
 	Stale Position // Rewind: where the client stood
 }
 
-// Request is one request as it stands.
+// Request is the state of one request.
 type Request struct {
 	Turn   Connection
-	Client Position // what it brought, or was answered last on this connection; none: without a history
-	Known  Cursor   // of the subscriber, of all routers; the zero one: nothing
-	Own    bool     // this router gave it out
-	LetGo  bool     // some cursors are not known any more
+	Client Position // what it sent, or received last on this connection; none: without a history
+	Known  Cursor   // of the subscriber, by all routers; the zero one: nothing
+	Own    bool     // this router issued it
+	LetGo  bool     // some cursors were evicted
 }
 
-// Decide says what is done for a request now. After a reading it is asked again; patient is false where there is no time for
-// another one.
+// Decide decides on a request. After a read it is called again; patient is false where there is no time for
+// another read.
 func (f *Feed) Decide(now clock.Nanos, q Request, patient bool) Verdict {
 	v := f.decide(q)
 	stale := !f.hasRead || patient && now-f.readAt >= f.settings.EndReadInterval
@@ -168,7 +168,7 @@
 		if stale {
 			v.Need = ReadEnd
 		} else if v.Row == ReadFirst {
-			v.Row = Wait // just asked: it is told when to come again
+			v.Row = Wait // just read: it is told when to return
 		}
 	case Resume, Recall, Skip, Rewind:
 		switch {
@@ -186,19 +186,19 @@
 	_, on := f.lineage.End(q.Known.History)
 	proven := q.Own || on && q.Known.At <= f.head
 	if client == ClientNone && q.Turn == NewConnection && q.Known.Acked == NotAcknowledged {
-		q.Known = Cursor{} // nobody knows whether it heard where it begins: it begins again, and is told
+		q.Known = Cursor{} // whether it received its start is not known: it starts again, and is notified
 	}
 	fleet := ClassFleet(q.Client, client != ClientNone, q.Known, proven, q.LetGo)
 	v := Verdict{Row: Choose(q.Turn, client, fleet, f.member(client)), Start: q.Client}
 	switch v.Row {
-	case Recall: // its own word, as the fleet kept it
+	case Recall: // its own acknowledgement, as the routers know it
 		p := Position{q.Known.History, q.Known.Acked}
-		if q.Turn == SameConnection { // this request shows that the last answer came
+		if q.Turn == SameConnection { // this request shows that the last answer arrived
 			p.At = q.Known.At
 		}
 		client = f.ClassClient(p)
 		v.Start = p
-		if f.ClassClient(q.Known.Position) == ClientOther && client != ClientOld { // it may have had what was lost, acknowledged or not
+		if f.ClassClient(q.Known.Position) == ClientOther && client != ClientOld { // it may have received lost events, acknowledged or not
 			v.Row, v.Stale = Rewind, q.Known.Position
 			end, _ := f.lineage.End(p.History)
 			v.Start.At = min(p.At, end)
@@ -219,7 +219,7 @@
 	return v
 }
 
-// member is how the log that the feed knows stands to a cursor: no answer of a forked one was taken.
+// member is the state of the feed's log against a cursor: responses of forked members were ignored.
 func (f *Feed) member(c Client) Member {
 	switch {
 	case !f.hasRead:
@@ -230,7 +230,7 @@
 	return MemberCovers
 }
 
-// Batch is what a subscriber gets from a start, out of the ring or out of a far reading's events; next is its cursor after it.
+// Batch is what a subscriber gets from a start, out of the ring or out of a catch-up read's events; next is its cursor after it.
 // It carries the newest history, so that a cursor that went back to a fork still rises.
 func (f *Feed) Batch(start Position, far []Event) (events []Event, next Position, more bool) {
 	next = Position{f.lineage.Newest(), start.At}
--- a/policy/cursor/limiter.go
+++ b/policy/cursor/limiter.go
@@ -7,13 +7,13 @@
 	"lotushook/policy/clock"
 )
 
-// Limiter spends what a router may ask for those that are far behind, and takes those that come back by turns. It belongs to who
-// holds its lock.
+// Limiter limits a router's reads for subscribers that catch up, and spreads reconnects over time. It is not safe for
+// concurrent use.
 type Limiter struct {
 	settings          *Settings
 	catchUp           bucket
 	reconnect         bucket
-	pendingReconnects float64 // of those that were told when to return; it falls as their turns come
+	pendingReconnects float64 // of those that got a Retry-After time; it falls as they are due
 	at                clock.Nanos
 }
 
@@ -35,12 +35,12 @@
 	return true
 }
 
-// NewLimiter starts with what one second brings.
+// NewLimiter starts with one second's tokens.
 func NewLimiter(s *Settings, now clock.Nanos) *Limiter {
 	return &Limiter{settings: s, at: now, catchUp: bucket{s.CatchUpReadsPerSecond, max(1, s.CatchUpReadsPerSecond), now}, reconnect: bucket{s.ReconnectsPerSecond, max(1, s.ReconnectsPerSecond), now}}
 }
 
-// CatchUp says whether one that is behind the ring may be read for now; if not, when it may come again.
+// CatchUp says whether a subscriber behind the ring may be read for now; if not, when it may return.
 func (p *Limiter) CatchUp(now clock.Nanos, subscriber string) (wait clock.Nanos, ok bool) {
 	if p.catchUp.take(now) {
 		return 0, true
@@ -48,8 +48,8 @@
 	return clock.Nanos(float64(p.settings.PollInterval) * (1 + fraction(subscriber))), false
 }
 
-// Reconnect says whether one that comes back, or is new, is taken now; if not, when its turn is: after those that were told before
-// it, moved by its hash, so that several routers that were told of the same death do not see it all at once.
+// Reconnect says whether a subscriber that reconnects, or is new, is accepted now; if not, when it is due: after those that were delayed before
+// it, moved by its hash, so that several routers that learned of the same failure do not accept it all at once.
 func (p *Limiter) Reconnect(now clock.Nanos, subscriber string) (wait clock.Nanos, ok bool) {
 	if now > p.at {
 		p.pendingReconnects = max(0, p.pendingReconnects-p.settings.ReconnectsPerSecond*float64(now-p.at)/1e9)
--- a/policy/cursor/registry.go
+++ b/policy/cursor/registry.go
@@ -7,7 +7,7 @@
 	"lotushook/policy/crdt"
 )
 
-// Generation tells a subscriber's connections apart: the greater one holds. Of two that were raised alike at two routers it is
+// Generation distinguishes a subscriber's connections: the greater one prevails. Of two that were raised alike at two routers it is
 // the one of the router whose name comes later.
 type Generation struct {
 	Gen int64
@@ -19,24 +19,24 @@
 	return cmp.Or(cmp.Compare(g.Gen, h.Gen), cmp.Compare(g.By.Name, h.By.Name), cmp.Compare(g.By.Boot, h.By.Boot))
 }
 
-// Cursor is what is known of one subscriber of one feed. The zero one is nothing.
+// Cursor is what is known of one subscriber of one feed. The zero Cursor is nothing.
 type Cursor struct {
 	Generation
 	Position       // delivered: what was answered last
-	Acked    int64 // of the same history: what the next request showed to have come; NotAcknowledged: not even where it begins
+	Acked    int64 // of the same history: what the next request showed to have arrived; NotAcknowledged: not even its start
 	Age      clock.Nanos
 }
 
-// NotAcknowledged is what a subscriber that has just begun has acknowledged.
+// NotAcknowledged is what a subscriber that has just started has acknowledged.
 const NotAcknowledged = -1
 
 // Compare is the order in which cursors are joined: generation, then history by ancestry, then position. It is a total order,
-// so the greater of two is their join, whatever the order, loss or doubling of what is told.
+// so the greater of two is their join, whatever the order, loss or duplication of messages.
 func (c Cursor) Compare(d Cursor) int {
 	return cmp.Or(c.Generation.Compare(d.Generation), c.Position.Compare(d.Position), cmp.Compare(c.Acked, d.Acked))
 }
 
-// Join is the greater one, with the age of the later word where they are the same.
+// Join is the greater one, with the age of the later report where they are the same.
 func (c Cursor) Join(d Cursor) Cursor {
 	switch n := c.Compare(d); {
 	case n < 0:
@@ -47,23 +47,23 @@
 	return c
 }
 
-// Entry is a cursor as routers tell it.
+// Entry is a cursor as routers replicate it.
 func (c Cursor) Entry(feed, subscriber string) crdt.Entry {
 	return crdt.Entry{Kind: crdt.FeedCursor, A: feed, B: subscriber, From: c.By, Count: c.Gen, Born: int64(c.Number()), At: c.At, Acked: c.Acked}
 }
 
-// FromEntry is the cursor that an entry tells.
+// FromEntry is the cursor of an entry.
 func FromEntry(e crdt.Entry) Cursor {
 	return Cursor{Generation{e.Count, e.From}, Position{HistoryOf(uint64(e.Born)), e.At}, e.Acked, e.Age}
 }
 
-// Registry holds the cursors that this router gave out, at most so many. The one that was not touched longest is let go first; from
-// then on the book says of a subscriber that it does not know that it may have forgotten it. It belongs to who holds its lock.
+// Registry holds the cursors that this router issued, at most so many. The least recently used one is evicted first; from
+// then on the registry reports of unknown subscribers that it may have forgotten them. It is not safe for concurrent use.
 type Registry struct {
 	self     crdt.Origin
 	capacity int
 	index    map[key]int32
-	slots    []slot // 0 is the ring's head: next the latest, prev the one that goes first
+	slots    []slot // 0 is the ring's head: next the latest, prev the next to evict
 	evicted  uint64
 }
 
@@ -81,12 +81,12 @@
 	prev, next int32
 }
 
-// NewRegistry returns an empty one for so many cursors.
+// NewRegistry returns an empty registry for so many cursors.
 func NewRegistry(self crdt.Origin, most int) *Registry {
 	return &Registry{self: self, capacity: max(1, most), index: map[key]int32{}, slots: make([]slot, 1)}
 }
 
-// Get is what this router gave out last.
+// Get returns what this router issued last.
 func (b *Registry) Get(now clock.Nanos, feed uint32, subscriber string) (Cursor, bool) {
 	i, ok := b.index[key{feed, subscriber}]
 	if !ok {
@@ -96,7 +96,7 @@
 	return Cursor{Generation{s.gen, b.self}, Position{HistoryOf(s.history), s.at}, s.acked, max(0, now-s.touched)}, true
 }
 
-// Put keeps a cursor of this router's own, unless what is kept is greater.
+// Put stores a cursor of this router's own, unless the stored one is greater.
 func (b *Registry) Put(now clock.Nanos, feed uint32, subscriber string, c Cursor) bool {
 	k := key{feed, subscriber}
 	i, ok := b.index[k]
@@ -116,7 +116,7 @@
 	return true
 }
 
-// room is a slot that is free.
+// room returns a free slot.
 func (b *Registry) room() int32 {
 	if len(b.index) >= b.capacity {
 		last := b.slots[0].prev
@@ -137,5 +137,5 @@
 // Size is how many are held.
 func (b *Registry) Size() int { return len(b.index) }
 
-// Evicted is how many were let go for want of room.
+// Evicted is how many were evicted for lack of capacity.
 func (b *Registry) Evicted() uint64 { return b.evicted }
--- a/policy/membership/broadcast.go
+++ b/policy/membership/broadcast.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// send puts this router's own word and the news least told into a message.
+// send adds this router's own state and the least often sent updates to a message.
 func (m *Detector) send(msg Message) {
 	msg.From, msg.Address, msg.Epoch, msg.Isolated = m.settings.Name, m.settings.Address, m.self.Epoch, m.isolated
 	most := m.settings.MaxUpdates
