--- a/policy/membership/detector.go
+++ b/policy/membership/detector.go
@@ -8,18 +8,18 @@
 	"lotushook/policy/quotalease"
 )
 
-// Tuned values, all in the terms of the settings.
+// Tuned values, in units of the settings.
 const (
 	maxIndirectChecks    = 8
-	maxRelays            = 64  // questions asked for others that are still open
-	maxGoodbyes          = 64  // who hear it from a member itself that it leaves
-	maxHealthScore       = 8   // how far Lifeguard's local health stretches waits
-	isolatedRounds       = 4   // questions in a row without any answer, to at least two members: this router is cut off
-	contactEvery         = 5   // periods between knocks at a member that is gone, or a seed that is not there
-	recentlyHeardPeriods = 4.0 // of ProbeInterval: who was heard so lately is not doubted on another's word alone
+	maxRelays            = 64  // open indirect checks for other members
+	maxGoodbyes          = 64  // direct notifications of a member's own leaving
+	maxHealthScore       = 8   // the maximum of Lifeguard's local health score, which lengthens timeouts
+	isolatedRounds       = 4   // probes in a row without any answer, to at least two members: this router is isolated
+	contactEvery         = 5   // periods between contacts with a member that is removed, or a seed that is unknown
+	recentlyHeardPeriods = 4.0 // of ProbeInterval: a member heard so recently is not suspected on another's report alone
 )
 
-// Detector is one member's knowledge of all. It belongs to one goroutine and is bounded by Settings.MaxMembers.
+// Detector is one member's knowledge of all. It is not safe for concurrent use, and is bounded by Settings.MaxMembers.
 type Detector struct {
 	settings     Settings
 	now          clock.Nanos
@@ -28,13 +28,13 @@
 	since        clock.Nanos
 	peers        map[string]*peer
 	order        []*peer  // the same, by name
-	probeOrder   []string // the order in which members are asked, drawn anew each time round
+	probeOrder   []string // the order in which members are probed, drawn anew for each round
 	probe        *probe
-	nextProbeAt  clock.Nanos // when the next is asked
+	nextProbeAt  clock.Nanos // when the next member is probed
 	rounds       int
 	seq          uint32
 	health       int
-	unanswered   int // questions in a row that nobody answered
+	unanswered   int // probes in a row without any answer
 	unansweredBy string
 	isolated     bool
 	nameTaken    bool
@@ -42,11 +42,11 @@
 	relays       map[uint32]relay
 	updates      []queuedUpdate
 	out          []Message
-	allowed      map[string]bool   // the installation's names; nil: anybody
+	allowed      map[string]bool   // the installation's names; nil: any
 	lease        *quotalease.Lease // nil: fixed
-	nextSyncAt   clock.Nanos       // when somebody is asked for all it knows, so that what gossip missed is known in the end
-	syncInterval clock.Nanos       // until the next time after it
-	syncTaught   bool              // the last time taught something
+	nextSyncAt   clock.Nanos       // when a member is requested to send its full state, so that what gossip missed is learned in the end
+	syncInterval clock.Nanos       // until the next request after it
+	syncTaught   bool              // the last state reply taught something
 
 	majority   bool
 	majorityAt clock.Nanos
@@ -57,19 +57,19 @@
 	seq          uint32
 	sentAt       clock.Nanos
 	escalated    bool
-	answers      int // from helpers, of either kind
+	answers      int // from helpers, acks and nacks
 	helpersAsked int
 }
 
 type relay struct {
-	address    string // of who asked
+	address    string // of the member that asked
 	seq        uint32
 	target     string
 	receivedAt clock.Nanos
 	nacked     bool
 }
 
-// New returns a member that knows itself and its seeds.
+// New returns a detector that knows itself and its seeds.
 func New(s Settings, seed uint64, now clock.Nanos) (*Detector, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -91,13 +91,13 @@
 	return m, nil
 }
 
-// draw is seeded, from 0 to 1.
+// draw returns a seeded number from 0 to 1.
 func (m *Detector) draw() float64 {
 	m.rng = m.rng*6364136223846793005 + 1442695040888963407
 	return float64(m.rng>>11) / (1 << 53)
 }
 
-// Tick moves time on and returns what to send. It is to be called about twice a Wait.
+// Tick advances time and returns the messages to send. It should be called about twice per AckTimeout.
 func (m *Detector) Tick(now clock.Nanos) []Message {
 	if gap := now - m.now; gap > m.settings.MaxTickGap && m.settings.Lifeguard {
 		m.resumeAfterGap(gap)
@@ -116,7 +116,7 @@
 	return m.out
 }
 
-// resumeAfterGap is a pause of this process, from whatever cause: what ran out meanwhile proves nothing, as nobody listened.
+// resumeAfterGap handles a pause of this process, from whatever cause: timeouts that ran out meanwhile prove nothing.
 func (m *Detector) resumeAfterGap(gap clock.Nanos) {
 	for _, p := range m.peers {
 		p.suspectSince += gap
@@ -124,18 +124,18 @@
 	}
 	m.probe, m.nextProbeAt = nil, m.nextProbeAt+gap
 	clear(m.relays)
-	m.self.Incarnation++ // whoever accused it meanwhile is answered before it is heard
+	m.self.Incarnation++ // accusations made meanwhile are refuted before they arrive
 	m.broadcast(m.self)
 }
 
-// expire ends doubts whose time is over, and forgets who is gone for long.
+// expire ends suspicions that have timed out, and forgets members that were removed long ago.
 func (m *Detector) expire() {
 	for _, p := range slices.Clone(m.order) {
 		switch {
 		case p.State == Suspect && m.settings.Lifeguard && p.HeardAt > p.suspectSince:
-			m.setState(p, Alive) // it speaks: no word of others goes before that
+			m.setState(p, Alive) // it was heard itself: that prevails over others' reports
 		case p.State == Suspect && m.isolated:
-			p.suspectSince = m.now // who hears nobody can't say who is dead
+			p.suspectSince = m.now // an isolated router can't judge who is dead
 		case p.State == Suspect && m.now-p.suspectSince >= m.suspicionTimeout(p):
 			m.setState(p, p.finalState)
 		case p.State == Isolated && m.now-p.HeardAt >= m.settings.MaxSuspicion && !m.isolated:
@@ -144,7 +144,7 @@
 			m.remove(p)
 		}
 	}
-	for _, seq := range slices.Sorted(maps.Keys(m.relays)) { // in a stated order, or a play could not be repeated
+	for _, seq := range slices.Sorted(maps.Keys(m.relays)) { // in a fixed order, so that runs can be replayed
 		r := m.relays[seq]
 		switch {
 		case m.now-r.receivedAt >= m.settings.ProbeInterval:
@@ -157,7 +157,7 @@
 	}
 }
 
-// Leave says goodbye to as many as can be told in one go; nothing is sent after it.
+// Leave notifies as many members as can be notified at once; nothing is sent after it.
 func (m *Detector) Leave(now clock.Nanos) []Message {
 	m.now, m.out = max(m.now, now), nil
 	m.self.State, m.left = Left, true
@@ -167,7 +167,7 @@
 	return m.out
 }
 
-// setState changes a member's state and tells it.
+// setState changes a member's state and broadcasts it.
 func (m *Detector) setState(p *peer, s State) {
 	if p.State == s {
 		return
@@ -184,7 +184,7 @@
 	m.broadcast(p.Update)
 }
 
-// accuse doubts a member, or counts one more accuser.
+// accuse suspects a member, or counts one more accuser.
 func (m *Detector) accuse(p *peer, by string, doom State) {
 	if p.State >= Dead {
 		return
@@ -197,6 +197,6 @@
 	if len(p.accusers) <= m.settings.Confirmations && !slices.Contains(p.accusers, by) {
 		p.accusers = append(p.accusers, by)
 		p.Accuser = by
-		m.broadcast(p.Update) // its share of the doubt travels on
+		m.broadcast(p.Update) // its part of the suspicion is passed on
 	}
 }
--- a/policy/membership/peers.go
+++ b/policy/membership/peers.go
@@ -9,14 +9,14 @@
 
 type peer struct {
 	Member
-	suspectSince clock.Nanos // since when it is a suspect
+	suspectSince clock.Nanos // when it became a suspect
 	accusers     []string    // distinct
-	finalState   State       // what it becomes when the doubt ends: Dead, or Left
-	probeSoon    bool        // to be asked out of turn
-	rivalSince   clock.Nanos // when a younger process of its name was first met; 0: never
+	finalState   State       // what it becomes when the suspicion ends: Dead, or Left
+	probeSoon    bool        // to be probed out of turn
+	rivalSince   clock.Nanos // when a younger process of its name was first seen; 0: never
 }
 
-// add and remove keep both ways to find a member.
+// add and remove keep both indexes of the members in step.
 func (m *Detector) add(p *peer) {
 	m.peers[p.Name] = p
 	at, _ := slices.BinarySearchFunc(m.order, p.Name, func(q *peer, name string) int { return cmp.Compare(q.Name, name) })
@@ -28,7 +28,7 @@
 	m.order = slices.DeleteFunc(m.order, func(q *peer) bool { return q == p })
 }
 
-// filterPeers are the members of which something holds, by name.
+// filterPeers returns the members that match, by name.
 func (m *Detector) filterPeers(hold func(*peer) bool) []*peer {
 	var list []*peer
 	for _, p := range m.order {
@@ -39,7 +39,7 @@
 	return list
 }
 
-// randomPeers draws members that are alive, but not one of a name.
+// randomPeers draws members that are alive, except the one of a name.
 func (m *Detector) randomPeers(n int, but string) []*peer {
 	list := m.filterPeers(func(p *peer) bool { return p.Name != but && p.State == Alive })
 	shuffle(m, list)
@@ -53,7 +53,7 @@
 	}
 }
 
-// aliveCount is how many others are neither dead nor gone.
+// aliveCount is how many others are neither dead nor departed.
 func (m *Detector) aliveCount() int {
 	n := 0
 	for _, p := range m.order {
--- a/policy/membership/probe.go
+++ b/policy/membership/probe.go
@@ -7,7 +7,7 @@
 	"lotushook/policy/clock"
 )
 
-// checkProbe looks after the open question: helpers after a while, and doubt at its end.
+// checkProbe advances the open probe: indirect checks after a timeout, and a suspicion at its end.
 func (m *Detector) checkProbe() {
 	q := m.probe
 	if q == nil {
@@ -30,14 +30,14 @@
 	}
 	m.probe = nil
 	if m.settings.Lifeguard {
-		m.health = min(m.health+q.helpersAsked-q.answers, maxHealthScore) // that one is dead says nothing of this router
+		m.health = min(m.health+q.helpersAsked-q.answers, maxHealthScore) // that one member is dead says nothing of this router
 		if q.answers == 0 {
 			if m.unanswered++; m.unansweredBy != q.name {
 				m.unansweredBy = q.name
 				m.isolated = m.isolated || m.unanswered >= min(isolatedRounds, 2*max(m.aliveCount(), 1))
 			}
 		}
-		if m.isolated || q.answers == 0 && q.helpersAsked > 0 { // not one of the helpers was heard: it may well be this router
+		if m.isolated || q.answers == 0 && q.helpersAsked > 0 { // no helper was heard: the fault may well be this router's own
 			return
 		}
 		if p.State == Isolated { // it can't answer; it is judged by its own silence
@@ -47,7 +47,7 @@
 	m.accuse(p, m.settings.Name, Dead)
 }
 
-// startProbe asks the next member, and now and then knocks where nobody is known to be.
+// startProbe probes the next member, and now and then contacts removed members and seeds.
 func (m *Detector) startProbe() {
 	m.nextProbeAt = max(m.nextProbeAt+m.settings.ProbeInterval, m.now)
 	if m.rounds++; m.rounds%contactEvery == 0 || m.aliveCount() == 0 {
@@ -63,8 +63,8 @@
 	m.send(Message{Kind: Ping, To: p.Address, Seq: m.seq, Target: p.Name})
 }
 
-// nextToProbe is who is asked: the others round and round in an order drawn anew each time, and in every second period one of
-// those in doubt, so that each has several questions before its time is over.
+// nextToProbe returns the member to probe: round-robin in an order drawn anew for each round, and in every second period one of
+// the suspects, so that each is probed several times before its suspicion times out.
 func (m *Detector) nextToProbe() *peer {
 	if m.rounds%2 == 0 && m.settings.Lifeguard {
 		doubted := m.filterPeers(func(p *peer) bool { return p.State < Dead && (p.probeSoon || p.State == Suspect) })
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// contactLost asks one that is gone, or a seed that is nobody's address, for all that it knows: halves of a split find each
+// contactLost requests the full state of a removed member, or of an unknown seed: the halves of a partition find each
 // other again, and a router that started alone finds the others.
 func (m *Detector) contactLost() {
 	var doors []string
@@ -109,8 +109,8 @@
 	}
 }
 
-// syncState now and then asks somebody for all it knows: soon again while that teaches something, and at last once in as
-// many periods as there are members, so that the bytes a second do not grow with them.
+// syncState now and then requests a member's full state: soon again while that teaches something, and finally once in as
+// many periods as there are members, so that the bytes per second do not grow with them.
 func (m *Detector) syncState() {
 	if m.now < m.nextSyncAt {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// suspicionTimeout is how long a suspect has: the more accuse it, the shorter (Lifeguard). Who misses answers itself, on a
-// slow machine or over lossy links, gives more.
+// suspicionTimeout is how long a suspicion lasts: the more accusers, the shorter (Lifeguard). A member that misses answers itself, on a
+// slow machine or over lossy links, waits longer.
 func (m *Detector) suspicionTimeout(p *peer) clock.Nanos {
 	if !m.settings.Lifeguard {
 		return m.settings.MaxSuspicion
@@ -143,9 +143,9 @@
 	return max(m.settings.MinSuspicion, m.settings.MaxSuspicion-clock.Nanos(share*float64(m.settings.MaxSuspicion-m.settings.MinSuspicion)))
 }
 
-// stretch is a span as a member that may be slow itself should wait.
+// stretch lengthens a timeout by the local health score.
 func (m *Detector) stretch(d clock.Nanos) clock.Nanos {
-	if !m.settings.Lifeguard || m.isolated { // who is cut off accuses nobody, and wants to be heard
+	if !m.settings.Lifeguard || m.isolated { // an isolated member accuses none, and wants to be heard
 		return d
 	}
 	return d * clock.Nanos(1+m.health)
--- a/policy/membership/receive.go
+++ b/policy/membership/receive.go
@@ -2,10 +2,10 @@
 
 import "lotushook/policy/clock"
 
-// Receive takes a message in and returns what to send for it.
+// Receive processes a message and returns the messages to send for it.
 func (m *Detector) Receive(now clock.Nanos, msg Message) []Message {
 	if gap := now - m.now; gap > m.settings.MaxTickGap && m.settings.Lifeguard {
-		m.resumeAfterGap(gap) // it is the first thing heard after the pause
+		m.resumeAfterGap(gap) // it is the first message after the pause
 	}
 	m.now, m.out = max(m.now, now), nil
 	if m.left || msg.From == "" || msg.Address == "" || m.isForeign(msg.From) {
@@ -22,10 +22,10 @@
 		m.applyUpdate(&msg.Updates[i], &msg)
 	}
 	p := m.peers[msg.From]
-	if p == nil || p.Epoch != msg.Epoch { // no room for it, an older process of that name, or a younger one beside a living
+	if p == nil || p.Epoch != msg.Epoch { // no capacity for it, an older process of that name, or a younger one beside a living
 		switch {
 		case p == nil:
-		case msg.Epoch > p.Epoch && p.rivalSince > 0 && p.HeardAt > p.rivalSince: // the older one has spoken since
+		case msg.Epoch > p.Epoch && p.rivalSince > 0 && p.HeardAt > p.rivalSince: // the older one was heard since
 			m.send(Message{Kind: NameTaken, To: msg.Address})
 		case msg.Epoch < p.Epoch && (p.Address == msg.Address || p.State >= Dead): // its clock was set back: it must start above
 			m.send(Message{Kind: StateReply, To: msg.Address, Updates: []Update{p.Update}})
@@ -40,7 +40,7 @@
 // isForeign says whether a name is not the installation's.
 func (m *Detector) isForeign(name string) bool { return m.allowed != nil && !m.allowed[name] }
 
-// markHeard notes that a member spoke.
+// markHeard records that a member was heard.
 func (m *Detector) markHeard(p *peer, msg *Message) {
 	p.HeardAt = m.now
 	if !m.settings.Lifeguard {
@@ -54,7 +54,7 @@
 	}
 }
 
-// resolveDuplicateName settles which of two processes with one name stays: the older, which alone the others go on believing.
+// resolveDuplicateName decides which of two processes with one name stays: the older, the only one that the others accept.
 func (m *Detector) resolveDuplicateName(msg *Message) {
 	switch {
 	case msg.Epoch > m.self.Epoch:
@@ -69,7 +69,7 @@
 	switch msg.Kind {
 	case Ping:
 		reply := Message{Kind: Ack, To: msg.Address, Seq: msg.Seq, Target: m.settings.Name}
-		if p.State != Alive { // it hears what is said of it, and can speak for itself
+		if p.State != Alive { // it learns of the accusation, and can refute it
 			reply.Updates = []Update{p.Update}
 		}
 		if m.lease != nil && msg.Target == m.settings.Name {
@@ -105,7 +105,7 @@
 	}
 }
 
-// probeAcked ends the open question.
+// probeAcked ends the open probe.
 func (m *Detector) probeAcked(p *peer, msg *Message) {
 	q := m.probe
 	if q == nil || q.seq != msg.Seq || q.name != msg.Target {
@@ -126,7 +126,7 @@
 	}
 }
 
-// probeAnswered is an answer to this router's own question: it hears, and is heard.
+// probeAnswered processes an answer to this router's own probe: it hears, and is heard.
 func (m *Detector) probeAnswered() {
 	m.unanswered, m.unansweredBy = 0, ""
 	if m.isolated {
@@ -136,7 +136,7 @@
 	}
 }
 
-// sendFullState tells everything that is known of everybody: a long message, which Settings.MaxMembers bounds.
+// sendFullState sends the state of all members: a long message, which Settings.MaxMembers bounds.
 func (m *Detector) sendFullState(to string) {
 	all := make([]Update, 0, len(m.order)+1)
 	for _, p := range m.order {
--- a/policy/membership/settings.go
+++ b/policy/membership/settings.go
@@ -1,6 +1,6 @@
-// Package membership decides who of the routers is there. It takes what a router hears from others and what time it is, and
-// says what to send to whom and which view to hold: a failure detector after SWIM (Das, Gupta, Motivala 2002) with the
-// corrections of Lifeguard (Dadgar, Phillips, Currey 2017), made to bear pauses and cuts that work in one direction.
+// Package membership decides which routers are alive. It takes the messages a router receives and the time, and
+// returns the messages to send and the current view: a failure detector after SWIM (Das, Gupta, Motivala 2002) with the
+// corrections of Lifeguard (Dadgar, Phillips, Currey 2017), extended for paused processes and one-way partitions.
 // How messages travel, and what follows from a view, is not decided here.
 package membership
 
@@ -12,16 +12,16 @@
 	"lotushook/policy/quotalease"
 )
 
-// State is what is believed of a member.
+// State is the believed state of a member.
 type State uint8
 
-// The states. Of one incarnation the greater goes before the smaller.
+// The states. Within one incarnation the greater one prevails.
 const (
 	Alive    State = iota + 1
-	Suspect        // did not answer; becomes Dead unless it, or somebody who heard it, says otherwise in time
-	Isolated       // it is heard and does not hear, or the other way round: it neither counts nor accuses
+	Suspect        // did not answer; becomes Dead unless it, or a member that heard it, refutes that in time
+	Isolated       // heard but not hearing, or the reverse: it neither counts nor accuses
 	Dead
-	Left // it said so itself
+	Left // by its own announcement
 )
 
 var stateNames = [...]string{"unknown", "alive", "suspect", "cut off", "dead", "left"}
@@ -29,32 +29,32 @@
 // String is the state's name in logs.
 func (s State) String() string { return stateNames[s] }
 
-// Settings are what one member goes by.
+// Settings are the settings of one member.
 type Settings struct {
 	Name       string
 	Address    string // where others reach it
 	Epoch      uint64 // greater at each start of the same name
 	Seeds      []string
-	Configured int // routers of the installation: a side that is not more than half of these may be half of a split
+	Configured int // routers of the installation: a side with no more than half of these may be half of a partition
 
-	Allowed       []string // of all of them: nobody else is taken, and parts follow who is there. Empty: anybody, and parts are fixed
-	IsolatedShare float64  // see part.Settings
+	Allowed       []string // the names of all of them: no other is accepted, and quota shares follow the members present. Empty: any name, and shares are fixed
+	IsolatedShare float64  // see quotalease.Settings
 
-	ProbeInterval    clock.Nanos // one member is asked in each
-	AckTimeout       clock.Nanos // for a direct answer, before others are asked to try
-	IndirectChecks   int         // how many are asked
-	MinSuspicion     clock.Nanos // a suspicion that Confirmations others share ends in so long
-	MaxSuspicion     clock.Nanos // and one that nobody shares in so long
+	ProbeInterval    clock.Nanos // one member is probed in each
+	AckTimeout       clock.Nanos // for a direct answer, before indirect checks
+	IndirectChecks   int         // how many members are asked for one
+	MinSuspicion     clock.Nanos // a suspicion that Confirmations others share times out after this
+	MaxSuspicion     clock.Nanos // and one that none shares after this
 	Confirmations    int         // accusers beside the first
-	MaxTickGap       clock.Nanos // a gap between ticks from which on this process has been stopped
+	MaxTickGap       clock.Nanos // a gap between ticks that means that this process was paused
 	ForgetAfter      clock.Nanos // dead and departed members are remembered so long
-	MaxMembers       int         // the most that are remembered
-	MaxUpdates       int         // the most updates in a message
-	RetransmitFactor float64     // each update is told so many times the logarithm of the members
-	Lifeguard        bool        // Lifeguard's and those against pauses and cuts; without, it is SWIM with suspicion
+	MaxMembers       int         // remembered at most
+	MaxUpdates       int         // in a message, at most
+	RetransmitFactor float64     // each update is sent so many times the logarithm of the number of members
+	Lifeguard        bool        // Lifeguard's corrections and those against pauses and partitions; without, it is SWIM with suspicion
 }
 
-// DefaultSettings are settings for a name on a local network; what is empty must be filled in.
+// DefaultSettings are settings for a name on a local network; empty fields must be filled in.
 func DefaultSettings(name, address string, boot uint64, configured int) Settings {
 	const ms = 1e6
 	return Settings{Name: name, Address: address, Epoch: boot, Configured: configured, ProbeInterval: 200 * ms, AckTimeout: 70 * ms, IndirectChecks: 3,
@@ -62,8 +62,8 @@
 		Lifeguard: true}
 }
 
-// Term is how long the promises last that parts rest on: four times round all members, as in one each is asked twice
-// while others are doubted too.
+// Term is how long the votes of the quota lease last: four rounds over all members, as in one each is probed twice
+// while others are suspected too.
 func (s *Settings) Term() clock.Nanos { return 4 * clock.Nanos(s.Configured) * s.ProbeInterval }
 
 func (s *Settings) check() error {
@@ -83,45 +83,45 @@
 	return errors.Join(errs...)
 }
 
-// Kind says what a message wants.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds.
 const (
-	Ping         Kind = iota + 1 // answer me
-	IndirectPing                 // ask Target in my place
+	Ping         Kind = iota + 1 // requests an Ack
+	IndirectPing                 // requests a probe of Target
 	Ack                          // Target answers, itself or through another
-	Nack                         // Target has not answered me yet
-	StateRequest                 // tell me everybody
-	StateReply                   // everybody
-	NameTaken                    // the name is another's, who is older
+	Nack                         // Target has not answered yet
+	StateRequest                 // requests the full state
+	StateReply                   // the full state
+	NameTaken                    // the name is used by another, older process
 )
 
-// Update is one member's state as somebody believes it.
+// Update is one member's state as another believes it.
 type Update struct {
 	Name, Address string
 	Epoch         uint64
 	Incarnation   uint32
 	State         State
-	Accuser       string // of an accusation: who made it
+	Accuser       string // of an accusation: its maker
 }
 
 // Message goes from one member to another.
 type Message struct {
 	Kind          Kind
-	From, Address string // the sender, and where it is reached
+	From, Address string // the sender, and its address
 	Epoch         uint64
 	To            string // an address
 	Seq           uint32
-	Target        string // Ask, Ack, Nack: a name
-	TargetAddress string // Ask
+	Target        string // IndirectPing, Ack, Nack: a name
+	TargetAddress string // IndirectPing
 
-	Isolated bool // the sender hears hardly anybody: what it says of others is worth nothing
+	Isolated bool // the sender hears hardly any member: its reports on others are ignored
 	Updates  []Update
-	Vote     *quotalease.Vote // of an answer to the receiver's own question: what the sender promises it
+	Vote     *quotalease.Vote // of an answer to the receiver's own probe: the sender's vote
 }
 
-// Member is what a view says of one.
+// Member is one member in a view.
 type Member struct {
 	Update
 	Since     clock.Nanos // of its state
@@ -131,11 +131,11 @@
 
 // View is what this router believes.
 type View struct {
-	Members       []Member    // by name, itself among them
-	Present       int         // alive or suspect, itself too: these may have parts
+	Members       []Member    // by name, this router included
+	Present       int         // alive or suspect, this router included: these may have quota shares
 	Majority      bool        // more than half of those configured
-	MajoritySince clock.Nanos // of Majority's value
-	Isolated      bool        // this router is cut off: it hears hardly anybody, or is not heard
+	MajoritySince clock.Nanos // when Majority last changed
+	Isolated      bool        // this router is cut off: it hears hardly any member, or is not heard
 	NameTaken     bool        // another, older process has this name
 	Quota         quotalease.Quota
 }
--- a/policy/membership/update.go
+++ b/policy/membership/update.go
@@ -1,6 +1,6 @@
 package membership
 
-// applyUpdate takes one update in, as a message said it.
+// applyUpdate processes one update of a message.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (m *Detector) applyUpdate(u *Update, msg *Message) {
@@ -19,7 +19,7 @@
 			p.State, p.Accuser = Alive, ""
 			m.add(p)
 			m.probeOrder = append(m.probeOrder, u.Name)
-			if msg.Kind == StateReply { // others have it where this came from
+			if msg.Kind == StateReply { // others have it from the sender
 				m.syncTaught = true
 			} else {
 				m.broadcast(p.Update)
@@ -34,7 +34,7 @@
 		return
 	}
 	if u.Epoch > p.Epoch {
-		// A restart. Beside a process that was heard of late at another address it is a second one with that name.
+		// a restart; beside a process that was heard recently at another address it is a second one with that name
 		if p.State == Alive && p.Address != u.Address && m.settings.Lifeguard {
 			if p.rivalSince == 0 {
 				p.rivalSince = m.now
@@ -71,10 +71,10 @@
 	}
 }
 
-// refute answers what is said of this router itself: it goes on under a greater incarnation.
+// refute answers an accusation of this router itself: it goes on under a greater incarnation.
 func (own *Update) refute(u *Update, m *Detector) {
 	if u.Epoch > own.Epoch && u.Epoch+1 > u.Epoch && (u.Address == own.Address || u.State >= Dead) {
-		// A process before this one was numbered higher, and is gone: only one has an address. The clock was set back.
+		// An earlier process had a greater epoch, and is gone, as addresses are unique: the clock was set back.
 		own.Epoch, own.Incarnation = u.Epoch+1, 0
 		m.broadcast(*own)
 		return
@@ -89,20 +89,20 @@
 	m.broadcast(*own)
 }
 
-// addAccusation counts an accusation, unless this router heard the accused since just now.
+// addAccusation counts an accusation, unless this router has heard the accused recently.
 func (m *Detector) addAccusation(p *peer, u *Update) {
 	if p.State == Isolated {
 		return
 	}
 	if m.settings.Lifeguard && p.HeardAt > 0 && float64(m.now-p.HeardAt) < recentlyHeardPeriods*float64(m.settings.ProbeInterval) && p.State == Alive {
-		p.probeSoon = true // asked out of turn, and believed by what it answers
+		p.probeSoon = true // probed out of turn, and judged by its answer
 		return
 	}
 	m.accuse(p, u.Accuser, Dead)
 }
 
-// addDeathReport takes the word that a member is dead or has left. One liar must not end a member that others hear: the word is an
-// accusation like others, and the accused is asked by this router itself.
+// addDeathReport processes a report that a member is dead or has left. One liar must not end a member that others hear: the report is an
+// accusation like others, and this router itself probes the accused.
 func (m *Detector) addDeathReport(p *peer, u *Update) {
 	if p.State >= Dead || p.State == Isolated && m.now-p.HeardAt < m.settings.MaxSuspicion {
 		return
@@ -111,7 +111,7 @@
 	m.accuse(p, u.Accuser, u.State)
 }
 
-// makeRoom makes room for one more: whoever is gone for longest goes first.
+// makeRoom makes room for one more: the member removed longest ago is forgotten.
 func (m *Detector) makeRoom() bool {
 	if len(m.peers) < m.settings.MaxMembers-1 {
 		return true
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -7,7 +7,7 @@
 	"lotushook/policy/quotalease"
 )
 
-// View is what is believed now.
+// View returns the current view.
 func (m *Detector) View() View {
 	v := View{Present: m.presentCount(), Majority: m.majority, MajoritySince: m.majorityAt, Isolated: m.isolated, NameTaken: m.nameTaken}
 	me := Member{Update: m.self, Since: m.since, HeardAt: m.now}
@@ -28,7 +28,7 @@
 	return p == nil || p.State >= Dead
 }
 
-// Others are those who are alive, by name.
+// Others are the members that are alive, by name.
 func (m *Detector) Others() []Update {
 	var out []Update
 	for _, p := range m.order {
@@ -39,16 +39,16 @@
 	return out
 }
 
-// Knows says whether a name is one that is neither dead nor gone.
+// Knows says whether a name belongs to a member that is neither dead nor departed.
 func (m *Detector) Knows(name string) bool {
 	p := m.peers[name]
 	return p != nil && p.State < Dead
 }
 
-// Size is how many members, updates and open questions are remembered.
+// Size is how many members, updates and open checks are remembered.
 func (m *Detector) Size() int { return len(m.peers) + len(m.updates) + len(m.relays) }
 
-// updateMajority says whether this side is more than half.
+// updateMajority checks whether this side is more than half.
 func (m *Detector) updateMajority() {
 	if v := 2*m.presentCount() > m.settings.Configured && !m.isolated && !m.nameTaken; v != m.majority {
 		m.majority, m.majorityAt = v, m.now
--- a/policy/persistence/queue.go
+++ b/policy/persistence/queue.go
@@ -2,7 +2,7 @@
 
 import "lotushook/policy/clock"
 
-// Queue is what waits to be written, the newest of each key.
+// Queue holds the records to be written, the newest of each key.
 type Queue struct {
 	settings Settings
 	waiting  map[string]queuedRecord
@@ -28,8 +28,8 @@
 
 func name(r *Record) string { return string(append([]byte{r.Kind}, r.Key...)) }
 
-// Put has a record wait, in place of an older one of its key. It says false where there is no room: those that wait stay, so
-// that a flood of new keys does not wash out what was there before, and the newcomer is counted.
+// Put queues a record, in place of an older one of its key. It returns false where there is no room: queued records stay, so
+// that a flood of new keys does not displace older ones, and the new one is counted as dropped.
 func (q *Queue) Put(now clock.Nanos, r Record) bool {
 	q.counts.Received++
 	return q.put(name(&r), queuedRecord{r, now - max(0, r.Age)}, true)
@@ -55,16 +55,16 @@
 	return true
 }
 
-// Due is when the next batch may go; false if nothing waits or one is on its way.
+// Due is when the next batch may be written; false if nothing is queued or one is in progress.
 func (q *Queue) Due() (clock.Nanos, bool) { return q.readyAt, len(q.waiting) > 0 && q.inFlight == nil }
 
-// Batch is records on their way to the disk.
+// Batch is a set of records that is being written.
 type Batch struct {
 	records map[string]queuedRecord
 	takenAt clock.Nanos
 }
 
-// Take is the next batch: all that waits. None may be on its way. It takes no time that grows with what waits.
+// Take returns the next batch: all that is queued. None may be in progress. It takes constant time.
 func (q *Queue) Take(now clock.Nanos) Batch {
 	if q.inFlight == nil && len(q.waiting) > 0 {
 		q.inFlight, q.waiting, q.bytes = q.waiting, map[string]queuedRecord{}, 0
@@ -72,7 +72,7 @@
 	return Batch{q.inFlight, now}
 }
 
-// Records are the batch's, with their ages as of when it was taken. Nobody else need be kept from the queue meanwhile.
+// Records are the batch's, with their ages as of when it was taken. The queue may be used meanwhile.
 func (b Batch) Records() []Record {
 	out := make([]Record, 0, len(b.records))
 	for _, w := range b.records {
@@ -82,14 +82,14 @@
 	return out
 }
 
-// Committed tells that the batch that was taken at a time is on disk, for which so many fsyncs were done.
+// Committed reports that the batch taken at a given time is on disk, after so many fsyncs.
 func (q *Queue) Committed(taken clock.Nanos, fsyncs int) {
 	q.inFlight, q.backoff = nil, q.settings.RetryBackoff
 	q.counts.Batches++
 	q.addFsyncs(taken, fsyncs)
 }
 
-// Failed tells that the batch that was taken at a time is not on disk. What nothing newer has come for waits again.
+// Failed reports that the batch taken at a given time is not on disk. Records without a newer one are queued again.
 func (q *Queue) Failed(taken, now clock.Nanos, fsyncs int) {
 	for key, w := range q.inFlight {
 		q.put(key, w, false)
@@ -107,7 +107,7 @@
 	q.readyAt = max(q.readyAt, taken) + clock.Nanos(float64(fsyncs)/q.settings.FsyncsPerSecond*1e9)
 }
 
-// Bytes is what waits now, and with what is on its way.
+// Bytes is the size of what is queued, and with what is in progress.
 func (q *Queue) Bytes() (waiting, all int) {
 	all = q.bytes
 	for _, w := range q.inFlight {
@@ -116,5 +116,5 @@
 	return q.bytes, all
 }
 
-// Counts are of its life so far.
+// Counts are since the start.
 func (q *Queue) Counts() Counts { return q.counts }
--- a/policy/persistence/record.go
+++ b/policy/persistence/record.go
@@ -1,6 +1,6 @@
-// Package persistence decides what a router writes of the shared state to its own disk, and when: which records wait for the next
-// batch, when that batch may go, what is put back after one that failed, and how old a record is that comes back. It knows
-// neither what the records mean nor how they lie on disk (internal/store). A Queue belongs to whoever locks it.
+// Package persistence decides what a router writes of the replicated state to its own disk, and when: which records wait for the next
+// batch, when that batch may be written, what is queued again after a failure, and how old a restored record is. It knows
+// neither what the records mean nor their format on disk (internal/store). A Queue is not safe for concurrent use.
 package persistence
 
 import (
@@ -10,25 +10,25 @@
 	"lotushook/policy/clock"
 )
 
-// Record is one thing that is kept. Its age travels; no point in time does.
+// Record is one stored record. It has an age; it has no point in time.
 type Record struct {
-	Kind       uint8 // from 1, as the caller counts them
+	Kind       uint8 // from 1, as the caller numbers them
 	Key        []byte
 	Value      []byte
 	Age        clock.Nanos // since it was learned
-	MinAgeOnly bool        // of one that came back: it is at least so old, and nobody knows how much older
+	MinAgeOnly bool        // of a restored one: it is at least so old
 }
 
-const recordOverhead = 64 // of a record beside its key and value, as it waits
+const recordOverhead = 64 // of a record beside its key and value, in memory
 
-// Size is what it takes up while it waits, in bytes.
+// Size is a record's size in memory, in bytes.
 func (r *Record) Size() int { return recordOverhead + len(r.Key) + len(r.Value) }
 
-// Settings bound what waits and how often it is written.
+// Settings bound the queue and the rate of writes.
 type Settings struct {
-	QueueBytes      int         // of records that wait; as much again may be on its way to the disk
-	FsyncsPerSecond float64     // a second, at the most
-	RetryBackoff    clock.Nanos // after a batch that failed; twice as long after each further one
+	QueueBytes      int         // of queued records; as much again may be in progress
+	FsyncsPerSecond float64     // at most
+	RetryBackoff    clock.Nanos // after a batch that failed; doubled after each further one
 	MaxRetryBackoff clock.Nanos
 }
 
@@ -49,20 +49,20 @@
 	return nil
 }
 
-// Counts are of a queue's life.
+// Counts are a queue's counts.
 type Counts struct {
-	Received  uint64 `json:"taken"`     // records that came
-	Coalesced uint64 `json:"coalesced"` // of these, in place of one of the same key that still waited
-	Dropped   uint64 `json:"let_go"`    // that found the queue full: the copy lacks them until they change again
+	Received  uint64 `json:"taken"`     // records passed to Put
+	Coalesced uint64 `json:"coalesced"` // of these, in place of a queued one of the same key
+	Dropped   uint64 `json:"let_go"`    // while the queue was full: the copy lacks them until they change again
 	Batches   uint64 `json:"batches"`   // written
-	Failed    uint64 `json:"failed"`    // not written, and put back
+	Failed    uint64 `json:"failed"`    // not written, and queued again
 	Fsyncs    uint64 `json:"fsyncs"`
 }
 
-// AgeNow is how old a record is that was so old when it was written. The clocks are the wall's: written and last are what it
-// showed when this record and when the last batch of the copy was written, now is what it shows. A clock that was set back
-// since tells nothing of the time between: the record is then at least as old as it was, and unsure. One that was set back by
-// less than the router was down can't be told; nothing may rest on a restored age alone (policy/trust).
+// AgeNow is the present age of a record that had a given age when it was written. The clocks are wall clocks: written and last are the
+// times at which this record and the last batch of the copy were written, now is the present time. A clock that was set back
+// since says nothing about the time between: the record is then at least as old as it was, and unsure. One that was set back by
+// less than the downtime can't be detected; nothing may rest on a restored age alone (policy/trust).
 func AgeNow(age, written, last, now clock.Nanos) (clock.Nanos, bool) {
 	if age < 0 || written > last || now < last {
 		return max(0, age), true
@@ -70,5 +70,5 @@
 	if sum := age + (now - written); sum >= age {
 		return sum, false
 	}
-	return age, true // absurd clocks
+	return age, true // impossible clocks
 }
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota says which requests a tenant asks beyond its share. A share is a rate over all routers; each router
-// counts off its own part of it, as a bucket that fills evenly. What becomes of what is beyond is not decided here.
+// Package quota says which requests of a tenant are beyond its share. A share is a rate over all routers; each router
+// has its own part of it, as a token bucket that fills evenly. How requests beyond it are treated is not decided here.
 package quota
 
 import "lotushook/policy/clock"
@@ -14,7 +14,7 @@
 	updatedAt clock.Nanos
 }
 
-// Quotas are the tenants' buckets at one router. They belong to one goroutine.
+// Quotas are the tenants' buckets at one router. They are not safe for concurrent use.
 type Quotas struct {
 	rates   []float64
 	buckets []bucket
@@ -26,7 +26,7 @@
 }
 
 // Over counts one request of a tenant and says whether it is beyond the quota, of which this router's part is one in so
-// many. A tenant that is not known has none. What is beyond uses nothing up.
+// many. An unknown tenant has none. Requests beyond the quota use nothing up.
 func (q *Quotas) Over(now clock.Nanos, tenant int, routers float64) bool {
 	if tenant < 0 || tenant >= len(q.buckets) || q.rates[tenant] <= 0 {
 		return false
--- a/policy/quotalease/lease.go
+++ b/policy/quotalease/lease.go
@@ -1,14 +1,14 @@
-// Package quotalease decides which part of what all routers share is this router's: of a cold server's budget, of limits, of
-// contracts. Each has an even part; when routers are gone beyond doubt those that are left take over what was theirs. The
-// parts of all never add up to more than the whole, whatever is paused, lost, cut or restarted, and however wrong views are.
+// Package quotalease decides which share of what all routers divide is this router's: of slow-start budgets, of limits, of
+// contracts. Each has an even share; when routers are excluded safely the others take over their shares. The
+// shares never add up to more than 1, whatever is paused, lost, partitioned or restarted, and however wrong views are.
 //
-// It rests on promises with a term. Whoever answers a router's question grants it a term: it will not call the router gone
-// before the term is over. Whoever calls a router gone has not granted it anything for a term, and will not for another. A
+// It is a lease by votes. A router that answers another's probe grants it a lease: it will not exclude the router
+// before the term is over. A router that excludes another has not granted it a lease within a term, and will not for another. A
 // router counts itself among the holders while as many grants as make the rest less than a majority are younger than the
-// term, and leaves out of its count only those that a majority calls gone. As the two always share a router, and that one
-// does not say both within a term, nobody is left out by anybody while it is a holder: of N routers with E left out at most
-// N-E hold, each has one part in N-E at the most, and the sum is 1 at the most. Both sides measure on their own clocks, the
-// asker from when it asked and the promiser, a twentieth longer, from when it answered: delays shorten what is held.
+// term, and divides by a count without only those that a majority excludes. As the two sets always share a router, and that one
+// does not say both within a term, no holder is excluded by any router: of N routers with E excluded at most
+// N-E hold, each has a share of one in N-E at most, and the sum is 1 at most. Both sides measure on their own clocks, the
+// prober from when it sent the probe and the voter, a twentieth longer, from when it answered: delays shorten the lease.
 package quotalease
 
 import (
@@ -20,25 +20,25 @@
 	"lotushook/policy/clock"
 )
 
-// longer is how much longer promises are kept than they are believed: clocks may run so far apart.
+// longer is how much longer votes bind than they are relied on: the drift of clocks is bounded by it.
 const clockDrift = 1.05
 
-// Settings are what one router goes by.
+// Settings are the settings of one router.
 type Settings struct {
-	Names         []string // all routers of the installation, this one too; the same on all
+	Names         []string // all routers of the installation, this one included; the same on all
 	Self          string
-	Term          clock.Nanos // of a promise
-	IsolatedShare float64     // from 0 to 1: what a router keeps of an even part when it may have been left out. 1: parts are fixed
+	Term          clock.Nanos // of a vote
+	IsolatedShare float64     // from 0 to 1: the part of an even share that a router uses when it may have been excluded. 1: shares are fixed
 }
 
 // Vote is what a router promises in an answer.
 type Vote struct {
-	NamesHash uint64 // of the names that it goes by
-	Granted   bool   // who asked is not called gone for a term
+	NamesHash uint64 // of the names in its settings
+	Granted   bool   // the prober is not excluded for a term
 	Excluded  []byte // a bit for each name that is: it is granted nothing for a term
 }
 
-// Lease are one router's promises, and what was promised to it. They belong to one goroutine; what they hold follows from
+// Lease holds one router's votes, and those that it received. It is not safe for concurrent use; its size follows from
 // the number of names.
 type Lease struct {
 	settings    Settings
@@ -46,9 +46,9 @@
 	indexByName map[string]int
 	startedAt   clock.Nanos
 	grantedTo   []grantedLease // by this router
-	excludedAt  []clock.Nanos  // when it last called each gone; 0: never
-	grantedBy   []clock.Nanos  // to this router, by when it asked; 0: none
-	votes       []receivedVote // what each last said of the others
+	excludedAt  []clock.Nanos  // when this router last excluded each; 0: never
+	grantedBy   []clock.Nanos  // to this router, by when it sent the probe; 0: none
+	votes       []receivedVote // each router's last exclusions
 }
 
 type grantedLease struct {
@@ -62,7 +62,7 @@
 	excluded []byte
 }
 
-// New returns the parts of a router that has just started. It has forgotten what it promised before: it promises
+// New returns the lease of a router that has just started. It does not know its votes before: it grants
 // nothing for a term.
 func New(s Settings, now clock.Nanos) (*Lease, error) {
 	s.Names = slices.Clone(s.Names)
@@ -89,7 +89,7 @@
 	return p, errors.Join(errs...)
 }
 
-// hashNames tells whether two routers go by the same names.
+// hashNames shows whether two routers have the same names.
 func hashNames(names []string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
@@ -98,17 +98,17 @@
 	return h.Sum64()
 }
 
-// isBinding says whether a promise that this router made at a time still binds it.
+// isBinding says whether a vote of this router from a given time still binds it.
 func (p *Lease) isBinding(at, now clock.Nanos) bool {
 	return at != 0 && float64(now-at) < clockDrift*float64(p.settings.Term)
 }
 
-// isQuarantined says whether promises that were made before this start may still bind.
+// isQuarantined says whether votes made before this start may still bind.
 func (p *Lease) isQuarantined(now clock.Nanos) bool {
 	return float64(now-p.startedAt) < clockDrift*float64(p.settings.Term)
 }
 
-// Vote is what to promise a router that asked. dead says whom this router believes to be dead or departed: it is free to
+// Vote returns the vote for a router that probed this one. dead says which routers this one believes to be dead or departed: it may
 // be wrong.
 func (p *Lease) Vote(now clock.Nanos, name string, boot uint64, address string, dead func(name string) bool) Vote {
 	if p.isQuarantined(now) {
@@ -120,13 +120,13 @@
 		return r
 	}
 	if g := &p.grantedTo[i]; p.isBinding(g.at, now) && g.epoch != boot && g.address != address {
-		return r // another process of that name may still hold the part
+		return r // another process of that name may still hold the share
 	}
 	p.grantedTo[i], r.Granted = grantedLease{now, boot, address}, true
 	return r
 }
 
-// excluded are those that this router calls gone from now on.
+// excluded returns the routers that this one excludes from now on.
 func (p *Lease) excluded(now clock.Nanos, dead func(string) bool) []byte {
 	bits := make([]byte, (len(p.settings.Names)+7)/8)
 	for i, name := range p.settings.Names {
@@ -138,11 +138,11 @@
 	return bits
 }
 
-// AddVote takes in what a router promised in answer to a question asked at a time.
+// AddVote processes a router's vote in answer to a probe sent at a given time.
 func (p *Lease) AddVote(asked clock.Nanos, from string, r Vote) {
 	i, ok := p.indexByName[from]
 	if !ok || r.NamesHash != p.namesHash || from == p.settings.Self || len(r.Excluded) != (len(p.settings.Names)+7)/8 || asked <= p.votes[i].at {
-		return // a router with other names counts otherwise
+		return // a router with other names counts differently
 	}
 	p.votes[i] = receivedVote{asked, r.Excluded}
 	if r.Granted {
@@ -150,16 +150,16 @@
 	}
 }
 
-// Quota is what is in force.
+// Quota is the share in force.
 type Quota struct {
-	Share    float64     // of the whole
-	Until    clock.Nanos // when Share ends unless more is heard; then it is Least
-	Min      float64     // what this router has whatever happens
-	IsHolder bool        // this router is sure that nobody leaves it out
-	Excluded int         // whose parts are divided
+	Share    float64     // of the total
+	Until    clock.Nanos // when Share ends without further votes; then it is Min
+	Min      float64     // this router's share in any case
+	IsHolder bool        // this router is certainly not excluded
+	Excluded int         // the routers whose shares are divided
 }
 
-// Quota says which part is this router's now.
+// Quota returns this router's share now.
 func (p *Lease) Quota(now clock.Nanos, dead func(string) bool) Quota {
 	n := len(p.settings.Names)
 	f := Quota{Min: p.settings.IsolatedShare / float64(n), Until: now}
@@ -195,7 +195,7 @@
 	return f
 }
 
-// validUntil says until when so many promises last, if they do now.
+// validUntil says until when so many votes last, if they do now.
 func (p *Lease) validUntil(from []clock.Nanos, need int, now clock.Nanos) (clock.Nanos, bool) {
 	if need <= 0 {
 		return now + p.settings.Term, true
--- a/policy/recovery/budget.go
+++ b/policy/recovery/budget.go
@@ -6,8 +6,8 @@
 	"lotushook/policy/clock"
 )
 
-// PeersSeen takes the others as membership sees them. Who is not among them, or was not heard by this router itself, counts as
-// returning: it can't be known.
+// PeersSeen takes the peers from membership. A router that is not among them, or was not heard directly, counts as
+// returning, as it may be.
 func (r *Recovery) PeersSeen(now clock.Nanos, peers []Peer) {
 	serve, news := 0, 0
 	for _, p := range peers {
@@ -27,7 +27,7 @@
 	r.Tick(now)
 }
 
-// returningPeers are the routers that a serving one sees start after itself, a short while ago on its own clock.
+// returningPeers are the routers that a serving router sees start after itself, a short while ago on its own clock.
 func (r *Recovery) returningPeers(now clock.Nanos, peers []Peer) int {
 	n := 0
 	for _, p := range peers {
@@ -38,8 +38,8 @@
 	return n
 }
 
-// share is this router's of each budget. An even part of all that are configured is right whatever is seen or not. Who serves
-// needs less beside those that return, and these take what is left over, but no more than Slack times an even part: views
+// share is this router's share of each budget. An even share of all configured routers is right whatever is seen. A serving router
+// needs less while others return, and these take the rest, but no more than MaxShareFactor times an even share: views
 // may be wrong, and all of them at once.
 func (r *Recovery) share() float64 {
 	n := float64(r.settings.Routers)
@@ -55,13 +55,13 @@
 	return times / n
 }
 
-// Share is this router's part of each budget now.
+// Share is this router's share of each budget now.
 func (r *Recovery) Share(now clock.Nanos) float64 {
 	r.Tick(now)
 	return r.share()
 }
 
-// admits says whether a stage admits a kind at all.
+// admits says whether a stage permits a kind at all.
 func admits(s Stage, k Kind) bool {
 	switch k {
 	case ListCall, CatchUp:
@@ -72,10 +72,10 @@
 	return s >= Proving
 }
 
-// Allow is asked before a dial, a probe, a list call or a piece of catch-up: it may be done after wait, and that turn is then
-// taken; or it is denied, and wait says when to ask again. A turn that comes later than most is denied and not taken: else those
-// that can't wait for theirs would use up all. A turn is never saved up: each router's come at even spans, from a
-// phase that its name and start draw, so that many which want something at once do it one after the other.
+// Allow is called before a dial, a probe, a list call or a piece of catch-up: it may be done after wait, and its slot is then
+// reserved; or it is denied, and wait says when to ask again. A slot later than most is denied and not reserved: else callers
+// that can't wait for theirs would use all of them up. Slots are not saved up: each router's are evenly spaced, with a
+// phase drawn from its name and start, so that many routers that start together act one after the other.
 func (r *Recovery) Allow(now clock.Nanos, k Kind, most clock.Nanos) (wait clock.Nanos, why Reason) {
 	r.Tick(now)
 	now = r.now
@@ -90,23 +90,23 @@
 	if rate := r.settings.Budgets[k] * r.share(); rate > 0 {
 		span = clock.Nanos(math.Ceil(float64(second) / rate))
 	} else {
-		span = 3600 * second // nothing is kept: practically never
+		span = 3600 * second // no share: practically never
 	}
 	first := r.started + clock.Nanos(r.phase[k]*float64(span))
 	from := max(now, r.lastTurn[k]+1, first)
 	at := first + (from-first+span-1)/span*span
-	if at-r.lastTurn[k] < span { // the span was another one then
+	if at-r.lastTurn[k] < span { // the span was different then
 		at = r.lastTurn[k] + span
 	}
 	if most = min(most, r.settings.MaxWait); at-now > most {
 		r.counts[OverBudget]++
-		return max(1, at-now-most/2), OverBudget // asked exactly then, it would be a moment late for its turn
+		return max(1, at-now-most/2), OverBudget // if called exactly then, it would be a moment late for its slot
 	}
 	r.lastTurn[k] = at
 	return at - now, Allowed
 }
 
-// Send is asked before an attempt goes to the wire. What it denies was not sent.
+// Send is called before an attempt is sent. What it denies was not sent.
 func (r *Recovery) Send(now clock.Nanos, a Attempt) Reason {
 	r.Tick(now)
 	why := r.checkSend(r.now, a)
@@ -146,7 +146,7 @@
 	return rate * r.ramp
 }
 
-// refill gives the sends that have become free; no more is saved than a fiftieth of a second's, or one.
+// refill adds the sends that are due; no more are saved than a fiftieth of a second's, or one.
 func (r *Recovery) refill(now clock.Nanos) {
 	rate := r.sendRate()
 	r.tokens = min(max(1, rate/50), r.tokens+rate*float64(now-r.tokensAt)/float64(second))
--- a/policy/recovery/retry.go
+++ b/policy/recovery/retry.go
@@ -2,23 +2,23 @@
 
 import "lotushook/policy/clock"
 
-// A further attempt is paid for by successes of the last second, Ratio each: in any ten seconds there are at most Ratio times
+// A retry is paid for by successes of the last second, Ratio each: in any ten seconds there are at most Ratio times
 // the successes of these and of the second before, and Floor. With Ratio under 0.2 that is less than 1.2 attempts a request,
-// on each router and so over all, without a word between them. Where nothing succeeds, nothing is tried again: that breaks
-// the loop in which retries keep up the overload that made them (Bronson et al. 2021, Huang et al. 2022).
+// on each router and so over all, without coordination. Where nothing succeeds, nothing is retried: that breaks
+// the loop in which retries sustain the overload that caused them (Bronson et al. 2021, Huang et al. 2022).
 
 const (
 	slotsPerSecond = 10 // of the second
 	slotSize       = second / slotsPerSecond
 )
 
-// retryBudget are successes by tenths of a second, and what they paid for.
+// retryBudget counts successes by tenths of a second, and what was spent of them.
 type retryBudget struct {
-	at             clock.Nanos // the newest tenth's start
+	at             clock.Nanos // the newest slot's start
 	successes      [slotsPerSecond]float64
-	spent          [slotsPerSecond]float64 // of what was won in that tenth
+	spent          [slotsPerSecond]float64 // of what was earned in that slot
 	floorTokens    float64                 // of the floor
-	floorPaidUntil clock.Nanos             // until when the floor has grown
+	floorPaidUntil clock.Nanos             // until when the floor has been credited
 }
 
 func (t *retryBudget) advance(now clock.Nanos) {
@@ -39,7 +39,7 @@
 	t.successes[0]++
 }
 
-// take pays for one further attempt with the oldest successes, and failing that from the floor.
+// take pays for one retry with the oldest successes, and failing that from the floor.
 func (t *retryBudget) take(now clock.Nanos, ratio, floor float64) bool {
 	t.advance(now)
 	t.floorTokens, t.floorPaidUntil = min(1, t.floorTokens+floor*float64(now-t.floorPaidUntil)/float64(second)), now
@@ -63,13 +63,13 @@
 	return true
 }
 
-// responseTimes remembers the least that answers of a server's class have lately taken: what is left of a request's time must be as
-// much, or the work is for nobody. Without answers for two seconds nothing is known; and one in each tenth of a second finds
-// out whether it is better by now.
+// responseTimes remembers the shortest recent response time of a server's class: a request must have as much time
+// left, or its answer is too late. Without answers for two seconds nothing is known; and one request in each tenth of a second checks
+// whether it is better by now.
 type responseTimes struct {
 	capacity int
 	known    map[serverClass]*fastestResponse
-	order    []serverClass // by first sight; the oldest goes when all places are taken
+	order    []serverClass // by first use; the oldest is dropped when all places are taken
 }
 
 type serverClass struct {
--- a/policy/recovery/retryafter.go
+++ b/policy/recovery/retryafter.go
@@ -8,16 +8,16 @@
 	"lotushook/policy/clock"
 )
 
-// Times to return are dealt out over what those that were turned away need: as many as are told and not back yet, at the rate
-// at which this router sends. A better lane has the earlier part of that span; within its part an account's place follows
-// from its hash, salted by this start, so that nobody is always the last and all of one account's connections come together.
+// Retry-After times are spread over the time that the rejected clients need: as many as were rejected and are not back yet, at the rate
+// at which this router sends. A better priority class has the earlier part of that span; within its part an account's place follows
+// from its hash, salted by this start, so that no account is always the last and all of one account's connections return together.
 
 const (
-	calendarSlots = 64 // spans in which the told are counted
+	calendarSlots = 64 // spans in which the rejected are counted
 	slotSpan      = second / 8
 )
 
-// retryAfterCalendar counts who was told to come back, by when.
+// retryAfterCalendar counts the rejected clients by when they return.
 type retryAfterCalendar struct {
 	startsAt clock.Nanos
 	slots    [calendarSlots]float64
@@ -42,7 +42,7 @@
 	b.startsAt += steps * slotSpan
 }
 
-// RetryAfter is how long a client of an account should stay away that is turned away now.
+// RetryAfter is how long a client of an account should stay away that is rejected now.
 func (r *Recovery) RetryAfter(now clock.Nanos, tenant, session string, lane int) clock.Nanos {
 	r.Tick(now)
 	now = r.now
@@ -55,7 +55,7 @@
 		span = r.stageSince + r.settings.StageTimeouts[r.stage] - now + second
 	case r.stage < Serving && rate > 0:
 		span = clock.Nanos((b.sum + 1) / rate * float64(second))
-	default: // what it serves of late is the rate
+	default: // its recent rate of successes
 		span = clock.Nanos((b.sum + 1) / max(1, r.retries.successRate()) * float64(second))
 	}
 	span = min(max(span, least), most-least)
--- a/policy/recovery/stage.go
+++ b/policy/recovery/stage.go
@@ -2,7 +2,7 @@
 
 import "lotushook/policy/clock"
 
-// Recovery is one router's. It belongs to one goroutine, or to one lock; what it holds follows from the settings.
+// Recovery is one router's. It is not safe for concurrent use; its size follows from the settings.
 type Recovery struct {
 	settings         Settings
 	now              clock.Nanos
@@ -12,12 +12,12 @@
 	proven           bool        // the stage was reached by proof
 	listed           bool
 	caughtUp         bool
-	seesMajority     bool        // enough of the others are seen to say who returns
-	returning        int         // how many return
-	peersReturnUntil clock.Nanos // until then a router that serves leaves room for them
+	seesMajority     bool        // enough of the others are seen to know which return
+	returning        int         // the number of returning routers
+	peersReturnUntil clock.Nanos // until then a serving router leaves budget for them
 	successes        int
 
-	ramp              float64     // times its part of the first sends
+	ramp              float64     // factor on its share of the first sends
 	stepAt            clock.Nanos // the present step's start
 	succeeded, failed int         // ends of attempts in it
 	deniedAt          clock.Nanos // the last send that the budget denied
@@ -47,19 +47,19 @@
 	return r, nil
 }
 
-// ListReceived notes that a list of data servers is in hand.
+// ListReceived records that a list of data servers was received.
 func (r *Recovery) ListReceived(now clock.Nanos) {
 	r.listed = true
 	r.Tick(now)
 }
 
-// CaughtUp notes that this router has all that it will be fed: a peer has told it everything, or a copy on disk was read.
+// CaughtUp records that the replicated state is complete: from a peer, or from a copy on disk.
 func (r *Recovery) CaughtUp(now clock.Nanos) {
 	r.caughtUp = true
 	r.Tick(now)
 }
 
-// CatchUpLost notes that who fed this router has gone before the end. It waits for another, no longer than the bound.
+// CatchUpLost records that the peer that sent the state is lost. The recovery waits for another, no longer than the timeout.
 func (r *Recovery) CatchUpLost(now clock.Nanos) {
 	if r.stage == Starting {
 		r.caughtUp = false
@@ -67,7 +67,7 @@
 	r.Tick(now)
 }
 
-// Ended notes how an attempt has ended: done, or not. One that was never sent is not told.
+// Ended records how an attempt has ended. One that was never sent is not reported.
 func (r *Recovery) Ended(now clock.Nanos, a Attempt, done bool, took clock.Nanos) {
 	r.Tick(now)
 	if !done {
@@ -81,8 +81,8 @@
 	r.Tick(now)
 }
 
-// Tick moves on with time. Every other call does so too; before it serves, a router that has nothing else to do calls it within
-// each Pause. A router that was stopped goes on where it was: what it waits for can't have come meanwhile.
+// Tick advances time. Every other call does so too; before it serves, a router without events calls it within
+// each MaxTickGap. A router that was paused goes on where it was: what it waits for can't have come meanwhile.
 func (r *Recovery) Tick(now clock.Nanos) {
 	if now < r.now { // a clock that goes back stands still here
 		now = r.now
@@ -101,7 +101,7 @@
 			r.enter(Proving, r.stageSince, true)
 		case r.stageProven(now):
 			r.enter(r.stage+1, now, true)
-		case now >= bound: // from when it was over, however late this was looked at
+		case now >= bound: // from when it was due, however late this is checked
 			r.enter(r.stage+1, bound, false)
 		default:
 			r.advanceRamp(now)
@@ -110,7 +110,7 @@
 	}
 }
 
-// stageProven says whether what the present stage waits for is proven.
+// stageProven says whether the present stage's condition is met.
 func (r *Recovery) stageProven(now clock.Nanos) bool {
 	switch r.stage {
 	case Starting:
@@ -128,7 +128,7 @@
 func (r *Recovery) enter(s Stage, at clock.Nanos, proven bool) {
 	r.stage, r.stageSince, r.proven, r.stepAt = s, at, proven, at
 	r.successes, r.succeeded, r.failed = 0, 0, 0
-	if s == Proving { // from nothing, by chance up to one: all that return start alike
+	if s == Proving { // from 0, by chance up to 1: those that return together start alike
 		r.tokens, r.tokensAt = r.phase[Send], at
 	}
 	if s == Ramping {
@@ -136,7 +136,7 @@
 	}
 }
 
-// advanceRamp doubles a ramp step by step while nearly all answers come, and halves it, not below its start, while most don't.
+// advanceRamp doubles the ramp step by step while nearly all answers succeed, and halves it, not below its start, while most fail.
 func (r *Recovery) advanceRamp(now clock.Nanos) {
 	if r.stage != Ramping || now-r.stepAt < r.settings.RampStep {
 		return
@@ -155,7 +155,7 @@
 // Stage is the present stage.
 func (r *Recovery) Stage() Stage { return r.stage }
 
-// Report says how far this router is.
+// Report returns the operators' report.
 func (r *Recovery) Report(now clock.Nanos) Report {
 	r.Tick(now)
 	denied := map[string]int64{}
--- a/policy/shedding/settings.go
+++ b/policy/shedding/settings.go
@@ -1,7 +1,7 @@
-// Package shedding decides which requests are shed while a group of data servers has more to do than it can, so that every router
-// sheds the same accounts: the worst lane first, and within a lane by a salted hash of the account. It decides from arrivals,
-// ends and what the other routers report; how reports travel, and where a request that is not shed goes, is not decided here.
-// The compound level is DAGOR's (Zhou et al., SoCC 2018); how it is agreed without a server in the middle is this package's own.
+// Package shedding decides which requests are shed while a group of data servers is overloaded, so that every router
+// sheds the same accounts: the lowest priority class first, and within a class by a salted hash of the account. It decides from
+// arrivals, ends and the other routers' reports; how reports travel, and where a request that is not shed goes, is not decided here.
+// The compound threshold is DAGOR's (Zhou et al., SoCC 2018); how it is agreed without a central server is this package's own.
 package shedding
 
 import (
@@ -13,81 +13,81 @@
 
 // Bounds of the standing of accounts.
 const (
-	Steps              = 64 // positions of accounts in a lane
+	Steps              = 64 // positions of accounts in a priority class
 	MaxPriorityClasses = 8
 )
 
-// AccountKey says what an account is.
+// AccountKey says what identifies an account.
 type AccountKey string
 
-// What an account may be.
+// The keys of an account.
 const (
 	ByTeam    AccountKey = "team"
 	BySession AccountKey = "session"
 	ByBoth    AccountKey = "both" // a session of one team is another account than the same session of another
 )
 
-// Settings are the lanes, and how levels are found.
+// Settings are the priority classes, and how thresholds are found.
 type Settings struct {
 	PriorityClasses []PriorityClass // the best first
 	Teams           []Team          // as the contracts number them
 	AccountKey      AccountKey
 
-	Router  string // this router's name; one that goes alone salts with it
+	Router  string // this router's name; the salt of an isolated one
 	Epoch   uint64
 	Routers int  // of the installation
-	Shared  bool // levels are agreed with the others; without, each router goes alone
+	Shared  bool // thresholds are agreed with the others; without, each router decides alone
 
-	High, Low        float64     // pressure, as a share of aims: above, more is shed; below, less
-	Interval         clock.Nanos // between two looks at the pressure, and so two steps of a level
-	MaxReportAge     clock.Nanos // a report that is older says nothing
-	IsolationTimeout clock.Nanos // without whole evidence for so long a router goes by its own pressure alone
-	SaltPeriod       clock.Nanos // the salt turns after it
+	High, Low        float64     // pressure, as a share of latency objectives: above, more is shed; below, less
+	Interval         clock.Nanos // between two evaluations of the pressure, and so two steps of a threshold
+	MaxReportAge     clock.Nanos // an older report is ignored
+	IsolationTimeout clock.Nanos // without a quorum for so long a router uses its own pressure alone
+	SaltPeriod       clock.Nanos // the salt changes after it
 
-	MaxRetryAfter, PlatformMaxRetryAfter clock.Nanos // the longest time to return, of the last lane; what the platform allows, 0: none is told
-	WriteAffinity                        clock.Nanos // a write may be repeated, and read after, in its lane for so long
+	MaxRetryAfter, PlatformMaxRetryAfter clock.Nanos // the longest Retry-After time, of the lowest class; the platform's maximum, 0: none is sent
+	WriteAffinity                        clock.Nanos // retries of a write, and reads after it, stay in its class for so long
 
-	MaxAccounts, MaxWriteAffinities, MaxGroups int // the most that are remembered
+	MaxAccounts, MaxWriteAffinities, MaxGroups int // remembered at most
 }
 
 // PriorityClass is a class of accounts.
 type PriorityClass struct {
 	Name          string
-	PerS          float64 // requests a second that one account may ask in it, over all routers; beyond, they fall to the next. 0: any
+	PerS          float64 // requests a second of one account in the class, over all routers; beyond, they are downgraded. 0: no limit
 	Burst         float64 // at once
-	ReservedShare float64 // share of its positions that is shed only when the best lane would be otherwise
+	ReservedShare float64 // share of its positions that is shed only when the best class would be otherwise
 }
 
-// Team is what a team's contract says of lanes.
+// Team is the part of a team's contract about priority classes.
 type Team struct {
 	Name          string
 	PriorityClass int
-	PerS          float64 // that the whole team may ask in its lane, over all routers; 0: only its accounts' entitlements bind
+	PerS          float64 // requests a second of the whole team in its class, over all routers; 0: only its accounts' limits apply
 	Burst         float64
 }
 
-// DefaultSettings are settings but for lanes, teams and who this router is.
+// DefaultSettings are settings without priority classes, teams and this router's name.
 func DefaultSettings() Settings {
 	const ms = 1e6
 	return Settings{AccountKey: BySession, Routers: 1, High: 0.35, Low: 0.25, Interval: 200 * ms, MaxReportAge: 1000 * ms, IsolationTimeout: 30_000 * ms, SaltPeriod: 60_000 * ms, MaxRetryAfter: 2000 * ms,
 		WriteAffinity: 10_000 * ms, MaxAccounts: 32_768, MaxWriteAffinities: 4096, MaxGroups: 1024}
 }
 
-// SettingError is a field that can't be used.
+// SettingError is an invalid field.
 type SettingError struct{ Field, Why string }
 
-// Error says what failed, and what was done instead where that is not plain.
+// Error implements the error interface.
 func (e *SettingError) Error() string { return e.Field + ": " + e.Why }
 
 // Kind is the same for all of the type.
 func (e *SettingError) Kind() string { return "lane-setting" }
 
-// Hint tells what to do.
+// Hint is for operators.
 func (e *SettingError) Hint() string {
 	return "correct contracts." + e.Field + " in the settings file; what was in force stays until then"
 }
 
-// Check says what is wrong with settings, naming the field.
+// Check returns an error that names the first invalid field.
 func (s *Settings) Check() error {
 	var errs []error
 	want := func(ok bool, field, text string, args ...any) {
@@ -119,15 +119,15 @@
 	return errors.Join(errs...)
 }
 
-// Reason says on what ground a request was taken, or that it was shed.
+// Reason says why a request was admitted, or that it was shed.
 type Reason uint8
 
-// The grounds, and the refusal.
+// The reasons for admission, and Shed.
 const (
-	AboveThreshold Reason = iota // in its own lane, and above the level
-	Downgraded                   // beyond its entitlement: in a lane below its own, and above the level
-	FollowsWrite                 // it repeats a write that may have run, or reads after its session's write: the last of that lane
-	Shed                         // below the level
+	AboveThreshold Reason = iota // in its own class, and above the threshold
+	Downgraded                   // beyond its entitlement: in a class below its own, and above the threshold
+	FollowsWrite                 // a retry of a write that may have run, or a read after its session's write: in the class of that write
+	Shed                         // below the threshold
 	ReasonCount
 )
 
@@ -141,73 +141,73 @@
 	return "unknown"
 }
 
-// Request is what counts of a request here.
+// Request is the part of a request that decisions need.
 type Request struct {
 	Team           int
-	Account        uint64 // as Account makes it
+	Account        uint64 // as Account returns it
 	Group          int64
 	Key            string  // of a keyed write
-	ReadSession    string  // of a session's read: the session, as Session names it
-	WroteElsewhere bool    // some router saw its session write within the last while
-	Share          float64 // of the entitlements that this router lets through
-	IsRetry        bool    // its client marks it as a repeat of its own
+	ReadSession    string  // of a session's read: the session, as Session returns it
+	WroteElsewhere bool    // another router saw its session write recently
+	Share          float64 // of the entitlements that this router admits
+	IsRetry        bool    // its client marks it as its own retry
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Reason        Reason
-	PriorityClass int // that it was judged in
+	PriorityClass int // in which it was decided
 	Standing      int // among all, the first that are shed first
-	Threshold     int // in force: whoever stands below it is shed
+	Threshold     int // in force: a lower standing is shed
 	RetryAfter    clock.Nanos
 }
 
-// End is how a taken request ended.
+// End is how an admitted request ended.
 type End struct {
 	ArrivedAt        clock.Nanos
 	Elapsed          clock.Nanos
 	LatencyObjective clock.Nanos
 	Served           bool
-	MayRun           bool   // not served, and it can't be ruled out that it ran
-	Abandoned        bool   // its client left: within its aim it says nothing of load
+	MayRun           bool   // not served, and it may have run
+	Abandoned        bool   // its client left: within its objective it says nothing about load
 	SessionWritten   string // the session of a write that was served
 }
 
-// Report is what one router says of a group.
+// Report is one router's report on a group.
 type Report struct {
 	Group     int64
 	Router    string
 	Epoch     uint64
-	Seq       uint64 // a later word of the same process holds
+	Seq       uint64 // the latest report of a process holds
 	Age       clock.Nanos
-	Load      int64 // requests a second that come to it
-	Threshold int   // the level that it would have
+	Load      int64 // requests a second that arrive
+	Threshold int   // the threshold that it would choose
 	SaltEpoch uint64
-	Excluded  bool // the router is not one of those that count: dead, gone or cut off
+	Excluded  bool // the router does not count: it is dead, departed or isolated
 }
 
-// Connectivity is what membership says.
+// Connectivity is what membership reports.
 type Connectivity struct {
-	Majority bool // more than half of the installation's routers are there
-	Isolated bool // this router hears hardly anybody, or is not heard
+	Majority bool // more than half of the installation's routers are present
+	Isolated bool // this router hears hardly any member, or is not heard
 }
 
-// State is what operators read of a group.
+// State is the operators' report on a group.
 type State struct {
 	Group         int64   `json:"group"`
-	Threshold     int     `json:"level"` // whoever stands below is shed; 0: nobody
+	Threshold     int     `json:"level"` // a lower standing is shed; 0: none
 	MaxThreshold  int     `json:"most"`
-	PriorityClass string  `json:"lane"` // that the level stands in; "": it sheds nobody
+	PriorityClass string  `json:"lane"` // that contains the threshold; "": none is shed
 	OwnThreshold  int     `json:"wish"`
 	SaltEpoch     uint64  `json:"epoch"`
-	Heard         int     `json:"heard"` // routers whose reports are fresh, this one too
-	Quorum        bool    `json:"whole"` // they are enough for the level to fall
-	Isolated      bool    `json:"alone"` // it goes by its own pressure
+	Heard         int     `json:"heard"` // routers whose reports are fresh, this one included
+	Quorum        bool    `json:"whole"` // they are enough for the threshold to fall
+	Isolated      bool    `json:"alone"` // it uses its own pressure alone
 	Pressure      float64 `json:"pressure"`
 	PerS          int64   `json:"per_s"`
 }
 
-// Count is what became of a lane's requests, by the lane that they were judged in.
+// Count counts the requests of a class, by the class in which they were decided.
 type Count struct {
 	PriorityClass string              `json:"lane"`
 	ByReason      [ReasonCount]uint64 `json:"-"`
--- a/policy/shedding/shedder.go
+++ b/policy/shedding/shedder.go
@@ -9,18 +9,18 @@
 	"lotushook/policy/clock"
 )
 
-// Shedder hold what accounts have used and the levels of groups, and decide. One goroutine owns them.
+// Shedder keeps the accounts' usage and the groups' thresholds, and decides. It is not safe for concurrent use.
 type Shedder struct {
 	settings      Settings
 	order         shedOrder
-	buckets       [2]map[bucketKey]*bucket // the younger first: where it is full the older is forgotten, and its accounts start anew
+	buckets       [2]map[bucketKey]*bucket // the younger first: where it is full the older is dropped, and its accounts start anew
 	affinities    map[string]writeAffinity
 	affinityOrder []string // the oldest first
 	groups        map[int64]*group
 	saltEpoch     uint64
-	saltChangedAt clock.Nanos // when the epoch was last another one
+	saltChangedAt clock.Nanos // when the epoch last changed
 	tickedAt      clock.Nanos
-	resumedAt     clock.Nanos // it was stopped, or started, until then
+	resumedAt     clock.Nanos // it was paused, or started, until then
 	counts        [MaxPriorityClasses][ReasonCount]uint64
 	ungrouped     uint64
 }
@@ -30,19 +30,19 @@
 	priority int
 }
 
-// writeAffinity is the lane of a write that may be repeated, or read after.
+// writeAffinity is the class of a write for its retries and the reads after it.
 type writeAffinity struct {
 	priority int
 	at       clock.Nanos
 }
 
-// New returns lanes in which nobody has used anything, and levels that shed nobody.
+// New returns a Shedder without usage, and with thresholds that shed nothing.
 func New(s Settings) (*Shedder, error) {
 	l := &Shedder{affinities: map[string]writeAffinity{}, groups: map[int64]*group{}, buckets: [2]map[bucketKey]*bucket{{}, {}}}
 	return l, l.Set(s)
 }
 
-// Set puts other settings in force in one step. What was used stays used; levels begin anew where the lanes are others.
+// Set puts new settings in force in one step. Usage stays; thresholds start anew where the classes changed.
 func (l *Shedder) Set(s Settings) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -61,13 +61,13 @@
 	return nil
 }
 
-// shedOrder is who is shed before whom. The first positions of each lane but the best go first, the worst lane before the others;
-// then the last positions of these lanes, which are their least shares; then the best lane. So one number cuts all lanes.
+// shedOrder is the order of shedding. The first positions of each class but the best come first, the lowest class before the others;
+// then the last positions of these classes, their reserved shares; then the best class. So one number cuts all classes.
 type shedOrder struct {
-	unreserved    [MaxPriorityClasses]int // positions that are not of the least share
+	unreserved    [MaxPriorityClasses]int // positions that are not reserved
 	first         [MaxPriorityClasses]int // where these begin
-	reservedFirst [MaxPriorityClasses]int // where the least share begins
-	maxThreshold  int                     // the greatest level: the best lane's least share is never shed
+	reservedFirst [MaxPriorityClasses]int // where the reserved share begins
+	maxThreshold  int                     // the greatest threshold: the best class's reserved share is never shed
 	size          int
 }
 
@@ -91,7 +91,7 @@
 	return o
 }
 
-// standing is where a position of a lane stands.
+// standing is the standing of a position of a class.
 func (o *shedOrder) standing(lane, position int) int {
 	if position < o.unreserved[lane] {
 		return o.first[lane] + position
@@ -99,15 +99,15 @@
 	return o.reservedFirst[lane] + position - o.unreserved[lane]
 }
 
-// downgradedStanding is where it stands for a request that fell into the lane: never among the least share, which is the lane's own.
+// downgradedStanding is the standing of a request that was downgraded to the class: never in the reserved share, which is for the class's own.
 func (o *shedOrder) downgradedStanding(lane, position int) int {
 	return o.first[lane] + position*o.unreserved[lane]/Steps
 }
 
-// lastStanding is the place in a lane that is shed last.
+// lastStanding is the standing in a class that is shed last.
 func (o *shedOrder) lastStanding(lane int) int { return o.standing(lane, Steps-1) }
 
-// priorityClassAt is whose place a standing is.
+// priorityClassAt is the class of a standing.
 func (o *shedOrder) priorityClassAt(lanes, standing int) int {
 	for i := range lanes {
 		if standing >= o.first[i] && standing < o.first[i]+o.unreserved[i] || standing >= o.reservedFirst[i] && standing < o.reservedFirst[i]+Steps-o.unreserved[i] {
@@ -130,7 +130,7 @@
 	return h.Sum64()
 }
 
-// Session is how a session of a group is named here.
+// Session names a session of a group.
 func Session(group int64, session string) string {
 	b := make([]byte, 0, len(session)+9)
 	for i := range 8 {
@@ -148,7 +148,7 @@
 	return x ^ x>>33
 }
 
-// salt is the same at all routers of an epoch, and another at each that goes alone.
+// salt is the same at all routers of an epoch, and different at each isolated one.
 func (l *Shedder) salt() uint64 {
 	s := mix(l.saltEpoch + 0x9e3779b97f4a7c15)
 	if !l.settings.Shared {
@@ -159,10 +159,10 @@
 	return s
 }
 
-// Position is where an account stands in any lane, in this epoch.
+// Position is an account's position in any class, in this epoch.
 func (l *Shedder) Position(account uint64) int { return int(mix(account^l.salt()) % Steps) }
 
-// Admit decides on a request that has just come.
+// Admit decides on a new request.
 func (l *Shedder) Admit(r Request, now clock.Nanos) Verdict {
 	own := len(l.settings.PriorityClasses) - 1
 	var team Team
@@ -178,7 +178,7 @@
 		position := l.Position(r.Account)
 		v.PriorityClass, fits = l.takeEntitlement(r, team, own, now)
 		switch {
-		case !fits: // beyond the last lane's too
+		case !fits: // beyond the lowest class's too
 			v.Reason, v.Standing = Downgraded, l.order.first[v.PriorityClass]
 		case v.PriorityClass == own:
 			v.Standing = l.order.standing(own, position)
@@ -196,17 +196,17 @@
 	return v
 }
 
-// affinityOf says whether a request belongs to a write that went before it, and in which lane that was.
+// affinityOf says whether a request belongs to an earlier write, and in which class that was.
 func (l *Shedder) affinityOf(r Request, own int, now clock.Nanos) (lane int, ok bool) {
 	for _, name := range [2]string{r.Key, r.ReadSession} {
 		if d, found := l.affinities[name]; name != "" && found && now-d.at < l.settings.WriteAffinity {
 			return d.priority, true
 		}
 	}
-	return own, r.WroteElsewhere // another router took the write: in which lane is not known here, so its account's
+	return own, r.WroteElsewhere // another router served the write: its class is not known here, so the account's own
 }
 
-// takeEntitlement finds the lane whose entitlement covers a request, from the account's own downwards, and takes it.
+// takeEntitlement finds the class whose entitlement covers a request, from the account's own downwards, and takes it.
 func (l *Shedder) takeEntitlement(r Request, team Team, own int, now clock.Nanos) (lane int, fits bool) {
 	for lane = own; lane < len(l.settings.PriorityClasses); lane++ {
 		set := &l.settings.PriorityClasses[lane]
@@ -240,7 +240,7 @@
 
 func (b *bucket) has(burst float64) bool { return b.spent+1 <= burst+1e-9 }
 
-// bucket is what an account has used of a lane, filled at a rate up to now.
+// bucket returns an account's bucket of a class, refilled up to now.
 func (l *Shedder) bucket(k bucketKey, now clock.Nanos, rate float64) *bucket {
 	b := l.buckets[0][k]
 	if b == nil {
@@ -259,14 +259,14 @@
 	return b
 }
 
-// retryAfter is when a shed account may come again: sooner in a better lane, and spread, so that they don't return together.
+// retryAfter is a shed account's Retry-After time: shorter in a better class, and spread, so that clients don't return together.
 func (l *Shedder) retryAfter(account uint64, lane int) clock.Nanos {
 	longest := min(l.settings.MaxRetryAfter, l.settings.PlatformMaxRetryAfter)
 	window := float64(longest) * float64(lane+1) / float64(len(l.settings.PriorityClasses))
 	return clock.Nanos(window * (0.5 + 0.5*float64(mix(account^0x5bd1e995)>>11)/(1<<53)))
 }
 
-// addAffinity remembers the lane of a write; the oldest is forgotten where there are too many.
+// addAffinity remembers the class of a write; the oldest is forgotten where there are too many.
 func (l *Shedder) addAffinity(name string, lane int, now clock.Nanos) {
 	if name == "" {
 		return
@@ -281,14 +281,14 @@
 	}
 }
 
-// RequestStarted notes that a request which was taken here is open now; Ended must follow.
+// RequestStarted records that a request admitted here is open; RequestEnded must follow.
 func (l *Shedder) RequestStarted(group int64, came, aim clock.Nanos) {
 	if g := l.groups[group]; g != nil && aim > 0 {
 		g.requestStarted(came, aim)
 	}
 }
 
-// RequestEnded takes in how a request ended that had begun; lane and key are its verdict's and its own.
+// RequestEnded processes the end of a started request; class and key are its verdict's and its own.
 func (l *Shedder) RequestEnded(group int64, lane int, key string, e End, now clock.Nanos) {
 	if key != "" && !e.Served && e.MayRun {
 		l.addAffinity(key, lane, now)
@@ -301,8 +301,8 @@
 	}
 }
 
-// group is a group's state. Where too many are remembered one goes that sheds nobody and has nothing open; failing that the
-// group has none, and its requests pass as they would without lanes: it is counted.
+// group returns a group's state. Where too many are remembered one is dropped that sheds nothing and has no open request; failing that the
+// group has no state, and its requests pass as without shedding: they are counted.
 func (l *Shedder) group(number int64, now clock.Nanos) *group {
 	g := l.groups[number]
 	if g == nil {
@@ -316,7 +316,7 @@
 	return g
 }
 
-// evictGroup makes room for a group, by number so that the same always goes.
+// evictGroup drops a group, the first by number so that runs can be replayed.
 func (l *Shedder) evictGroup() bool {
 	least, found := int64(0), false
 	for n, g := range l.groups {
@@ -328,15 +328,15 @@
 	return found
 }
 
-// Ungrouped counts requests that passed because their group found no room.
+// Ungrouped counts requests that passed because there was no room for their group.
 func (l *Shedder) Ungrouped() uint64 { return l.ungrouped }
 
-// Size is how many budgets, debts and groups are remembered.
+// Size is how many buckets, affinities and groups are remembered.
 func (l *Shedder) Size() (budgets, debts, groups int) {
 	return len(l.buckets[0]) + len(l.buckets[1]), len(l.affinityOrder), len(l.groups)
 }
 
-// States are the levels as they stand, by group.
+// States are the current thresholds, by group.
 func (l *Shedder) States() []State {
 	var out []State
 	for n, g := range l.groups {
@@ -350,7 +350,7 @@
 	return out
 }
 
-// Counts are what became of requests since the start, by the lane that they were judged in.
+// Counts are the decisions since the start, by the class in which they were made.
 func (l *Shedder) Counts() []Count {
 	var out []Count
 	for i, lane := range l.settings.PriorityClasses {
@@ -365,5 +365,5 @@
 	return out
 }
 
-// Name is a lane's name.
+// Name is a class's name.
 func (l *Shedder) Name(lane int) string { return l.settings.PriorityClasses[lane].Name }
--- a/policy/trust/ledger.go
+++ b/policy/trust/ledger.go
@@ -5,14 +5,14 @@
 	"lotushook/policy/crdt"
 )
 
-// Ledger remembers what is known of entries that somebody else told, or the disk gave back.
+// Ledger remembers the provenance of entries that were received from peers, or restored from disk.
 type Ledger struct {
 	settings         Settings
 	facts            map[entryKey]*trackedFact
-	order            []entryKey // as they were noted first, from next on
+	order            []entryKey // by when they were first recorded, from next on
 	next             int
 	distrustRestored bool
-	unconfirmed      [ProvenanceCount]int // of those not proven
+	unconfirmed      [ProvenanceCount]int // of those not confirmed
 }
 
 type trackedFact struct {
@@ -21,7 +21,7 @@
 	learnedAt clock.Nanos // when it was learned, by this clock
 }
 
-// NewLedger returns an empty one.
+// NewLedger returns an empty ledger.
 func NewLedger(s Settings) (*Ledger, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -29,21 +29,21 @@
 	return &Ledger{settings: s, facts: map[entryKey]*trackedFact{}}, nil
 }
 
-// AddRestored notes an entry that the disk gave back. What this process or a peer has said already stays.
+// AddRestored records an entry restored from disk. An entry of this process or of a peer prevails.
 func (b *Ledger) AddRestored(now clock.Nanos, e crdt.Entry, unsure bool) {
 	if b.facts[keyOf(&e)] == nil {
 		b.note(now, e, Fact{Provenance: FromDisk, MinAgeOnly: unsure})
 	}
 }
 
-// AddOwn notes what this process has learned itself: whatever it says holds.
+// AddOwn records what this process has learned itself: it prevails.
 func (b *Ledger) AddOwn(now clock.Nanos, e crdt.Entry) {
 	b.note(now, e, Fact{Provenance: OwnResponse, Proven: true})
 }
 
-// AddFromPeer notes what a peer told. steady says that the peer has been up since before this router's last start began or its copy
-// was written: what it tells proves what came back, if it is the same or more, and refutes it if it is something else that
-// goes before it. What a peer told that is not steady is doubted, as it may itself have it from a disk.
+// AddFromPeer records an entry of a peer. steady says that the peer has been up since before this router's last start began or its copy
+// was written: its entry confirms a restored one, if it is the same or more, and refutes it if it is another that
+// supersedes it. An entry of a peer that is not steady is unconfirmed, as the peer may itself have restored it.
 func (b *Ledger) AddFromPeer(now clock.Nanos, e crdt.Entry, steady bool) {
 	n := b.facts[keyOf(&e)]
 	switch {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Refute notes that a data server's answer to this process says otherwise than is believed of an entry's key, without
-// saying what holds instead.
+// Refute records that a data server's answer contradicts the entry of a key, without
+// saying what is right instead.
 func (b *Ledger) Refute(e crdt.Entry) {
 	if n := b.facts[keyOf(&e)]; n != nil {
 		b.count(n, -1)
@@ -69,8 +69,8 @@
 	}
 }
 
-// DistrustRestored says that the copy was put back: nothing proves that what came back from it is as young as it says, so that even where
-// a peer says the same it serves for nothing but care. Only this process's own answers and newer words help.
+// DistrustRestored records that an older copy was put back: nothing proves that its entries are as young as they say, so that even where
+// a peer has the same they serve only to be more careful. Only this process's own answers and newer entries help.
 func (b *Ledger) DistrustRestored() {
 	b.distrustRestored = true
 	for _, n := range b.facts {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Fact is what is known of an entry's key, and the entry that it is known of.
+// Fact returns what is known of an entry's key, and the entry that it is known of.
 func (b *Ledger) Fact(now clock.Nanos, e crdt.Entry) (Fact, crdt.Entry) {
 	n := b.facts[keyOf(&e)]
 	if n == nil {
@@ -93,7 +93,7 @@
 	return f, n.entry
 }
 
-// Unconfirmed counts the facts of an origin that are not proven; Size is of all.
+// Unconfirmed counts the unconfirmed facts of a provenance; Size counts all.
 func (b *Ledger) Unconfirmed(o Provenance) int { return b.unconfirmed[o] }
 
 // Size is how many facts are remembered.
@@ -129,14 +129,14 @@
 	}
 }
 
-// What an entry says beside another of the same key.
+// The relation of an entry to another of the same key.
 const (
 	less = iota
 	same
 	more
 )
 
-// compareValues compares what two entries of one key say, and not who said it.
+// compareValues compares the values of two entries of one key, and not their origins.
 func compareValues(e, f *crdt.Entry) int {
 	x, y := e.At, f.At
 	switch e.Kind {
--- a/policy/trust/trust.go
+++ b/policy/trust/trust.go
@@ -1,9 +1,9 @@
-// Package trust decides what may be done on the word of whom. What a router has heard from a data server itself it may act
-// on; what another router told it, or what its own disk gave back after a restart, is doubted until it is proven: by this
+// Package trust decides which actions a fact permits by its provenance. A router may act on what it has heard from a data server
+// itself; what a peer sent, or what its own disk restored after a start, is unconfirmed until it is proven: by this
 // router's own answers, or by a peer that has been up all the while. It decides neither what an entry says nor which of two
-// holds (policy/crdt), and sends nothing: whoever is about to act asks Judge first.
+// prevails (policy/crdt), and sends nothing: callers ask Judge before they act.
 //
-// A Book remembers for each entry that came back, or was told, whether it is proven. It belongs to whoever locks it.
+// A Ledger remembers for each entry that was restored, or received, whether it is confirmed. It is not safe for concurrent use.
 package trust
 
 import (
@@ -13,15 +13,15 @@
 	"lotushook/policy/crdt"
 )
 
-// Provenance is where a fact is from.
+// Provenance is the source of a fact.
 type Provenance uint8
 
-// The origins.
+// The sources.
 const (
 	Unknown         Provenance = iota // nothing is known
-	OwnResponse                       // this process has it from a data server's answer, or from its list
-	FromPeer                          // another router told it, since this process started
-	FromDisk                          // the copy on disk gave it back
+	OwnResponse                       // from a data server's answer to this process, or from its list
+	FromPeer                          // from another router, since this process started
+	FromDisk                          // from the copy on disk
 	ProvenanceCount = iota
 )
 
@@ -33,28 +33,28 @@
 // Fact is what is known of an entry.
 type Fact struct {
 	Provenance Provenance
-	Age        clock.Nanos // since whoever learned it learned it; at least, where MinAgeOnly
+	Age        clock.Nanos // since it was first learned; at least, where MinAgeOnly
 	MinAgeOnly bool
-	Proven     bool // of Own always
-	Refuted    bool // something better said otherwise
+	Proven     bool // of OwnResponse always
+	Refuted    bool // contradicted by something better
 }
 
-// Use is what somebody is about to do on a fact.
+// Use is an action that a fact may permit.
 type Use uint8
 
 // The uses.
 const (
-	RaisePosition    Use = iota // have a session's read see at least a position
-	LowerPosition               // have it see less than is known so far
-	AssumeMayHaveRun            // take a keyed write for one that may have run
-	AssumeNotRun                // take it for one that has not
+	RaisePosition    Use = iota // make a session's read see at least a position
+	LowerPosition               // make it see less than is known so far
+	AssumeMayHaveRun            // treat a keyed write as one that may have run
+	AssumeNotRun                // treat it as one that has not
 	Probe                       // ask a believed primary first whether it is one
 	Write                       // send a write to a believed primary
 	Read                        // send a read by a believed position
-	GrantLease                  // take or give a part, or a right
-	ExceedSlowStart             // send a cold server more than its budget, as one that is believed to be warm
-	CountUsage                  // count what a team has used against its contract
-	AvoidServer                 // send less to a server, as a hint says
+	GrantLease                  // take or give a share, or a right
+	ExceedSlowStart             // send an endpoint in slow start more than its budget, as if it were warm
+	CountUsage                  // count a team's usage against its contract
+	AvoidServer                 // send less to a server, because of a hint
 	UseCount         = iota
 )
 
@@ -69,14 +69,14 @@
 // The reasons.
 const (
 	ReasonOwnResponse     Reason = iota // this process knows it itself
-	ReasonConfirmedByPeer               // proven by a peer that was up all the while, or by an own answer since
+	ReasonConfirmedByPeer               // confirmed by a peer that was up all the while, or by an own answer since
 	ReasonCareful                       // it can only make the router more careful
-	ReasonUnconfirmed                   // not proven yet
-	ReasonRefuted                       // refuted
+	ReasonUnconfirmed                   // not confirmed yet
+	ReasonRefuted                       // contradicted
 	ReasonUnknown                       // nothing is known
-	ReasonOwnOnly                       // only what this process knows itself is enough, ever
-	ReasonNotListed                     // the list in hand does not name the server
-	ReasonTooOld                        // older than such a fact holds
+	ReasonOwnOnly                       // only what this process knows itself is ever enough
+	ReasonNotListed                     // the present list does not contain the server
+	ReasonTooOld                        // older than such a fact is valid
 	ReasonCount           = iota
 )
 
@@ -91,10 +91,10 @@
 	Reason  Reason
 }
 
-// Settings bound what a Book remembers and believes.
+// Settings bound what a Ledger remembers and accepts.
 type Settings struct {
-	Capacity int         // entries; the one that was noted first is forgotten, which makes it unknown
-	MaxAge   clock.Nanos // a proven fact of a peer's holds so long for what is more than careful
+	Capacity int         // entries; the one recorded first is dropped, which makes it unknown
+	MaxAge   clock.Nanos // a peer's confirmed fact is valid so long for what is more than careful
 }
 
 // DefaultSettings are settings for a router.
@@ -107,12 +107,12 @@
 	return nil
 }
 
-// Judge says whether a fact is enough for a use. The server is the one that would be sent to, if any: listed says whether the
-// list in hand names it.
+// Judge says whether a fact permits a use. The server is the one that would be sent to, if any: listed says whether the
+// present list contains it.
 //
-// What only makes the router more careful is allowed on anybody's word at once. What makes it less careful (a floor lowered,
-// a write taken for not run, a grant, more to a cold server) is allowed on no word but its own. What lies between (a write to a
-// believed primary, a read by a believed position) needs proof, which ages.
+// What only makes the router more careful is permitted from any source at once. What makes it less careful (a lower position,
+// a write treated as not run, a grant, more to an endpoint in slow start) is permitted by own facts only. What lies between (a write to a
+// believed primary, a read by a believed position) needs confirmation, which expires.
 func Judge(u Use, f Fact, listed bool, s Settings) Verdict {
 	switch u {
 	case Probe, Write, Read:
@@ -144,21 +144,21 @@
 	return Verdict{true, ReasonConfirmedByPeer}
 }
 
-// Mark is how far a copy, or what somebody remembers of one, goes: a start of the router, and a number that rises while it runs.
+// Mark is the extent of a copy: a start of the router, and a number that rises while it runs.
 type Mark struct{ Epoch, Number uint64 }
 
-// Standing is how a copy stands to what others have seen of the router that wrote it.
+// Standing is the state of a copy against what others have seen of the router that wrote it.
 type Standing uint8
 
 // The standings.
 const (
-	StandingUnseen  Standing = iota // nobody has said: nothing is proven by that
-	StandingCurrent                 // nobody has seen more
-	StandingShort                   // what a crash loses: the last batch or so
+	StandingUnseen  Standing = iota // no report: nothing is proven by that
+	StandingCurrent                 // no peer has seen more
+	StandingShort                   // within the loss of a crash: the last batch or so
 	StandingBehind                  // it was put back: a later start, or much more of the same one, was seen
 )
 
-// Compare holds a copy against the greatest mark that any peer remembers; a peer that remembers none says the zero Mark. slack
+// Compare compares a copy with the greatest mark that any peer remembers; a peer that remembers none reports the zero Mark. slack
 // is how much a crash may lose.
 func Compare(stored, seen Mark, slack uint64) Standing {
 	switch {
@@ -174,12 +174,12 @@
 	return StandingShort
 }
 
-// entryKey is what an entry is of.
+// entryKey identifies an entry's subject.
 type entryKey struct {
 	kind      crdt.Kind
 	a, b      string
 	startedAt int64
-	from      crdt.Origin // of the kinds that each origin has its own word of
+	from      crdt.Origin // of the kinds that have an entry for each origin
 }
 
 func keyOf(e *crdt.Entry) entryKey {
--- a/policy/zone/zone.go
+++ b/policy/zone/zone.go
@@ -1,6 +1,6 @@
-// Package zone decides whether a whole hall has gone dark, from how attempts at its servers end. One router among
-// many meets each server so seldom that it would lose several requests to each one of the hall, so what the hall's
-// servers show counts together. Which server gets a request, and whether a single server is well, is not decided here.
+// Package zone decides whether a whole zone is out of service, from how attempts at its endpoints end. One router among
+// many sends to each endpoint so seldom that it would lose several requests to each one of the zone, so the failures of all
+// its endpoints count together. Which endpoint gets a request, and whether a single endpoint is healthy, is not decided here.
 package zone
 
 import (
@@ -11,15 +11,15 @@
 	"lotushook/policy/clock"
 )
 
-// Settings are what the decision goes by.
+// Settings are the thresholds.
 type Settings struct {
-	Servers    int         // of a hall that stay silent, with no answer from any, before it counts as dark
-	Backoff    clock.Nanos // from the first such moment to the first try whether the hall is back
-	MaxBackoff clock.Nanos // the pause doubles with each try that fails, up to this
+	Servers    int         // endpoints of a zone that stay silent, with no answer from any, before the zone is in outage
+	Backoff    clock.Nanos // from the start of an outage to the first try whether the zone is back
+	MaxBackoff clock.Nanos // the pause doubles with each failed try, up to this
 }
 
-// Tracker knows the halls by name. It belongs to one goroutine. It remembers one entry a hall that was ever met, and
-// in it at most Settings.Servers servers.
+// Tracker tracks the zones by name. It is not safe for concurrent use. It remembers one entry for each zone seen, and
+// in it at most Settings.Servers endpoints.
 type Tracker struct {
 	settings Settings
 	zones    map[string]*state
@@ -27,13 +27,13 @@
 
 type state struct {
 	answeredAt    clock.Nanos // its last answer
-	silentServers []uint32    // servers that were asked since then and stayed silent
-	silentSince   clock.Nanos // when the first of these was asked
+	silentServers []uint32    // endpoints that had requests since then and stayed silent
+	silentSince   clock.Nanos // when the first of these was sent
 	nextTryAt     clock.Nanos
 	backoff       clock.Nanos
 }
 
-// New returns a Halls that takes every hall for lit.
+// New returns a Tracker without outages.
 func New(s Settings) (*Tracker, error) {
 	if s.Servers < 2 {
 		return nil, fmt.Errorf("hall: Servers: %d, at least 2 wanted: one server is not a hall", s.Servers)
@@ -44,7 +44,7 @@
 	return &Tracker{settings: s, zones: map[string]*state{}}, nil
 }
 
-// Answered tells that a server of a hall said anything at all, an error too.
+// Answered records that an endpoint of a zone answered, be it an error.
 func (h *Tracker) Answered(hall string, now clock.Nanos) {
 	s := h.zone(hall)
 	s.answeredAt, s.silentServers = max(s.answeredAt, now), s.silentServers[:0]
@@ -59,9 +59,9 @@
 	return s
 }
 
-// Silent tells that a server asked at a time has not answered by now, though answers usually come sooner. A
-// connection that is refused is no silence: the machine speaks. Where the hall has spoken since, it is the server's
-// own: a slow one shows late what another's answer has long disproved.
+// Silent records that an endpoint has not answered a request by now, though answers usually come sooner. A
+// refused connection is no silence: the machine answers. If the zone has answered since, the silence is the endpoint's
+// own: a slow endpoint is noticed long after another's answer.
 func (h *Tracker) Silent(hall string, server uint32, asked, now clock.Nanos) {
 	s := h.zone(hall)
 	if asked < s.answeredAt || s.inOutage(h.settings.Servers) {
@@ -83,8 +83,8 @@
 
 func (s *state) inOutage(servers int) bool { return len(s.silentServers) >= servers }
 
-// InOutage says whether a server that answered last at a time is lost with its hall. A server that spoke after the hall
-// fell silent is not; with an empty name, which is no hall, none is.
+// InOutage says whether an endpoint with a given last answer is lost with its zone. An endpoint that answered after the
+// outage began is not; with an empty name, which is no zone, none is.
 func (h *Tracker) InOutage(hall string, answered clock.Nanos) bool {
 	if len(h.zones) == 0 || hall == "" {
 		return false
@@ -93,7 +93,7 @@
 	return s != nil && s.inOutage(h.settings.Servers) && answered <= s.silentSince
 }
 
-// TryNow says whether it is time to ask one server of a dark hall whether it is back, and counts that as done.
+// TryNow says whether it is time to probe one endpoint of a zone in outage, and counts that as done.
 func (h *Tracker) TryNow(hall string, now clock.Nanos) bool {
 	s := h.zones[hall]
 	if s == nil || !s.inOutage(h.settings.Servers) || now < s.nextTryAt {
@@ -104,5 +104,5 @@
 	return true
 }
 
-// Size is the number of halls that are remembered: all that were met.
+// Size is the number of zones that are remembered: all that were seen.
 func (h *Tracker) Size() int { return len(h.zones) }
