--- a/test.sh
+++ b/test.sh
@@ -25,7 +25,7 @@
 if [ -n "$known" ]; then
   echo "known to fail (KNOWN-RED.txt):"
   cat KNOWN-RED.txt
-  go test -count=1 -run "^($known)\$" ./policy/crdt -rapid.failfile=testdata/found/TestSpread.history || echo "failed as known"
+  go test -count=1 -run "^($known)\$" ./policy/crdt -rapid.failfile=../../testdata/TestSpread.history || echo "failed as known"
 fi
 go test -skip "^(${known:-none})\$" $pure
 go test -race $rest
