--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -21,8 +21,8 @@
 	r.router.membership.logAttempt(r, action)
 	startedAt := r.router.clock.now()
 	deadlines := backend.Deadlines{Connect: r.router.clock.at(action.ConnectDeadline), Answer: r.router.clock.at(action.AttemptDeadline)}
-	if action.FreshUntil > 0 {
-		deadlines.Fresh = r.router.clock.at(action.FreshUntil)
+	if action.FreshnessDeadline > 0 {
+		deadlines.Fresh = r.router.clock.at(action.FreshnessDeadline)
 	}
 	started := r.router.pool.Start(action.Endpoint, deadlines, r.writeQuery, r.isStillWanted)
 	result := r.awaitAttempt(started, action)
--- a/internal/router/eventloop.go
+++ b/internal/router/eventloop.go
@@ -288,7 +288,7 @@
 		go o.router.findPosition(a.Endpoint)
 	case balance.WatchEndpoints: // discovery is always followed
 	case balance.WriteLog:
-		if a.Reason == balance.ReasonSuspected {
+		if a.Reason == balance.ReasonEjected {
 			o.router.membership.suspected(a.Endpoint)
 		}
 		if o.logLines++; o.logLines <= maxLogLines {
--- a/policy/balance/action.go
+++ b/policy/balance/action.go
@@ -6,39 +6,39 @@
 	"lotushook/policy/clock"
 )
 
-// ActionKind names an action.
+// ActionKind is the kind of an action.
 type ActionKind int
 
-// The actions of a step.
+// The kinds of actions that a step returns.
 const (
-	SendAttempt    ActionKind = iota + 1 // start an attempt
-	RejectRequest                        // final: the client may come again after RetryAfter
-	FailRequest                          // final: promises nothing
-	CancelAttempt                        // call an attempt off
-	SetTimer                             // fire TimerID at TimerAt
+	SendAttempt    ActionKind = iota + 1 // send an attempt of Request to Endpoint
+	RejectRequest                        // final answer: the client may retry after RetryAfter
+	FailRequest                          // final answer: the request may have run, and a retry may not be safe
+	CancelAttempt                        // cancel an attempt in flight
+	SetTimer                             // send TimerFired with TimerID at TimerAt
 	SendProbe                            // probe Endpoint
-	WatchEndpoints                       // subscribe to the list's changes
-	WriteLog                             // a line for the operators
+	WatchEndpoints                       // subscribe to changes of the endpoint list
+	WriteLog                             // write Message to the operators' log
 )
 
-// Action is one decision.
+// Action is one decision of a step. Its kind determines which fields are set.
 type Action struct {
-	Kind            ActionKind
-	Reason          Reason
-	Request         string
-	Attempt         int
-	Endpoint        EndpointID
-	AttemptDeadline clock.Nanos // SendAttempt: when the attempt is given up
-	ConnectDeadline clock.Nanos // SendAttempt: when it is given up unless a connection is there; nothing ran
-	FreshUntil      clock.Nanos // SendAttempt: after it the endpoint may be too far behind: NotEligible, unsent; 0: never
-	RetryAfter      clock.Nanos // RejectRequest: 0: no time is named
-	TimerAt         clock.Nanos
-	TimerID         int64
-	Message         string // WriteLog
+	Kind              ActionKind
+	Reason            Reason
+	Request           string
+	Attempt           int
+	Endpoint          EndpointID
+	AttemptDeadline   clock.Nanos // SendAttempt: when to abort the attempt
+	ConnectDeadline   clock.Nanos // SendAttempt: when to abort it if no connection is up, so that nothing ran
+	FreshnessDeadline clock.Nanos // SendAttempt: if unsent by then, end it as NotEligible, as the endpoint may lag too far; 0: none
+	RetryAfter        clock.Nanos // RejectRequest: 0: the rejection names no time
+	TimerAt           clock.Nanos
+	TimerID           int64
+	Message           string // WriteLog
 }
 
-// log writes a line for the operators about an endpoint.
-func (b *Balancer) log(reason Reason, about *endpoint, format string, args ...any) {
+// log adds an action that writes a log line about an endpoint.
+func (lb *Balancer) log(reason Reason, subject *endpoint, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
-	b.act(Action{Kind: WriteLog, Reason: reason, Endpoint: about.id, Message: message})
+	lb.emit(Action{Kind: WriteLog, Reason: reason, Endpoint: subject.id, Message: message})
 }
--- a/policy/balance/balance_test.go
+++ b/policy/balance/balance_test.go
@@ -136,7 +136,7 @@
 
 // hear lets a replica prove a position by answering a read of class any.
 func (r *rig) hear(node EndpointID, pos clock.Nanos) {
-	r.b.setReported(r.b.groups.endpoints[node], Replica, pos)
+	r.b.recordReport(r.b.groups.endpoints[node], Replica, pos)
 }
 
 func TestOrdinaryPath(t *testing.T) {
@@ -447,7 +447,7 @@
 func TestOldReportDoesNotBringARoleBack(t *testing.T) {
 	r := newRig(t, nil)
 	r.members(2)
-	r.b.setReported(r.b.groups.endpoints[1], Replica, 0)
+	r.b.recordReport(r.b.groups.endpoints[1], Replica, 0)
 	r.b.groups.endpoints[1].probing = true
 	r.step(Event{Kind: ProbeEnded, Endpoint: 1, Outcome: Succeeded, Role: Primary, Position: r.now})
 	if r.b.groups.byID[1].primary != nil {
@@ -462,13 +462,13 @@
 	n := r.b.groups.endpoints[1]
 	n.limit = 12
 	for range 12 {
-		r.b.observeLoad(n, 1)
+		r.b.recordLoad(n, 1)
 	}
 	if n.limit < 12*0.7 {
 		t.Errorf("limit %.1f after one slow round trip, want most of 12", n.limit)
 	}
 	for range 200 {
-		r.b.observeLoad(n, 1)
+		r.b.recordLoad(n, 1)
 	}
 	if n.limit != minLimit {
 		t.Errorf("limit %.1f of a node that stays slow, want the least", n.limit)
@@ -599,7 +599,7 @@
 		for range 200 {
 			g := r.b.groups.byID[1]
 			for range 100_000 {
-				g.answers.Add(r.now, r.b.maxDeadline, c.load)
+				g.load.Add(r.now, r.b.maxDeadline, c.load)
 			}
 			_, acts := r.in(cAny, "")
 			for _, a := range of(RejectRequest, acts) {
@@ -674,7 +674,7 @@
 		r.step(Event{Kind: RequestAbandoned, Request: id})
 		r.out(id, 0, node, Canceled, RoleUnknown, 0)
 	}
-	if got := r.b.groups.byID[1].answers.Value(r.now, r.b.maxDeadline, calmLoad, calmAnswers); got < overloadShare {
+	if got := r.b.groups.byID[1].load.Value(r.now, r.b.maxDeadline, priorLoad, priorAnswers); got < overloadShare {
 		t.Errorf("group load %.2f after 20 clients left unanswered at most of the aim", got)
 	}
 }
@@ -684,13 +684,13 @@
 func TestReportedQueueIsAvoided(t *testing.T) {
 	r := newRig(t, func(s *Settings) { s.ProbesReportPosition = true })
 	r.members(3)
-	before := r.b.groups.byID[1].answers.Value(r.now, r.b.maxDeadline, calmLoad, calmAnswers)
+	before := r.b.groups.byID[1].load.Value(r.now, r.b.maxDeadline, priorLoad, priorAnswers)
 	for node, waiting := range map[EndpointID]int{2: 0, 3: 12} {
 		r.b.groups.endpoints[node].probing = true
 		r.step(Event{Kind: ProbeEnded, Endpoint: node, Outcome: Succeeded, Role: Replica, Position: r.now, HasLoad: true,
 			Waiting: waiting, Active: waiting + 3})
 	}
-	if r.b.groups.byID[1].answers.Value(r.now, r.b.maxDeadline, calmLoad, calmAnswers) <= before {
+	if r.b.groups.byID[1].load.Value(r.now, r.b.maxDeadline, priorLoad, priorAnswers) <= before {
 		t.Error("a queue of 12 did not raise the group's load")
 	}
 	got := map[EndpointID]int{}
@@ -740,8 +740,8 @@
 		r.now += 60e9
 		r.step(Event{Kind: EndpointSnapshot, Endpoints: []Endpoint{{ID: 1, Group: 1}, {ID: 1000 + i, Group: 1, StartedAt: r.now}}})
 	}
-	if got := len(r.b.groups.endpoints); got > 4 || got != len(r.b.groups.byID[1].members) || r.b.groups.endpoints[1] == nil {
-		t.Errorf("%d nodes and %d members after 200 replacements", got, len(r.b.groups.byID[1].members))
+	if got := len(r.b.groups.endpoints); got > 4 || got != len(r.b.groups.byID[1].endpoints) || r.b.groups.endpoints[1] == nil {
+		t.Errorf("%d nodes and %d members after 200 replacements", got, len(r.b.groups.byID[1].endpoints))
 	}
 }
 
@@ -830,7 +830,7 @@
 		r.now += 500 * ms
 	}
 	for range 4 {
-		r.b.countFailure(n, 80*ms)
+		r.b.recordFailure(n, 80*ms)
 	}
 	if !n.health.Ejected() {
 		t.Error("trusted after four failures in a row")
@@ -885,7 +885,7 @@
 		n := r.b.groups.endpoints[2]
 		n.weight = weight
 		for range 100 {
-			r.b.observeLoad(n, 1)
+			r.b.recordLoad(n, 1)
 		}
 		if n.limit != want {
 			t.Errorf("weight %v: limit %v, want %v", weight, n.limit, want)
--- a/policy/balance/balancer.go
+++ b/policy/balance/balancer.go
@@ -15,97 +15,97 @@
 )
 
 const (
-	tickBatches      = 4   // endpoint health and queued requests are examined once in so many batches
-	minZoneSize      = 3   // silent servers of a zone, with no answer from any, that make an outage
-	maxZoneBackoff   = 8   // longest time between probes of a lost zone, in shortest latency objectives
-	initialLoad      = 0.2 // of an endpoint before any answer, as a share of the latency objective
-	zoneProbeShare   = 0.1 // chance at each tick that one endpoint of a lost zone is probed
-	sessionDeadlines = 16  // sessions and withdrawn endpoints are remembered for so many longest deadlines
+	batchesPerTick     = 4   // batch intervals between two checks of endpoint health and queued requests
+	minSilent          = 3   // silent endpoints of a zone, with no other answering, that make a zone outage
+	maxZoneBackoff     = 8   // max time between probes of a zone in outage, in shortest latency objectives
+	initialLoad        = 0.2 // load of an endpoint before its first answer, as a share of the latency objective
+	zoneProbeChance    = 0.1 // probability per tick that an endpoint of a zone in outage is probed
+	retentionDeadlines = 16  // how long sessions and removed endpoints are remembered, in longest deadlines
 )
 
 // Balancer is one router instance. It is not safe for concurrent use.
 type Balancer struct {
-	settings  Settings
-	now       clock.Nanos
-	random    *seeded.Generator
-	actions   []Action
-	ticking   bool // a timer for the next tick is set
-	groups    groupTable
-	requests  requestTable
-	classes   *estimate.Classes
-	rank      []int // queue indexes, most priority weight for work first
-	sessions  *session.Commits
-	slowStart *slowstart.Budget
-	zones     *zone.Tracker
-	quotas    *quota.Quotas
-	outliers  outlier.Settings
-	lostShare float64 // share of attempts that were lost at endpoints that answered others
+	settings        Settings
+	now             clock.Nanos
+	random          *seeded.Generator
+	actions         []Action // of the current step
+	tickScheduled   bool
+	groups          groupTable
+	requests        requestTable
+	classes         *estimate.Classes
+	order           []int // queue indexes by descending priority weight per unit of work
+	sessions        *session.Commits
+	slowStart       *slowstart.Budget
+	zones           *zone.Tracker
+	quotas          *quota.Quotas
+	outlierSettings outlier.Settings
+	lostShare       float64 // recent share of attempts that were lost at endpoints that answered others
 
-	minObjective, maxDeadline clock.Nanos // of all classes: the shortest objective, the longest deadline
+	minObjective, maxDeadline clock.Nanos // shortest latency objective and longest deadline of all classes
 }
 
-// New returns a router that knows nothing but its settings. The seed determines all of its draws.
+// New returns a router with the given settings and no endpoints. The seed determines all random choices.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := validate(&settings); err != nil {
 		return nil, fmt.Errorf("balance: %w", err)
 	}
 	settings.Classes, settings.Tenants = slices.Clone(settings.Classes), slices.Clone(settings.Tenants)
-	objectives, deadlines := settings.classSpans()
+	objectives, deadlines := settings.classTimes()
 	unit, random := slices.Min(objectives), seeded.New(seed)
-	zones, err := zone.New(zone.Settings{Servers: minZoneSize, Backoff: unit, MaxBackoff: maxZoneBackoff * unit})
-	b := &Balancer{
-		settings:     settings,
-		random:       random,
-		groups:       newGroupTable(queuesPerClass * len(settings.Classes)),
-		requests:     newRequestTable(),
-		classes:      estimate.New(objectives),
-		sessions:     session.NewCommits(settings.MaxQueued, sessionDeadlines*slices.Max(deadlines)),
-		slowStart:    slowstart.New(settings.slowStart(), settings.Routers, random),
-		zones:        zones,
-		quotas:       quota.New(settings.tenantQuotas()),
-		outliers:     outlier.Settings{Unit: unit, HighLoad: overloadShare},
-		minObjective: unit, maxDeadline: slices.Max(deadlines),
+	zones, err := zone.New(zone.Settings{Servers: minSilent, Backoff: unit, MaxBackoff: maxZoneBackoff * unit})
+	lb := &Balancer{
+		settings:        settings,
+		random:          random,
+		groups:          newGroupTable(queuesPerClass * len(settings.Classes)),
+		requests:        newRequestTable(),
+		classes:         estimate.New(objectives),
+		sessions:        session.NewCommits(settings.MaxQueued, retentionDeadlines*slices.Max(deadlines)),
+		slowStart:       slowstart.New(settings.slowStart(), settings.Routers, random),
+		zones:           zones,
+		quotas:          quota.New(settings.tenantQuotas()),
+		outlierSettings: outlier.Settings{Unit: unit, HighLoad: overloadShare},
+		minObjective:    unit, maxDeadline: slices.Max(deadlines),
 	}
-	for queue := range queuesPerClass * len(settings.Classes) {
-		b.rank = append(b.rank, queue)
+	for queueIndex := range queuesPerClass * len(settings.Classes) {
+		lb.order = append(lb.order, queueIndex)
 	}
-	b.rankQueues()
-	return b, err
+	lb.sortQueues()
+	return lb, err
 }
 
-// Step takes a batch's events and returns what to do now. A clock earlier than the last counts as the last.
-func (b *Balancer) Step(now clock.Nanos, events []Event) []Action {
-	b.now = max(b.now, now)
-	b.actions = nil
+// Step handles a batch of events and returns the resulting actions. It ignores a clock that goes backwards.
+func (lb *Balancer) Step(now clock.Nanos, events []Event) []Action {
+	lb.now = max(lb.now, now)
+	lb.actions = nil
 	for i := range events {
-		b.handle(&events[i])
+		lb.handle(&events[i])
 	}
-	for _, g := range b.groups.order {
-		b.placeQueued(g)
+	for _, group := range lb.groups.order {
+		lb.placeQueued(group)
 	}
-	if !b.ticking && len(b.requests.byID) > 0 {
-		b.ticking = true
-		b.act(Action{Kind: SetTimer, TimerAt: b.now + tickBatches*b.settings.BatchInterval})
+	if !lb.tickScheduled && len(lb.requests.byID) > 0 {
+		lb.tickScheduled = true
+		lb.emit(Action{Kind: SetTimer, TimerAt: lb.now + batchesPerTick*lb.settings.BatchInterval})
 	}
-	return b.actions
+	return lb.actions
 }
 
-func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
+func (lb *Balancer) emit(action Action) { lb.actions = append(lb.actions, action) }
 
-// tick examines all endpoints and reconsiders all queued requests.
-func (b *Balancer) tick() {
-	b.ticking = false
-	b.rankQueues()
-	if b.slowStart.LearnDue(b.now) {
-		b.learnDemand()
+// tick checks all endpoints and makes the queued requests of all groups eligible for placement.
+func (lb *Balancer) tick() {
+	lb.tickScheduled = false
+	lb.sortQueues()
+	if lb.slowStart.LearnDue(lb.now) {
+		lb.learnDemand()
 	}
-	for _, g := range b.groups.order {
-		g.changed = true
-		for _, ep := range g.members {
-			b.checkSilence(ep)
-			lost := b.inZoneOutage(ep) && ep.state == Ready
-			if lost && b.random.Draw() < zoneProbeShare && b.zones.TryNow(ep.zone, b.now) {
-				b.probe(ep) // a read sent for the same answer would be lost
+	for _, group := range lb.groups.order {
+		group.placementDue = true
+		for _, ep := range group.endpoints {
+			lb.checkSilence(ep)
+			lost := lb.inZoneOutage(ep) && ep.state == Ready
+			if lost && lb.random.Draw() < zoneProbeChance && lb.zones.TryNow(ep.zone, lb.now) {
+				lb.probe(ep) // not a canary request, as a read could be lost
 			}
 		}
 	}
--- a/policy/balance/cold_test.go
+++ b/policy/balance/cold_test.go
@@ -213,7 +213,7 @@
 		*fresh.b.random, fresh.next = *old.b.random, old.next
 		e := Event{Kind: EndpointSnapshot}
 		for _, g := range old.b.groups.order {
-			for _, n := range g.members {
+			for _, n := range g.endpoints {
 				e.Endpoints = append(e.Endpoints, Endpoint{ID: n.id, Group: g.id, Zone: "a", Primary: c.nodes[n.id].primary, Weight: n.weight, StartedAt: n.startedAt})
 			}
 		}
--- a/policy/balance/endpoint.go
+++ b/policy/balance/endpoint.go
@@ -11,104 +11,105 @@
 	"lotushook/policy/timequeue"
 )
 
-// endpoint is one data server as this router knows it.
+// endpoint is the router's view of one data server.
 type endpoint struct {
 	id             EndpointID
 	group          *group
 	zone           string
-	weight         float64 // size against the usual endpoint
+	weight         float64 // size relative to the default endpoint
 	state          EndpointState
-	withdrawn      bool // the list calls it removed
-	listedPrimary  bool // the list calls it primary
-	role           Role // by its own word
-	position       LogPosition
-	positionAt     clock.Nanos // when position was reported
-	searchedAt     clock.Nanos // sent a write to find the primary, or said that it is none; 0: neither
-	connectedUntil clock.Nanos // an idle connection to it is likely until then
+	listedRemoved  bool        // in the endpoint list
+	listedPrimary  bool        // in the endpoint list
+	role           Role        // last one that the endpoint reported
+	position       LogPosition // highest one that the endpoint reported
+	positionAt     clock.Nanos // when a position was last reported
+	searchedAt     clock.Nanos // when the primary search last tried it, or it rejected a write; 0: never
+	connectedUntil clock.Nanos // until then an idle connection to it probably exists
 	probing        bool
 	attempts       []*attempt // in flight
 	limit          float64    // of attempts in flight
 	health         outlier.Health
 	warmUp         slowstart.Window
 
-	startedAt, answeredAt clock.Nanos // last each
+	startedAt, answeredAt clock.Nanos // time of the last start and of the last answer
 }
 
 // group is one replication group: a primary and its replicas.
 type group struct {
 	id              int64
-	members         []*endpoint // by id
-	primary         *endpoint   // last named primary by list or answers; nil: none
-	primaryPosition LogPosition // of the answer that named it
+	endpoints       []*endpoint // by id
+	primary         *endpoint   // last one named by the endpoint list or by an answer; nil: unknown
+	primaryPosition LogPosition // highest position of an answer that named the primary
 	queues          []timequeue.Queue[*request]
-	answers         decay.Mean // answers' shares of their latency objectives
+	load            decay.Mean // recent response times, as shares of their latency objectives
 	demand          slowstart.Demand
-	changed         bool     // a queued request may be placed now
-	search          *attempt // the last write that looked for the primary
+	placementDue    bool     // a queued request may have become placeable
+	search          *attempt // last write sent to an endpoint that was not known to be the primary
 
 	nextSearchAt, nextProbeAt clock.Nanos
 }
 
-func (b *Balancer) updateEndpoints(e *Event) {
-	first := len(b.groups.endpoints) == 0
+func (lb *Balancer) updateEndpoints(event *Event) {
+	first := len(lb.groups.endpoints) == 0
 	listed := map[EndpointID]bool{}
-	for i := range e.Endpoints {
-		listed[e.Endpoints[i].ID] = true
-		b.updateEndpoint(&e.Endpoints[i])
+	for i := range event.Endpoints {
+		listed[event.Endpoints[i].ID] = true
+		lb.updateEndpoint(&event.Endpoints[i])
 	}
-	for _, g := range b.groups.order {
-		for _, ep := range g.members {
-			if e.Kind == EndpointSnapshot && !listed[ep.id] {
-				b.setState(ep, Removed)
+	for _, group := range lb.groups.order {
+		for _, ep := range group.endpoints {
+			if event.Kind == EndpointSnapshot && !listed[ep.id] {
+				lb.setState(ep, Removed)
 			}
 		}
-		g.members = slices.DeleteFunc(g.members, b.forget)
-		g.changed = true
+		group.endpoints = slices.DeleteFunc(group.endpoints, lb.evictStale)
+		group.placementDue = true
 	}
-	if first && b.settings.WatchRequired {
-		b.act(Action{Kind: WatchEndpoints})
+	if first && lb.settings.WatchRequired {
+		lb.emit(Action{Kind: WatchEndpoints})
 	}
 }
 
-// forget drops an endpoint that was withdrawn and long silent, so that replaced ones do not accumulate.
-func (b *Balancer) forget(ep *endpoint) bool {
-	silent := b.now-ep.answeredAt > sessionDeadlines*b.maxDeadline
-	old := ep.withdrawn && silent && len(ep.attempts) == 0 && ep != ep.group.primary
-	if old {
-		delete(b.groups.endpoints, ep.id)
+// evictStale forgets an endpoint that is removed and long silent, so that replaced ones do not accumulate.
+func (lb *Balancer) evictStale(ep *endpoint) bool {
+	silent := lb.now-ep.answeredAt > retentionDeadlines*lb.maxDeadline
+	stale := ep.listedRemoved && silent && len(ep.attempts) == 0 && ep != ep.group.primary
+	if stale {
+		delete(lb.groups.endpoints, ep.id)
 	}
-	return old
+	return stale
 }
 
-func (b *Balancer) updateEndpoint(e *Endpoint) {
-	ep := b.groups.endpoints[e.ID]
+func (lb *Balancer) updateEndpoint(listed *Endpoint) {
+	ep := lb.groups.endpoints[listed.ID]
 	if ep == nil {
-		ep = b.addEndpoint(e)
+		ep = lb.addEndpoint(listed)
 	}
-	ep.zone, ep.weight = e.Zone, cmp.Or(max(e.Weight, 0), 1)
-	if e.StartedAt > ep.startedAt {
-		ep.startedAt = e.StartedAt
-		ep.health.Restarted(b.now)
+	ep.zone, ep.weight = listed.Zone, cmp.Or(max(listed.Weight, 0), 1)
+	if listed.StartedAt > ep.startedAt {
+		ep.startedAt = listed.StartedAt
+		ep.health.Restarted(lb.now)
 		ep.warmUp.Reset()
 	}
-	b.setState(ep, e.State)
-	b.setListedRole(ep, e.Primary)
+	lb.setState(ep, listed.State)
+	lb.setListedRole(ep, listed.Primary)
 }
 
-func (b *Balancer) addEndpoint(e *Endpoint) *endpoint {
-	limit := max(minLimit, initialLimit/b.slowStart.Routers())
-	health := outlier.New(&b.outliers, initialLoad)
-	ep := &endpoint{id: e.ID, group: b.group(e.Group), limit: limit, health: health, answeredAt: b.now}
-	b.groups.endpoints[e.ID] = ep
-	ep.group.members = append(ep.group.members, ep)
-	slices.SortFunc(ep.group.members, func(x, y *endpoint) int { return cmp.Compare(x.id, y.id) })
+func (lb *Balancer) addEndpoint(listed *Endpoint) *endpoint {
+	limit := max(minLimit, initialLimit/lb.slowStart.Routers())
+	health := outlier.New(&lb.outlierSettings, initialLoad)
+	ep := &endpoint{id: listed.ID, group: lb.group(listed.Group), limit: limit, health: health,
+		answeredAt: lb.now}
+	lb.groups.endpoints[listed.ID] = ep
+	ep.group.endpoints = append(ep.group.endpoints, ep)
+	slices.SortFunc(ep.group.endpoints, func(x, y *endpoint) int { return cmp.Compare(x.id, y.id) })
 	return ep
 }
 
-// setState applies a listed state; draining and removal bind from the batch that lists them.
-func (b *Balancer) setState(ep *endpoint, state EndpointState) {
-	ep.withdrawn = state == Removed
-	if state != Removed || !b.settings.SoftRemoval || ep.state != Ready {
+// setState applies a state from the endpoint list. Draining and removal take effect within the same step.
+func (lb *Balancer) setState(ep *endpoint, state EndpointState) {
+	ep.listedRemoved = state == Removed
+	if state != Removed || !lb.settings.SoftRemoval || ep.state != Ready {
 		ep.state = state
 	}
 	if ep.state != Ready && ep.group.primary == ep {
@@ -116,37 +117,37 @@
 	}
 }
 
-// setListedRole believes the list only where no answer knows better.
-func (b *Balancer) setListedRole(ep *endpoint, primary bool) {
-	g, news := ep.group, primary && !ep.listedPrimary
+// setListedRole uses the list's mark of the primary only where no answer has named a healthy one.
+func (lb *Balancer) setListedRole(ep *endpoint, primary bool) {
+	group, newlyMarked := ep.group, primary && !ep.listedPrimary
 	ep.listedPrimary = primary
-	outdated := b.settings.RoleVisibility == RoleAtStart && b.requests.sequence > 0
-	if !news || outdated || b.settings.RoleVisibility == RoleHidden || ep.state != Ready {
+	outdated := lb.settings.RoleVisibility == RoleAtStart && lb.requests.sequence > 0
+	if !newlyMarked || outdated || lb.settings.RoleVisibility == RoleHidden || ep.state != Ready {
 		return
 	}
-	if g.primary == nil || g.primary.health.Ejected() {
-		g.primary = ep
+	if group.primary == nil || group.primary.health.Ejected() {
+		group.primary = ep
 	}
 }
 
-// setReported takes an endpoint's own word on its role and log position. A position never falls.
-func (b *Balancer) setReported(ep *endpoint, role Role, position LogPosition) {
-	g := ep.group
-	g.changed = true
+// recordReport stores the role and log position that an endpoint reported. A position never decreases.
+func (lb *Balancer) recordReport(ep *endpoint, role Role, position LogPosition) {
+	group := ep.group
+	group.placementDue = true
 	if position > 0 {
-		ep.position, ep.positionAt = max(ep.position, position), b.now
+		ep.position, ep.positionAt = max(ep.position, position), lb.now
 	}
 	if role != RoleUnknown {
 		ep.role = role
 	}
 	switch {
-	case role == Primary && ep.state == Ready && (g.primary == nil || ep.position >= g.primaryPosition):
-		if g.primary != ep {
-			b.log(ReasonPrimaryNamed, ep, "group %d: node %d is primary", g.id, ep.id)
+	case role == Primary && ep.state == Ready && (group.primary == nil || ep.position >= group.primaryPosition):
+		if group.primary != ep {
+			lb.log(ReasonPrimaryDetected, ep, "group %d: endpoint %d is the primary", group.id, ep.id)
 		}
-		g.primary, g.primaryPosition = ep, max(g.primaryPosition, position)
-	case role == Replica && g.primary == ep:
-		b.log(ReasonPrimaryDenied, ep, "group %d: node %d is primary no more", g.id, ep.id)
-		g.primary = nil
+		group.primary, group.primaryPosition = ep, max(group.primaryPosition, position)
+	case role == Replica && group.primary == ep:
+		lb.log(ReasonPrimaryDemoted, ep, "group %d: endpoint %d is no longer primary", group.id, ep.id)
+		group.primary = nil
 	}
 }
--- a/policy/balance/event.go
+++ b/policy/balance/event.go
@@ -2,13 +2,13 @@
 
 import "lotushook/policy/clock"
 
-// EndpointID names an endpoint. It is the same at all routers.
+// EndpointID identifies an endpoint. All routers use the same IDs.
 type EndpointID uint32
 
-// LogPosition is a point of the clock up to which an endpoint has applied all commits.
+// LogPosition is the time up to which an endpoint has applied all commits.
 type LogPosition = clock.Nanos
 
-// EndpointState is an endpoint's state in the list.
+// EndpointState is an endpoint's state in the endpoint list.
 type EndpointState int
 
 // The states of a listed endpoint.
@@ -18,31 +18,31 @@
 	Removed
 )
 
-// Role is what an endpoint said of itself.
+// Role is the role that an endpoint reports for itself.
 type Role int
 
-// The roles; RoleUnknown when nothing was said.
+// The roles. RoleUnknown: the endpoint reported none.
 const (
 	RoleUnknown Role = iota
 	Primary
 	Replica
 )
 
-// Endpoint is one entry of the list of data servers.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
 	Group     int64
 	Zone      string
 	State     EndpointState
 	Primary   bool
-	Weight    float64     // size against the usual endpoint
-	StartedAt clock.Nanos // latest start; 0: long past
+	Weight    float64     // size relative to the default endpoint
+	StartedAt clock.Nanos // time of the latest start; 0: started long ago
 }
 
-// Outcome says how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome int
 
-// The outcomes. Busy, ConnectionRefused, NotSent and NotEligible prove that nothing ran.
+// The outcomes. Busy, ConnectionRefused, NotSent and NotEligible prove that the request did not run.
 const (
 	Succeeded Outcome = iota + 1
 	Failed
@@ -52,66 +52,66 @@
 	ConnectionReset
 	Canceled
 	NotSent     // the router itself could not send
-	NotEligible // the endpoint is no primary, or too far behind
+	NotEligible // the endpoint is not the primary, or it lags too far for the read
 )
 
-// mayRun says whether an outcome leaves open that the attempt ran.
+// mayRun reports whether the request may have run in an attempt with this outcome.
 func (o Outcome) mayRun() bool {
 	return o != Busy && o != ConnectionRefused && o != NotSent && o != NotEligible
 }
 
-// isAnswer says whether the endpoint itself answered.
+// isAnswer reports whether the endpoint itself answered.
 func (o Outcome) isAnswer() bool {
 	return o == Succeeded || o == NotEligible || o == Busy || o == Failed
 }
 
-// EventKind names an event.
+// EventKind is the kind of an event.
 type EventKind int
 
-// The events of a batch.
+// The kinds of events.
 const (
-	EndpointSnapshot  EventKind = iota + 1 // the complete list of endpoints
-	EndpointUpdate                         // changed entries only
-	RequestArrived                         // a client's request
-	AttemptEnded                           // how an attempt ended
-	RequestAbandoned                       // the client left
-	TimerFired                             // a timer that was set
-	ProbeEnded                             // how a probe ended
-	EndpointWatchLost                      // a watch of the list failed or was dropped
-	QuotaShareChanged                      // this router's share of what all have together is another one
+	EndpointSnapshot  EventKind = iota + 1 // the complete endpoint list
+	EndpointUpdate                         // the changed entries of the endpoint list
+	RequestArrived                         // a client sent a request
+	AttemptEnded                           // an attempt ended with Outcome
+	RequestAbandoned                       // the client disconnected or stopped waiting
+	TimerFired                             // a timer requested by SetTimer fired
+	ProbeEnded                             // a probe ended with Outcome
+	EndpointWatchLost                      // the subscription to the endpoint list failed or was dropped
+	QuotaShareChanged                      // this router's share of the quotas of all routers changed
 )
 
-// Event is one thing that happened; its kind says which fields count.
+// Event is one input to a step. Its kind determines which fields are read.
 type Event struct {
 	Kind      EventKind
 	Endpoints []Endpoint // EndpointSnapshot, EndpointUpdate
 
 	Request   string // RequestArrived, AttemptEnded, RequestAbandoned
-	Class     int    // index in Settings.Classes; negative when unknown
-	Tenant    int    // index in Settings.Tenants; negative when none
+	Class     int    // index in Settings.Classes; negative: unknown class
+	Tenant    int    // index in Settings.Tenants; negative: no tenant
 	Session   string
 	Deadline  clock.Nanos
 	Group     int64
-	CommitAge clock.Nanos // ClientPositions: time since the session's last commit; 0: none
-	OverQuota bool        // its sender is beyond its share: others are placed before it
+	CommitAge clock.Nanos // with ClientPositions: time since the session's last commit; 0: none
+	OverQuota bool        // the sender exceeds its share, so that other requests are placed first
 
 	Attempt  int // AttemptEnded
 	Endpoint EndpointID
 	Outcome  Outcome
-	Final    bool // the client has its answer
+	Final    bool // the client has received this attempt's answer
 	Role     Role
 	Position LogPosition // 0: not reported
 
-	HasLoad bool // ProbeEnded: the next two were reported
-	Waiting int  // requests in the endpoint's waiting room
-	Active  int  // all that it holds
+	HasLoad bool // ProbeEnded: Waiting and Active were reported
+	Waiting int  // requests queued at the endpoint
+	Active  int  // all requests at the endpoint, those queued included
 
 	TimerID int64 // TimerFired
 
-	Share float64 // QuotaShareChanged: from 0 to 1; before the first it is one part in Settings.Routers
+	Share float64 // QuotaShareChanged: from 0 to 1; until the first event it is 1/Settings.Routers
 }
 
-// handlers has the method for each kind of event.
+// handlers maps each kind of event to its method.
 var handlers = map[EventKind]func(*Balancer, *Event){
 	EndpointSnapshot:  (*Balancer).updateEndpoints,
 	EndpointUpdate:    (*Balancer).updateEndpoints,
@@ -124,21 +124,21 @@
 	QuotaShareChanged: (*Balancer).quotaShareChanged,
 }
 
-// handle hands an event to its method. A kind that is not known is ignored.
-func (b *Balancer) handle(e *Event) {
-	if handler := handlers[e.Kind]; handler != nil {
-		handler(b, e)
+// handle dispatches an event. Events of unknown kinds are ignored.
+func (lb *Balancer) handle(event *Event) {
+	if handler := handlers[event.Kind]; handler != nil {
+		handler(lb, event)
 	}
 }
 
-func (b *Balancer) timerFired(e *Event) {
-	if e.TimerID == 0 {
-		b.tick()
-	} else if r := b.requests.bySequence[e.TimerID]; r != nil && r.queued {
-		b.expire(r)
+func (lb *Balancer) timerFired(event *Event) {
+	if event.TimerID == 0 {
+		lb.tick()
+	} else if req := lb.requests.bySequence[event.TimerID]; req != nil && req.queued {
+		lb.expire(req)
 	}
 }
 
-func (b *Balancer) endpointWatchLost(*Event) { b.act(Action{Kind: WatchEndpoints}) }
+func (lb *Balancer) endpointWatchLost(*Event) { lb.emit(Action{Kind: WatchEndpoints}) }
 
-func (b *Balancer) quotaShareChanged(e *Event) { b.slowStart.SetShare(e.Share) }
+func (lb *Balancer) quotaShareChanged(event *Event) { lb.slowStart.SetShare(event.Share) }
--- a/policy/balance/fleet_test.go
+++ b/policy/balance/fleet_test.go
@@ -452,7 +452,7 @@
 			t.Fatalf("%+v", acts)
 		}
 		first := sends[0]
-		if last := r.b.lastStart(r.b.requests.byID[id]); first.ConnectDeadline <= r.now || first.ConnectDeadline >= last || first.ConnectDeadline > first.AttemptDeadline {
+		if last := r.b.startDeadline(r.b.requests.byID[id]); first.ConnectDeadline <= r.now || first.ConnectDeadline >= last || first.ConnectDeadline > first.AttemptDeadline {
 			t.Errorf("class %d: up by %d of %d ms", class, (first.ConnectDeadline-r.now)/ms, (last-r.now)/ms)
 		}
 		r.now = first.ConnectDeadline
--- a/policy/balance/handover_test.go
+++ b/policy/balance/handover_test.go
@@ -19,7 +19,7 @@
 		}
 		read, acts := r.in(cAny, "")
 		r.out(read, 0, r.sentTo(acts), Succeeded, Replica, r.now-100*ms)
-		r.b.setReported(r.b.groups.endpoints[2], Primary, r.now) // as its answer to another router's write, or a probe, tells it
+		r.b.recordReport(r.b.groups.endpoints[2], Primary, r.now) // as its answer to another router's write, or a probe, tells it
 		r.now += 10 * ms
 		r.out(old, 0, 1, Succeeded, Primary, pos)
 		if p := r.b.groups.byID[1].primary; p == nil || p.id != 2 {
--- a/policy/balance/health.go
+++ b/policy/balance/health.go
@@ -5,155 +5,153 @@
 	"lotushook/policy/outlier"
 )
 
-const lostWeight = 0.01 // of the newest attempt, in the share of lost ones
+const lostShareWeight = 0.01 // weight of the newest attempt in Balancer.lostShare
 
-// observe learns of the endpoint from how an attempt ended.
-func (b *Balancer) observe(a *attempt, e *Event) {
-	ep, usual := a.endpoint, b.classes.Work(a.request.class)
-	work := clock.Nanos(usual)
-	switch e.Outcome {
+func (lb *Balancer) recordOutcome(attempt *attempt, event *Event) {
+	ep, work := attempt.endpoint, lb.classes.Work(attempt.request.class)
+	workNanos := clock.Nanos(work)
+	switch event.Outcome {
 	case Succeeded:
-		b.observeSuccess(a, e)
+		lb.recordSuccess(attempt, event)
 	case NotEligible:
-		ep.searchedAt = b.now // it is not the primary: a write moves on to the others first
-		b.readmit(ep)
-	case Busy: // a full or draining endpoint answers fast and would look idle: it gets less
-		ep.limit = max(b.minLimitOf(ep), ep.limit-limitStep)
-		ep.health.AddBusy(b.now, work)
+		ep.searchedAt = lb.now // it is not the primary: a primary search tries the others first
+		lb.readmit(ep)
+	case Busy: // lower the limit: an overloaded or draining endpoint rejects fast and would look idle
+		ep.limit = max(lb.minLimitOf(ep), ep.limit-limitStep)
+		ep.health.AddBusy(lb.now, workNanos)
 	case Failed:
 		ep.health.AddError()
-		if e.Role == Primary { // it is there, and no other endpoint takes what only it can do
-			ep.health.PauseFor(b.now, clock.Nanos(usual/2))
+		if event.Role == Primary { // the primary is up, and no other endpoint can replace it
+			ep.health.PauseFor(lb.now, clock.Nanos(work/2))
 		} else {
-			b.countFailure(ep, work)
+			lb.recordFailure(ep, workNanos)
 		}
 	case ConnectionRefused:
-		if b.now-a.sentAt > work { // its machine did not even refuse
-			b.zoneSilent(a)
+		if lb.now-attempt.sentAt > workNanos { // a connect timeout, not ECONNREFUSED: the host may be gone
+			lb.recordZoneSilence(attempt)
 		}
 		ep.health.SetDown()
 		fallthrough
 	case ConnectionReset:
 		ep.connectedUntil = 0
-		b.countFailure(ep, work)
+		lb.recordFailure(ep, workNanos)
 	case Canceled, TimedOut:
-		b.observeSilence(a, e.Outcome == TimedOut)
+		lb.recordUnanswered(attempt, event.Outcome == TimedOut)
 	}
-	if e.Outcome.isAnswer() {
-		b.zones.Answered(ep.zone, b.now)
-		ep.answeredAt, ep.connectedUntil = b.now, b.now+b.settings.IdleTimeout/2
-		b.setReported(ep, e.Role, e.Position)
+	if event.Outcome.isAnswer() {
+		lb.zones.Answered(ep.zone, lb.now)
+		ep.answeredAt, ep.connectedUntil = lb.now, lb.now+lb.settings.IdleTimeout/2
+		lb.recordReport(ep, event.Role, event.Position)
 	}
 }
 
-func (b *Balancer) observeSuccess(a *attempt, e *Event) {
-	ep, class := a.endpoint, a.request.class
-	elapsed, work := float64(b.now-a.sentAt), b.classes.Work(class)
-	b.observeLoad(ep, elapsed/b.classes.Patience(class))
-	b.classes.Answered(class, elapsed)
-	b.slowStart.Answered(work)
-	if ep != ep.group.primary && elapsed > float64(b.minObjective)/2 && e.Position > 0 {
-		b.classes.Lagged(class, float64(b.now-e.Position)/elapsed)
+func (lb *Balancer) recordSuccess(attempt *attempt, event *Event) {
+	ep, class := attempt.endpoint, attempt.request.class
+	elapsed, work := float64(lb.now-attempt.sentAt), lb.classes.Work(class)
+	lb.recordLoad(ep, elapsed/lb.classes.Patience(class))
+	lb.classes.Answered(class, elapsed)
+	lb.slowStart.Answered(work)
+	if ep != ep.group.primary && elapsed > float64(lb.minObjective)/2 && event.Position > 0 {
+		lb.classes.Lagged(class, float64(lb.now-event.Position)/elapsed)
 	}
 	ep.health.AddSuccess()
-	b.lostShare -= lostWeight * b.lostShare
-	b.readmit(ep)
+	lb.lostShare -= lostShareWeight * lb.lostShare
+	lb.readmit(ep)
 }
 
-func (b *Balancer) countFailure(ep *endpoint, work clock.Nanos) {
-	if ep.health.AddFailure(b.now, work) {
-		b.eject(ep, "fails")
+func (lb *Balancer) recordFailure(ep *endpoint, work clock.Nanos) {
+	if ep.health.AddFailure(lb.now, work) {
+		lb.eject(ep, "fails")
 	}
 }
 
-func (b *Balancer) zoneSilent(a *attempt) {
-	if b.settings.ProbesAllowed {
-		b.zones.Silent(a.endpoint.zone, uint32(a.endpoint.id), a.sentAt, b.now)
+func (lb *Balancer) recordZoneSilence(attempt *attempt) {
+	if lb.settings.ProbesAllowed {
+		lb.zones.Silent(attempt.endpoint.zone, uint32(attempt.endpoint.id), attempt.sentAt, lb.now)
 	}
 }
 
-// observeSilence counts an attempt that ended unanswered as slow, or only survivors would count; as slow as
-// one latency objective at most, as it may have been heavy.
-func (b *Balancer) observeSilence(a *attempt, timedOut bool) {
-	ep, class := a.endpoint, a.request.class
-	if timedOut && ep.answeredAt > a.sentAt && !ep.health.Overloaded() {
-		b.lostShare += lostWeight * (1 - b.lostShare)
-	}
-	elapsed := float64(b.now - a.sentAt)
-	b.observeLoad(ep, max(ep.health.Load(), min(elapsed/b.classes.Patience(class), 1)))
-	if !timedOut || ep.answeredAt > a.sentAt {
+// recordUnanswered counts an unanswered attempt as slow, as otherwise only the attempts that succeeded would
+// count. It counts for at most one latency objective, as the request may have been expensive.
+func (lb *Balancer) recordUnanswered(attempt *attempt, timedOut bool) {
+	ep, class := attempt.endpoint, attempt.request.class
+	if timedOut && ep.answeredAt > attempt.sentAt && !ep.health.Overloaded() {
+		lb.lostShare += lostShareWeight * (1 - lb.lostShare)
+	}
+	elapsed := float64(lb.now - attempt.sentAt)
+	lb.recordLoad(ep, max(ep.health.Load(), min(elapsed/lb.classes.Patience(class), 1)))
+	if !timedOut || ep.answeredAt > attempt.sentAt {
 		return
 	}
-	b.zoneSilent(a) // on open connections a zone outage shows only by this
-	b.countFailure(ep, clock.Nanos(b.classes.Work(class)))
+	lb.recordZoneSilence(attempt) // timeouts are the only sign of a zone outage on open connections
+	lb.recordFailure(ep, clock.Nanos(lb.classes.Work(class)))
 }
 
-// readmit ends an ejection: the endpoint has answered.
-func (b *Balancer) readmit(ep *endpoint) {
+func (lb *Balancer) readmit(ep *endpoint) {
 	wasEjected, wasDown := ep.health.Readmit()
 	if wasEjected {
-		b.log(ReasonRecovered, ep, "node %d answers again", ep.id)
+		lb.log(ReasonRecovered, ep, "endpoint %d recovered: it answers again", ep.id)
 	}
-	if wasDown { // its process was gone: it is in slow start, though the list may say that late or never
-		ep.startedAt = b.now
+	if wasDown { // its process restarted, so slow start begins; the list may show the restart late or never
+		ep.startedAt = lb.now
 	}
 }
 
-func (b *Balancer) eject(ep *endpoint, cause string) {
-	first, changed := ep.health.Eject(b.now)
+func (lb *Balancer) eject(ep *endpoint, cause string) {
+	first, changed := ep.health.Eject(lb.now)
 	if first {
-		b.log(ReasonSuspected, ep, "node %d suspect: %s", ep.id, cause)
+		lb.log(ReasonEjected, ep, "endpoint %d ejected: %s", ep.id, cause)
 	}
-	ep.group.changed = ep.group.changed || changed
+	ep.group.placementDue = ep.group.placementDue || changed
 }
 
-// checkSilence ejects an endpoint that is silent for longer than its attempts' usual times explain.
-func (b *Balancer) checkSilence(ep *endpoint) {
+// checkSilence ejects an endpoint that is silent for longer than the typical times of its attempts explain.
+func (lb *Balancer) checkSilence(ep *endpoint) {
 	ages := 0.0
-	for _, a := range ep.attempts {
-		class := a.request.class
-		usual := max(b.classes.Work(class), min(ep.health.Load(), 1)*b.classes.Patience(class))
-		ages += float64(b.now-max(ep.answeredAt, a.sentAt)) / usual
+	for _, attempt := range ep.attempts {
+		class := attempt.request.class
+		normal := max(lb.classes.Work(class), min(ep.health.Load(), 1)*lb.classes.Patience(class))
+		ages += float64(lb.now-max(ep.answeredAt, attempt.sentAt)) / normal
 	}
 	if outlier.TooSilent(ages) {
-		b.eject(ep, "silent")
+		lb.eject(ep, "silent")
 	}
 }
 
-// probeEnded takes a probe's report, which is answered beside the queue and proves no health.
-func (b *Balancer) probeEnded(e *Event) {
-	ep := b.groups.endpoints[e.Endpoint]
+// probeEnded applies a probe's report. As probes bypass the endpoint's queue, an answer proves no health.
+func (lb *Balancer) probeEnded(event *Event) {
+	ep := lb.groups.endpoints[event.Endpoint]
 	if ep == nil || !ep.probing {
 		return
 	}
 	ep.probing = false
-	if e.Outcome == Succeeded {
-		b.zones.Answered(ep.zone, b.now)
+	if event.Outcome == Succeeded {
+		lb.zones.Answered(ep.zone, lb.now)
 	}
-	role := e.Role
+	role := event.Role
 	if ep.role != RoleUnknown {
-		role = RoleUnknown // a report is old: its role must not bring back what an answer denied
+		role = RoleUnknown // probe reports lag: their role must not override the one of an answer
 	}
-	b.setReported(ep, role, e.Position) // both empty where the probe failed
-	if e.HasLoad {
-		load := initialLoad * (1 + float64(e.Waiting)/float64(max(1, e.Active-e.Waiting)))
+	lb.recordReport(ep, role, event.Position) // a failed probe reports neither
+	if event.HasLoad {
+		load := initialLoad * (1 + float64(event.Waiting)/float64(max(1, event.Active-event.Waiting)))
 		ep.health.SetLoad(load)
-		ep.group.answers.Add(b.now, b.maxDeadline, min(load, maxLoad))
+		ep.group.load.Add(lb.now, lb.maxDeadline, min(load, maxLoad))
 	}
 }
 
-func (b *Balancer) probe(ep *endpoint) {
-	if ep == nil || !b.settings.ProbesAllowed || ep.probing || ep.state != Ready {
+func (lb *Balancer) probe(ep *endpoint) {
+	if ep == nil || !lb.settings.ProbesAllowed || ep.probing || ep.state != Ready {
 		return
 	}
 	ep.probing = true
-	ep.group.nextProbeAt = b.now + b.minObjective/4
-	b.act(Action{Kind: SendProbe, Endpoint: ep.id})
+	ep.group.nextProbeAt = lb.now + lb.minObjective/4
+	lb.emit(Action{Kind: SendProbe, Endpoint: ep.id})
 }
 
-func (b *Balancer) inZoneOutage(ep *endpoint) bool { return b.zones.InOutage(ep.zone, ep.answeredAt) }
+func (lb *Balancer) inZoneOutage(ep *endpoint) bool { return lb.zones.InOutage(ep.zone, ep.answeredAt) }
 
-// usable says whether an endpoint may be sent ordinary requests.
-func (b *Balancer) usable(ep *endpoint) bool {
-	return ep != nil && ep.state == Ready && ep.health.Available(b.now) && !b.inZoneOutage(ep)
+// usable reports whether an endpoint may receive requests other than canary requests.
+func (lb *Balancer) usable(ep *endpoint) bool {
+	return ep != nil && ep.state == Ready && ep.health.Available(lb.now) && !lb.inZoneOutage(ep)
 }
--- a/policy/balance/queue.go
+++ b/policy/balance/queue.go
@@ -9,162 +9,164 @@
 )
 
 const (
-	queuesPerClass = 2   // requests within their tenant's quota, and those beyond it
-	scanDepth      = 16  // queued requests of a class looked at for one that can go
-	minLateWeight  = 3.0 // times the cost of failing late: from there on a request waits past its objective
+	queuesPerClass   = 2   // one for requests within their tenant's quota, one for those beyond it
+	scanDepth        = 16  // max queued requests of a queue that are examined per placement
+	lateWeightFactor = 3.0 // a request waits past its objective if LateWeight exceeds so many LateFailureCosts
 )
 
 // request is one client's request from its arrival to its final answer.
 type request struct {
-	id              string
-	sequence        int64
-	class, queue    int // indexes in Settings.Classes and in its group's queues
-	group           *group
-	session         session.Key
-	mustSee         LogPosition // that the endpoint of a read must have applied
-	objective       clock.Nanos // an answer until then is in time
-	attempts        []*attempt
-	inFlight        int // attempts
-	queued, ended   bool
-	reached         bool    // an attempt reached its endpoint
-	foundIneligible bool    // an endpoint rejected it as too far behind, or as no primary
-	draw            float64 // for an endpoint in slow start, of the present attempt; 0: none yet
-	recentWork      float64 // asked of the router as it arrived
+	id                string
+	sequence          int64
+	class, queueIndex int // indexes in Settings.Classes and in group.queues
+	group             *group
+	session           session.Key
+	requiredPosition  LogPosition // ReadYourWrites: position that the serving endpoint must have applied
+	objective         clock.Nanos // an answer after it is late
+	attempts          []*attempt
+	inFlight          int // number of attempts in flight
+	queued, ended     bool
+	reachedEndpoint   bool    // an attempt was delivered to its endpoint
+	foundIneligible   bool    // an endpoint ended an attempt as NotEligible
+	draw              float64 // random draw of the next attempt for endpoints in slow start; 0: not drawn yet
+	workload          float64 // work recently requested of the router, as of this request's arrival
 
 	arrivedAt, queuedAt, deadline clock.Nanos
 }
 
-func (b *Balancer) requestArrived(e *Event) {
-	if b.requests.byID[e.Request] != nil {
+func (lb *Balancer) requestArrived(event *Event) {
+	if lb.requests.byID[event.Request] != nil {
 		return
 	}
-	if !b.settings.hasClass(e.Class) {
-		b.act(Action{Kind: RejectRequest, Reason: ReasonUnknownClass, Request: e.Request})
+	if !lb.settings.hasClass(event.Class) {
+		lb.emit(Action{Kind: RejectRequest, Reason: ReasonUnknownClass, Request: event.Request})
 		return
 	}
-	r := b.addRequest(e)
-	// Departure: many routers with one attempt each fill an endpoint, so limits can't hold an overload back.
-	// There what is beyond is rejected at once, and may come again.
-	if b.slowStart.Routers()*minLimit > initialLimit && b.groupOverloaded(r.group) {
-		b.giveUp(r, ReasonGroupOverloaded)
+	req := lb.addRequest(event)
+	// Departure: many routers with one attempt each can fill an endpoint, so that limits can't stop an overload.
+	// Therefore the excess is rejected at once, and its clients may retry.
+	if lb.slowStart.Routers()*minLimit > initialLimit && lb.groupOverloaded(req.group) {
+		lb.endUnserved(req, ReasonGroupOverloaded)
 	} else {
-		b.enqueue(r)
+		lb.enqueue(req)
 	}
 }
 
-func (b *Balancer) addRequest(e *Event) *request {
-	r := &request{id: e.Request, sequence: b.requests.nextSequence(), class: e.Class, group: b.group(e.Group),
-		queue: queuesPerClass * e.Class, session: session.Key{Group: e.Group, Session: e.Session},
-		arrivedAt: b.now, objective: b.now + clock.Nanos(b.classes.Patience(e.Class)), deadline: e.Deadline}
-	class := b.classOf(r)
-	r.recentWork = b.slowStart.Requested(b.now, &r.group.demand, class.demand(), b.classes.Work(r.class))
-	if b.quotas.Over(b.now, e.Tenant, b.slowStart.Routers()) || e.OverQuota {
-		r.queue++
+func (lb *Balancer) addRequest(event *Event) *request {
+	req := &request{id: event.Request, sequence: lb.requests.nextSequence(), class: event.Class,
+		group: lb.group(event.Group), queueIndex: queuesPerClass * event.Class,
+		session: session.Key{Group: event.Group, Session: event.Session}, arrivedAt: lb.now,
+		objective: lb.now + clock.Nanos(lb.classes.Patience(event.Class)), deadline: event.Deadline}
+	class := lb.classOf(req)
+	req.workload = lb.slowStart.Requested(lb.now, &req.group.demand, class.kind(), lb.classes.Work(req.class))
+	if lb.quotas.Over(lb.now, event.Tenant, lb.slowStart.Routers()) || event.OverQuota {
+		req.queueIndex++
 	}
 	if class.Consistency == ReadYourWrites {
-		r.mustSee = b.sessionPosition(r, e)
+		req.requiredPosition = lb.sessionPosition(req, event)
 	}
-	b.requests.add(r)
-	return r
+	lb.requests.add(req)
+	return req
 }
 
-func (b *Balancer) requestAbandoned(e *Event) {
-	r := b.requests.byID[e.Request]
-	if r == nil || r.ended {
+func (lb *Balancer) requestAbandoned(event *Event) {
+	req := lb.requests.byID[event.Request]
+	if req == nil || req.ended {
 		return
 	}
-	b.classes.Abandoned(r.class, float64(b.now-r.arrivedAt))
-	b.end(r)
+	lb.classes.Abandoned(req.class, float64(lb.now-req.arrivedAt))
+	lb.endRequest(req)
 }
 
-// enqueue delays a request. The newest goes first: in an overload that serves most within their objective,
-// and their clients' patience, instead of starting each one too late; the oldest is rejected.
-func (b *Balancer) enqueue(r *request) {
-	r.queued, r.queuedAt = true, b.now
-	r.group.queues[r.queue].Push(b.now, r)
-	r.group.changed = true
-	b.act(Action{Kind: SetTimer, TimerAt: max(b.lastStart(r), b.now+1), TimerID: r.sequence})
+// enqueue queues a request. The newest is placed first: under overload this serves most requests within their
+// objective and before their clients leave, instead of starting every one too late. The oldest expire.
+func (lb *Balancer) enqueue(req *request) {
+	req.queued, req.queuedAt = true, lb.now
+	req.group.queues[req.queueIndex].Push(lb.now, req)
+	req.group.placementDue = true
+	lb.emit(Action{Kind: SetTimer, TimerAt: max(lb.startDeadline(req), lb.now+1), TimerID: req.sequence})
 }
 
-// placeQueued sends the queued requests of a group that can go, most priority weight for work first.
-func (b *Balancer) placeQueued(g *group) {
-	if !g.changed {
+// placeQueued sends the requests of a group that can be placed: queues in lb.order, the newest request first.
+func (lb *Balancer) placeQueued(group *group) {
+	if !group.placementDue {
 		return
 	}
-	g.changed = false
-	for _, i := range b.rank {
-		queue := &g.queues[i]
+	group.placementDue = false
+	for _, queueIndex := range lb.order {
+		queue := &group.queues[queueIndex]
 		newest := queue.Len() - 1
-		for at := newest; at >= 0 && newest-at < scanDepth; at-- {
-			r := queue.At(at)
-			ep := b.selectEndpoint(g, r)
+		for index := newest; index >= 0 && newest-index < scanDepth; index-- {
+			req := queue.At(index)
+			ep := lb.selectEndpoint(group, req)
 			if ep == nil {
 				continue
 			}
-			queue.RemoveAt(at)
-			r.queued = false
-			if b.mayRetry(r, ep) {
-				b.send(r, ep)
-			} else { // the idempotency window has passed while it waited
-				b.giveUp(r, ReasonRetriesExhausted)
+			queue.RemoveAt(index)
+			req.queued = false
+			if lb.mayRetry(req, ep) {
+				lb.send(req, ep)
+			} else { // its idempotency window has ended while it was queued
+				lb.endUnserved(req, ReasonRetriesExhausted)
 			}
 		}
 	}
 }
 
-func (b *Balancer) rankQueues() {
-	quotaWeight := [queuesPerClass]float64{1, b.settings.OverQuotaWeight}
-	density := func(i int) float64 {
-		class := i / queuesPerClass
-		return quotaWeight[i%queuesPerClass] * b.settings.Classes[class].PriorityWeight / b.classes.Work(class)
+func (lb *Balancer) sortQueues() {
+	factors := [queuesPerClass]float64{1, lb.settings.OverQuotaWeight}
+	weight := func(queue int) float64 {
+		class := queue / queuesPerClass
+		return factors[queue%queuesPerClass] * lb.settings.Classes[class].PriorityWeight / lb.classes.Work(class)
 	}
-	slices.SortStableFunc(b.rank, func(x, y int) int { return cmp.Or(cmp.Compare(density(y), density(x)), x-y) })
+	slices.SortStableFunc(lb.order, func(x, y int) int { return cmp.Or(cmp.Compare(weight(y), weight(x)), x-y) })
 }
 
-// lastStart is the latest time at which starting the request can still earn something: past its objective
-// only where late weight outweighs the cost of failing late, past half of its time only if that is free.
-func (b *Balancer) lastStart(r *request) clock.Nanos {
-	last := r.deadline
-	if b.classOf(r).LateWeight <= minLateWeight*b.settings.LateFailureCost {
-		last = min(last, r.objective)
+// startDeadline is the latest time at which it still pays to start a request: past its objective only if the
+// late weight outweighs the cost of failing late, past half of its time only if a late rejection is free.
+func (lb *Balancer) startDeadline(req *request) clock.Nanos {
+	start := req.deadline
+	if lb.classOf(req).LateWeight <= lateWeightFactor*lb.settings.LateFailureCost {
+		start = min(start, req.objective)
 	}
-	last -= max(clock.Nanos(b.classes.Work(r.class)), 2*b.settings.BatchInterval)
-	if b.settings.LateRejectionCharged && !r.reached {
-		last = min(last, r.arrivedAt+(r.deadline-r.arrivedAt)/2)
+	start -= max(clock.Nanos(lb.classes.Work(req.class)), 2*lb.settings.BatchInterval)
+	if lb.settings.LateRejectionCharged && !req.reachedEndpoint {
+		start = min(start, req.arrivedAt+(req.deadline-req.arrivedAt)/2)
 	}
-	return last
+	return start
 }
 
-func (b *Balancer) expire(r *request) {
-	if last := b.lastStart(r); b.now < last {
-		b.act(Action{Kind: SetTimer, TimerAt: last, TimerID: r.sequence})
+func (lb *Balancer) expire(req *request) {
+	if expiry := lb.startDeadline(req); lb.now < expiry {
+		lb.emit(Action{Kind: SetTimer, TimerAt: expiry, TimerID: req.sequence})
 	} else {
-		b.giveUp(r, b.queuedReason(r))
+		lb.endUnserved(req, lb.queuedReason(req))
 	}
 }
 
-// giveUp ends a request at once: rejected with a Retry-After where a repeat is harmless, else failed.
-func (b *Balancer) giveUp(r *request, reason Reason) {
-	class := b.classOf(r)
-	mayHaveRun := slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
+// endUnserved rejects a request with a Retry-After time if a client's retry is safe, and fails it otherwise.
+func (lb *Balancer) endUnserved(req *request, reason Reason) {
+	class := lb.classOf(req)
+	mayHaveRun := slices.ContainsFunc(req.attempts, func(attempt *attempt) bool { return attempt.mayRun })
 	if class.repeatableAnywhere() || !mayHaveRun {
-		b.act(Action{Kind: RejectRequest, Reason: reason, Request: r.id, RetryAfter: b.settings.retryAfter(class)})
+		lb.emit(Action{Kind: RejectRequest, Reason: reason, Request: req.id,
+			RetryAfter: lb.settings.retryAfter(class)})
 	} else {
-		b.act(Action{Kind: FailRequest, Reason: reason, Request: r.id})
+		lb.emit(Action{Kind: FailRequest, Reason: reason, Request: req.id})
 	}
-	b.end(r)
+	lb.endRequest(req)
 }
 
-// end closes a request after its final answer; attempts still in flight are canceled.
-func (b *Balancer) end(r *request) {
-	if r.queued {
-		r.group.queues[r.queue].Remove(r.queuedAt, r)
+// endRequest closes a request after its final answer and cancels its attempts in flight.
+func (lb *Balancer) endRequest(req *request) {
+	if req.queued {
+		req.group.queues[req.queueIndex].Remove(req.queuedAt, req)
 	}
-	r.queued, r.ended = false, true
-	for _, a := range r.attempts {
-		if !a.ended && b.settings.CancelAllowed {
-			b.act(Action{Kind: CancelAttempt, Request: r.id, Attempt: a.number})
+	req.queued, req.ended = false, true
+	for _, attempt := range req.attempts {
+		if !attempt.ended && lb.settings.CancelAllowed {
+			lb.emit(Action{Kind: CancelAttempt, Request: req.id, Attempt: attempt.number})
 		}
 	}
-	b.requests.remove(r)
+	lb.requests.remove(req)
 }
--- a/policy/balance/reason.go
+++ b/policy/balance/reason.go
@@ -1,90 +1,90 @@
 package balance
 
-// Reason says why an action was taken: for counts, logs and people. Nothing follows from it.
+// Reason says why an action was taken. It serves metrics and logs only; no decision depends on it.
 type Reason int
 
 // The reasons.
 const (
 	ReasonNormal Reason = iota
 
-	// Of an attempt; the first that holds.
-	ReasonPrimarySearch // to whoever may be the primary, as none is known
-	ReasonCanary        // to an ejected endpoint: is it back?
-	ReasonSlowStart     // to an endpoint that is warming up
+	// Reasons of an attempt. If several apply, the first one is reported.
+	ReasonPrimarySearch // sent to an endpoint that may be the primary, as none is known
+	ReasonCanary        // canary request, which finds out whether an ejected endpoint has recovered
+	ReasonSlowStart     // sent to an endpoint that is warming up
 
-	// Of a rejection or a failure.
+	// Reasons of a rejection or a failure.
 	ReasonUnknownClass       // the class is not in the settings
-	ReasonGroupOverloaded    // its group answers too late as it is
-	ReasonNoPrimary          // queued to the end of its time: no primary was known
-	ReasonPrimaryUnavailable // queued: the primary was ejected, paused or in a zone outage
-	ReasonPrimaryAtLimit     // queued: the primary was at its limit
-	ReasonNoReplica          // queued: no member was usable
-	ReasonReplicasAtLimit    // queued: the members that were usable were at their limits, or too far behind
-	ReasonRetriesExhausted   // an attempt failed, and no other was allowed
-	ReasonTooLate            // an attempt failed, and the time was over
-	ReasonRetrySuppressed    // an attempt failed in an overload
+	ReasonGroupOverloaded    // the group's responses are already too slow
+	ReasonNoPrimary          // expired in the queue: no primary was known
+	ReasonPrimaryUnavailable // expired in the queue: the primary was ejected, paused or in a zone outage
+	ReasonPrimaryAtLimit     // expired in the queue: the primary was at its concurrency limit
+	ReasonNoReplica          // expired in the queue: no endpoint of the group was usable
+	ReasonReplicasAtLimit    // expired in the queue: all usable endpoints were at their limits, or lagged too far
+	ReasonRetriesExhausted   // an attempt failed, and no retry was allowed
+	ReasonTooLate            // an attempt failed, and too little time was left for a retry
+	ReasonRetrySuppressed    // an attempt failed, and the group was too overloaded for a retry
 
-	// Of a line for the operators, about Endpoint.
-	ReasonSuspected // it was ejected
+	// Reasons of a log line about Endpoint.
+	ReasonEjected
 	ReasonRecovered
-	ReasonPrimaryNamed
-	ReasonPrimaryDenied
+	ReasonPrimaryDetected
+	ReasonPrimaryDemoted
 
-	// ReasonCount is how many there are.
+	// ReasonCount is the number of reasons.
 	ReasonCount = iota
 )
 
-// reasonNames are read by tools, in logs and totals, and stay as they are.
+// reasonNames are parsed by tools from logs and totals, so that they must not change.
 var reasonNames = [ReasonCount]string{"usual", "finding", "trial", "warming", "unknown", "crowd", "no_primary",
 	"primary_away", "primary_full", "no_replica", "full", "spent", "late", "jammed", "suspected", "recovered", "named",
 	"denied"}
 
-// String is the reason's name in logs.
+// String returns the reason's name in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// sendReason is why a request goes to an endpoint.
-func (b *Balancer) sendReason(r *request, ep *endpoint) Reason {
+// sendReason returns why an attempt of a request goes to an endpoint.
+func (lb *Balancer) sendReason(req *request, ep *endpoint) Reason {
 	search := ep.group.search
 	switch {
-	case search != nil && search.request == r && !search.ended:
+	case search != nil && search.request == req && !search.ended:
 		return ReasonPrimarySearch
 	case ep.health.Ejected():
 		return ReasonCanary
-	case b.warmth(ep) < 1:
+	case lb.warmth(ep) < 1:
 		return ReasonSlowStart
 	}
 	return ReasonNormal
 }
 
-// queuedReason is why a request was never placed before its time was over.
-func (b *Balancer) queuedReason(r *request) Reason {
-	if b.classOf(r).Consistency >= FreshRead {
-		return b.primaryReason(r.group.primary)
+// queuedReason returns why a request expired in the queue.
+func (lb *Balancer) queuedReason(req *request) Reason {
+	if lb.classOf(req).Consistency >= FreshRead {
+		return lb.primaryReason(req.group.primary)
 	}
-	for _, ep := range r.group.members {
-		if b.usable(ep) {
+	for _, ep := range req.group.endpoints {
+		if lb.usable(ep) {
 			return ReasonReplicasAtLimit
 		}
 	}
 	return ReasonNoReplica
 }
 
-func (b *Balancer) primaryReason(primary *endpoint) Reason {
+func (lb *Balancer) primaryReason(primary *endpoint) Reason {
 	switch {
 	case primary == nil:
 		return ReasonNoPrimary
-	case !b.usable(primary):
+	case !lb.usable(primary):
 		return ReasonPrimaryUnavailable
 	}
 	return ReasonPrimaryAtLimit
 }
 
-// noRetryReason is why no attempt follows one that failed.
-func (b *Balancer) noRetryReason(r *request) Reason {
+// noRetryReason returns why a failed attempt is not retried.
+func (lb *Balancer) noRetryReason(req *request) Reason {
 	switch {
-	case !b.mayRetry(r, nil):
+	case !lb.mayRetry(req, nil):
 		return ReasonRetriesExhausted
-	case b.now >= b.lastStart(r):
+	case lb.now >= lb.startDeadline(req):
 		return ReasonTooLate
 	}
 	return ReasonRetrySuppressed
--- a/policy/balance/retry.go
+++ b/policy/balance/retry.go
@@ -7,128 +7,129 @@
 )
 
 const (
-	tripShare     = 0.125 // of a key's idempotency window left for the trip of a retry
-	minLostShare  = 0.003 // share of attempts lately lost, from which one that is slow is taken for lost
-	lostWorks     = 5.0   // usual times of an answer after which an attempt is slow
-	lostObjective = 0.5   // of its latency objective that a slow attempt is given at least
+	transitShare     = 0.125 // share of an idempotency window reserved for a retry's way to the endpoint
+	minLostShare     = 0.003 // recent share of lost attempts from which a slow attempt counts as lost
+	slowFactor       = 5.0   // typical response times after which an attempt is slow
+	minSlowObjective = 0.5   // min time after which an attempt is slow, as a share of its latency objective
 )
 
-// attempt is one send of a request to an endpoint.
 type attempt struct {
 	request  *request
 	endpoint *endpoint
-	number   int // of the request's, from 0
+	number   int // among the request's attempts, from 0
 	sentAt   clock.Nanos
 	ended    bool
-	mayRun   bool // it ran, or may have
+	mayRun   bool // the request ran in this attempt, or may have run
 }
 
-func (b *Balancer) send(r *request, ep *endpoint) {
-	a := &attempt{request: r, endpoint: ep, number: len(r.attempts), sentAt: b.now, mayRun: true}
+func (lb *Balancer) send(req *request, ep *endpoint) {
+	sent := &attempt{request: req, endpoint: ep, number: len(req.attempts), sentAt: lb.now, mayRun: true}
 	if ep.health.Ejected() {
-		ep.health.CanarySent(b.now)
+		ep.health.CanarySent(lb.now)
 	}
-	if b.classOf(r).Consistency == Write && ep != ep.group.primary {
-		ep.group.search = a
+	if lb.classOf(req).Consistency == Write && ep != ep.group.primary {
+		ep.group.search = sent
 	}
-	ep.attempts = append(ep.attempts, a)
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	ep.warmUp.Sent(b.classes.Work(r.class))
-	r.draw = 0 // a retry has a chance of its own
-	b.act(Action{Kind: SendAttempt, Request: r.id, Endpoint: ep.id, AttemptDeadline: b.attemptDeadline(r, ep),
-		Reason: b.sendReason(r, ep), ConnectDeadline: b.connectDeadline(r), FreshUntil: b.freshUntil(r, ep)})
+	ep.attempts = append(ep.attempts, sent)
+	req.attempts = append(req.attempts, sent)
+	req.inFlight++
+	ep.warmUp.Sent(lb.classes.Work(req.class))
+	req.draw = 0 // each attempt is drawn for anew
+	lb.emit(Action{Kind: SendAttempt, Request: req.id, Endpoint: ep.id,
+		AttemptDeadline: lb.attemptDeadline(req, ep), Reason: lb.sendReason(req, ep),
+		ConnectDeadline: lb.connectDeadline(req), FreshnessDeadline: lb.freshnessDeadline(req, ep)})
 }
 
-func (b *Balancer) attemptEnded(e *Event) {
-	r := b.requests.byID[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+func (lb *Balancer) attemptEnded(event *Event) {
+	req := lb.requests.byID[event.Request]
+	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) ||
+		req.attempts[event.Attempt].ended {
 		return
 	}
-	a := r.attempts[e.Attempt]
-	ep := a.endpoint
-	a.ended, ep.group.changed = true, true
-	r.inFlight--
-	ep.attempts = slices.DeleteFunc(ep.attempts, func(x *attempt) bool { return x == a })
-	b.observe(a, e)
-	a.mayRun = e.Outcome.mayRun()
-	r.foundIneligible = r.foundIneligible || e.Outcome == NotEligible
-	r.reached = r.reached || (e.Outcome != ConnectionRefused && e.Outcome != NotSent)
-	b.recordCommit(r, e) // also after the request's end: the session must see what its answer proves
+	finished := req.attempts[event.Attempt]
+	ep := finished.endpoint
+	finished.ended, ep.group.placementDue = true, true
+	req.inFlight--
+	ep.attempts = slices.DeleteFunc(ep.attempts, func(other *attempt) bool { return other == finished })
+	lb.recordOutcome(finished, event)
+	finished.mayRun = event.Outcome.mayRun()
+	req.foundIneligible = req.foundIneligible || event.Outcome == NotEligible
+	req.reachedEndpoint = req.reachedEndpoint || (event.Outcome != ConnectionRefused && event.Outcome != NotSent)
+	lb.recordCommit(req, event) // even if the request has ended: later session reads must see the commit
 	switch {
-	case r.ended:
-		b.requests.remove(r)
-	case e.Final || e.Outcome == Succeeded:
-		b.end(r)
-	case e.Outcome != NotSent && b.mayRetryAfter(a):
-		b.enqueue(r)
+	case req.ended:
+		lb.requests.remove(req)
+	case event.Final || event.Outcome == Succeeded:
+		lb.endRequest(req)
+	case event.Outcome != NotSent && lb.mayRetryAfter(finished):
+		lb.enqueue(req)
 	default:
-		b.giveUp(r, b.noRetryReason(r))
+		lb.endUnserved(req, lb.noRetryReason(req))
 	}
 }
 
-// mayRetryAfter says whether a request goes on after an attempt that failed.
-func (b *Balancer) mayRetryAfter(a *attempt) bool {
-	r := a.request
-	return b.mayRetry(r, nil) && b.now < b.lastStart(r) && (!a.mayRun || !b.groupOverloaded(r.group))
+// mayRetryAfter reports whether a request may be retried now, after an attempt that failed.
+func (lb *Balancer) mayRetryAfter(failed *attempt) bool {
+	req := failed.request
+	return lb.mayRetry(req, nil) && lb.now < lb.startDeadline(req) &&
+		(!failed.mayRun || !lb.groupOverloaded(req.group))
 }
 
-// mayRetry is the one rule on further attempts; with ep nil, at the group's endpoints at large.
-func (b *Balancer) mayRetry(r *request, ep *endpoint) bool {
-	class := b.classOf(r)
-	if len(r.attempts) >= b.settings.MaxAttempts {
+// mayRetry is the only rule on further attempts. With ep nil, it is about the group's endpoints in general.
+func (lb *Balancer) mayRetry(req *request, ep *endpoint) bool {
+	class := lb.classOf(req)
+	if len(req.attempts) >= lb.settings.MaxAttempts {
 		return false
 	}
 	if class.Idempotency == Idempotent {
 		return true
 	}
-	window := clock.Nanos(float64(class.IdempotencyWindow) * (1 - tripShare))
-	for _, a := range r.attempts {
-		late := b.now-a.sentAt > window
-		elsewhere := class.KeyScope == ScopeZone && ep != nil && ep.zone != a.endpoint.zone
-		if a.mayRun && (class.Idempotency == NotIdempotent || late || elsewhere) {
+	window := clock.Nanos(float64(class.IdempotencyWindow) * (1 - transitShare))
+	for _, attempt := range req.attempts {
+		late := lb.now-attempt.sentAt > window
+		outOfScope := class.KeyScope == ScopeZone && ep != nil && ep.zone != attempt.endpoint.zone
+		if attempt.mayRun && (class.Idempotency == NotIdempotent || late || outOfScope) {
 			return false
 		}
 	}
 	return true
 }
 
-// attemptDeadline is when an attempt is given up. Departure: where attempts were lately lost at endpoints
-// that answered others, one that takes very long is lost too; a canary leaves time for another endpoint.
-func (b *Balancer) attemptDeadline(r *request, ep *endpoint) clock.Nanos {
-	another := func(m *endpoint) bool { return m != ep && b.usable(m) }
-	canary := ep.health.Ejected() && slices.ContainsFunc(ep.group.members, another)
-	likelyLost := b.lostShare >= minLostShare && !ep.health.Overloaded()
-	repeatable := b.classOf(r).Idempotency != NotIdempotent && b.mayRetry(r, ep)
+// attemptDeadline is when to abort an attempt. Departure: where attempts were lately lost at endpoints that
+// answered others, a slow one counts as lost too. A canary request leaves time for an attempt elsewhere.
+func (lb *Balancer) attemptDeadline(req *request, ep *endpoint) clock.Nanos {
+	otherUsable := func(other *endpoint) bool { return other != ep && lb.usable(other) }
+	canary := ep.health.Ejected() && slices.ContainsFunc(ep.group.endpoints, otherUsable)
+	likelyLost := lb.lostShare >= minLostShare && !ep.health.Overloaded()
+	repeatable := lb.classOf(req).Idempotency != NotIdempotent && lb.mayRetry(req, ep)
 	if !repeatable || !canary && !likelyLost {
-		return r.deadline
+		return req.deadline
 	}
-	work, patience := b.classes.Work(r.class), b.classes.Patience(r.class)
-	slow := max(clock.Nanos(lostWorks*work), clock.Nanos(lostObjective*patience))
-	end := min(r.deadline, b.now+slow)
+	work, patience := lb.classes.Work(req.class), lb.classes.Patience(req.class)
+	slow := max(clock.Nanos(slowFactor*work), clock.Nanos(minSlowObjective*patience))
+	deadline := min(req.deadline, lb.now+slow)
 	if !canary {
-		return end
+		return deadline
 	}
-	return max(b.now, min(end, b.lastStart(r)-clock.Nanos(work)))
+	return max(lb.now, min(deadline, lb.startDeadline(req)-clock.Nanos(work)))
 }
 
-// connectDeadline is when an attempt without a connection is given up: half of the time in which the request
-// could still start goes to one endpoint that may be gone, and the rest is there for another.
-func (b *Balancer) connectDeadline(r *request) clock.Nanos {
-	return b.now + max((b.lastStart(r)-b.now)/2, clock.Nanos(b.classes.Work(r.class)))
+// connectDeadline leaves half of the remaining time to start for another endpoint, as this one may be down.
+func (lb *Balancer) connectDeadline(req *request) clock.Nanos {
+	return lb.now + max((lb.startDeadline(req)-lb.now)/2, clock.Nanos(lb.classes.Work(req.class)))
 }
 
-// freshUntil is when an endpoint's known position is too old for a read that nobody checks after; 0: never.
-func (b *Balancer) freshUntil(r *request, ep *endpoint) clock.Nanos {
-	class, checked := b.classOf(r), ep == ep.group.primary || b.settings.LagHandling != LagUnchecked
+// freshnessDeadline is when ep's known position gets too old for a read that ep does not check; 0: never.
+func (lb *Balancer) freshnessDeadline(req *request, ep *endpoint) clock.Nanos {
+	class, checked := lb.classOf(req), ep == ep.group.primary || lb.settings.LagHandling != LagUnchecked
 	if class.Consistency == BoundedStaleness && !checked {
 		return ep.position + class.StalenessBound
 	}
 	return 0
 }
 
-// failedOn says whether an earlier attempt at an endpoint failed, so that a retry should avoid it.
-func (r *request) failedOn(ep *endpoint) bool {
+// avoids reports whether a retry should avoid an endpoint because an earlier attempt there failed.
+func (req *request) avoids(ep *endpoint) bool {
 	failed := func(a *attempt) bool { return a.endpoint == ep && (a.mayRun || ep.positionAt < a.sentAt) }
-	return slices.ContainsFunc(r.attempts, failed)
+	return slices.ContainsFunc(req.attempts, failed)
 }
--- a/policy/balance/rules_test.go
+++ b/policy/balance/rules_test.go
@@ -509,8 +509,8 @@
 				if c.want > 0 {
 					want = r.now + c.want
 				}
-				if a.FreshUntil != want {
-					t.Errorf("fresh until %d, want %d", a.FreshUntil, want)
+				if a.FreshnessDeadline != want {
+					t.Errorf("fresh until %d, want %d", a.FreshnessDeadline, want)
 				}
 				return
 			}
@@ -527,7 +527,7 @@
 	r := newRig(t, nil)
 	r.members(2)
 	late, _ := r.in(cFresh, "a")                         // out at the old primary when it hands over
-	r.b.setReported(r.b.groups.endpoints[2], Primary, 0) // the new one answers as a primary
+	r.b.recordReport(r.b.groups.endpoints[2], Primary, 0) // the new one answers as a primary
 	r.out(late, 0, oldPrimary, Succeeded, Primary, 0)    // and then the late answer comes
 	id, acts := r.in(cKeyed, "b")
 	if node := r.sentTo(acts); node != oldPrimary {
--- a/policy/balance/selection.go
+++ b/policy/balance/selection.go
@@ -9,154 +9,152 @@
 )
 
 const (
-	delayShare  = 0.125 // of its latency objective a read waits for a position that covers it
-	searchShare = 0.25  // of the shortest latency objective: pause between searches after the first round
-	canaryWorks = 3     // usual times of an answer that a canary request must have left, so that a retry fits
+	delayShare   = 0.125 // share of its latency objective for which a read waits until a position covers it
+	searchShare  = 0.25  // pause of a primary search after its first round, in shortest latency objectives
+	canaryFactor = 3     // typical response times left for a canary request, so that a retry fits
 )
 
-// candidate is the choice so far among endpoints offered one by one.
+// candidate is the best of the endpoints that were considered so far.
 type candidate struct {
-	endpoint  *endpoint
-	pending   float64
-	chances   float64 // of all that tie
-	connected bool
+	endpoint    *endpoint
+	pending     float64
+	totalChance float64 // sum over the endpoints that tie
+	connected   bool
 }
 
-// selectEndpoint chooses the endpoint for a queued request, or nil to delay it further.
-func (b *Balancer) selectEndpoint(g *group, r *request) *endpoint {
-	consistency := b.classOf(r).Consistency
+// selectEndpoint chooses the endpoint for a queued request; nil: the request stays queued.
+func (lb *Balancer) selectEndpoint(group *group, req *request) *endpoint {
+	consistency := lb.classOf(req).Consistency
 	if consistency == Write {
-		return b.selectForWrite(g, r)
+		return lb.selectForWrite(group, req)
 	}
-	if ep := b.selectForCanary(g, r); ep != nil {
+	if ep := lb.selectForCanary(group, req); ep != nil {
 		return ep
 	}
-	primary := b.withinLimits(g.primary, r)
+	primary := lb.allowed(group.primary, req)
 	switch {
 	case consistency == FreshRead:
 		return primary
-	case consistency == AnyReplica && b.classes.Blocks(r.class):
-		return cmp.Or(b.selectForBlocking(g, r, primary), b.selectReplica(g, r))
+	case consistency == AnyReplica && lb.classes.Blocks(req.class):
+		return cmp.Or(lb.selectForBlocking(group, req, primary), lb.selectReplica(group, req))
 	}
-	return b.selectReplica(g, r)
+	return lb.selectReplica(group, req)
 }
 
-func (b *Balancer) selectForWrite(g *group, r *request) *endpoint {
-	p := g.primary
-	unknown := p == nil || p.health.Ejected() || p.health.Failing() || b.inZoneOutage(p)
-	if !b.usable(p) && unknown {
-		return b.searchPrimary(g, r)
+func (lb *Balancer) selectForWrite(group *group, req *request) *endpoint {
+	primary := group.primary
+	unknown := primary == nil || primary.health.Ejected() || primary.health.Failing() || lb.inZoneOutage(primary)
+	if !lb.usable(primary) && unknown {
+		return lb.searchPrimary(group, req)
 	}
-	return b.withinLimits(p, r)
+	return lb.allowed(primary, req)
 }
 
 // selectForBlocking places a read that keeps a replica from applying its log. Departure: the primary, which
-// applies nothing, takes it within its limits; else the replica of least use does, the one furthest behind.
-func (b *Balancer) selectForBlocking(g *group, r *request, primary *endpoint) *endpoint {
-	if primary != nil && !r.failedOn(primary) {
+// applies no log, serves it if within limits; otherwise the replica with the oldest position does.
+func (lb *Balancer) selectForBlocking(group *group, req *request, primary *endpoint) *endpoint {
+	if primary != nil && !req.avoids(primary) {
 		return primary
 	}
-	free := func(ep *endpoint) bool { return ep != g.primary && !r.failedOn(ep) && b.withinLimits(ep, r) != nil }
-	return choose.Best(g.members, free, func(x, y *endpoint) bool { return x.position < y.position })
+	usable := func(x *endpoint) bool { return x != group.primary && !req.avoids(x) && lb.allowed(x, req) != nil }
+	return choose.Best(group.endpoints, usable, func(x, y *endpoint) bool { return x.position < y.position })
 }
 
-// selectReplica is the mechanism: least pending requests first among the replicas whose position covers the
-// read; else the read is delayed, then diverted.
-func (b *Balancer) selectReplica(g *group, r *request) *endpoint {
-	var covering, ahead candidate
-	var advanced *endpoint // the most advanced usable replica
-	for _, ep := range g.members {
-		if ep == g.primary || !b.usable(ep) || r.failedOn(ep) {
+// selectReplica chooses the replica with the fewest pending requests among those whose position covers the
+// read. Without one, the read is delayed and then sent to the primary.
+func (lb *Balancer) selectReplica(group *group, req *request) *endpoint {
+	var covering, probable candidate // with a position that covers the read, or probably does by now
+	var advanced *endpoint           // usable replica with the highest position
+	for _, ep := range group.endpoints {
+		if ep == group.primary || !lb.usable(ep) || req.avoids(ep) {
 			continue
 		}
 		if advanced == nil || ep.position > advanced.position {
 			advanced = ep
 		}
 		switch {
-		case b.withinLimits(ep, r) == nil:
-		case b.covers(r, ep.position):
-			b.offer(&covering, ep)
-		case b.covers(r, ep.position+b.now-ep.positionAt):
-			b.offer(&ahead, ep)
+		case lb.allowed(ep, req) == nil:
+		case lb.covers(req, ep.position):
+			lb.consider(&covering, ep)
+		case lb.covers(req, ep.position+lb.now-ep.positionAt):
+			lb.consider(&probable, ep)
 		}
 	}
-	primary := b.withinLimits(g.primary, r)
-	if primary != nil && r.failedOn(primary) {
+	primary := lb.allowed(group.primary, req)
+	if primary != nil && req.avoids(primary) {
 		primary = nil
 	}
 	if covering.endpoint != nil {
-		// Departure: with many routers a busy replica is full though this router has nothing in flight there.
-		// Where its answers say so, the primary takes part in the draw.
+		// Departure: with many routers a replica can be overloaded while this router has nothing in flight there.
+		// If its response times show it, the primary is considered too.
 		if primary != nil && covering.endpoint.health.Overloaded() {
-			b.offer(&covering, primary)
+			lb.consider(&covering, primary)
 		}
 		return covering.endpoint
 	}
-	return b.selectUncovered(g, r, primary, advanced, ahead.endpoint)
+	return lb.divertRead(group, req, primary, advanced, probable.endpoint)
 }
 
-// selectUncovered places a read that no known position covers: at a replica that checks it itself, later, or
-// at the primary. ahead has probably moved on far enough; each endpoint may be nil.
-func (b *Balancer) selectUncovered(g *group, r *request, primary, advanced, ahead *endpoint) *endpoint {
-	checked := b.settings.LagHandling != LagUnchecked
-	// Departure: where endpoints check, a replica that has probably moved on far enough since it reported its
-	// position, and failing that the most advanced one, is tried before the read is diverted.
-	if checked && !r.foundIneligible {
-		if ep := cmp.Or(ahead, b.withinLimits(advanced, r)); ep != nil {
+// divertRead places a read that no known position covers. Any endpoint may be nil; probable likely covers it.
+func (lb *Balancer) divertRead(group *group, req *request, primary, advanced, probable *endpoint) *endpoint {
+	checked := lb.settings.LagHandling != LagUnchecked
+	// Departure: if endpoints check their positions, a replica that has probably caught up since its report, or
+	// else the most advanced one, is tried before the primary.
+	if checked && !req.foundIneligible {
+		if ep := cmp.Or(probable, lb.allowed(advanced, req)); ep != nil {
 			return ep
 		}
 	}
-	// A router among many hears a replica too seldom to know its position: where no attempt tells, it probes.
-	if b.now >= g.nextProbeAt && b.settings.ProbesReportPosition && !checked {
-		b.probe(cmp.Or(ahead, advanced))
+	// One of many routers gets too few answers to know replicas' positions, so it probes them if attempts don't.
+	if lb.now >= group.nextProbeAt && lb.settings.ProbesReportPosition && !checked {
+		lb.probe(cmp.Or(probable, advanced))
 	}
-	delay := clock.Nanos(delayShare * float64(b.classOf(r).LatencyObjective))
-	if b.now-r.queuedAt < delay && advanced != nil && !r.foundIneligible {
+	delay := clock.Nanos(delayShare * float64(lb.classOf(req).LatencyObjective))
+	if lb.now-req.queuedAt < delay && advanced != nil && !req.foundIneligible {
 		return nil
 	}
 	if primary == nil && advanced == nil {
-		return b.lastResort(g, r)
+		return lb.selectEjected(group, req)
 	}
 	return primary
 }
 
-// lastResort keeps ejections from emptying a group: with no endpoint left, the one that answered last.
-func (b *Balancer) lastResort(g *group, r *request) *endpoint {
-	eligible := func(ep *endpoint) bool {
-		return ep.health.Ejected() && len(ep.attempts) < 2 && !r.failedOn(ep) && b.mayTakeCanary(ep, r)
+// selectEjected is the last resort when ejections leave no endpoint: the ejected one that answered last.
+func (lb *Balancer) selectEjected(group *group, req *request) *endpoint {
+	usable := func(ep *endpoint) bool {
+		return ep.health.Ejected() && len(ep.attempts) < 2 && !req.avoids(ep) && lb.mayTakeCanary(ep, req)
 	}
-	return choose.Best(g.members, eligible, func(x, y *endpoint) bool { return x.answeredAt > y.answeredAt })
+	return choose.Best(group.endpoints, usable, func(x, y *endpoint) bool { return x.answeredAt > y.answeredAt })
 }
 
-// selectForCanary lets one idempotent read at a time, which has time for a retry, find out whether an ejected
-// endpoint is back.
-func (b *Balancer) selectForCanary(g *group, r *request) *endpoint {
-	timely := b.now+canaryWorks*clock.Nanos(b.classes.Work(r.class)) < b.lastStart(r)
-	if b.classOf(r).Idempotency != Idempotent || len(r.attempts) > 0 || !timely {
+// selectForCanary tests an ejected endpoint with one idempotent read at a time that has time for a retry.
+func (lb *Balancer) selectForCanary(group *group, req *request) *endpoint {
+	timely := lb.now+canaryFactor*clock.Nanos(lb.classes.Work(req.class)) < lb.startDeadline(req)
+	if lb.classOf(req).Idempotency != Idempotent || len(req.attempts) > 0 || !timely {
 		return nil
 	}
-	due := func(ep *endpoint) bool { return ep.health.CanaryDue(b.now) && b.mayTakeCanary(ep, r) }
+	due := func(ep *endpoint) bool { return ep.health.CanaryDue(lb.now) && lb.mayTakeCanary(ep, req) }
 	earlier := func(x, y *endpoint) bool { return x.health.CanaryAt() < y.health.CanaryAt() }
-	return choose.Best(g.members, due, earlier)
+	return choose.Best(group.endpoints, due, earlier)
 }
 
-// mayTakeCanary says whether an ejected endpoint may be sent a read at all.
-func (b *Balancer) mayTakeCanary(ep *endpoint, r *request) bool {
-	checksItself := b.classOf(r).Consistency != FreshRead && b.settings.LagHandling != LagUnchecked
-	fresh := ep == ep.group.primary || checksItself || b.covers(r, ep.position)
-	ready := ep.state == Ready && !ep.health.Paused(b.now)
-	return fresh && ready && b.withinSlowStart(ep, r) && !b.inZoneOutage(ep)
+// mayTakeCanary reports whether an ejected endpoint may be sent a read at all.
+func (lb *Balancer) mayTakeCanary(ep *endpoint, req *request) bool {
+	checked := lb.classOf(req).Consistency != FreshRead && lb.settings.LagHandling != LagUnchecked
+	fresh := ep == ep.group.primary || checked || lb.covers(req, ep.position)
+	ready := ep.state == Ready && !ep.health.Paused(lb.now)
+	return fresh && ready && lb.withinSlowStart(ep, req) && !lb.inZoneOutage(ep)
 }
 
-// searchPrimary sends one write at a time while no primary is known: who is none rejects it unrun. Departure:
-// after one round in id order the members are asked again, paced, least lately asked and most advanced first.
-func (b *Balancer) searchPrimary(g *group, r *request) *endpoint {
-	searching := g.search != nil && !g.search.ended && !g.search.endpoint.health.Ejected()
-	if searching || b.now < g.nextSearchAt || len(r.attempts) >= max(1, b.settings.MaxAttempts-1) {
+// searchPrimary sends one write at a time while no primary is known: replicas reject it without running it.
+// Departure: after one round in id order it pauses between tries; least recently tried, most advanced first.
+func (lb *Balancer) searchPrimary(group *group, req *request) *endpoint {
+	searching := group.search != nil && !group.search.ended && !group.search.endpoint.health.Ejected()
+	if searching || lb.now < group.nextSearchAt || len(req.attempts) >= max(1, lb.settings.MaxAttempts-1) {
 		return nil
 	}
-	free := func(ep *endpoint) bool { return ep != g.primary && b.withinLimits(ep, r) != nil }
-	ep := choose.Best(g.members, free, func(x, y *endpoint) bool {
+	eligible := func(ep *endpoint) bool { return ep != group.primary && lb.allowed(ep, req) != nil }
+	ep := choose.Best(group.endpoints, eligible, func(x, y *endpoint) bool {
 		again := x.searchedAt == y.searchedAt && x.searchedAt > 0
 		return x.searchedAt < y.searchedAt || (again && x.position > y.position)
 	})
@@ -164,34 +162,34 @@
 		return nil
 	}
 	if ep.searchedAt > 0 {
-		g.nextSearchAt = b.now + clock.Nanos(searchShare*float64(b.minObjective))
+		group.nextSearchAt = lb.now + clock.Nanos(searchShare*float64(lb.minObjective))
 	}
-	ep.searchedAt = b.now
+	ep.searchedAt = lb.now
 	return ep
 }
 
-// covers says whether a log position is enough for a read.
-func (b *Balancer) covers(r *request, position LogPosition) bool {
-	class := b.classOf(r)
+// covers reports whether a log position is fresh enough for a read.
+func (lb *Balancer) covers(req *request, position LogPosition) bool {
+	class := lb.classOf(req)
 	switch class.Consistency {
 	case AnyReplica:
 		return true
 	case ReadYourWrites:
-		return position >= r.mustSee
+		return position >= req.requiredPosition
 	case BoundedStaleness:
-		return position >= b.now-class.StalenessBound
+		return position >= lb.now-class.StalenessBound
 	}
 	return false
 }
 
-// offer is least pending requests first, for an endpoint's present size. With many routers ties decide: a
-// seeded draw, with chances that fall with the square of answer times and errors. Departure: where a new
-// connection has a cost, ties go to healthy endpoints that have an idle one.
-func (b *Balancer) offer(best *candidate, ep *endpoint) {
-	warmth := b.warmth(ep)
+// consider keeps the candidate with the fewest pending requests for its current capacity. With many routers
+// most endpoints tie: a seeded draw decides, with chances proportional to warmth * ((1-errors)/load)^2.
+// Departure: if new connections have a cost, healthy endpoints with an idle connection win ties.
+func (lb *Balancer) consider(best *candidate, ep *endpoint) {
+	warmth := lb.warmth(ep)
 	pending := float64(len(ep.attempts)) / (ep.weight * warmth)
 	chance := warmth * math.Pow((1-ep.health.Errors())/ep.health.Load(), 2)
-	connected := b.settings.HandshakeCost == 0 || b.now < ep.connectedUntil && ep.health.Healthy()
+	connected := lb.settings.HandshakeCost == 0 || lb.now < ep.connectedUntil && ep.health.Healthy()
 	tie := best.endpoint != nil && pending == best.pending
 	switch {
 	case best.endpoint == nil, pending < best.pending, tie && connected && !best.connected:
@@ -199,8 +197,8 @@
 	case pending > best.pending, best.connected && !connected:
 		return
 	}
-	best.chances += chance
-	if b.random.Draw()*best.chances < chance {
+	best.totalChance += chance
+	if lb.random.Draw()*best.totalChance < chance {
 		best.endpoint = ep
 	}
 }
--- a/policy/balance/session.go
+++ b/policy/balance/session.go
@@ -6,21 +6,21 @@
 	"lotushook/policy/clock"
 )
 
-// sessionPosition is what a session's read must see.
-func (b *Balancer) sessionPosition(r *request, e *Event) LogPosition {
-	if !b.settings.ClientPositions {
-		return b.sessions.Position(r.session)
+// sessionPosition returns the log position that an endpoint must have applied to serve a session's read.
+func (lb *Balancer) sessionPosition(req *request, event *Event) LogPosition {
+	if !lb.settings.ClientPositions {
+		return lb.sessions.Position(req.session)
 	}
-	if e.CommitAge <= 0 { // none is known: any position does
+	if event.CommitAge <= 0 { // the session has no commit: any position is enough
 		return 0
 	}
-	return b.now - e.CommitAge + clock.Millisecond // ages are rounded down to a millisecond
+	return lb.now - event.CommitAge + clock.Millisecond // as ages are rounded down to milliseconds
 }
 
-// recordCommit remembers the position of a write that succeeded, for its session's reads.
-func (b *Balancer) recordCommit(r *request, e *Event) {
-	write := b.classOf(r).Consistency == Write && e.Outcome == Succeeded
-	if write && !b.settings.ClientPositions && r.session.Session != "" {
-		b.sessions.Record(b.now, r.session, cmp.Or(e.Position, b.now))
+// recordCommit records the position of a successful write for later reads of its session.
+func (lb *Balancer) recordCommit(req *request, event *Event) {
+	write := lb.classOf(req).Consistency == Write && event.Outcome == Succeeded
+	if write && !lb.settings.ClientPositions && req.session.Session != "" {
+		lb.sessions.Record(lb.now, req.session, cmp.Or(event.Position, lb.now))
 	}
 }
--- a/policy/balance/settings.go
+++ b/policy/balance/settings.go
@@ -8,16 +8,16 @@
 	"lotushook/policy/slowstart"
 )
 
-// Consistency says how fresh the data of a class must be.
+// Consistency is how fresh the data of a class must be.
 type Consistency int
 
-// What a class needs of the endpoint that answers it. From FreshRead on only the primary will do.
+// The consistency levels, weakest first. From FreshRead on only the primary may serve a request.
 const (
-	AnyReplica       Consistency = iota // any member will do
-	BoundedStaleness                    // no older than Class.StalenessBound when it is sent
-	ReadYourWrites                      // all that its session has written
+	AnyReplica       Consistency = iota // any endpoint of the group
+	BoundedStaleness                    // data no older than Class.StalenessBound when the request is sent
+	ReadYourWrites                      // all commits of the request's own session
 	FreshRead                           // all commits before the request's arrival
-	Write                               // only the primary takes it
+	Write                               // an update
 )
 
 // Idempotency says whether a request may run more than once.
@@ -25,12 +25,12 @@
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // repeats do no harm
-	IdempotentByKey                    // repeats are dropped within Class.IdempotencyWindow, inside Class.KeyScope
-	NotIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // running it again has no further effect
+	IdempotentByKey                    // endpoints in Class.KeyScope drop duplicates within Class.IdempotencyWindow
+	NotIdempotent                      // must not run more than once
 )
 
-// KeyScope is the set of endpoints that drops repeats of a key.
+// KeyScope is the set of endpoints among which duplicates of an idempotency key are detected.
 type KeyScope int
 
 // The scopes of a key.
@@ -40,24 +40,24 @@
 	ScopeGroup
 )
 
-// LagHandling says what an endpoint does with a read that it is too far behind for.
+// LagHandling is what an endpoint does with a read that needs commits it has not applied yet.
 type LagHandling int
 
 // The ways to handle replication lag.
 const (
-	LagUnchecked LagHandling = iota // the endpoint answers from what it has
+	LagUnchecked LagHandling = iota // it answers with the data that it has
 	LagRejected                     // it rejects the read
-	LagAwaited                      // it waits a little, then rejects the read
+	LagAwaited                      // it waits briefly for the commits, then rejects the read
 )
 
-// RoleVisibility says how the list shows the primary.
+// RoleVisibility says how the endpoint list marks the primary.
 type RoleVisibility int
 
-// The ways in which Endpoint.Primary follows the role.
+// The ways in which Endpoint.Primary follows the actual role.
 const (
-	RoleHidden  RoleVisibility = iota // never marked
-	RoleAtStart                       // as at the start
-	RoleDelayed                       // late
+	RoleHidden  RoleVisibility = iota // no endpoint is marked
+	RoleAtStart                       // the mark stays on the initial primary
+	RoleDelayed                       // the mark follows with a delay
 )
 
 // Class is one class of requests.
@@ -66,39 +66,39 @@
 	Consistency       Consistency
 	Idempotency       Idempotency
 	KeyScope          KeyScope
-	LatencyObjective  clock.Nanos // full weight when answered within this
-	Deadline          clock.Nanos // a client waits so long over all its attempts
-	IdempotencyWindow clock.Nanos // IdempotentByKey: how long repeats are dropped
-	StalenessBound    clock.Nanos // BoundedStaleness: greatest age of the data
+	LatencyObjective  clock.Nanos // an answer within this time has the full PriorityWeight
+	Deadline          clock.Nanos // how long a client waits, over all attempts
+	IdempotencyWindow clock.Nanos // IdempotentByKey: how long duplicates are dropped
+	StalenessBound    clock.Nanos // BoundedStaleness: max age of the data
 	PriorityWeight    float64
-	LateWeight        float64 // share of PriorityWeight after LatencyObjective
+	LateWeight        float64 // share of PriorityWeight that an answer after LatencyObjective has
 }
 
-// demand says who must take requests of the class.
-func (c *Class) demand() slowstart.Kind {
+// kind returns which endpoints can serve the class.
+func (c *Class) kind() slowstart.Kind {
 	if c.Consistency >= FreshRead {
 		return slowstart.Primary
 	}
 	return slowstart.Replica
 }
 
-// repeatableAnywhere says whether a client may repeat a request that may have run, at any router.
+// repeatableAnywhere reports whether a client may retry a request that may have run, at any router.
 func (c *Class) repeatableAnywhere() bool {
 	return c.Idempotency == Idempotent || (c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll)
 }
 
-// Tenant has a share of the service.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all routers; 0 means no quota
+	Quota float64 // requests per second over all routers; 0: no quota
 }
 
-// Settings is what a router is told at its start.
+// Settings configure a router.
 type Settings struct {
-	Routers       int // of the deployment
+	Routers       int // number of routers in the deployment
 	Classes       []Class
 	Tenants       []Tenant
-	BatchInterval clock.Nanos // batches come at most this often
+	BatchInterval clock.Nanos // min time between two steps
 
 	EndpointSettings
 	AttemptSettings
@@ -106,61 +106,61 @@
 	CostSettings
 }
 
-// EndpointSettings say what endpoints and their list tell.
+// EndpointSettings describe the endpoint list and the endpoints' behavior.
 type EndpointSettings struct {
-	WatchRequired        bool // the list's changes come only after WatchEndpoints
-	SoftRemoval          bool // a removal without draining does not bind
+	WatchRequired        bool // changes of the list are sent only after WatchEndpoints
+	SoftRemoval          bool // a removed endpoint that did not drain first may still be used
 	LagHandling          LagHandling
 	RoleVisibility       RoleVisibility
-	ClientPositions      bool // session reads carry the age of their session's last commit
+	ClientPositions      bool // session reads carry the time since their session's last commit
 	ProbesAllowed        bool
-	ProbesReportPosition bool        // a probe's answer carries position and role
-	IdleTimeout          clock.Nanos // connections that were idle so long are closed
+	ProbesReportPosition bool        // probe answers carry log position and role
+	IdleTimeout          clock.Nanos // connections idle for this long are closed
 }
 
-// AttemptSettings bound attempts and final answers.
+// AttemptSettings limit attempts and final answers.
 type AttemptSettings struct {
-	MaxAttempts       int // of a request
-	MaxQueued         int // requests, and remembered commits of sessions
+	MaxAttempts       int // per request
+	MaxQueued         int // queued requests; also the number of sessions whose last commit is remembered
 	CancelAllowed     bool
 	RetryAfterAllowed bool
 	MaxRetryAfter     clock.Nanos
-	AnswerSlack       clock.Nanos // a final answer may be so late
+	AnswerSlack       clock.Nanos // how long after its deadline a request's final answer may come
 }
 
-// SlowStartSettings describe endpoints that have just started.
+// SlowStartSettings describe endpoints that have started recently.
 type SlowStartSettings struct {
-	ColdCapacity     float64 // share of its capacity that an endpoint has when it starts
+	ColdCapacity     float64 // share of the full capacity that an endpoint has when it starts
 	WarmUpTime       clock.Nanos
-	OverloadMultiple float64 // of its present capacity that it bears in a window
+	OverloadMultiple float64 // load within OverloadWindow that an endpoint tolerates, as a multiple of its current capacity
 	OverloadWindow   clock.Nanos
 }
 
-// CostSettings weigh what is not an answer in time.
+// CostSettings are the costs of outcomes other than an answer within the latency objective.
 type CostSettings struct {
 	OverQuotaWeight      float64 // share of its weight that a request beyond its tenant's quota has
 	LateFailureCost      float64
-	HandshakeCost        float64 // of a new connection, as a share of a request's weight
-	LateRejectionCharged bool    // past half of its time with nothing sent, a rejection costs more than the rest can earn
+	HandshakeCost        float64 // cost of a new connection, as a share of a request's weight
+	LateRejectionCharged bool    // rejecting an unsent request after half of its time costs more than a later answer earns
 }
 
-// validate names each field that a router can't work with.
-func validate(s *Settings) error {
+// validate names each setting that is missing or out of range.
+func validate(settings *Settings) error {
 	var errs []error
 	check := func(ok bool, field string) {
 		if !ok {
 			errs = append(errs, fmt.Errorf("%s: missing or out of range", field))
 		}
 	}
-	check(len(s.Classes) > 0 && s.BatchInterval > 0, "Classes, BatchInterval")
-	check(min(s.Routers, s.MaxAttempts, s.MaxQueued) > 0, "Routers, MaxAttempts, MaxQueued")
-	check(s.ColdCapacity >= 0 && s.ColdCapacity <= 1, "ColdCapacity")
-	check(min(s.WarmUpTime, s.OverloadWindow, s.MaxRetryAfter) >= 0, "WarmUpTime, OverloadWindow, MaxRetryAfter")
-	check(min(s.LateFailureCost, s.HandshakeCost) >= 0, "LateFailureCost, HandshakeCost")
-	check(s.OverQuotaWeight >= 0 && s.OverloadMultiple >= 0, "OverQuotaWeight, OverloadMultiple")
-	check(min(s.IdleTimeout, s.AnswerSlack) >= 0, "IdleTimeout, AnswerSlack")
-	for i := range s.Classes {
-		class, path := &s.Classes[i], fmt.Sprintf("Classes[%d].", i)
+	check(len(settings.Classes) > 0 && settings.BatchInterval > 0, "Classes, BatchInterval")
+	check(min(settings.Routers, settings.MaxAttempts, settings.MaxQueued) > 0, "Routers, MaxAttempts, MaxQueued")
+	check(settings.ColdCapacity >= 0 && settings.ColdCapacity <= 1, "ColdCapacity")
+	check(min(settings.WarmUpTime, settings.OverloadWindow, settings.MaxRetryAfter) >= 0, "WarmUpTime, OverloadWindow, MaxRetryAfter")
+	check(min(settings.LateFailureCost, settings.HandshakeCost) >= 0, "LateFailureCost, HandshakeCost")
+	check(settings.OverQuotaWeight >= 0 && settings.OverloadMultiple >= 0, "OverQuotaWeight, OverloadMultiple")
+	check(min(settings.IdleTimeout, settings.AnswerSlack) >= 0, "IdleTimeout, AnswerSlack")
+	for i := range settings.Classes {
+		class, path := &settings.Classes[i], fmt.Sprintf("Classes[%d].", i)
 		check(min(class.LatencyObjective, class.Deadline) > 0, path+"LatencyObjective, Deadline")
 		check(min(class.PriorityWeight, class.LateWeight) >= 0, path+"PriorityWeight, LateWeight")
 		check(class.Consistency != BoundedStaleness || class.StalenessBound > 0, path+"StalenessBound")
@@ -168,39 +168,39 @@
 	return errors.Join(errs...)
 }
 
-func (s *Settings) hasClass(class int) bool { return class >= 0 && class < len(s.Classes) }
+func (settings *Settings) hasClass(i int) bool { return i >= 0 && i < len(settings.Classes) }
 
-// classSpans are the latency objectives and the deadlines of all classes, by class index.
-func (s *Settings) classSpans() (objectives, deadlines []clock.Nanos) {
-	for i := range s.Classes {
-		objectives = append(objectives, s.Classes[i].LatencyObjective)
-		deadlines = append(deadlines, s.Classes[i].Deadline)
+// classTimes returns the latency objectives and the deadlines of all classes, by class index.
+func (settings *Settings) classTimes() (objectives, deadlines []clock.Nanos) {
+	for i := range settings.Classes {
+		objectives = append(objectives, settings.Classes[i].LatencyObjective)
+		deadlines = append(deadlines, settings.Classes[i].Deadline)
 	}
 	return objectives, deadlines
 }
 
-// tenantQuotas are in the order of the tenants.
-func (s *Settings) tenantQuotas() []float64 {
+// tenantQuotas returns the quotas by tenant index.
+func (settings *Settings) tenantQuotas() []float64 {
 	var quotas []float64
-	for _, tenant := range s.Tenants {
+	for _, tenant := range settings.Tenants {
 		quotas = append(quotas, tenant.Quota)
 	}
 	return quotas
 }
 
-func (s *Settings) slowStart() slowstart.Settings {
+func (settings *Settings) slowStart() slowstart.Settings {
 	return slowstart.Settings{
-		ColdCapacity:     s.ColdCapacity,
-		WarmUpTime:       s.WarmUpTime,
-		Window:           s.OverloadWindow,
-		OverloadMultiple: s.OverloadMultiple,
+		ColdCapacity:     settings.ColdCapacity,
+		WarmUpTime:       settings.WarmUpTime,
+		Window:           settings.OverloadWindow,
+		OverloadMultiple: settings.OverloadMultiple,
 	}
 }
 
-// retryAfter is the time that a rejection of a class names.
-func (s *Settings) retryAfter(class *Class) clock.Nanos {
-	if !s.RetryAfterAllowed {
+// retryAfter returns the Retry-After time of a rejected request of a class; 0: none.
+func (settings *Settings) retryAfter(class *Class) clock.Nanos {
+	if !settings.RetryAfterAllowed {
 		return 0
 	}
-	return min(class.LatencyObjective, s.MaxRetryAfter)
+	return min(class.LatencyObjective, settings.MaxRetryAfter)
 }
--- a/policy/balance/slowstart.go
+++ b/policy/balance/slowstart.go
@@ -2,29 +2,29 @@
 
 import "lotushook/policy/slowstart"
 
-// warmth is the least share of its capacity that an endpoint surely has by now.
-func (b *Balancer) warmth(ep *endpoint) float64 { return b.slowStart.Warmth(b.now, ep.startedAt) }
+// warmth is a lower bound of the share of its full capacity that an endpoint has by now.
+func (lb *Balancer) warmth(ep *endpoint) float64 { return lb.slowStart.Warmth(lb.now, ep.startedAt) }
 
-// withinSlowStart says whether an endpoint that warms up has budget left for a request.
-func (b *Balancer) withinSlowStart(ep *endpoint, r *request) bool {
+// withinSlowStart reports whether an endpoint that is warming up has budget left for a request.
+func (lb *Balancer) withinSlowStart(ep *endpoint, req *request) bool {
 	target := slowstart.Endpoint{ID: uint32(ep.id), Weight: ep.weight, StartedAt: ep.startedAt,
 		IsPrimary: ep == ep.group.primary, Window: &ep.warmUp, Demand: &ep.group.demand}
-	return b.slowStart.Allows(b.now, target, slowstart.Request{Kind: b.classOf(r).demand(),
-		Work: b.classes.Work(r.class), MaxWork: b.classes.MaxWork(), RecentWork: r.recentWork, Draw: &r.draw})
+	return lb.slowStart.Allows(lb.now, target, slowstart.Request{Kind: lb.classOf(req).kind(),
+		Work: lb.classes.Work(req.class), MaxWork: lb.classes.MaxWork(), RecentWork: req.workload, Draw: &req.draw})
 }
 
-// learnDemand hands the groups' demands on. Ejected endpoints count for the size, as the few others would be
-// no measure while all fail by turns.
-func (b *Balancer) learnDemand() {
+// learnDemand reports the groups' demands. The total size includes ejected endpoints: if all fail in turn, a
+// division by the few others would make the work per endpoint look too large.
+func (lb *Balancer) learnDemand() {
 	var demands []*slowstart.Demand
 	size := 0.0
-	for _, g := range b.groups.order {
-		demands = append(demands, &g.demand)
-		for _, ep := range g.members {
+	for _, group := range lb.groups.order {
+		demands = append(demands, &group.demand)
+		for _, ep := range group.endpoints {
 			if ep.state == Ready {
-				size += ep.weight * b.warmth(ep)
+				size += ep.weight * lb.warmth(ep)
 			}
 		}
 	}
-	b.slowStart.Learn(b.now, demands, size)
+	lb.slowStart.Learn(lb.now, demands, size)
 }
--- a/policy/balance/tables.go
+++ b/policy/balance/tables.go
@@ -2,35 +2,35 @@
 
 import "lotushook/policy/timequeue"
 
-// groupTable finds endpoints and groups. It decides nothing.
+// groupTable indexes the known endpoints and groups.
 type groupTable struct {
-	endpoints map[EndpointID]*endpoint
-	byID      map[int64]*group
-	order     []*group // by first sight
-	queues    int      // of each group
+	endpoints      map[EndpointID]*endpoint
+	byID           map[int64]*group
+	order          []*group // in the order of their first mention
+	queuesPerGroup int
 }
 
-func newGroupTable(queues int) groupTable {
-	return groupTable{endpoints: map[EndpointID]*endpoint{}, byID: map[int64]*group{}, queues: queues}
+func newGroupTable(queuesPerGroup int) groupTable {
+	return groupTable{endpoints: map[EndpointID]*endpoint{}, byID: map[int64]*group{}, queuesPerGroup: queuesPerGroup}
 }
 
-// group returns the group of an id, which exists from its first mention on.
-func (b *Balancer) group(id int64) *group {
-	g := b.groups.byID[id]
-	if g == nil {
-		g = &group{id: id, queues: make([]timequeue.Queue[*request], b.groups.queues)}
-		b.groups.byID[id] = g
-		b.groups.order = append(b.groups.order, g)
-		b.slowStart.SetGroups(len(b.groups.order))
+// group returns the group with an id and creates it at its first mention.
+func (lb *Balancer) group(id int64) *group {
+	found := lb.groups.byID[id]
+	if found == nil {
+		found = &group{id: id, queues: make([]timequeue.Queue[*request], lb.groups.queuesPerGroup)}
+		lb.groups.byID[id] = found
+		lb.groups.order = append(lb.groups.order, found)
+		lb.slowStart.SetGroups(len(lb.groups.order))
 	}
-	return g
+	return found
 }
 
-// requestTable finds the requests that are open, and those that have attempts in flight. It decides nothing.
+// requestTable indexes the requests without a final answer, and the ended ones with attempts in flight.
 type requestTable struct {
 	byID       map[string]*request
-	bySequence map[int64]*request
-	sequence   int64
+	bySequence map[int64]*request // requests without a final answer
+	sequence   int64              // of the last request
 }
 
 func newRequestTable() requestTable {
@@ -38,22 +38,22 @@
 }
 
 // nextSequence numbers requests from 1 in the order of their arrival.
-func (t *requestTable) nextSequence() int64 {
-	t.sequence++
-	return t.sequence
+func (table *requestTable) nextSequence() int64 {
+	table.sequence++
+	return table.sequence
 }
 
-func (t *requestTable) add(r *request) {
-	t.byID[r.id] = r
-	t.bySequence[r.sequence] = r
+func (table *requestTable) add(req *request) {
+	table.byID[req.id] = req
+	table.bySequence[req.sequence] = req
 }
 
-// remove forgets a request that has ended, once none of its attempts is in flight.
-func (t *requestTable) remove(r *request) {
-	delete(t.bySequence, r.sequence)
-	if r.inFlight == 0 {
-		delete(t.byID, r.id)
+// remove deletes an ended request; byID keeps it while attempts are in flight, for their outcomes.
+func (table *requestTable) remove(req *request) {
+	delete(table.bySequence, req.sequence)
+	if req.inFlight == 0 {
+		delete(table.byID, req.id)
 	}
 }
 
-func (b *Balancer) classOf(r *request) *Class { return &b.settings.Classes[r.class] }
+func (lb *Balancer) classOf(req *request) *Class { return &lb.settings.Classes[req.class] }
