--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -59,9 +59,9 @@
 	if err != nil {
 		return err
 	}
-	found := book.Findings(contract.Capacity{Groups: conf.Fleet.Groups, PrimaryPerS: conf.Fleet.PrimaryPerS, PromisableShare: conf.Fleet.PrimaryUse})
+	found := book.CheckCapacity(contract.Capacity{Groups: conf.Fleet.Groups, PrimaryWorkPerSecond: conf.Fleet.PrimaryPerS, PromisableShare: conf.Fleet.PrimaryUse})
 	for _, f := range found {
-		fmt.Fprintf(c.Root().Writer, "contracts.%s: %s\n", f.Where, f.Text)
+		fmt.Fprintf(c.Root().Writer, "contracts.%s: %s\n", f.Path, f.Text)
 	}
 	if len(found) > 0 {
 		return fmt.Errorf("%d findings", len(found))
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -101,13 +101,13 @@
 func (t *contractService) apply(s contract.Settings) error {
 	names := map[*request]string{}
 	for _, r := range t.router.loop.requests {
-		names[r] = t.ledger.Name(r.contractRequest.Team)
+		names[r] = t.ledger.TeamName(r.contractRequest.Team)
 	}
-	if err := t.ledger.Set(s); err != nil {
+	if err := t.ledger.UpdateSettings(s); err != nil {
 		return err
 	}
 	for r, name := range names {
-		r.contractRequest.Team = t.ledger.Team(name)
+		r.contractRequest.Team = t.ledger.TeamIndex(name)
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 func (t *contractService) admit(e *loopEvent, now clock.Nanos) (taken, hold bool) {
 	r := e.request
 	team, why := t.ledger.Match(r.identity)
-	team, why = t.ledger.Named(r.Team, team, why)
+	team, why = t.ledger.TeamFromComment(r.Team, team, why)
 	v := contract.Verdict{Reason: why}
 	if team >= 0 {
 		if t.shedding != nil && !t.shedding.admit(r, team, now) {
@@ -175,7 +175,7 @@
 }
 
 // rejectQueued ends the wait of a queued request.
-func (t *contractService) rejectQueued(turn contract.Turn) {
+func (t *contractService) rejectQueued(turn contract.QueuedVerdict) {
 	if r := t.router.loop.requests[turn.ID]; r != nil {
 		t.router.metrics.Add(metrics.RejectedByContract)
 		r.contractReason, r.rejectionReason = turn.Reason, t.rejectionFor(r.contractRequest.Team, r, turn.Verdict)
@@ -186,7 +186,7 @@
 // releaseQueued passes on the requests whose turn has come, and rejects those whose deadline has passed.
 func (t *contractService) releaseQueued(now clock.Nanos) {
 	o := t.router.loop
-	for _, turn := range t.ledger.Due(now) {
+	for _, turn := range t.ledger.DecideQueued(now) {
 		r := o.requests[turn.ID]
 		switch {
 		case r == nil:
@@ -205,12 +205,12 @@
 func (t *contractService) requestEnded(r *request, now clock.Nanos) {
 	end := r.end
 	end.Abandoned = end.Abandoned || !r.contractReason.Admitted()
-	t.ledger.Ended(r.contractRequest, r.lowPriority, end, now)
+	t.ledger.RequestEnded(r.contractRequest, r.lowPriority, end, now)
 	if t.shedding != nil {
 		t.shedding.requestEnded(r, now)
 	}
 	if r.end.Served {
-		t.responseTimes.Add(t.ledger.Name(r.contractRequest.Team), r.Class, time.Duration(r.end.Elapsed))
+		t.responseTimes.Add(t.ledger.TeamName(r.contractRequest.Team), r.Class, time.Duration(r.end.Elapsed))
 	}
 }
 
@@ -243,7 +243,7 @@
 
 // rejectionFor names the team, the limit and its value.
 func (t *contractService) rejectionFor(team int, r *request, v contract.Verdict) *rejectionReason {
-	name := t.ledger.Name(team)
+	name := t.ledger.TeamName(team)
 	figure := strconv.FormatFloat(v.Limit, 'g', 4, 64)
 	back := "come back after the time in DETAIL, in ms; what is beyond the contract passes again when others leave room"
 	switch v.Reason {
@@ -285,7 +285,7 @@
 	var rows []accounting.Row
 	t.router.loop.do(ctx, func() {
 		t.ledger.Accounts(func(team, class string, a contract.Account) {
-			row := accounting.Row{Team: team, Class: class, Requested: a.Requested, Served: a.Served, InObjective: a.InObjective, Rejected: a.Refused, Failed: a.Failed, Weight: a.Weight,
+			row := accounting.Row{Team: team, Class: class, Requested: a.Requested, Served: a.Served, InObjective: a.InObjective, Rejected: a.Rejected, Failed: a.Failed, Weight: a.Weight,
 				Grounds: map[string]uint64{}, Refused: map[string]uint64{}}
 			for r, n := range a.ByReason {
 				switch reason := contract.Reason(r); {
--- a/internal/router/eventloop.go
+++ b/internal/router/eventloop.go
@@ -194,7 +194,7 @@
 		if e, ok := m.quotaChange(now); ok {
 			o.batch = append(o.batch, e)
 			if o.contracts != nil {
-				o.contracts.ledger.SetShare(e.Share)
+				o.contracts.ledger.SetMinLoadShare(e.Share)
 			}
 		}
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -44,7 +44,7 @@
 	sessionWroteAt   clock.Nanos        // when any router saw its session write last, by the log; 0: not known, or not shared
 	positionEvidence positionProvenance // what a session's read must see, and why; empty where no attempts are logged
 	trace            []tracedAttempt    // its attempts, where the access log may want them
-	end              contract.End
+	end              contract.Outcome
 	outcome          requestOutcome
 	reason           balance.Reason // of a rejection or a failure
 }
@@ -142,7 +142,7 @@
 
 // reportEnd tells the event loop that the task has ended.
 func (r *request) reportEnd() {
-	r.end.MayRun = r.mayHaveRun && !r.end.Served
+	r.end.MayHaveRun = r.mayHaveRun && !r.end.Served
 	r.end.Elapsed = r.router.clock.now() - r.arrivedAt
 	r.router.loop.events <- loopEvent{request: r, requestEnded: true}
 }
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -66,7 +66,7 @@
 func (l *sheddingService) admit(r *request, team int, now clock.Nanos) bool {
 	set := l.router.config.Settings
 	terms := l.router.loop.contracts
-	q := shedding.Request{Team: team, Account: l.settings.Account(terms.ledger.Name(team), r.Session), Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, Share: terms.ledger.Share(r.Cluster)}
+	q := shedding.Request{Team: team, Account: l.settings.Account(terms.ledger.TeamName(team), r.Session), Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, Share: terms.ledger.ContractShare(r.Cluster)}
 	if set.IsSession(r.Class) && r.Session != "" {
 		q.ReadSession = shedding.Session(r.Cluster, r.Session)
 		q.WroteElsewhere = r.sessionWroteAt > 0 && now-r.sessionWroteAt < l.settings.WriteAffinity
@@ -99,7 +99,7 @@
 
 // requestEnded records a request's end.
 func (l *sheddingService) requestEnded(r *request, now clock.Nanos) {
-	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
+	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayHaveRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
 	if l.router.config.Settings.IsWrite(r.Class) && r.Session != "" {
 		e.SessionWritten = shedding.Session(r.Cluster, r.Session)
 	}
--- a/internal/siteconfig/contracts.go
+++ b/internal/siteconfig/contracts.go
@@ -137,7 +137,7 @@
 // LedgerSettings are the settings of the decision for one of so many routers.
 func (c *Contracts) LedgerSettings(classes []contract.Class, routers int, longestBack clock.Nanos) (contract.Settings, error) {
 	s := contract.Settings{Classes: classes, DefaultTeam: c.None, Ambiguous: c.Two, TrustComment: c.TrustComment, Routers: routers, Skew: c.Skew,
-		PrimaryWorkPerSecond: c.Fleet.PrimaryPerS, HighPressure: c.Pressure.High, LowPressure: c.Pressure.Low, MaxKeys: c.Keys, MaxShares: c.Shares,
+		PrimaryWorkPerSecond: c.Fleet.PrimaryPerS, HighPressure: c.Pressure.High, LowPressure: c.Pressure.Low, MaxKeys: c.Keys, MaxGroupEntries: c.Shares,
 		UTCOffsetSeconds: c.UTCOffsetMin * 60, MaxRetryAfter: longestBack}
 	if s.Skew*float64(routers) < 1 {
 		s.Skew = 1 / float64(routers)
@@ -159,7 +159,7 @@
 			if !ok {
 				return s, fmt.Errorf("teams.%s.classes.%s: no such class", t.Name, name)
 			}
-			team.Limits[i] = contract.Limit{PerS: l.PerS, Burst: l.Burst}
+			team.Limits[i] = contract.Limit{PerSecond: l.PerS, Burst: l.Burst}
 		}
 		for i, h := range t.Hours {
 			list, err := h.stretches()
--- a/policy/contract/account.go
+++ b/policy/contract/account.go
@@ -2,94 +2,94 @@
 
 import "lotushook/policy/clock"
 
-// Account counts what a team has requested of a class, and what it got.
+// Account counts one team's requests of one class by their outcome.
 type Account struct {
 	Requested   uint64
-	ByReason    [ReasonCount]uint64 // admissions and rejections
+	ByReason    [ReasonCount]uint64 // decisions on arrival: admissions and rejections
 	Served      uint64
-	InObjective uint64
-	Refused     uint64 // by the router after it was admitted
-	Failed      uint64
-	Weight      float64 // earned
+	InObjective uint64  // served within the latency objective
+	Rejected    uint64  // by the router after their admission
+	Failed      uint64  // not answered, and may have run
+	Weight      float64 // sum of the priority weights of the requests in InObjective
 }
 
-// Accounts calls each with every team and class that was ever requested.
-func (b *Ledger) Accounts(each func(team, class string, a Account)) {
-	for i := range b.teams {
-		for c := range b.teams[i].classes {
-			if a := b.teams[i].classes[c].Account; a.Requested > 0 {
-				each(b.settings.Teams[i].Name, b.settings.Classes[c].Name, a)
+// Accounts calls each with every team and class that has received a request.
+func (ledger *Ledger) Accounts(each func(team, class string, account Account)) {
+	for team := range ledger.teams {
+		for class := range ledger.teams[team].classes {
+			if account := ledger.teams[team].classes[class].Account; account.Requested > 0 {
+				each(ledger.settings.Teams[team].Name, ledger.settings.Classes[class].Name, account)
 			}
 		}
 	}
 }
 
-// teamUsage is what one team uses.
+// teamUsage is how much of its contract one team uses.
 type teamUsage struct {
-	classes []classUsage
-	retry   bucket
-	open    int
+	classes     []classUsage
+	retryBudget tokenBucket
+	open        int // admitted requests that have not ended
 }
 
 type classUsage struct {
-	bucket     bucket
-	guaranteed bucket // what the contract guarantees: this router's even share
+	budget     tokenBucket
+	guaranteed tokenBucket // refilled at this router's load share of the rate; a request beyond it has low priority
 	Account
 }
 
-// Ended processes the end of an admitted request; after is its verdict's. Requests
-// that others are not placed before measure the group's latency; a keyed write
-// that may have run is remembered.
-func (b *Ledger) Ended(r Request, after bool, e End, now clock.Nanos) {
-	if r.Class < 0 || r.Class >= len(b.settings.Classes) {
+// RequestEnded processes the end of an admitted request; lowPriority is its verdict's LowPriority. Only requests
+// without low priority are samples of the group's latency. The key of a write that may have run is stored, so that a
+// retry with this key is admitted.
+func (ledger *Ledger) RequestEnded(request Request, lowPriority bool, outcome Outcome, now clock.Nanos) {
+	if request.Class < 0 || request.Class >= len(ledger.settings.Classes) {
 		return
 	}
-	class := &b.settings.Classes[r.Class]
-	if after {
-		if p := b.pressures[place{r.Group, class.Primary}]; p != nil {
-			p.open = max(0, p.open-1)
+	class := &ledger.settings.Classes[request.Class]
+	if lowPriority {
+		if pressure := ledger.pressures[groupRole{request.Group, class.Primary}]; pressure != nil {
+			pressure.lowPriorityOpen = max(0, pressure.lowPriorityOpen-1)
 		}
 	}
-	if r.Team >= 0 && r.Team < len(b.teams) {
-		a := &b.teams[r.Team]
-		a.open = max(0, a.open-1)
-		c := &a.classes[r.Class]
+	if request.Team >= 0 && request.Team < len(ledger.teams) {
+		usage := &ledger.teams[request.Team]
+		usage.open = max(0, usage.open-1)
+		perClass := &usage.classes[request.Class]
 		switch {
-		case e.Served:
-			c.Served++
-			if e.Elapsed <= class.LatencyObjective {
-				c.InObjective++
-				c.Weight += class.PriorityWeight
+		case outcome.Served:
+			perClass.Served++
+			if outcome.Elapsed <= class.LatencyObjective {
+				perClass.InObjective++
+				perClass.Weight += class.PriorityWeight
 			}
-		case e.MayRun:
-			c.Failed++
-		case !e.Abandoned:
-			c.Refused++
+		case outcome.MayHaveRun:
+			perClass.Failed++
+		case !outcome.Abandoned:
+			perClass.Rejected++
 		}
 	}
-	if r.Key != "" && !e.Served && e.MayRun {
-		b.remember(r.Key, now)
-	} else if e.Served {
-		delete(b.recentKeys, r.Key)
+	if request.Key != "" && !outcome.Served && outcome.MayHaveRun {
+		ledger.rememberKey(request.Key, now)
+	} else if outcome.Served {
+		delete(ledger.recentKeys, request.Key)
 	}
-	if after || e.Abandoned || class.LatencyObjective <= 0 {
+	if lowPriority || outcome.Abandoned || class.LatencyObjective <= 0 {
 		return
 	}
-	felt := failureShare
-	if e.Served {
-		felt = min(failureShare, float64(e.Elapsed)/float64(class.LatencyObjective))
+	sample := failureShare
+	if outcome.Served {
+		sample = min(failureShare, float64(outcome.Elapsed)/float64(class.LatencyObjective))
 	}
-	b.pressure(r, now).addSample(felt)
+	ledger.pressureFor(request, now).addSample(sample)
 }
 
-// remember stores a key; the oldest is dropped where there are too many.
-func (b *Ledger) remember(key string, now clock.Nanos) {
-	if _, ok := b.recentKeys[key]; !ok {
-		b.keyOrder = append(b.keyOrder, key)
+// rememberKey stores the key of a write that may have run. Beyond MaxKeys, the oldest keys are dropped.
+func (ledger *Ledger) rememberKey(key string, now clock.Nanos) {
+	if _, ok := ledger.recentKeys[key]; !ok {
+		ledger.keyOrder = append(ledger.keyOrder, key)
 	}
-	b.recentKeys[key] = now
-	for len(b.keyOrder) > b.settings.MaxKeys {
-		delete(b.recentKeys, b.keyOrder[0])
-		b.keyOrder = b.keyOrder[1:]
+	ledger.recentKeys[key] = now
+	for len(ledger.keyOrder) > ledger.settings.MaxKeys {
+		delete(ledger.recentKeys, ledger.keyOrder[0])
+		ledger.keyOrder = ledger.keyOrder[1:]
 	}
 }
--- a/policy/contract/borrow.go
+++ b/policy/contract/borrow.go
@@ -7,116 +7,119 @@
 	"lotushook/policy/clock"
 )
 
-// borrowOrQueue admits a request as borrowed, queues it for its
-// turn, or leaves it rejected.
-func (b *Ledger) borrowOrQueue(r Request, t *Team, v *Verdict, now clock.Nanos) {
-	p, aim := b.pressure(r, now), b.settings.Classes[r.Class].LatencyObjective
-	within := v.Reason == Within
-	if len(p.queue) == 0 && p.hasRoom() {
-		p.admit()
-		*v = Verdict{Reason: Borrowed, LowPriority: true}
-		if within {
-			v.Reason = Within
+// borrowOrQueue decides on a low-priority request: it is admitted if the window has capacity, and otherwise queued.
+// If the full queue displaces the request itself, its verdict stays a rejection.
+func (ledger *Ledger) borrowOrQueue(request Request, team *Team, verdict *Verdict, now clock.Nanos) {
+	pressure, objective := ledger.pressureFor(request, now), ledger.settings.Classes[request.Class].LatencyObjective
+	withinContract := verdict.Reason == Within
+	if len(pressure.queue) == 0 && pressure.hasCapacity() {
+		pressure.admit()
+		*verdict = Verdict{Reason: Borrowed, LowPriority: true}
+		if withinContract {
+			verdict.Reason = Within
 		}
 		return
 	}
-	until := now + aim/2
-	if r.Deadline > 0 {
-		until = min(until, now+(r.Deadline-now)*2/5) // a rejection past the half is charged
+	expiresAt := now + objective/2
+	if request.Deadline > 0 {
+		// A rejection after half of the client's time limit is penalized; 2/5 leaves a margin.
+		expiresAt = min(expiresAt, now+(request.Deadline-now)*2/5)
 	}
-	gone := p.enqueue(queuedRequest{Request: r, verdict: *v, until: until, within: within}, t.Weight, aim)
-	b.queued[r.ID] = place{r.Group, b.settings.Classes[r.Class].Primary}
-	if gone != nil && gone.ID == r.ID {
-		delete(b.queued, r.ID)
-		v.LowPriority = false
+	displaced := pressure.enqueue(queuedRequest{Request: request, rejection: *verdict, expiresAt: expiresAt,
+		withinContract: withinContract}, team.Weight, objective)
+	ledger.queued[request.ID] = groupRole{request.Group, ledger.settings.Classes[request.Class].Primary}
+	if displaced != nil && displaced.ID == request.ID {
+		delete(ledger.queued, request.ID)
+		verdict.LowPriority = false
 		return
 	}
-	if gone != nil {
-		delete(b.queued, gone.ID)
-		gone.verdict.LowPriority = false
-		v.Displaced = &Turn{gone.ID, gone.verdict}
-		b.recount(gone.Request, gone.verdict.Reason)
+	if displaced != nil {
+		delete(ledger.queued, displaced.ID)
+		displaced.rejection.LowPriority = false
+		verdict.Displaced = &QueuedVerdict{displaced.ID, displaced.rejection}
+		ledger.recountRejected(displaced.Request, displaced.rejection.Reason)
 	}
-	*v = Verdict{Reason: Borrowed, LowPriority: true, Queued: true, Displaced: v.Displaced}
-	if within {
-		v.Reason = Within
+	*verdict = Verdict{Reason: Borrowed, LowPriority: true, Queued: true, Displaced: verdict.Displaced}
+	if withinContract {
+		verdict.Reason = Within
 	}
 }
 
-// recount moves a request that was counted as borrowed to the reason of its rejection.
-func (b *Ledger) recount(r Request, to Reason) {
-	if r.Team >= 0 && r.Team < len(b.teams) {
-		c := &b.teams[r.Team].classes[r.Class]
-		c.ByReason[Borrowed]--
-		c.ByReason[to]++
+// recountRejected moves a request that was counted as borrowed to the reason of its rejection.
+func (ledger *Ledger) recountRejected(request Request, reason Reason) {
+	if request.Team >= 0 && request.Team < len(ledger.teams) {
+		perClass := &ledger.teams[request.Team].classes[request.Class]
+		perClass.ByReason[Borrowed]--
+		perClass.ByReason[reason]++
 	}
 }
 
-// spreadRetryAfter sets the Retry-After time of a rejection.
-func (b *Ledger) spreadRetryAfter(t *Turn) {
-	if t.RetryAfter > 0 {
-		t.RetryAfter = b.spread(t.RetryAfter)
+// jitterRetryAfter adds jitter to the Retry-After time of a queued request that is rejected.
+func (ledger *Ledger) jitterRetryAfter(queued *QueuedVerdict) {
+	if queued.RetryAfter > 0 {
+		queued.RetryAfter = ledger.jitter(queued.RetryAfter)
 	}
 }
 
-// Due returns the queued requests that are decided: admitted, or rejected because
-// their deadline has passed. It should be called after each end, and a few times a
-// second while any are queued.
-func (b *Ledger) Due(now clock.Nanos) []Turn {
-	if len(b.queued) == 0 {
+// DecideQueued returns the decisions that are now due on queued requests: a request is admitted if the window has
+// capacity, and rejected when it expires in the queue, unless its contract covers it; then it is admitted on expiry.
+// It should be called after each end of a request, and a few times a second while any are queued.
+func (ledger *Ledger) DecideQueued(now clock.Nanos) []QueuedVerdict {
+	if len(ledger.queued) == 0 {
 		return nil
 	}
-	var out []Turn
-	done := func(w *queuedRequest, v Verdict) {
-		delete(b.queued, w.ID)
-		out = append(out, Turn{w.ID, v})
+	var decided []QueuedVerdict
+	decide := func(queued *queuedRequest, verdict Verdict) {
+		delete(ledger.queued, queued.ID)
+		decided = append(decided, QueuedVerdict{queued.ID, verdict})
 	}
-	for _, k := range b.queuedPlaces() {
-		p := b.pressures[k]
-		p.advance(now, b.settings.HighPressure, b.settings.LowPressure)
-		for w := p.dequeue(); w != nil; w = p.dequeue() {
-			done(w, Verdict{Reason: Borrowed, LowPriority: true})
+	for _, role := range ledger.rolesWithQueues() {
+		pressure := ledger.pressures[role]
+		pressure.advance(now, ledger.settings.HighPressure, ledger.settings.LowPressure)
+		for queued := pressure.dequeue(); queued != nil; queued = pressure.dequeue() {
+			decide(queued, Verdict{Reason: Borrowed, LowPriority: true})
 		}
-		for w := p.dequeueExpired(now); w != nil; w = p.dequeueExpired(now) {
-			if w.within {
-				p.admit()
-				done(w, Verdict{Reason: Within, LowPriority: true})
+		for queued := pressure.dequeueExpired(now); queued != nil; queued = pressure.dequeueExpired(now) {
+			if queued.withinContract {
+				pressure.admit()
+				decide(queued, Verdict{Reason: Within, LowPriority: true})
 				continue
 			}
-			w.verdict.LowPriority = false
-			t := Turn{w.ID, w.verdict}
-			b.spreadRetryAfter(&t)
-			b.recount(w.Request, t.Reason)
-			done(w, t.Verdict)
+			queued.rejection.LowPriority = false
+			rejected := QueuedVerdict{queued.ID, queued.rejection}
+			ledger.jitterRetryAfter(&rejected)
+			ledger.recountRejected(queued.Request, rejected.Reason)
+			decide(queued, rejected.Verdict)
 		}
 	}
-	return out
+	return decided
 }
 
-// QueuedCount is how many requests are queued.
-func (b *Ledger) QueuedCount() int { return len(b.queued) }
+// QueuedCount returns the number of queued requests.
+func (ledger *Ledger) QueuedCount() int { return len(ledger.queued) }
 
-// Abandon removes a queued request whose client has left. It says whether it was queued.
-func (b *Ledger) Abandon(id string) bool {
-	k, ok := b.queued[id]
+// Abandon removes a queued request whose client has left, and reports whether the request was queued.
+func (ledger *Ledger) Abandon(id string) bool {
+	role, ok := ledger.queued[id]
 	if !ok {
 		return false
 	}
-	delete(b.queued, id)
-	p := b.pressures[k]
-	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool { return w.ID == id })
+	delete(ledger.queued, id)
+	pressure := ledger.pressures[role]
+	pressure.queue = slices.DeleteFunc(pressure.queue, func(queued queuedRequest) bool { return queued.ID == id })
 	return true
 }
 
-// queuedPlaces are the places with queued requests, in order.
-func (b *Ledger) queuedPlaces() []place {
-	b.scratch = b.scratch[:0]
-	for k, p := range b.pressures {
-		if len(p.queue) > 0 {
-			b.scratch = append(b.scratch, k)
+// rolesWithQueues returns the group roles with queued requests, by group and the primary first. The next call
+// overwrites the result.
+func (ledger *Ledger) rolesWithQueues() []groupRole {
+	ledger.roleBuffer = ledger.roleBuffer[:0]
+	for role, pressure := range ledger.pressures {
+		if len(pressure.queue) > 0 {
+			ledger.roleBuffer = append(ledger.roleBuffer, role)
 		}
 	}
-	slices.SortFunc(b.scratch, func(x, y place) int {
+	slices.SortFunc(ledger.roleBuffer, func(x, y groupRole) int {
 		if x.group != y.group {
 			return cmp.Compare(x.group, y.group)
 		}
@@ -128,5 +131,5 @@
 		}
 		return 1
 	})
-	return b.scratch
+	return ledger.roleBuffer
 }
--- a/policy/contract/check.go
+++ b/policy/contract/check.go
@@ -5,83 +5,92 @@
 	"slices"
 )
 
-// Capacity is what contracts are checked against.
+// Capacity describes the fleet against which contracts are checked.
 type Capacity struct {
-	Groups          int
-	PrimaryPerS     float64 // work units
-	PromisableShare float64 // share of a primary that may be promised
+	Groups               int
+	PrimaryWorkPerSecond float64 // work units a primary does in a second
+	PromisableShare      float64 // share of a primary's work that contracts may promise
 }
 
-// Finding is a questionable part of contracts, and its path in the settings.
-type Finding struct{ Where, Text string }
+// Finding describes a problem of the contracts, and its path in the settings.
+type Finding struct{ Path, Text string }
 
-// Findings checks the contracts against a fleet's capacity. They are valid all the same: each
-// finding is a promise that can't be kept, or one that no client can use.
+// CheckCapacity compares the contracts with a fleet's capacity. Each finding is a promise that can't be kept, or one
+// that no client can use. Contracts with findings are still valid.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (s *Settings) Findings(f Capacity) []Finding {
-	var found []Finding
-	add := func(where, text string, args ...any) {
-		found = append(found, Finding{where, fmt.Sprintf(text, args...)})
+func (settings *Settings) CheckCapacity(capacity Capacity) []Finding {
+	var findings []Finding
+	add := func(path, text string, args ...any) {
+		findings = append(findings, Finding{path, fmt.Sprintf(text, args...)})
 	}
-	promised, shares := 0.0, 0.0
-	known := map[string]string{}
-	for i := range s.Teams {
-		t := &s.Teams[i]
-		at, most := "teams."+t.Name, 1.0
-		for _, h := range t.Hours {
-			most = max(most, h.Factor)
+	promisedWork, promisedShare := 0.0, 0.0
+	owners := map[string]string{}
+	for i := range settings.Teams {
+		team := &settings.Teams[i]
+		path, maxFactor := "teams."+team.Name, 1.0
+		for _, hours := range team.Hours {
+			maxFactor = max(maxFactor, hours.Factor)
 		}
-		units := 0.0
-		for c, l := range t.Limits {
-			where := at + ".classes." + s.Classes[c].Name
+		primaryWork := 0.0
+		for classIndex, limit := range team.Limits {
+			classPath := path + ".classes." + settings.Classes[classIndex].Name
 			switch {
-			case l.PerS > 0 && l.Burst < l.PerS/20:
-				add(where, "burst %v: requests of %v a second come a tenth of a second apart at times, and more than %v of them are then refused", l.Burst, l.PerS, l.Burst)
-			case l.PerS > 0 && l.Burst > 60*l.PerS:
-				add(where, "burst %v is a minute of the rate, %v a second: the rate does not bind", l.Burst, l.PerS)
+			case limit.PerSecond > 0 && limit.Burst < limit.PerSecond/20:
+				add(classPath,
+					"burst %v: requests at %v a second may arrive in batches a tenth of a second apart, and more than %v at once are rejected",
+					limit.Burst, limit.PerSecond, limit.Burst)
+			case limit.PerSecond > 0 && limit.Burst > 60*limit.PerSecond:
+				add(classPath,
+					"burst %v is over a minute of the rate, %v a second: the rate is not an effective limit",
+					limit.Burst, limit.PerSecond)
 			}
-			if s.Classes[c].Primary {
-				units += l.PerS * s.Classes[c].Cost * most
+			if settings.Classes[classIndex].Primary {
+				primaryWork += limit.PerSecond * settings.Classes[classIndex].Cost * maxFactor
 			}
 		}
-		promised += units
-		shares += t.PrimaryShare * most
-		if room := t.PrimaryShare * most * f.PrimaryPerS * float64(f.Groups); t.PrimaryShare > 0 && units > room*(1+1e-9) {
-			add(at, "rates of %.4g units a second on primaries, but its share of all primaries is %.4g", units, room)
+		promisedWork += primaryWork
+		promisedShare += team.PrimaryShare * maxFactor
+		if available := team.PrimaryShare * maxFactor * capacity.PrimaryWorkPerSecond * float64(capacity.Groups); team.PrimaryShare > 0 &&
+			primaryWork > available*(1+1e-9) {
+			add(path, "rates of %.4g units a second on primaries exceed its share of all primaries, %.4g", primaryWork, available)
 		}
-		if len(t.Users)+len(t.Databases)+len(t.Applications)+len(t.Addresses) == 0 && s.DefaultTeam != t.Name && !s.TrustComment {
-			add(at, "nobody can be known to be of it")
+		if len(team.Users)+len(team.Databases)+len(team.Applications)+len(team.Addresses) == 0 &&
+			settings.DefaultTeam != team.Name && !settings.TrustComment {
+			add(path, "no client can match this team")
 		}
-		for kind, list := range map[string][]string{"user": t.Users, "database": t.Databases, "application": t.Applications} {
-			for _, n := range list {
-				if other := known[kind+" "+n]; other != "" && other != t.Name {
-					add(at, "%s %q is also of team %s", kind, n, other)
+		for kind, names := range map[string][]string{"user": team.Users,
+			"database": team.Databases, "application": team.Applications} {
+			for _, name := range names {
+				if other := owners[kind+" "+name]; other != "" && other != team.Name {
+					add(path, "%s %q also belongs to team %s", kind, name, other)
 				}
-				known[kind+" "+n] = t.Name
+				owners[kind+" "+name] = team.Name
 			}
 		}
 	}
-	for c, class := range s.Classes {
-		if len(s.Teams) > 0 && !slices.ContainsFunc(s.Teams, func(t Team) bool { return t.Limits[c].PerS > 0 }) {
+	for classIndex, class := range settings.Classes {
+		if len(settings.Teams) > 0 && !slices.ContainsFunc(settings.Teams,
+			func(team Team) bool { return team.Limits[classIndex].PerSecond > 0 }) {
 			add("classes."+class.Name, "no team may use it")
 		}
 	}
-	if most := f.PromisableShare * f.PrimaryPerS * float64(f.Groups); f.PrimaryPerS > 0 && promised > most*(1+1e-9) {
-		add("teams", "%.4g units a second are promised on primaries, of which %.4g are there (%.0f%% of %d primaries of %.4g)",
-			promised, most, 100*f.PromisableShare, f.Groups, f.PrimaryPerS)
+	if promisable := capacity.PromisableShare * capacity.PrimaryWorkPerSecond * float64(capacity.Groups); capacity.PrimaryWorkPerSecond > 0 &&
+		promisedWork > promisable*(1+1e-9) {
+		add("teams", "%.4g units a second are promised on primaries, but only %.4g are available (%.0f%% of %d primaries of %.4g)",
+			promisedWork, promisable, 100*capacity.PromisableShare, capacity.Groups, capacity.PrimaryWorkPerSecond)
 	}
-	if shares > f.PromisableShare+1e-9 {
-		add("teams", "shares of %.0f%% of each primary are promised, of which %.0f%% are there", 100*shares, 100*f.PromisableShare)
+	if promisedShare > capacity.PromisableShare+1e-9 {
+		add("teams", "shares of %.0f%% of each primary are promised, but at most %.0f%% may be", 100*promisedShare, 100*capacity.PromisableShare)
 	}
-	slices.SortStableFunc(found, func(x, y Finding) int {
-		if x.Where < y.Where {
+	slices.SortStableFunc(findings, func(x, y Finding) int {
+		if x.Path < y.Path {
 			return -1
 		}
-		if x.Where > y.Where {
+		if x.Path > y.Path {
 			return 1
 		}
 		return 0
 	})
-	return found
+	return findings
 }
--- a/policy/contract/fair.go
+++ b/policy/contract/fair.go
@@ -5,58 +5,56 @@
 	"slices"
 )
 
-// BatchedRequest is one of the requests of a batch.
+// BatchedRequest is one request of a batch that Order sorts.
 type BatchedRequest struct {
 	Team   int
 	Class  int
 	Reason Reason
-	Index  int // the caller's
+	Index  int // identifies the request to the caller
 }
 
-// Order sorts the requests of a batch into the order in which they are to be
-// decided: those within contracts first, and the teams by weighted fair
-// queueing, independent of how many requests each sends. A team that has just had
-// more than its share waits for the others, also over several calls (start-time
-// fair queueing).
-func (b *Ledger) Order(list []BatchedRequest) {
-	if len(list) < 2 {
+// Order sorts a batch into the order in which its requests are decided: those within contracts before the borrowed
+// ones, and each of these by weighted fair queueing over the teams, independent of how many requests a team sends. A
+// team that exceeded its share in earlier calls comes after the others (start-time fair queueing).
+func (ledger *Ledger) Order(batch []BatchedRequest) {
+	if len(batch) < 2 {
 		return
 	}
-	starts := make([]float64, 0, len(list))
-	for _, w := range list {
-		worth, cost := 1.0, 1.0
-		if w.Team >= 0 && w.Team < len(b.settings.Teams) {
-			worth = b.settings.Teams[w.Team].Weight
+	starts := make([]float64, 0, len(batch))
+	for _, request := range batch {
+		weight, cost := 1.0, 1.0
+		if request.Team >= 0 && request.Team < len(ledger.settings.Teams) {
+			weight = ledger.settings.Teams[request.Team].Weight
 		}
-		if w.Class >= 0 && w.Class < len(b.settings.Classes) {
-			cost = max(b.settings.Classes[w.Class].Cost, 1e-3)
+		if request.Class >= 0 && request.Class < len(ledger.settings.Classes) {
+			cost = max(ledger.settings.Classes[request.Class].Cost, 1e-3)
 		}
-		start := max(b.virtualTime, b.finishTimes[w.Team])
-		b.finishTimes[w.Team] = start + cost/worth
+		start := max(ledger.virtualTime, ledger.finishTimes[request.Team])
+		ledger.finishTimes[request.Team] = start + cost/weight
 		starts = append(starts, start)
 	}
-	order := make([]int, len(list))
+	order := make([]int, len(batch))
 	for i := range order {
 		order[i] = i
 	}
-	borrowed := func(i int) int {
-		if list[i].Reason == Borrowed {
+	borrowedRank := func(i int) int {
+		if batch[i].Reason == Borrowed {
 			return 1
 		}
 		return 0
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
-		return cmp.Or(borrowed(x)-borrowed(y), cmp.Compare(starts[x], starts[y]))
+		return cmp.Or(borrowedRank(x)-borrowedRank(y), cmp.Compare(starts[x], starts[y]))
 	})
-	out := make([]BatchedRequest, len(list))
+	sorted := make([]BatchedRequest, len(batch))
 	for i, j := range order {
-		out[i] = list[j]
+		sorted[i] = batch[j]
 	}
-	copy(list, out)
-	b.virtualTime = slices.Min(starts)
-	for t, f := range b.finishTimes { // a team that has no more than the others has no debt
-		if f <= b.virtualTime {
-			delete(b.finishTimes, t)
+	copy(batch, sorted)
+	ledger.virtualTime = slices.Min(starts)
+	for team, finish := range ledger.finishTimes { // a team that is not ahead of the others needs no entry
+		if finish <= ledger.virtualTime {
+			delete(ledger.finishTimes, team)
 		}
 	}
 }
--- a/policy/contract/ledger.go
+++ b/policy/contract/ledger.go
@@ -7,26 +7,26 @@
 	"lotushook/policy/clock"
 )
 
-// Ledger keeps the teams' usage, and decides. It is not safe for concurrent use. It
-// remembers a budget for each team and class, Settings.MaxShares of teams in groups,
-// Settings.MaxKeys keys, and the pressure of each group in load reports.
+// Ledger tracks the teams' usage and decides on requests. It is not safe for concurrent use. It stores a budget for
+// each team and class, at most Settings.MaxKeys keys, and at most Settings.MaxGroupEntries each of the teams' budgets
+// at primaries, of the groups' observed loads, and of pressures without open or queued requests.
 type Ledger struct {
 	settings       Settings
 	random         *rand.Rand
-	matcher        *matcher
+	matcher        *teamMatcher
 	teams          []teamUsage
-	primaryBudgets map[teamGroup]*bucket
-	pressures      map[place]*pressure
+	primaryBudgets map[teamGroup]*tokenBucket
+	pressures      map[groupRole]*groupPressure
 	loads          map[int64]*observedLoad
-	totalLoad      observedLoad // over all groups
-	evenShare      float64      // this router's share of the contracts; 0: one in Routers
-	recentKeys     map[string]clock.Nanos
-	keyOrder       []string // of the keys, the oldest first
-	finishTimes    map[int]float64
-	virtualTime    float64 // of the fair queues
+	totalLoad      observedLoad           // over all groups
+	minLoadShare   float64                // share of the load that this router is assumed to see at least; 0: 1/Routers
+	recentKeys     map[string]clock.Nanos // of writes that may have run: when the last attempt ended
+	keyOrder       []string               // the keys of recentKeys, the oldest first
+	finishTimes    map[int]float64        // virtual finish times of Order's fair queueing, by team
+	virtualTime    float64                // of Order's fair queueing
 
-	queued  map[string]place
-	scratch []place // reused
+	queued     map[string]groupRole // by request ID
+	roleBuffer []groupRole          // reused
 }
 
 type teamGroup struct {
@@ -34,243 +34,252 @@
 	group int64
 }
 
-// New returns a ledger without usage.
-func New(s Settings, seed uint64) (*Ledger, error) {
-	b := &Ledger{random: rand.New(rand.NewPCG(seed, 0xc0)), primaryBudgets: map[teamGroup]*bucket{}, pressures: map[place]*pressure{}, finishTimes: map[int]float64{}, queued: map[string]place{}, loads: map[int64]*observedLoad{}, recentKeys: map[string]clock.Nanos{}}
-	if err := b.Set(s); err != nil {
+// New returns a ledger without usage. Its random numbers, which jitter the Retry-After times, follow from the seed.
+func New(settings Settings, seed uint64) (*Ledger, error) {
+	ledger := &Ledger{random: rand.New(rand.NewPCG(seed, 0xc0)), primaryBudgets: map[teamGroup]*tokenBucket{},
+		pressures: map[groupRole]*groupPressure{}, finishTimes: map[int]float64{}, queued: map[string]groupRole{},
+		loads: map[int64]*observedLoad{}, recentKeys: map[string]clock.Nanos{}}
+	if err := ledger.UpdateSettings(settings); err != nil {
 		return nil, err
 	}
-	return b, nil
+	return ledger, nil
 }
 
-// Set puts new contracts in force in one step. The usage of a team whose name stays
-// is kept, and its open requests stay open under the terms that admitted
-// them. It returns the new index of each old team, -1 for one that was removed.
-func (b *Ledger) Set(s Settings) error {
-	if err := s.Check(); err != nil {
+// UpdateSettings replaces the contracts in one step. A team whose name stays retains its usage, and its open requests
+// stay open under the terms that admitted them. On an error, the old contracts stay in force.
+func (ledger *Ledger) UpdateSettings(settings Settings) error {
+	if err := settings.Check(); err != nil {
 		return fmt.Errorf("contracts: %w", err)
 	}
-	old, teams, share := b.teams, make([]teamUsage, len(s.Teams)), map[teamGroup]*bucket{}
-	was := map[string]int{}
-	for i, t := range b.settings.Teams {
-		was[t.Name] = i
+	oldTeams, newTeams, newBudgets := ledger.teams, make([]teamUsage, len(settings.Teams)), map[teamGroup]*tokenBucket{}
+	oldTeamIndex := map[string]int{}
+	for i, team := range ledger.settings.Teams {
+		oldTeamIndex[team.Name] = i
 	}
-	classes := map[string]int{}
-	for i, c := range b.settings.Classes {
-		classes[c.Name] = i
+	oldClassIndex := map[string]int{}
+	for i, class := range ledger.settings.Classes {
+		oldClassIndex[class.Name] = i
 	}
-	now := map[int]int{}
-	for i, t := range s.Teams {
-		teams[i].classes = make([]classUsage, len(s.Classes))
-		j, ok := was[t.Name]
+	newTeamIndex := map[int]int{}
+	for i, team := range settings.Teams {
+		newTeams[i].classes = make([]classUsage, len(settings.Classes))
+		j, ok := oldTeamIndex[team.Name]
 		if !ok {
 			continue
 		}
-		now[j] = i
-		teams[i].retry, teams[i].open = old[j].retry, old[j].open
-		for c := range s.Classes {
-			if k, ok := classes[s.Classes[c].Name]; ok {
-				teams[i].classes[c] = old[j].classes[k]
+		newTeamIndex[j] = i
+		newTeams[i].retryBudget, newTeams[i].open = oldTeams[j].retryBudget, oldTeams[j].open
+		for class := range settings.Classes {
+			if k, ok := oldClassIndex[settings.Classes[class].Name]; ok {
+				newTeams[i].classes[class] = oldTeams[j].classes[k]
 			}
 		}
 	}
-	for k, v := range b.primaryBudgets {
-		if i, ok := now[k.team]; ok {
-			share[teamGroup{i, k.group}] = v
+	for key, budget := range ledger.primaryBudgets {
+		if i, ok := newTeamIndex[key.team]; ok {
+			newBudgets[teamGroup{i, key.group}] = budget
 		}
 	}
-	for _, p := range b.pressures { // fair queueing starts anew; queued requests stay
-		clear(p.finishTimes)
-		for i := range p.queue {
-			if j, ok := now[p.queue[i].Team]; ok {
-				p.queue[i].Team = j
+	for _, pressure := range ledger.pressures { // fair queueing restarts; queued requests stay queued
+		clear(pressure.finishTimes)
+		for i := range pressure.queue {
+			if j, ok := newTeamIndex[pressure.queue[i].Team]; ok {
+				pressure.queue[i].Team = j
 			} else {
-				p.queue[i].Team = -1
+				pressure.queue[i].Team = -1
 			}
 		}
 	}
-	clear(b.finishTimes)
-	b.settings, b.teams, b.primaryBudgets, b.matcher = s, teams, share, newMatcher(s.Teams)
+	clear(ledger.finishTimes)
+	ledger.settings, ledger.teams, ledger.primaryBudgets, ledger.matcher =
+		settings, newTeams, newBudgets, newTeamMatcher(settings.Teams)
 	return nil
 }
 
-// Team is the index of a team, -1 where there is none of the name.
-func (b *Ledger) Team(name string) int {
-	if list := b.matcher.names[name]; len(list) > 0 {
-		return list[0]
+// TeamIndex returns the index of the team with a name, or -1 if there is none.
+func (ledger *Ledger) TeamIndex(name string) int {
+	if indexes := ledger.matcher.teamNames[name]; len(indexes) > 0 {
+		return indexes[0]
 	}
 	return -1
 }
 
-// Name is a team's name.
-func (b *Ledger) Name(team int) string {
-	if team < 0 || team >= len(b.settings.Teams) {
+// TeamName returns the name of the team with an index, or "" if there is none.
+func (ledger *Ledger) TeamName(team int) string {
+	if team < 0 || team >= len(ledger.settings.Teams) {
 		return ""
 	}
-	return b.settings.Teams[team].Name
+	return ledger.settings.Teams[team].Name
 }
 
-// hoursFactor is how much larger a team's contract is at this time of the week.
-func (b *Ledger) hoursFactor(t *Team, now clock.Nanos) float64 {
-	if len(t.Hours) == 0 {
+// hoursFactor returns the factor on a team's limits at this time of the week.
+func (ledger *Ledger) hoursFactor(team *Team, now clock.Nanos) float64 {
+	if len(team.Hours) == 0 {
 		return 1
 	}
-	at := ((now/second+b.settings.UTCOffsetSeconds-monday)%week + week) % week
-	most := 1.0
-	for _, h := range t.Hours {
-		if at >= h.From && at < h.To || at+week < h.To {
-			most = max(most, h.Factor)
+	secondOfWeek := ((now/second+ledger.settings.UTCOffsetSeconds-firstMonday)%week + week) % week
+	factor := 1.0
+	for _, hours := range team.Hours {
+		if secondOfWeek >= hours.From && secondOfWeek < hours.To || secondOfWeek+week < hours.To {
+			factor = max(factor, hours.Factor)
 		}
 	}
-	return most
+	return factor
 }
 
-// Admit decides on a new request. One that is admitted is open until
-// Ended.
-func (b *Ledger) Admit(r Request, now clock.Nanos) Verdict {
-	if r.Team < 0 || r.Team >= len(b.teams) {
+// Admit decides on a new request. One that is admitted or queued is open until RequestEnded.
+func (ledger *Ledger) Admit(request Request, now clock.Nanos) Verdict {
+	if request.Team < 0 || request.Team >= len(ledger.teams) {
 		return Verdict{Reason: UnknownTeam}
 	}
-	t, a := &b.settings.Teams[r.Team], &b.teams[r.Team]
-	if r.Class < 0 || r.Class >= len(a.classes) {
+	team, usage := &ledger.settings.Teams[request.Team], &ledger.teams[request.Team]
+	if request.Class < 0 || request.Class >= len(usage.classes) {
 		return Verdict{Reason: ClassNotAllowed}
 	}
-	c := &a.classes[r.Class]
-	c.Requested++
-	v := b.decide(r, t, a, c, now)
-	if v.LowPriority {
-		b.borrowOrQueue(r, t, &v, now)
+	perClass := &usage.classes[request.Class]
+	perClass.Requested++
+	verdict := ledger.decide(request, team, usage, perClass, now)
+	if verdict.LowPriority {
+		ledger.borrowOrQueue(request, team, &verdict, now)
 	}
-	if c.ByReason[v.Reason]++; v.Displaced != nil {
-		b.spreadRetryAfter(v.Displaced)
+	if perClass.ByReason[verdict.Reason]++; verdict.Displaced != nil {
+		ledger.jitterRetryAfter(verdict.Displaced)
 	}
-	if v.Reason.Admitted() {
-		a.open++
-	} else if v.RetryAfter > 0 {
-		v.RetryAfter = b.spread(v.RetryAfter)
+	if verdict.Reason.Admitted() {
+		usage.open++
+	} else if verdict.RetryAfter > 0 {
+		verdict.RetryAfter = ledger.jitter(verdict.RetryAfter)
 	}
-	return v
+	return verdict
 }
 
 const (
-	retryBurst        = 10 // retries that a team may make at once
+	retryBurst        = 10 // retries that a team may send at once
 	defaultRetryAfter = second / 2
 )
 
-// decide finds the reason for which a request is admitted or rejected. A request
-// within its contract is always admitted.
-func (b *Ledger) decide(r Request, t *Team, a *teamUsage, c *classUsage, now clock.Nanos) Verdict {
-	class, limit := &b.settings.Classes[r.Class], t.Limits[r.Class]
-	times, part := b.hoursFactor(t, now), b.shareOf(&b.totalLoad)
-	rate, burst := limit.PerS*times*part, max(1, limit.Burst*times) // a burst may come to one router alone
-	c.bucket.refill(now, rate)
-	if at, ok := b.recentKeys[r.Key]; ok && r.Key != "" && now-at < max(class.IdempotencyWindow, second) { // its answer is owed
-		c.bucket.take(1, burst)
+// decide compares a request with its contract. A request within its contract is always admitted. For one beyond it,
+// decide returns the rejection that applies if no capacity can be borrowed.
+func (ledger *Ledger) decide(request Request, team *Team, usage *teamUsage, perClass *classUsage, now clock.Nanos) Verdict {
+	class, limit := &ledger.settings.Classes[request.Class], team.Limits[request.Class]
+	factor, contractShare := ledger.hoursFactor(team, now), ledger.contractShareFor(&ledger.totalLoad)
+	// The burst is not scaled by the share, because a whole burst may arrive at one router.
+	rate, burst := limit.PerSecond*factor*contractShare, max(1, limit.Burst*factor)
+	perClass.budget.refill(now, rate)
+	if endedAt, ok := ledger.recentKeys[request.Key]; ok && request.Key != "" &&
+		now-endedAt < max(class.IdempotencyWindow, second) { // its write may have run, so the client needs the answer
+		perClass.budget.take(1, burst)
 		return Verdict{Reason: RetryOfWrite}
 	}
-	if limit.PerS <= 0 {
+	if limit.PerSecond <= 0 {
 		return Verdict{Reason: ClassNotAllowed}
 	}
-	if most := max(1, float64(t.MaxOpen)*times*part); t.MaxOpen > 0 && float64(a.open) >= most {
-		return Verdict{Reason: TooManyOpen, Limit: float64(t.MaxOpen) * times, RetryAfter: defaultRetryAfter}
+	if maxOpen := max(1, float64(team.MaxOpen)*factor*contractShare); team.MaxOpen > 0 && float64(usage.open) >= maxOpen {
+		return Verdict{Reason: TooManyOpen, Limit: float64(team.MaxOpen) * factor, RetryAfter: defaultRetryAfter}
 	}
-	v := Verdict{Reason: Within}
-	if r.IsRetry {
-		if a.retry.has(1, retryBurst) {
-			a.retry.take(1, retryBurst)
+	verdict := Verdict{Reason: Within}
+	if request.IsRetry {
+		if usage.retryBudget.canTake(1, retryBurst) {
+			usage.retryBudget.take(1, retryBurst)
 		} else {
-			v = Verdict{Reason: OverRetryShare, Limit: t.RetryShare, RetryAfter: defaultRetryAfter}
+			verdict = Verdict{Reason: OverRetryShare, Limit: team.RetryShare, RetryAfter: defaultRetryAfter}
 		}
 	} else {
-		a.retry.used = max(0, a.retry.used-t.RetryShare)
+		usage.retryBudget.used = max(0, usage.retryBudget.used-team.RetryShare)
 	}
-	if v.Reason == Within && !c.bucket.has(1, burst) {
-		v = Verdict{Reason: OverRate, Limit: limit.PerS * times, RetryAfter: c.bucket.wait(1, burst, rate)}
+	if verdict.Reason == Within && !perClass.budget.canTake(1, burst) {
+		verdict = Verdict{Reason: OverRate, Limit: limit.PerSecond * factor, RetryAfter: perClass.budget.wait(1, burst, rate)}
 	}
-	var share *bucket
-	shareRate := t.PrimaryShare * b.settings.PrimaryWorkPerSecond * times * b.Share(r.Group)
-	shareBurst := max(class.Cost, t.PrimaryShare*b.settings.PrimaryWorkPerSecond*times) // a second's
-	if v.Reason == Within && class.Primary && t.PrimaryShare > 0 {
-		share = b.primaryBudget(teamGroup{r.Team, r.Group}, now)
-		share.refill(now, shareRate)
-		if !share.has(class.Cost, shareBurst) {
-			v = Verdict{Reason: OverPrimaryShare, Limit: t.PrimaryShare, RetryAfter: share.wait(class.Cost, shareBurst, shareRate)}
+	var primaryBudget *tokenBucket
+	primaryRate := team.PrimaryShare * ledger.settings.PrimaryWorkPerSecond * factor * ledger.ContractShare(request.Group)
+	primaryBurst := max(class.Cost, team.PrimaryShare*ledger.settings.PrimaryWorkPerSecond*factor) // one second of work
+	if verdict.Reason == Within && class.Primary && team.PrimaryShare > 0 {
+		primaryBudget = ledger.primaryBudget(teamGroup{request.Team, request.Group}, now)
+		primaryBudget.refill(now, primaryRate)
+		if !primaryBudget.canTake(class.Cost, primaryBurst) {
+			verdict = Verdict{Reason: OverPrimaryShare, Limit: team.PrimaryShare,
+				RetryAfter: primaryBudget.wait(class.Cost, primaryBurst, primaryRate)}
 		}
 	}
-	if v.Reason == Within {
-		c.bucket.take(1, burst)
-		if share != nil {
-			share.take(class.Cost, shareBurst)
+	if verdict.Reason == Within {
+		perClass.budget.take(1, burst)
+		if primaryBudget != nil {
+			primaryBudget.take(class.Cost, primaryBurst)
 		}
-		slack := b.settings.Skew * float64(b.settings.Routers) // the margin of the share beyond the load that is seen
-		c.guaranteed.refill(now, rate/slack)
-		if v.LowPriority = !c.guaranteed.has(1, burst); !v.LowPriority {
-			c.guaranteed.take(1, burst)
+		// contractShare is larger than the load share by up to this factor.
+		shareMargin := ledger.settings.Skew * float64(ledger.settings.Routers)
+		perClass.guaranteed.refill(now, rate/shareMargin)
+		if verdict.LowPriority = !perClass.guaranteed.canTake(1, burst); !verdict.LowPriority {
+			perClass.guaranteed.take(1, burst)
 		}
-		return v
+		return verdict
 	}
-	v.LowPriority = true
-	return v
+	verdict.LowPriority = true
+	return verdict
 }
 
-// primaryBudget is a team's budget at a group's primary. Where too many are remembered
-// the full ones are dropped, and failing that all: each starts full.
-func (b *Ledger) primaryBudget(k teamGroup, now clock.Nanos) *bucket {
-	s := b.primaryBudgets[k]
-	if s == nil {
-		if len(b.primaryBudgets) >= b.settings.MaxShares {
-			for k, v := range b.primaryBudgets {
-				if v.used == 0 || now-v.updatedAt > second {
-					delete(b.primaryBudgets, k)
+// primaryBudget returns a team's budget at a group's primary. If MaxGroupEntries are stored, those that are full or
+// have been idle for over a second are dropped; if none are, all budgets are dropped. A dropped budget starts full
+// again.
+func (ledger *Ledger) primaryBudget(key teamGroup, now clock.Nanos) *tokenBucket {
+	budget := ledger.primaryBudgets[key]
+	if budget == nil {
+		if len(ledger.primaryBudgets) >= ledger.settings.MaxGroupEntries {
+			for key, candidate := range ledger.primaryBudgets {
+				if candidate.used == 0 || now-candidate.updatedAt > second {
+					delete(ledger.primaryBudgets, key)
 				}
 			}
-			if len(b.primaryBudgets) >= b.settings.MaxShares {
-				clear(b.primaryBudgets)
+			if len(ledger.primaryBudgets) >= ledger.settings.MaxGroupEntries {
+				clear(ledger.primaryBudgets)
 			}
 		}
-		s = &bucket{updatedAt: now}
-		b.primaryBudgets[k] = s
+		budget = &tokenBucket{updatedAt: now}
+		ledger.primaryBudgets[key] = budget
 	}
-	return s
+	return budget
 }
 
-func (b *Ledger) pressure(r Request, now clock.Nanos) *pressure {
-	k := place{r.Group, b.settings.Classes[r.Class].Primary}
-	p := b.pressures[k]
-	if p == nil {
-		if len(b.pressures) >= b.settings.MaxShares { // groups come and go
-			for k, p := range b.pressures {
-				if p.open == 0 && len(p.queue) == 0 {
-					delete(b.pressures, k)
+// pressureFor returns the pressure of the group role that a request goes to, advanced to now.
+func (ledger *Ledger) pressureFor(request Request, now clock.Nanos) *groupPressure {
+	role := groupRole{request.Group, ledger.settings.Classes[request.Class].Primary}
+	pressure := ledger.pressures[role]
+	if pressure == nil {
+		// Groups are added and removed, so entries without requests are dropped.
+		if len(ledger.pressures) >= ledger.settings.MaxGroupEntries {
+			for role, pressure := range ledger.pressures {
+				if pressure.lowPriorityOpen == 0 && len(pressure.queue) == 0 {
+					delete(ledger.pressures, role)
 				}
 			}
 		}
-		p = newPressure(now)
-		b.pressures[k] = p
+		pressure = newGroupPressure(now)
+		ledger.pressures[role] = pressure
 	}
-	p.advance(now, b.settings.HighPressure, b.settings.LowPressure)
-	return p
+	pressure.advance(now, ledger.settings.HighPressure, ledger.settings.LowPressure)
+	return pressure
 }
 
-// spread spreads a Retry-After time, so that a team's clients don't return together.
-func (b *Ledger) spread(t clock.Nanos) clock.Nanos {
-	t += clock.Nanos(b.random.Float64() * float64(defaultRetryAfter))
-	if b.settings.MaxRetryAfter > 0 {
-		t = min(t, b.settings.MaxRetryAfter-clock.Nanos(b.random.Float64()*float64(b.settings.MaxRetryAfter)/4))
+// jitter adds jitter to a Retry-After time, so that a team's clients don't return at the same time.
+func (ledger *Ledger) jitter(retryAfter clock.Nanos) clock.Nanos {
+	retryAfter += clock.Nanos(ledger.random.Float64() * float64(defaultRetryAfter))
+	if ledger.settings.MaxRetryAfter > 0 {
+		retryAfter = min(retryAfter,
+			ledger.settings.MaxRetryAfter-clock.Nanos(ledger.random.Float64()*float64(ledger.settings.MaxRetryAfter)/4))
 	}
-	return t
+	return retryAfter
 }
 
-// Window is how many requests beyond contracts may be open at a group's primary,
-// or at its replicas, through this router.
-func (b *Ledger) Window(group int64, primary bool) float64 {
-	if p := b.pressures[place{group, primary}]; p != nil {
-		return p.window
+// Window returns how many low-priority requests may be open at a group's primary, or at its replicas, through this
+// router.
+func (ledger *Ledger) Window(group int64, primary bool) float64 {
+	if pressure := ledger.pressures[groupRole{group, primary}]; pressure != nil {
+		return pressure.window
 	}
 	return unlimited
 }
 
-// Size is how many budgets, keys and groups are remembered.
-func (b *Ledger) Size() (shares, keys, places int) {
-	return len(b.primaryBudgets), len(b.recentKeys), len(b.pressures)
+// Size returns how many budgets at primaries, keys and pressures are stored.
+func (ledger *Ledger) Size() (budgets, keys, roles int) {
+	return len(ledger.primaryBudgets), len(ledger.recentKeys), len(ledger.pressures)
 }
--- a/policy/contract/match.go
+++ b/policy/contract/match.go
@@ -2,89 +2,90 @@
 
 import "net/netip"
 
-// Identity is what is known of a client.
+// Identity is what identifies a client.
 type Identity struct {
 	User, Database, Application string
 	Address                     netip.Addr
 }
 
-// matcher finds teams by what clients say and their addresses.
-type matcher struct {
-	users, databases, applications, names map[string][]int
-	prefixes                              map[netip.Prefix][]int
-	bits                                  []int // the prefix lengths that occur, for either address family
+// teamMatcher finds teams by the names that clients send and by their addresses.
+type teamMatcher struct {
+	users, databases, applications, teamNames map[string][]int
+	prefixes                                  map[netip.Prefix][]int
+	prefixLengths                             []int // the prefix lengths that occur, in either address family
 }
 
-func newMatcher(teams []Team) *matcher {
-	m := &matcher{map[string][]int{}, map[string][]int{}, map[string][]int{}, map[string][]int{}, map[netip.Prefix][]int{}, nil}
+func newTeamMatcher(teams []Team) *teamMatcher {
+	matcher := &teamMatcher{map[string][]int{}, map[string][]int{}, map[string][]int{}, map[string][]int{},
+		map[netip.Prefix][]int{}, nil}
 	seen := map[int]bool{}
-	for i, t := range teams {
-		m.names[t.Name] = append(m.names[t.Name], i)
-		for list, index := range map[*[]string]map[string][]int{&t.Users: m.users, &t.Databases: m.databases, &t.Applications: m.applications} {
-			for _, name := range *list {
+	for i, team := range teams {
+		matcher.teamNames[team.Name] = append(matcher.teamNames[team.Name], i)
+		for names, index := range map[*[]string]map[string][]int{&team.Users: matcher.users,
+			&team.Databases: matcher.databases, &team.Applications: matcher.applications} {
+			for _, name := range *names {
 				index[name] = append(index[name], i)
 			}
 		}
-		for _, p := range t.Addresses {
-			p = p.Masked()
-			m.prefixes[p] = append(m.prefixes[p], i)
-			if !seen[p.Bits()] {
-				seen[p.Bits()] = true
-				m.bits = append(m.bits, p.Bits())
+		for _, prefix := range team.Addresses {
+			prefix = prefix.Masked()
+			matcher.prefixes[prefix] = append(matcher.prefixes[prefix], i)
+			if !seen[prefix.Bits()] {
+				seen[prefix.Bits()] = true
+				matcher.prefixLengths = append(matcher.prefixLengths, prefix.Bits())
 			}
 		}
 	}
-	return m
+	return matcher
 }
 
-// Match finds a client's team by its identity; it
-// is -1 with the reason where there is none, or where there are two and the
-// settings reject that.
-func (b *Ledger) Match(who Identity) (team int, why Reason) {
-	found, two := -1, false
-	take := func(list []int) {
-		for _, i := range list {
-			two = two || found >= 0 && found != i
+// Match returns a client's team by its identity. If several teams match, it returns the first of them, or -1 with the
+// reason where the settings reject that; if none matches, the default team, or -1 with the reason.
+func (ledger *Ledger) Match(identity Identity) (team int, reason Reason) {
+	found, ambiguous := -1, false
+	addCandidates := func(teams []int) {
+		for _, i := range teams {
+			ambiguous = ambiguous || found >= 0 && found != i
 			if found < 0 || i < found {
 				found = i
 			}
 		}
 	}
-	m := b.matcher
-	take(m.users[who.User])
-	take(m.databases[who.Database])
-	take(m.applications[who.Application])
-	if a := who.Address.Unmap().WithZone(""); a.IsValid() {
-		for _, bits := range m.bits {
-			if p, err := a.Prefix(bits); err == nil {
-				take(m.prefixes[p])
+	matcher := ledger.matcher
+	addCandidates(matcher.users[identity.User])
+	addCandidates(matcher.databases[identity.Database])
+	addCandidates(matcher.applications[identity.Application])
+	if address := identity.Address.Unmap().WithZone(""); address.IsValid() {
+		for _, bits := range matcher.prefixLengths {
+			if prefix, err := address.Prefix(bits); err == nil {
+				addCandidates(matcher.prefixes[prefix])
 			}
 		}
 	}
 	switch {
-	case two && b.settings.Ambiguous == "refuse":
+	case ambiguous && ledger.settings.Ambiguous == "refuse":
 		return -1, AmbiguousTeam
 	case found >= 0:
 		return found, Within
 	}
-	return b.none()
+	return ledger.defaultTeam()
 }
 
-// Named finds the team that a request's comment names, where comments are trusted;
-// otherwise the client's own team stays.
-func (b *Ledger) Named(name string, team int, why Reason) (int, Reason) {
-	if !b.settings.TrustComment || name == "" {
-		return team, why
+// TeamFromComment returns the team that a request's comment names, where comments are trusted, or the default team if
+// the name is unknown. Otherwise it returns the client's own team and its reason.
+func (ledger *Ledger) TeamFromComment(name string, team int, reason Reason) (int, Reason) {
+	if !ledger.settings.TrustComment || name == "" {
+		return team, reason
 	}
-	if list := b.matcher.names[name]; len(list) > 0 {
-		return list[0], Within
+	if indexes := ledger.matcher.teamNames[name]; len(indexes) > 0 {
+		return indexes[0], Within
 	}
-	return b.none()
+	return ledger.defaultTeam()
 }
 
-func (b *Ledger) none() (int, Reason) {
-	if list := b.matcher.names[b.settings.DefaultTeam]; b.settings.DefaultTeam != "" && len(list) > 0 {
-		return list[0], Within
+func (ledger *Ledger) defaultTeam() (int, Reason) {
+	if indexes := ledger.matcher.teamNames[ledger.settings.DefaultTeam]; ledger.settings.DefaultTeam != "" && len(indexes) > 0 {
+		return indexes[0], Within
 	}
 	return -1, UnknownTeam
 }
--- a/policy/contract/pressure.go
+++ b/policy/contract/pressure.go
@@ -7,157 +7,159 @@
 	"lotushook/policy/clock"
 )
 
-// place is a group's primary, or its replicas.
-type place struct {
+// groupRole identifies a group's primary, or its replicas.
+type groupRole struct {
 	group   int64
 	primary bool
 }
 
 const (
-	tick               = second / 10
-	minWindowFactor    = 0.7  // the smallest factor on the window per tick, while requests within a contract are slow
-	maxWindowGrowth    = 0.5  // requests at most per tick, while none are slow and the window is used
-	unlimited          = 4096 // a window that is not enforced
-	sampleWeight       = 0.15 // one answer's weight in the mean
-	failureShare       = 1.5  // the sample of a rejected or failed request within its contract, in latency objectives
-	idleDecay          = 0.7  // factor on the mean for a tick without an answer
-	calmTicksToUnlimit = 20   // ticks without slow requests after which the window is not enforced any more
-	rateWeight         = 0.1  // one tick's weight in the rate of admissions
+	tick                     = second / 10
+	minWindowFactor          = 0.7  // smallest factor on the window per tick, while requests within contracts are slow
+	maxWindowGrowth          = 0.5  // requests per tick, while none are slow and the window is reached
+	unlimited                = 4096 // a window that is not enforced
+	sampleWeight             = 0.15 // of one sample in the mean latency
+	failureShare             = 1.5  // sample of a rejected or failed request, in latency objectives; also the largest sample
+	idleDecay                = 0.7  // factor on the mean latency for a tick without a sample
+	calmTicksBeforeUnlimited = 20   // ticks without slow requests until a window that is not reached becomes unlimited
+	rateWeight               = 0.1  // of one tick in the mean admission rate
 )
 
-// pressure measures the latency of a place by the requests within their contracts,
-// and limits how many of the others are open at a time. A request for which the window is full is queued
-// for a moment, or rejected: the teams take turns, by their weights.
-type pressure struct {
-	mean      float64     // of the latencies, as a share of the objectives
-	sampled   bool        // in this tick
-	window    float64     // how many of the others may be open
-	open      int         // how many of the others are open
-	windowMet bool        // the window was reached in this tick
-	calmTicks int         // ticks without slow requests
-	tickAt    clock.Nanos // the tick
-	admitted  int         // admissions in this tick
-	admitRate float64     // admissions per tick, in the mean
-
-	queue       []queuedRequest // by finish times
-	finishTimes map[int]float64
+// groupPressure measures the latency of a group's primary, or of its replicas, by the requests within contracts, and
+// limits how many low-priority requests are open at the same time. A low-priority request that exceeds this window is
+// queued for a short time or rejected; the queue is shared by weighted fair queueing over the teams.
+type groupPressure struct {
+	meanLatency       float64     // as a share of the latency objectives
+	sampled           bool        // a sample was added in this tick
+	window            float64     // how many low-priority requests may be open
+	lowPriorityOpen   int         // how many low-priority requests are open
+	windowReached     bool        // the window was reached, or requests are queued, in this tick
+	calmTicks         int         // ticks without slow requests
+	lastTick          clock.Nanos // the start of the current tick
+	admittedInTick    int         // low-priority requests
+	admissionsPerTick float64     // exponentially weighted mean of admittedInTick
+
+	queue       []queuedRequest // by virtual start time
+	finishTimes map[int]float64 // virtual finish time of each team's last request
 	virtualTime float64
 }
 
-// queuedRequest is a request that waits for its turn.
+// queuedRequest is a low-priority request that waits for capacity.
 type queuedRequest struct {
 	Request
-	verdict Verdict // if it is rejected
-	until   clock.Nanos
-	within  bool // its contract covers it: it is never rejected here
-	start   float64
-	step    float64 // of its team's virtual time
+	rejection      Verdict     // the verdict if it is rejected
+	expiresAt      clock.Nanos // when it is decided at the latest
+	withinContract bool        // its contract covers it, so it is never rejected
+	virtualStart   float64     // its place in the fair queue
+	virtualStep    float64     // how far it advances its team's virtual finish time
 }
 
-func newPressure(now clock.Nanos) *pressure {
-	return &pressure{window: unlimited, tickAt: now, finishTimes: map[int]float64{}}
+func newGroupPressure(now clock.Nanos) *groupPressure {
+	return &groupPressure{window: unlimited, lastTick: now, finishTimes: map[int]float64{}}
 }
 
-// addSample adds an answer's latency, as a share of its objective.
-func (p *pressure) addSample(share float64) {
-	p.mean += sampleWeight * (share - p.mean)
-	p.sampled = true
+// addSample adds one request's latency, as a share of its objective.
+func (pressure *groupPressure) addSample(latency float64) {
+	pressure.meanLatency += sampleWeight * (latency - pressure.meanLatency)
+	pressure.sampled = true
 }
 
-// advance goes on to now, tick by tick; after a jump of the clock it starts anew
-// from its present state.
-func (p *pressure) advance(now clock.Nanos, high, low float64) {
-	if now < p.tickAt || now-p.tickAt > 100*tick {
-		p.tickAt, p.mean = now-tick, 0
+// advance updates the window for each tick until now. If the clock went back or jumped by more than 100 ticks, it
+// updates for a single tick and restarts the mean latency at 0.
+func (pressure *groupPressure) advance(now clock.Nanos, high, low float64) {
+	if now < pressure.lastTick || now-pressure.lastTick > 100*tick {
+		pressure.lastTick, pressure.meanLatency = now-tick, 0
 	}
-	for now-p.tickAt >= tick {
-		p.tickAt += tick
-		p.calmTicks++
+	for now-pressure.lastTick >= tick {
+		pressure.lastTick += tick
+		pressure.calmTicks++
 		switch {
-		case p.mean > high:
-			p.calmTicks = 0
-			p.window = min(p.window, float64(p.open)+1) // from the number that is really open
-			p.window = max(p.window*max(minWindowFactor, high/p.mean), 0.25)
-		case p.mean < low && p.windowMet: // the nearer to it the slower
-			p.window += maxWindowGrowth * (1 - p.mean/low)
+		case pressure.meanLatency > high:
+			pressure.calmTicks = 0
+			// Shrink from the number of open requests, which may be far below the window.
+			pressure.window = min(pressure.window, float64(pressure.lowPriorityOpen)+1)
+			pressure.window = max(pressure.window*max(minWindowFactor, high/pressure.meanLatency), 0.25)
+		case pressure.meanLatency < low && pressure.windowReached: // growth slows down as the mean latency approaches low
+			pressure.window += maxWindowGrowth * (1 - pressure.meanLatency/low)
 		}
-		if p.calmTicks >= calmTicksToUnlimit && !p.windowMet {
-			p.window = unlimited
+		if pressure.calmTicks >= calmTicksBeforeUnlimited && !pressure.windowReached {
+			pressure.window = unlimited
 		}
-		if !p.sampled {
-			p.mean *= idleDecay
+		if !pressure.sampled {
+			pressure.meanLatency *= idleDecay
 		}
-		p.admitRate += rateWeight * (float64(p.admitted) - p.admitRate)
-		p.sampled, p.windowMet, p.admitted = false, len(p.queue) > 0, 0
+		pressure.admissionsPerTick += rateWeight * (float64(pressure.admittedInTick) - pressure.admissionsPerTick)
+		pressure.sampled, pressure.windowReached, pressure.admittedInTick = false, len(pressure.queue) > 0, 0
 	}
 }
 
-// hasRoom says whether one more may be open. A window below one admits one request
-// now and then: it grows to one.
-func (p *pressure) hasRoom() bool {
-	if float64(p.open)+1 <= p.window {
+// hasCapacity reports whether one more low-priority request may be open. A window below 1 admits none until it has
+// grown to 1, so that requests still pass at intervals.
+func (pressure *groupPressure) hasCapacity() bool {
+	if float64(pressure.lowPriorityOpen)+1 <= pressure.window {
 		return true
 	}
-	p.windowMet = true
+	pressure.windowReached = true
 	return false
 }
 
-// admit counts an admission.
-func (p *pressure) admit() {
-	p.open++
-	p.admitted++
+// admit counts the admission of a low-priority request.
+func (pressure *groupPressure) admit() {
+	pressure.lowPriorityOpen++
+	pressure.admittedInTick++
 }
 
-// enqueue queues a request by its team's virtual time. Where more are queued than can be
-// admitted in time, the last one is displaced, unless it may not be rejected.
-func (p *pressure) enqueue(w queuedRequest, worth float64, aim clock.Nanos) (gone *queuedRequest) {
-	w.start = max(p.virtualTime, p.finishTimes[w.Team])
-	w.step = 1 / worth
-	p.finishTimes[w.Team] = w.start + w.step
-	at, _ := slices.BinarySearchFunc(p.queue, w, func(x, y queuedRequest) int {
-		return cmp.Or(cmp.Compare(x.start, y.start), -1)
+// enqueue inserts a request by its team's virtual time. If more requests are queued than can be admitted in time, it
+// removes and returns the last one that may be rejected.
+func (pressure *groupPressure) enqueue(request queuedRequest, weight float64,
+	objective clock.Nanos) (displaced *queuedRequest) {
+	request.virtualStart = max(pressure.virtualTime, pressure.finishTimes[request.Team])
+	request.virtualStep = 1 / weight
+	pressure.finishTimes[request.Team] = request.virtualStart + request.virtualStep
+	index, _ := slices.BinarySearchFunc(pressure.queue, request, func(x, y queuedRequest) int {
+		return cmp.Or(cmp.Compare(x.virtualStart, y.virtualStart), -1)
 	})
-	p.queue = slices.Insert(p.queue, at, w)
-	if most := 2 + int(p.admitRate*float64(aim/2)/float64(tick)); len(p.queue) <= most {
+	pressure.queue = slices.Insert(pressure.queue, index, request)
+	if maxQueued := 2 + int(pressure.admissionsPerTick*float64(objective/2)/float64(tick)); len(pressure.queue) <= maxQueued {
 		return nil
 	}
-	for i := len(p.queue) - 1; i >= 0; i-- {
-		if !p.queue[i].within { // it was not served: its team is not charged for it
-			p.finishTimes[p.queue[i].Team] -= p.queue[i].step
-			return p.removeAt(i)
+	for i := len(pressure.queue) - 1; i >= 0; i-- {
+		if !pressure.queue[i].withinContract { // it was not served, so it does not count against its team
+			pressure.finishTimes[pressure.queue[i].Team] -= pressure.queue[i].virtualStep
+			return pressure.removeAt(i)
 		}
 	}
 	return nil
 }
 
-// removeAt removes a queued request.
-func (p *pressure) removeAt(i int) *queuedRequest {
-	w := p.queue[i]
-	p.queue = slices.Delete(p.queue, i, i+1)
-	return &w
+// removeAt removes and returns a queued request.
+func (pressure *groupPressure) removeAt(i int) *queuedRequest {
+	removed := pressure.queue[i]
+	pressure.queue = slices.Delete(pressure.queue, i, i+1)
+	return &removed
 }
 
-// dequeue returns the next queued request if the window has room; the others move up.
-func (p *pressure) dequeue() *queuedRequest {
-	if len(p.queue) == 0 || !p.hasRoom() {
+// dequeue removes and returns the next queued request, if the window has capacity.
+func (pressure *groupPressure) dequeue() *queuedRequest {
+	if len(pressure.queue) == 0 || !pressure.hasCapacity() {
 		return nil
 	}
-	w := p.removeAt(0)
-	p.virtualTime = w.start
-	for t, f := range p.finishTimes {
-		if f <= p.virtualTime {
-			delete(p.finishTimes, t)
+	next := pressure.removeAt(0)
+	pressure.virtualTime = next.virtualStart
+	for team, finish := range pressure.finishTimes {
+		if finish <= pressure.virtualTime {
+			delete(pressure.finishTimes, team)
 		}
 	}
-	p.admit()
-	return w
+	pressure.admit()
+	return next
 }
 
-// dequeueExpired returns a queued request whose deadline has passed.
-func (p *pressure) dequeueExpired(now clock.Nanos) *queuedRequest {
-	for i := range p.queue {
-		if p.queue[i].until <= now {
-			return p.removeAt(i)
+// dequeueExpired removes and returns a queued request that has expired; nil: there is none.
+func (pressure *groupPressure) dequeueExpired(now clock.Nanos) *queuedRequest {
+	for i := range pressure.queue {
+		if pressure.queue[i].expiresAt <= now {
+			return pressure.removeAt(i)
 		}
 	}
 	return nil
--- a/policy/contract/rules_test.go
+++ b/policy/contract/rules_test.go
@@ -11,67 +11,66 @@
 	"lotushook/policy/clock"
 )
 
-// Whatever is asked, in whatever order and however the clock goes: what a contract
-// covers is never refused, what is taken within it stays under rate and burst, and
-// what is remembered stays bounded.
+// In any sequence of requests and clock steps, no request within a contract is rejected, admissions within a contract
+// stay below its rate and burst, and the stored entries stay bounded.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func TestRules(t *testing.T) {
+//nolint:gocognit,funlen // one sequence of steps
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := usual()
-		set.Teams[0].MaxOpen, set.Teams[1].MaxOpen = 0, 0
-		set.Teams[0].PrimaryShare, set.Teams[1].PrimaryShare = 0, 0
-		b, err := New(set, 1)
+		settings := testSettings()
+		settings.Teams[0].MaxOpen, settings.Teams[1].MaxOpen = 0, 0
+		settings.Teams[0].PrimaryShare, settings.Teams[1].PrimaryShare = 0, 0
+		ledger, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		type used struct {
-			within float64
-			since  clock.Nanos
+		type admittedWithin struct {
+			count float64
+			since clock.Nanos
 		}
-		now, teams := start, [2]used{{since: start}, {since: start}}
-		open, waits := map[string]Request{}, map[string]Request{}
-		after := map[string]bool{}
-		draw := func(t *rapid.T) Request {
-			return named(Request{Team: rapid.IntRange(0, 1).Draw(t, "team"), Class: writing, Group: rapid.Int64Range(0, 20).Draw(t, "group"), Deadline: now + 3*second})
+		now, teams := testStart, [2]admittedWithin{{since: testStart}, {since: testStart}}
+		open, queued := map[string]Request{}, map[string]Request{}
+		lowPriority := map[string]bool{}
+		drawRequest := func(t *rapid.T) Request {
+			return withNewID(Request{Team: rapid.IntRange(0, 1).Draw(t, "team"), Class: writeClass, Group: rapid.Int64Range(0, 20).Draw(t, "group"), Deadline: now + 3*second})
 		}
-		turned := func(turn Turn, t *rapid.T) {
-			r, ok := waits[turn.ID]
+		handle := func(decided QueuedVerdict, t *rapid.T) {
+			request, ok := queued[decided.ID]
 			if !ok {
-				t.Fatalf("%+v did not wait", turn)
+				t.Fatalf("%+v was not queued", decided)
 			}
-			if delete(waits, turn.ID); turn.Reason.Admitted() {
-				open[turn.ID], after[turn.ID] = r, turn.LowPriority
+			if delete(queued, decided.ID); decided.Reason.Admitted() {
+				open[decided.ID], lowPriority[decided.ID] = request, decided.LowPriority
 				return
 			}
-			b.Ended(r, false, End{}, now)
+			ledger.RequestEnded(request, false, Outcome{}, now)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) { now += rapid.Int64Range(0, 300).Draw(t, "ms") * ms },
 			"ask": func(t *rapid.T) {
-				r := draw(t)
-				u := &teams[r.Team]
-				v := b.Admit(r, now)
-				if !v.Reason.Admitted() && v.Reason != OverRate {
-					t.Fatalf("%+v", v)
+				request := drawRequest(t)
+				team := &teams[request.Team]
+				verdict := ledger.Admit(request, now)
+				if !verdict.Reason.Admitted() && verdict.Reason != OverRate {
+					t.Fatalf("%+v", verdict)
 				}
-				if v.Reason == Within {
-					u.within++
+				if verdict.Reason == Within {
+					team.count++
 				}
-				if v.Displaced != nil {
-					turned(*v.Displaced, t)
+				if verdict.Displaced != nil {
+					handle(*verdict.Displaced, t)
 				}
 				switch {
-				case v.Queued:
-					waits[r.ID] = r
-				case v.Reason.Admitted():
-					open[r.ID], after[r.ID] = r, v.LowPriority
+				case verdict.Queued:
+					queued[request.ID] = request
+				case verdict.Reason.Admitted():
+					open[request.ID], lowPriority[request.ID] = request, verdict.LowPriority
 				}
-				if most := 10 + 10*float64(now-u.since)/1e9; u.within > most+1e-6 {
-					t.Fatalf("%v taken within a contract of %v", u.within, most)
+				if limit := 10 + 10*float64(now-team.since)/1e9; team.count > limit+1e-6 {
+					t.Fatalf("%v admitted within a contract of %v", team.count, limit)
 				}
-				if !v.Reason.Admitted() && b.teams[r.Team].classes[writing].bucket.used < 9-1e-6 {
-					t.Fatal("refused with budget left")
+				if !verdict.Reason.Admitted() && ledger.teams[request.Team].classes[writeClass].budget.used < 9-1e-6 {
+					t.Fatal("rejected with budget left")
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -80,112 +79,111 @@
 					t.Skip()
 				}
 				id := rapid.SampledFrom(ids).Draw(t, "id")
-				e := rapid.SampledFrom([]End{{Served: true, Elapsed: ms}, {Served: true, Elapsed: 3 * second}, {MayRun: true}, {}, {Abandoned: true}}).Draw(t, "end")
-				b.Ended(open[id], after[id], e, now)
+				outcome := rapid.SampledFrom([]Outcome{{Served: true, Elapsed: ms}, {Served: true, Elapsed: 3 * second}, {MayHaveRun: true}, {}, {Abandoned: true}}).Draw(t, "end")
+				ledger.RequestEnded(open[id], lowPriority[id], outcome, now)
 				delete(open, id)
 			},
 			"due": func(t *rapid.T) {
-				for _, turn := range b.Due(now) {
-					turned(turn, t)
+				for _, decided := range ledger.DecideQueued(now) {
+					handle(decided, t)
 				}
 			},
 			"drop": func(t *rapid.T) {
-				ids := slices.Sorted(maps.Keys(waits))
+				ids := slices.Sorted(maps.Keys(queued))
 				if len(ids) == 0 {
 					t.Skip()
 				}
 				id := rapid.SampledFrom(ids).Draw(t, "id")
-				if !b.Abandon(id) {
-					t.Fatalf("%s waits and can't be dropped", id)
+				if !ledger.Abandon(id) {
+					t.Fatalf("%s is queued, but Abandon did not find it", id)
 				}
-				b.Ended(waits[id], false, End{Abandoned: true}, now)
-				delete(waits, id)
+				ledger.RequestEnded(queued[id], false, Outcome{Abandoned: true}, now)
+				delete(queued, id)
 			},
 			"load": func(t *rapid.T) {
-				b.AddLoadReport(rapid.Int64Range(0, 20).Draw(t, "group"), rapid.IntRange(-1, 40).Draw(t, "mine"), rapid.IntRange(-1, 30).Draw(t, "all"))
+				ledger.AddLoadReport(rapid.Int64Range(0, 20).Draw(t, "group"), rapid.IntRange(-1, 40).Draw(t, "mine"), rapid.IntRange(-1, 30).Draw(t, "all"))
 			},
 			"": func(t *rapid.T) {
-				if s, k, p := b.Size(); s > set.MaxShares || k > set.MaxKeys || p > set.MaxShares+len(open)+len(waits) {
-					t.Fatalf("remembered: %d shares, %d keys, %d places", s, k, p)
+				if budgets, keys, pressures := ledger.Size(); budgets > settings.MaxGroupEntries || keys > settings.MaxKeys || pressures > settings.MaxGroupEntries+len(open)+len(queued) {
+					t.Fatalf("stored: %d budgets, %d keys, %d pressures", budgets, keys, pressures)
 				}
-				if n := b.teams[0].open + b.teams[1].open; n != len(open)+len(waits) || b.QueuedCount() != len(waits) {
-					t.Fatalf("%d are open, %d wait, %d and %d counted", len(open), len(waits), n, b.QueuedCount())
+				if openCount := ledger.teams[0].open + ledger.teams[1].open; openCount != len(open)+len(queued) || ledger.QueuedCount() != len(queued) {
+					t.Fatalf("%d are open, %d queued; the ledger counts %d and %d", len(open), len(queued), openCount, ledger.QueuedCount())
 				}
 			},
 		})
 	})
 }
 
-// simulate plays a team's traffic over some routers for some seconds, under
-// pressure all the time, and returns how much was asked and taken in each second.
-// shares is what each router sees of the traffic; at a time they may change.
-func simulate(tb testing.TB, n int, skew float64, perS float64, seconds int, seed uint64, shares func(at clock.Nanos) []float64, restart func(at clock.Nanos) int) (asked, taken []float64) {
+// simulate sends a team's traffic through several routers for some seconds, with constant pressure, and returns how
+// many requests were sent, and how many admitted within the contract, in each second. shares returns each router's
+// share of the traffic at a time; restart returns the router that restarts at a time, or -1.
+func simulate(tb testing.TB, routerCount int, skew float64, requestsPerSecond float64, seconds int, seed uint64, shares func(at clock.Nanos) []float64, restart func(at clock.Nanos) int) (requested, admitted []float64) {
 	tb.Helper()
-	rng := rand.New(rand.NewPCG(seed, 7))
-	set := usual()
-	set.Routers, set.Skew = n, skew
-	set.Teams[0].Limits[writing] = Limit{100, 100}
-	set.Teams[0].MaxOpen = 0
-	routers := make([]*Ledger, n)
-	fresh := func(i int) *Ledger {
-		b, err := New(set, seed+uint64(i))
+	random := rand.New(rand.NewPCG(seed, 7))
+	settings := testSettings()
+	settings.Routers, settings.Skew = routerCount, skew
+	settings.Teams[0].Limits[writeClass] = Limit{100, 100}
+	settings.Teams[0].MaxOpen = 0
+	routers := make([]*Ledger, routerCount)
+	newLedger := func(i int) *Ledger {
+		ledger, err := New(settings, seed+uint64(i))
 		if err != nil {
 			tb.Fatal(err)
 		}
-		return b
+		return ledger
 	}
 	for i := range routers {
-		routers[i] = fresh(i)
+		routers[i] = newLedger(i)
 	}
-	asked, taken = make([]float64, seconds), make([]float64, seconds)
+	requested, admitted = make([]float64, seconds), make([]float64, seconds)
 	for now := clock.Nanos(0); now < clock.Nanos(seconds)*second; now += ms {
 		if i := restart(now); i >= 0 {
-			routers[i] = fresh(i)
+			routers[i] = newLedger(i)
 		}
-		s := shares(now)
-		for i, b := range routers {
-			if now%(10*ms) == 0 { // somebody within a contract suffers
-				b.Ended(Request{Team: 1, Class: writing, Group: 1}, false, End{Served: true, Elapsed: 5 * second}, start+now)
+		trafficShares := shares(now)
+		for i, ledger := range routers {
+			if now%(10*ms) == 0 { // a slow request within a contract
+				ledger.RequestEnded(Request{Team: 1, Class: writeClass, Group: 1}, false, Outcome{Served: true, Elapsed: 5 * second}, testStart+now)
 			}
 			if now%(200*ms) == 0 {
-				b.AddLoadReport(1, int(20*s[i]+0.5), 20)
+				ledger.AddLoadReport(1, int(20*trafficShares[i]+0.5), 20)
 			}
-			if rng.Float64() < perS/1000*s[i] {
-				asked[now/second]++
-				r := named(Request{Team: 0, Class: writing, Group: 1})
-				v := b.Admit(r, start+now)
-				if v.Reason.Admitted() && !v.Queued {
-					b.Ended(r, v.LowPriority, End{Abandoned: true}, start+now)
+			if random.Float64() < requestsPerSecond/1000*trafficShares[i] {
+				requested[now/second]++
+				request := withNewID(Request{Team: 0, Class: writeClass, Group: 1})
+				verdict := ledger.Admit(request, testStart+now)
+				if verdict.Reason.Admitted() && !verdict.Queued {
+					ledger.RequestEnded(request, verdict.LowPriority, Outcome{Abandoned: true}, testStart+now)
 				}
-				for _, turn := range b.Due(start + now) {
-					b.Ended(Request{Team: 0, Class: writing, Group: 1, ID: turn.ID}, turn.LowPriority, End{Abandoned: true}, start+now)
+				for _, decided := range ledger.DecideQueued(testStart + now) {
+					ledger.RequestEnded(Request{Team: 0, Class: writeClass, Group: 1, ID: decided.ID}, decided.LowPriority, Outcome{Abandoned: true}, testStart+now)
 				}
-				if v.Reason == Within {
-					taken[now/second]++
+				if verdict.Reason == Within {
+					admitted[now/second]++
 				}
 			}
 		}
 	}
-	return asked, taken
+	return requested, admitted
 }
 
-func sum(list []float64) (n float64) {
-	for _, v := range list {
-		n += v
+func sum(values []float64) (total float64) {
+	for _, value := range values {
+		total += value
 	}
-	return n
+	return total
 }
 
-// Three or four routers that can't talk: a team that asks for its contract gets
-// all of it, with traffic skewed by halls, when one dies and its clients come to
-// the others, and when one comes back knowing nothing; and one that asks for much
-// more gets no more than the stated multiple.
-func TestRoutersApart(t *testing.T) {
+// Three or four routers don't coordinate. A team that sends no more than its contract allows is admitted, also with
+// skewed traffic, when one router fails and its clients move to the others, and when one restarts without state. A
+// team that sends much more gets at most MaxOveradmission times its contract.
+func TestRoutersWithoutCoordination(t *testing.T) {
 	never := func(clock.Nanos) int { return -1 }
 	steady := func(s ...float64) func(clock.Nanos) []float64 { return func(clock.Nanos) []float64 { return s } }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
-		n       int
+		routers int
 		shares  func(clock.Nanos) []float64
 		restart func(clock.Nanos) int
 	}{
@@ -210,60 +208,59 @@
 			return -1
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(5) {
-				asked, taken := simulate(t, c.n, 0.45, 90, 15, seed, c.shares, c.restart) // nine tenths of its contract
-				if got := sum(taken) / sum(asked); got < 0.985 {
-					t.Errorf("seed %d: of what its contract covers %.3f was taken", seed, got)
+				requested, admitted := simulate(t, test.routers, 0.45, 90, 15, seed, test.shares, test.restart) // nine tenths of the contract
+				if admittedShare := sum(admitted) / sum(requested); admittedShare < 0.985 {
+					t.Errorf("seed %d: only %.3f of the requests within the contract were admitted", seed, admittedShare)
 				}
-				set := usual()
-				set.Routers, set.Skew = c.n, 0.45
-				_, taken = simulate(t, c.n, 0.45, 600, 15, seed, c.shares, c.restart)
-				if most := set.Multiple()*100*15 + float64(c.n+1)*100; sum(taken) > most || sum(taken) < 100*15 {
-					t.Errorf("seed %d: six times its contract got %.0f of at most %.0f, at least 1500", seed, sum(taken), most)
+				settings := testSettings()
+				settings.Routers, settings.Skew = test.routers, 0.45
+				_, admitted = simulate(t, test.routers, 0.45, 600, 15, seed, test.shares, test.restart)
+				if limit := settings.MaxOveradmission()*100*15 + float64(test.routers+1)*100; sum(admitted) > limit || sum(admitted) < 100*15 {
+					t.Errorf("seed %d: at six times the contract, %.0f were admitted, not between 1500 and %.0f", seed, sum(admitted), limit)
 				}
 			}
 		})
 	}
 }
 
-// The bound holds for whatever the routers believe of their parts, as long as what
-// they see adds up to the whole.
-func TestMultiple(t *testing.T) {
+// The bound holds for any load shares that the routers see, as long as these add up to the whole load.
+func TestMaxOveradmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 6).Draw(t, "routers")
-		set := usual()
-		set.Routers = n
-		set.Skew = rapid.Float64Range(1/float64(n), 1).Draw(t, "skew")
-		left, parts, shares := 1000, 0.0, 1.0
+		routers := rapid.IntRange(1, 6).Draw(t, "routers")
+		settings := testSettings()
+		settings.Routers = routers
+		settings.Skew = rapid.Float64Range(1/float64(routers), 1).Draw(t, "skew")
+		remainingLoad, admittedShares, remainingShare := 1000, 0.0, 1.0
 		divided := rapid.Bool().Draw(t, "divided")
-		for i := range n {
-			mine := left
-			if i < n-1 {
-				mine = rapid.IntRange(0, left).Draw(t, "mine")
+		for i := range routers {
+			own := remainingLoad
+			if i < routers-1 {
+				own = rapid.IntRange(0, remainingLoad).Draw(t, "mine")
 			}
-			left -= mine
-			b, err := New(set, 1)
+			remainingLoad -= own
+			ledger, err := New(settings, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if divided {
-				share := rapid.Float64Range(0.01/float64(n), max(0.01/float64(n), shares)).Draw(t, "share")
-				shares -= share
-				b.SetShare(share)
+				share := rapid.Float64Range(0.01/float64(routers), max(0.01/float64(routers), remainingShare)).Draw(t, "share")
+				remainingShare -= share
+				ledger.SetMinLoadShare(share)
 			}
-			b.AddLoadReport(1, mine, 1000)
-			if p, seen := b.Share(1), float64(mine)/1000; p < min(1, seen)-1e-9 || !divided && p < set.Skew-1e-9 {
-				t.Fatalf("a router that sees %v of the load lets %v through", seen, p)
+			ledger.AddLoadReport(1, own, 1000)
+			if admittedShare, loadShare := ledger.ContractShare(1), float64(own)/1000; admittedShare < min(1, loadShare)-1e-9 || !divided && admittedShare < settings.Skew-1e-9 {
+				t.Fatalf("a router that sees %v of the load admits %v of a contract", loadShare, admittedShare)
 			}
-			parts += b.Share(1)
+			admittedShares += ledger.ContractShare(1)
 		}
-		most := set.Multiple()
+		limit := settings.MaxOveradmission()
 		if divided {
-			most = 2.01 * set.Skew * float64(n) // the shares drawn last may be over the whole by a hundredth
+			limit = 2.01 * settings.Skew * float64(routers) // the shares drawn last may bring the sum a hundredth over 1
 		}
-		if parts > most+1e-9 {
-			t.Fatalf("%d routers let %v through together, %v stated", n, parts, most)
+		if admittedShares > limit+1e-9 {
+			t.Fatalf("%d routers together admit %v of a contract, the bound is %v", routers, admittedShares, limit)
 		}
 	})
 }
--- a/policy/contract/settings.go
+++ b/policy/contract/settings.go
@@ -1,8 +1,7 @@
-// Package contract decides which requests a team's contract covers, and how
-// those beyond it are treated: they borrow unused capacity, and are the first to be
-// rejected while a request within a contract would be slow. It decides from
-// arrivals, ends, and load reports passed to it; which server a request goes
-// to, and whether a request is retried, is not decided here.
+// Package contract decides which requests a team's contract covers, and how requests beyond it are treated: they
+// borrow unused capacity, and are the first to be rejected while requests within contracts are slow. It decides from
+// the arrivals, outcomes and load reports passed to it. It does not decide which server a request goes to, or whether
+// a request is retried.
 package contract
 
 import (
@@ -13,23 +12,25 @@
 	"lotushook/policy/clock"
 )
 
-// Settings are the contracts, and what the router knows of the fleet.
+// Settings are the contracts, and the properties of the fleet on which decisions depend.
 type Settings struct {
 	Teams   []Team
-	Classes []Class // as the router numbers them
+	Classes []Class // in the order of the router's class numbers
 
-	DefaultTeam  string // the team of clients that match none; "": they are rejected
-	Ambiguous    string // "first": a client that matches two belongs to the first; "refuse": it is rejected
+	DefaultTeam  string // the team of clients that match no team; "": they are rejected
+	Ambiguous    string // "first": a client that matches several teams belongs to the first; "refuse": it is rejected
 	TrustComment bool   // a request's comment may name its team
 
-	Routers              int     // routers that share the contracts without coordination
-	Skew                 float64 // the largest share of a team's traffic that one of them normally sees
+	Routers              int     // routers that enforce the contracts without coordination
+	Skew                 float64 // the largest share of a team's traffic that one router normally sees
 	PrimaryWorkPerSecond float64 // work units a primary does in a second; 0: shares of primaries are not enforced
 
-	HighPressure, LowPressure float64     // latencies as a share of their objectives: above, borrowing shrinks; below, it grows
-	MaxKeys                   int         // remembered keys of writes that may have run
-	MaxShares                 int         // remembered budgets of teams in groups
-	UTCOffsetSeconds          int64       // local time less UTC, in seconds, for Hours
+	// Mean latencies as a share of the objectives: borrowing is reduced above HighPressure and increased below
+	// LowPressure.
+	HighPressure, LowPressure float64
+	MaxKeys                   int         // maximum number of stored keys of writes that may have run
+	MaxGroupEntries           int         // maximum number of stored budgets at primaries, and of other entries by group
+	UTCOffsetSeconds          int64       // local time minus UTC, for Hours
 	MaxRetryAfter             clock.Nanos // the longest Retry-After time
 }
 
@@ -37,37 +38,37 @@
 type Class struct {
 	Name              string
 	LatencyObjective  clock.Nanos
-	IdempotencyWindow clock.Nanos // how long the servers drop a retry of a key
-	Primary           bool        // only the primary takes it
-	PriorityWeight    float64
-	Cost              float64 // work units of one request
+	IdempotencyWindow clock.Nanos // how long the servers recognize a retry by its key
+	Primary           bool        // only primaries serve it
+	PriorityWeight    float64     // credited to the team's account for a request served within its objective
+	Cost              float64     // work units of one request
 }
 
 // Team is one team's contract.
 type Team struct {
 	Name   string
-	Weight float64 // its weight where borrowers share capacity; above 0
+	Weight float64 // in fair queueing; above 0
 
-	Users, Databases, Applications []string // a client that sends one of them at the start belongs to the team
+	Users, Databases, Applications []string // a client whose startup message has one of these names belongs to the team
 	Addresses                      []netip.Prefix
 
-	Limits       []Limit // by class; the zero Limit: it may not use the class
-	PrimaryShare float64 // of each group's primary, over all classes; 0: none is promised beyond the limits
-	MaxOpen      int     // open requests over all routers; 0: no limit
-	RetryShare   float64 // clients' retries that the contract covers, as a share of first attempts
+	Limits       []Limit // by class; a zero Limit: the team may not use the class
+	PrimaryShare float64 // of each group's primary, over all classes; 0: only the limits apply
+	MaxOpen      int     // maximum number of open requests over all routers; 0: no limit
+	RetryShare   float64 // retries by clients that the contract covers, as a share of first attempts
 	Hours        []Hours
 }
 
-// Limit is what a team may request of a class, over all routers.
+// Limit bounds the requests of a team in one class, over all routers.
 type Limit struct {
-	PerS  float64 // requests a second
-	Burst float64 // requests at once
+	PerSecond float64 // requests a second
+	Burst     float64 // requests at once
 }
 
-// Hours are a part of each week in which the limits are larger.
+// Hours are a period of each week in which the limits are larger.
 type Hours struct {
-	From, To int64 // seconds after Monday 00:00, local time; To may be after the week's end
-	Factor   float64
+	From, To int64   // seconds after Monday 00:00, local time; To may be after the week's end
+	Factor   float64 // on the limits
 }
 
 // Reason says why a request was admitted or rejected.
@@ -75,13 +76,13 @@
 
 // The reasons for admission, and those for rejection.
 const (
-	Within           Reason = iota // its contract covers it
-	Borrowed                       // beyond it, from unused capacity
-	RetryOfWrite                   // a keyed write that may have run: it always passes
-	UnknownTeam                    // it matches no team
-	AmbiguousTeam                  // it matches two
-	ClassNotAllowed                // its team may not use the class
-	TooManyOpen                    // its team has its maximum of open requests
+	Within           Reason = iota // within the team's contract
+	Borrowed                       // beyond the contract, on unused capacity
+	RetryOfWrite                   // retry of a keyed write that may have run; always admitted
+	UnknownTeam                    // the client matches no team
+	AmbiguousTeam                  // the client matches several teams
+	ClassNotAllowed                // the team may not use the class
+	TooManyOpen                    // the team has its maximum number of open requests
 	OverRate                       // beyond the class's rate, while others need the capacity
 	OverPrimaryShare               // beyond the share of the primary, while others need the capacity
 	OverRetryShare                 // a client's retry beyond the retry budget, while others need the capacity
@@ -90,7 +91,7 @@
 
 var reasonNames = [ReasonCount]string{"within", "borrowed", "repeat", "unknown_team", "two_teams", "no_class", "open", "rate", "share", "retry"}
 
-// String is the reason's name in logs and accounts.
+// String returns the reason's name in logs and accounts.
 func (r Reason) String() string {
 	if r < 0 || r >= ReasonCount {
 		return fmt.Sprintf("reason(%d)", int(r))
@@ -98,123 +99,124 @@
 	return reasonNames[r]
 }
 
-// Admitted says whether a request with this reason is admitted.
+// Admitted reports whether a request with this reason is admitted.
 func (r Reason) Admitted() bool { return r <= RetryOfWrite }
 
-// Request is the part of a request that decisions need.
+// Request is the part of a request on which decisions depend.
 type Request struct {
-	Team     int // as Match found it
+	Team     int // index from Match or TeamFromComment
 	Class    int
 	Group    int64
-	Key      string      // of a keyed write
-	IsRetry  bool        // the client marked it as its own retry
+	Key      string      // idempotency key of a write; "": none
+	IsRetry  bool        // the client marked it as a retry
 	ID       string      // unique while it is open
-	Deadline clock.Nanos // when its client gives up
+	Deadline clock.Nanos // when its client stops waiting; 0: not known
 }
 
 // Verdict is the decision on a request.
 type Verdict struct {
 	Reason     Reason
 	Limit      float64     // the contract's limit that was reached, over all routers
-	RetryAfter clock.Nanos // when it may return; 0: not known
-	// After says that others are placed before it: it was borrowed, or it is within
-	// only because routers without coordination must each admit more than their
-	// even share. If the team's traffic is spread evenly, it is beyond the contract.
+	RetryAfter clock.Nanos // when the client may send the request again; 0: not known
+	// LowPriority says that requests without it go first. A borrowed request has low priority, and so has one that is
+	// within its contract only because routers without coordination must each admit more than their even share: if
+	// the team's traffic is distributed evenly over the routers, the request is beyond the contract.
 	LowPriority bool
-	// Hold says that it is queued: Due returns the decision later.
+	// Queued says that the decision is postponed: DecideQueued returns it later.
 	Queued bool
-	// Displaced is a queued request that is rejected in its place; its Verdict says why.
-	Displaced *Turn
+	// Displaced is another queued request, which is rejected because the queue was full.
+	Displaced *QueuedVerdict
 }
 
-// Turn is the decision on a queued request.
-type Turn struct {
+// QueuedVerdict is the decision on a queued request.
+type QueuedVerdict struct {
 	ID string
 	Verdict
 }
 
-// End is how an admitted request ended.
-type End struct {
-	Served    bool
-	Elapsed   clock.Nanos // from its arrival
-	MayRun    bool        // not served, and it may have run
-	Abandoned bool        // its client left, or it was rejected while queued: it says nothing about load
+// Outcome describes how an admitted request ended.
+type Outcome struct {
+	Served     bool
+	Elapsed    clock.Nanos // since its arrival
+	MayHaveRun bool        // not served, but it may have run
+	Abandoned  bool        // the client left, or the request was rejected while queued: no sample of the latency
 }
 
-// Check returns an error that names the first invalid field.
+// Check returns an error that names all invalid fields.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (s *Settings) Check() error {
+func (settings *Settings) Check() error {
 	var errs []error
-	bad := func(field, text string, args ...any) {
+	invalid := func(field, text string, args ...any) {
 		errs = append(errs, fmt.Errorf(field+": "+text, args...))
 	}
 	names := map[string]bool{}
-	for i, t := range s.Teams {
-		at := fmt.Sprintf("teams[%d]", i)
-		if t.Name != "" {
-			at = "teams." + t.Name
+	for i, team := range settings.Teams {
+		path := fmt.Sprintf("teams[%d]", i)
+		if team.Name != "" {
+			path = "teams." + team.Name
 		}
 		switch {
-		case t.Name == "":
-			bad(at+".name", "missing")
-		case names[t.Name]:
-			bad(at, "given twice")
+		case team.Name == "":
+			invalid(path+".name", "missing")
+		case names[team.Name]:
+			invalid(path, "given twice")
 		}
-		names[t.Name] = true
-		if !(t.Weight > 0) {
-			bad(at+".worth", "%v is not above 0", t.Weight)
+		names[team.Name] = true
+		if !(team.Weight > 0) {
+			invalid(path+".worth", "%v is not above 0", team.Weight)
 		}
-		if len(t.Limits) != len(s.Classes) {
-			bad(at+".classes", "%d for %d classes", len(t.Limits), len(s.Classes))
+		if len(team.Limits) != len(settings.Classes) {
+			invalid(path+".classes", "%d limits for %d classes", len(team.Limits), len(settings.Classes))
 			continue
 		}
-		for c, l := range t.Limits {
-			if !(l.PerS >= 0) || !(l.Burst >= 0) || l.PerS > 0 && l.Burst < 1 {
-				bad(at+".classes."+s.Classes[c].Name, "per_s %v and burst %v: a rate above 0 wants a burst of 1 at least", l.PerS, l.Burst)
+		for class, limit := range team.Limits {
+			if !(limit.PerSecond >= 0) || !(limit.Burst >= 0) || limit.PerSecond > 0 && limit.Burst < 1 {
+				invalid(path+".classes."+settings.Classes[class].Name, "per_s %v and burst %v: a rate above 0 requires a burst of at least 1",
+					limit.PerSecond, limit.Burst)
 			}
 		}
-		if !(t.PrimaryShare >= 0 && t.PrimaryShare <= 1) {
-			bad(at+".primary_share", "%v is not between 0 and 1", t.PrimaryShare)
+		if !(team.PrimaryShare >= 0 && team.PrimaryShare <= 1) {
+			invalid(path+".primary_share", "%v is not between 0 and 1", team.PrimaryShare)
 		}
-		if t.PrimaryShare > 0 && !(s.PrimaryWorkPerSecond > 0) {
-			bad(at+".primary_share", "what a primary does in a second is not told (fleet.primary_per_s)")
+		if team.PrimaryShare > 0 && !(settings.PrimaryWorkPerSecond > 0) {
+			invalid(path+".primary_share", "requires fleet.primary_per_s, the work that a primary does in a second")
 		}
-		if t.MaxOpen < 0 {
-			bad(at+".open", "%d is below 0", t.MaxOpen)
+		if team.MaxOpen < 0 {
+			invalid(path+".open", "%d is below 0", team.MaxOpen)
 		}
-		if !(t.RetryShare >= 0) {
-			bad(at+".retry_share", "%v is below 0", t.RetryShare)
+		if !(team.RetryShare >= 0) {
+			invalid(path+".retry_share", "%v is below 0", team.RetryShare)
 		}
-		for j, h := range t.Hours {
-			if h.From < 0 || h.From >= week || h.To <= h.From || h.To > h.From+week || !(h.Factor >= 1) {
-				bad(fmt.Sprintf("%s.hours[%d]", at, j), "not a stretch of the week, or times %v under 1", h.Factor)
+		for j, hours := range team.Hours {
+			if hours.From < 0 || hours.From >= week || hours.To <= hours.From || hours.To > hours.From+week || !(hours.Factor >= 1) {
+				invalid(fmt.Sprintf("%s.hours[%d]", path, j), "not a period of a week, or times %v is below 1", hours.Factor)
 			}
 		}
 	}
-	if s.DefaultTeam != "" && !names[s.DefaultTeam] {
-		bad("none", "no team %q", s.DefaultTeam)
+	if settings.DefaultTeam != "" && !names[settings.DefaultTeam] {
+		invalid("none", "no team %q", settings.DefaultTeam)
 	}
-	if s.Ambiguous != "first" && s.Ambiguous != "refuse" {
-		bad("two", "%q is neither first nor refuse", s.Ambiguous)
+	if settings.Ambiguous != "first" && settings.Ambiguous != "refuse" {
+		invalid("two", "%q is neither first nor refuse", settings.Ambiguous)
 	}
-	if s.Routers < 1 {
-		bad("instances", "%d, at least 1 needed", s.Routers)
+	if settings.Routers < 1 {
+		invalid("instances", "%d is below 1", settings.Routers)
 	}
-	if !(s.Skew > 0 && s.Skew <= 1) || s.Skew*float64(s.Routers) < 1 {
-		bad("skew", "%v: one of %d routers sees at least 1/%[2]d of a team's traffic, and at most all", s.Skew, s.Routers)
+	if !(settings.Skew > 0 && settings.Skew <= 1) || settings.Skew*float64(settings.Routers) < 1 {
+		invalid("skew", "%v: one of %d routers sees at least 1/%[2]d of a team's traffic, and at most all", settings.Skew, settings.Routers)
 	}
-	if !(s.LowPressure > 0 && s.LowPressure < s.HighPressure) {
-		bad("pressure", "low %v and high %v are not in order above 0", s.LowPressure, s.HighPressure)
+	if !(settings.LowPressure > 0 && settings.LowPressure < settings.HighPressure) {
+		invalid("pressure", "low %v and high %v are not in order above 0", settings.LowPressure, settings.HighPressure)
 	}
-	if s.MaxKeys < 1 || s.MaxShares < 1 {
-		bad("keys, shares", "%d, %d, at least 1 needed", s.MaxKeys, s.MaxShares)
+	if settings.MaxKeys < 1 || settings.MaxGroupEntries < 1 {
+		invalid("keys, shares", "%d, %d: both must be at least 1", settings.MaxKeys, settings.MaxGroupEntries)
 	}
 	return errors.Join(errs...)
 }
 
 const (
-	second = clock.Nanos(1e9)
-	week   = 7 * 24 * 3600 // seconds
-	monday = 4 * 24 * 3600 // the first one of Unix time, in seconds
+	second      = clock.Nanos(1e9)
+	week        = 7 * 24 * 3600 // seconds
+	firstMonday = 4 * 24 * 3600 // the first Monday of Unix time, in seconds
 )
--- a/policy/contract/share.go
+++ b/policy/contract/share.go
@@ -5,70 +5,70 @@
 	"math"
 )
 
-// SetShare sets another even share, as when the quotas of other routers have been divided: the share of the load that this router is
-// assumed to see at least. All routers' shares together must not exceed 1. One that sees much may have a small share
-// while others divide its quota: all together then admit 2 Skew Routers times a contract at most, instead of Multiple.
-func (b *Ledger) SetShare(share float64) { b.evenShare = share }
+// SetMinLoadShare sets the share of the load that this router is assumed to see at least, in place of 1/Routers. It
+// changes when the quotas of other routers are divided among the rest. The shares of all routers together must not
+// exceed 1. A router that sees much of the load may have a small share while others divide its quota: all routers
+// together then admit at most 2*Skew*Routers times a contract, instead of MaxOveradmission.
+func (ledger *Ledger) SetMinLoadShare(share float64) { ledger.minLoadShare = share }
 
-// AddLoadReport processes a report: of the requests that a server of a group holds, so many are this
-// router's. The share of the contracts that is enforced here follows from it.
-func (b *Ledger) AddLoadReport(group int64, mine, all int) {
-	if all <= 0 || mine < 0 {
+// AddLoadReport processes a load report of a server: of the total requests in flight there, own are this router's.
+// The share of the contracts that this router admits follows from these reports.
+func (ledger *Ledger) AddLoadReport(group int64, own, total int) {
+	if total <= 0 || own < 0 {
 		return
 	}
-	mine = min(mine, all)
-	p := b.loads[group]
-	if p == nil {
-		if len(b.loads) >= b.settings.MaxShares {
-			clear(b.loads)
+	own = min(own, total)
+	load := ledger.loads[group]
+	if load == nil {
+		if len(ledger.loads) >= ledger.settings.MaxGroupEntries {
+			clear(ledger.loads)
 		}
-		p = &observedLoad{}
-		b.loads[group] = p
+		load = &observedLoad{}
+		ledger.loads[group] = load
 	}
-	p.add(mine, all)
-	b.totalLoad.add(mine, all)
+	load.add(own, total)
+	ledger.totalLoad.add(own, total)
 }
 
-// Share is the share of a contract that this router admits. Routers don't
-// coordinate. Normally each admits the most that it may see of a team's
-// traffic; one that sees a larger part of the load than its even share, as when
-// another has failed, admits as much more. So all together admit at most
-// Multiple times a contract, and never less than the contract where no router
-// sees more of a team's traffic than its share.
-func (b *Ledger) Share(group int64) float64 {
-	p := b.loads[group]
-	if p == nil {
-		p = &observedLoad{}
+// ContractShare returns the share of a contract that this router admits at a group. Routers don't coordinate.
+// Normally each admits the largest share of a team's traffic that one router may see, which is Skew. A router that
+// sees more of the load than its even share, for example because another router failed, admits proportionally more.
+// All routers together thus admit at most MaxOveradmission times a contract, and never less than the contract as long
+// as no router sees more of a team's traffic than the share that it admits.
+func (ledger *Ledger) ContractShare(group int64) float64 {
+	load := ledger.loads[group]
+	if load == nil {
+		load = &observedLoad{}
 	}
-	return b.shareOf(p)
+	return ledger.contractShareFor(load)
 }
 
-func (b *Ledger) shareOf(p *observedLoad) float64 {
-	n := float64(b.settings.Routers)
-	seen := cmp.Or(b.evenShare, 1/n)
-	if p.all >= minReports {
-		seen = max(seen, p.mine/p.all)
+func (ledger *Ledger) contractShareFor(load *observedLoad) float64 {
+	routers := float64(ledger.settings.Routers)
+	loadShare := cmp.Or(ledger.minLoadShare, 1/routers)
+	if load.total >= minReportedRequests {
+		loadShare = max(loadShare, load.own/load.total)
 	}
-	return min(1, b.settings.Skew*n*seen)
+	return min(1, ledger.settings.Skew*routers*loadShare)
 }
 
-// observedLoad is how much of the traffic this router sees.
-type observedLoad struct{ mine, all float64 }
+// observedLoad is a decaying sum of load reports: requests of this router, and of all routers.
+type observedLoad struct{ own, total float64 }
 
-func (p *observedLoad) add(mine, all int) {
-	p.mine, p.all = p.mine*reportDecay+float64(mine), p.all*reportDecay+float64(all)
+func (load *observedLoad) add(own, total int) {
+	load.own, load.total = load.own*reportDecay+float64(own), load.total*reportDecay+float64(total)
 }
 
-const reportDecay = 0.9 // of the older reports, with each new one
+const reportDecay = 0.9 // factor on the older reports with each new one
 
-const minReports = 20 // requests in reports: fewer prove nothing
+const minReportedRequests = 20 // the observed share counts only from this number of reported requests on
 
-// Multiple bounds what all routers together admit, as a multiple of a contract.
-// The parts of the load that they see add up to no more than all of it, so only some can
-// see enough to admit all; the others admit Skew.
-func (s *Settings) Multiple() float64 {
-	n, skew := float64(s.Routers), s.Skew
-	whole := math.Floor(skew*n + 1e-9) // each of them sees 1/(skew n) of the load
-	rest := 1 - whole/(skew*n)
-	return min(n, whole+(n-whole)*skew+max(0, skew*n*rest-skew))
+// MaxOveradmission returns an upper bound on what all routers together admit, as a multiple of a contract. The shares
+// of the load that they see add up to at most 1, so only some routers can see enough of it to admit the whole
+// contract; the others admit Skew of it.
+func (settings *Settings) MaxOveradmission() float64 {
+	routers, skew := float64(settings.Routers), settings.Skew
+	fullRouters := math.Floor(skew*routers + 1e-9) // each of them sees 1/(skew*routers) of the load
+	remainingLoad := 1 - fullRouters/(skew*routers)
+	return min(routers, fullRouters+(routers-fullRouters)*skew+max(0, skew*routers*remainingLoad-skew))
 }
