--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -116,7 +116,7 @@
 func (d *acceptor) reload(a *siteconfig.Admission) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.admission.Set(d.limits(a)); err != nil {
+	if err := d.admission.UpdateSettings(d.limits(a)); err != nil {
 		return err
 	}
 	d.lingering.setDuration(time.Duration(a.LingerMS) * time.Millisecond)
@@ -164,7 +164,7 @@
 	d.nextID++
 	id := d.nextID
 	v := d.admission.Arrive(id, addr, d.router.clock.now())
-	out := d.findEvicted(v.Close)
+	out := d.findEvicted(v.Evictions)
 	var c *client
 	if v.Admitted() {
 		c = newClient(d.router, conn)
@@ -186,7 +186,7 @@
 	who := admission.Identity{User: c.identity.User, Database: c.identity.Database, Application: c.identity.Application}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.verdict(c, d.admission.Start(c.admissionID, who, d.router.clock.now()))
+	return d.verdict(c, d.admission.Identify(c.admissionID, who, d.router.clock.now()))
 }
 
 // queryArrived tells admission that a client has sent a query, which may be rejected.
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -226,15 +226,15 @@
 // client connections, and may tell times to return up to longestBack.
 func (a *Admission) Limits(connections int, longestBack clock.Nanos) admission.Settings {
 	const ms = 1e6
-	s := admission.Settings{Connections: connections, PerAddress: a.PerAddress, PerPrefix: a.PerPrefix,
-		NewAddress: a.NewPerS, NewPrefix: a.NewPerSPrefix, NewTotal: a.NewPerSTotal, SharedAddresses: a.Shared,
-		CrowdedFrom: int(a.CrowdShare * float64(connections)), CrowdedIdleTimeout: a.EarlyIdleMS * ms, EvictableIdle: a.SpareMS * ms, EvictableSilence: a.GreenMS * ms,
+	s := admission.Settings{MaxConnections: connections, MaxPerAddress: a.PerAddress, MaxPerPrefix: a.PerPrefix,
+		AddressRateLimit: a.NewPerS, PrefixRateLimit: a.NewPerSPrefix, TotalRateLimit: a.NewPerSTotal, SharedAddresses: a.Shared,
+		CrowdedThreshold: int(a.CrowdShare * float64(connections)), CrowdedIdleTimeout: a.EarlyIdleMS * ms, EvictableIdle: a.SpareMS * ms, EvictableSilence: a.GreenMS * ms,
 		SilenceTimeout: a.SilenceMS * ms, MaxSources: a.Remembered, RetryAfter: a.ComeBackMS * ms, MaxRetryAfter: longestBack,
-		Pressure: admission.Pressure{Enter: a.Pressure.Enter, Leave: a.Pressure.Leave, NewPerSecond: a.Pressure.NewPerS,
+		Pressure: admission.Pressure{Enter: a.Pressure.Enter, Leave: a.Pressure.Leave, ArrivalsPerSecond: a.Pressure.NewPerS,
 			MinDuration: a.Pressure.HoldMS * ms, CapFactor: a.Pressure.Caps}}
 	for _, r := range a.Reserve {
 		s.Reserves = append(s.Reserves, admission.Reserve{Name: r.Name, Addresses: r.Addresses, Users: r.Users,
-			Databases: r.Databases, Applications: r.Applications, Connections: r.Connections})
+			Databases: r.Databases, Applications: r.Applications, Capacity: r.Connections})
 	}
 	return s
 }
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	l := s.Admission.Limits(300, 2e9)
-	if l.Connections != 300 || l.PerAddress != 40 || l.NewAddress != 100 || l.Reserves[0].Connections != 40 || l.EvictableSilence != 20e6 ||
+	if l.MaxConnections != 300 || l.MaxPerAddress != 40 || l.AddressRateLimit != 100 || l.Reserves[0].Capacity != 40 || l.EvictableSilence != 20e6 ||
 		l.Pressure.MinDuration != 5e6 || l.Pressure.Enter != 0.9 || l.MaxRetryAfter != 2e9 {
 		t.Errorf("%+v", l)
 	}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -13,35 +13,35 @@
 
 const ms = clock.Nanos(1e6)
 
-// untimed leaves the drawn times to return out.
-var untimed = cmpopts.IgnoreFields(Eviction{}, "RetryAfter")
+// ignoreRetryAfter leaves out the Retry-After times, which have random jitter.
+var ignoreRetryAfter = cmpopts.IgnoreFields(Eviction{}, "RetryAfter")
 
-// usual are limits small enough to be met in a few steps.
-func usual() Settings {
-	return Settings{Connections: 10, PerAddress: 4, PerPrefix: 6, NewAddress: 8, NewPrefix: 12,
+// testSettings returns limits that are small enough to be reached in a few steps.
+func testSettings() Settings {
+	return Settings{MaxConnections: 10, MaxPerAddress: 4, MaxPerPrefix: 6, AddressRateLimit: 8, PrefixRateLimit: 12,
 		EvictableIdle: 100 * ms, EvictableSilence: 20 * ms, SilenceTimeout: 250 * ms, CrowdedIdleTimeout: 500 * ms, MaxSources: 4, RetryAfter: 1000 * ms, MaxRetryAfter: 2000 * ms,
 		Pressure: Pressure{Enter: 0.9, Leave: 0.5, MinDuration: 1000 * ms, CapFactor: 0.5},
-		Reserves: []Reserve{{Name: "counters", Addresses: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}, Connections: 3}}}
+		Reserves: []Reserve{{Name: "counters", Addresses: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}, Capacity: 3}}}
 }
 
-func gate(t *testing.T, s Settings) *Controller {
+func newTestController(t *testing.T, settings Settings) *Controller {
 	t.Helper()
-	g, err := New(s, 1)
+	controller, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return controller
 }
 
-func ip(s string) netip.Addr { return netip.MustParseAddr(s) }
+func parseAddr(address string) netip.Addr { return netip.MustParseAddr(address) }
 
-// Each address and each prefix has its cap, in connections and in new ones.
+// Each address and each prefix has its limits on open connections and on arrivals.
 func TestCaps(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		set   func(*Settings)
-		addrs []string // one comes after the other, at once
-		want  []Reason
+	for _, test := range []struct {
+		name      string
+		settings  func(*Settings)
+		addresses []string // of the arrivals in sequence, all at the same time
+		want      []Reason
 	}{
 		{"one address", nil, []string{"10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.2"},
 			[]Reason{None, None, None, None, AddressFull, None}},
@@ -49,211 +49,210 @@
 			[]Reason{None, None, None, None, None, None, PrefixFull, None}},
 		{"many addresses of a /64", nil, []string{"fd00::1", "fd00::2", "fd00::3", "fd00::4", "fd00::5", "fd00::6", "fd00::7", "fd00:0:0:1::1"},
 			[]Reason{None, None, None, None, None, None, PrefixFull, None}},
-		{"v4 in v6 clothes", nil, []string{"10.1.0.1", "::ffff:10.1.0.1", "10.1.0.1", "::ffff:10.1.0.1", "10.1.0.1"},
+		{"an IPv4-mapped IPv6 address", nil, []string{"10.1.0.1", "::ffff:10.1.0.1", "10.1.0.1", "::ffff:10.1.0.1", "10.1.0.1"},
 			[]Reason{None, None, None, None, AddressFull}},
-		{"new ones of an address", func(s *Settings) { s.PerAddress, s.PerPrefix, s.NewAddress = 0, 0, 2 }, []string{"10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.2"},
+		{"arrival rate of an address", func(s *Settings) { s.MaxPerAddress, s.MaxPerPrefix, s.AddressRateLimit = 0, 0, 2 }, []string{"10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.2"},
 			[]Reason{None, None, AddressRate, None}},
-		{"new ones of a prefix", func(s *Settings) { s.PerAddress, s.PerPrefix, s.NewAddress, s.NewPrefix = 0, 0, 0, 2 }, []string{"10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.1.1"},
+		{"arrival rate of a prefix", func(s *Settings) { s.MaxPerAddress, s.MaxPerPrefix, s.AddressRateLimit, s.PrefixRateLimit = 0, 0, 0, 2 }, []string{"10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.1.1"},
 			[]Reason{None, None, PrefixRate, None}},
-		{"new ones in all, but for a reserve's", func(s *Settings) { s.NewTotal = 2 }, []string{"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.9.0.1"},
+		{"total arrival rate, which exempts reserves", func(s *Settings) { s.TotalRateLimit = 2 }, []string{"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.9.0.1"},
 			[]Reason{None, None, TotalRate, None}},
-		{"an address that many share has no caps of its own", func(s *Settings) {
+		{"a shared address has no limits", func(s *Settings) {
 			s.SharedAddresses = []netip.Prefix{netip.MustParsePrefix("10.1.0.1/32")}
 		}, []string{"10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1", "10.1.0.1"}, []Reason{None, None, None, None, None, None, None}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			set := usual()
-			set.Pressure.Enter = 1
-			if c.set != nil {
-				c.set(&set)
+		t.Run(test.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Pressure.Enter = 1
+			if test.settings != nil {
+				test.settings(&settings)
 			}
-			g, got := gate(t, set), []Reason(nil)
-			for i, a := range c.addrs {
-				got = append(got, g.Arrive(ID(i), ip(a), 5e9).Reason)
+			controller, got := newTestController(t, settings), []Reason(nil)
+			for i, address := range test.addresses {
+				got = append(got, controller.Arrive(ID(i), parseAddr(address), 5e9).Reason)
 			}
-			if diff := cmp.Diff(c.want, got); diff != "" {
+			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// What a refused one is told is true: it gets in when it comes back then.
-func TestComeBack(t *testing.T) {
-	set := usual()
-	set.NewAddress, set.MaxRetryAfter, set.Connections = 3, 0, 100
-	g := gate(t, set)
+// A rejected client that connects again after the Retry-After time is accepted.
+func TestRetryAfter(t *testing.T) {
+	settings := testSettings()
+	settings.AddressRateLimit, settings.MaxRetryAfter, settings.MaxConnections = 3, 0, 100
+	controller := newTestController(t, settings)
 	now := 5e9 + 37*ms
 	for i := range 3 {
-		g.Arrive(ID(i), ip("10.1.0.1"), now)
-		g.Closed(ID(i))
+		controller.Arrive(ID(i), parseAddr("10.1.0.1"), now)
+		controller.Closed(ID(i))
 		now += 120 * ms
 	}
-	v := g.Arrive(9, ip("10.1.0.1"), now)
-	if v.Reason != AddressRate || v.Limit != 3 || v.RetryAfter <= 0 || v.RetryAfter > 1600*ms {
-		t.Fatalf("%+v", v)
+	verdict := controller.Arrive(9, parseAddr("10.1.0.1"), now)
+	if verdict.Reason != AddressRate || verdict.Limit != 3 || verdict.RetryAfter <= 0 || verdict.RetryAfter > 1600*ms {
+		t.Fatalf("%+v", verdict)
 	}
-	if v = g.Arrive(10, ip("10.1.0.1"), now+v.RetryAfter); !v.Admitted() {
-		t.Errorf("at the time that it was told: %+v", v)
+	if verdict = controller.Arrive(10, parseAddr("10.1.0.1"), now+verdict.RetryAfter); !verdict.Admitted() {
+		t.Errorf("after RetryAfter: %+v", verdict)
 	}
 }
 
-// The reserve's room is lent while no member is there, and had back at once: from
-// those that say nothing, then from those that idle, never from one that waits.
+// Unused capacity of a reserve is lent to other connections and reclaimed at once: first from connections without a
+// startup message, then from idle ones, never from one that waits for a response.
 func TestLentReserve(t *testing.T) {
-	set := usual()
-	set.PerAddress, set.PerPrefix, set.NewAddress, set.NewPrefix = 0, 0, 0, 0
-	g := gate(t, set)
+	settings := testSettings()
+	settings.MaxPerAddress, settings.MaxPerPrefix, settings.AddressRateLimit, settings.PrefixRateLimit = 0, 0, 0, 0
+	controller := newTestController(t, settings)
 	now := clock.Nanos(5e9)
-	for i := range 10 { // all room, three of it lent
-		if v := g.Arrive(ID(i), ip("10.1.0.1"), now); !v.Admitted() {
-			t.Fatalf("%d: %+v", i, v)
+	for i := range 10 { // all capacity, of which three are lent
+		if verdict := controller.Arrive(ID(i), parseAddr("10.1.0.1"), now); !verdict.Admitted() {
+			t.Fatalf("%d: %+v", i, verdict)
 		}
 	}
 	for i := range 9 {
-		g.Start(ID(i), Identity{}, now)
+		controller.Identify(ID(i), Identity{}, now)
 	}
 	for i := range 8 {
 		want := None
-		if i == 7 { // the eighth would wait in lent room
+		if i == 7 { // the eighth would wait for its response on lent capacity
 			want = Reserved
 		}
-		if v := g.Request(ID(i), now); v.Reason != want {
-			t.Fatalf("%d: %+v", i, v)
+		if verdict := controller.Request(ID(i), now); verdict.Reason != want {
+			t.Fatalf("%d: %+v", i, verdict)
 		}
 	}
-	g.Closed(7)
-	g.Answered(6, now)
-	if v := g.Arrive(20, ip("10.1.0.1"), now); !v.Admitted() { // the room of 7
-		t.Fatalf("%+v", v)
+	controller.Closed(7)
+	controller.Answered(6, now)
+	if verdict := controller.Arrive(20, parseAddr("10.1.0.1"), now); !verdict.Admitted() { // on the capacity of 7
+		t.Fatalf("%+v", verdict)
 	}
 	for i, want := range []Eviction{{ID: 9, Reason: Displaced, Notify: true}, {ID: 20, Reason: Displaced, Notify: true}, {ID: 6, Reason: Displaced, Notify: false}} {
-		v := g.Arrive(ID(30+i), ip("10.9.0.1"), now)
-		if !v.Admitted() || !cmp.Equal(v.Close, []Eviction{want}, untimed) {
-			t.Errorf("member %d: %+v", i, v)
+		verdict := controller.Arrive(ID(30+i), parseAddr("10.9.0.1"), now)
+		if !verdict.Admitted() || !cmp.Equal(verdict.Evictions, []Eviction{want}, ignoreRetryAfter) {
+			t.Errorf("connection %d of the reserve: %+v", i, verdict)
 		}
 	}
-	if v := g.Arrive(40, ip("10.9.0.1"), now); v.Reason != AtCapacity { // beyond the reserve it is as all others
-		t.Errorf("%+v", v)
+	if verdict := controller.Arrive(40, parseAddr("10.9.0.1"), now); verdict.Reason != AtCapacity { // beyond the reserve it is treated like all others
+		t.Errorf("%+v", verdict)
 	}
-	if v := g.Request(6, now); v.Reason != Displaced { // it crosses its own closing
-		t.Errorf("%+v", v)
+	if verdict := controller.Request(6, now); verdict.Reason != Displaced { // the request arrives while its connection is being closed
+		t.Errorf("%+v", verdict)
 	}
 }
 
-// A member that only its startup message makes known gets in at the accept.
+// A connection that only its startup message identifies as part of a reserve is accepted when it arrives.
 func TestNamedReserve(t *testing.T) {
-	set := usual()
-	set.PerAddress, set.PerPrefix, set.NewAddress, set.NewPrefix = 0, 0, 0, 0
-	set.Reserves = []Reserve{{Name: "counters", Users: []string{"counter"}, Databases: []string{"loans"}, Applications: []string{"desk"}, Connections: 2}}
-	g := gate(t, set)
+	settings := testSettings()
+	settings.MaxPerAddress, settings.MaxPerPrefix, settings.AddressRateLimit, settings.PrefixRateLimit = 0, 0, 0, 0
+	settings.Reserves = []Reserve{{Name: "counters", Users: []string{"counter"}, Databases: []string{"loans"}, Applications: []string{"desk"}, Capacity: 2}}
+	controller := newTestController(t, settings)
 	now := clock.Nanos(5e9)
 	for i := range 10 {
-		g.Arrive(ID(i), ip("10.1.0.1"), now)
-		g.Start(ID(i), Identity{User: "app"}, now)
+		controller.Arrive(ID(i), parseAddr("10.1.0.1"), now)
+		controller.Identify(ID(i), Identity{User: "app"}, now)
 	}
-	for i, who := range []Identity{{User: "counter"}, {Application: "desk"}} {
-		v := g.Arrive(ID(20+i), ip("10.1.0.1"), now)
-		if !v.Admitted() || len(v.Close) != 1 || !g.Start(ID(20+i), who, now).Admitted() {
-			t.Fatalf("%+v", v)
+	for i, identity := range []Identity{{User: "counter"}, {Application: "desk"}} {
+		verdict := controller.Arrive(ID(20+i), parseAddr("10.1.0.1"), now)
+		if !verdict.Admitted() || len(verdict.Evictions) != 1 || !controller.Identify(ID(20+i), identity, now).Admitted() {
+			t.Fatalf("%+v", verdict)
 		}
 	}
-	if v := g.Arrive(30, ip("10.1.0.1"), now); v.Reason != AtCapacity {
-		t.Errorf("the reserve is in use: %+v", v)
+	if verdict := controller.Arrive(30, parseAddr("10.1.0.1"), now); verdict.Reason != AtCapacity {
+		t.Errorf("the reserve is in use: %+v", verdict)
 	}
 }
 
-// Under pressure caps shrink and silence is cut short; it ends only when all is
-// well below, and not before its time.
+// Under pressure, the limits by address and prefix shrink and connections without a startup message are closed early.
+// Pressure ends only when all usage is well below its start level, and not before MinDuration.
 func TestPressure(t *testing.T) {
-	set := usual()
-	set.Pressure.NewPerSecond = 5
-	g := gate(t, set)
+	settings := testSettings()
+	settings.Pressure.ArrivalsPerSecond = 5
+	controller := newTestController(t, settings)
 	now := clock.Nanos(5e9)
 	for i := range 5 {
-		g.Arrive(ID(i), ip("10.1.0.1"), now)
+		controller.Arrive(ID(i), parseAddr("10.1.0.1"), now)
 	}
-	if !g.UnderPressure() {
-		t.Fatal("not tight at 5 new ones a second")
+	if !controller.UnderPressure() {
+		t.Fatal("no pressure at 5 arrivals a second")
 	}
-	if v := g.Arrive(9, ip("10.1.0.1"), now); v.Reason != AddressRate || v.Limit != 4 {
-		t.Errorf("%+v", v)
+	if verdict := controller.Arrive(9, parseAddr("10.1.0.1"), now); verdict.Reason != AddressRate || verdict.Limit != 4 {
+		t.Errorf("%+v", verdict)
 	}
-	if c := g.Sweep(now+4*ms, 0); len(c) > 0 {
-		t.Errorf("closed early: %v", c)
+	if evictions := controller.Sweep(now+4*ms, 0); len(evictions) > 0 {
+		t.Errorf("evicted early: %v", evictions)
 	}
-	// Two are over what the caps allow now; the others have their time.
+	// Two exceed the caps under pressure; the others are closed after SilenceTimeout.
 	want := []Eviction{{ID: 0, Reason: Silent, Notify: true}, {ID: 1, Reason: Silent, Notify: true}}
-	if diff := cmp.Diff(want, g.Sweep(now+249*ms, 0), untimed); diff != "" {
+	if diff := cmp.Diff(want, controller.Sweep(now+249*ms, 0), ignoreRetryAfter); diff != "" {
 		t.Error(diff)
 	}
 	want = []Eviction{{ID: 2, Reason: Silent, Notify: true}, {ID: 3, Reason: Silent, Notify: true}}
-	if diff := cmp.Diff(want, g.Sweep(now+250*ms, 0), untimed); diff != "" {
+	if diff := cmp.Diff(want, controller.Sweep(now+250*ms, 0), ignoreRetryAfter); diff != "" {
 		t.Error(diff)
 	}
-	g.Sweep(now+2000*ms, 0.95)
-	g.Sweep(now+2900*ms, 0)
-	if !g.UnderPressure() {
-		t.Error("not tight any more before its time")
+	controller.Sweep(now+2000*ms, 0.95)
+	controller.Sweep(now+2900*ms, 0)
+	if !controller.UnderPressure() {
+		t.Error("pressure ended before MinDuration")
 	}
-	g.Sweep(now+3000*ms, 0.6)
-	if !g.UnderPressure() {
-		t.Error("not tight any more between leave and enter")
+	controller.Sweep(now+3000*ms, 0.6)
+	if !controller.UnderPressure() {
+		t.Error("pressure ended between Leave and Enter")
 	}
-	if g.Sweep(now+3100*ms, 0.4); g.UnderPressure() {
-		t.Error("still tight")
+	if controller.Sweep(now+3100*ms, 0.4); controller.UnderPressure() {
+		t.Error("pressure did not end")
 	}
 }
 
-// A cap that is lowered closes those that are over it once they idle, and none
-// that waits.
+// After a cap is lowered, connections over it are closed once they are idle, and none that waits for a response.
 func TestLoweredCap(t *testing.T) {
-	set := usual()
-	set.Pressure.Enter = 1
-	g := gate(t, set)
+	settings := testSettings()
+	settings.Pressure.Enter = 1
+	controller := newTestController(t, settings)
 	now := clock.Nanos(5e9)
 	for i := range 4 {
-		g.Arrive(ID(i), ip("10.1.0.1"), now)
-		g.Start(ID(i), Identity{}, now)
-		g.Request(ID(i), now)
+		controller.Arrive(ID(i), parseAddr("10.1.0.1"), now)
+		controller.Identify(ID(i), Identity{}, now)
+		controller.Request(ID(i), now)
 	}
-	set.PerAddress = 1
-	if err := g.Set(set); err != nil {
+	settings.MaxPerAddress = 1
+	if err := controller.UpdateSettings(settings); err != nil {
 		t.Fatal(err)
 	}
-	if c := g.Sweep(now, 0); len(c) > 0 {
-		t.Errorf("closed while they wait: %v", c)
+	if evictions := controller.Sweep(now, 0); len(evictions) > 0 {
+		t.Errorf("evicted while waiting for a response: %v", evictions)
 	}
 	for i := range 4 {
-		g.Answered(ID(i), now)
+		controller.Answered(ID(i), now)
 	}
-	if c := g.Sweep(now+50*ms, 0); len(c) > 0 {
-		t.Errorf("closed just after an answer: %v", c)
+	if evictions := controller.Sweep(now+50*ms, 0); len(evictions) > 0 {
+		t.Errorf("evicted just after a response: %v", evictions)
 	}
 	want := []Eviction{{ID: 0, Reason: OverCap, Notify: false}, {ID: 1, Reason: OverCap, Notify: false}, {ID: 2, Reason: OverCap, Notify: false}}
-	if diff := cmp.Diff(want, g.Sweep(now+100*ms, 0), untimed); diff != "" {
+	if diff := cmp.Diff(want, controller.Sweep(now+100*ms, 0), ignoreRetryAfter); diff != "" {
 		t.Error(diff)
 	}
-	if n, _ := g.Size(); n != 1 {
-		t.Errorf("%d are held", n)
+	if open, _ := controller.Size(); open != 1 {
+		t.Errorf("%d are open", open)
 	}
-	set.Reserves = nil
-	set.Connections = 0
-	if err := g.Set(set); err == nil || !strings.Contains(err.Error(), "connections") {
+	settings.Reserves = nil
+	settings.MaxConnections = 0
+	if err := controller.UpdateSettings(settings); err == nil || !strings.Contains(err.Error(), "connections") {
 		t.Errorf("no connections: %v", err)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
-		"per_address":            func(s *Settings) { s.PerAddress = -1 },
-		"per_prefix":             func(s *Settings) { s.PerPrefix = 3 },
-		"new_per_s":              func(s *Settings) { s.NewAddress = 1 << 20 },
-		"new_per_s_prefix":       func(s *Settings) { s.NewPrefix = 7 },
+	for message, invalidate := range map[string]func(*Settings){
+		"per_address":            func(s *Settings) { s.MaxPerAddress = -1 },
+		"per_prefix":             func(s *Settings) { s.MaxPerPrefix = 3 },
+		"new_per_s":              func(s *Settings) { s.AddressRateLimit = 1 << 20 },
+		"new_per_s_prefix":       func(s *Settings) { s.PrefixRateLimit = 7 },
 		"reserve[0].name":        func(s *Settings) { s.Reserves[0].Name = "" },
-		"reserve[0].connections": func(s *Settings) { s.Reserves[0].Connections = 0 },
-		"nobody is known":        func(s *Settings) { s.Reserves[0].Addresses = nil },
-		"nothing is left":        func(s *Settings) { s.Reserves[0].Connections = 10 },
+		"reserve[0].connections": func(s *Settings) { s.Reserves[0].Capacity = 0 },
+		"nobody can match":       func(s *Settings) { s.Reserves[0].Addresses = nil },
+		"nothing is left":        func(s *Settings) { s.Reserves[0].Capacity = 10 },
 		"of which per_address": func(s *Settings) {
 			s.Reserves[0] = Reserve{"x", []netip.Prefix{netip.MustParsePrefix("10.0.0.1/32")}, nil, nil, nil, 5}
 		},
@@ -262,43 +261,43 @@
 		"remembered":              func(s *Settings) { s.MaxSources = 0 },
 		`reserve[1].name: "count`: func(s *Settings) { s.Reserves = append(s.Reserves, s.Reserves[0]) },
 	} {
-		s := usual()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), message) {
+			t.Errorf("%s: %v", message, err)
 		}
 	}
 }
 
-// A refusal at the accept, and a whole visit, allocate nothing.
+// Neither the rejection of a new connection nor the life of an accepted one allocates memory.
 func BenchmarkArrive(b *testing.B) {
-	set := usual()
-	set.Connections, set.NewAddress, set.NewPrefix, set.MaxSources = 1000, 0, 0, 1000
-	g, err := New(set, 1)
+	settings := testSettings()
+	settings.MaxConnections, settings.AddressRateLimit, settings.PrefixRateLimit, settings.MaxSources = 1000, 0, 0, 1000
+	controller, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	addr, now := ip("10.1.0.1"), clock.Nanos(5e9)
+	address, now := parseAddr("10.1.0.1"), clock.Nanos(5e9)
 	for i := range 4 {
-		g.Arrive(ID(i), addr, now)
-		g.Start(ID(i), Identity{}, now)
+		controller.Arrive(ID(i), address, now)
+		controller.Identify(ID(i), Identity{}, now)
 	}
 	b.Run("refused", func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
-			g.Arrive(9, addr, now)
+			controller.Arrive(9, address, now)
 		}
 	})
 	b.Run("visit", func(b *testing.B) {
-		other := ip("10.2.0.1")
+		other := parseAddr("10.2.0.1")
 		b.ReportAllocs()
 		for range b.N {
 			now += 1e4
-			g.Arrive(10, other, now)
-			g.Start(10, Identity{}, now)
-			g.Request(10, now)
-			g.Answered(10, now)
-			g.Closed(10)
+			controller.Arrive(10, other, now)
+			controller.Identify(10, Identity{}, now)
+			controller.Request(10, now)
+			controller.Answered(10, now)
+			controller.Closed(10)
 		}
 	})
 }
--- a/policy/admission/caps.go
+++ b/policy/admission/caps.go
@@ -2,73 +2,80 @@
 
 import "lotushook/policy/clock"
 
-// checkCaps checks the limits on an address, its prefix, and all. Where an address holds
-// its maximum, its silent connections are evicted for new ones: a client that starts properly is preferred to those
-// that send nothing.
-func (g *Controller) checkCaps(a, p *source, shared, member bool, now clock.Nanos) (Reason, int, clock.Nanos) {
-	if !shared {
-		if most := g.effectiveCap(g.settings.NewAddress, member); most > 0 && a.admitted.count(now) >= most {
-			return AddressRate, most, g.spreadRetryAfter(a.admitted.wait(now, most))
+// checkCaps checks the limits on an address, on its prefix, and on all arrivals; it returns the limit that is reached
+// and a Retry-After time with the reason. At the maximum of an address or prefix, the address's oldest connection
+// without a startup message is evicted for the new one if it may be: clients that start properly take precedence over
+// clients that send nothing.
+func (ctl *Controller) checkCaps(address, prefix *sourceEntry, sharedAddress, inReserve bool,
+	now clock.Nanos) (Reason, int, clock.Nanos) {
+	if !sharedAddress {
+		if limit := ctl.effectiveCap(ctl.settings.AddressRateLimit, inReserve); limit > 0 && address.admitted.count(now) >= limit {
+			return AddressRate, limit, ctl.jitter(address.admitted.wait(now, limit))
 		}
-		if most := g.effectiveCap(g.settings.NewPrefix, member); most > 0 && p.admitted.count(now) >= most {
-			return PrefixRate, most, g.spreadRetryAfter(p.admitted.wait(now, most))
+		if limit := ctl.effectiveCap(ctl.settings.PrefixRateLimit, inReserve); limit > 0 && prefix.admitted.count(now) >= limit {
+			return PrefixRate, limit, ctl.jitter(prefix.admitted.wait(now, limit))
 		}
 	}
-	if most := g.settings.NewTotal; !member && most > 0 && g.admitted.count(now) >= most {
-		return TotalRate, most, g.spreadRetryAfter(g.admitted.wait(now, most))
+	if limit := ctl.settings.TotalRateLimit; !inReserve && limit > 0 && ctl.admitted.count(now) >= limit {
+		return TotalRate, limit, ctl.jitter(ctl.admitted.wait(now, limit))
 	}
-	if shared {
+	if sharedAddress {
 		return None, 0, 0
 	}
-	mostA, mostP := g.effectiveCap(g.settings.PerAddress, member), g.effectiveCap(g.settings.PerPrefix, member)
-	overA, overP := a.connections-mostA, p.connections-mostP // 0: one must be evicted for the next
-	if mostA == 0 {
-		overA = -1
+	addressCap, prefixCap := ctl.effectiveCap(ctl.settings.MaxPerAddress, inReserve),
+		ctl.effectiveCap(ctl.settings.MaxPerPrefix, inReserve)
+	// An excess of 0 means that a connection must be evicted for the new one.
+	addressExcess, prefixExcess := address.connections-addressCap, prefix.connections-prefixCap
+	if addressCap == 0 {
+		addressExcess = -1
 	}
-	if mostP == 0 {
-		overP = -1
+	if prefixCap == 0 {
+		prefixExcess = -1
 	}
-	if overA < 0 && overP < 0 {
+	if addressExcess < 0 && prefixExcess < 0 {
 		return None, 0, 0
 	}
-	if v := a.silent.first; v != nil && now-v.since >= g.evictableSilence() && overA <= 0 && overP <= 0 {
-		g.evict(v, Displaced)
+	if oldestSilent := address.silent.first; oldestSilent != nil &&
+		now-oldestSilent.stateSince >= ctl.evictableSilence() && addressExcess <= 0 && prefixExcess <= 0 {
+		ctl.evict(oldestSilent, Displaced)
 		return None, 0, 0
 	}
-	full, limit := AddressFull, mostA
-	if overA < 0 {
-		full, limit = PrefixFull, mostP
+	reason, limit := AddressFull, addressCap
+	if addressExcess < 0 {
+		reason, limit = PrefixFull, prefixCap
 	}
-	return full, limit, g.retryAfter()
+	return reason, limit, ctl.defaultRetryAfter()
 }
 
-// effectiveCap is a cap for an address or a prefix as it is now, lower under pressure.
-func (g *Controller) effectiveCap(most int, member bool) int {
-	if !g.underPressure || member || most == 0 {
-		return most
+// effectiveCap returns the current value of a limit on an address or a prefix, which is lower under pressure.
+// Reserves are exempt from pressure.
+func (ctl *Controller) effectiveCap(limit int, inReserve bool) int {
+	if !ctl.underPressure || inReserve || limit == 0 {
+		return limit
 	}
-	return max(1, int(float64(most)*g.settings.Pressure.CapFactor))
+	return max(1, int(float64(limit)*ctl.settings.Pressure.CapFactor))
 }
 
-// isLower says whether a cap is stricter than an old one.
-func isLower(now, old int) bool { return now > 0 && (old == 0 || now < old) }
+// isLower reports whether a cap is stricter than its old value; 0 is no cap.
+func isLower(newCap, oldCap int) bool { return newCap > 0 && (oldCap == 0 || newCap < oldCap) }
 
-// updatePressure checks whether the router is short of a resource. Pressure lasts
-// until all usage is well below the level at which it began.
-func (g *Controller) updatePressure(now clock.Nanos) {
-	p := &g.settings.Pressure
-	use := max(float64(g.total)/float64(g.settings.Connections), g.memory)
-	most, rate := p.NewPerSecond, 0
-	if most > 0 {
-		rate = g.arrivals.count(now)
+// updatePressure checks whether the router is short of a resource. Pressure ends when all usage is below
+// Pressure.Leave and the arrival rate below half of its threshold, but not before MinDuration has passed.
+func (ctl *Controller) updatePressure(now clock.Nanos) {
+	pressure := &ctl.settings.Pressure
+	usage := max(float64(ctl.openCount)/float64(ctl.settings.MaxConnections), ctl.memoryShare)
+	rateLimit, rate := pressure.ArrivalsPerSecond, 0
+	if rateLimit > 0 {
+		rate = ctl.arrivals.count(now)
 	}
 	switch {
-	case use >= p.Enter || most > 0 && rate >= most:
-		g.underPressure, g.pressureSince = true, now
-	case g.underPressure && use < p.Leave && (most == 0 || rate < most/2) && now-g.pressureSince >= p.MinDuration:
-		g.underPressure = false
+	case usage >= pressure.Enter || rateLimit > 0 && rate >= rateLimit:
+		ctl.underPressure, ctl.pressureSince = true, now
+	case ctl.underPressure && usage < pressure.Leave && (rateLimit == 0 || rate < rateLimit/2) &&
+		now-ctl.pressureSince >= pressure.MinDuration:
+		ctl.underPressure = false
 	}
 }
 
-// UnderPressure says whether the controller is under pressure.
-func (g *Controller) UnderPressure() bool { return g.underPressure }
+// UnderPressure reports whether the router is short of a resource.
+func (ctl *Controller) UnderPressure() bool { return ctl.underPressure }
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -9,280 +9,286 @@
 	"lotushook/policy/clock"
 )
 
-// Controller keeps the counts and decides. It is not safe for concurrent use: callers
-// share it under a lock. It remembers the connections held and, beside
-// their addresses and prefixes, Settings.MaxSources of each.
+// Controller counts connections and decides on them. It is not safe for concurrent use: callers share it under a
+// lock. It stores the open connections with their addresses and prefixes, and at most Settings.MaxSources addresses
+// and as many prefixes without connections.
 type Controller struct {
 	settings    Settings
 	random      *rand.Rand
-	connections map[ID]*connection
-	free        []*connection // reused
-	addresses   *sources
-	prefixes    *sources
+	connections map[ID]*clientConnection
+	freeList    []*clientConnection // for reuse
+	addresses   *sourceTable
+	prefixes    *sourceTable
 
-	queues         [][states]queue // by reserve, the common ones first
-	total          int             // held and not closing
-	reserveMembers []int           // held of each reserve
-	reserved       int             // the sum of all reserves
+	queues       [][stateCount]connectionQueue // at 0 those of connections in no reserve, at i+1 those of reserve i
+	openCount    int                           // open connections that are not being closed
+	reserveUsage []int                         // open connections in each reserve
+	reserved     int                           // sum of the capacities of all reserves
 
 	arrivals, admitted rateWindow
-	memory             float64
+	memoryShare        float64 // share of memory in use, from the last Sweep
 	underPressure      bool
 	pressureSince      clock.Nanos
-	overCaps           bool // a cap was lowered, and some sources may exceed it
+	sourcesOverCap     bool // a cap was lowered, and some sources may exceed it
 	counts             [ReasonCount]uint64
 	evictions          []Eviction
 }
 
-// New returns a controller without connections. Its random numbers, which spread the Retry-After
-// times, follow from the seed.
-func New(s Settings, seed uint64) (*Controller, error) {
-	g := &Controller{random: rand.New(rand.NewPCG(seed, 0xad)), connections: map[ID]*connection{}, addresses: newSources(s.MaxSources), prefixes: newSources(s.MaxSources)}
-	if err := g.Set(s); err != nil {
+// New returns a controller without connections. Its random numbers, which jitter the Retry-After times, follow from
+// the seed.
+func New(settings Settings, seed uint64) (*Controller, error) {
+	ctl := &Controller{random: rand.New(rand.NewPCG(seed, 0xad)), connections: map[ID]*clientConnection{},
+		addresses: newSourceTable(settings.MaxSources), prefixes: newSourceTable(settings.MaxSources)}
+	if err := ctl.UpdateSettings(settings); err != nil {
 		return nil, err
 	}
-	return g, nil
+	return ctl, nil
 }
 
-// Set puts new limits in force. Connections stay: those over a lowered cap
-// are closed once they are idle, and a reserve that has the name of an old one keeps
-// its members as far as they fit; others become common.
-func (g *Controller) Set(s Settings) error {
-	if err := s.Check(); err != nil {
+// UpdateSettings replaces the limits. Connections stay open; those over a lowered cap are closed once they are idle.
+// A connection stays in its reserve if the new settings have one of that name with capacity for it, and otherwise
+// belongs to no reserve.
+func (ctl *Controller) UpdateSettings(settings Settings) error {
+	if err := settings.Check(); err != nil {
 		return fmt.Errorf("admission: %w", err)
 	}
-	old := g.settings
-	g.overCaps = g.overCaps || isLower(s.PerAddress, old.PerAddress) || isLower(s.PerPrefix, old.PerPrefix) || s.Connections < old.Connections
-	index := make([]int, len(old.Reserves))
-	for i, r := range old.Reserves {
-		index[i] = slices.IndexFunc(s.Reserves, func(n Reserve) bool { return n.Name == r.Name })
+	oldSettings := ctl.settings
+	ctl.sourcesOverCap = ctl.sourcesOverCap || isLower(settings.MaxPerAddress, oldSettings.MaxPerAddress) ||
+		isLower(settings.MaxPerPrefix, oldSettings.MaxPerPrefix) || settings.MaxConnections < oldSettings.MaxConnections
+	newReserveIndex := make([]int, len(oldSettings.Reserves))
+	for i, reserve := range oldSettings.Reserves {
+		newReserveIndex[i] = slices.IndexFunc(settings.Reserves,
+			func(candidate Reserve) bool { return candidate.Name == reserve.Name })
 	}
-	g.settings, g.reserveMembers, g.reserved = s, make([]int, len(s.Reserves)), 0
-	for _, r := range s.Reserves {
-		g.reserved += r.Connections
+	ctl.settings, ctl.reserveUsage, ctl.reserved = settings, make([]int, len(settings.Reserves)), 0
+	for _, reserve := range settings.Reserves {
+		ctl.reserved += reserve.Capacity
 	}
-	queues := g.queues
-	g.queues = make([][states]queue, len(s.Reserves)+1)
-	for _, by := range queues {
-		for _, q := range by {
-			for h := q.first; h != nil; {
-				next := h.next
-				if h.reserve >= 0 {
-					if h.reserve = index[h.reserve]; h.reserve >= 0 && g.reserveMembers[h.reserve] >= s.Reserves[h.reserve].Connections {
-						h.reserve = -1
+	oldQueues := ctl.queues
+	ctl.queues = make([][stateCount]connectionQueue, len(settings.Reserves)+1)
+	for _, byState := range oldQueues {
+		for _, queue := range byState {
+			for connection := queue.first; connection != nil; {
+				next := connection.next
+				if connection.reserve >= 0 {
+					if connection.reserve = newReserveIndex[connection.reserve]; connection.reserve >= 0 &&
+						ctl.reserveUsage[connection.reserve] >= settings.Reserves[connection.reserve].Capacity {
+						connection.reserve = -1
 					}
 				}
-				if h.reserve >= 0 {
-					g.reserveMembers[h.reserve]++
+				if connection.reserve >= 0 {
+					ctl.reserveUsage[connection.reserve]++
 				}
-				g.queues[h.reserve+1][h.state].push(h)
-				h = next
+				ctl.queues[connection.reserve+1][connection.state].push(connection)
+				connection = next
 			}
 		}
 	}
-	g.addresses.capacity, g.prefixes.capacity = s.MaxSources, s.MaxSources
+	ctl.addresses.capacity, ctl.prefixes.capacity = settings.MaxSources, settings.MaxSources
 	return nil
 }
 
-// SetCapacity changes how many connections may be held, as the system grants
-// fewer descriptors than promised, or more again. The reserves stay.
-func (g *Controller) SetCapacity(n int) {
-	n = max(n, g.reserved+1)
-	g.overCaps = g.overCaps || n < g.settings.Connections
-	g.settings.Connections = n
+// SetCapacity changes the maximum of open connections, for example when the system grants fewer descriptors than
+// configured, or more again. The reserves stay.
+func (ctl *Controller) SetCapacity(maxConnections int) {
+	maxConnections = max(maxConnections, ctl.reserved+1)
+	ctl.sourcesOverCap = ctl.sourcesOverCap || maxConnections < ctl.settings.MaxConnections
+	ctl.settings.MaxConnections = maxConnections
 }
 
-// Arrive decides on a new connection. If it is accepted,
-// the evictions make room for it.
-func (g *Controller) Arrive(id ID, addr netip.Addr, now clock.Nanos) Verdict {
-	g.evictions = g.evictions[:0]
-	g.arrivals.add(now)
-	g.updatePressure(now)
-	akey, pkey := sourceKeys(addr)
-	a, p := g.addresses.get(akey), g.prefixes.get(pkey)
-	member := g.reserveOf(addr)
-	reason, limit, wait := g.checkCaps(a, p, contains(g.settings.SharedAddresses, addr), member >= 0, now)
+// Arrive decides on a new connection. The evictions in the verdict free capacity for it.
+func (ctl *Controller) Arrive(id ID, address netip.Addr, now clock.Nanos) Verdict {
+	ctl.evictions = ctl.evictions[:0]
+	ctl.arrivals.add(now)
+	ctl.updatePressure(now)
+	addressKey, prefixKey := sourceKeys(address)
+	addressSource, prefixSource := ctl.addresses.lookup(addressKey), ctl.prefixes.lookup(prefixKey)
+	reserve := ctl.reserveOf(address)
+	reason, limit, retryAfter := ctl.checkCaps(addressSource, prefixSource,
+		contains(ctl.settings.SharedAddresses, address), reserve >= 0, now)
 	if reason != None {
-		return g.reject(reason, limit, wait)
+		return ctl.reject(reason, limit, retryAfter)
 	}
-	if g.total >= g.settings.Connections && !g.makeRoom(member, now) {
-		return g.reject(AtCapacity, g.settings.Connections, g.retryAfter())
+	if ctl.openCount >= ctl.settings.MaxConnections && !ctl.evictForNew(reserve, now) {
+		return ctl.reject(AtCapacity, ctl.settings.MaxConnections, ctl.defaultRetryAfter())
 	}
-	h := g.newConnection()
-	*h = connection{id: id, address: a, prefix: p, reserve: member, state: silent, since: now}
-	g.connections[id] = h
-	g.addresses.connect(a, now)
-	g.prefixes.connect(p, now)
-	g.admitted.add(now)
-	if member >= 0 {
-		g.reserveMembers[member]++
+	connection := ctl.newConnection()
+	*connection = clientConnection{id: id, address: addressSource, prefix: prefixSource, reserve: reserve,
+		state: silent, stateSince: now}
+	ctl.connections[id] = connection
+	ctl.addresses.connect(addressSource, now)
+	ctl.prefixes.connect(prefixSource, now)
+	ctl.admitted.add(now)
+	if reserve >= 0 {
+		ctl.reserveUsage[reserve]++
 	}
-	g.enter(h, silent, now)
-	g.total++
-	if g.settings.CrowdedFrom > 0 && g.total > g.settings.CrowdedFrom { // two for each arrival, so that the number falls
+	ctl.enterState(connection, silent, now)
+	ctl.openCount++
+	// Two evictions for each arrival, so that the number of connections falls.
+	if ctl.settings.CrowdedThreshold > 0 && ctl.openCount > ctl.settings.CrowdedThreshold {
 		for range 2 {
-			if v := g.queues[0][idle].first; v != nil && now-v.since >= g.settings.CrowdedIdleTimeout {
-				g.evict(v, Idle)
+			if longestIdle := ctl.queues[0][idle].first; longestIdle != nil &&
+				now-longestIdle.stateSince >= ctl.settings.CrowdedIdleTimeout {
+				ctl.evict(longestIdle, Idle)
 			}
 		}
 	}
-	return Verdict{Close: g.evictions}
+	return Verdict{Evictions: ctl.evictions}
 }
 
-// reserveOf returns the reserve with capacity that an address belongs to; -1: none.
-func (g *Controller) reserveOf(addr netip.Addr) int {
-	for i := range g.settings.Reserves {
-		if r := &g.settings.Reserves[i]; g.reserveMembers[i] < r.Connections && contains(r.Addresses, addr) {
+// reserveOf returns the index of a reserve with free capacity that lists the address; -1: none.
+func (ctl *Controller) reserveOf(address netip.Addr) int {
+	for i := range ctl.settings.Reserves {
+		if reserve := &ctl.settings.Reserves[i]; ctl.reserveUsage[i] < reserve.Capacity && contains(reserve.Addresses, address) {
 			return i
 		}
 	}
 	return -1
 }
 
-// Start processes the startup message. A connection that belongs to a
-// reserve with capacity is a member from now on. One that uses lent capacity while
-// all other connections wait for answers is rejected: its queries would be anyway.
-func (g *Controller) Start(id ID, who Identity, now clock.Nanos) Verdict {
-	g.evictions = g.evictions[:0]
-	h := g.connections[id]
-	if h == nil || h.state == closing {
+// Identify processes the startup message. A connection whose identity a reserve with free capacity lists belongs to
+// that reserve from now on. A connection outside the reserves is rejected if those that wait for responses already
+// use all capacity that is not reserved: its requests would be rejected anyway.
+func (ctl *Controller) Identify(id ID, identity Identity, now clock.Nanos) Verdict {
+	ctl.evictions = ctl.evictions[:0]
+	connection := ctl.connections[id]
+	if connection == nil || connection.state == closing {
 		return Verdict{Reason: Displaced}
 	}
-	if h.state != silent {
+	if connection.state != silent {
 		return Verdict{}
 	}
-	if h.reserve < 0 {
-		for i := range g.settings.Reserves {
-			r := &g.settings.Reserves[i]
-			if g.reserveMembers[i] < r.Connections && (slices.Contains(r.Users, who.User) || slices.Contains(r.Databases, who.Database) ||
-				slices.Contains(r.Applications, who.Application)) {
-				g.leave(h)
-				h.reserve = i
-				g.reserveMembers[i]++
-				g.enter(h, started, now)
+	if connection.reserve < 0 {
+		for i := range ctl.settings.Reserves {
+			reserve := &ctl.settings.Reserves[i]
+			if ctl.reserveUsage[i] < reserve.Capacity && (slices.Contains(reserve.Users, identity.User) ||
+				slices.Contains(reserve.Databases, identity.Database) ||
+				slices.Contains(reserve.Applications, identity.Application)) {
+				ctl.leaveState(connection)
+				connection.reserve = i
+				ctl.reserveUsage[i]++
+				ctl.enterState(connection, started, now)
 				return Verdict{}
 			}
 		}
 	}
-	if h.reserve < 0 && g.reserved > 0 && g.queues[0][busy].len >= g.settings.Connections-g.reserved {
-		g.evict(h, Reserved)
-		g.evictions = g.evictions[:0]
-		return Verdict{Reason: Reserved, Limit: g.reserved, RetryAfter: g.retryAfter()}
+	if connection.reserve < 0 && ctl.reserved > 0 && ctl.queues[0][busy].len >= ctl.settings.MaxConnections-ctl.reserved {
+		ctl.evict(connection, Reserved)
+		ctl.evictions = ctl.evictions[:0]
+		return Verdict{Reason: Reserved, Limit: ctl.reserved, RetryAfter: ctl.defaultRetryAfter()}
 	}
-	g.move(h, started, now)
+	ctl.changeState(connection, started, now)
 	return Verdict{}
 }
 
-// Request decides whether a connection's next request is accepted. Only a connection
-// without a reserve may be rejected, when those that wait for answers would begin
-// to fill the reserves: lent capacity could not be reclaimed then. Nothing has run.
-func (g *Controller) Request(id ID, now clock.Nanos) Verdict {
-	g.evictions = g.evictions[:0]
-	h := g.connections[id]
+// Request decides whether a connection's next request is accepted. A connection outside the reserves is rejected if
+// those that wait for responses would use reserved capacity, which could not be reclaimed from them. A rejected
+// request has not run.
+func (ctl *Controller) Request(id ID, now clock.Nanos) Verdict {
+	ctl.evictions = ctl.evictions[:0]
+	connection := ctl.connections[id]
 	switch {
-	case h == nil || h.state == closing:
+	case connection == nil || connection.state == closing:
 		return Verdict{Reason: Displaced}
-	case h.state == busy:
+	case connection.state == busy:
 		return Verdict{}
-	case h.reserve < 0 && g.reserved > 0 && g.queues[0][busy].len >= g.settings.Connections-g.reserved:
-		g.evict(h, Reserved)
-		g.evictions = g.evictions[:0]
-		return Verdict{Reason: Reserved, Limit: g.reserved, RetryAfter: g.retryAfter()}
+	case connection.reserve < 0 && ctl.reserved > 0 && ctl.queues[0][busy].len >= ctl.settings.MaxConnections-ctl.reserved:
+		ctl.evict(connection, Reserved)
+		ctl.evictions = ctl.evictions[:0]
+		return Verdict{Reason: Reserved, Limit: ctl.reserved, RetryAfter: ctl.defaultRetryAfter()}
 	}
-	g.move(h, busy, now)
+	ctl.changeState(connection, busy, now)
 	return Verdict{}
 }
 
-// Answered reports that no request of a connection is open any more.
-func (g *Controller) Answered(id ID, now clock.Nanos) {
-	if h := g.connections[id]; h != nil && h.state == busy {
-		g.move(h, idle, now)
+// Answered records that all requests of a connection have been answered.
+func (ctl *Controller) Answered(id ID, now clock.Nanos) {
+	if connection := ctl.connections[id]; connection != nil && connection.state == busy {
+		ctl.changeState(connection, idle, now)
 	}
 }
 
-// Closed reports that a connection has ended.
-func (g *Controller) Closed(id ID) {
-	h := g.connections[id]
-	if h == nil {
+// Closed records that a connection has been closed.
+func (ctl *Controller) Closed(id ID) {
+	connection := ctl.connections[id]
+	if connection == nil {
 		return
 	}
-	delete(g.connections, id)
-	if h.state != closing {
-		g.drop(h)
+	delete(ctl.connections, id)
+	if connection.state != closing {
+		ctl.release(connection)
 	}
-	*h = connection{}
-	g.free = append(g.free, h)
+	*connection = clientConnection{}
+	ctl.freeList = append(ctl.freeList, connection)
 }
 
-// Size is how many connections are held, and how many addresses and prefixes are
-// remembered.
-func (g *Controller) Size() (connections, remembered int) {
-	return g.total, len(g.addresses.all) + len(g.prefixes.all)
+// Size returns the number of open connections, and of the addresses and prefixes that are stored.
+func (ctl *Controller) Size() (connections, remembered int) {
+	return ctl.openCount, len(ctl.addresses.byKey) + len(ctl.prefixes.byKey)
 }
 
-// Counts is how many were rejected or evicted, by reason.
-func (g *Controller) Counts() [ReasonCount]uint64 { return g.counts }
+// Counts returns how many connections were rejected or evicted, by reason.
+func (ctl *Controller) Counts() [ReasonCount]uint64 { return ctl.counts }
 
-// OutOfDescriptors is the verdict on a connection for which the system has no descriptor
-// left.
-func (g *Controller) OutOfDescriptors() Verdict {
-	g.evictions = g.evictions[:0]
-	return g.reject(OutOfDescriptors, 0, g.retryAfter())
+// OutOfDescriptors returns the verdict on a connection for which the system has no file descriptor left.
+func (ctl *Controller) OutOfDescriptors() Verdict {
+	ctl.evictions = ctl.evictions[:0]
+	return ctl.reject(OutOfDescriptors, 0, ctl.defaultRetryAfter())
 }
 
-func (g *Controller) reject(r Reason, limit int, wait clock.Nanos) Verdict {
-	g.counts[r]++
-	return Verdict{Reason: r, Limit: limit, RetryAfter: wait, Close: g.evictions}
+func (ctl *Controller) reject(reason Reason, limit int, retryAfter clock.Nanos) Verdict {
+	ctl.counts[reason]++
+	return Verdict{Reason: reason, Limit: limit, RetryAfter: retryAfter, Evictions: ctl.evictions}
 }
 
-// drop removes a connection from the counts.
-func (g *Controller) drop(h *connection) {
-	g.leave(h)
-	if h.reserve >= 0 {
-		g.reserveMembers[h.reserve]--
+// release removes a connection from its queue and from all counts.
+func (ctl *Controller) release(connection *clientConnection) {
+	ctl.leaveState(connection)
+	if connection.reserve >= 0 {
+		ctl.reserveUsage[connection.reserve]--
 	}
-	g.total--
-	g.addresses.disconnect(h.address)
-	g.prefixes.disconnect(h.prefix)
+	ctl.openCount--
+	ctl.addresses.disconnect(connection.address)
+	ctl.prefixes.disconnect(connection.prefix)
 }
 
-func (g *Controller) move(h *connection, to state, now clock.Nanos) {
-	g.leave(h)
-	g.enter(h, to, now)
+func (ctl *Controller) changeState(connection *clientConnection, to connectionState, now clock.Nanos) {
+	ctl.leaveState(connection)
+	ctl.enterState(connection, to, now)
 }
 
-func (g *Controller) enter(h *connection, to state, now clock.Nanos) {
-	h.state, h.since = to, now
-	g.queues[h.reserve+1][to].push(h)
+func (ctl *Controller) enterState(connection *clientConnection, to connectionState, now clock.Nanos) {
+	connection.state, connection.stateSince = to, now
+	ctl.queues[connection.reserve+1][to].push(connection)
 	if to == silent {
-		h.address.silent.push(h)
+		connection.address.silent.push(connection)
 	}
 }
 
-func (g *Controller) leave(h *connection) {
-	g.queues[h.reserve+1][h.state].remove(h)
-	if h.state == silent {
-		h.address.silent.remove(h)
+func (ctl *Controller) leaveState(connection *clientConnection) {
+	ctl.queues[connection.reserve+1][connection.state].remove(connection)
+	if connection.state == silent {
+		connection.address.silent.remove(connection)
 	}
 }
 
-func (g *Controller) newConnection() *connection {
-	if n := len(g.free); n > 0 {
-		h := g.free[n-1]
-		g.free = g.free[:n-1]
-		return h
+func (ctl *Controller) newConnection() *clientConnection {
+	if count := len(ctl.freeList); count > 0 {
+		connection := ctl.freeList[count-1]
+		ctl.freeList = ctl.freeList[:count-1]
+		return connection
 	}
-	return &connection{}
+	return &clientConnection{}
 }
 
-// retryAfter is a Retry-After time, spread so that clients rejected together don't
-// return together.
-func (g *Controller) retryAfter() clock.Nanos { return g.spreadRetryAfter(g.settings.RetryAfter) }
+// defaultRetryAfter returns the configured Retry-After time with jitter.
+func (ctl *Controller) defaultRetryAfter() clock.Nanos { return ctl.jitter(ctl.settings.RetryAfter) }
 
-func (g *Controller) spreadRetryAfter(t clock.Nanos) clock.Nanos {
-	t += int64(g.random.Float64() * float64(g.settings.RetryAfter) / 2)
-	if g.settings.MaxRetryAfter > 0 {
-		t = min(t, g.settings.MaxRetryAfter)
+// jitter adds jitter to a Retry-After time, so that clients that are rejected together don't return together.
+func (ctl *Controller) jitter(retryAfter clock.Nanos) clock.Nanos {
+	retryAfter += int64(ctl.random.Float64() * float64(ctl.settings.RetryAfter) / 2)
+	if ctl.settings.MaxRetryAfter > 0 {
+		retryAfter = min(retryAfter, ctl.settings.MaxRetryAfter)
 	}
-	return t
+	return retryAfter
 }
--- a/policy/admission/eviction.go
+++ b/policy/admission/eviction.go
@@ -2,134 +2,142 @@
 
 import "lotushook/policy/clock"
 
-// makeRoom evicts one connection for another. For a member whose reserve is lent
-// any that is not waiting for an answer is evicted, and by the rule of Request there is
-// one. For others only those are evicted that have been idle or silent for long.
-func (g *Controller) makeRoom(member int, now clock.Nanos) bool {
-	common := &g.queues[0]
-	longest := func(q *queue, age clock.Nanos) *connection {
-		if h := q.first; h != nil && now-h.since >= age {
-			return h
+// evictForNew evicts one connection to free capacity for a new one, and reports whether it found one. For a
+// connection of a reserve whose capacity is lent, it may evict any connection outside the reserves that does not wait
+// for a response; there is one, because Request admits no more of them than the capacity that is not reserved. For
+// any other new connection, it evicts only connections that have been idle, or without a startup message, for long
+// enough.
+func (ctl *Controller) evictForNew(reserve int, now clock.Nanos) bool {
+	common := &ctl.queues[0]
+	longestIn := func(queue *connectionQueue, age clock.Nanos) *clientConnection {
+		if connection := queue.first; connection != nil && now-connection.stateSince >= age {
+			return connection
 		}
 		return nil
 	}
-	v := longest(&common[silent], g.evictableSilence())
-	if v == nil {
-		v = longest(&common[idle], g.settings.EvictableIdle)
+	victim := longestIn(&common[silent], ctl.evictableSilence())
+	if victim == nil {
+		victim = longestIn(&common[idle], ctl.settings.EvictableIdle)
 	}
-	if v == nil && (member >= 0 || g.reservesLent() && g.namedReserveHasRoom()) { // it may be a member: its startup message will show
-		for _, s := range []state{silent, idle, started} {
-			if v = common[s].first; v != nil {
+	// The startup message may yet show that the new connection belongs to a reserve that is identified by names.
+	if victim == nil && (reserve >= 0 || ctl.lending() && ctl.namedReserveHasCapacity()) {
+		for _, state := range []connectionState{silent, idle, started} {
+			if victim = common[state].first; victim != nil {
 				break
 			}
 		}
 	}
-	if v == nil && member >= 0 {
-		v = longest(&g.queues[member+1][silent], g.evictableSilence())
+	if victim == nil && reserve >= 0 {
+		victim = longestIn(&ctl.queues[reserve+1][silent], ctl.evictableSilence())
 	}
-	if v == nil {
+	if victim == nil {
 		return false
 	}
-	g.evict(v, Displaced)
+	ctl.evict(victim, Displaced)
 	return true
 }
 
-// evictableSilence is how long a connection may be silent before it may be evicted for another.
-func (g *Controller) evictableSilence() clock.Nanos {
-	if g.underPressure {
-		return g.settings.EvictableSilence / 4
+// evictableSilence returns how long a connection may lack its startup message before it may be evicted for another.
+func (ctl *Controller) evictableSilence() clock.Nanos {
+	if ctl.underPressure {
+		return ctl.settings.EvictableSilence / 4
 	}
-	return g.settings.EvictableSilence
+	return ctl.settings.EvictableSilence
 }
 
-// reservesLent says whether common connections use reserved capacity.
-func (g *Controller) reservesLent() bool { return g.commonCount() > g.settings.Connections-g.reserved }
+// lending reports whether connections outside the reserves use reserved capacity.
+func (ctl *Controller) lending() bool { return ctl.common() > ctl.settings.MaxConnections-ctl.reserved }
 
-// commonCount is how many connections are in no reserve.
-func (g *Controller) commonCount() int {
-	n := g.total
-	for _, m := range g.reserveMembers {
-		n -= m
+// common returns how many connections are in no reserve.
+func (ctl *Controller) common() int {
+	count := ctl.openCount
+	for _, used := range ctl.reserveUsage {
+		count -= used
 	}
-	return n
+	return count
 }
 
-// namedReserveHasRoom says whether a reserve that is identified by names has capacity left.
-func (g *Controller) namedReserveHasRoom() bool {
-	for i, r := range g.settings.Reserves {
-		if len(r.Users)+len(r.Databases)+len(r.Applications) > 0 && g.reserveMembers[i] < r.Connections {
+// namedReserveHasCapacity reports whether a reserve that is identified by names in the startup message has free
+// capacity.
+func (ctl *Controller) namedReserveHasCapacity() bool {
+	for i, reserve := range ctl.settings.Reserves {
+		if len(reserve.Users)+len(reserve.Databases)+len(reserve.Applications) > 0 && ctl.reserveUsage[i] < reserve.Capacity {
 			return true
 		}
 	}
 	return false
 }
 
-// Sweep takes the share of memory in use, and returns the evictions that are
-// due: under pressure silent connections, and after a cap was
-// lowered idle ones over it. It should be called a few times a second.
-func (g *Controller) Sweep(now clock.Nanos, memory float64) []Eviction {
-	g.evictions = g.evictions[:0]
-	g.memory = memory
-	g.updatePressure(now)
-	if g.underPressure {
-		for h := g.queues[0][silent].first; h != nil && now-h.since >= g.evictableSilence(); {
-			next := h.next
-			if now-h.since >= g.settings.SilenceTimeout || g.overCap(h) {
-				g.evict(h, Silent)
+// Sweep returns the evictions that are due: under pressure, connections without a startup message; after a cap was
+// lowered, idle connections over it. It also records the share of memory in use. It should be called a few times a
+// second.
+func (ctl *Controller) Sweep(now clock.Nanos, memoryShare float64) []Eviction {
+	ctl.evictions = ctl.evictions[:0]
+	ctl.memoryShare = memoryShare
+	ctl.updatePressure(now)
+	if ctl.underPressure {
+		for connection := ctl.queues[0][silent].first; connection != nil && now-connection.stateSince >= ctl.evictableSilence(); {
+			next := connection.next
+			if now-connection.stateSince >= ctl.settings.SilenceTimeout || ctl.exceedsEffectiveCap(connection) {
+				ctl.evict(connection, Silent)
 			}
-			h = next
+			connection = next
 		}
 	}
-	if g.overCaps {
-		g.overCaps = g.evictOverCaps(now)
+	if ctl.sourcesOverCap {
+		ctl.sourcesOverCap = ctl.evictOverCaps(now)
 	}
-	return g.evictions
+	return ctl.evictions
 }
 
-// overCap says whether a silent connection exceeds the effective cap of its address or
-// prefix.
-func (g *Controller) overCap(h *connection) bool {
-	a, p := g.effectiveCap(g.settings.PerAddress, false), g.effectiveCap(g.settings.PerPrefix, false)
-	return a > 0 && h.address.connections > a || p > 0 && h.prefix.connections > p
+// exceedsEffectiveCap reports whether the address or prefix of a connection has more connections than its effective
+// cap.
+func (ctl *Controller) exceedsEffectiveCap(connection *clientConnection) bool {
+	addressCap, prefixCap := ctl.effectiveCap(ctl.settings.MaxPerAddress, false),
+		ctl.effectiveCap(ctl.settings.MaxPerPrefix, false)
+	return addressCap > 0 && connection.address.connections > addressCap ||
+		prefixCap > 0 && connection.prefix.connections > prefixCap
 }
 
-// evictOverCaps evicts idle connections over the caps and says whether any are over.
-func (g *Controller) evictOverCaps(now clock.Nanos) bool {
-	over := func(h *connection) bool {
-		return g.total > g.settings.Connections || g.settings.PerAddress > 0 && h.address.connections > g.settings.PerAddress ||
-			g.settings.PerPrefix > 0 && h.prefix.connections > g.settings.PerPrefix
+// evictOverCaps evicts idle connections over the caps, and reports whether any over a cap remain open.
+func (ctl *Controller) evictOverCaps(now clock.Nanos) bool {
+	exceedsCap := func(connection *clientConnection) bool {
+		return ctl.openCount > ctl.settings.MaxConnections ||
+			ctl.settings.MaxPerAddress > 0 && connection.address.connections > ctl.settings.MaxPerAddress ||
+			ctl.settings.MaxPerPrefix > 0 && connection.prefix.connections > ctl.settings.MaxPerPrefix
 	}
-	left := false
-	for i := range g.queues {
-		for s := silent; s <= busy; s++ {
-			for h := g.queues[i][s].first; h != nil; {
-				next := h.next
-				if over(h) {
-					if s == silent || s == idle && now-h.since >= g.settings.EvictableIdle {
-						g.evict(h, OverCap)
+	remaining := false
+	for i := range ctl.queues {
+		for state := silent; state <= busy; state++ {
+			for connection := ctl.queues[i][state].first; connection != nil; {
+				next := connection.next
+				if exceedsCap(connection) {
+					if state == silent || state == idle && now-connection.stateSince >= ctl.settings.EvictableIdle {
+						ctl.evict(connection, OverCap)
 					} else {
-						left = true
+						remaining = true
 					}
 				}
-				h = next
+				connection = next
 			}
 		}
 	}
-	return left
+	return remaining
 }
 
-// evict marks a connection as closing; it uses no capacity from now on.
-func (g *Controller) evict(h *connection, r Reason) {
-	g.counts[r]++
-	g.evictions = append(g.evictions, Eviction{ID: h.id, Reason: r, RetryAfter: g.retryAfter(), Notify: h.state != idle})
-	g.drop(h)
-	h.state = closing
+// evict adds a connection to the evictions. It uses no capacity from now on, although it is still open.
+func (ctl *Controller) evict(connection *clientConnection, reason Reason) {
+	ctl.counts[reason]++
+	ctl.evictions = append(ctl.evictions, Eviction{ID: connection.id, Reason: reason,
+		RetryAfter: ctl.defaultRetryAfter(), Notify: connection.state != idle})
+	ctl.release(connection)
+	connection.state = closing
 }
 
-// EvictOne evicts one idle or silent connection when descriptors run out although the count allowed
-// more, if there is one.
-func (g *Controller) EvictOne(now clock.Nanos) []Eviction {
-	g.evictions = g.evictions[:0]
-	g.makeRoom(-1, now)
-	return g.evictions
+// EvictOne evicts one connection as for a new one, if there is one to evict. It is called when file descriptors run
+// out below the maximum of connections.
+func (ctl *Controller) EvictOne(now clock.Nanos) []Eviction {
+	ctl.evictions = ctl.evictions[:0]
+	ctl.evictForNew(-1, now)
+	return ctl.evictions
 }
--- a/policy/admission/queues.go
+++ b/policy/admission/queues.go
@@ -2,88 +2,88 @@
 
 import "lotushook/policy/clock"
 
-// state is the state of a connection held.
-type state int
+// connectionState is the state of an open connection.
+type connectionState int
 
 const (
-	silent  state = iota // has not sent its startup message
-	started              // has started and sent no query
-	idle                 // has queried, and no request of it is open
-	busy                 // waits for an answer
-	closing              // being evicted
-	states
+	silent  connectionState = iota // has not sent its startup message
+	started                        // has sent its startup message, but no request
+	idle                           // has sent requests, and all are answered
+	busy                           // waits for a response
+	closing                        // being evicted
+	stateCount
 )
 
-// connection is one client connection.
-type connection struct {
-	id      ID
-	address *source
-	prefix  *source
-	reserve int // index in Settings.Reserves; -1: common
-	state   state
-	since   clock.Nanos // when it entered its state
+// clientConnection is one connection from a client.
+type clientConnection struct {
+	id         ID
+	address    *sourceEntry
+	prefix     *sourceEntry
+	reserve    int // index in Settings.Reserves; -1: none
+	state      connectionState
+	stateSince clock.Nanos // when it entered its state
 
-	next, prev        *connection // in its queue, the longest in the state first
-	nextOfAddress     *connection // its neighbors among the silent ones of its address
-	previousOfAddress *connection
+	next, previous *clientConnection // in its queue, ordered by stateSince
+	nextSilent     *clientConnection // among the silent connections of its address
+	previousSilent *clientConnection
 }
 
-// queue is a linked list of connections in one state, the longest in it first. It
-// allocates nothing, and removal takes constant time.
-type queue struct {
-	first, last *connection
+// connectionQueue is a linked list of the connections in one state, the longest in it first. It allocates nothing,
+// and removal takes constant time.
+type connectionQueue struct {
+	first, last *clientConnection
 	len         int
 }
 
-func (q *queue) push(h *connection) {
-	h.prev, h.next = q.last, nil
-	if q.last != nil {
-		q.last.next = h
+func (queue *connectionQueue) push(connection *clientConnection) {
+	connection.previous, connection.next = queue.last, nil
+	if queue.last != nil {
+		queue.last.next = connection
 	} else {
-		q.first = h
+		queue.first = connection
 	}
-	q.last = h
-	q.len++
+	queue.last = connection
+	queue.len++
 }
 
-func (q *queue) remove(h *connection) {
-	if h.prev != nil {
-		h.prev.next = h.next
+func (queue *connectionQueue) remove(connection *clientConnection) {
+	if connection.previous != nil {
+		connection.previous.next = connection.next
 	} else {
-		q.first = h.next
+		queue.first = connection.next
 	}
-	if h.next != nil {
-		h.next.prev = h.prev
+	if connection.next != nil {
+		connection.next.previous = connection.previous
 	} else {
-		q.last = h.prev
+		queue.last = connection.previous
 	}
-	h.next, h.prev = nil, nil
-	q.len--
+	connection.next, connection.previous = nil, nil
+	queue.len--
 }
 
-// silentList is the list of the silent connections of one address, the longest first.
-type silentList struct{ first, last *connection }
+// silentList is a linked list of the silent connections of one address, the longest in that state first.
+type silentList struct{ first, last *clientConnection }
 
-func (m *silentList) push(h *connection) {
-	h.previousOfAddress, h.nextOfAddress = m.last, nil
-	if m.last != nil {
-		m.last.nextOfAddress = h
+func (list *silentList) push(connection *clientConnection) {
+	connection.previousSilent, connection.nextSilent = list.last, nil
+	if list.last != nil {
+		list.last.nextSilent = connection
 	} else {
-		m.first = h
+		list.first = connection
 	}
-	m.last = h
+	list.last = connection
 }
 
-func (m *silentList) remove(h *connection) {
-	if h.previousOfAddress != nil {
-		h.previousOfAddress.nextOfAddress = h.nextOfAddress
+func (list *silentList) remove(connection *clientConnection) {
+	if connection.previousSilent != nil {
+		connection.previousSilent.nextSilent = connection.nextSilent
 	} else {
-		m.first = h.nextOfAddress
+		list.first = connection.nextSilent
 	}
-	if h.nextOfAddress != nil {
-		h.nextOfAddress.previousOfAddress = h.previousOfAddress
+	if connection.nextSilent != nil {
+		connection.nextSilent.previousSilent = connection.previousSilent
 	} else {
-		m.last = h.previousOfAddress
+		list.last = connection.previousSilent
 	}
-	h.nextOfAddress, h.previousOfAddress = nil, nil
+	connection.nextSilent, connection.previousSilent = nil, nil
 }
--- a/policy/admission/ratewindow.go
+++ b/policy/admission/ratewindow.go
@@ -2,61 +2,62 @@
 
 import "lotushook/policy/clock"
 
-// rateWindow counts arrivals within the last second. The second is divided into
-// slots; one slot more than a second is stored, so that no second has more arrivals
-// than the limit allows, wherever it begins.
+// rateWindow counts arrivals within the last second, which is divided into slots. It stores one slot more than a
+// second has, so that no second has more arrivals than the limit, whenever it begins.
 type rateWindow struct {
-	parts [parts + 1]uint16
-	at    int64 // the number of the newest slot since time 0
+	slots      [slotsPerSecond + 1]uint16
+	newestSlot int64 // number of the current slot, counted from time 0
 }
 
 const (
-	parts   = 10
-	part    = clock.Nanos(1e9 / parts)
-	maxRate = 1<<16 - 1
+	slotsPerSecond = 10
+	slotDuration   = clock.Nanos(1e9 / slotsPerSecond)
+	maxRate        = 1<<16 - 1
 )
 
-// advance drops the slots that are over a second old.
-func (w *rateWindow) advance(now clock.Nanos) {
-	n := now / part
-	if n <= w.at { // a clock that stands still or goes back drops nothing
+// advance clears the slots that are over a second old.
+func (window *rateWindow) advance(now clock.Nanos) {
+	slot := now / slotDuration
+	if slot <= window.newestSlot { // a clock that stands still or goes back clears nothing
 		return
 	}
-	if n-w.at > parts {
-		w.parts = [parts + 1]uint16{}
+	if slot-window.newestSlot > slotsPerSecond {
+		window.slots = [slotsPerSecond + 1]uint16{}
 	} else {
-		for i := w.at + 1; i <= n; i++ {
-			w.parts[i%(parts+1)] = 0
+		for expired := window.newestSlot + 1; expired <= slot; expired++ {
+			window.slots[expired%(slotsPerSecond+1)] = 0
 		}
 	}
-	w.at = n
+	window.newestSlot = slot
 }
 
-func (w *rateWindow) count(now clock.Nanos) int {
-	w.advance(now)
+// count returns the arrivals within the last second.
+func (window *rateWindow) count(now clock.Nanos) int {
+	window.advance(now)
 	sum := 0
-	for _, n := range w.parts {
-		sum += int(n)
+	for _, arrivals := range window.slots {
+		sum += int(arrivals)
 	}
 	return sum
 }
 
-func (w *rateWindow) add(now clock.Nanos) {
-	w.advance(now)
-	if p := &w.parts[w.at%(parts+1)]; *p < maxRate {
-		*p++
+// add counts an arrival.
+func (window *rateWindow) add(now clock.Nanos) {
+	window.advance(now)
+	if counter := &window.slots[window.newestSlot%(slotsPerSecond+1)]; *counter < maxRate {
+		*counter++
 	}
 }
 
-// wait is how long it takes from now until fewer than the limit are counted.
-func (w *rateWindow) wait(now clock.Nanos, most int) clock.Nanos {
-	over := w.count(now) - most + 1
-	for i := w.at - parts; i <= w.at && over > 0; i++ {
-		if i >= 0 {
-			over -= int(w.parts[i%(parts+1)])
+// wait returns the time from now until fewer arrivals than the limit are counted.
+func (window *rateWindow) wait(now clock.Nanos, limit int) clock.Nanos {
+	excess := window.count(now) - limit + 1
+	for slot := window.newestSlot - slotsPerSecond; slot <= window.newestSlot && excess > 0; slot++ {
+		if slot >= 0 {
+			excess -= int(window.slots[slot%(slotsPerSecond+1)])
 		}
-		if over <= 0 {
-			return max((i+parts+1)*part-now, 0)
+		if excess <= 0 {
+			return max((slot+slotsPerSecond+1)*slotDuration-now, 0)
 		}
 	}
 	return 0
--- a/policy/admission/rules_test.go
+++ b/policy/admission/rules_test.go
@@ -10,212 +10,212 @@
 	"lotushook/policy/clock"
 )
 
-// model is what a caller of the gate could count for itself.
+// model tracks what a caller of the controller can observe.
 type model struct {
-	addr   map[ID]netip.Addr
-	waits  map[ID]bool
-	closed map[ID]bool
-	took   map[string][]clock.Nanos // by address and by prefix
+	addresses map[ID]netip.Addr
+	busy      map[ID]bool              // a request waits for its response
+	closed    map[ID]bool              // evicted or rejected, and not yet reported as Closed
+	arrivals  map[string][]clock.Nanos // by address and by prefix
 }
 
-func (m *model) from(same func(netip.Addr) bool) int {
-	n := 0
-	for id, a := range m.addr {
-		if same(a) && !m.closed[id] {
-			n++
+func (connections *model) countFrom(matches func(netip.Addr) bool) int {
+	count := 0
+	for id, address := range connections.addresses {
+		if matches(address) && !connections.closed[id] {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (m *model) close(t *rapid.T, list []Eviction) {
-	for _, c := range list {
-		if _, here := m.addr[c.ID]; !here || m.closed[c.ID] {
-			t.Fatalf("%+v is not held", c)
+func (connections *model) close(t *rapid.T, evictions []Eviction) {
+	for _, eviction := range evictions {
+		if _, open := connections.addresses[eviction.ID]; !open || connections.closed[eviction.ID] {
+			t.Fatalf("%+v is not open", eviction)
 		}
-		if m.waits[c.ID] {
-			t.Fatalf("%+v waits for an answer", c)
+		if connections.busy[eviction.ID] {
+			t.Fatalf("%+v waits for a response", eviction)
 		}
-		m.closed[c.ID] = true
+		connections.closed[eviction.ID] = true
 	}
 }
 
-// Whatever comes in whatever order: caps are not passed, in no second more are
-// taken than allowed, one that waits is never closed, members find their room, and
-// what is remembered stays bounded.
+// In any sequence of events, the caps on open connections and arrival rates hold, no connection that waits for a
+// response is evicted, clients of a reserve find their capacity, and the stored entries stay bounded.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func TestRules(t *testing.T) {
+//nolint:gocognit,funlen // one sequence of steps
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := usual()
-		set.Connections = rapid.IntRange(5, 12).Draw(t, "connections")
-		set.PerPrefix = rapid.SampledFrom([]int{0, 6}).Draw(t, "per prefix")
-		set.NewAddress = rapid.SampledFrom([]int{0, 3}).Draw(t, "new")
-		set.CrowdedFrom = rapid.SampledFrom([]int{0, 5}).Draw(t, "crowd")
-		set.MaxSources = 8 // all the addresses below: the rate of one that had to be forgotten starts anew
-		set.Reserves = append(set.Reserves, Reserve{Name: "desks", Users: []string{"desk"}, Connections: 1})
-		g, err := New(set, 1)
+		settings := testSettings()
+		settings.MaxConnections = rapid.IntRange(5, 12).Draw(t, "connections")
+		settings.MaxPerPrefix = rapid.SampledFrom([]int{0, 6}).Draw(t, "per prefix")
+		settings.AddressRateLimit = rapid.SampledFrom([]int{0, 3}).Draw(t, "new")
+		settings.CrowdedThreshold = rapid.SampledFrom([]int{0, 5}).Draw(t, "crowd")
+		settings.MaxSources = 8 // enough for all addresses below: the arrival rate of one that is dropped restarts at 0
+		settings.Reserves = append(settings.Reserves, Reserve{Name: "desks", Users: []string{"desk"}, Capacity: 1})
+		controller, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := model{map[ID]netip.Addr{}, map[ID]bool{}, map[ID]bool{}, map[string][]clock.Nanos{}}
-		addrs := []netip.Addr{ip("10.1.0.1"), ip("10.1.0.2"), ip("10.1.0.3"), ip("10.2.0.1"), ip("10.9.0.1"), ip("10.9.1.1"), ip("fd00::1"), ip("fd00::2")}
+		connections := model{map[ID]netip.Addr{}, map[ID]bool{}, map[ID]bool{}, map[string][]clock.Nanos{}}
+		addresses := []netip.Addr{parseAddr("10.1.0.1"), parseAddr("10.1.0.2"), parseAddr("10.1.0.3"), parseAddr("10.2.0.1"), parseAddr("10.9.0.1"), parseAddr("10.9.1.1"), parseAddr("fd00::1"), parseAddr("fd00::2")}
 		now, next := clock.Nanos(5e9), ID(0)
 		anyID := func() ID { return ID(rapid.Uint64Range(0, uint64(next)).Draw(t, "id")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"time": func(t *rapid.T) { now += rapid.Int64Range(0, 400).Draw(t, "ms") * ms },
 			"arrive": func(t *rapid.T) {
-				a := rapid.SampledFrom(addrs).Draw(t, "from")
-				member := a.Is4() && a.As4()[1] == 9
-				used := g.reserveMembers[0]
-				v := g.Arrive(next, a, now)
-				m.close(t, v.Close)
-				if v.Admitted() {
-					m.addr[next] = a
-					for _, key := range sourceNames(a) {
-						m.took[key] = append(m.took[key], now)
+				address := rapid.SampledFrom(addresses).Draw(t, "from")
+				inReserve := address.Is4() && address.As4()[1] == 9
+				used := controller.reserveUsage[0]
+				verdict := controller.Arrive(next, address, now)
+				connections.close(t, verdict.Evictions)
+				if verdict.Admitted() {
+					connections.addresses[next] = address
+					for _, key := range sourceNames(address) {
+						connections.arrivals[key] = append(connections.arrivals[key], now)
 					}
-				} else if member && used < 3 && v.Reason == AtCapacity {
-					t.Fatalf("no room for a member of a reserve that holds %d of 3", used)
+				} else if inReserve && used < 3 && verdict.Reason == AtCapacity {
+					t.Fatalf("no capacity for a client of a reserve that has %d of 3 connections", used)
 				}
 				next++
 			},
 			"start": func(t *rapid.T) {
 				id := anyID()
-				v := g.Start(id, Identity{User: rapid.SampledFrom([]string{"app", "desk"}).Draw(t, "user")}, now)
-				if _, here := m.addr[id]; here && !v.Admitted() {
-					m.closed[id] = true
+				verdict := controller.Identify(id, Identity{User: rapid.SampledFrom([]string{"app", "desk"}).Draw(t, "user")}, now)
+				if _, open := connections.addresses[id]; open && !verdict.Admitted() {
+					connections.closed[id] = true
 				}
 			},
 			"ask": func(t *rapid.T) {
 				id := anyID()
-				_, here := m.addr[id]
-				switch v := g.Request(id, now); {
-				case v.Admitted() && (!here || m.closed[id]):
-					t.Fatalf("%d asks and is not here", id)
-				case v.Admitted():
-					m.waits[id] = true
-				case here:
-					m.closed[id] = true
+				_, open := connections.addresses[id]
+				switch verdict := controller.Request(id, now); {
+				case verdict.Admitted() && (!open || connections.closed[id]):
+					t.Fatalf("%d is not open, but its request was accepted", id)
+				case verdict.Admitted():
+					connections.busy[id] = true
+				case open:
+					connections.closed[id] = true
 				}
 			},
 			"answered": func(_ *rapid.T) {
 				id := anyID()
-				g.Answered(id, now)
-				m.waits[id] = false
+				controller.Answered(id, now)
+				connections.busy[id] = false
 			},
 			"left": func(_ *rapid.T) {
 				id := anyID()
-				g.Closed(id)
-				delete(m.addr, id)
-				delete(m.waits, id)
-				delete(m.closed, id)
+				controller.Closed(id)
+				delete(connections.addresses, id)
+				delete(connections.busy, id)
+				delete(connections.closed, id)
 			},
 			"sweep": func(t *rapid.T) {
-				m.close(t, g.Sweep(now, rapid.Float64Range(0, 1).Draw(t, "memory")))
+				connections.close(t, controller.Sweep(now, rapid.Float64Range(0, 1).Draw(t, "memory")))
 			},
 			"": func(t *rapid.T) {
-				held, known := g.Size()
-				if n := m.from(func(netip.Addr) bool { return true }); held > set.Connections || held != n {
-					t.Fatalf("%d are held, %d counted, of at most %d", held, n, set.Connections)
+				openCount, stored := controller.Size()
+				if count := connections.countFrom(func(netip.Addr) bool { return true }); openCount > settings.MaxConnections || openCount != count {
+					t.Fatalf("%d are open, %d in the model, of at most %d", openCount, count, settings.MaxConnections)
 				}
-				common := 0
-				for id := range m.waits {
-					if h := g.connections[id]; h != nil && h.state == busy && h.reserve < 0 {
-						common++
+				busyOutsideReserves := 0
+				for id := range connections.busy {
+					if connection := controller.connections[id]; connection != nil && connection.state == busy && connection.reserve < 0 {
+						busyOutsideReserves++
 					}
 				}
-				if common > set.Connections-4 {
-					t.Fatalf("%d wait in common room of %d", common, set.Connections-4)
+				if busyOutsideReserves > settings.MaxConnections-4 {
+					t.Fatalf("%d busy connections outside the reserves, on capacity for %d", busyOutsideReserves, settings.MaxConnections-4)
 				}
-				for i, r := range set.Reserves {
-					if g.reserveMembers[i] < 0 || g.reserveMembers[i] > r.Connections {
-						t.Fatalf("reserve %s holds %d", r.Name, g.reserveMembers[i])
+				for i, reserve := range settings.Reserves {
+					if controller.reserveUsage[i] < 0 || controller.reserveUsage[i] > reserve.Capacity {
+						t.Fatalf("reserve %s has %d connections", reserve.Name, controller.reserveUsage[i])
 					}
 				}
-				for _, a := range addrs {
-					_, p := sourceKeys(a)
-					if n := m.from(func(b netip.Addr) bool { return a == b }); n > set.PerAddress {
-						t.Fatalf("%s holds %d", a, n)
+				for _, address := range addresses {
+					_, prefix := sourceKeys(address)
+					if count := connections.countFrom(func(other netip.Addr) bool { return address == other }); count > settings.MaxPerAddress {
+						t.Fatalf("%s has %d connections", address, count)
 					}
-					if n := m.from(p.Contains); set.PerPrefix > 0 && n > set.PerPrefix {
-						t.Fatalf("%s holds %d", p, n)
+					if count := connections.countFrom(prefix.Contains); settings.MaxPerPrefix > 0 && count > settings.MaxPerPrefix {
+						t.Fatalf("%s has %d connections", prefix, count)
 					}
-					for i, key := range sourceNames(a) {
-						most := []int{set.NewAddress, set.NewPrefix}[i]
-						list := m.took[key]
-						if n := len(list); most > 0 && n > most && list[n-1]-list[n-1-most] < 1e9 {
-							t.Fatalf("%s: more than %d new ones within a second", key, most)
+					for i, key := range sourceNames(address) {
+						limit := []int{settings.AddressRateLimit, settings.PrefixRateLimit}[i]
+						arrivals := connections.arrivals[key]
+						if count := len(arrivals); limit > 0 && count > limit && arrivals[count-1]-arrivals[count-1-limit] < 1e9 {
+							t.Fatalf("%s: more than %d arrivals within a second", key, limit)
 						}
 					}
 				}
-				if known > 2*(set.Connections+set.MaxSources) {
-					t.Fatalf("%d addresses and prefixes are remembered", known)
+				if stored > 2*(settings.MaxConnections+settings.MaxSources) {
+					t.Fatalf("%d addresses and prefixes are stored", stored)
 				}
 			},
 		})
-		// Nobody is shut out for good: once the rest has been answered and time has
-		// passed, whoever comes gets in.
-		for id := range m.waits {
-			g.Answered(id, now)
+		// No client is excluded for good: once all requests have been answered and some time has passed, a new
+		// connection is accepted.
+		for id := range connections.busy {
+			controller.Answered(id, now)
 		}
 		now += 5e9
-		for id, h := range g.connections { // who started and never asks is ended by the router's own limit, not by the gate
-			if h.state == started {
-				g.Closed(id)
+		// Not the controller, but a timeout of the router closes connections that never send a request.
+		for id, connection := range controller.connections {
+			if connection.state == started {
+				controller.Closed(id)
 			}
 		}
-		if v := g.Arrive(next, ip("10.7.0.1"), now); !v.Admitted() {
-			t.Fatalf("after a rest: %+v", v)
+		if verdict := controller.Arrive(next, parseAddr("10.7.0.1"), now); !verdict.Admitted() {
+			t.Fatalf("after all requests were answered: %+v", verdict)
 		}
 	})
 }
 
-func sourceNames(a netip.Addr) []string {
-	addr, prefix := sourceKeys(a)
-	return []string{addr.String(), fmt.Sprint("net ", prefix)}
+func sourceNames(address netip.Addr) []string {
+	addressKey, prefixKey := sourceKeys(address)
+	return []string{addressKey.String(), fmt.Sprint("net ", prefixKey)}
 }
 
-// A flood that goes on for good, of silent ones from everywhere, does not keep out
-// one that starts at once.
-func TestFloodDoesNotStarve(t *testing.T) {
-	set := usual()
-	set.Connections, set.Reserves = 50, nil
-	g, err := New(set, 1)
+// A permanent flood of connections without a startup message, each from another prefix, does not exclude clients that
+// send their startup message at once.
+func TestFloodDoesNotExcludeClients(t *testing.T) {
+	settings := testSettings()
+	settings.MaxConnections, settings.Reserves = 50, nil
+	controller, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, next, refused := clock.Nanos(5e9), ID(0), 0
+	now, next, rejected := clock.Nanos(5e9), ID(0), 0
 	for round := range 2000 {
 		now += 1 * ms
-		for i := range 5 { // 5,000 a second, no two of a prefix
+		for i := range 5 { // 5,000 a second, each from another prefix
 			n := round*5 + i
-			v := g.Arrive(next, netip.AddrFrom4([4]byte{11, byte(n >> 8), byte(n), 1}), now)
-			for _, c := range v.Close {
-				g.Closed(c.ID)
+			verdict := controller.Arrive(next, netip.AddrFrom4([4]byte{11, byte(n >> 8), byte(n), 1}), now)
+			for _, eviction := range verdict.Evictions {
+				controller.Closed(eviction.ID)
 			}
 			next++
 		}
 		if round%20 == 0 {
 			id := next
 			next++
-			v := g.Arrive(id, ip("10.1.0.1"), now)
-			for _, c := range v.Close {
-				g.Closed(c.ID)
+			verdict := controller.Arrive(id, parseAddr("10.1.0.1"), now)
+			for _, eviction := range verdict.Evictions {
+				controller.Closed(eviction.ID)
 			}
-			if !v.Admitted() {
-				refused++
+			if !verdict.Admitted() {
+				rejected++
 				continue
 			}
-			g.Start(id, Identity{}, now)
-			if v := g.Request(id, now); !v.Admitted() {
-				t.Fatalf("%+v", v)
+			controller.Identify(id, Identity{}, now)
+			if verdict := controller.Request(id, now); !verdict.Admitted() {
+				t.Fatalf("%+v", verdict)
 			}
-			g.Answered(id, now)
-			g.Closed(id)
+			controller.Answered(id, now)
+			controller.Closed(id)
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 100 that start at once were refused", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 100 clients that send their startup message at once were rejected", rejected)
 	}
 }
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -1,7 +1,7 @@
-// Package admission decides which client connections a router holds: at the
-// accept by the address, again when the startup message identifies the client, and when
-// a connection must be evicted. It decides from counts and times passed to it, and knows
-// no sockets. Requests that were admitted are not its concern.
+// Package admission decides which client connections a router keeps open. It decides when a connection arrives, by
+// its address, when the startup message identifies the client, when a request arrives, and when a connection must be
+// evicted. Decisions follow from counts and from the times passed to it; it opens and closes no sockets. What happens
+// to requests that were accepted is decided elsewhere.
 package admission
 
 import (
@@ -12,76 +12,75 @@
 	"lotushook/policy/clock"
 )
 
-// ID identifies a connection while it is held; the caller chooses it and does not reuse
-// it before Closed.
+// ID identifies an open connection. The caller chooses it, and may reuse it after Closed.
 type ID uint64
 
-// Settings are the limits. A cap of 0 is not enforced.
+// Settings are the limits. A limit of 0 is not enforced.
 type Settings struct {
-	Connections int // the maximum of all connections
-
-	PerAddress         int // held by one address
-	PerPrefix          int // held by one prefix: IPv4 /24, IPv6 /64
-	NewAddress         int // arrivals from one address within any second
-	NewPrefix          int // arrivals from one prefix within any second
-	NewTotal           int // arrivals in all within any second
-	SharedAddresses    []netip.Prefix
+	MaxConnections int // maximum number of open connections
+
+	MaxPerAddress      int            // open connections from one address
+	MaxPerPrefix       int            // open connections from one prefix: IPv4 /24, IPv6 /64
+	AddressRateLimit   int            // arrivals from one address within any second
+	PrefixRateLimit    int            // arrivals from one prefix within any second
+	TotalRateLimit     int            // arrivals in total within any second
+	SharedAddresses    []netip.Prefix // addresses that many clients share: no limits by address or prefix
 	Reserves           []Reserve
-	CrowdedFrom        int         // from so many connections on, those that idle longer than CrowdedIdleTimeout are closed early
-	CrowdedIdleTimeout clock.Nanos //
-	EvictableIdle      clock.Nanos // a connection idle for so long may be evicted
-	EvictableSilence   clock.Nanos // so may one that has been silent for so long
-	SilenceTimeout     clock.Nanos // under pressure, one that has been silent for so long is closed
+	CrowdedThreshold   int // above so many connections, those that idle for CrowdedIdleTimeout are closed early
+	CrowdedIdleTimeout clock.Nanos
+	EvictableIdle      clock.Nanos // after so long without a request, a connection may be evicted
+	EvictableSilence   clock.Nanos // after so long without a startup message, a connection may be evicted
+	SilenceTimeout     clock.Nanos // under pressure, a connection is closed after so long without a startup message
 	Pressure           Pressure
-	MaxSources         int         // addresses and prefixes that are remembered at most, beside those of connections held
-	RetryAfter         clock.Nanos // the Retry-After time where no better one is known; spread over half as much again
-	MaxRetryAfter      clock.Nanos // the longest Retry-After time
+	MaxSources         int         // maximum number of stored addresses without connections, and of prefixes
+	RetryAfter         clock.Nanos // where no better time is known; jitter adds up to half of it
+	MaxRetryAfter      clock.Nanos // maximum of all Retry-After times; 0: none
 }
 
-// Reserve is capacity that only its members can take. A connection is a
-// member by its address, or once its startup message names it.
+// Reserve is capacity for certain clients. A connection belongs to a reserve by its address, or once its startup
+// message has one of the names. Unused capacity is lent to other connections, which may then be evicted.
 type Reserve struct {
 	Name         string
 	Addresses    []netip.Prefix
 	Users        []string
 	Databases    []string
 	Applications []string
-	Connections  int
+	Capacity     int // number of connections
 }
 
-// Pressure defines when the router is under pressure, and how far it lowers the caps. Shares are of the maximum.
+// Pressure defines when the router is under pressure, and how much this lowers the caps.
 type Pressure struct {
-	Enter, Leave float64     // of connections or memory in use: pressure begins at Enter and ends when all are under Leave
-	NewPerSecond int         // arrivals, accepted or not, at which pressure begins; 0: they don't count
-	MinDuration  clock.Nanos // pressure lasts at least so long
-	CapFactor    float64     // factor on the caps for each address and prefix under pressure
+	Enter, Leave      float64     // shares in use of connections or memory: pressure begins at Enter and ends below Leave
+	ArrivalsPerSecond int         // arrivals, accepted or not, at which pressure begins; 0: not considered
+	MinDuration       clock.Nanos // minimum duration of pressure
+	CapFactor         float64     // factor on the limits by address and prefix under pressure
 }
 
 // Reason says why a connection was rejected or evicted.
 type Reason int
 
-// The reasons. None is that of an accepted connection.
+// The reasons. None is the reason of an accepted connection.
 const (
 	None             Reason = iota
-	AddressFull             // its address holds its maximum
+	AddressFull             // its address has its maximum of connections
 	AddressRate             // too many arrivals from its address
-	PrefixFull              // its prefix holds its maximum
+	PrefixFull              // its prefix has its maximum of connections
 	PrefixRate              // too many arrivals from its prefix
-	TotalRate               // too many arrivals in all
-	AtCapacity              // no capacity, and no connection that could be evicted
-	Reserved                // the capacity is lent and its reserve may need it back
+	TotalRate               // too many arrivals in total
+	AtCapacity              // no capacity, and no connection may be evicted
+	Reserved                // the capacity is lent by a reserve that may need it back
 	Displaced               // evicted for another connection
-	Silent                  // silent for too long while capacity is short
-	Idle                    // idle while capacity is short
+	Silent                  // no startup message for too long under pressure
+	Idle                    // idle while there are many connections
 	OverCap                 // idle, and over a cap that was lowered
-	OutOfDescriptors        // the system has no descriptors left
+	OutOfDescriptors        // the system has no file descriptors left
 	ReasonCount             // the number of reasons
 )
 
 var reasonNames = [ReasonCount]string{"none", "address_full", "address_rate", "prefix_full", "prefix_rate", "total_rate",
 	"full", "reserved", "displaced", "silent", "idle", "over_cap", "out_of_descriptors"}
 
-// String is the reason's name in logs and accounts.
+// String returns the reason's name in logs and accounts.
 func (r Reason) String() string {
 	if r < 0 || r >= ReasonCount {
 		return fmt.Sprintf("reason(%d)", int(r))
@@ -89,102 +88,104 @@
 	return reasonNames[r]
 }
 
-// Verdict is the decision on a connection that arrives, starts or sends a request.
+// Verdict is the decision on a connection when it arrives, when it starts, or when it sends a request.
 type Verdict struct {
 	Reason     Reason      // None: accepted
-	Limit      int         // the cap that was reached
-	RetryAfter clock.Nanos // when it may return; 0: not known
-	Close      []Eviction
+	Limit      int         // the limit that was reached
+	RetryAfter clock.Nanos // when the client may connect again; 0: not known
+	Evictions  []Eviction
 }
 
-// Admitted says whether the connection is accepted.
+// Admitted reports whether the connection or request is accepted.
 func (v Verdict) Admitted() bool { return v.Reason == None }
 
-// Eviction is a connection that is to be closed. It counts as held until
-// Closed, and its further requests are rejected.
+// Eviction is a connection that the caller must close. Its ID is in use until Closed, and its further requests are
+// rejected.
 type Eviction struct {
 	ID         ID
 	Reason     Reason
-	RetryAfter clock.Nanos // when it may return
-	// Word says whether the client receives the error: one that has queried before may be sending
-	// a query right now, and would take the error for its answer.
+	RetryAfter clock.Nanos // when the client may connect again
+	// Notify says whether the client is sent the error. An idle client is not: it may be sending a request right now,
+	// and would take the error for the response.
 	Notify bool
 }
 
-// Identity is what a startup message says about its client.
+// Identity is what the startup message says about the client.
 type Identity struct{ User, Database, Application string }
 
-// Check returns an error that names the first invalid field.
+// Check returns an error that names all invalid fields.
 //
 //nolint:funlen // to be split (docs/ROADMAP.md, readable code)
-func (s *Settings) Check() error {
+func (settings *Settings) Check() error {
 	var errs []error
-	bad := func(field, text string, args ...any) {
+	invalid := func(field, text string, args ...any) {
 		errs = append(errs, fmt.Errorf(field+": "+text, args...))
 	}
-	if s.Connections < 1 {
-		bad("connections", "%d, at least 1 needed", s.Connections)
+	if settings.MaxConnections < 1 {
+		invalid("connections", "%d is below 1", settings.MaxConnections)
 	}
-	for _, c := range []struct {
-		name string
-		n    int
-	}{{"per_address", s.PerAddress}, {"per_prefix", s.PerPrefix}} {
-		if c.n < 0 {
-			bad(c.name, "%d is below 0", c.n)
+	for _, limit := range []struct {
+		name  string
+		value int
+	}{{"per_address", settings.MaxPerAddress}, {"per_prefix", settings.MaxPerPrefix}} {
+		if limit.value < 0 {
+			invalid(limit.name, "%d is below 0", limit.value)
 		}
 	}
-	for _, c := range []struct {
-		name string
-		n    int
-	}{{"new_per_s", s.NewAddress}, {"new_per_s_prefix", s.NewPrefix}, {"new_per_s_total", s.NewTotal}} {
-		if c.n < 0 || c.n > maxRate {
-			bad(c.name, "%d is not between 0 and %d", c.n, maxRate)
+	for _, limit := range []struct {
+		name  string
+		value int
+	}{{"new_per_s", settings.AddressRateLimit},
+		{"new_per_s_prefix", settings.PrefixRateLimit}, {"new_per_s_total", settings.TotalRateLimit}} {
+		if limit.value < 0 || limit.value > maxRate {
+			invalid(limit.name, "%d is not between 0 and %d", limit.value, maxRate)
 		}
 	}
-	if s.PerAddress > 0 && s.PerPrefix > 0 && s.PerPrefix < s.PerAddress {
-		bad("per_prefix", "%d is under per_address, %d", s.PerPrefix, s.PerAddress)
+	if settings.MaxPerAddress > 0 && settings.MaxPerPrefix > 0 && settings.MaxPerPrefix < settings.MaxPerAddress {
+		invalid("per_prefix", "%d is under per_address, %d", settings.MaxPerPrefix, settings.MaxPerAddress)
 	}
-	if s.NewAddress > 0 && s.NewPrefix > 0 && s.NewPrefix < s.NewAddress {
-		bad("new_per_s_prefix", "%d is under new_per_s, %d", s.NewPrefix, s.NewAddress)
+	if settings.AddressRateLimit > 0 && settings.PrefixRateLimit > 0 && settings.PrefixRateLimit < settings.AddressRateLimit {
+		invalid("new_per_s_prefix", "%d is under new_per_s, %d", settings.PrefixRateLimit, settings.AddressRateLimit)
 	}
-	sum, names := 0, map[string]bool{}
-	for i, r := range s.Reserves {
-		at := fmt.Sprintf("reserve[%d]", i)
+	reserved, names := 0, map[string]bool{}
+	for i, reserve := range settings.Reserves {
+		path := fmt.Sprintf("reserve[%d]", i)
 		switch {
-		case r.Name == "":
-			bad(at+".name", "missing")
-		case names[r.Name]:
-			bad(at+".name", "%q again", r.Name)
+		case reserve.Name == "":
+			invalid(path+".name", "missing")
+		case names[reserve.Name]:
+			invalid(path+".name", "%q is a duplicate", reserve.Name)
 		}
-		names[r.Name] = true
-		if r.Connections < 1 {
-			bad(at+".connections", "%d, at least 1 needed", r.Connections)
+		names[reserve.Name] = true
+		if reserve.Capacity < 1 {
+			invalid(path+".connections", "%d is below 1", reserve.Capacity)
 		}
-		if len(r.Addresses)+len(r.Users)+len(r.Databases)+len(r.Applications) == 0 {
-			bad(at, "nobody is known by it: addresses, users, databases and applications are empty")
+		if len(reserve.Addresses)+len(reserve.Users)+len(reserve.Databases)+len(reserve.Applications) == 0 {
+			invalid(path, "nobody can match it: addresses, users, databases and applications are empty")
 		}
-		if s.PerAddress > 0 && r.Connections > s.PerAddress && r.oneAddress() {
-			bad(at+".connections", "%d for a single address, of which per_address allows %d", r.Connections, s.PerAddress)
+		if settings.MaxPerAddress > 0 && reserve.Capacity > settings.MaxPerAddress && reserve.hasSingleAddress() {
+			invalid(path+".connections", "%d for a single address, of which per_address allows %d", reserve.Capacity, settings.MaxPerAddress)
 		}
-		sum += r.Connections
+		reserved += reserve.Capacity
 	}
-	if sum > 0 && sum >= s.Connections {
-		bad("reserve", "%d connections in all, of %d that the router holds: nothing is left for others", sum, s.Connections)
+	if reserved > 0 && reserved >= settings.MaxConnections {
+		invalid("reserve", "%d connections in total, of %d that the router accepts: nothing is left for others", reserved, settings.MaxConnections)
 	}
-	p := s.Pressure
-	if !(p.Leave >= 0 && p.Leave <= p.Enter) || p.Enter > 1 {
-		bad("pressure", "leave %v and enter %v are not in order between 0 and 1", p.Leave, p.Enter)
+	pressure := settings.Pressure
+	if !(pressure.Leave >= 0 && pressure.Leave <= pressure.Enter) || pressure.Enter > 1 {
+		invalid("pressure", "leave %v and enter %v are not in order between 0 and 1", pressure.Leave, pressure.Enter)
 	}
-	if !(p.CapFactor > 0 && p.CapFactor <= 1) {
-		bad("pressure.caps", "%v is not above 0 and up to 1", p.CapFactor)
+	if !(pressure.CapFactor > 0 && pressure.CapFactor <= 1) {
+		invalid("pressure.caps", "%v is not above 0 and up to 1", pressure.CapFactor)
 	}
-	if s.MaxSources < 1 {
-		bad("remembered", "%d, at least 1 needed", s.MaxSources)
+	if settings.MaxSources < 1 {
+		invalid("remembered", "%d is below 1", settings.MaxSources)
 	}
 	return errors.Join(errs...)
 }
 
-// oneAddress says whether only a single address can ever use the reserve.
-func (r *Reserve) oneAddress() bool {
-	return len(r.Addresses) == 1 && r.Addresses[0].IsSingleIP() && len(r.Users)+len(r.Databases)+len(r.Applications) == 0
+// hasSingleAddress reports whether only a single address can use the reserve.
+func (reserve *Reserve) hasSingleAddress() bool {
+	return len(reserve.Addresses) == 1 && reserve.Addresses[0].IsSingleIP() &&
+		len(reserve.Users)+len(reserve.Databases)+len(reserve.Applications) == 0
 }
--- a/policy/admission/sources.go
+++ b/policy/admission/sources.go
@@ -6,102 +6,101 @@
 	"lotushook/policy/clock"
 )
 
-// source is an address or a prefix that connections come from.
-type source struct {
+// sourceEntry is an address or a prefix from which connections come.
+type sourceEntry struct {
 	key         netip.Prefix
 	connections int
 	admitted    rateWindow
 	silent      silentList
 
-	newer, older *source // neighbors among the sources without connections, by when they last had one
+	newer, older *sourceEntry // in the list of the sources without connections, ordered by when they lost their last one
 }
 
-// sources remembers addresses or prefixes: all that have connections, and of the
-// others the latest, up to a bound.
-type sources struct {
-	all               map[netip.Prefix]*source
-	newest, oldest    *source // of those without connections
-	resting, capacity int
+// sourceTable stores addresses or prefixes: all that have connections, and up to its capacity the most recent ones
+// that have none.
+type sourceTable struct {
+	byKey               map[netip.Prefix]*sourceEntry
+	newest, oldest      *sourceEntry // of the sources without connections
+	idleCount, capacity int          // number of sources without connections, and its maximum
 }
 
-func newSources(most int) *sources {
-	return &sources{all: map[netip.Prefix]*source{}, capacity: most}
+func newSourceTable(capacity int) *sourceTable {
+	return &sourceTable{byKey: map[netip.Prefix]*sourceEntry{}, capacity: capacity}
 }
 
-// get finds a source, or makes one that is not remembered before it has a connection or
-// an arrival.
-func (s *sources) get(key netip.Prefix) *source {
-	if f := s.all[key]; f != nil {
-		return f
+// lookup returns the source with a key. A new source is not stored before its first connection.
+func (table *sourceTable) lookup(key netip.Prefix) *sourceEntry {
+	if source := table.byKey[key]; source != nil {
+		return source
 	}
-	return &source{key: key}
+	return &sourceEntry{key: key}
 }
 
-// connect counts a connection of a source that get returned.
-func (s *sources) connect(f *source, now clock.Nanos) {
-	if f.connections == 0 && s.all[f.key] == f {
-		s.unlinkIdle(f)
+// connect counts a new connection of a source that lookup returned.
+func (table *sourceTable) connect(source *sourceEntry, now clock.Nanos) {
+	if source.connections == 0 && table.byKey[source.key] == source {
+		table.unlinkIdle(source)
 	}
-	s.all[f.key] = f
-	f.connections++
-	f.admitted.add(now)
+	table.byKey[source.key] = source
+	source.connections++
+	source.admitted.add(now)
 }
 
-// disconnect ends a connection of a source. A source without connections is
-// remembered for its rate; the least recently used one is dropped for it.
-func (s *sources) disconnect(f *source) {
-	if f.connections--; f.connections > 0 {
+// disconnect counts the end of a connection. A source that has no connection left stays stored for its arrival rate;
+// over the capacity, the source that has been without connections for longest is removed.
+func (table *sourceTable) disconnect(source *sourceEntry) {
+	if source.connections--; source.connections > 0 {
 		return
 	}
-	f.older, f.newer = s.newest, nil
-	if s.newest != nil {
-		s.newest.newer = f
+	source.older, source.newer = table.newest, nil
+	if table.newest != nil {
+		table.newest.newer = source
 	} else {
-		s.oldest = f
+		table.oldest = source
 	}
-	s.newest = f
-	if s.resting++; s.resting > s.capacity {
-		old := s.oldest
-		s.unlinkIdle(old)
-		delete(s.all, old.key)
+	table.newest = source
+	if table.idleCount++; table.idleCount > table.capacity {
+		oldest := table.oldest
+		table.unlinkIdle(oldest)
+		delete(table.byKey, oldest.key)
 	}
 }
 
-// unlinkIdle removes a source from those without connections.
-func (s *sources) unlinkIdle(f *source) {
-	if f.newer != nil {
-		f.newer.older = f.older
+// unlinkIdle removes a source from the list of those without connections.
+func (table *sourceTable) unlinkIdle(source *sourceEntry) {
+	if source.newer != nil {
+		source.newer.older = source.older
 	} else {
-		s.newest = f.older
+		table.newest = source.older
 	}
-	if f.older != nil {
-		f.older.newer = f.newer
+	if source.older != nil {
+		source.older.newer = source.newer
 	} else {
-		s.oldest = f.newer
+		table.oldest = source.newer
 	}
-	f.newer, f.older = nil, nil
-	s.resting--
+	source.newer, source.older = nil, nil
+	table.idleCount--
 }
 
-// sourceKeys returns an address and its prefix. A v4-mapped v6 address counts as v4.
-func sourceKeys(a netip.Addr) (addr, prefix netip.Prefix) {
-	a = a.Unmap().WithZone("")
+// sourceKeys returns the keys of an address and of its prefix. An IPv4-mapped IPv6 address counts as IPv4.
+func sourceKeys(address netip.Addr) (addressKey, prefixKey netip.Prefix) {
+	address = address.Unmap().WithZone("")
 	bits := 64
-	if a.Is4() {
+	if address.Is4() {
 		bits = 24
 	}
-	addr = netip.PrefixFrom(a, a.BitLen())
-	prefix, err := a.Prefix(bits)
-	if err != nil { // no address at all: all such share one entry
+	addressKey = netip.PrefixFrom(address, address.BitLen())
+	prefixKey, err := address.Prefix(bits)
+	if err != nil { // an invalid address: all of them share one entry
 		return netip.Prefix{}, netip.Prefix{}
 	}
-	return addr, prefix
+	return addressKey, prefixKey
 }
 
-func contains(list []netip.Prefix, a netip.Addr) bool {
-	a = a.Unmap().WithZone("")
-	for _, p := range list {
-		if p.Contains(a) {
+func contains(prefixes []netip.Prefix, address netip.Addr) bool {
+	address = address.Unmap().WithZone("")
+	for _, prefix := range prefixes {
+		if prefix.Contains(address) {
 			return true
 		}
 	}
