--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,7 +24,7 @@
 func router(t *testing.T, name string, of []string, keys [][]byte, seeds ...string) (p *Peers, stop func()) {
 	t.Helper()
 	s := membership.DefaultSettings(name, "", uint64(time.Since(began)), len(of))
-	s.Allowed, s.IsolatedShare, s.Seeds = of, 0.5, seeds
+	s.AllowedNames, s.IsolatedShare, s.Seeds = of, 0.5, seeds
 	s.ProbeInterval, s.AckTimeout = 50e6, 20e6
 	p, err := Listen(Options{Cluster: "x", Listen: "127.0.0.1:0", Member: s, Keys: keys, Now: func() int64 { return int64(time.Since(began)) }})
 	if err != nil {
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -109,7 +109,7 @@
 	for _, e := range st.takePending() {
 		s.broadcaster.Add(now, e, 0)
 	}
-	others := p.members.Others()
+	others := p.members.AliveOthers()
 	if len(others) > 0 {
 		s.alone = 0
 	} else if s.alone == 0 {
@@ -198,7 +198,7 @@
 
 // takeState processes a member's state message, and answers its request.
 func (p *Peers) takeState(now int64, e *envelope) {
-	if p.opt.State == nil || !p.members.Knows(e.From) {
+	if p.opt.State == nil || !p.members.IsMember(e.From) {
 		return
 	}
 	in, s := e.State, &p.spread
--- a/internal/peer/state_test.go
+++ b/internal/peer/state_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	s := membership.DefaultSettings(name, "", boot, len(of))
-	s.Allowed, s.IsolatedShare, s.Seeds, s.ProbeInterval, s.AckTimeout = of, 0.5, seeds, 50e6, 20e6
+	s.AllowedNames, s.IsolatedShare, s.Seeds, s.ProbeInterval, s.AckTimeout = of, 0.5, seeds, 50e6, 20e6
 	p, err := Listen(Options{Cluster: "x", Listen: "127.0.0.1:0", Member: s, Keys: [][]byte{oldKey}, State: st, Now: now})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -98,7 +98,7 @@
 		if r.positionEvidence.fact.Provenance == trust.Unknown {
 			g.Origin = "client"
 		}
-		v := trust.Judge(trust.RaisePosition, r.positionEvidence.fact, true, trust.DefaultSettings())
+		v := trust.Evaluate(trust.RaisePosition, r.positionEvidence.fact, true, trust.DefaultSettings())
 		invariant.Check(g.Origin == "client" || v.Allowed, "a floor is raised on known evidence", "why", v.Reason)
 		s.Floor, s.On = r.positionEvidence.at/ms, append(s.On, g)
 	}
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -37,8 +37,8 @@
 	ledger       *trust.Ledger
 	steadyEpochs map[string]uint64 // the members' epochs that the previous process saw: a member that still has it was up meanwhile
 	seenEpochs   map[string]uint64 // the present epochs
-	mark         trust.Mark        // the last of this router's own entries in the copy
-	standing     trust.Standing
+	mark         trust.CopyVersion // the last of this router's own entries in the copy
+	standing     trust.CopyStatus
 	restored     int
 }
 
@@ -105,7 +105,7 @@
 		list = append(list, e)
 		k.ledger.AddRestored(k.now(), e, r.MinAgeOnly)
 		if e.From.Name == k.self.Name && (e.From.Boot > k.mark.Epoch || e.From.Boot == k.mark.Epoch && e.Seq > k.mark.Number) {
-			k.mark = trust.Mark{Epoch: e.From.Boot, Number: e.Seq}
+			k.mark = trust.CopyVersion{Epoch: e.From.Boot, Number: e.Seq}
 		}
 	}
 	k.restored = len(list)
@@ -126,7 +126,7 @@
 	was, entry := k.ledger.Fact(now, e)
 	own := by == crdt.Origin{}
 	if own {
-		k.ledger.AddOwn(now, e)
+		k.ledger.AddOwnResponse(now, e)
 	} else {
 		k.ledger.AddFromPeer(now, e, by.Boot != 0 && k.steadyEpochs[by.Name] == by.Boot)
 		k.compareWithPeer(&e)
@@ -150,13 +150,13 @@
 
 // compareWithPeer compares the copy with what a peer remembers of this router's own entries.
 func (k *persistedState) compareWithPeer(e *crdt.Entry) {
-	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.Mark{}) || k.standing == trust.StandingBehind {
+	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.CopyVersion{}) || k.standing == trust.CopyOutdated {
 		return
 	}
-	seen := trust.Mark{Epoch: e.From.Boot, Number: e.Seq}
-	if k.standing = max(k.standing, trust.Compare(k.mark, seen, maxCrashLoss)); k.standing == trust.StandingBehind {
+	seen := trust.CopyVersion{Epoch: e.From.Boot, Number: e.Seq}
+	if k.standing = max(k.standing, trust.CompareCopy(k.mark, seen, maxCrashLoss)); k.standing == trust.CopyOutdated {
 		k.ledger.DistrustRestored()
-		mark := func(m trust.Mark) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Epoch) }
+		mark := func(m trust.CopyVersion) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Epoch) }
 		slog.Warn("keep", operr.Attrs(&store.Old{Path: k.store.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
 	}
 }
@@ -197,7 +197,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return persistedReport{k.store.Report(), k.restored, k.ledger.Unconfirmed(trust.FromDisk), k.standing == trust.StandingBehind}
+	return persistedReport{k.store.Report(), k.restored, k.ledger.Unconfirmed(trust.FromDisk), k.standing == trust.CopyOutdated}
 }
 
 // positionProvenance says where the position came from that a read must see.
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -48,7 +48,7 @@
 	if s := c.decision.Stage(); s != c.stage {
 		c.stage = s
 		r := c.decision.Report(now)
-		slog.Info("recovery", "stage", r.Stage, "proven", r.Proven, "returning", r.Returning, "part", r.Part)
+		slog.Info("recovery", "stage", r.Stage, "proven", r.Proven, "returning", r.Returning, "part", r.Share)
 	}
 }
 
@@ -77,8 +77,8 @@
 		until = min(until, r.arrivedAt+k.LatencyObjective)
 	}
 	c.update(func(d *recovery.Recovery, now clock.Nanos) {
-		r.recoveryAttempt, r.recoveryAskedAt = recovery.Attempt{Server: uint32(a.Endpoint), Class: class, IsRetry: r.attemptsSent > 0, Until: until}, now
-		switch d.Send(now, r.recoveryAttempt) {
+		r.recoveryAttempt, r.recoveryAskedAt = recovery.Attempt{Server: uint32(a.Endpoint), Class: class, IsRetry: r.attemptsSent > 0, Deadline: until}, now
+		switch d.AllowSend(now, r.recoveryAttempt) {
 		case recovery.Allowed:
 			ok = true
 			return
@@ -102,7 +102,7 @@
 		return
 	}
 	c.update(func(d *recovery.Recovery, now clock.Nanos) {
-		d.Ended(now, r.recoveryAttempt, o == balance.Succeeded, now-r.recoveryAskedAt)
+		d.AttemptEnded(now, r.recoveryAttempt, o == balance.Succeeded, now-r.recoveryAskedAt)
 	})
 }
 
@@ -134,7 +134,7 @@
 		m := &v.Members[i]
 		peers = append(peers, recovery.Peer{Name: m.Name, Epoch: m.Epoch, Alive: m.State == membership.Alive || m.State == membership.Suspect, HeardDirectly: m.HeardAt > 0})
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.PeersSeen(now, peers) })
+	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.UpdatePeers(now, peers) })
 }
 
 // tickTimer wakes the event loop while this router does not serve yet.
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -136,7 +136,7 @@
 		return membership.Settings{}, fmt.Errorf("members: routers: %q is not among them", name)
 	}
 	s := membership.DefaultSettings(name, place.Advertise, boot, len(m.Routers))
-	s.Seeds, s.Allowed, s.IsolatedShare = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
+	s.Seeds, s.AllowedNames, s.IsolatedShare = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
 	s.ProbeInterval, s.AckTimeout, s.IndirectChecks = m.PeriodMS*ms, m.WaitMS*ms, m.Helpers
 	s.MinSuspicion, s.MaxSuspicion, s.MaxTickGap, s.ForgetAfter = m.MinSuspicionMS*ms, m.MaxSuspicionMS*ms, m.PauseMS*ms, m.ForgetS*1e9
 	s.Lifeguard = m.Corrections
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	m, err := s.Members.Member("n1", 5)
-	if err != nil || m.Configured != 2 || m.Address != "10.0.1.2:7" || m.ProbeInterval != 200e6 || m.Term() != 1600e6 || len(m.Allowed) != 2 || m.IsolatedShare != 0.5 {
+	if err != nil || m.Configured != 2 || m.Address != "10.0.1.2:7" || m.ProbeInterval != 200e6 || m.Term() != 1600e6 || len(m.AllowedNames) != 2 || m.IsolatedShare != 0.5 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	if _, err := s.Members.Member("n2", 5); err == nil || !strings.Contains(err.Error(), `"n2" is not among them`) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -119,7 +119,7 @@
 }
 
 // Generation is how many batches the copy has had over all processes, and which process wrote the last. It rises by one a
-// batch: a copy that is behind what a peer remembers of it was put back (trust.Compare).
+// batch: a copy that is behind what a peer remembers of it was put back (trust.CompareCopy).
 func (k *Store) Generation() (boot, generation uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -27,7 +27,7 @@
 func (k *Store) batch() func() func() {
 	k.mu.Lock()
 	taken := k.settings.Now()
-	b := k.queue.Take(taken)
+	b := k.queue.TakeBatch(taken)
 	h := head{format: format, cluster: k.settings.Cluster, name: k.settings.Name, boot: k.settings.Boot, generation: k.head.generation + 1,
 		letGo: k.queue.Counts().Dropped + k.swept}
 	k.mu.Unlock()
--- a/policy/membership/detector_test.go
+++ b/policy/membership/detector_test.go
@@ -68,7 +68,7 @@
 func (n *net) settings(i int) Settings {
 	s := DefaultSettings(name(i), n.nodes[i].address, n.nodes[i].boot, len(n.nodes))
 	for j := range n.nodes {
-		s.Allowed = append(s.Allowed, name(j))
+		s.AllowedNames = append(s.AllowedNames, name(j))
 	}
 	s.IsolatedShare = 0.5
 	s.Seeds = n.seeds
--- a/policy/membership/replay_test.go
+++ b/policy/membership/replay_test.go
@@ -15,7 +15,7 @@
 		settings.Seeds = []string{"r-1"}
 		settings.IsolatedShare = 0.5
 		if seed%2 == 0 {
-			settings.Allowed = []string{"r-0", "r-1", "r-2", "r-3", "r-4", "r-5"}
+			settings.AllowedNames = []string{"r-0", "r-1", "r-2", "r-3", "r-4", "r-5"}
 		}
 		members, err := membership.New(settings, seed, driver.Now)
 		if err != nil {
@@ -40,7 +40,7 @@
 			}
 			return members.Receive(now, message)
 		}
-		driver.Run(1500, tick, tick, tick, tick, receive, receive, members.View, members.Others, members.Knows, members.Size)
+		driver.Run(1500, tick, tick, tick, tick, receive, receive, members.View, members.AliveOthers, members.IsMember, members.Size)
 	}
 	digest.Check(t, "92f39567ddb972df/96354")
 }
--- a/policy/membership/settings.go
+++ b/policy/membership/settings.go
@@ -37,7 +37,7 @@
 	Seeds      []string
 	Configured int // routers of the installation: a side with no more than half of these may be half of a partition
 
-	Allowed       []string // the names of all of them: no other is accepted, and quota shares follow the members present. Empty: any name, and shares are fixed
+	AllowedNames  []string // the names of all of them: no other is accepted, and quota shares follow the members present. Empty: any name, and shares are fixed
 	IsolatedShare float64  // see quotalease.Settings
 
 	ProbeInterval    clock.Nanos // one member is probed in each
@@ -74,7 +74,7 @@
 		}
 	}
 	want(s.Name != "" && s.Address != "", "Name, Address")
-	want(s.Configured > 0 && (s.Allowed == nil || len(s.Allowed) == s.Configured), "Configured")
+	want(s.Configured > 0 && (s.AllowedNames == nil || len(s.AllowedNames) == s.Configured), "Configured")
 	want(s.ProbeInterval > 0 && s.AckTimeout > 0 && s.AckTimeout < s.ProbeInterval, "Period, Wait")
 	want(s.MinSuspicion > 0 && s.MaxSuspicion >= s.MinSuspicion, "LeastDoubt, MostDoubt")
 	want(min(s.IndirectChecks, s.Confirmations) >= 0 && s.IndirectChecks <= maxIndirectChecks, "Helpers, Confirms")
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -28,8 +28,8 @@
 	return p == nil || p.State >= Dead
 }
 
-// Others are the members that are alive, by name.
-func (m *Detector) Others() []Update {
+// AliveOthers are the members that are alive, by name.
+func (m *Detector) AliveOthers() []Update {
 	var out []Update
 	for _, p := range m.order {
 		if p.State == Alive {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// Knows says whether a name belongs to a member that is neither dead nor departed.
-func (m *Detector) Knows(name string) bool {
+// IsMember says whether a name belongs to a member that is neither dead nor departed.
+func (m *Detector) IsMember(name string) bool {
 	p := m.peers[name]
 	return p != nil && p.State < Dead
 }
--- a/policy/persistence/queue.go
+++ b/policy/persistence/queue.go
@@ -64,8 +64,8 @@
 	takenAt clock.Nanos
 }
 
-// Take returns the next batch: all that is queued. None may be in progress. It takes constant time.
-func (q *Queue) Take(now clock.Nanos) Batch {
+// TakeBatch returns the next batch: all that is queued. None may be in progress. It takes constant time.
+func (q *Queue) TakeBatch(now clock.Nanos) Batch {
 	if q.inFlight == nil && len(q.waiting) > 0 {
 		q.inFlight, q.waiting, q.bytes = q.waiting, map[string]queuedRecord{}, 0
 	}
--- a/policy/persistence/queue_test.go
+++ b/policy/persistence/queue_test.go
@@ -30,7 +30,7 @@
 		var all []spent
 		write := func(fail, last bool) {
 			taken := now
-			batch := q.Take(now).Records()
+			batch := q.TakeBatch(now).Records()
 			n := rapid.IntRange(2, 3).Draw(t, "fsyncs")
 			all = append(all, spent{taken, n})
 			for range rapid.IntRange(0, 2).Draw(t, "meanwhile") {
--- a/policy/persistence/replay_test.go
+++ b/policy/persistence/replay_test.go
@@ -22,7 +22,7 @@
 			if !due || now < at {
 				return nil
 			}
-			records := queue.Take(now).Records()
+			records := queue.TakeBatch(now).Records()
 			slices.SortFunc(records, func(x, y persistence.Record) int {
 				return cmp.Or(cmp.Compare(x.Kind, y.Kind), slices.Compare(x.Key, y.Key))
 			})
--- a/policy/recovery/budget.go
+++ b/policy/recovery/budget.go
@@ -6,9 +6,9 @@
 	"lotushook/policy/clock"
 )
 
-// PeersSeen takes the peers from membership. A router that is not among them, or was not heard directly, counts as
+// UpdatePeers takes the peers from membership. A router that is not among them, or was not heard directly, counts as
 // returning, as it may be.
-func (r *Recovery) PeersSeen(now clock.Nanos, peers []Peer) {
+func (r *Recovery) UpdatePeers(now clock.Nanos, peers []Peer) {
 	serve, news := 0, 0
 	for _, p := range peers {
 		if p.Name == r.settings.Name || !p.Alive || !p.HeardDirectly {
@@ -106,8 +106,8 @@
 	return at - now, Allowed
 }
 
-// Send is called before an attempt is sent. What it denies was not sent.
-func (r *Recovery) Send(now clock.Nanos, a Attempt) Reason {
+// AllowSend is called before an attempt is sent. What it denies was not sent.
+func (r *Recovery) AllowSend(now clock.Nanos, a Attempt) Reason {
 	r.Tick(now)
 	why := r.checkSend(r.now, a)
 	r.counts[why]++
--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -53,7 +53,7 @@
 	tb.Helper()
 	w.boot[i] += uint64(w.now) + 1
 	s := DefaultSettings(string(rune('a'+i)), w.boot[i], 3)
-	s.CanCatchUp, s.SeesPeers, s.trustViews, s.MinSuccesses, s.TrackedTimes = true, true, trusting, 1, 1
+	s.CanCatchUp, s.SeesPeers, s.trustViews, s.MinSuccesses, s.MaxTrackedResponseTimes = true, true, trusting, 1, 1
 	w.who[i] = must(tb, s, w.now)
 }
 
@@ -95,15 +95,15 @@
 			continue
 		}
 		do("crash", i, func(c *world, _ *Recovery) { c.who[i] = nil })
-		do("deliver view", i, func(c *world, r *Recovery) { r.PeersSeen(c.now, c.view(i)) })
-		do("lose view", i, func(c *world, r *Recovery) { r.PeersSeen(c.now, nil) })
+		do("deliver view", i, func(c *world, r *Recovery) { r.UpdatePeers(c.now, c.view(i)) })
+		do("lose view", i, func(c *world, r *Recovery) { r.UpdatePeers(c.now, nil) })
 		if r.stage == Starting {
 			do("list", i, func(c *world, r *Recovery) { r.ListReceived(c.now) })
 			do("fed", i, func(c *world, r *Recovery) { r.CaughtUp(c.now) })
 			do("feed dies", i, func(c *world, r *Recovery) { r.CatchUpLost(c.now) })
 		}
 		if r.stage >= Proving && r.stage < Serving {
-			do("answer", i, func(c *world, r *Recovery) { r.Ended(c.now, Attempt{}, true, ms) })
+			do("answer", i, func(c *world, r *Recovery) { r.AttemptEnded(c.now, Attempt{}, true, ms) })
 		}
 	}
 	return out
@@ -131,7 +131,7 @@
 				return fmt.Sprintf("%d: a %s while %s", i, k, r.stage)
 			}
 		}
-		if why := r.clone().Send(w.now, Attempt{Until: w.now + second}); why == Allowed && r.stage < Proving {
+		if why := r.clone().AllowSend(w.now, Attempt{Deadline: w.now + second}); why == Allowed && r.stage < Proving {
 			return fmt.Sprintf("%d sends while %s", i, r.stage)
 		}
 		if r.returning < 1 || r.returning > r.settings.Routers {
--- a/policy/recovery/recovery_test.go
+++ b/policy/recovery/recovery_test.go
@@ -10,7 +10,7 @@
 
 // Each stage, what it admits, what proves it, and what happens when nothing does.
 func TestStages(t *testing.T) {
-	ok := Attempt{Server: 1, Until: 1 << 60}
+	ok := Attempt{Server: 1, Deadline: 1 << 60}
 	type step struct {
 		at   clock.Nanos
 		do   string
@@ -50,12 +50,12 @@
 			case "lost":
 				r.CatchUpLost(now)
 			case "view":
-				r.PeersSeen(now, []Peer{{Name: "b", Alive: true, HeardDirectly: true}})
+				r.UpdatePeers(now, []Peer{{Name: "b", Alive: true, HeardDirectly: true}})
 			case "done", "failed":
-				r.Ended(now, ok, x.do == "done", ms)
+				r.AttemptEnded(now, ok, x.do == "done", ms)
 			}
 			r.Tick(now)
-			if got := r.Send(now, ok); r.Stage() != x.want || got != x.send {
+			if got := r.AllowSend(now, ok); r.Stage() != x.want || got != x.send {
 				t.Errorf("%s: at %d ms after %q: %s, a send is %s, want %s, %s", c.name, x.at, x.do, r.Stage(), got, x.want, x.send)
 			}
 			for k, want := range map[Kind]bool{ListCall: true, CatchUp: true, Dial: x.want >= Restored, Probe: x.want >= Restored} {
@@ -72,9 +72,9 @@
 func TestLate(t *testing.T) {
 	r := must(t, DefaultSettings("a", 1, 1), 0)
 	now := serve(r, 10*second)
-	r.Ended(now, Attempt{Server: 7}, true, 300*ms)
+	r.AttemptEnded(now, Attempt{Server: 7}, true, 300*ms)
 	ask := func(server uint32, left clock.Nanos) Reason {
-		return r.Send(now, Attempt{Server: server, Until: now + left})
+		return r.AllowSend(now, Attempt{Server: server, Deadline: now + left})
 	}
 	for _, c := range []struct {
 		server uint32
@@ -94,9 +94,9 @@
 		t.Errorf("two seconds later: %s, %s", got, again)
 	}
 	for i := range 10_000 {
-		r.Ended(now, Attempt{Server: uint32(i)}, true, ms)
+		r.AttemptEnded(now, Attempt{Server: uint32(i)}, true, ms)
 	}
-	if n := len(r.responseTimes.known); n != r.settings.TrackedTimes || len(r.responseTimes.order) != n {
+	if n := len(r.responseTimes.known); n != r.settings.MaxTrackedResponseTimes || len(r.responseTimes.order) != n {
 		t.Errorf("%d places are remembered", n)
 	}
 }
@@ -126,11 +126,11 @@
 			r := all[rapid.IntRange(0, n-1).Draw(t, "router")]
 			m := moment{at: now}
 			for range rapid.IntRange(0, 40).Draw(t, "won") {
-				r.Ended(now, Attempt{}, true, ms)
+				r.AttemptEnded(now, Attempt{}, true, ms)
 				m.won++
 			}
 			for range rapid.IntRange(0, 40).Draw(t, "again") {
-				if r.Send(now, Attempt{IsRetry: true, Until: now + second}) == Allowed {
+				if r.AllowSend(now, Attempt{IsRetry: true, Deadline: now + second}) == Allowed {
 					m.again++
 				} else {
 					denied++
--- a/policy/recovery/replay_test.go
+++ b/policy/recovery/replay_test.go
@@ -19,16 +19,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen := func(now int64, peers []recovery.Peer) { state.PeersSeen(now, peers) }
+		seen := func(now int64, peers []recovery.Peer) { state.UpdatePeers(now, peers) }
 		allow := func(now int64, kind uint8) (clock.Nanos, recovery.Reason) {
 			return state.Allow(now, recovery.Kind(kind)%recovery.KindCount, 2e8)
 		}
 		send := func(now int64, attempt recovery.Attempt) recovery.Reason {
-			attempt.Until = now + int64(driver.IntN(1e9))
-			return state.Send(now, attempt)
+			attempt.Deadline = now + int64(driver.IntN(1e9))
+			return state.AllowSend(now, attempt)
 		}
 		ended := func(now int64, attempt recovery.Attempt, done bool) {
-			state.Ended(now, attempt, done, int64(driver.IntN(1e8)))
+			state.AttemptEnded(now, attempt, done, int64(driver.IntN(1e8)))
 		}
 		later := func(now int64, tenant, session string, lane int) clock.Nanos {
 			return state.RetryAfter(now, tenant, session, lane%2)
--- a/policy/recovery/retry.go
+++ b/policy/recovery/retry.go
@@ -118,17 +118,17 @@
 func (t *responseTimes) isTooLate(now clock.Nanos, a Attempt) bool {
 	e := t.known[serverClass{a.Server, a.Class}]
 	if e == nil {
-		return a.Until <= now
+		return a.Deadline <= now
 	}
 	e.rotate(now)
 	least := e.current
 	if e.previous > 0 && (least == 0 || e.previous < least) {
 		least = e.previous
 	}
-	if now+least < a.Until {
+	if now+least < a.Deadline {
 		return false
 	}
-	if a.Until > now && now-e.lastTriedAt >= slotSize {
+	if a.Deadline > now && now-e.lastTriedAt >= slotSize {
 		e.lastTriedAt = now
 		return false
 	}
--- a/policy/recovery/rules_test.go
+++ b/policy/recovery/rules_test.go
@@ -69,7 +69,7 @@
 					}
 				}
 			}
-			r.PeersSeen(now, view)
+			r.UpdatePeers(now, view)
 			if i < returns && r.Stage() == Serving {
 				t.Fatal("a router that returns serves already")
 			}
@@ -117,7 +117,7 @@
 				case 0:
 					r.ListReceived(now)
 				case 1:
-					r.PeersSeen(now, []Peer{{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(1e18)), Alive: true, HeardDirectly: true}})
+					r.UpdatePeers(now, []Peer{{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(1e18)), Alive: true, HeardDirectly: true}})
 				case 2: // it crashes
 					crashes++
 					s.Name, s.Epoch = fmt.Sprint(i), uint64(draw(1<<30))
--- a/policy/recovery/settings.go
+++ b/policy/recovery/settings.go
@@ -24,7 +24,7 @@
 	Proving               // a few sends, whose answers confirm the state
 	Ramping               // its share of the first sends, then more as answers come
 	Serving               // all that the decision module wants; budgets apply to the rest
-	Stages
+	StageCount
 )
 
 var stageNames = [...]string{"empty", "fed", "proving", "ramping", "serving"}
@@ -76,22 +76,22 @@
 	CanCatchUp bool   // peers or a copy on disk may supply the state; without, a list alone ends Starting
 	SeesPeers  bool   // other routers can be seen; without, none is waited for in Restored, and all count as returning
 
-	Budgets         [KindCount]float64   // a second, over all routers; 0: not limited
-	MaxShareFactor  float64              // what all together may spend of a budget, however wrong their views are: from 1 to 4
-	ServingShare    float64              // from 0 to 1: of its even share, what a serving router spends while others return
-	RestartWindow   clock.Nanos          // starts within it are one return
-	MaxWait         clock.Nanos          // an action whose slot is later is denied instead
-	StageTimeouts   [Serving]clock.Nanos // the longest stay in each stage
-	MaxTickGap      clock.Nanos          // a longer gap between calls means that this router was paused: no timeout counts it
-	MinSuccesses    int                  // answers that end Proving
-	RampStep        clock.Nanos          // after the first second a ramp doubles in each, while answers come
-	RampQuiet       clock.Nanos          // the ramp is over after so long without a denied send
-	RetryRatio      float64              // retries for each success of the last second
-	MinRetryRate    float64              // retries a second, over all routers, that need no success
-	RetryAfterRange [2]clock.Nanos       // the shortest and the longest Retry-After time
-	PriorityClasses int                  // of accounts: 0 is the best
-	TrackedTimes    int                  // servers and classes whose times are remembered
-	trustViews      bool                 // tests only: views are trusted without bound
+	Budgets                 [KindCount]float64   // a second, over all routers; 0: not limited
+	MaxShareFactor          float64              // what all together may spend of a budget, however wrong their views are: from 1 to 4
+	ServingShare            float64              // from 0 to 1: of its even share, what a serving router spends while others return
+	RestartWindow           clock.Nanos          // starts within it are one return
+	MaxWait                 clock.Nanos          // an action whose slot is later is denied instead
+	StageTimeouts           [Serving]clock.Nanos // the longest stay in each stage
+	MaxTickGap              clock.Nanos          // a longer gap between calls means that this router was paused: no timeout counts it
+	MinSuccesses            int                  // answers that end Proving
+	RampStep                clock.Nanos          // after the first second a ramp doubles in each, while answers come
+	RampQuiet               clock.Nanos          // the ramp is over after so long without a denied send
+	RetryRatio              float64              // retries for each success of the last second
+	MinRetryRate            float64              // retries a second, over all routers, that need no success
+	RetryAfterRange         [2]clock.Nanos       // the shortest and the longest Retry-After time
+	PriorityClasses         int                  // of accounts: 0 is the best
+	MaxTrackedResponseTimes int                  // servers and classes whose times are remembered
+	trustViews              bool                 // tests only: views are trusted without bound
 }
 
 // DefaultSettings are settings for a name; budgets are those of a fleet of a few dozen data servers.
@@ -99,7 +99,7 @@
 	const ms = second / 1000
 	return Settings{Name: name, Epoch: boot, Routers: routers, Budgets: [KindCount]float64{2000, 1000, 200, 100, 2000}, MaxShareFactor: 1.2, ServingShare: 0.5,
 		RestartWindow: 15 * second, MaxWait: 250 * ms, StageTimeouts: [Serving]clock.Nanos{300 * ms, 200 * ms, 500 * ms, 3000 * ms}, MaxTickGap: 500 * ms, MinSuccesses: 3, RampStep: 250 * ms,
-		RampQuiet: 500 * ms, RetryRatio: 0.15, MinRetryRate: 10, RetryAfterRange: [2]clock.Nanos{50 * ms, 3000 * ms}, PriorityClasses: 1, TrackedTimes: 4096}
+		RampQuiet: 500 * ms, RetryRatio: 0.15, MinRetryRate: 10, RetryAfterRange: [2]clock.Nanos{50 * ms, 3000 * ms}, PriorityClasses: 1, MaxTrackedResponseTimes: 4096}
 }
 
 // SettingError is an invalid field.
@@ -135,7 +135,7 @@
 		want(b > 0 && b <= 60*second, "Bounds: "+Stage(i).String())
 	}
 	want(min(s.RestartWindow, s.MaxWait, s.MaxTickGap, s.RampStep, s.RampQuiet) > 0, "Together, Longest, Pause, Step, Calm")
-	want(s.MinSuccesses > 0 && s.PriorityClasses > 0 && s.TrackedTimes > 0, "Proofs, Lanes, Places")
+	want(s.MinSuccesses > 0 && s.PriorityClasses > 0 && s.MaxTrackedResponseTimes > 0, "Proofs, Lanes, Places")
 	want(s.RetryRatio >= 0 && s.RetryRatio < 0.2 && s.MinRetryRate >= 0, "Ratio, Floor")
 	want(s.RetryAfterRange[0] > 0 && s.RetryAfterRange[1] >= s.RetryAfterRange[0], "Returns")
 	return errors.Join(errs...)
@@ -151,10 +151,10 @@
 
 // Attempt is a send that the decision module wants.
 type Attempt struct {
-	Server  uint32
-	Class   int
-	IsRetry bool        // the request had an attempt before
-	Until   clock.Nanos // an answer after this is useless
+	Server   uint32
+	Class    int
+	IsRetry  bool        // the request had an attempt before
+	Deadline clock.Nanos // an answer after this is useless
 }
 
 // Report is the operators' report.
@@ -162,7 +162,7 @@
 	Stage     string           `json:"stage"`
 	SinceMS   int64            `json:"since_ms"`  // its start
 	Returning int              `json:"returning"` // routers that return together, this one included; all, where it is not known
-	Part      float64          `json:"part"`      // of each budget
+	Share     float64          `json:"part"`      // of each budget
 	Proven    bool             `json:"proven"`    // the present stage was reached by proof, not by the timeout of the one before
 	Denied    map[string]int64 `json:"denied"`    // by reason
 }
--- a/policy/recovery/size_test.go
+++ b/policy/recovery/size_test.go
@@ -57,7 +57,7 @@
 		for i, r := range f.who {
 			hears := now + 100*ms + clock.Nanos(fraction(hash(r.settings.Name, "hears", 0))*float64(300*ms))
 			if reach && at >= hears && at < hears+tick {
-				r.PeersSeen(at, peers)
+				r.UpdatePeers(at, peers)
 				r.CaughtUp(at)
 			}
 			if i >= returning {
@@ -148,8 +148,8 @@
 		come++
 	}
 	for k := range come {
-		a := Attempt{Server: uint32(k % servers), Until: at + second}
-		if up == 0 || r.Send(at, a) != Allowed {
+		a := Attempt{Server: uint32(k % servers), Deadline: at + second}
+		if up == 0 || r.AllowSend(at, a) != Allowed {
 			wait := r.RetryAfter(at, "t", fmt.Sprint(step, k), 0)
 			f.back[i][(step+max(1, int(wait/tick)))%400]++
 			continue
@@ -157,7 +157,7 @@
 		if r.stage < Serving {
 			f.spend(Send)
 		}
-		r.Ended(at, a, true, 5*ms)
+		r.AttemptEnded(at, a, true, 5*ms)
 		served++
 	}
 	r.Tick(at)
@@ -245,7 +245,7 @@
 		}
 		send := func(j job) {
 			again := !j.first
-			if on && r.Send(now, Attempt{Server: server, IsRetry: again, Until: min(j.left, now+wait)}) != Allowed {
+			if on && r.AllowSend(now, Attempt{Server: server, IsRetry: again, Deadline: min(j.left, now+wait)}) != Allowed {
 				return
 			}
 			if j.tried = now; len(queue) < room { // beyond it nothing is heard
@@ -265,7 +265,7 @@
 				keep = append(keep, o)
 			default:
 				if on {
-					r.Ended(now, Attempt{Server: server}, false, 0)
+					r.AttemptEnded(now, Attempt{Server: server}, false, 0)
 				}
 				if j := o.job; now < j.left {
 					j.first = false
@@ -283,7 +283,7 @@
 			if took := now - j.tried; took < wait {
 				count[phase]++
 				if on {
-					r.Ended(now, Attempt{Server: server}, true, max(ms, took))
+					r.AttemptEnded(now, Attempt{Server: server}, true, max(ms, took))
 				}
 				for i := range out { // answered
 					if out[i].tried == j.tried && out[i].left == j.left {
@@ -322,9 +322,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1000
-		a := Attempt{Server: uint32(now % 9), IsRetry: now%7000 == 0, Until: now + second}
-		if r.Send(now, a) == Allowed {
-			r.Ended(now, a, true, ms)
+		a := Attempt{Server: uint32(now % 9), IsRetry: now%7000 == 0, Deadline: now + second}
+		if r.AllowSend(now, a) == Allowed {
+			r.AttemptEnded(now, a, true, ms)
 		}
 	}
 }
--- a/policy/recovery/stage.go
+++ b/policy/recovery/stage.go
@@ -37,7 +37,7 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	r := &Recovery{settings: s, now: now, started: now, stageSince: now, proven: true, returning: s.Routers, ramp: 1, tokensAt: now, responseTimes: newResponseTimes(s.TrackedTimes),
+	r := &Recovery{settings: s, now: now, started: now, stageSince: now, proven: true, returning: s.Routers, ramp: 1, tokensAt: now, responseTimes: newResponseTimes(s.MaxTrackedResponseTimes),
 		salt: hash(s.Name, "", s.Epoch)}
 	for k := range r.phase {
 		r.phase[k] = fraction(hash(s.Name, kindNames[k], s.Epoch))
@@ -67,8 +67,8 @@
 	r.Tick(now)
 }
 
-// Ended records how an attempt has ended. One that was never sent is not reported.
-func (r *Recovery) Ended(now clock.Nanos, a Attempt, done bool, took clock.Nanos) {
+// AttemptEnded records how an attempt has ended. One that was never sent is not reported.
+func (r *Recovery) AttemptEnded(now clock.Nanos, a Attempt, done bool, took clock.Nanos) {
 	r.Tick(now)
 	if !done {
 		r.failed++
@@ -164,5 +164,5 @@
 			denied[Reason(why).String()] = n
 		}
 	}
-	return Report{Stage: r.stage.String(), SinceMS: (r.now - r.stageSince) / 1e6, Returning: r.returning, Part: r.share(), Proven: r.proven, Denied: denied}
+	return Report{Stage: r.stage.String(), SinceMS: (r.now - r.stageSince) / 1e6, Returning: r.returning, Share: r.share(), Proven: r.proven, Denied: denied}
 }
--- a/policy/trust/ledger.go
+++ b/policy/trust/ledger.go
@@ -5,158 +5,163 @@
 	"lotushook/policy/crdt"
 )
 
-// Ledger remembers the provenance of entries that were received from peers, or restored from disk.
+// Ledger records the provenance of entries that were received from peers, restored from disk or learned by this
+// process.
 type Ledger struct {
 	settings         Settings
 	facts            map[entryKey]*trackedFact
-	order            []entryKey // by when they were first recorded, from next on
-	next             int
+	order            []entryKey // by first recording; once full, a ring whose oldest key is at nextEvicted
+	nextEvicted      int
 	distrustRestored bool
-	unconfirmed      [ProvenanceCount]int // of those not confirmed
+	unconfirmed      [ProvenanceCount]int // number of unproven facts by provenance
 }
 
 type trackedFact struct {
 	entry     crdt.Entry
 	fact      Fact
-	learnedAt clock.Nanos // when it was learned, by this clock
+	learnedAt clock.Nanos // on this process's clock
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger(s Settings) (*Ledger, error) {
-	if err := s.check(); err != nil {
+func NewLedger(settings Settings) (*Ledger, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &Ledger{settings: s, facts: map[entryKey]*trackedFact{}}, nil
+	return &Ledger{settings: settings, facts: map[entryKey]*trackedFact{}}, nil
 }
 
-// AddRestored records an entry restored from disk. An entry of this process or of a peer prevails.
-func (b *Ledger) AddRestored(now clock.Nanos, e crdt.Entry, unsure bool) {
-	if b.facts[keyOf(&e)] == nil {
-		b.note(now, e, Fact{Provenance: FromDisk, MinAgeOnly: unsure})
+// AddRestored records an entry restored from disk, unless its key is already recorded. minAgeOnly says that the entry's
+// age is only a lower bound.
+func (ledger *Ledger) AddRestored(now clock.Nanos, entry crdt.Entry, minAgeOnly bool) {
+	if ledger.facts[keyOf(&entry)] == nil {
+		ledger.record(now, entry, Fact{Provenance: FromDisk, MinAgeOnly: minAgeOnly})
 	}
 }
 
-// AddOwn records what this process has learned itself: it prevails.
-func (b *Ledger) AddOwn(now clock.Nanos, e crdt.Entry) {
-	b.note(now, e, Fact{Provenance: OwnResponse, Proven: true})
+// AddOwnResponse records an entry that this process learned from a data server's answer. It replaces any other entry of
+// the key.
+func (ledger *Ledger) AddOwnResponse(now clock.Nanos, entry crdt.Entry) {
+	ledger.record(now, entry, Fact{Provenance: OwnResponse, Proven: true})
 }
 
-// AddFromPeer records an entry of a peer. steady says that the peer has been up since before this router's last start began or its copy
-// was written: its entry confirms a restored one, if it is the same or more, and refutes it if it is another that
-// supersedes it. An entry of a peer that is not steady is unconfirmed, as the peer may itself have restored it.
-func (b *Ledger) AddFromPeer(now clock.Nanos, e crdt.Entry, steady bool) {
-	n := b.facts[keyOf(&e)]
+// AddFromPeer records an entry received from a peer. continuouslyUp says that the peer has been up since before this
+// router started or wrote its copy. An equal entry from such a peer confirms the recorded one, and a greater entry
+// replaces it as proven. An entry from any other peer is unconfirmed, as that peer may itself have restored it from
+// disk.
+func (ledger *Ledger) AddFromPeer(now clock.Nanos, entry crdt.Entry, continuouslyUp bool) {
+	tracked := ledger.facts[keyOf(&entry)]
 	switch {
-	case n == nil:
-		b.note(now, e, Fact{Provenance: FromPeer, Proven: steady})
-	case n.fact.Provenance == OwnResponse:
-	case compareValues(&e, &n.entry) == more:
-		b.note(now, e, Fact{Provenance: FromPeer, Proven: steady})
-	case compareValues(&e, &n.entry) == same && steady:
-		b.count(n, -1)
-		n.fact.Proven = !n.fact.Refuted
-		b.count(n, 1)
+	case tracked == nil:
+		ledger.record(now, entry, Fact{Provenance: FromPeer, Proven: continuouslyUp})
+	case tracked.fact.Provenance == OwnResponse:
+	case compareValues(&entry, &tracked.entry) == greater:
+		ledger.record(now, entry, Fact{Provenance: FromPeer, Proven: continuouslyUp})
+	case compareValues(&entry, &tracked.entry) == equal && continuouslyUp:
+		ledger.updateUnconfirmed(tracked, -1)
+		tracked.fact.Proven = !tracked.fact.Refuted
+		ledger.updateUnconfirmed(tracked, 1)
 	}
 }
 
-// Refute records that a data server's answer contradicts the entry of a key, without
-// saying what is right instead.
-func (b *Ledger) Refute(e crdt.Entry) {
-	if n := b.facts[keyOf(&e)]; n != nil {
-		b.count(n, -1)
-		n.fact.Refuted, n.fact.Proven = true, false
-		b.count(n, 1)
+// Refute records that a data server's answer contradicts the recorded entry of a key without supplying the correct
+// value.
+func (ledger *Ledger) Refute(entry crdt.Entry) {
+	if tracked := ledger.facts[keyOf(&entry)]; tracked != nil {
+		ledger.updateUnconfirmed(tracked, -1)
+		tracked.fact.Refuted, tracked.fact.Proven = true, false
+		ledger.updateUnconfirmed(tracked, 1)
 	}
 }
 
-// DistrustRestored records that an older copy was put back: nothing proves that its entries are as young as they say, so that even where
-// a peer has the same they serve only to be more careful. Only this process's own answers and newer entries help.
-func (b *Ledger) DistrustRestored() {
-	b.distrustRestored = true
-	for _, n := range b.facts {
-		if n.fact.Provenance == FromDisk {
-			b.count(n, -1)
-			n.fact.MinAgeOnly, n.fact.Proven = true, false
-			b.count(n, 1)
+// DistrustRestored records that an outdated copy was restored. Its entries may be older than their recorded ages, so
+// that even if a peer confirms them they permit conservative uses only, until an answer to this process or a greater
+// entry replaces them.
+func (ledger *Ledger) DistrustRestored() {
+	ledger.distrustRestored = true
+	for _, tracked := range ledger.facts {
+		if tracked.fact.Provenance == FromDisk {
+			ledger.updateUnconfirmed(tracked, -1)
+			tracked.fact.MinAgeOnly, tracked.fact.Proven = true, false
+			ledger.updateUnconfirmed(tracked, 1)
 		}
 	}
 }
 
-// Fact returns what is known of an entry's key, and the entry that it is known of.
-func (b *Ledger) Fact(now clock.Nanos, e crdt.Entry) (Fact, crdt.Entry) {
-	n := b.facts[keyOf(&e)]
-	if n == nil {
+// Fact returns the fact recorded for the key of an entry, and the entry recorded with it.
+func (ledger *Ledger) Fact(now clock.Nanos, entry crdt.Entry) (Fact, crdt.Entry) {
+	tracked := ledger.facts[keyOf(&entry)]
+	if tracked == nil {
 		return Fact{}, crdt.Entry{}
 	}
-	f := n.fact
-	f.Age = max(0, now-n.learnedAt)
-	return f, n.entry
+	fact := tracked.fact
+	fact.Age = max(0, now-tracked.learnedAt)
+	return fact, tracked.entry
 }
 
-// Unconfirmed counts the unconfirmed facts of a provenance; Size counts all.
-func (b *Ledger) Unconfirmed(o Provenance) int { return b.unconfirmed[o] }
-
-// Size is how many facts are remembered.
-func (b *Ledger) Size() int { return len(b.facts) }
-
-func (b *Ledger) note(now clock.Nanos, e crdt.Entry, f Fact) {
-	k := keyOf(&e)
-	n := b.facts[k]
-	if n == nil {
-		if len(b.facts) >= b.settings.Capacity {
-			b.count(b.facts[b.order[b.next]], -1)
-			delete(b.facts, b.order[b.next])
-			b.order[b.next] = k
-			b.next = (b.next + 1) % len(b.order)
+// Unconfirmed returns the number of unproven facts of a provenance.
+func (ledger *Ledger) Unconfirmed(provenance Provenance) int { return ledger.unconfirmed[provenance] }
+
+// Size returns the number of recorded facts.
+func (ledger *Ledger) Size() int { return len(ledger.facts) }
+
+func (ledger *Ledger) record(now clock.Nanos, entry crdt.Entry, fact Fact) {
+	key := keyOf(&entry)
+	tracked := ledger.facts[key]
+	if tracked == nil {
+		if len(ledger.facts) >= ledger.settings.Capacity {
+			ledger.updateUnconfirmed(ledger.facts[ledger.order[ledger.nextEvicted]], -1)
+			delete(ledger.facts, ledger.order[ledger.nextEvicted])
+			ledger.order[ledger.nextEvicted] = key
+			ledger.nextEvicted = (ledger.nextEvicted + 1) % len(ledger.order)
 		} else {
-			b.order = append(b.order, k)
+			ledger.order = append(ledger.order, key)
 		}
-		n = &trackedFact{}
-		b.facts[k] = n
+		tracked = &trackedFact{}
+		ledger.facts[key] = tracked
 	} else {
-		b.count(n, -1)
+		ledger.updateUnconfirmed(tracked, -1)
 	}
-	if f.Provenance == FromDisk && b.distrustRestored {
-		f.MinAgeOnly = true
+	if fact.Provenance == FromDisk && ledger.distrustRestored {
+		fact.MinAgeOnly = true
 	}
-	*n = trackedFact{e, f, now - max(0, e.Age)}
-	b.count(n, 1)
+	*tracked = trackedFact{entry, fact, now - max(0, entry.Age)}
+	ledger.updateUnconfirmed(tracked, 1)
 }
 
-func (b *Ledger) count(n *trackedFact, by int) {
-	if n.fact.Provenance != Unknown && !n.fact.Proven {
-		b.unconfirmed[n.fact.Provenance] += by
+func (ledger *Ledger) updateUnconfirmed(tracked *trackedFact, delta int) {
+	if tracked.fact.Provenance != Unknown && !tracked.fact.Proven {
+		ledger.unconfirmed[tracked.fact.Provenance] += delta
 	}
 }
 
-// The relation of an entry to another of the same key.
+// Results of compareValues.
 const (
-	less = iota
-	same
-	more
+	lesser = iota
+	equal
+	greater
 )
 
-// compareValues compares the values of two entries of one key, and not their origins.
-func compareValues(e, f *crdt.Entry) int {
-	x, y := e.At, f.At
-	switch e.Kind {
+// compareValues compares the values of two entries of the same key; their origins don't count.
+func compareValues(entry, other *crdt.Entry) int {
+	value, otherValue := entry.At, other.At
+	switch entry.Kind {
 	case crdt.Usage:
-		x, y = e.Count, f.Count
+		value, otherValue = entry.Count, other.Count
 	case crdt.Hint:
-		x, y = int64(e.Seq), int64(f.Seq)
+		value, otherValue = int64(entry.Seq), int64(other.Seq)
 	case crdt.PendingWrite:
-		return same
+		return equal
 	}
 	switch {
-	case x > y:
-		return more
-	case x < y:
-		return less
-	case e.Kind == crdt.PrimaryClaim && (e.Server != f.Server || e.Born != f.Born):
-		if e.Born > f.Born || e.Born == f.Born && e.Server > f.Server {
-			return more
+	case value > otherValue:
+		return greater
+	case value < otherValue:
+		return lesser
+	case entry.Kind == crdt.PrimaryClaim && (entry.Server != other.Server || entry.Born != other.Born):
+		if entry.Born > other.Born || entry.Born == other.Born && entry.Server > other.Server {
+			return greater
 		}
-		return less
+		return lesser
 	}
-	return same
+	return equal
 }
--- a/policy/trust/trust.go
+++ b/policy/trust/trust.go
@@ -1,9 +1,10 @@
-// Package trust decides which actions a fact permits by its provenance. A router may act on what it has heard from a data server
-// itself; what a peer sent, or what its own disk restored after a start, is unconfirmed until it is proven: by this
-// router's own answers, or by a peer that has been up all the while. It decides neither what an entry says nor which of two
-// prevails (policy/crdt), and sends nothing: callers ask Judge before they act.
+// Package trust decides which actions a fact permits, depending on its provenance. A router may act on a fact from a
+// data server's answer to its own request. A fact that a peer sent, or that was restored from disk after a start, is
+// unconfirmed until it is proven by an answer to this router or by a peer that has been up continuously. The package
+// decides neither what an entry contains nor which of two entries prevails (policy/crdt), and sends nothing: callers
+// ask Evaluate before they act.
 //
-// A Ledger remembers for each entry that was restored, or received, whether it is confirmed. It is not safe for concurrent use.
+// A Ledger records for each restored or received entry whether it is confirmed. It is not safe for concurrent use.
 package trust
 
 import (
@@ -16,179 +17,181 @@
 // Provenance is the source of a fact.
 type Provenance uint8
 
-// The sources.
+// The sources of a fact.
 const (
-	Unknown         Provenance = iota // nothing is known
-	OwnResponse                       // from a data server's answer to this process, or from its list
-	FromPeer                          // from another router, since this process started
-	FromDisk                          // from the copy on disk
+	Unknown         Provenance = iota // no fact is recorded
+	OwnResponse                       // a data server's answer to this process, or this process's endpoint list
+	FromPeer                          // another router, since this process started
+	FromDisk                          // the copy on disk
 	ProvenanceCount = iota
 )
 
 var provenanceNames = [ProvenanceCount]string{"none", "own", "peer", "restored"}
 
-// String is the name in logs and counts.
-func (o Provenance) String() string { return provenanceNames[o] }
+// String returns the name used in logs and counts.
+func (p Provenance) String() string { return provenanceNames[p] }
 
-// Fact is what is known of an entry.
+// Fact describes where an entry came from and whether it is confirmed.
 type Fact struct {
 	Provenance Provenance
-	Age        clock.Nanos // since it was first learned; at least, where MinAgeOnly
-	MinAgeOnly bool
-	Proven     bool // of OwnResponse always
-	Refuted    bool // contradicted by something better
+	Age        clock.Nanos // time since the entry was first learned
+	MinAgeOnly bool        // Age is only a lower bound
+	Proven     bool        // confirmed; always true when an OwnResponse is recorded
+	Refuted    bool        // contradicted by a data server's answer
 }
 
 // Use is an action that a fact may permit.
 type Use uint8
 
-// The uses.
+// The uses of a fact.
 const (
-	RaisePosition    Use = iota // make a session's read see at least a position
-	LowerPosition               // make it see less than is known so far
+	RaisePosition    Use = iota // raise the minimum position that a session's reads must see
+	LowerPosition               // lower that minimum position
 	AssumeMayHaveRun            // treat a keyed write as one that may have run
-	AssumeNotRun                // treat it as one that has not
-	Probe                       // ask a believed primary first whether it is one
-	Write                       // send a write to a believed primary
-	Read                        // send a read by a believed position
-	GrantLease                  // take or give a share, or a right
-	ExceedSlowStart             // send an endpoint in slow start more than its budget, as if it were warm
+	AssumeNotRun                // treat a keyed write as one that has not run
+	Probe                       // probe a presumed primary before sending a write to it
+	Write                       // send a write to a presumed primary
+	Read                        // choose the server of a read by a reported position
+	GrantLease                  // claim or grant a quota share or an exclusive right
+	ExceedSlowStart             // exceed the budget of an endpoint in slow start, as if it were warm
 	CountUsage                  // count a team's usage against its contract
-	AvoidServer                 // send less to a server, because of a hint
+	AvoidServer                 // send fewer requests to a server because of a hint
 	UseCount         = iota
 )
 
 var useNames = [UseCount]string{"raise a floor", "lower a floor", "may have run", "has not run", "probe", "write", "read", "grant", "cold work", "count use", "shun"}
 
-// String is the name in logs and counts.
+// String returns the name used in logs and counts.
 func (u Use) String() string { return useNames[u] }
 
 // Reason is why a use is allowed or not.
 type Reason uint8
 
-// The reasons.
+// The reasons for a decision.
 const (
-	ReasonOwnResponse     Reason = iota // this process knows it itself
-	ReasonConfirmedByPeer               // confirmed by a peer that was up all the while, or by an own answer since
-	ReasonCareful                       // it can only make the router more careful
-	ReasonUnconfirmed                   // not confirmed yet
-	ReasonRefuted                       // contradicted
-	ReasonUnknown                       // nothing is known
-	ReasonOwnOnly                       // only what this process knows itself is ever enough
-	ReasonNotListed                     // the present list does not contain the server
-	ReasonTooOld                        // older than such a fact is valid
+	ReasonOwnResponse     Reason = iota // the fact comes from an answer to this process
+	ReasonConfirmedByPeer               // confirmed by a peer that was up continuously, or by a later own answer
+	ReasonConservative                  // the use can only make the router more conservative
+	ReasonUnconfirmed                   // the fact is not confirmed yet
+	ReasonRefuted                       // the fact was contradicted
+	ReasonUnknown                       // no fact is recorded
+	ReasonOwnOnly                       // the use requires a fact from an answer to this process
+	ReasonNotListed                     // the current endpoint list does not contain the server
+	ReasonTooOld                        // the fact is older than Settings.MaxAge, or its age is only a lower bound
 	ReasonCount           = iota
 )
 
 var reasonNames = [ReasonCount]string{"own answer", "proven by a peer", "safe", "doubted", "contradicted", "unknown", "never by others", "not listed", "too old"}
 
-// String is the name in logs and counts.
+// String returns the name used in logs and counts.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Verdict says whether a use is allowed.
-type Verdict struct {
+// Decision says whether a use is allowed, and why.
+type Decision struct {
 	Allowed bool
 	Reason  Reason
 }
 
-// Settings bound what a Ledger remembers and accepts.
+// Settings bound the size of a Ledger and the age of the facts that Evaluate accepts.
 type Settings struct {
-	Capacity int         // entries; the one recorded first is dropped, which makes it unknown
-	MaxAge   clock.Nanos // a peer's confirmed fact is valid so long for what is more than careful
+	Capacity int         // maximum number of entries; beyond it the one recorded first is evicted and becomes unknown
+	MaxAge   clock.Nanos // how long a fact confirmed by a peer permits uses that are not merely conservative
 }
 
-// DefaultSettings are settings for a router.
+// DefaultSettings returns the settings of a router.
 func DefaultSettings() Settings { return Settings{Capacity: 32_768, MaxAge: 30e9} }
 
-func (s *Settings) check() error {
-	if s.Capacity < 1 || s.MaxAge <= 0 {
-		return errors.New("trust: Capacity and MaxAge are above 0")
+func (settings *Settings) validate() error {
+	if settings.Capacity < 1 || settings.MaxAge <= 0 {
+		return errors.New("trust: Capacity and MaxAge must be above 0")
 	}
 	return nil
 }
 
-// Judge says whether a fact permits a use. The server is the one that would be sent to, if any: listed says whether the
-// present list contains it.
+// Evaluate says whether a fact permits a use. isListed says whether the current endpoint list contains the server that
+// the use would send to, if there is one.
 //
-// What only makes the router more careful is permitted from any source at once. What makes it less careful (a lower position,
-// a write treated as not run, a grant, more to an endpoint in slow start) is permitted by own facts only. What lies between (a write to a
-// believed primary, a read by a believed position) needs confirmation, which expires.
-func Judge(u Use, f Fact, listed bool, s Settings) Verdict {
-	switch u {
+// A use that only makes the router more conservative is permitted by an unconfirmed fact of any provenance. A use that
+// makes it less conservative (lowering a position, assuming that a write has not run, granting a lease, exceeding slow
+// start) is permitted only by an answer to this process. The uses between these (a write to a presumed primary, a read
+// by a reported position, avoiding a server) require a confirmation, which expires after Settings.MaxAge.
+func Evaluate(use Use, fact Fact, isListed bool, settings Settings) Decision {
+	switch use {
 	case Probe, Write, Read:
-		if !listed {
-			return Verdict{false, ReasonNotListed}
+		if !isListed {
+			return Decision{false, ReasonNotListed}
 		}
 	}
-	switch u {
+	switch use {
 	case LowerPosition, AssumeNotRun, GrantLease, ExceedSlowStart:
-		if f.Provenance == OwnResponse && !f.Refuted {
-			return Verdict{true, ReasonOwnResponse}
+		if fact.Provenance == OwnResponse && !fact.Refuted {
+			return Decision{true, ReasonOwnResponse}
 		}
-		return Verdict{false, ReasonOwnOnly}
+		return Decision{false, ReasonOwnOnly}
 	}
 	switch {
-	case f.Provenance == Unknown:
-		return Verdict{false, ReasonUnknown}
-	case f.Refuted && u != RaisePosition && u != AssumeMayHaveRun: // these two only ever add
-		return Verdict{false, ReasonRefuted}
-	case f.Provenance == OwnResponse:
-		return Verdict{true, ReasonOwnResponse}
-	case u == RaisePosition, u == AssumeMayHaveRun, u == Probe, u == CountUsage:
-		return Verdict{true, ReasonCareful}
-	case !f.Proven:
-		return Verdict{false, ReasonUnconfirmed}
-	case f.MinAgeOnly || f.Age > s.MaxAge:
-		return Verdict{false, ReasonTooOld}
+	case fact.Provenance == Unknown:
+		return Decision{false, ReasonUnknown}
+	case fact.Refuted && use != RaisePosition && use != AssumeMayHaveRun: // the two exceptions are conservative
+		return Decision{false, ReasonRefuted}
+	case fact.Provenance == OwnResponse:
+		return Decision{true, ReasonOwnResponse}
+	case use == RaisePosition, use == AssumeMayHaveRun, use == Probe, use == CountUsage:
+		return Decision{true, ReasonConservative}
+	case !fact.Proven:
+		return Decision{false, ReasonUnconfirmed}
+	case fact.MinAgeOnly || fact.Age > settings.MaxAge:
+		return Decision{false, ReasonTooOld}
 	}
-	return Verdict{true, ReasonConfirmedByPeer}
+	return Decision{true, ReasonConfirmedByPeer}
 }
 
-// Mark is the extent of a copy: a start of the router, and a number that rises while it runs.
-type Mark struct{ Epoch, Number uint64 }
+// CopyVersion says how recent a copy on disk is: the epoch of the process that wrote it, and the sequence number of its
+// last entry, which grows while the process runs.
+type CopyVersion struct{ Epoch, Number uint64 }
 
-// Standing is the state of a copy against what others have seen of the router that wrote it.
-type Standing uint8
+// CopyStatus compares a copy on disk with what peers have received from the router that wrote it.
+type CopyStatus uint8
 
-// The standings.
+// The statuses of a copy.
 const (
-	StandingUnseen  Standing = iota // no report: nothing is proven by that
-	StandingCurrent                 // no peer has seen more
-	StandingShort                   // within the loss of a crash: the last batch or so
-	StandingBehind                  // it was put back: a later start, or much more of the same one, was seen
+	CopyUnreported      CopyStatus = iota // no peer has reported a version, which proves nothing
+	CopyCurrent                           // no peer has seen a newer version
+	CopyWithinCrashLoss                   // a peer has seen a newer version, by no more than a crash may lose
+	CopyOutdated                          // an older copy was restored: a peer has seen a much newer version
 )
 
-// Compare compares a copy with the greatest mark that any peer remembers; a peer that remembers none reports the zero Mark. slack
-// is how much a crash may lose.
-func Compare(stored, seen Mark, slack uint64) Standing {
+// CompareCopy compares the version of a copy with the greatest version that any peer has seen; a peer that has seen
+// none reports the zero CopyVersion. maxCrashLoss is how many entries a crash may lose.
+func CompareCopy(stored, seen CopyVersion, maxCrashLoss uint64) CopyStatus {
 	switch {
-	case seen == (Mark{}):
-		return StandingUnseen
+	case seen == (CopyVersion{}):
+		return CopyUnreported
 	case seen.Epoch > stored.Epoch:
-		return StandingBehind
+		return CopyOutdated
 	case seen.Epoch < stored.Epoch || seen.Number <= stored.Number:
-		return StandingCurrent
-	case seen.Number-stored.Number > slack:
-		return StandingBehind
+		return CopyCurrent
+	case seen.Number-stored.Number > maxCrashLoss:
+		return CopyOutdated
 	}
-	return StandingShort
+	return CopyWithinCrashLoss
 }
 
-// entryKey identifies an entry's subject.
+// entryKey identifies the subject of an entry.
 type entryKey struct {
 	kind      crdt.Kind
 	a, b      string
 	startedAt int64
-	from      crdt.Origin // of the kinds that have an entry for each origin
+	origin    crdt.Origin // set for kinds that have one entry per origin
 }
 
-func keyOf(e *crdt.Entry) entryKey {
-	k := entryKey{kind: e.Kind, a: e.A, b: e.B}
-	switch e.Kind {
+func keyOf(entry *crdt.Entry) entryKey {
+	key := entryKey{kind: entry.Kind, a: entry.A, b: entry.B}
+	switch entry.Kind {
 	case crdt.ServerPosition:
-		k.startedAt = e.Born
+		key.startedAt = entry.Born
 	case crdt.Usage, crdt.Hint:
-		k.from = e.From
+		key.origin = entry.From
 	}
-	return k
+	return key
 }
