--- a/policy/persistence/queue.go
+++ b/policy/persistence/queue.go
@@ -2,119 +2,123 @@
 
 import "lotushook/policy/clock"
 
-// Queue holds the records to be written, the newest of each key.
+// Queue holds the newest record of each key that is to be written.
 type Queue struct {
-	settings Settings
-	waiting  map[string]queuedRecord
-	bytes    int
-	readyAt  clock.Nanos // no batch before it
-	backoff  clock.Nanos // after the next failure
-	inFlight map[string]queuedRecord
-	counts   Counts
+	settings     Settings
+	queued       map[string]queuedRecord
+	queuedBytes  int
+	dueAt        clock.Nanos // earliest start of the next batch
+	retryBackoff clock.Nanos // delay after the next failed batch
+	inFlight     map[string]queuedRecord
+	counts       Counts
 }
 
 type queuedRecord struct {
 	record    Record
-	learnedAt clock.Nanos // when it was learned, by the caller's clock
+	learnedAt clock.Nanos // on the caller's clock
 }
 
 // New returns an empty queue.
-func New(s Settings) (*Queue, error) {
-	if err := s.check(); err != nil {
+func New(settings Settings) (*Queue, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &Queue{settings: s, waiting: map[string]queuedRecord{}, backoff: s.RetryBackoff}, nil
+	return &Queue{settings: settings, queued: map[string]queuedRecord{}, retryBackoff: settings.RetryBackoff}, nil
 }
 
-func name(r *Record) string { return string(append([]byte{r.Kind}, r.Key...)) }
+func recordKey(record *Record) string { return string(append([]byte{record.Kind}, record.Key...)) }
 
-// Put queues a record, in place of an older one of its key. It returns false where there is no room: queued records stay, so
-// that a flood of new keys does not displace older ones, and the new one is counted as dropped.
-func (q *Queue) Put(now clock.Nanos, r Record) bool {
+// Put queues a record in place of an older one of the same key. If the queue lacks the capacity, it returns false and
+// counts the record as dropped; queued records stay, so that many new keys do not displace older ones.
+func (q *Queue) Put(now clock.Nanos, record Record) bool {
 	q.counts.Received++
-	return q.put(name(&r), queuedRecord{r, now - max(0, r.Age)}, true)
+	return q.enqueue(recordKey(&record), queuedRecord{record, now - max(0, record.Age)}, true)
 }
 
-func (q *Queue) put(key string, w queuedRecord, newer bool) bool {
-	old, there := q.waiting[key]
-	if there && !newer {
+func (q *Queue) enqueue(key string, added queuedRecord, isNewer bool) bool {
+	old, exists := q.queued[key]
+	if exists && !isNewer {
 		return true
 	}
-	bytes := q.bytes + w.record.Size()
-	if there {
-		bytes -= old.record.Size()
+	newSize := q.queuedBytes + added.record.Size()
+	if exists {
+		newSize -= old.record.Size()
 	}
-	if bytes > q.settings.QueueBytes {
+	if newSize > q.settings.QueueBytes {
 		q.counts.Dropped++
 		return false
 	}
-	if there {
+	if exists {
 		q.counts.Coalesced++
 	}
-	q.waiting[key], q.bytes = w, bytes
+	q.queued[key], q.queuedBytes = added, newSize
 	return true
 }
 
-// Due is when the next batch may be written; false if nothing is queued or one is in progress.
-func (q *Queue) Due() (clock.Nanos, bool) { return q.readyAt, len(q.waiting) > 0 && q.inFlight == nil }
+// Due returns the earliest time at which the next batch may be written, and false if nothing is queued or a batch is in
+// flight.
+func (q *Queue) Due() (clock.Nanos, bool) { return q.dueAt, len(q.queued) > 0 && q.inFlight == nil }
 
-// Batch is a set of records that is being written.
+// Batch is a set of records in flight to the disk.
 type Batch struct {
 	records map[string]queuedRecord
 	takenAt clock.Nanos
 }
 
-// TakeBatch returns the next batch: all that is queued. None may be in progress. It takes constant time.
+// TakeBatch removes all queued records and returns them as a batch in flight, in constant time. If a batch is in flight
+// already, it returns that one.
 func (q *Queue) TakeBatch(now clock.Nanos) Batch {
-	if q.inFlight == nil && len(q.waiting) > 0 {
-		q.inFlight, q.waiting, q.bytes = q.waiting, map[string]queuedRecord{}, 0
+	if q.inFlight == nil && len(q.queued) > 0 {
+		q.inFlight, q.queued, q.queuedBytes = q.queued, map[string]queuedRecord{}, 0
 	}
 	return Batch{q.inFlight, now}
 }
 
-// Records are the batch's, with their ages as of when it was taken. The queue may be used meanwhile.
-func (b Batch) Records() []Record {
-	out := make([]Record, 0, len(b.records))
-	for _, w := range b.records {
-		w.record.Age = max(0, b.takenAt-w.learnedAt)
-		out = append(out, w.record)
+// Records returns the batch's records with their ages at the time of TakeBatch. The queue may be used concurrently.
+func (batch Batch) Records() []Record {
+	records := make([]Record, 0, len(batch.records))
+	for _, queued := range batch.records {
+		queued.record.Age = max(0, batch.takenAt-queued.learnedAt)
+		records = append(records, queued.record)
 	}
-	return out
+	return records
 }
 
-// Committed reports that the batch taken at a given time is on disk, after so many fsyncs.
-func (q *Queue) Committed(taken clock.Nanos, fsyncs int) {
-	q.inFlight, q.backoff = nil, q.settings.RetryBackoff
+// Committed reports that the batch taken at takenAt is on disk, and how many fsyncs that required.
+func (q *Queue) Committed(takenAt clock.Nanos, fsyncs int) {
+	q.inFlight, q.retryBackoff = nil, q.settings.RetryBackoff
 	q.counts.Batches++
-	q.addFsyncs(taken, fsyncs)
+	q.addFsyncs(takenAt, fsyncs)
 }
 
-// Failed reports that the batch taken at a given time is not on disk. Records without a newer one are queued again.
-func (q *Queue) Failed(taken, now clock.Nanos, fsyncs int) {
-	for key, w := range q.inFlight {
-		q.put(key, w, false)
+// Failed reports that the batch taken at takenAt is not on disk. Each of its records is queued again unless a newer one
+// of the same key is queued.
+func (q *Queue) Failed(takenAt, now clock.Nanos, fsyncs int) {
+	for key, returned := range q.inFlight {
+		q.enqueue(key, returned, false)
 	}
 	q.inFlight = nil
 	q.counts.Failed++
-	q.addFsyncs(taken, fsyncs)
-	q.readyAt = max(q.readyAt, now+q.backoff)
-	q.backoff = min(2*q.backoff, q.settings.MaxRetryBackoff)
+	q.addFsyncs(takenAt, fsyncs)
+	q.dueAt = max(q.dueAt, now+q.retryBackoff)
+	q.retryBackoff = min(2*q.retryBackoff, q.settings.MaxRetryBackoff)
 }
 
-// addFsyncs spaces batches so that over any time no more fsyncs are done than so many a second and those of one batch.
-func (q *Queue) addFsyncs(taken clock.Nanos, fsyncs int) {
+// addFsyncs delays the next batch so that any interval has at most FsyncsPerSecond fsyncs per second plus those of one
+// batch.
+func (q *Queue) addFsyncs(takenAt clock.Nanos, fsyncs int) {
 	q.counts.Fsyncs += uint64(fsyncs)
-	q.readyAt = max(q.readyAt, taken) + clock.Nanos(float64(fsyncs)/q.settings.FsyncsPerSecond*1e9)
+	q.dueAt = max(q.dueAt, takenAt) + clock.Nanos(float64(fsyncs)/q.settings.FsyncsPerSecond*1e9)
 }
 
-// Bytes is the size of what is queued, and with what is in progress.
-func (q *Queue) Bytes() (waiting, all int) {
-	all = q.bytes
-	for _, w := range q.inFlight {
-		all += w.record.Size()
+// Bytes returns the size of the queued records, and the size including the batch in flight.
+func (q *Queue) Bytes() (queued, total int) {
+	total = q.queuedBytes
+	for _, inFlight := range q.inFlight {
+		total += inFlight.record.Size()
 	}
-	return q.bytes, all
+	return q.queuedBytes, total
 }
 
-// Counts are since the start.
+// Counts returns the counts since the queue was created.
 func (q *Queue) Counts() Counts { return q.counts }
--- a/policy/persistence/record.go
+++ b/policy/persistence/record.go
@@ -1,6 +1,7 @@
-// Package persistence decides what a router writes of the replicated state to its own disk, and when: which records wait for the next
-// batch, when that batch may be written, what is queued again after a failure, and how old a restored record is. It knows
-// neither what the records mean nor their format on disk (internal/store). A Queue is not safe for concurrent use.
+// Package persistence decides which parts of the replicated state a router writes to its own disk, and when: which
+// records the next batch contains, when it may be written, which records are queued again after a failure, and how old
+// a restored record is. It depends neither on the meaning of the records nor on their format on disk (internal/store).
+// A Queue is not safe for concurrent use.
 package persistence
 
 import (
@@ -10,65 +11,66 @@
 	"lotushook/policy/clock"
 )
 
-// Record is one stored record. It has an age; it has no point in time.
+// Record is one persisted record. It carries an age instead of a time of day.
 type Record struct {
-	Kind       uint8 // from 1, as the caller numbers them
+	Kind       uint8 // chosen by the caller, from 1
 	Key        []byte
 	Value      []byte
-	Age        clock.Nanos // since it was learned
-	MinAgeOnly bool        // of a restored one: it is at least so old
+	Age        clock.Nanos // time since the record was learned
+	MinAgeOnly bool        // for a restored record: Age is only a lower bound
 }
 
-const recordOverhead = 64 // of a record beside its key and value, in memory
+const recordOverhead = 64 // bytes of memory per record in addition to its key and value
 
-// Size is a record's size in memory, in bytes.
+// Size returns the record's size in memory, in bytes.
 func (r *Record) Size() int { return recordOverhead + len(r.Key) + len(r.Value) }
 
 // Settings bound the queue and the rate of writes.
 type Settings struct {
-	QueueBytes      int         // of queued records; as much again may be in progress
-	FsyncsPerSecond float64     // at most
-	RetryBackoff    clock.Nanos // after a batch that failed; doubled after each further one
+	QueueBytes      int         // maximum size of the queued records; a batch of the same size may be in flight
+	FsyncsPerSecond float64     // maximum
+	RetryBackoff    clock.Nanos // delay after a failed batch, doubled after each further failure up to MaxRetryBackoff
 	MaxRetryBackoff clock.Nanos
 }
 
-// DefaultSettings are settings for a router.
+// DefaultSettings returns the settings of a router.
 func DefaultSettings() Settings {
 	return Settings{QueueBytes: 1 << 20, FsyncsPerSecond: 4, RetryBackoff: 1e9, MaxRetryBackoff: 30e9}
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	switch {
 	case s.QueueBytes < 1<<10:
 		return fmt.Errorf("persistence: QueueBytes: %d is below 1024", s.QueueBytes)
 	case !(s.FsyncsPerSecond >= 0.1 && s.FsyncsPerSecond <= 1000):
 		return fmt.Errorf("persistence: FsyncsPerSecond: %v is not between 0.1 and 1000", s.FsyncsPerSecond)
 	case s.RetryBackoff <= 0 || s.MaxRetryBackoff < s.RetryBackoff:
-		return errors.New("persistence: RetryBackoff is above 0, and MaxRetryBackoff not below it")
+		return errors.New("persistence: RetryBackoff must be above 0, and MaxRetryBackoff at least RetryBackoff")
 	}
 	return nil
 }
 
-// Counts are a queue's counts.
+// Counts are the counters of a queue.
 type Counts struct {
 	Received  uint64 `json:"taken"`     // records passed to Put
-	Coalesced uint64 `json:"coalesced"` // of these, in place of a queued one of the same key
-	Dropped   uint64 `json:"let_go"`    // while the queue was full: the copy lacks them until they change again
-	Batches   uint64 `json:"batches"`   // written
-	Failed    uint64 `json:"failed"`    // not written, and queued again
+	Coalesced uint64 `json:"coalesced"` // records that replaced a queued record of the same key
+	Dropped   uint64 `json:"let_go"`    // while the queue was full: the copy on disk lacks them until they change again
+	Batches   uint64 `json:"batches"`   // batches written
+	Failed    uint64 `json:"failed"`    // batches not written, whose records were queued again
 	Fsyncs    uint64 `json:"fsyncs"`
 }
 
-// AgeNow is the present age of a record that had a given age when it was written. The clocks are wall clocks: written and last are the
-// times at which this record and the last batch of the copy were written, now is the present time. A clock that was set back
-// since says nothing about the time between: the record is then at least as old as it was, and unsure. One that was set back by
-// less than the downtime can't be detected; nothing may rest on a restored age alone (policy/trust).
-func AgeNow(age, written, last, now clock.Nanos) (clock.Nanos, bool) {
-	if age < 0 || written > last || now < last {
+// AgeNow returns the current age of a restored record, and whether that is only a lower bound. age is the record's age
+// when it was written; written and lastWritten are the wall-clock times at which the record and the last batch of the
+// copy were written; now is the current wall-clock time. If the clock was set back in between, the elapsed time is
+// unknown, and the age at the write is the lower bound. A clock that was set back by less than the downtime can't be
+// detected, so no decision may rest on a restored age alone (policy/trust).
+func AgeNow(age, written, lastWritten, now clock.Nanos) (clock.Nanos, bool) {
+	if age < 0 || written > lastWritten || now < lastWritten {
 		return max(0, age), true
 	}
 	if sum := age + (now - written); sum >= age {
 		return sum, false
 	}
-	return age, true // impossible clocks
+	return age, true // the sum overflows
 }
--- a/policy/persistence/replay_test.go
+++ b/policy/persistence/replay_test.go
@@ -18,8 +18,8 @@
 		}
 		driver := replaytest.NewDriver(seed, digest)
 		write := func(now int64, fail bool) []persistence.Record {
-			at, due := queue.Due()
-			if !due || now < at {
+			dueAt, isDue := queue.Due()
+			if !isDue || now < dueAt {
 				return nil
 			}
 			records := queue.TakeBatch(now).Records()
