--- a/policy/recovery/budget.go
+++ b/policy/recovery/budget.go
@@ -6,149 +6,153 @@
 	"lotushook/policy/clock"
 )
 
-// UpdatePeers takes the peers from membership. A router that is not among them, or was not heard directly, counts as
-// returning, as it may be.
-func (r *Recovery) UpdatePeers(now clock.Nanos, peers []Peer) {
-	serve, news := 0, 0
-	for _, p := range peers {
-		if p.Name == r.settings.Name || !p.Alive || !p.HeardDirectly {
+// UpdatePeers replaces the view of the peers that membership has. While this router is returning, it counts as
+// returning every configured router that is missing from the view, was not heard directly or started within
+// RestartWindow of it.
+func (recovery *Recovery) UpdatePeers(now clock.Nanos, peers []Peer) {
+	servingPeers, heardPeers := 0, 0
+	for _, peer := range peers {
+		if peer.Name == recovery.settings.Name || !peer.Alive || !peer.HeardDirectly {
 			continue
 		}
-		if news++; p.Epoch < r.settings.Epoch && r.settings.Epoch-p.Epoch > uint64(r.settings.RestartWindow) {
-			serve++
+		if heardPeers++; peer.Epoch < recovery.settings.Epoch && recovery.settings.Epoch-peer.Epoch > uint64(recovery.settings.RestartWindow) {
+			servingPeers++
 		}
 	}
-	if r.stage < Serving {
-		r.returning = max(1, r.settings.Routers-serve)
-		r.seesMajority = 2*(news+1) > r.settings.Routers
-	} else if n := r.returningPeers(now, peers); n > 0 {
-		r.returning, r.peersReturnUntil = n, now+r.settings.RestartWindow
+	if recovery.stage < Serving {
+		recovery.returning = max(1, recovery.settings.Routers-servingPeers)
+		recovery.seesMajority = 2*(heardPeers+1) > recovery.settings.Routers
+	} else if n := recovery.returningPeers(now, peers); n > 0 {
+		recovery.returning, recovery.yieldDeadline = n, now+recovery.settings.RestartWindow
 	}
-	r.Tick(now)
+	recovery.Tick(now)
 }
 
-// returningPeers are the routers that a serving router sees start after itself, a short while ago on its own clock.
-func (r *Recovery) returningPeers(now clock.Nanos, peers []Peer) int {
-	n := 0
-	for _, p := range peers {
-		if p.Name != r.settings.Name && p.Alive && p.Epoch > r.settings.Epoch && p.Epoch-r.settings.Epoch > uint64(max(0, now-r.started-r.settings.RestartWindow)) {
-			n++
+// returningPeers counts the peers that started after this router, and within the last RestartWindow by this router's
+// clock.
+func (recovery *Recovery) returningPeers(now clock.Nanos, peers []Peer) int {
+	count := 0
+	for _, peer := range peers {
+		if peer.Name != recovery.settings.Name && peer.Alive && peer.Epoch > recovery.settings.Epoch && peer.Epoch-recovery.settings.Epoch > uint64(max(0, now-recovery.startedAt-recovery.settings.RestartWindow)) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// share is this router's share of each budget. An even share of all configured routers is right whatever is seen. A serving router
-// needs less while others return, and these take the rest, but no more than MaxShareFactor times an even share: views
-// may be wrong, and all of them at once.
-func (r *Recovery) share() float64 {
-	n := float64(r.settings.Routers)
-	times := 1.0
+// share returns this router's share of each budget. An even share of all configured routers is safe whatever the views
+// are. While others return, a serving router uses only ServingShare of its even share, and the returning routers divide
+// the rest, but each uses at most MaxShareFactor times an even share, as the views of all routers may be wrong at the
+// same time.
+func (recovery *Recovery) share() float64 {
+	routers := float64(recovery.settings.Routers)
+	factor := 1.0
 	switch {
-	case r.settings.trustViews && r.stage < Serving:
-		return 1 / float64(r.returning)
-	case r.stage < Serving:
-		times = min(r.settings.MaxShareFactor, (float64(r.returning)+(1-r.settings.ServingShare)*(n-float64(r.returning)))/float64(r.returning))
-	case r.now < r.peersReturnUntil:
-		times = r.settings.ServingShare
-	}
-	return times / n
+	case recovery.settings.trustViews && recovery.stage < Serving:
+		return 1 / float64(recovery.returning)
+	case recovery.stage < Serving:
+		factor = min(recovery.settings.MaxShareFactor, (float64(recovery.returning)+(1-recovery.settings.ServingShare)*(routers-float64(recovery.returning)))/float64(recovery.returning))
+	case recovery.now < recovery.yieldDeadline:
+		factor = recovery.settings.ServingShare
+	}
+	return factor / routers
 }
 
-// Share is this router's share of each budget now.
-func (r *Recovery) Share(now clock.Nanos) float64 {
-	r.Tick(now)
-	return r.share()
+// Share returns this router's current share of each budget.
+func (recovery *Recovery) Share(now clock.Nanos) float64 {
+	recovery.Tick(now)
+	return recovery.share()
 }
 
-// admits says whether a stage permits a kind at all.
-func admits(s Stage, k Kind) bool {
-	switch k {
+// admits says whether a stage permits a kind of action at all.
+func admits(stage Stage, kind Kind) bool {
+	switch kind {
 	case ListCall, CatchUp:
 		return true
 	case Dial, Probe:
-		return s >= Restored
+		return stage >= Restored
 	}
-	return s >= Proving
+	return stage >= Proving
 }
 
-// Allow is called before a dial, a probe, a list call or a piece of catch-up: it may be done after wait, and its slot is then
-// reserved; or it is denied, and wait says when to ask again. A slot later than most is denied and not reserved: else callers
-// that can't wait for theirs would use all of them up. Slots are not saved up: each router's are evenly spaced, with a
-// phase drawn from its name and start, so that many routers that start together act one after the other.
-func (r *Recovery) Allow(now clock.Nanos, k Kind, most clock.Nanos) (wait clock.Nanos, why Reason) {
-	r.Tick(now)
-	now = r.now
-	if !admits(r.stage, k) {
-		r.counts[TooEarly]++
-		return max(1, r.stageSince+r.settings.StageTimeouts[r.stage]-now), TooEarly
-	}
-	if r.settings.Budgets[k] == 0 {
+// Allow is called before a dial, a probe, a list call or a catch-up request. It either reserves a slot, and the caller
+// acts after wait, or denies the action, and the caller asks again after wait. A slot more than maxWait away is denied
+// and not reserved, as callers that can't wait that long would otherwise use up all slots. Unused slots do not
+// accumulate. The slots of a router are evenly spaced with a phase derived from its name and epoch, so that many
+// routers that start together act one after the other.
+func (recovery *Recovery) Allow(now clock.Nanos, kind Kind, maxWait clock.Nanos) (wait clock.Nanos, reason Reason) {
+	recovery.Tick(now)
+	now = recovery.now
+	if !admits(recovery.stage, kind) {
+		recovery.reasonCounts[TooEarly]++
+		return max(1, recovery.stageStartedAt+recovery.settings.StageTimeouts[recovery.stage]-now), TooEarly
+	}
+	if recovery.settings.Budgets[kind] == 0 {
 		return 0, Allowed
 	}
-	var span clock.Nanos
-	if rate := r.settings.Budgets[k] * r.share(); rate > 0 {
-		span = clock.Nanos(math.Ceil(float64(second) / rate))
+	var interval clock.Nanos
+	if rate := recovery.settings.Budgets[kind] * recovery.share(); rate > 0 {
+		interval = clock.Nanos(math.Ceil(float64(second) / rate))
 	} else {
-		span = 3600 * second // no share: practically never
+		interval = 3600 * second // without a share, practically never
 	}
-	first := r.started + clock.Nanos(r.phase[k]*float64(span))
-	from := max(now, r.lastTurn[k]+1, first)
-	at := first + (from-first+span-1)/span*span
-	if at-r.lastTurn[k] < span { // the span was different then
-		at = r.lastTurn[k] + span
+	firstSlot := recovery.startedAt + clock.Nanos(recovery.slotPhase[kind]*float64(interval))
+	earliest := max(now, recovery.lastSlot[kind]+1, firstSlot)
+	slot := firstSlot + (earliest-firstSlot+interval-1)/interval*interval
+	if slot-recovery.lastSlot[kind] < interval { // the last slot was reserved with another interval
+		slot = recovery.lastSlot[kind] + interval
 	}
-	if most = min(most, r.settings.MaxWait); at-now > most {
-		r.counts[OverBudget]++
-		return max(1, at-now-most/2), OverBudget // if called exactly then, it would be a moment late for its slot
+	if maxWait = min(maxWait, recovery.settings.MaxWait); slot-now > maxWait {
+		recovery.reasonCounts[OverBudget]++
+		return max(1, slot-now-maxWait/2), OverBudget // asking again only at the slot's time would be too late for it
 	}
-	r.lastTurn[k] = at
-	return at - now, Allowed
+	recovery.lastSlot[kind] = slot
+	return slot - now, Allowed
 }
 
-// AllowSend is called before an attempt is sent. What it denies was not sent.
-func (r *Recovery) AllowSend(now clock.Nanos, a Attempt) Reason {
-	r.Tick(now)
-	why := r.checkSend(r.now, a)
-	r.counts[why]++
-	return why
+// AllowSend is called before an attempt is sent. An attempt that it denies must not be sent.
+func (recovery *Recovery) AllowSend(now clock.Nanos, attempt Attempt) Reason {
+	recovery.Tick(now)
+	reason := recovery.checkSend(recovery.now, attempt)
+	recovery.reasonCounts[reason]++
+	return reason
 }
 
-func (r *Recovery) checkSend(now clock.Nanos, a Attempt) Reason {
-	if !admits(r.stage, Send) {
+func (recovery *Recovery) checkSend(now clock.Nanos, attempt Attempt) Reason {
+	if !admits(recovery.stage, Send) {
 		return TooEarly
 	}
-	if r.responseTimes.isTooLate(now, a) {
+	if recovery.responseTimes.isTooLate(now, attempt) {
 		return TooLate
 	}
-	if r.stage < Serving && r.settings.Budgets[Send] > 0 {
-		r.refill(now)
-		if r.tokens < 1 {
-			r.deniedAt = now
+	if recovery.stage < Serving && recovery.settings.Budgets[Send] > 0 {
+		recovery.refill(now)
+		if recovery.sendTokens < 1 {
+			recovery.lastSendDeniedAt = now
 			return OverBudget
 		}
 	}
-	if a.IsRetry && !r.retries.take(now, r.settings.RetryRatio, r.settings.MinRetryRate/float64(r.settings.Routers)) {
+	if attempt.IsRetry && !recovery.retryBudget.spend(now, recovery.settings.RetryRatio, recovery.settings.MinRetryRate/float64(recovery.settings.Routers)) {
 		return RetryLimited
 	}
-	if r.stage < Serving {
-		r.tokens--
+	if recovery.stage < Serving {
+		recovery.sendTokens--
 	}
 	return Allowed
 }
 
-// sendRate is how many sends a second this router has before it serves.
-func (r *Recovery) sendRate() float64 {
-	rate := r.settings.Budgets[Send] * r.share()
-	if r.stage == Proving {
+// sendRate returns this router's budget of sends per second before it serves.
+func (recovery *Recovery) sendRate() float64 {
+	rate := recovery.settings.Budgets[Send] * recovery.share()
+	if recovery.stage == Proving {
 		return rate / 4
 	}
-	return rate * r.ramp
+	return rate * recovery.rampFactor
 }
 
-// refill adds the sends that are due; no more are saved than a fiftieth of a second's, or one.
-func (r *Recovery) refill(now clock.Nanos) {
-	rate := r.sendRate()
-	r.tokens = min(max(1, rate/50), r.tokens+rate*float64(now-r.tokensAt)/float64(second))
-	r.tokensAt = now
+// refill adds the send tokens of the elapsed time. At most the tokens of 20 ms, or one, accumulate.
+func (recovery *Recovery) refill(now clock.Nanos) {
+	rate := recovery.sendRate()
+	recovery.sendTokens = min(max(1, rate/50), recovery.sendTokens+rate*float64(now-recovery.sendTokensAt)/float64(second))
+	recovery.sendTokensAt = now
 }
--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -20,11 +20,11 @@
 
 const exploreStep = 100 * ms
 
-func (r *Recovery) clone() *Recovery {
-	if r == nil {
+func (recovery *Recovery) clone() *Recovery {
+	if recovery == nil {
 		return nil
 	}
-	c := *r // no attempts end here but in proofs: the times' map is not written
+	c := *recovery // no attempts end here but in proofs: the times' map is not written
 	c.responseTimes = newResponseTimes(1)
 	return &c
 }
@@ -44,7 +44,7 @@
 			fmt.Fprint(h, i, "-")
 			continue
 		}
-		fmt.Fprint(h, i, w.now-r.started, w.now-r.stageSince, r.stage, r.listed, r.caughtUp, r.seesMajority, r.returning, r.successes, r.succeeded, r.proven, r.ramp, r.peersReturnUntil-w.now, w.boot[i])
+		fmt.Fprint(h, i, w.now-r.startedAt, w.now-r.stageStartedAt, r.stage, r.hasList, r.isCaughtUp, r.seesMajority, r.returning, r.stageSuccesses, r.rampSucceeded, r.enteredByProof, r.rampFactor, r.yieldDeadline-w.now, w.boot[i])
 	}
 	return h.Sum64()
 }
@@ -117,13 +117,13 @@
 			continue
 		}
 		sum += r.clone().Share(w.now)
-		if r.stage < Serving && w.now-r.stageSince >= r.settings.StageTimeouts[r.stage] {
-			return fmt.Sprintf("%d is %s for %d ms", i, r.stage, (w.now-r.stageSince)/ms)
+		if r.stage < Serving && w.now-r.stageStartedAt >= r.settings.StageTimeouts[r.stage] {
+			return fmt.Sprintf("%d is %s for %d ms", i, r.stage, (w.now-r.stageStartedAt)/ms)
 		}
-		if old := before.who[i]; old != nil && before.boot[i] == w.boot[i] && (r.stage < old.stage || r.stageSince < old.stageSince) {
+		if old := before.who[i]; old != nil && before.boot[i] == w.boot[i] && (r.stage < old.stage || r.stageStartedAt < old.stageStartedAt) {
 			return fmt.Sprintf("%d fell from %s to %s", i, old.stage, r.stage)
 		}
-		if old := before.who[i]; old != nil && old.stage == Restored && r.stage == Proving && r.proven && !r.seesMajority {
+		if old := before.who[i]; old != nil && old.stage == Restored && r.stage == Proving && r.enteredByProof && !r.seesMajority {
 			return fmt.Sprintf("%d proves, and saw nobody", i)
 		}
 		for k, least := range map[Kind]Stage{Dial: Restored, Probe: Restored} {
@@ -144,7 +144,8 @@
 	return ""
 }
 
-// explore sees worlds breadth first, up to so many, and returns how many and how deep, and the shortest way to a broken one.
+// explore sees worlds breadth first, up to so many, and returns how many and how deep, and the shortest way to a broken
+// one.
 func explore(tb testing.TB, trusting bool, most int) (states, depth int, fault string) {
 	tb.Helper()
 	w := &world{now: 100 * second}
@@ -152,7 +153,7 @@
 		w.start(tb, i, trusting)
 	}
 	for i := range 2 { // they have served for long; the third has just started
-		w.who[i].started, w.who[i].stageSince, w.who[i].peersReturnUntil, w.boot[i], w.who[i].stage = 0, 0, 0, 1, Serving
+		w.who[i].startedAt, w.who[i].stageStartedAt, w.who[i].yieldDeadline, w.boot[i], w.who[i].stage = 0, 0, 0, 1, Serving
 		w.who[i].settings.Epoch = 1
 	}
 	seen, row := map[uint64]bool{w.hash(): true}, []*world{w}
@@ -186,7 +187,8 @@
 	}
 }
 
-// A rule broken on purpose is found: a router that believes its view takes all that is left of a budget, and the next one too.
+// A rule broken on purpose is found: a router that believes its view takes all that is left of a budget, and the next
+// one too.
 func TestExploreFindsABrokenRule(t *testing.T) {
 	states, depth, fault := explore(t, true, 20_000)
 	t.Logf("%d states, %d events deep: %s", states, depth, fault)
--- a/policy/recovery/recovery_test.go
+++ b/policy/recovery/recovery_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Work that can't be in time is not sent; one in each tenth of a second finds out whether it could by now, and what is not
-// confirmed for two seconds is forgotten.
+// Work that can't be in time is not sent; one in each tenth of a second finds out whether it could by now, and what is
+// not confirmed for two seconds is forgotten.
 func TestLate(t *testing.T) {
 	r := must(t, DefaultSettings("a", 1, 1), 0)
 	now := serve(r, 10*second)
@@ -85,7 +85,7 @@
 			t.Errorf("server %d with %d ms left: %s, want %s", c.server, c.left/ms, got, c.want)
 		}
 	}
-	now += slotSize
+	now += slotDuration
 	if got := ask(7, 200*ms); got != Allowed {
 		t.Errorf("a tenth later: %s", got)
 	}
@@ -96,13 +96,13 @@
 	for i := range 10_000 {
 		r.AttemptEnded(now, Attempt{Server: uint32(i)}, true, ms)
 	}
-	if n := len(r.responseTimes.known); n != r.settings.MaxTrackedResponseTimes || len(r.responseTimes.order) != n {
+	if n := len(r.responseTimes.byClass); n != r.settings.MaxTrackedResponseTimes || len(r.responseTimes.order) != n {
 		t.Errorf("%d places are remembered", n)
 	}
 }
 
-// In any ten seconds: at most Ratio times the successes of these and of the second before, and the floor. Over all routers
-// that is less than 1.2 attempts a request, whoever they think is there.
+// In any ten seconds: at most Ratio times the successes of these and of the second before, and the floor. Over all
+// routers that is less than 1.2 attempts a request, whoever they think is there.
 //
 //nolint:gocognit // one history or table of cases, told in order
 func TestRetryBudget(t *testing.T) {
@@ -171,9 +171,9 @@
 	for i := range 50 {
 		name := string(rune('A' + i))
 		lane := i % 3
-		b := r.retryAfters
+		b := r.retryCalendar
 		d := r.RetryAfter(ms, "team", name, lane)
-		r.retryAfters = b
+		r.retryCalendar = b
 		if again := r.RetryAfter(ms, "team", name, lane); again != d {
 			t.Errorf("%s: %d, then %d", name, d, again)
 		}
@@ -202,7 +202,7 @@
 	}
 	serve(r, 20*second)
 	r.RetryAfter(20*second, "", "", 0)
-	if r.retryAfters.sum != 1 {
-		t.Errorf("%v are still expected", r.retryAfters.sum)
+	if r.retryCalendar.total != 1 {
+		t.Errorf("%v are still expected", r.retryCalendar.total)
 	}
 }
--- a/policy/recovery/retry.go
+++ b/policy/recovery/retry.go
@@ -2,74 +2,78 @@
 
 import "lotushook/policy/clock"
 
-// A retry is paid for by successes of the last second, Ratio each: in any ten seconds there are at most Ratio times
-// the successes of these and of the second before, and Floor. With Ratio under 0.2 that is less than 1.2 attempts a request,
-// on each router and so over all, without coordination. Where nothing succeeds, nothing is retried: that breaks
-// the loop in which retries sustain the overload that caused them (Bronson et al. 2021, Huang et al. 2022).
+// Each success of the last second pays for RetryRatio retries. In any ten seconds the number of retries is at most
+// RetryRatio times the successes of those ten seconds and the second before them, plus what MinRetryRate allows. With a
+// ratio below 0.2 that is less than 1.2 attempts per request on each router, and therefore over all routers without
+// coordination. While nothing succeeds, only MinRetryRate is left, which breaks the loop in which retries sustain the
+// overload that caused them (Bronson et al. 2021, Huang et al. 2022).
 
 const (
-	slotsPerSecond = 10 // of the second
-	slotSize       = second / slotsPerSecond
+	slotsPerSecond = 10
+	slotDuration   = second / slotsPerSecond
 )
 
-// retryBudget counts successes by tenths of a second, and what was spent of them.
+// retryBudget counts the successes of the last second in slots, newest first, and the retries that were charged to each
+// slot.
 type retryBudget struct {
-	at             clock.Nanos // the newest slot's start
-	successes      [slotsPerSecond]float64
-	spent          [slotsPerSecond]float64 // of what was earned in that slot
-	floorTokens    float64                 // of the floor
-	floorPaidUntil clock.Nanos             // until when the floor has been credited
+	newestSlotAt      clock.Nanos // start of the newest slot
+	successes         [slotsPerSecond]float64
+	spent             [slotsPerSecond]float64 // retries charged to the successes of the slot
+	minRateTokens     float64                 // retries that need no success, at most 1
+	minRateCreditedAt clock.Nanos             // when minRateTokens was last refilled
 }
 
-func (t *retryBudget) advance(now clock.Nanos) {
-	steps := (now - t.at) / slotSize
-	if steps <= 0 {
+func (budget *retryBudget) advance(now clock.Nanos) {
+	elapsed := (now - budget.newestSlotAt) / slotDuration
+	if elapsed <= 0 {
 		return
 	}
-	for range min(steps, slotsPerSecond) {
-		copy(t.successes[1:], t.successes[:slotsPerSecond-1])
-		copy(t.spent[1:], t.spent[:slotsPerSecond-1])
-		t.successes[0], t.spent[0] = 0, 0
+	for range min(elapsed, slotsPerSecond) {
+		copy(budget.successes[1:], budget.successes[:slotsPerSecond-1])
+		copy(budget.spent[1:], budget.spent[:slotsPerSecond-1])
+		budget.successes[0], budget.spent[0] = 0, 0
 	}
-	t.at += steps * slotSize
+	budget.newestSlotAt += elapsed * slotDuration
 }
 
-func (t *retryBudget) addSuccess(now clock.Nanos) {
-	t.advance(now)
-	t.successes[0]++
+func (budget *retryBudget) addSuccess(now clock.Nanos) {
+	budget.advance(now)
+	budget.successes[0]++
 }
 
-// take pays for one retry with the oldest successes, and failing that from the floor.
-func (t *retryBudget) take(now clock.Nanos, ratio, floor float64) bool {
-	t.advance(now)
-	t.floorTokens, t.floorPaidUntil = min(1, t.floorTokens+floor*float64(now-t.floorPaidUntil)/float64(second)), now
-	left := 0.0
-	for i := range t.successes {
-		left += ratio*t.successes[i] - t.spent[i]
+// spend charges one retry to the oldest successes or, if they don't suffice, to the minimum rate. It returns false if
+// neither pays for the retry.
+func (budget *retryBudget) spend(now clock.Nanos, ratio, minRate float64) bool {
+	budget.advance(now)
+	budget.minRateTokens, budget.minRateCreditedAt = min(1, budget.minRateTokens+minRate*float64(now-budget.minRateCreditedAt)/float64(second)), now
+	available := 0.0
+	for slot := range budget.successes {
+		available += ratio*budget.successes[slot] - budget.spent[slot]
 	}
-	if left < 1-1e-9 {
-		if t.floorTokens < 1 {
+	if available < 1-1e-9 {
+		if budget.minRateTokens < 1 {
 			return false
 		}
-		t.floorTokens--
+		budget.minRateTokens--
 		return true
 	}
-	need := 1.0
-	for i := slotsPerSecond - 1; i >= 0 && need > 0; i-- {
-		pay := min(need, max(0, ratio*t.successes[i]-t.spent[i]))
-		t.spent[i] += pay
-		need -= pay
+	unpaid := 1.0
+	for slot := slotsPerSecond - 1; slot >= 0 && unpaid > 0; slot-- {
+		paid := min(unpaid, max(0, ratio*budget.successes[slot]-budget.spent[slot]))
+		budget.spent[slot] += paid
+		unpaid -= paid
 	}
 	return true
 }
 
-// responseTimes remembers the shortest recent response time of a server's class: a request must have as much time
-// left, or its answer is too late. Without answers for two seconds nothing is known; and one request in each tenth of a second checks
-// whether it is better by now.
+// responseTimes tracks the shortest recent response time for each class of requests on each server. A request with less
+// time before its deadline is too late. After two seconds without an answer the shortest time is unknown, and no
+// request is too late unless its deadline has passed. One late request per slotDuration is sent anyway, to learn
+// whether responses are faster now.
 type responseTimes struct {
 	capacity int
-	known    map[serverClass]*fastestResponse
-	order    []serverClass // by first use; the oldest is dropped when all places are taken
+	byClass  map[serverClass]*fastestResponse
+	order    []serverClass // by first use; the oldest is evicted at capacity
 }
 
 type serverClass struct {
@@ -78,58 +82,58 @@
 }
 
 type fastestResponse struct {
-	startsAt          clock.Nanos // of the present second
-	current, previous clock.Nanos // 0: none
-	lastTriedAt       clock.Nanos
+	startedAt         clock.Nanos // start of the current second
+	current, previous clock.Nanos // shortest response times of two consecutive seconds; 0: none
+	lastAttemptAt     clock.Nanos // last late request that was sent anyway
 }
 
-func newResponseTimes(most int) responseTimes {
-	return responseTimes{capacity: most, known: map[serverClass]*fastestResponse{}}
+func newResponseTimes(capacity int) responseTimes {
+	return responseTimes{capacity: capacity, byClass: map[serverClass]*fastestResponse{}}
 }
 
-func (t *responseTimes) add(now clock.Nanos, server uint32, class int, span clock.Nanos) {
+func (times *responseTimes) add(now clock.Nanos, server uint32, class int, elapsed clock.Nanos) {
 	key := serverClass{server, class}
-	e := t.known[key]
-	if e == nil {
-		if len(t.order) >= t.capacity {
-			delete(t.known, t.order[0])
-			t.order = append(t.order[:0], t.order[1:]...)
+	fastest := times.byClass[key]
+	if fastest == nil {
+		if len(times.order) >= times.capacity {
+			delete(times.byClass, times.order[0])
+			times.order = append(times.order[:0], times.order[1:]...)
 		}
-		e = &fastestResponse{startsAt: now}
-		t.known[key] = e
-		t.order = append(t.order, key)
+		fastest = &fastestResponse{startedAt: now}
+		times.byClass[key] = fastest
+		times.order = append(times.order, key)
 	}
-	e.rotate(now)
-	if span = max(1, span); e.current == 0 || span < e.current {
-		e.current = span
+	fastest.rotate(now)
+	if elapsed = max(1, elapsed); fastest.current == 0 || elapsed < fastest.current {
+		fastest.current = elapsed
 	}
 }
 
-func (e *fastestResponse) rotate(now clock.Nanos) {
-	switch age := now - e.startsAt; {
+func (fastest *fastestResponse) rotate(now clock.Nanos) {
+	switch age := now - fastest.startedAt; {
 	case age < second:
 	case age < 2*second:
-		e.startsAt, e.previous, e.current = e.startsAt+second, e.current, 0
+		fastest.startedAt, fastest.previous, fastest.current = fastest.startedAt+second, fastest.current, 0
 	default:
-		e.startsAt, e.previous, e.current = now, 0, 0
+		fastest.startedAt, fastest.previous, fastest.current = now, 0, 0
 	}
 }
 
-func (t *responseTimes) isTooLate(now clock.Nanos, a Attempt) bool {
-	e := t.known[serverClass{a.Server, a.Class}]
-	if e == nil {
-		return a.Deadline <= now
+func (times *responseTimes) isTooLate(now clock.Nanos, attempt Attempt) bool {
+	fastest := times.byClass[serverClass{attempt.Server, attempt.Class}]
+	if fastest == nil {
+		return attempt.Deadline <= now
 	}
-	e.rotate(now)
-	least := e.current
-	if e.previous > 0 && (least == 0 || e.previous < least) {
-		least = e.previous
+	fastest.rotate(now)
+	shortest := fastest.current
+	if fastest.previous > 0 && (shortest == 0 || fastest.previous < shortest) {
+		shortest = fastest.previous
 	}
-	if now+least < a.Deadline {
+	if now+shortest < attempt.Deadline {
 		return false
 	}
-	if a.Deadline > now && now-e.lastTriedAt >= slotSize {
-		e.lastTriedAt = now
+	if attempt.Deadline > now && now-fastest.lastAttemptAt >= slotDuration {
+		fastest.lastAttemptAt = now
 		return false
 	}
 	return true
--- a/policy/recovery/retryafter.go
+++ b/policy/recovery/retryafter.go
@@ -8,85 +8,88 @@
 	"lotushook/policy/clock"
 )
 
-// Retry-After times are spread over the time that the rejected clients need: as many as were rejected and are not back yet, at the rate
-// at which this router sends. A better priority class has the earlier part of that span; within its part an account's place follows
-// from its hash, salted by this start, so that no account is always the last and all of one account's connections return together.
+// Retry-After times are distributed over a window that is long enough to serve the rejected clients that have not
+// returned yet at the rate at which this router sends. The window is divided among the priority classes, the best class
+// first. An account's place within its class follows from its hash, salted with the router's epoch, so that no account
+// is last after every restart and all connections of an account return together.
 
 const (
-	calendarSlots = 64 // spans in which the rejected are counted
-	slotSpan      = second / 8
+	calendarSlots        = 64
+	calendarSlotDuration = second / 8
 )
 
-// retryAfterCalendar counts the rejected clients by when they return.
+// retryAfterCalendar counts the rejected clients by the slot in which they are expected to return. Later returns count
+// in the last slot.
 type retryAfterCalendar struct {
-	startsAt clock.Nanos
-	slots    [calendarSlots]float64
-	sum      float64
+	startedAt clock.Nanos
+	slots     [calendarSlots]float64
+	total     float64
 }
 
-func (b *retryAfterCalendar) advance(now clock.Nanos) {
-	steps := (now - b.startsAt) / slotSpan
-	if steps <= 0 {
+func (calendar *retryAfterCalendar) advance(now clock.Nanos) {
+	elapsed := (now - calendar.startedAt) / calendarSlotDuration
+	if elapsed <= 0 {
 		return
 	}
-	for i := range min(steps, calendarSlots) {
-		b.sum -= b.slots[i]
+	for slot := range min(elapsed, calendarSlots) {
+		calendar.total -= calendar.slots[slot]
 	}
-	if steps >= calendarSlots {
-		b.slots = [calendarSlots]float64{}
-		b.sum = 0
+	if elapsed >= calendarSlots {
+		calendar.slots = [calendarSlots]float64{}
+		calendar.total = 0
 	} else {
-		copy(b.slots[:], b.slots[steps:])
-		clear(b.slots[calendarSlots-steps:])
+		copy(calendar.slots[:], calendar.slots[elapsed:])
+		clear(calendar.slots[calendarSlots-elapsed:])
 	}
-	b.startsAt += steps * slotSpan
+	calendar.startedAt += elapsed * calendarSlotDuration
 }
 
-// RetryAfter is how long a client of an account should stay away that is rejected now.
-func (r *Recovery) RetryAfter(now clock.Nanos, tenant, session string, lane int) clock.Nanos {
-	r.Tick(now)
-	now = r.now
-	b := &r.retryAfters
-	b.advance(now)
-	least, most := r.settings.RetryAfterRange[0], r.settings.RetryAfterRange[1]
-	var span clock.Nanos
-	switch rate := r.sendRate(); {
-	case r.stage < Proving: // until it may send at all, and then over a second
-		span = r.stageSince + r.settings.StageTimeouts[r.stage] - now + second
-	case r.stage < Serving && rate > 0:
-		span = clock.Nanos((b.sum + 1) / rate * float64(second))
-	default: // its recent rate of successes
-		span = clock.Nanos((b.sum + 1) / max(1, r.retries.successRate()) * float64(second))
+// RetryAfter returns the time after which a client that is rejected now should retry. The tenant and the session
+// identify its account.
+func (recovery *Recovery) RetryAfter(now clock.Nanos, tenant, session string, priorityClass int) clock.Nanos {
+	recovery.Tick(now)
+	now = recovery.now
+	calendar := &recovery.retryCalendar
+	calendar.advance(now)
+	minWait, maxWait := recovery.settings.RetryAfterRange[0], recovery.settings.RetryAfterRange[1]
+	var window clock.Nanos
+	switch rate := recovery.sendRate(); {
+	case recovery.stage < Proving: // until the stage's timeout, and a second longer
+		window = recovery.stageStartedAt + recovery.settings.StageTimeouts[recovery.stage] - now + second
+	case recovery.stage < Serving && rate > 0:
+		window = clock.Nanos((calendar.total + 1) / rate * float64(second))
+	default: // at the rate of recent successes
+		window = clock.Nanos((calendar.total + 1) / max(1, recovery.retryBudget.successRate()) * float64(second))
 	}
-	span = min(max(span, least), most-least)
-	lanes := float64(r.settings.PriorityClasses)
-	at := (float64(min(max(lane, 0), r.settings.PriorityClasses-1)) + fraction(hash(tenant, session, r.salt))) / lanes
-	wait := least + clock.Nanos(at*float64(span))
-	i := min((now+wait-b.startsAt)/slotSpan, calendarSlots-1)
-	b.slots[i]++
-	b.sum++
+	window = min(max(window, minWait), maxWait-minWait)
+	classes := float64(recovery.settings.PriorityClasses)
+	offset := (float64(min(max(priorityClass, 0), recovery.settings.PriorityClasses-1)) + fraction(hash(tenant, session, recovery.salt))) / classes
+	wait := minWait + clock.Nanos(offset*float64(window))
+	slot := min((now+wait-calendar.startedAt)/calendarSlotDuration, calendarSlots-1)
+	calendar.slots[slot]++
+	calendar.total++
 	return wait
 }
 
-// successRate is how many successes there were in the last second.
-func (t *retryBudget) successRate() (sum float64) {
-	for _, n := range t.successes {
-		sum += n
+// successRate returns the number of successes in the last second.
+func (budget *retryBudget) successRate() (sum float64) {
+	for _, count := range budget.successes {
+		sum += count
 	}
 	return sum
 }
 
-// hash is of two names and a salt.
-func hash(a, b string, salt uint64) uint64 {
-	var d xxhash.Digest
-	d.ResetWithSeed(salt)
-	var n [8]byte
-	binary.LittleEndian.PutUint64(n[:], uint64(len(a)))
-	d.Write(n[:])
-	d.WriteString(a)
-	d.WriteString(b)
-	return d.Sum64()
+// hash returns a salted hash of two strings.
+func hash(first, rest string, salt uint64) uint64 {
+	var digest xxhash.Digest
+	digest.ResetWithSeed(salt)
+	var length [8]byte
+	binary.LittleEndian.PutUint64(length[:], uint64(len(first)))
+	digest.Write(length[:])
+	digest.WriteString(first)
+	digest.WriteString(rest)
+	return digest.Sum64()
 }
 
-// fraction is from 0 to 1.
-func fraction(h uint64) float64 { return float64(h>>11) / (1 << 53) }
+// fraction maps a hash to a number from 0 to 1.
+func fraction(hashed uint64) float64 { return float64(hashed>>11) / (1 << 53) }
--- a/policy/recovery/rules_test.go
+++ b/policy/recovery/rules_test.go
@@ -10,8 +10,8 @@
 	"lotushook/policy/clock"
 )
 
-// Whatever each sees, whether it is right, old, of one side of a split, or a lie, the parts of all that are there add up to
-// Slack at the most; with views that are right, or with none, to 1.
+// Whatever each sees, whether it is right, old, of one side of a split, or a lie, the parts of all that are there add
+// up to Slack at the most; with views that are right, or with none, to 1.
 //
 //nolint:gocognit,funlen // one history or table of cases, told in order
 func TestPartsStayWithinSlack(t *testing.T) {
@@ -85,7 +85,8 @@
 	})
 }
 
-// What is spent follows: over any span at most Slack times the budget, and one for each router; and nobody waits for ever.
+// What is spent follows: over any span at most Slack times the budget, and one for each router; and nobody waits for
+// ever.
 //
 //nolint:gocognit // one history or table of cases, told in order
 func TestSpendingStaysWithinBudgets(t *testing.T) {
--- a/policy/recovery/size_test.go
+++ b/policy/recovery/size_test.go
@@ -41,7 +41,7 @@
 		} else {
 			r := must(t, s, 0)
 			serve(r, 5*second)
-			r.returning, r.peersReturnUntil = 0, 0
+			r.returning, r.yieldDeadline = 0, 0
 			r.Tick(now)
 			f.who = append(f.who, r)
 		}
@@ -164,8 +164,8 @@
 	return served
 }
 
-// All of the first second's work of all routers is within 1.2 of its budget at any size; what each spends does not grow with
-// their number; and where budgets grow with the fleet, neither does the time until all is served.
+// All of the first second's work of all routers is within 1.2 of its budget at any size; what each spends does not grow
+// with their number; and where budgets grow with the fleet, neither does the time until all is served.
 func TestSizes(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -216,8 +216,8 @@
 	}
 }
 
-// jam is a queue of a group that works in order of arrival, in front of which requests wait so long and are then tried again
-// while their clients wait; work that was given up stays in the queue.
+// jam is a queue of a group that works in order of arrival, in front of which requests wait so long and are then tried
+// again while their clients wait; work that was given up stays in the queue.
 //
 //nolint:gocognit,funlen // one history or table of cases, told in order
 func jam(r *Recovery, on bool) (calm, during, after float64) {
@@ -300,8 +300,8 @@
 	return count[0] / 10, count[1] / 10, count[2] / 40
 }
 
-// A metastable failure: a trigger of five seconds, after which retries alone keep a queue full of work for nobody. With the
-// budget of retries, and work that can't be in time left out, service is back by itself; without, it never is.
+// A metastable failure: a trigger of five seconds, after which retries alone keep a queue full of work for nobody. With
+// the budget of retries, and work that can't be in time left out, service is back by itself; without, it never is.
 func TestMetastable(t *testing.T) {
 	r := must(t, DefaultSettings("a", 1, 1), 0)
 	serve(r, 5*second)
--- a/policy/recovery/stage.go
+++ b/policy/recovery/stage.go
@@ -2,167 +2,171 @@
 
 import "lotushook/policy/clock"
 
-// Recovery is one router's. It is not safe for concurrent use; its size follows from the settings.
+// Recovery is the recovery state of one router. It is not safe for concurrent use; its settings bound its size.
 type Recovery struct {
-	settings         Settings
-	now              clock.Nanos
-	started          clock.Nanos
-	stage            Stage
-	stageSince       clock.Nanos // of the stage
-	proven           bool        // the stage was reached by proof
-	listed           bool
-	caughtUp         bool
-	seesMajority     bool        // enough of the others are seen to know which return
-	returning        int         // the number of returning routers
-	peersReturnUntil clock.Nanos // until then a serving router leaves budget for them
-	successes        int
+	settings       Settings
+	now            clock.Nanos
+	startedAt      clock.Nanos
+	stage          Stage
+	stageStartedAt clock.Nanos
+	enteredByProof bool // the stage was reached by its predecessor's proof, not by a timeout
+	hasList        bool
+	isCaughtUp     bool
+	seesMajority   bool        // a majority of the routers is seen, enough to know which ones return
+	returning      int         // number of routers that return together
+	yieldDeadline  clock.Nanos // before it, a serving router leaves budget to returning ones
+	stageSuccesses int
 
-	ramp              float64     // factor on its share of the first sends
-	stepAt            clock.Nanos // the present step's start
-	succeeded, failed int         // ends of attempts in it
-	deniedAt          clock.Nanos // the last send that the budget denied
-	lastTurn          [KindCount]clock.Nanos
-	phase             [KindCount]float64
-	tokens            float64 // of sends
-	tokensAt          clock.Nanos
-	retries           retryBudget
-	responseTimes     responseTimes
-	retryAfters       retryAfterCalendar
-	counts            [ReasonCount]int64
-	salt              uint64
+	rampFactor                float64     // multiplies this router's share of the send budget
+	rampStepAt                clock.Nanos // start of the current step
+	rampSucceeded, rampFailed int         // attempts that ended in the current step
+	lastSendDeniedAt          clock.Nanos // last send that the budget denied
+	lastSlot                  [KindCount]clock.Nanos
+	slotPhase                 [KindCount]float64
+	sendTokens                float64
+	sendTokensAt              clock.Nanos
+	retryBudget               retryBudget
+	responseTimes             responseTimes
+	retryCalendar             retryAfterCalendar
+	reasonCounts              [ReasonCount]int64
+	salt                      uint64
 }
 
-// New returns the recovery of a router that has just started.
-func New(s Settings, now clock.Nanos) (*Recovery, error) {
-	if err := s.check(); err != nil {
+// New returns the recovery state of a router that has just started.
+func New(settings Settings, now clock.Nanos) (*Recovery, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	r := &Recovery{settings: s, now: now, started: now, stageSince: now, proven: true, returning: s.Routers, ramp: 1, tokensAt: now, responseTimes: newResponseTimes(s.MaxTrackedResponseTimes),
-		salt: hash(s.Name, "", s.Epoch)}
-	for k := range r.phase {
-		r.phase[k] = fraction(hash(s.Name, kindNames[k], s.Epoch))
-		r.lastTurn[k] = -1 << 62
+	recovery := &Recovery{settings: settings, now: now, startedAt: now, stageStartedAt: now, enteredByProof: true, returning: settings.Routers, rampFactor: 1, sendTokensAt: now, responseTimes: newResponseTimes(settings.MaxTrackedResponseTimes),
+		salt: hash(settings.Name, "", settings.Epoch)}
+	for kind := range recovery.slotPhase {
+		recovery.slotPhase[kind] = fraction(hash(settings.Name, kindNames[kind], settings.Epoch))
+		recovery.lastSlot[kind] = -1 << 62
 	}
-	r.retryAfters.startsAt, r.retries.at, r.retries.floorPaidUntil, r.stepAt, r.peersReturnUntil = now, now, now, now, now+s.RestartWindow
-	return r, nil
+	recovery.retryCalendar.startedAt, recovery.retryBudget.newestSlotAt, recovery.retryBudget.minRateCreditedAt, recovery.rampStepAt, recovery.yieldDeadline = now, now, now, now, now+settings.RestartWindow
+	return recovery, nil
 }
 
-// ListReceived records that a list of data servers was received.
-func (r *Recovery) ListReceived(now clock.Nanos) {
-	r.listed = true
-	r.Tick(now)
+// ListReceived records that an endpoint list was received.
+func (recovery *Recovery) ListReceived(now clock.Nanos) {
+	recovery.hasList = true
+	recovery.Tick(now)
 }
 
-// CaughtUp records that the replicated state is complete: from a peer, or from a copy on disk.
-func (r *Recovery) CaughtUp(now clock.Nanos) {
-	r.caughtUp = true
-	r.Tick(now)
+// CaughtUp records that the replicated state is complete, received from a peer or restored from disk.
+func (recovery *Recovery) CaughtUp(now clock.Nanos) {
+	recovery.isCaughtUp = true
+	recovery.Tick(now)
 }
 
-// CatchUpLost records that the peer that sent the state is lost. The recovery waits for another, no longer than the timeout.
-func (r *Recovery) CatchUpLost(now clock.Nanos) {
-	if r.stage == Starting {
-		r.caughtUp = false
+// CatchUpLost records that the peer that was sending the replicated state is lost. Starting then waits for another
+// peer, until the stage's timeout.
+func (recovery *Recovery) CatchUpLost(now clock.Nanos) {
+	if recovery.stage == Starting {
+		recovery.isCaughtUp = false
 	}
-	r.Tick(now)
+	recovery.Tick(now)
 }
 
-// AttemptEnded records how an attempt has ended. One that was never sent is not reported.
-func (r *Recovery) AttemptEnded(now clock.Nanos, a Attempt, done bool, took clock.Nanos) {
-	r.Tick(now)
-	if !done {
-		r.failed++
+// AttemptEnded records the outcome of an attempt and its response time. It is not called for an attempt that was not
+// sent.
+func (recovery *Recovery) AttemptEnded(now clock.Nanos, attempt Attempt, succeeded bool, elapsed clock.Nanos) {
+	recovery.Tick(now)
+	if !succeeded {
+		recovery.rampFailed++
 		return
 	}
-	r.succeeded++
-	r.successes++
-	r.retries.addSuccess(now)
-	r.responseTimes.add(now, a.Server, a.Class, took)
-	r.Tick(now)
+	recovery.rampSucceeded++
+	recovery.stageSuccesses++
+	recovery.retryBudget.addSuccess(now)
+	recovery.responseTimes.add(now, attempt.Server, attempt.Class, elapsed)
+	recovery.Tick(now)
 }
 
-// Tick advances time. Every other call does so too; before it serves, a router without events calls it within
-// each MaxTickGap. A router that was paused goes on where it was: what it waits for can't have come meanwhile.
-func (r *Recovery) Tick(now clock.Nanos) {
-	if now < r.now { // a clock that goes back stands still here
-		now = r.now
+// Tick advances time, as every other call with a time does. Before a router serves, it must be called at least once per
+// MaxTickGap. After a longer gap, which means that the process was paused, the stage continues where it stopped: what
+// it waits for can't have arrived during the pause.
+func (recovery *Recovery) Tick(now clock.Nanos) {
+	if now < recovery.now { // a clock that is set back counts as stopped
+		now = recovery.now
 	}
-	if gap := now - r.now; gap > r.settings.MaxTickGap && r.stage < Serving {
-		r.stageSince += gap
-		r.stepAt += gap
-		r.deniedAt += gap
-		r.tokensAt += gap
+	if gap := now - recovery.now; gap > recovery.settings.MaxTickGap && recovery.stage < Serving {
+		recovery.stageStartedAt += gap
+		recovery.rampStepAt += gap
+		recovery.lastSendDeniedAt += gap
+		recovery.sendTokensAt += gap
 	}
-	r.now = now
-	for r.stage < Serving {
-		bound := r.stageSince + r.settings.StageTimeouts[r.stage]
+	recovery.now = now
+	for recovery.stage < Serving {
+		deadline := recovery.stageStartedAt + recovery.settings.StageTimeouts[recovery.stage]
 		switch {
-		case r.stage == Restored && !r.settings.SeesPeers: // there is nothing to wait for
-			r.enter(Proving, r.stageSince, true)
-		case r.stageProven(now):
-			r.enter(r.stage+1, now, true)
-		case now >= bound: // from when it was due, however late this is checked
-			r.enter(r.stage+1, bound, false)
+		case recovery.stage == Restored && !recovery.settings.SeesPeers: // there is no view of the peers to wait for
+			recovery.enter(Proving, recovery.stageStartedAt, true)
+		case recovery.stageProven(now):
+			recovery.enter(recovery.stage+1, now, true)
+		case now >= deadline: // the next stage starts at the deadline, however late Tick is called
+			recovery.enter(recovery.stage+1, deadline, false)
 		default:
-			r.advanceRamp(now)
+			recovery.advanceRamp(now)
 			return
 		}
 	}
 }
 
-// stageProven says whether the present stage's condition is met.
-func (r *Recovery) stageProven(now clock.Nanos) bool {
-	switch r.stage {
+// stageProven says whether the proof that ends the current stage is complete.
+func (recovery *Recovery) stageProven(now clock.Nanos) bool {
+	switch recovery.stage {
 	case Starting:
-		return r.listed && (r.caughtUp || !r.settings.CanCatchUp)
+		return recovery.hasList && (recovery.isCaughtUp || !recovery.settings.CanCatchUp)
 	case Restored:
-		return r.seesMajority
+		return recovery.seesMajority
 	case Proving:
-		return r.successes >= r.settings.MinSuccesses
+		return recovery.stageSuccesses >= recovery.settings.MinSuccesses
 	case Ramping:
-		return r.succeeded > 0 && now-max(r.deniedAt, r.stageSince) >= r.settings.RampQuiet
+		return recovery.rampSucceeded > 0 && now-max(recovery.lastSendDeniedAt, recovery.stageStartedAt) >= recovery.settings.RampQuiet
 	}
 	return false
 }
 
-func (r *Recovery) enter(s Stage, at clock.Nanos, proven bool) {
-	r.stage, r.stageSince, r.proven, r.stepAt = s, at, proven, at
-	r.successes, r.succeeded, r.failed = 0, 0, 0
-	if s == Proving { // from 0, by chance up to 1: those that return together start alike
-		r.tokens, r.tokensAt = r.phase[Send], at
+func (recovery *Recovery) enter(stage Stage, at clock.Nanos, proven bool) {
+	recovery.stage, recovery.stageStartedAt, recovery.enteredByProof, recovery.rampStepAt = stage, at, proven, at
+	recovery.stageSuccesses, recovery.rampSucceeded, recovery.rampFailed = 0, 0, 0
+	if stage == Proving { // a fraction of a token, so that routers that return together do not send together
+		recovery.sendTokens, recovery.sendTokensAt = recovery.slotPhase[Send], at
 	}
-	if s == Ramping {
-		r.stepAt = at + second - r.settings.RampStep // the first second is the budget's
+	if stage == Ramping {
+		recovery.rampStepAt = at + second - recovery.settings.RampStep // the first doubling is a second away
 	}
 }
 
-// advanceRamp doubles the ramp step by step while nearly all answers succeed, and halves it, not below its start, while most fail.
-func (r *Recovery) advanceRamp(now clock.Nanos) {
-	if r.stage != Ramping || now-r.stepAt < r.settings.RampStep {
+// advanceRamp doubles the ramp factor after each step in which at least 80% of the attempts succeeded, and halves it,
+// to no less than 1, after each step in which fewer than half did.
+func (recovery *Recovery) advanceRamp(now clock.Nanos) {
+	if recovery.stage != Ramping || now-recovery.rampStepAt < recovery.settings.RampStep {
 		return
 	}
-	r.refill(now)
-	switch ends := r.succeeded + r.failed; {
-	case ends == 0:
-	case 5*r.succeeded >= 4*ends:
-		r.ramp *= 2
-	case 2*r.succeeded < ends:
-		r.ramp = max(1, r.ramp/2)
+	recovery.refill(now)
+	switch ended := recovery.rampSucceeded + recovery.rampFailed; {
+	case ended == 0:
+	case 5*recovery.rampSucceeded >= 4*ended:
+		recovery.rampFactor *= 2
+	case 2*recovery.rampSucceeded < ended:
+		recovery.rampFactor = max(1, recovery.rampFactor/2)
 	}
-	r.stepAt, r.succeeded, r.failed = now, min(r.succeeded, 1), 0
+	recovery.rampStepAt, recovery.rampSucceeded, recovery.rampFailed = now, min(recovery.rampSucceeded, 1), 0
 }
 
-// Stage is the present stage.
-func (r *Recovery) Stage() Stage { return r.stage }
+// Stage returns the current stage.
+func (recovery *Recovery) Stage() Stage { return recovery.stage }
 
-// Report returns the operators' report.
-func (r *Recovery) Report(now clock.Nanos) Report {
-	r.Tick(now)
+// Report returns the report for operators.
+func (recovery *Recovery) Report(now clock.Nanos) Report {
+	recovery.Tick(now)
 	denied := map[string]int64{}
-	for why, n := range r.counts {
-		if n > 0 {
-			denied[Reason(why).String()] = n
+	for reason, count := range recovery.reasonCounts {
+		if count > 0 {
+			denied[Reason(reason).String()] = count
 		}
 	}
-	return Report{Stage: r.stage.String(), SinceMS: (r.now - r.stageSince) / 1e6, Returning: r.returning, Share: r.share(), Proven: r.proven, Denied: denied}
+	return Report{Stage: recovery.stage.String(), SinceMS: (recovery.now - recovery.stageStartedAt) / 1e6, Returning: recovery.returning, Share: recovery.share(), Proven: recovery.enteredByProof, Denied: denied}
 }
