--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -10,12 +10,12 @@
 	"lotushook/policy/clock"
 )
 
-// world is three routers, each with what it last saw of the others; each event makes another one of it.
-type world struct {
-	now  clock.Nanos
-	who  [3]*Recovery // nil: crashed
-	boot [3]uint64
-	path []string
+// modelState is the state of three routers, each with its last view of the others. Each event leads to another state.
+type modelState struct {
+	now     clock.Nanos
+	routers [3]*Recovery // nil: crashed
+	epochs  [3]uint64
+	events  []string
 }
 
 const exploreStep = 100 * ms
@@ -24,175 +24,175 @@
 	if recovery == nil {
 		return nil
 	}
-	c := *recovery // no attempts end here but in proofs: the times' map is not written
-	c.responseTimes = newResponseTimes(1)
-	return &c
+	clone := *recovery // the clones share no map of response times
+	clone.responseTimes = newResponseTimes(1)
+	return &clone
 }
 
-func (w *world) next(what string, i int) *world {
-	c := &world{now: w.now, boot: w.boot, path: append(slices.Clone(w.path), fmt.Sprintf("%s %d", what, i))}
-	for j, r := range w.who {
-		c.who[j] = r.clone()
+func (state *modelState) successor(event string, index int) *modelState {
+	next := &modelState{now: state.now, epochs: state.epochs, events: append(slices.Clone(state.events), fmt.Sprintf("%s %d", event, index))}
+	for other, router := range state.routers {
+		next.routers[other] = router.clone()
 	}
-	return c
+	return next
 }
 
-func (w *world) hash() uint64 {
-	h := fnv.New64a()
-	for i, r := range w.who {
-		if r == nil {
-			fmt.Fprint(h, i, "-")
+func (state *modelState) hash() uint64 {
+	hash := fnv.New64a()
+	for index, router := range state.routers {
+		if router == nil {
+			fmt.Fprint(hash, index, "-")
 			continue
 		}
-		fmt.Fprint(h, i, w.now-r.startedAt, w.now-r.stageStartedAt, r.stage, r.hasList, r.isCaughtUp, r.seesMajority, r.returning, r.stageSuccesses, r.rampSucceeded, r.enteredByProof, r.rampFactor, r.yieldDeadline-w.now, w.boot[i])
+		fmt.Fprint(hash, index, state.now-router.startedAt, state.now-router.stageStartedAt, router.stage, router.hasList, router.isCaughtUp, router.seesMajority, router.returning, router.stageSuccesses, router.rampSucceeded, router.enteredByProof, router.rampFactor, router.yieldDeadline-state.now, state.epochs[index])
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-func (w *world) start(tb testing.TB, i int, trusting bool) {
+func (state *modelState) start(tb testing.TB, index int, trustViews bool) {
 	tb.Helper()
-	w.boot[i] += uint64(w.now) + 1
-	s := DefaultSettings(string(rune('a'+i)), w.boot[i], 3)
-	s.CanCatchUp, s.SeesPeers, s.trustViews, s.MinSuccesses, s.MaxTrackedResponseTimes = true, true, trusting, 1, 1
-	w.who[i] = must(tb, s, w.now)
+	state.epochs[index] += uint64(state.now) + 1
+	settings := DefaultSettings(string(rune('a'+index)), state.epochs[index], 3)
+	settings.CanCatchUp, settings.SeesPeers, settings.trustViews, settings.MinSuccesses, settings.MaxTrackedResponseTimes = true, true, trustViews, 1, 1
+	state.routers[index] = newRecovery(tb, settings, state.now)
 }
 
-// view is what membership may show a router: all that are up, as it is; or nobody.
-func (w *world) view(i int) []Peer {
-	var out []Peer
-	for j, r := range w.who {
-		if j != i && r != nil {
-			out = append(out, Peer{Name: string(rune('a' + j)), Epoch: w.boot[j], Alive: true, HeardDirectly: true})
+// view is a correct view of a router's peers.
+func (state *modelState) view(index int) []Peer {
+	var peers []Peer
+	for other, router := range state.routers {
+		if other != index && router != nil {
+			peers = append(peers, Peer{Name: string(rune('a' + other)), Epoch: state.epochs[other], Alive: true, HeardDirectly: true})
 		}
 	}
-	return out
+	return peers
 }
 
-// events are all that can happen next.
-func (w *world) events(tb testing.TB, trusting bool) []*world {
+// successors returns the states after each event that can happen next.
+func (state *modelState) successors(tb testing.TB, trustViews bool) []*modelState {
 	tb.Helper()
-	c := w.next("tick", -1)
-	c.now += exploreStep
-	for _, r := range c.who {
-		if r != nil {
-			r.Tick(c.now)
+	next := state.successor("tick", -1)
+	next.now += exploreStep
+	for _, router := range next.routers {
+		if router != nil {
+			router.Tick(next.now)
 		}
 	}
-	out := []*world{c}
-	do := func(what string, i int, f func(c *world, r *Recovery)) {
-		c := w.next(what, i)
-		f(c, c.who[i])
-		out = append(out, c)
+	all := []*modelState{next}
+	add := func(event string, index int, apply func(next *modelState, router *Recovery)) {
+		next := state.successor(event, index)
+		apply(next, next.routers[index])
+		all = append(all, next)
 	}
-	for i, r := range w.who {
-		if r == nil {
-			do("start with its disk", i, func(c *world, _ *Recovery) {
-				c.start(tb, i, trusting)
-				c.who[i].ListReceived(c.now)
-				c.who[i].CaughtUp(c.now)
+	for index, router := range state.routers {
+		if router == nil {
+			add("start with a copy on disk", index, func(next *modelState, _ *Recovery) {
+				next.start(tb, index, trustViews)
+				next.routers[index].ListReceived(next.now)
+				next.routers[index].CaughtUp(next.now)
 			})
-			do("start without", i, func(c *world, _ *Recovery) { c.start(tb, i, trusting) })
+			add("start without a copy", index, func(next *modelState, _ *Recovery) { next.start(tb, index, trustViews) })
 			continue
 		}
-		do("crash", i, func(c *world, _ *Recovery) { c.who[i] = nil })
-		do("deliver view", i, func(c *world, r *Recovery) { r.UpdatePeers(c.now, c.view(i)) })
-		do("lose view", i, func(c *world, r *Recovery) { r.UpdatePeers(c.now, nil) })
-		if r.stage == Starting {
-			do("list", i, func(c *world, r *Recovery) { r.ListReceived(c.now) })
-			do("fed", i, func(c *world, r *Recovery) { r.CaughtUp(c.now) })
-			do("feed dies", i, func(c *world, r *Recovery) { r.CatchUpLost(c.now) })
+		add("crash", index, func(next *modelState, _ *Recovery) { next.routers[index] = nil })
+		add("deliver view", index, func(next *modelState, router *Recovery) { router.UpdatePeers(next.now, next.view(index)) })
+		add("lose view", index, func(next *modelState, router *Recovery) { router.UpdatePeers(next.now, nil) })
+		if router.stage == Starting {
+			add("list", index, func(next *modelState, router *Recovery) { router.ListReceived(next.now) })
+			add("caught up", index, func(next *modelState, router *Recovery) { router.CaughtUp(next.now) })
+			add("catch-up lost", index, func(next *modelState, router *Recovery) { router.CatchUpLost(next.now) })
 		}
-		if r.stage >= Proving && r.stage < Serving {
-			do("answer", i, func(c *world, r *Recovery) { r.AttemptEnded(c.now, Attempt{}, true, ms) })
+		if router.stage >= Proving && router.stage < Serving {
+			add("answer", index, func(next *modelState, router *Recovery) { router.AttemptEnded(next.now, Attempt{}, true, ms) })
 		}
 	}
-	return out
+	return all
 }
 
-// broken says which invariant an event has broken.
-func (w *world) broken(before *world) string {
+// brokenInvariant describes the invariant that the last event violated, if any.
+func (state *modelState) brokenInvariant(previous *modelState) string {
 	sum := 0.0
-	for i, r := range w.who {
-		if r == nil {
+	for index, router := range state.routers {
+		if router == nil {
 			continue
 		}
-		sum += r.clone().Share(w.now)
-		if r.stage < Serving && w.now-r.stageStartedAt >= r.settings.StageTimeouts[r.stage] {
-			return fmt.Sprintf("%d is %s for %d ms", i, r.stage, (w.now-r.stageStartedAt)/ms)
+		sum += router.clone().Share(state.now)
+		if router.stage < Serving && state.now-router.stageStartedAt >= router.settings.StageTimeouts[router.stage] {
+			return fmt.Sprintf("router %d is in stage %s for %d ms", index, router.stage, (state.now-router.stageStartedAt)/ms)
 		}
-		if old := before.who[i]; old != nil && before.boot[i] == w.boot[i] && (r.stage < old.stage || r.stageStartedAt < old.stageStartedAt) {
-			return fmt.Sprintf("%d fell from %s to %s", i, old.stage, r.stage)
+		if before := previous.routers[index]; before != nil && previous.epochs[index] == state.epochs[index] && (router.stage < before.stage || router.stageStartedAt < before.stageStartedAt) {
+			return fmt.Sprintf("router %d went back from stage %s to %s", index, before.stage, router.stage)
 		}
-		if old := before.who[i]; old != nil && old.stage == Restored && r.stage == Proving && r.enteredByProof && !r.seesMajority {
-			return fmt.Sprintf("%d proves, and saw nobody", i)
+		if before := previous.routers[index]; before != nil && before.stage == Restored && router.stage == Proving && router.enteredByProof && !router.seesMajority {
+			return fmt.Sprintf("router %d reached Proving by proof without seeing a majority", index)
 		}
-		for k, least := range map[Kind]Stage{Dial: Restored, Probe: Restored} {
-			if _, why := r.clone().Allow(w.now, k, second); why == Allowed && r.stage < least {
-				return fmt.Sprintf("%d: a %s while %s", i, k, r.stage)
+		for kind, minStage := range map[Kind]Stage{Dial: Restored, Probe: Restored} {
+			if _, reason := router.clone().Allow(state.now, kind, second); reason == Allowed && router.stage < minStage {
+				return fmt.Sprintf("router %d: %s allowed in stage %s", index, kind, router.stage)
 			}
 		}
-		if why := r.clone().AllowSend(w.now, Attempt{Deadline: w.now + second}); why == Allowed && r.stage < Proving {
-			return fmt.Sprintf("%d sends while %s", i, r.stage)
+		if reason := router.clone().AllowSend(state.now, Attempt{Deadline: state.now + second}); reason == Allowed && router.stage < Proving {
+			return fmt.Sprintf("router %d: send allowed in stage %s", index, router.stage)
 		}
-		if r.returning < 1 || r.returning > r.settings.Routers {
-			return fmt.Sprintf("%d believes that %d return", i, r.returning)
+		if router.returning < 1 || router.returning > router.settings.Routers {
+			return fmt.Sprintf("router %d counts %d returning routers", index, router.returning)
 		}
 	}
 	if sum > 1.2+1e-9 {
-		return fmt.Sprintf("the parts add up to %.2f", sum)
+		return fmt.Sprintf("the shares add up to %.2f", sum)
 	}
 	return ""
 }
 
-// explore sees worlds breadth first, up to so many, and returns how many and how deep, and the shortest way to a broken
-// one.
-func explore(tb testing.TB, trusting bool, most int) (states, depth int, fault string) {
+// explore visits up to maxStates states breadth first. It returns their number and depth, and the shortest sequence of
+// events to a violation, if any.
+func explore(tb testing.TB, trustViews bool, maxStates int) (states, depth int, violation string) {
 	tb.Helper()
-	w := &world{now: 100 * second}
-	for i := range w.who {
-		w.start(tb, i, trusting)
+	initial := &modelState{now: 100 * second}
+	for index := range initial.routers {
+		initial.start(tb, index, trustViews)
 	}
-	for i := range 2 { // they have served for long; the third has just started
-		w.who[i].startedAt, w.who[i].stageStartedAt, w.who[i].yieldDeadline, w.boot[i], w.who[i].stage = 0, 0, 0, 1, Serving
-		w.who[i].settings.Epoch = 1
+	for index := range 2 { // two have served for long; the third has just started
+		initial.routers[index].startedAt, initial.routers[index].stageStartedAt, initial.routers[index].yieldDeadline, initial.epochs[index], initial.routers[index].stage = 0, 0, 0, 1, Serving
+		initial.routers[index].settings.Epoch = 1
 	}
-	seen, row := map[uint64]bool{w.hash(): true}, []*world{w}
-	for len(row) > 0 && len(seen) < most {
-		var next []*world
-		for _, x := range row {
-			for _, y := range x.events(tb, trusting) {
-				if b := y.broken(x); b != "" {
-					return len(seen), len(y.path), b + "\n" + strings.Join(y.path, "\n")
+	seen, frontier := map[uint64]bool{initial.hash(): true}, []*modelState{initial}
+	for len(frontier) > 0 && len(seen) < maxStates {
+		var next []*modelState
+		for _, state := range frontier {
+			for _, successor := range state.successors(tb, trustViews) {
+				if broken := successor.brokenInvariant(state); broken != "" {
+					return len(seen), len(successor.events), broken + "\n" + strings.Join(successor.events, "\n")
 				}
-				if h := y.hash(); !seen[h] {
-					seen[h] = true
-					next = append(next, y)
+				if hash := successor.hash(); !seen[hash] {
+					seen[hash] = true
+					next = append(next, successor)
 				}
 			}
 		}
 		depth++
-		row = next
+		frontier = next
 	}
 	return len(seen), depth, ""
 }
 
 func TestExplore(t *testing.T) {
-	states, depth, fault := explore(t, false, 20_000)
+	states, depth, violation := explore(t, false, 20_000)
 	t.Logf("%d states, %d events deep", states, depth)
-	if fault != "" {
-		t.Error(fault)
+	if violation != "" {
+		t.Error(violation)
 	}
 	if states < 20_000 || depth < 6 {
 		t.Errorf("only %d states, %d events deep", states, depth)
 	}
 }
 
-// A rule broken on purpose is found: a router that believes its view takes all that is left of a budget, and the next
-// one too.
-func TestExploreFindsABrokenRule(t *testing.T) {
-	states, depth, fault := explore(t, true, 20_000)
-	t.Logf("%d states, %d events deep: %s", states, depth, fault)
-	if fault == "" {
-		t.Error("nothing was found")
+// The exploration finds an invariant that is broken on purpose: without MaxShareFactor, several routers may each use
+// all that their views leave of a budget.
+func TestExploreFindsBrokenInvariant(t *testing.T) {
+	states, depth, violation := explore(t, true, 20_000)
+	t.Logf("%d states, %d events deep: %s", states, depth, violation)
+	if violation == "" {
+		t.Error("no violation was found")
 	}
 }
--- a/policy/recovery/main_test.go
+++ b/policy/recovery/main_test.go
@@ -8,35 +8,35 @@
 
 const ms = second / 1000
 
-func must(t interface{ Fatal(...any) }, s Settings, now clock.Nanos) *Recovery {
-	r, err := New(s, now)
+func newRecovery(t interface{ Fatal(...any) }, settings Settings, now clock.Nanos) *Recovery {
+	recovery, err := New(settings, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return recovery
 }
 
-func TestBadSettings(t *testing.T) {
-	good := DefaultSettings("a", 1, 3)
-	must(t, good, 0)
-	for i, spoil := range []func(*Settings){
-		func(s *Settings) { s.Name = "" }, func(s *Settings) { s.Routers = 0 }, func(s *Settings) { s.MaxShareFactor = 0.9 }, func(s *Settings) { s.ServingShare = 2 },
-		func(s *Settings) { s.Budgets[Probe] = -1 }, func(s *Settings) { s.StageTimeouts[Restored] = 0 }, func(s *Settings) { s.RetryRatio = 0.2 },
-		func(s *Settings) { s.MinSuccesses = 0 }, func(s *Settings) { s.RetryAfterRange[1] = 0 },
+func TestInvalidSettings(t *testing.T) {
+	valid := DefaultSettings("a", 1, 3)
+	newRecovery(t, valid, 0)
+	for i, invalidate := range []func(*Settings){
+		func(settings *Settings) { settings.Name = "" }, func(settings *Settings) { settings.Routers = 0 }, func(settings *Settings) { settings.MaxShareFactor = 0.9 }, func(settings *Settings) { settings.ServingShare = 2 },
+		func(settings *Settings) { settings.Budgets[Probe] = -1 }, func(settings *Settings) { settings.StageTimeouts[Restored] = 0 }, func(settings *Settings) { settings.RetryRatio = 0.2 },
+		func(settings *Settings) { settings.MinSuccesses = 0 }, func(settings *Settings) { settings.RetryAfterRange[1] = 0 },
 	} {
-		s := good
-		spoil(&s)
-		if _, err := New(s, 0); err == nil {
-			t.Errorf("%d: %+v was taken", i, s)
+		settings := valid
+		invalidate(&settings)
+		if _, err := New(settings, 0); err == nil {
+			t.Errorf("%d: invalid settings accepted: %+v", i, settings)
 		}
 	}
 }
 
-// serve has time go on until a router serves.
-func serve(r *Recovery, until clock.Nanos) clock.Nanos {
-	for now := r.now; now < until; now += 300 * ms {
-		r.Tick(now)
+// tickUntil advances time to the end in steps below MaxTickGap.
+func tickUntil(recovery *Recovery, end clock.Nanos) clock.Nanos {
+	for now := recovery.now; now < end; now += 300 * ms {
+		recovery.Tick(now)
 	}
-	r.Tick(until)
-	return until
+	recovery.Tick(end)
+	return end
 }
--- a/policy/recovery/recovery_test.go
+++ b/policy/recovery/recovery_test.go
@@ -8,201 +8,202 @@
 	"lotushook/policy/clock"
 )
 
-// Each stage, what it admits, what proves it, and what happens when nothing does.
+// What each stage permits, which events prove it, and what happens without a proof.
 func TestStages(t *testing.T) {
-	ok := Attempt{Server: 1, Deadline: 1 << 60}
-	type step struct {
-		at   clock.Nanos
-		do   string
-		want Stage
-		send Reason
+	attempt := Attempt{Server: 1, Deadline: 1 << 60}
+	type stageStep struct {
+		atMS  clock.Nanos
+		event string
+		want  Stage
+		send  Reason
 	}
-	for _, c := range []struct {
-		name    string
-		feeders bool
-		steps   []step
+	for _, test := range []struct {
+		name     string
+		hasPeers bool
+		steps    []stageStep
 	}{
-		{"alone: a list is enough to prove", false, []step{{0, "", Starting, TooEarly}, {10, "list", Proving, Allowed}}},
-		{"alone, and no list: the bounds end each stage", false, []step{{299, "", Starting, TooEarly}, {300, "", Proving, Allowed}, {801, "", Ramping, Allowed},
+		{"no peers: a list is enough for Proving", false, []stageStep{{0, "", Starting, TooEarly}, {10, "list", Proving, Allowed}}},
+		{"no peers and no list: the timeouts end each stage", false, []stageStep{{299, "", Starting, TooEarly}, {300, "", Proving, Allowed}, {801, "", Ramping, Allowed},
 			{3799, "", Ramping, Allowed}, {3800, "", Serving, Allowed}}},
-		{"fed: list and state, then a view, then answers", true, []step{{5, "list", Starting, TooEarly}, {20, "fed", Restored, TooEarly}, {30, "view", Proving, Allowed},
+		{"list and state, then a view, then answers", true, []stageStep{{5, "list", Starting, TooEarly}, {20, "caught up", Restored, TooEarly}, {30, "view", Proving, Allowed},
 			{40, "done", Proving, Allowed}, {50, "done", Proving, Allowed}, {60, "done", Ramping, Allowed}, {559, "done", Ramping, Allowed}, {560, "", Serving, Allowed}}},
-		{"the feed dies: it waits for another, or the bound", true, []step{{5, "fed", Starting, TooEarly}, {6, "lost", Starting, TooEarly}, {7, "list", Starting, TooEarly},
+		{"catch-up lost: waits for another peer or the timeout", true, []stageStep{{5, "caught up", Starting, TooEarly}, {6, "lost", Starting, TooEarly}, {7, "list", Starting, TooEarly},
 			{299, "", Starting, TooEarly}, {300, "", Restored, TooEarly}, {499, "", Restored, TooEarly}, {500, "", Proving, Allowed}}},
-		{"stopped for five seconds: it goes on where it was", true, []step{{100, "", Starting, TooEarly}, {5100, "stopped", Starting, TooEarly}, {5299, "", Starting, TooEarly},
+		{"paused for five seconds: continues where it stopped", true, []stageStep{{100, "", Starting, TooEarly}, {5100, "paused", Starting, TooEarly}, {5299, "", Starting, TooEarly},
 			{5300, "", Restored, TooEarly}}},
-		{"failures alone prove nothing", false, []step{{1, "list", Proving, Allowed}, {2, "failed", Proving, Allowed}, {3, "failed", Proving, Allowed}, {4, "failed", Proving, Allowed}, {501, "", Ramping, Allowed}}},
+		{"failures alone prove nothing", false, []stageStep{{1, "list", Proving, Allowed}, {2, "failed", Proving, Allowed}, {3, "failed", Proving, Allowed}, {4, "failed", Proving, Allowed}, {501, "", Ramping, Allowed}}},
 	} {
-		s := DefaultSettings("a", 1, 3)
-		s.CanCatchUp, s.SeesPeers = c.feeders, c.feeders
-		s.Budgets[Send] = 0 // it is the stages' word that is asked for
-		r := must(t, s, 0)
-		for _, x := range c.steps {
-			now := x.at * ms
-			for at := r.now; at < now && x.do != "stopped"; at += 100 * ms {
-				r.Tick(at)
+		settings := DefaultSettings("a", 1, 3)
+		settings.CanCatchUp, settings.SeesPeers = test.hasPeers, test.hasPeers
+		settings.Budgets[Send] = 0 // only the stages decide about sends here
+		recovery := newRecovery(t, settings, 0)
+		for _, step := range test.steps {
+			now := step.atMS * ms
+			for at := recovery.now; at < now && step.event != "paused"; at += 100 * ms {
+				recovery.Tick(at)
 			}
-			switch x.do {
+			switch step.event {
 			case "list":
-				r.ListReceived(now)
-			case "fed":
-				r.CaughtUp(now)
+				recovery.ListReceived(now)
+			case "caught up":
+				recovery.CaughtUp(now)
 			case "lost":
-				r.CatchUpLost(now)
+				recovery.CatchUpLost(now)
 			case "view":
-				r.UpdatePeers(now, []Peer{{Name: "b", Alive: true, HeardDirectly: true}})
+				recovery.UpdatePeers(now, []Peer{{Name: "b", Alive: true, HeardDirectly: true}})
 			case "done", "failed":
-				r.AttemptEnded(now, ok, x.do == "done", ms)
+				recovery.AttemptEnded(now, attempt, step.event == "done", ms)
 			}
-			r.Tick(now)
-			if got := r.AllowSend(now, ok); r.Stage() != x.want || got != x.send {
-				t.Errorf("%s: at %d ms after %q: %s, a send is %s, want %s, %s", c.name, x.at, x.do, r.Stage(), got, x.want, x.send)
+			recovery.Tick(now)
+			if got := recovery.AllowSend(now, attempt); recovery.Stage() != step.want || got != step.send {
+				t.Errorf("%s: at %d ms after %q: stage %s, send %s, want %s, %s", test.name, step.atMS, step.event, recovery.Stage(), got, step.want, step.send)
 			}
-			for k, want := range map[Kind]bool{ListCall: true, CatchUp: true, Dial: x.want >= Restored, Probe: x.want >= Restored} {
-				if _, why := r.Allow(now, k, second); (why != TooEarly) != want {
-					t.Errorf("%s: at %d ms: %s: %s", c.name, x.at, k, why)
+			for kind, want := range map[Kind]bool{ListCall: true, CatchUp: true, Dial: step.want >= Restored, Probe: step.want >= Restored} {
+				if _, reason := recovery.Allow(now, kind, second); (reason != TooEarly) != want {
+					t.Errorf("%s: at %d ms: %s: %s", test.name, step.atMS, kind, reason)
 				}
 			}
 		}
 	}
 }
 
-// Work that can't be in time is not sent; one in each tenth of a second finds out whether it could by now, and what is
-// not confirmed for two seconds is forgotten.
-func TestLate(t *testing.T) {
-	r := must(t, DefaultSettings("a", 1, 1), 0)
-	now := serve(r, 10*second)
-	r.AttemptEnded(now, Attempt{Server: 7}, true, 300*ms)
-	ask := func(server uint32, left clock.Nanos) Reason {
-		return r.AllowSend(now, Attempt{Server: server, Deadline: now + left})
+// A request that can't be answered before its deadline is not sent, except for one per slotDuration to learn whether
+// responses are faster now. Response times expire after two seconds without an answer.
+func TestTooLate(t *testing.T) {
+	recovery := newRecovery(t, DefaultSettings("a", 1, 1), 0)
+	now := tickUntil(recovery, 10*second)
+	recovery.AttemptEnded(now, Attempt{Server: 7}, true, 300*ms)
+	send := func(server uint32, remaining clock.Nanos) Reason {
+		return recovery.AllowSend(now, Attempt{Server: server, Deadline: now + remaining})
 	}
-	for _, c := range []struct {
-		server uint32
-		left   clock.Nanos
-		want   Reason
+	for _, test := range []struct {
+		server    uint32
+		remaining clock.Nanos
+		want      Reason
 	}{{7, 301 * ms, Allowed}, {7, 200 * ms, Allowed}, {7, 200 * ms, TooLate}, {7, 299 * ms, TooLate}, {8, ms, Allowed}, {8, 0, TooLate}, {7, -ms, TooLate}} {
-		if got := ask(c.server, c.left); got != c.want {
-			t.Errorf("server %d with %d ms left: %s, want %s", c.server, c.left/ms, got, c.want)
+		if got := send(test.server, test.remaining); got != test.want {
+			t.Errorf("server %d with %d ms left: %s, want %s", test.server, test.remaining/ms, got, test.want)
 		}
 	}
 	now += slotDuration
-	if got := ask(7, 200*ms); got != Allowed {
-		t.Errorf("a tenth later: %s", got)
+	if got := send(7, 200*ms); got != Allowed {
+		t.Errorf("a slot later: %s", got)
 	}
 	now += 2 * second
-	if got, again := ask(7, ms), ask(7, ms); got != Allowed || again != Allowed {
-		t.Errorf("two seconds later: %s, %s", got, again)
+	if got, repeated := send(7, ms), send(7, ms); got != Allowed || repeated != Allowed {
+		t.Errorf("two seconds later: %s, %s", got, repeated)
 	}
 	for i := range 10_000 {
-		r.AttemptEnded(now, Attempt{Server: uint32(i)}, true, ms)
+		recovery.AttemptEnded(now, Attempt{Server: uint32(i)}, true, ms)
 	}
-	if n := len(r.responseTimes.byClass); n != r.settings.MaxTrackedResponseTimes || len(r.responseTimes.order) != n {
-		t.Errorf("%d places are remembered", n)
+	if tracked := len(recovery.responseTimes.byClass); tracked != recovery.settings.MaxTrackedResponseTimes || len(recovery.responseTimes.order) != tracked {
+		t.Errorf("%d response times are tracked", tracked)
 	}
 }
 
-// In any ten seconds: at most Ratio times the successes of these and of the second before, and the floor. Over all
-// routers that is less than 1.2 attempts a request, whoever they think is there.
+// In any ten seconds, retries stay within RetryRatio times the successes of those and of the second before, plus what
+// MinRetryRate allows. Over all routers that is less than 1.2 attempts per request, whatever their views are.
 //
-//nolint:gocognit // one history or table of cases, told in order
+//nolint:gocognit // one random history with its checks in order
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 5).Draw(t, "routers")
-		var all []*Recovery
-		for i := range n {
-			s := DefaultSettings(string(rune('a'+i)), 1, n)
-			all = append(all, must(t, s, 0))
-			serve(all[i], 5*second)
+		routerCount := rapid.IntRange(1, 5).Draw(t, "routers")
+		var recoveries []*Recovery
+		for i := range routerCount {
+			settings := DefaultSettings(string(rune('a'+i)), 1, routerCount)
+			recoveries = append(recoveries, newRecovery(t, settings, 0))
+			tickUntil(recoveries[i], 5*second)
 		}
-		type moment struct {
-			at         clock.Nanos
-			won, again int
+		type retrySample struct {
+			at                 clock.Nanos
+			succeeded, retried int
 		}
-		var log []moment
+		var samples []retrySample
 		now := 5 * second
-		won, again, denied := 0, 0, 0
+		succeeded, retried, denied := 0, 0, 0
 		for range rapid.IntRange(50, 400).Draw(t, "moments") {
 			now += clock.Nanos(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
-			r := all[rapid.IntRange(0, n-1).Draw(t, "router")]
-			m := moment{at: now}
+			recovery := recoveries[rapid.IntRange(0, routerCount-1).Draw(t, "router")]
+			sample := retrySample{at: now}
 			for range rapid.IntRange(0, 40).Draw(t, "won") {
-				r.AttemptEnded(now, Attempt{}, true, ms)
-				m.won++
+				recovery.AttemptEnded(now, Attempt{}, true, ms)
+				sample.succeeded++
 			}
 			for range rapid.IntRange(0, 40).Draw(t, "again") {
-				if r.AllowSend(now, Attempt{IsRetry: true, Deadline: now + second}) == Allowed {
-					m.again++
+				if recovery.AllowSend(now, Attempt{IsRetry: true, Deadline: now + second}) == Allowed {
+					sample.retried++
 				} else {
 					denied++
 				}
 			}
-			won, again = won+m.won, again+m.again
-			log = append(log, m)
+			succeeded, retried = succeeded+sample.succeeded, retried+sample.retried
+			samples = append(samples, sample)
 		}
-		for i := range log {
-			won, again := 0.0, 0.0
-			for j := i; j < len(log) && log[j].at < log[i].at+10*second; j++ {
-				again += float64(log[j].again)
+		for i := range samples {
+			succeeded, retried := 0.0, 0.0
+			for j := i; j < len(samples) && samples[j].at < samples[i].at+10*second; j++ {
+				retried += float64(samples[j].retried)
 			}
-			for _, m := range log {
-				if m.at >= log[i].at-second && m.at < log[i].at+10*second {
-					won += float64(m.won)
+			for _, sample := range samples {
+				if sample.at >= samples[i].at-second && sample.at < samples[i].at+10*second {
+					succeeded += float64(sample.succeeded)
 				}
 			}
-			s := all[0].settings
-			if most := s.RetryRatio*won + 10*s.MinRetryRate + float64(n); again > most+1e-6 {
-				t.Fatalf("from %d ms on: %v further attempts for %v successes, %v at most", log[i].at/ms, again, won, most)
+			settings := recoveries[0].settings
+			if maxRetries := settings.RetryRatio*succeeded + 10*settings.MinRetryRate + float64(routerCount); retried > maxRetries+1e-6 {
+				t.Fatalf("from %d ms on: %v retries for %v successes, want at most %v", samples[i].at/ms, retried, succeeded, maxRetries)
 			}
 		}
-		if again == 0 && won > 100 && denied > 0 {
-			t.Fatal("none was ever allowed")
+		if retried == 0 && succeeded > 100 && denied > 0 {
+			t.Fatal("no retry was ever allowed")
 		}
 	})
 }
 
-// Times to return: spread over what those that were told need, better lanes first, one account's alike.
-func TestReturns(t *testing.T) {
-	s := DefaultSettings("a", 1, 1)
-	s.PriorityClasses, s.Budgets[Send] = 3, 100
-	r := must(t, s, 0)
-	r.ListReceived(0) // proving: 25 a second
-	worst := [3]clock.Nanos{}
-	var all []clock.Nanos
+// Retry-After times cover the time that the rejected clients need, better priority classes return first, and one
+// account gets the same time again.
+func TestRetryAfter(t *testing.T) {
+	settings := DefaultSettings("a", 1, 1)
+	settings.PriorityClasses, settings.Budgets[Send] = 3, 100
+	recovery := newRecovery(t, settings, 0)
+	recovery.ListReceived(0) // Proving sends at a quarter of the budget, 25 per second
+	longest := [3]clock.Nanos{}
+	var waits []clock.Nanos
 	for i := range 50 {
 		name := string(rune('A' + i))
-		lane := i % 3
-		b := r.retryCalendar
-		d := r.RetryAfter(ms, "team", name, lane)
-		r.retryCalendar = b
-		if again := r.RetryAfter(ms, "team", name, lane); again != d {
-			t.Errorf("%s: %d, then %d", name, d, again)
+		class := i % 3
+		calendar := recovery.retryCalendar
+		wait := recovery.RetryAfter(ms, "team", name, class)
+		recovery.retryCalendar = calendar
+		if repeated := recovery.RetryAfter(ms, "team", name, class); repeated != wait {
+			t.Errorf("%s: %d, then %d", name, wait, repeated)
 		}
-		worst[lane] = max(worst[lane], d)
-		all = append(all, d)
-		if d < s.RetryAfterRange[0] || d > s.RetryAfterRange[1] {
-			t.Errorf("%s: %d ms", name, d/ms)
+		longest[class] = max(longest[class], wait)
+		waits = append(waits, wait)
+		if wait < settings.RetryAfterRange[0] || wait > settings.RetryAfterRange[1] {
+			t.Errorf("%s: %d ms", name, wait/ms)
 		}
 	}
-	if worst[0] >= worst[1] || worst[1] >= worst[2] {
-		t.Errorf("lanes come back within %v", worst)
+	if longest[0] >= longest[1] || longest[1] >= longest[2] {
+		t.Errorf("the priority classes return within %v", longest)
 	}
-	if worst[2] < second {
-		t.Errorf("50 that are told at 25 a second come back within %d ms", worst[2]/ms)
+	if longest[2] < second {
+		t.Errorf("50 clients rejected at 25 sends per second return within %d ms", longest[2]/ms)
 	}
-	other := must(t, DefaultSettings("a", 2, 1), 0)
-	other.ListReceived(0)
-	same := 0
-	for i, d := range all {
-		if other.RetryAfter(ms, "team", string(rune('A'+i)), 0) == d {
-			same++
+	restarted := newRecovery(t, DefaultSettings("a", 2, 1), 0)
+	restarted.ListReceived(0)
+	unchanged := 0
+	for i, wait := range waits {
+		if restarted.RetryAfter(ms, "team", string(rune('A'+i)), 0) == wait {
+			unchanged++
 		}
 	}
-	if same > 5 {
-		t.Errorf("%d of 50 have the same place after another start", same)
+	if unchanged > 5 {
+		t.Errorf("%d of 50 clients have the same Retry-After time after a restart", unchanged)
 	}
-	serve(r, 20*second)
-	r.RetryAfter(20*second, "", "", 0)
-	if r.retryCalendar.total != 1 {
-		t.Errorf("%v are still expected", r.retryCalendar.total)
+	tickUntil(recovery, 20*second)
+	recovery.RetryAfter(20*second, "", "", 0)
+	if recovery.retryCalendar.total != 1 {
+		t.Errorf("%v clients are still expected", recovery.retryCalendar.total)
 	}
 }
--- a/policy/recovery/replay_test.go
+++ b/policy/recovery/replay_test.go
@@ -15,27 +15,27 @@
 		settings := recovery.DefaultSettings("r-0", seed, 4)
 		settings.CanCatchUp, settings.SeesPeers, settings.PriorityClasses = seed%2 == 0, seed%3 == 0, 2
 		settings.StageTimeouts = [recovery.Serving]clock.Nanos{2e9, 2e9, 3e9, 10e9}
-		state, err := recovery.New(settings, driver.Now)
+		recoveryState, err := recovery.New(settings, driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen := func(now int64, peers []recovery.Peer) { state.UpdatePeers(now, peers) }
+		updatePeers := func(now int64, peers []recovery.Peer) { recoveryState.UpdatePeers(now, peers) }
 		allow := func(now int64, kind uint8) (clock.Nanos, recovery.Reason) {
-			return state.Allow(now, recovery.Kind(kind)%recovery.KindCount, 2e8)
+			return recoveryState.Allow(now, recovery.Kind(kind)%recovery.KindCount, 2e8)
 		}
 		send := func(now int64, attempt recovery.Attempt) recovery.Reason {
 			attempt.Deadline = now + int64(driver.IntN(1e9))
-			return state.AllowSend(now, attempt)
+			return recoveryState.AllowSend(now, attempt)
 		}
-		ended := func(now int64, attempt recovery.Attempt, done bool) {
-			state.AttemptEnded(now, attempt, done, int64(driver.IntN(1e8)))
+		ended := func(now int64, attempt recovery.Attempt, succeeded bool) {
+			recoveryState.AttemptEnded(now, attempt, succeeded, int64(driver.IntN(1e8)))
 		}
-		later := func(now int64, tenant, session string, lane int) clock.Nanos {
-			return state.RetryAfter(now, tenant, session, lane%2)
+		retryAfter := func(now int64, tenant, session string, priorityClass int) clock.Nanos {
+			return recoveryState.RetryAfter(now, tenant, session, priorityClass%2)
 		}
-		driver.Run(40, seen, state.Tick, send, allow)
-		driver.Run(1500, seen, allow, allow, send, send, send, ended, ended, state.Tick, state.Tick, later,
-			state.ListReceived, state.CaughtUp, state.CatchUpLost, state.Stage, state.Report, state.Share)
+		driver.Run(40, updatePeers, recoveryState.Tick, send, allow)
+		driver.Run(1500, updatePeers, allow, allow, send, send, send, ended, ended, recoveryState.Tick, recoveryState.Tick, retryAfter,
+			recoveryState.ListReceived, recoveryState.CaughtUp, recoveryState.CatchUpLost, recoveryState.Stage, recoveryState.Report, recoveryState.Share)
 	}
 	digest.Check(t, "0d2b5aa62fa39a7c/13273")
 }
--- a/policy/recovery/rules_test.go
+++ b/policy/recovery/rules_test.go
@@ -10,139 +10,139 @@
 	"lotushook/policy/clock"
 )
 
-// Whatever each sees, whether it is right, old, of one side of a split, or a lie, the parts of all that are there add
-// up to Slack at the most; with views that are right, or with none, to 1.
+// The shares of all routers add up to at most MaxShareFactor, whether their views are right, empty, of one side of a
+// partition or wrong. With right or empty views they add up to at most 1.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func TestPartsStayWithinSlack(t *testing.T) {
+//nolint:gocognit,funlen // one random history with its checks in order
+func TestSharesStayWithinMaxShareFactor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 1000).Draw(t, "routers")
-		s := DefaultSettings("", 0, n)
-		s.MaxShareFactor = rapid.Float64Range(1, 4).Draw(t, "slack")
-		s.ServingShare = rapid.Float64Range(0, 1).Draw(t, "keep")
+		routers := rapid.IntRange(1, 1000).Draw(t, "routers")
+		settings := DefaultSettings("", 0, routers)
+		settings.MaxShareFactor = rapid.Float64Range(1, 4).Draw(t, "slack")
+		settings.ServingShare = rapid.Float64Range(0, 1).Draw(t, "keep")
 		seed := rapid.Uint64().Draw(t, "seed")
-		draw := func(k int) int {
+		draw := func(bound int) int {
 			seed = seed*6364136223846793005 + 1442695040888963407
-			return int(seed>>33) % k
+			return int(seed>>33) % bound
 		}
-		how := rapid.SampledFrom([]string{"right", "none", "split", "wrong"}).Draw(t, "views")
+		views := rapid.SampledFrom([]string{"right", "none", "split", "wrong"}).Draw(t, "views")
 		now := 100 * second
-		returns := 1 + draw(n)
-		var truth []Peer
-		for i := range n {
-			boot := uint64(1e15)
-			if i < returns {
-				boot += uint64(99*second) + uint64(draw(900))*uint64(ms)
+		returning := 1 + draw(routers)
+		var actual []Peer
+		for i := range routers {
+			epoch := uint64(1e15)
+			if i < returning {
+				epoch += uint64(99*second) + uint64(draw(900))*uint64(ms)
 			}
-			truth = append(truth, Peer{Name: fmt.Sprint(i), Epoch: boot, Alive: true, HeardDirectly: true})
+			actual = append(actual, Peer{Name: fmt.Sprint(i), Epoch: epoch, Alive: true, HeardDirectly: true})
 		}
-		side := draw(n)
+		split := draw(routers)
 		sum := 0.0
-		for i := range n {
-			s.Name, s.Epoch = truth[i].Name, truth[i].Epoch
-			start := now - second
-			if i >= returns {
-				start = 0
+		for i := range routers {
+			settings.Name, settings.Epoch = actual[i].Name, actual[i].Epoch
+			startedAt := now - second
+			if i >= returning {
+				startedAt = 0
 			}
-			r := must(t, s, start)
-			if i >= returns {
-				serve(r, 5*second)
+			recovery := newRecovery(t, settings, startedAt)
+			if i >= returning {
+				tickUntil(recovery, 5*second)
 			} else if draw(2) == 0 {
-				r.ListReceived(start)
+				recovery.ListReceived(startedAt)
 			}
-			view := truth
-			switch how {
+			view := actual
+			switch views {
 			case "none":
 				view = nil
 			case "split":
-				if view = truth[:side]; i >= side {
-					view = truth[side:]
+				if view = actual[:split]; i >= split {
+					view = actual[split:]
 				}
 			case "wrong":
 				view = nil
-				for range draw(min(n, 30) + 1) {
-					view = append(view, Peer{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(3)) * uint64(1e15), Alive: draw(2) == 0, HeardDirectly: draw(2) == 0})
+				for range draw(min(routers, 30) + 1) {
+					view = append(view, Peer{Name: fmt.Sprint(draw(routers)), Epoch: uint64(draw(3)) * uint64(1e15), Alive: draw(2) == 0, HeardDirectly: draw(2) == 0})
 				}
 				if draw(2) == 0 {
-					for j := range n { // all others have served for ever
+					for j := range routers { // all others have served for a long time
 						view = append(view, Peer{Name: fmt.Sprint(j), Alive: true, HeardDirectly: true})
 					}
 				}
 			}
-			r.UpdatePeers(now, view)
-			if i < returns && r.Stage() == Serving {
-				t.Fatal("a router that returns serves already")
+			recovery.UpdatePeers(now, view)
+			if i < returning && recovery.Stage() == Serving {
+				t.Fatal("a returning router serves already")
 			}
-			sum += r.Share(now)
+			sum += recovery.Share(now)
 		}
-		most := s.MaxShareFactor
-		if how == "none" || how == "right" {
-			most = 1
+		maxSum := settings.MaxShareFactor
+		if views == "none" || views == "right" {
+			maxSum = 1
 		}
-		if sum > most+1e-9 {
-			t.Fatalf("%d of %d routers return, views %s: parts add up to %v, %v at most", returns, n, how, sum, most)
+		if sum > maxSum+1e-9 {
+			t.Fatalf("%d of %d routers return, views %s: shares add up to %v, want at most %v", returning, routers, views, sum, maxSum)
 		}
 	})
 }
 
-// What is spent follows: over any span at most Slack times the budget, and one for each router; and nobody waits for
-// ever.
+// The actions of all routers in any second stay within MaxShareFactor times the budget plus one per router and start,
+// and each denial says when to ask again.
 //
-//nolint:gocognit // one history or table of cases, told in order
-func TestSpendingStaysWithinBudgets(t *testing.T) {
+//nolint:gocognit // one random history with its checks in order
+func TestActionsStayWithinBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 40).Draw(t, "routers")
+		routers := rapid.IntRange(1, 40).Draw(t, "routers")
 		kind := Kind(rapid.IntRange(int(Dial), int(CatchUp)).Draw(t, "kind"))
-		var all []*Recovery
-		starts := make([]clock.Nanos, n)
-		s := DefaultSettings("", 0, n)
-		s.Budgets[kind] = rapid.Float64Range(1, 400).Draw(t, "budget")
-		crashes := 0.0 // a start has one turn more
+		var recoveries []*Recovery
+		startedAt := make([]clock.Nanos, routers)
+		settings := DefaultSettings("", 0, routers)
+		settings.Budgets[kind] = rapid.Float64Range(1, 400).Draw(t, "budget")
+		crashes := 0.0 // each start may act once more
 		seed := rapid.Uint64().Draw(t, "seed")
-		draw := func(k int) int {
+		draw := func(bound int) int {
 			seed = seed*6364136223846793005 + 1442695040888963407
-			return int(seed>>33) % k
+			return int(seed>>33) % bound
 		}
-		for i := range n {
-			s.Name, s.Epoch = fmt.Sprint(i), uint64(draw(1000))
-			starts[i] = clock.Nanos(draw(300)) * ms
-			all = append(all, must(t, s, starts[i]))
+		for i := range routers {
+			settings.Name, settings.Epoch = fmt.Sprint(i), uint64(draw(1000))
+			startedAt[i] = clock.Nanos(draw(300)) * ms
+			recoveries = append(recoveries, newRecovery(t, settings, startedAt[i]))
 		}
-		done := make([][]clock.Nanos, n)
+		performed := make([][]clock.Nanos, routers)
 		for now := clock.Nanos(0); now < 4*second; now += 20 * ms {
-			for i, r := range all {
-				if now < starts[i] {
+			for i, recovery := range recoveries {
+				if now < startedAt[i] {
 					continue
 				}
 				switch draw(60) {
 				case 0:
-					r.ListReceived(now)
+					recovery.ListReceived(now)
 				case 1:
-					r.UpdatePeers(now, []Peer{{Name: fmt.Sprint(draw(n)), Epoch: uint64(draw(1e18)), Alive: true, HeardDirectly: true}})
+					recovery.UpdatePeers(now, []Peer{{Name: fmt.Sprint(draw(routers)), Epoch: uint64(draw(1e18)), Alive: true, HeardDirectly: true}})
 				case 2: // it crashes
 					crashes++
-					s.Name, s.Epoch = fmt.Sprint(i), uint64(draw(1<<30))
-					all[i], starts[i] = must(t, s, now), now
-					done[i] = slices.DeleteFunc(done[i], func(at clock.Nanos) bool { return at >= now })
+					settings.Name, settings.Epoch = fmt.Sprint(i), uint64(draw(1<<30))
+					recoveries[i], startedAt[i] = newRecovery(t, settings, now), now
+					performed[i] = slices.DeleteFunc(performed[i], func(at clock.Nanos) bool { return at >= now })
 				}
 				for range draw(6) {
-					if wait, why := r.Allow(now, kind, second); why == Allowed {
-						done[i] = append(done[i], now+wait)
+					if wait, reason := recovery.Allow(now, kind, second); reason == Allowed {
+						performed[i] = append(performed[i], now+wait)
 					} else if wait <= 0 {
-						t.Fatalf("%s: denied as %s, and no time to ask again", kind, why)
+						t.Fatalf("%s: denied as %s without a time to ask again", kind, reason)
 					}
 				}
 			}
 		}
 		for _, from := range []clock.Nanos{0, 500 * ms, 1500 * ms, 3 * second} {
-			got := 0
-			for _, at := range slices.Concat(done...) {
+			count := 0
+			for _, at := range slices.Concat(performed...) {
 				if at >= from && at < from+second {
-					got++
+					count++
 				}
 			}
-			if most := s.Budgets[kind]*s.MaxShareFactor + float64(n) + crashes; float64(got) > most {
-				t.Fatalf("%d of %s in the second from %d ms on, %v at most", got, kind, from/ms, most)
+			if maxCount := settings.Budgets[kind]*settings.MaxShareFactor + float64(routers) + crashes; float64(count) > maxCount {
+				t.Fatalf("%d of %s in the second from %d ms on, want at most %v", count, kind, from/ms, maxCount)
 			}
 		}
 	})
--- a/policy/recovery/size_test.go
+++ b/policy/recovery/size_test.go
@@ -7,324 +7,330 @@
 	"lotushook/policy/clock"
 )
 
-// fleet is routers that come back, their clients, and data servers that answer within a tick.
-type fleet struct {
-	who     []*Recovery
-	rate    float64 // requests of each router's clients a second
-	back    [][]int // by tick from now: clients that come again, by router
-	spent   [KindCount]int
-	peaks   [KindCount]int // most in a second
-	asked   []float64
-	calls   []int // list calls under way: ticks left, by router; -1: it has one
-	dials   []int
-	full    clock.Nanos
-	first   [KindCount]int // of sends; of all else the worst second
-	perEach float64
+// simulation runs routers, of which some restart, with their clients and data servers that answer within a tick.
+type simulation struct {
+	routers          []*Recovery
+	requestRate      float64 // requests per second of each router's clients
+	returningClients [][]int // by router, then by tick modulo 400: rejected clients that return
+	actions          [KindCount]int
+	thisSecond       [KindCount]int
+	unsentRequests   []float64 // by router
+	listCalls        []int     // by router
+	dials            []int     // by router
+	fullServiceAfter clock.Nanos
+	worstSecond      [KindCount]int // sends: the first second; other kinds: the second with the most
+	actionsPerRouter float64
 }
 
 const (
-	tick    = 10 * ms
-	servers = 9
+	tickDuration = 10 * ms
+	servers      = 9
 )
 
-// play starts so many of the routers at once; each sees all others after a while of its own, or nobody.
-func play(t *testing.T, n, returning int, reach bool, budgets [KindCount]float64, rate float64) *fleet {
+// simulateRestart starts the given number of returning routers at once. Each sees all others after a delay of its own
+// or, unless peersReachable, none.
+func simulateRestart(t *testing.T, routerCount, returning int, peersReachable bool, budgets [KindCount]float64, requestRate float64) *simulation {
 	t.Helper()
-	f := &fleet{rate: rate, asked: make([]float64, n), calls: make([]int, n), dials: make([]int, n)}
+	sim := &simulation{requestRate: requestRate, unsentRequests: make([]float64, routerCount), listCalls: make([]int, routerCount), dials: make([]int, routerCount)}
 	now, peers := 100*second, []Peer{}
-	for i := range n {
-		s := DefaultSettings(fmt.Sprintf("r%04d", i), 1e15, n)
-		s.Budgets, s.CanCatchUp, s.SeesPeers = budgets, true, true
+	for i := range routerCount {
+		settings := DefaultSettings(fmt.Sprintf("r%04d", i), 1e15, routerCount)
+		settings.Budgets, settings.CanCatchUp, settings.SeesPeers = budgets, true, true
 		if i < returning {
-			s.Epoch += uint64(100*second) + uint64(i%10)*uint64(10*ms) // within a tenth of a second
-			f.who = append(f.who, must(t, s, now))
+			settings.Epoch += uint64(100*second) + uint64(i%10)*uint64(10*ms) // all start within 100 ms
+			sim.routers = append(sim.routers, newRecovery(t, settings, now))
 		} else {
-			r := must(t, s, 0)
-			serve(r, 5*second)
-			r.returning, r.yieldDeadline = 0, 0
-			r.Tick(now)
-			f.who = append(f.who, r)
+			router := newRecovery(t, settings, 0)
+			tickUntil(router, 5*second)
+			router.returning, router.yieldDeadline = 0, 0
+			router.Tick(now)
+			sim.routers = append(sim.routers, router)
 		}
-		peers = append(peers, Peer{Name: s.Name, Epoch: s.Epoch, Alive: true, HeardDirectly: true})
-		f.back = append(f.back, make([]int, 400))
+		peers = append(peers, Peer{Name: settings.Name, Epoch: settings.Epoch, Alive: true, HeardDirectly: true})
+		sim.returningClients = append(sim.returningClients, make([]int, 400))
 	}
-	ready := make([]clock.Nanos, n) // of a list call
-	dialled := make([][]clock.Nanos, n)
-	steady, by := now, []float64{}
-	for at := now; at < now+6*second; at += tick {
-		step := int((at - now) / tick)
+	listReadyAt := make([]clock.Nanos, routerCount) // when the list call may be made
+	dialTimes := make([][]clock.Nanos, routerCount)
+	fullServiceAt, servedByTick := now, []float64{}
+	for at := now; at < now+6*second; at += tickDuration {
+		step := int((at - now) / tickDuration)
 		served := 0.0
-		for i, r := range f.who {
-			hears := now + 100*ms + clock.Nanos(fraction(hash(r.settings.Name, "hears", 0))*float64(300*ms))
-			if reach && at >= hears && at < hears+tick {
-				r.UpdatePeers(at, peers)
-				r.CaughtUp(at)
+		for i, router := range sim.routers {
+			seesPeersAt := now + 100*ms + clock.Nanos(fraction(hash(router.settings.Name, "hears", 0))*float64(300*ms))
+			if peersReachable && at >= seesPeersAt && at < seesPeersAt+tickDuration {
+				router.UpdatePeers(at, peers)
+				router.CaughtUp(at)
 			}
 			if i >= returning {
-				f.survive(r, i, at)
+				sim.runServing(router, i, at)
 			} else {
-				served += f.work(r, i, at, step, ready, dialled)
+				served += sim.runReturning(router, i, at, step, listReadyAt, dialTimes)
 			}
 		}
 		if step%100 == 99 {
-			f.second(step == 99)
+			sim.endSecond(step == 99)
 		}
-		if by = append(by, served); step%50 == 49 { // whole: half seconds in which as much is served as is asked, to the end
+		// Full service starts when all later half seconds serve 95% of the requests.
+		if servedByTick = append(servedByTick, served); step%50 == 49 {
 			sum := 0.0
-			for _, n := range by[step-49:] {
-				sum += n
+			for _, count := range servedByTick[step-49:] {
+				sum += count
 			}
-			if sum < 0.95*f.rate*float64(returning)/2 {
-				steady = at + tick
+			if sum < 0.95*sim.requestRate*float64(returning)/2 {
+				fullServiceAt = at + tickDuration
 			}
 		}
 	}
-	f.full = steady - now
+	sim.fullServiceAfter = fullServiceAt - now
 	total := 0
-	for _, k := range []Kind{Dial, Probe, ListCall, CatchUp} {
-		total += f.spent[k]
+	for _, kind := range []Kind{Dial, Probe, ListCall, CatchUp} {
+		total += sim.actions[kind]
 	}
-	f.perEach = float64(total) / float64(returning)
-	return f
+	sim.actionsPerRouter = float64(total) / float64(returning)
+	return sim
 }
 
-func (f *fleet) spend(k Kind) { f.spent[k]++; f.peaks[k]++ }
+func (sim *simulation) record(kind Kind) { sim.actions[kind]++; sim.thisSecond[kind]++ }
 
-func (f *fleet) second(first bool) {
-	for k, n := range f.peaks {
-		if first || Kind(k) != Send { // sends of the first second; of all else those of the worst
-			f.first[k] = max(f.first[k], n)
+func (sim *simulation) endSecond(isFirst bool) {
+	for kind, count := range sim.thisSecond {
+		if isFirst || Kind(kind) != Send { // sends count in the first second only
+			sim.worstSecond[kind] = max(sim.worstSecond[kind], count)
 		}
 	}
-	f.peaks = [KindCount]int{}
+	sim.thisSecond = [KindCount]int{}
 }
 
-// survive is a router that serves: it dials anew once a second and probes as often.
-func (f *fleet) survive(r *Recovery, i int, at clock.Nanos) {
-	if at%second == clock.Nanos(i%100)*tick {
-		for _, k := range []Kind{Dial, Probe} {
-			if _, why := r.Allow(at, k, second); why == Allowed {
-				f.spend(k)
+// runServing lets a serving router dial and probe once a second.
+func (sim *simulation) runServing(router *Recovery, index int, at clock.Nanos) {
+	if at%second == clock.Nanos(index%100)*tickDuration {
+		for _, kind := range []Kind{Dial, Probe} {
+			if _, reason := router.Allow(at, kind, second); reason == Allowed {
+				sim.record(kind)
 			}
 		}
 	}
 }
 
-// work is a router that returns: a list, its connections, then what its clients ask; how many it serves in this tick.
-func (f *fleet) work(r *Recovery, i int, at clock.Nanos, step int, ready []clock.Nanos, dialled [][]clock.Nanos) (served float64) {
-	due := func(when clock.Nanos) bool { return when > 0 && at >= when }
-	if ready[i] == 0 {
-		if wait, why := r.Allow(at, ListCall, second); why == Allowed {
-			ready[i] = at + wait + 1
+// runReturning lets a returning router request a list, open its connections and send its clients' requests. It returns
+// how many requests it serves in this tick.
+func (sim *simulation) runReturning(router *Recovery, index int, at clock.Nanos, step int, listReadyAt []clock.Nanos, dialTimes [][]clock.Nanos) (served float64) {
+	isDue := func(dueAt clock.Nanos) bool { return dueAt > 0 && at >= dueAt }
+	if listReadyAt[index] == 0 {
+		if wait, reason := router.Allow(at, ListCall, second); reason == Allowed {
+			listReadyAt[index] = at + wait + 1
 		}
-	} else if f.calls[i] == 0 && due(ready[i]) {
-		f.spend(ListCall)
-		f.calls[i] = 1
-		r.ListReceived(at + tick)
+	} else if sim.listCalls[index] == 0 && isDue(listReadyAt[index]) {
+		sim.record(ListCall)
+		sim.listCalls[index] = 1
+		router.ListReceived(at + tickDuration)
 	}
-	for f.dials[i] < servers && f.calls[i] == 1 {
-		wait, why := r.Allow(at, Dial, second)
-		if why != Allowed {
+	for sim.dials[index] < servers && sim.listCalls[index] == 1 {
+		wait, reason := router.Allow(at, Dial, second)
+		if reason != Allowed {
 			break
 		}
-		f.dials[i]++
-		dialled[i] = append(dialled[i], at+wait)
+		sim.dials[index]++
+		dialTimes[index] = append(dialTimes[index], at+wait)
 	}
-	up := 0
-	for k, when := range dialled[i] {
-		if when > at {
+	connections := 0
+	for connection, dialedAt := range dialTimes[index] {
+		if dialedAt > at {
 			continue
 		}
-		if up++; when > at-tick || k >= f.dials[i] {
-			f.spend(Dial)
-			f.spend(Probe) // asked once it is up
-			r.Allow(at, Probe, second)
+		if connections++; dialedAt > at-tickDuration || connection >= sim.dials[index] {
+			sim.record(Dial)
+			sim.record(Probe) // probed once it is connected
+			router.Allow(at, Probe, second)
 		}
 	}
-	f.asked[i] += f.rate * float64(tick) / float64(second)
-	come := f.back[i][step%400]
-	f.back[i][step%400] = 0
-	for ; f.asked[i] >= 1; f.asked[i]-- {
-		come++
+	sim.unsentRequests[index] += sim.requestRate * float64(tickDuration) / float64(second)
+	arrivals := sim.returningClients[index][step%400]
+	sim.returningClients[index][step%400] = 0
+	for ; sim.unsentRequests[index] >= 1; sim.unsentRequests[index]-- {
+		arrivals++
 	}
-	for k := range come {
-		a := Attempt{Server: uint32(k % servers), Deadline: at + second}
-		if up == 0 || r.AllowSend(at, a) != Allowed {
-			wait := r.RetryAfter(at, "t", fmt.Sprint(step, k), 0)
-			f.back[i][(step+max(1, int(wait/tick)))%400]++
+	for arrival := range arrivals {
+		attempt := Attempt{Server: uint32(arrival % servers), Deadline: at + second}
+		if connections == 0 || router.AllowSend(at, attempt) != Allowed {
+			wait := router.RetryAfter(at, "t", fmt.Sprint(step, arrival), 0)
+			sim.returningClients[index][(step+max(1, int(wait/tickDuration)))%400]++
 			continue
 		}
-		if r.stage < Serving {
-			f.spend(Send)
+		if router.stage < Serving {
+			sim.record(Send)
 		}
-		r.AttemptEnded(at, a, true, 5*ms)
+		router.AttemptEnded(at, attempt, true, 5*ms)
 		served++
 	}
-	r.Tick(at)
+	router.Tick(at)
 	return served
 }
 
-// All of the first second's work of all routers is within 1.2 of its budget at any size; what each spends does not grow
-// with their number; and where budgets grow with the fleet, neither does the time until all is served.
-func TestSizes(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		share float64
-		reach bool
-	}{{"all restart", 1, true}, {"70% restart", 0.7, true}, {"nobody can be reached", 1, false}} {
-		var small *fleet
-		for _, n := range []int{10, 100, 1000} {
-			budgets := [KindCount]float64{5, 5, 0.8, 1, 10} // for each router, of which it wants 9, 9, 1, 0 and 25 a second
-			for k := range budgets {
-				budgets[k] *= float64(n)
+// At any fleet size, the actions of all routers in the first second stay within 1.2 times each budget, the number of
+// actions per router does not grow with the fleet and, if the budgets grow with the fleet, neither does the time to
+// full service.
+func TestBudgetsAtAnyFleetSize(t *testing.T) {
+	for _, test := range []struct {
+		name           string
+		share          float64
+		peersReachable bool
+	}{{"all restart", 1, true}, {"70% restart", 0.7, true}, {"all restart and no peer can be reached", 1, false}} {
+		var smallest *simulation
+		for _, routerCount := range []int{10, 100, 1000} {
+			budgets := [KindCount]float64{5, 5, 0.8, 1, 10} // per router, which wants 9, 9, 1, 0 and 25
+			for kind := range budgets {
+				budgets[kind] *= float64(routerCount)
 			}
-			f := play(t, n, int(c.share*float64(n)), c.reach, budgets, 25)
-			if free := play(t, n, int(c.share*float64(n)), c.reach, [KindCount]float64{}, 25); float64(free.first[Dial]) < 1.2*budgets[Dial] || float64(free.first[Send]) < 1.2*budgets[Send] {
-				t.Errorf("%s: %d routers without budgets: %v: the check says nothing", c.name, n, free.first)
+			sim := simulateRestart(t, routerCount, int(test.share*float64(routerCount)), test.peersReachable, budgets, 25)
+			if unlimited := simulateRestart(t, routerCount, int(test.share*float64(routerCount)), test.peersReachable, [KindCount]float64{}, 25); float64(unlimited.worstSecond[Dial]) < 1.2*budgets[Dial] || float64(unlimited.worstSecond[Send]) < 1.2*budgets[Send] {
+				t.Errorf("%s: %d routers stay within the budgets without being limited, %v: the check proves nothing", test.name, routerCount, unlimited.worstSecond)
 			}
-			if small == nil {
-				small = f
+			if smallest == nil {
+				smallest = sim
 			}
-			t.Logf("%s: %d routers: first second: dials %d of %.0f, probes %d of %.0f, list calls %d of %.0f, sends %d of %.0f; %.1f messages for each; whole after %d ms",
-				c.name, n, f.first[Dial], budgets[Dial], f.first[Probe], budgets[Probe], f.first[ListCall], budgets[ListCall], f.first[Send], budgets[Send], f.perEach, f.full/ms)
-			for k, n := range f.first {
-				if float64(n) > 1.2*budgets[k] {
-					t.Errorf("%s: %d of %s in the first second, %v is the budget", c.name, n, Kind(k), budgets[k])
+			t.Logf("%s: %d routers: first second: dials %d of %.0f, probes %d of %.0f, list calls %d of %.0f, sends %d of %.0f; %.1f actions per router; full service after %d ms",
+				test.name, routerCount, sim.worstSecond[Dial], budgets[Dial], sim.worstSecond[Probe], budgets[Probe], sim.worstSecond[ListCall], budgets[ListCall], sim.worstSecond[Send], budgets[Send], sim.actionsPerRouter, sim.fullServiceAfter/ms)
+			for kind, count := range sim.worstSecond {
+				if float64(count) > 1.2*budgets[kind] {
+					t.Errorf("%s: %d of %s in the first second, budget %v", test.name, count, Kind(kind), budgets[kind])
 				}
 			}
-			if f.spent[Send] == 0 || f.spent[ListCall] == 0 || f.full == 0 {
-				t.Errorf("%s: %+v: the check says nothing", c.name, f.spent)
+			if sim.actions[Send] == 0 || sim.actions[ListCall] == 0 || sim.fullServiceAfter == 0 {
+				t.Errorf("%s: actions %+v: the check proves nothing", test.name, sim.actions)
 			}
-			if f.perEach > 1.2*small.perEach || f.full > 5*second || f.full > 2*small.full {
-				t.Errorf("%s: %d routers: %.1f messages each, whole after %d ms; ten: %.1f, %d ms", c.name, n, f.perEach, f.full/ms, small.perEach, small.full/ms)
+			if sim.actionsPerRouter > 1.2*smallest.actionsPerRouter || sim.fullServiceAfter > 5*second || sim.fullServiceAfter > 2*smallest.fullServiceAfter {
+				t.Errorf("%s: %d routers: %.1f actions per router, full service after %d ms; with ten routers: %.1f, %d ms", test.name, routerCount, sim.actionsPerRouter, sim.fullServiceAfter/ms, smallest.actionsPerRouter, smallest.fullServiceAfter/ms)
 			}
 		}
 	}
 }
 
-// With budgets that stay as the fleet grows, time to full service grows, and the first second stays within them.
+// With budgets that don't grow with the fleet, the first second stays within them; only the time to full service grows.
 func TestFixedBudgets(t *testing.T) {
-	for _, n := range []int{10, 100, 1000} {
+	for _, routerCount := range []int{10, 100, 1000} {
 		budgets := [KindCount]float64{2000, 1000, 200, 100, 5000}
-		f := play(t, n, n, true, budgets, 10)
-		t.Logf("%d routers: first second: dials %d, list calls %d, sends %d; whole after %d ms", n, f.first[Dial], f.first[ListCall], f.first[Send], f.full/ms)
-		for k, n := range f.first {
-			if float64(n) > 1.2*budgets[k] {
-				t.Errorf("%d of %s in the first second, %v is the budget", n, Kind(k), budgets[k])
+		sim := simulateRestart(t, routerCount, routerCount, true, budgets, 10)
+		t.Logf("%d routers: first second: dials %d, list calls %d, sends %d; full service after %d ms", routerCount, sim.worstSecond[Dial], sim.worstSecond[ListCall], sim.worstSecond[Send], sim.fullServiceAfter/ms)
+		for kind, count := range sim.worstSecond {
+			if float64(count) > 1.2*budgets[kind] {
+				t.Errorf("%d of %s in the first second, budget %v", count, Kind(kind), budgets[kind])
 			}
 		}
 	}
 }
 
-// jam is a queue of a group that works in order of arrival, in front of which requests wait so long and are then tried
-// again while their clients wait; work that was given up stays in the queue.
+// simulateOverload runs a group that serves its queue in order of arrival. An attempt that times out is retried until
+// the client's deadline, and stays in the queue. The results are the requests served per second before the trigger,
+// during it and after it.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func jam(r *Recovery, on bool) (calm, during, after float64) {
-	const wait, patience, capacity, load, room = 250 * ms, second, 1000.0, 850.0, 400
+//nolint:gocognit,funlen // one simulation with its phases in order
+func simulateOverload(recovery *Recovery, withRecovery bool) (before, during, after float64) {
+	const attemptTimeout, clientTimeout, capacity, load, queueCapacity = 250 * ms, second, 1000.0, 850.0, 400
 	type job struct {
-		left, tried clock.Nanos // when its client leaves; when this attempt began
-		first       bool
+		clientDeadline, attemptAt clock.Nanos // the client gives up; the attempt was sent
+		isFirst                   bool
 	}
 	var queue []job
-	type open struct{ job }
-	var out []open
-	work, ask := 0.0, 0.0
-	count := [3]float64{}
+	type openAttempt struct{ job }
+	var inFlight []openAttempt
+	workCredit, requestCredit := 0.0, 0.0
+	served := [3]float64{}
 	server := uint32(1)
-	for now := 5 * second; now < 65*second; now += tick {
+	for now := 5 * second; now < 65*second; now += tickDuration {
 		phase := 0
-		rate := capacity
+		serviceRate := capacity
 		switch {
 		case now >= 25*second:
 			phase = 2
-		case now >= 15*second && now < 20*second: // the trigger: a third of what it can do is left, for five seconds
-			rate, phase = capacity/3, 1
+		case now >= 15*second && now < 20*second: // the trigger: capacity drops to a third for five seconds
+			serviceRate, phase = capacity/3, 1
 		case now >= 15*second:
 			phase = 1
 		}
-		send := func(j job) {
-			again := !j.first
-			if on && r.AllowSend(now, Attempt{Server: server, IsRetry: again, Deadline: min(j.left, now+wait)}) != Allowed {
+		send := func(queued job) {
+			isRetry := !queued.isFirst
+			if withRecovery && recovery.AllowSend(now, Attempt{Server: server, IsRetry: isRetry, Deadline: min(queued.clientDeadline, now+attemptTimeout)}) != Allowed {
 				return
 			}
-			if j.tried = now; len(queue) < room { // beyond it nothing is heard
-				queue = append(queue, j)
+			if queued.attemptAt = now; len(queue) < queueCapacity { // a full queue drops the attempt without an answer
+				queue = append(queue, queued)
 			}
-			out = append(out, open{j})
+			inFlight = append(inFlight, openAttempt{queued})
 		}
-		for ask += load * float64(tick) / float64(second); ask >= 1; ask-- {
-			send(job{left: now + patience, first: true})
+		for requestCredit += load * float64(tickDuration) / float64(second); requestCredit >= 1; requestCredit-- {
+			send(job{clientDeadline: now + clientTimeout, isFirst: true})
 		}
-		// What waited too long is given up and tried again; its client asks anew when its time is over.
-		keep := out[:0]
-		var again []job
-		for _, o := range out {
+		// Attempts that timed out are retried until the client's deadline.
+		remaining := inFlight[:0]
+		var retries []job
+		for _, attempt := range inFlight {
 			switch {
-			case now-o.tried < wait:
-				keep = append(keep, o)
+			case now-attempt.attemptAt < attemptTimeout:
+				remaining = append(remaining, attempt)
 			default:
-				if on {
-					r.AttemptEnded(now, Attempt{Server: server}, false, 0)
+				if withRecovery {
+					recovery.AttemptEnded(now, Attempt{Server: server}, false, 0)
 				}
-				if j := o.job; now < j.left {
-					j.first = false
-					again = append(again, j)
+				if queued := attempt.job; now < queued.clientDeadline {
+					queued.isFirst = false
+					retries = append(retries, queued)
 				}
 			}
 		}
-		out = keep
-		for _, j := range again {
-			send(j)
+		inFlight = remaining
+		for _, queued := range retries {
+			send(queued)
 		}
-		for work += rate * float64(tick) / float64(second); work >= 1 && len(queue) > 0; work-- {
-			j := queue[0]
+		for workCredit += serviceRate * float64(tickDuration) / float64(second); workCredit >= 1 && len(queue) > 0; workCredit-- {
+			queued := queue[0]
 			queue = queue[1:]
-			if took := now - j.tried; took < wait {
-				count[phase]++
-				if on {
-					r.AttemptEnded(now, Attempt{Server: server}, true, max(ms, took))
+			if elapsed := now - queued.attemptAt; elapsed < attemptTimeout {
+				served[phase]++
+				if withRecovery {
+					recovery.AttemptEnded(now, Attempt{Server: server}, true, max(ms, elapsed))
 				}
-				for i := range out { // answered
-					if out[i].tried == j.tried && out[i].left == j.left {
-						out = append(out[:i], out[i+1:]...)
+				for index := range inFlight { // its attempt is answered
+					if inFlight[index].attemptAt == queued.attemptAt && inFlight[index].clientDeadline == queued.clientDeadline {
+						inFlight = append(inFlight[:index], inFlight[index+1:]...)
 						break
 					}
 				}
 			}
 		}
 		if len(queue) == 0 {
-			work = 0
+			workCredit = 0
 		}
 	}
-	return count[0] / 10, count[1] / 10, count[2] / 40
+	return served[0] / 10, served[1] / 10, served[2] / 40
 }
 
-// A metastable failure: a trigger of five seconds, after which retries alone keep a queue full of work for nobody. With
-// the budget of retries, and work that can't be in time left out, service is back by itself; without, it never is.
-func TestMetastable(t *testing.T) {
-	r := must(t, DefaultSettings("a", 1, 1), 0)
-	serve(r, 5*second)
-	calm, _, stuck := jam(nil, false)
-	_, during, after := jam(r, true)
-	t.Logf("served a second: %.0f in calm; after the trigger %.0f without, %.0f with; %.0f during it", calm, stuck, after, during)
-	if stuck > 0.5*calm {
-		t.Errorf("without, %v of %v: the model is not metastable, the check says nothing", stuck, calm)
+// A metastable failure: after a trigger of five seconds, retries alone keep the queue full of attempts that timed out.
+// With the retry budget, and without attempts that would be too late, service recovers by itself; otherwise it never
+// does.
+func TestMetastableFailure(t *testing.T) {
+	recovery := newRecovery(t, DefaultSettings("a", 1, 1), 0)
+	tickUntil(recovery, 5*second)
+	before, _, afterWithout := simulateOverload(nil, false)
+	_, during, after := simulateOverload(recovery, true)
+	t.Logf("served per second: %.0f before the trigger; after it %.0f without recovery, %.0f with; %.0f during it", before, afterWithout, after, during)
+	if afterWithout > 0.5*before {
+		t.Errorf("without recovery %v of %v per second: the model is not metastable, the check proves nothing", afterWithout, before)
 	}
-	if after < 0.95*calm {
-		t.Errorf("with, %v of %v", after, calm)
+	if after < 0.95*before {
+		t.Errorf("with recovery %v of %v per second", after, before)
 	}
 }
 
 func BenchmarkSend(b *testing.B) {
-	r := must(b, DefaultSettings("a", 1, 7), 0)
-	now := serve(r, 5*second)
+	recovery := newRecovery(b, DefaultSettings("a", 1, 7), 0)
+	now := tickUntil(recovery, 5*second)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1000
-		a := Attempt{Server: uint32(now % 9), IsRetry: now%7000 == 0, Deadline: now + second}
-		if r.AllowSend(now, a) == Allowed {
-			r.AttemptEnded(now, a, true, ms)
+		attempt := Attempt{Server: uint32(now % 9), IsRetry: now%7000 == 0, Deadline: now + second}
+		if recovery.AllowSend(now, attempt) == Allowed {
+			recovery.AttemptEnded(now, attempt, true, ms)
 		}
 	}
 }
