--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -45,12 +45,12 @@
 	v, now := p.View(), p.opt.Now()
 	ago := func(t int64) float64 { return float64(now-t) / 1e9 }
 	out := Report{Name: p.opt.Member.Name, Cluster: p.opt.Cluster, Counts: p.Counts(), View: Belief{Counting: v.Present, Configured: p.opt.Member.Configured,
-		Majority: v.Majority, SinceS: ago(v.MajoritySince), CutOff: v.Isolated, Taken: v.NameTaken, Share: v.Quota.Share, Holder: v.Quota.IsHolder, Gone: v.Quota.Excluded}}
+		Majority: v.Majority, SinceS: ago(v.MajoritySince), CutOff: v.Isolated, Taken: v.DuplicateName, Share: v.Quota.Share, Holder: v.Quota.IsHolder, Gone: v.Quota.Excluded}}
 	for _, x := range v.Members {
 		r := Row{Name: x.Name, Address: x.Address, State: x.State.String(), Boot: x.Epoch, Incarnation: x.Incarnation, SinceS: ago(x.Since),
-			HeardS: -1, TripMS: float64(x.RoundTrip) / 1e6, By: x.Accuser}
-		if x.HeardAt > 0 {
-			r.HeardS = ago(x.HeardAt)
+			HeardS: -1, TripMS: float64(x.RoundTrip) / 1e6, By: x.ReportedBy}
+		if x.LastHeardAt > 0 {
+			r.HeardS = ago(x.LastHeardAt)
 		}
 		out.Members = append(out.Members, r)
 	}
--- a/internal/peer/viewlog.go
+++ b/internal/peer/viewlog.go
@@ -16,18 +16,18 @@
 	}
 	for _, m := range now.Members {
 		if old := was[m.Name]; old.State != m.State || old.Epoch != m.Epoch || old.Incarnation != m.Incarnation {
-			slog.Info("member", "of", m.Name, "state", m.State.String(), "was", old.State.String(), "boot", m.Epoch, "incarnation", m.Incarnation, "by", m.Accuser)
+			slog.Info("member", "of", m.Name, "state", m.State.String(), "was", old.State.String(), "boot", m.Epoch, "incarnation", m.Incarnation, "by", m.ReportedBy)
 		}
 	}
-	if before == nil || before.Quota != now.Quota && (before.Quota.Share != now.Quota.Share || before.Quota.IsHolder != now.Quota.IsHolder) || before.Majority != now.Majority || before.Isolated != now.Isolated || before.NameTaken != now.NameTaken {
-		slog.Info("view", "counting", now.Present, "majority", now.Majority, "deaf", now.Isolated, "taken", now.NameTaken, "share", now.Quota.Share,
+	if before == nil || before.Quota != now.Quota && (before.Quota.Share != now.Quota.Share || before.Quota.IsHolder != now.Quota.IsHolder) || before.Majority != now.Majority || before.Isolated != now.Isolated || before.DuplicateName != now.DuplicateName {
+		slog.Info("view", "counting", now.Present, "majority", now.Majority, "deaf", now.Isolated, "taken", now.DuplicateName, "share", now.Quota.Share,
 			"holder", now.Quota.IsHolder, "gone", now.Quota.Excluded)
 	}
 }
 
 // differ says whether a view has changed in more than the times at which members were heard.
 func differ(x, y *membership.View) bool {
-	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Isolated != y.Isolated || x.NameTaken != y.NameTaken || x.Quota != y.Quota {
+	if len(x.Members) != len(y.Members) || x.Majority != y.Majority || x.Isolated != y.Isolated || x.DuplicateName != y.DuplicateName || x.Quota != y.Quota {
 		return true
 	}
 	for i := range x.Members {
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -155,7 +155,7 @@
 func wrap(m *membership.Message) *body {
 	b := &body{Kind: uint8(m.Kind), Boot: m.Epoch, Seq: m.Seq, Target: m.Target, TargetAddress: m.TargetAddress, Deaf: m.Isolated}
 	for _, u := range m.Updates {
-		b.News = append(b.News, update{Name: u.Name, Address: u.Address, Boot: u.Epoch, Incarnation: u.Incarnation, State: uint8(u.State), By: u.Accuser})
+		b.News = append(b.News, update{Name: u.Name, Address: u.Address, Boot: u.Epoch, Incarnation: u.Incarnation, State: uint8(u.State), By: u.ReportedBy})
 	}
 	if m.Vote != nil {
 		b.Row = &promise{List: m.Vote.NamesHash, Grant: m.Vote.Granted, Gone: m.Vote.Excluded}
@@ -169,7 +169,7 @@
 	m := membership.Message{Kind: membership.Kind(b.Kind), From: e.From, Address: e.Address, Epoch: b.Boot, Seq: b.Seq, Target: b.Target,
 		TargetAddress: b.TargetAddress, Isolated: b.Deaf}
 	for _, u := range b.News {
-		m.Updates = append(m.Updates, membership.Update{Name: u.Name, Address: u.Address, Epoch: u.Boot, Incarnation: u.Incarnation, State: membership.State(u.State), Accuser: u.By})
+		m.Updates = append(m.Updates, membership.Update{Name: u.Name, Address: u.Address, Epoch: u.Boot, Incarnation: u.Incarnation, State: membership.State(u.State), ReportedBy: u.By})
 	}
 	if b.Row != nil {
 		m.Vote = &quotalease.Vote{NamesHash: b.Row.List, Granted: b.Row.Grant, Excluded: b.Row.Gone}
--- a/internal/peer/wireformat_test.go
+++ b/internal/peer/wireformat_test.go
@@ -14,7 +14,7 @@
 func TestWireFormat(t *testing.T) {
 	message := &membership.Message{Kind: membership.Ack, From: "n1", Address: "127.0.0.1:7001", Epoch: 3, To: "127.0.0.1:7002", Seq: 4, Target: "n2",
 		TargetAddress: "127.0.0.1:7003", Isolated: true,
-		Updates: []membership.Update{{Name: "n3", Address: "127.0.0.1:7004", Epoch: 5, Incarnation: 6, State: membership.Suspect, Accuser: "n4"}},
+		Updates: []membership.Update{{Name: "n3", Address: "127.0.0.1:7004", Epoch: 5, Incarnation: 6, State: membership.Suspect, ReportedBy: "n4"}},
 		Vote:    &quotalease.Vote{NamesHash: 7, Granted: true, Excluded: []byte{1, 2}}}
 	e := &crdt.Entry{Kind: crdt.FeedCursor, A: "feed", B: "subscriber", Born: 8, At: 9, Acked: 10, Count: 11, Server: "s1",
 		From: crdt.Origin{Name: "n5", Boot: 12}, Seq: 13, Age: 14}
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -132,7 +132,7 @@
 	peers := make([]recovery.Peer, 0, len(v.Members))
 	for i := range v.Members {
 		m := &v.Members[i]
-		peers = append(peers, recovery.Peer{Name: m.Name, Epoch: m.Epoch, Alive: m.State == membership.Alive || m.State == membership.Suspect, HeardDirectly: m.HeardAt > 0})
+		peers = append(peers, recovery.Peer{Name: m.Name, Epoch: m.Epoch, Alive: m.State == membership.Alive || m.State == membership.Suspect, HeardDirectly: m.LastHeardAt > 0})
 	}
 	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.UpdatePeers(now, peers) })
 }
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -128,7 +128,7 @@
 			}
 		}
 	})
-	for _, s := range l.shedder.Tick(now, shedding.Connectivity{Majority: v.Majority, Isolated: v.Isolated || v.NameTaken}, reports) {
+	for _, s := range l.shedder.Tick(now, shedding.Connectivity{Majority: v.Majority, Isolated: v.Isolated || v.DuplicateName}, reports) {
 		m.state.Learn(crdt.NewSheddingLevel(strconv.FormatInt(s.Group, 10), s.Load, s.Threshold, s.SaltEpoch))
 	}
 	l.log(now)
--- a/policy/membership/broadcast.go
+++ b/policy/membership/broadcast.go
@@ -6,28 +6,29 @@
 	"slices"
 )
 
-// send adds this router's own state and the least often sent updates to a message.
-func (m *Detector) send(msg Message) {
-	msg.From, msg.Address, msg.Epoch, msg.Isolated = m.settings.Name, m.settings.Address, m.self.Epoch, m.isolated
-	most := m.settings.MaxUpdates
-	if msg.Kind == StateReply {
-		most = 0
+// send queues an outgoing message after adding this router's own state and the queued updates with the fewest
+// transmissions.
+func (d *Detector) send(message Message) {
+	message.From, message.Address, message.Epoch, message.Isolated = d.settings.Name, d.settings.Address, d.self.Epoch, d.isolated
+	maxUpdates := d.settings.MaxUpdates
+	if message.Kind == StateReply {
+		maxUpdates = 0
 	}
-	msg.Updates = append([]Update{m.self}, msg.Updates...)
-	limit := int(math.Ceil(m.settings.RetransmitFactor * math.Log2(float64(len(m.peers)+2))))
-	slices.SortStableFunc(m.updates, func(x, y queuedUpdate) int { return cmp.Compare(x.transmits, y.transmits) })
-	for i := range m.updates[:min(most, len(m.updates))] {
-		m.updates[i].transmits++
-		msg.Updates = append(msg.Updates, m.updates[i].Update)
+	message.Updates = append([]Update{d.self}, message.Updates...)
+	limit := int(math.Ceil(d.settings.RetransmitFactor * math.Log2(float64(len(d.peers)+2))))
+	slices.SortStableFunc(d.queuedUpdates, func(left, right queuedUpdate) int { return cmp.Compare(left.transmits, right.transmits) })
+	for index := range d.queuedUpdates[:min(maxUpdates, len(d.queuedUpdates))] {
+		d.queuedUpdates[index].transmits++
+		message.Updates = append(message.Updates, d.queuedUpdates[index].Update)
 	}
-	m.updates = slices.DeleteFunc(m.updates, func(n queuedUpdate) bool { return n.transmits >= limit })
-	m.out = append(m.out, msg)
+	d.queuedUpdates = slices.DeleteFunc(d.queuedUpdates, func(queued queuedUpdate) bool { return queued.transmits >= limit })
+	d.outgoing = append(d.outgoing, message)
 }
 
-// broadcast queues an update, in place of an older one of the same member.
-func (m *Detector) broadcast(u Update) {
-	m.updates = slices.DeleteFunc(m.updates, func(n queuedUpdate) bool { return n.Name == u.Name })
-	m.updates = append(m.updates, queuedUpdate{Update: u})
+// queueUpdate queues an update for gossip in place of an older one of the same member.
+func (d *Detector) queueUpdate(update Update) {
+	d.queuedUpdates = slices.DeleteFunc(d.queuedUpdates, func(queued queuedUpdate) bool { return queued.Name == update.Name })
+	d.queuedUpdates = append(d.queuedUpdates, queuedUpdate{Update: update})
 }
 
 type queuedUpdate struct {
--- a/policy/membership/detector.go
+++ b/policy/membership/detector.go
@@ -8,195 +8,199 @@
 	"lotushook/policy/quotalease"
 )
 
-// Tuned values, in units of the settings.
 const (
 	maxIndirectChecks    = 8
-	maxRelays            = 64  // open indirect checks for other members
-	maxGoodbyes          = 64  // direct notifications of a member's own leaving
-	maxHealthScore       = 8   // the maximum of Lifeguard's local health score, which lengthens timeouts
-	isolatedRounds       = 4   // probes in a row without any answer, to at least two members: this router is isolated
-	contactEvery         = 5   // periods between contacts with a member that is removed, or a seed that is unknown
-	recentlyHeardPeriods = 4.0 // of ProbeInterval: a member heard so recently is not suspected on another's report alone
+	maxRelays            = 64  // indirect checks in flight for other members
+	maxLeaveNotices      = 64  // members that are notified directly when this router leaves
+	maxHealthScore       = 8   // maximum of Lifeguard's local health score, which lengthens timeouts
+	isolatedAfterProbes  = 4   // consecutive unanswered probes of two or more members that show isolation
+	contactPeriods       = 5   // probe intervals between contacts with a dead member or an unknown seed
+	recentlyHeardPeriods = 4.0 // probe intervals; a member heard within them needs more than a report to be suspected
 )
 
-// Detector is one member's knowledge of all. It is not safe for concurrent use, and is bounded by Settings.MaxMembers.
+// Detector is the failure detector of one member. It is not safe for concurrent use; Settings.MaxMembers bounds its
+// size.
 type Detector struct {
-	settings     Settings
-	now          clock.Nanos
-	rng          uint64
-	self         Update
-	since        clock.Nanos
-	peers        map[string]*peer
-	order        []*peer  // the same, by name
-	probeOrder   []string // the order in which members are probed, drawn anew for each round
-	probe        *probe
-	nextProbeAt  clock.Nanos // when the next member is probed
-	rounds       int
-	seq          uint32
-	health       int
-	unanswered   int // probes in a row without any answer
-	unansweredBy string
-	isolated     bool
-	nameTaken    bool
-	left         bool
-	relays       map[uint32]relay
-	updates      []queuedUpdate
-	out          []Message
-	allowed      map[string]bool   // the installation's names; nil: any
-	lease        *quotalease.Lease // nil: fixed
-	nextSyncAt   clock.Nanos       // when a member is requested to send its full state, so that what gossip missed is learned in the end
-	syncInterval clock.Nanos       // until the next request after it
-	syncTaught   bool              // the last state reply taught something
+	settings            Settings
+	now                 clock.Nanos
+	rng                 uint64
+	self                Update
+	startedAt           clock.Nanos
+	peers               map[string]*peerState
+	sortedPeers         []*peerState // the values of peers, by name
+	probeOrder          []string     // the members still to be probed in this round, in random order
+	probe               *pendingProbe
+	nextProbeAt         clock.Nanos
+	probePeriods        int
+	lastSeq             uint32
+	healthScore         int
+	unansweredProbes    int // consecutive probes without any answer
+	lastUnansweredName  string
+	isolated            bool
+	duplicateName       bool
+	hasLeft             bool
+	relays              map[uint32]relayedProbe
+	queuedUpdates       []queuedUpdate
+	outgoing            []Message
+	allowedNames        map[string]bool   // nil: any
+	quotaLease          *quotalease.Lease // nil: quota shares are fixed
+	nextSyncAt          clock.Nanos       // next request of a member's full state, which repairs what gossip has missed
+	syncInterval        clock.Nanos       // between the requests of the full state
+	lastSyncAddedMember bool
 
-	majority   bool
-	majorityAt clock.Nanos
+	hasMajority       bool
+	majorityChangedAt clock.Nanos
 }
 
-type probe struct {
-	name         string
-	seq          uint32
-	sentAt       clock.Nanos
-	escalated    bool
-	answers      int // from helpers, acks and nacks
-	helpersAsked int
+type pendingProbe struct {
+	name          string
+	seq           uint32
+	sentAt        clock.Nanos
+	indirectSent  bool
+	helperAnswers int // acks and nacks
+	helperCount   int
 }
 
-type relay struct {
-	address    string // of the member that asked
-	seq        uint32
-	target     string
-	receivedAt clock.Nanos
-	nacked     bool
+// relayedProbe is an indirect check in flight for another member.
+type relayedProbe struct {
+	requester    string // address of the member that requested it
+	requesterSeq uint32
+	target       string
+	receivedAt   clock.Nanos
+	nacked       bool
 }
 
-// New returns a detector that knows itself and its seeds.
-func New(s Settings, seed uint64, now clock.Nanos) (*Detector, error) {
-	if err := s.check(); err != nil {
+// New returns a detector without peers.
+func New(settings Settings, seed uint64, now clock.Nanos) (*Detector, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	m := &Detector{settings: s, now: now, rng: seed, since: now, nextProbeAt: now, peers: map[string]*peer{}, relays: map[uint32]relay{},
-		self: Update{Name: s.Name, Address: s.Address, Epoch: s.Epoch, State: Alive}, majorityAt: now}
-	if s.AllowedNames != nil {
-		p, err := quotalease.New(quotalease.Settings{Names: s.AllowedNames, Self: s.Name, Term: s.Term(), IsolatedShare: s.IsolatedShare}, now)
+	detector := &Detector{settings: settings, now: now, rng: seed, startedAt: now, nextProbeAt: now, peers: map[string]*peerState{}, relays: map[uint32]relayedProbe{},
+		self: Update{Name: settings.Name, Address: settings.Address, Epoch: settings.Epoch, State: Alive}, majorityChangedAt: now}
+	if settings.AllowedNames != nil {
+		lease, err := quotalease.New(quotalease.Settings{Names: settings.AllowedNames, Self: settings.Name, Term: settings.Term(), IsolatedShare: settings.IsolatedShare}, now)
 		if err != nil {
 			return nil, err
 		}
-		m.lease, m.allowed = p, map[string]bool{}
-		for _, name := range s.AllowedNames {
-			m.allowed[name] = true
+		detector.quotaLease, detector.allowedNames = lease, map[string]bool{}
+		for _, name := range settings.AllowedNames {
+			detector.allowedNames[name] = true
 		}
 	}
-	m.broadcast(m.self)
-	m.updateMajority()
-	return m, nil
+	detector.queueUpdate(detector.self)
+	detector.updateMajority()
+	return detector, nil
 }
 
-// draw returns a seeded number from 0 to 1.
-func (m *Detector) draw() float64 {
-	m.rng = m.rng*6364136223846793005 + 1442695040888963407
-	return float64(m.rng>>11) / (1 << 53)
+// random returns a seeded pseudorandom number from 0 to 1.
+func (d *Detector) random() float64 {
+	d.rng = d.rng*6364136223846793005 + 1442695040888963407
+	return float64(d.rng>>11) / (1 << 53)
 }
 
-// Tick advances time and returns the messages to send. It should be called about twice per AckTimeout.
-func (m *Detector) Tick(now clock.Nanos) []Message {
-	if gap := now - m.now; gap > m.settings.MaxTickGap && m.settings.Lifeguard {
-		m.resumeAfterGap(gap)
+// Tick advances time and returns the messages to send. It should be called about twice per Settings.AckTimeout.
+func (d *Detector) Tick(now clock.Nanos) []Message {
+	if gap := now - d.now; gap > d.settings.MaxTickGap && d.settings.Lifeguard {
+		d.resumeAfterGap(gap)
 	}
-	m.now = max(m.now, now)
-	m.out = nil
-	if m.left || m.nameTaken {
+	d.now = max(d.now, now)
+	d.outgoing = nil
+	if d.hasLeft || d.duplicateName {
 		return nil
 	}
-	m.expire()
-	m.checkProbe()
-	if m.probe == nil && m.now >= m.nextProbeAt {
-		m.startProbe()
+	d.expire()
+	d.checkProbe()
+	if d.probe == nil && d.now >= d.nextProbeAt {
+		d.startProbe()
 	}
-	m.updateMajority()
-	return m.out
+	d.updateMajority()
+	return d.outgoing
 }
 
-// resumeAfterGap handles a pause of this process, from whatever cause: timeouts that ran out meanwhile prove nothing.
-func (m *Detector) resumeAfterGap(gap clock.Nanos) {
-	for _, p := range m.peers {
-		p.suspectSince += gap
-		p.HeardAt += gap
+// resumeAfterGap handles a pause of this process. Timeouts that expired during the pause prove nothing, so they are
+// extended.
+func (d *Detector) resumeAfterGap(gap clock.Nanos) {
+	for _, peer := range d.peers {
+		peer.suspectedAt += gap
+		peer.LastHeardAt += gap
 	}
-	m.probe, m.nextProbeAt = nil, m.nextProbeAt+gap
-	clear(m.relays)
-	m.self.Incarnation++ // accusations made meanwhile are refuted before they arrive
-	m.broadcast(m.self)
+	d.probe, d.nextProbeAt = nil, d.nextProbeAt+gap
+	clear(d.relays)
+	d.self.Incarnation++ // refutes suspicions that others raised during the pause
+	d.queueUpdate(d.self)
 }
 
-// expire ends suspicions that have timed out, and forgets members that were removed long ago.
-func (m *Detector) expire() {
-	for _, p := range slices.Clone(m.order) {
+// expire ends suspicions that have timed out, and removes members that have been dead or departed for ForgetAfter.
+func (d *Detector) expire() {
+	for _, peer := range slices.Clone(d.sortedPeers) {
 		switch {
-		case p.State == Suspect && m.settings.Lifeguard && p.HeardAt > p.suspectSince:
-			m.setState(p, Alive) // it was heard itself: that prevails over others' reports
-		case p.State == Suspect && m.isolated:
-			p.suspectSince = m.now // an isolated router can't judge who is dead
-		case p.State == Suspect && m.now-p.suspectSince >= m.suspicionTimeout(p):
-			m.setState(p, p.finalState)
-		case p.State == Isolated && m.now-p.HeardAt >= m.settings.MaxSuspicion && !m.isolated:
-			m.accuse(p, m.settings.Name, Dead)
-		case p.State >= Dead && m.now-p.Since >= m.settings.ForgetAfter:
-			m.remove(p)
+		case peer.State == Suspect && d.settings.Lifeguard && peer.LastHeardAt > peer.suspectedAt:
+			d.setState(peer, Alive) // a message from the member itself prevails over reports of others
+		case peer.State == Suspect && d.isolated:
+			peer.suspectedAt = d.now // an isolated router can't tell who is dead
+		case peer.State == Suspect && d.now-peer.suspectedAt >= d.suspicionTimeout(peer):
+			d.setState(peer, peer.finalState)
+		case peer.State == Isolated && d.now-peer.LastHeardAt >= d.settings.MaxSuspicion && !d.isolated:
+			d.suspectPeer(peer, d.settings.Name, Dead)
+		case peer.State >= Dead && d.now-peer.Since >= d.settings.ForgetAfter:
+			d.removePeer(peer)
 		}
 	}
-	for _, seq := range slices.Sorted(maps.Keys(m.relays)) { // in a fixed order, so that runs can be replayed
-		r := m.relays[seq]
+	for _, seq := range slices.Sorted(maps.Keys(d.relays)) { // fixed order, so that runs can be replayed
+		relayed := d.relays[seq]
 		switch {
-		case m.now-r.receivedAt >= m.settings.ProbeInterval:
-			delete(m.relays, seq)
-		case !r.nacked && m.now-r.receivedAt >= m.settings.AckTimeout:
-			r.nacked = true
-			m.relays[seq] = r
-			m.send(Message{Kind: Nack, To: r.address, Seq: r.seq, Target: r.target})
+		case d.now-relayed.receivedAt >= d.settings.ProbeInterval:
+			delete(d.relays, seq)
+		case !relayed.nacked && d.now-relayed.receivedAt >= d.settings.AckTimeout:
+			relayed.nacked = true
+			d.relays[seq] = relayed
+			d.send(Message{Kind: Nack, To: relayed.requester, Seq: relayed.requesterSeq, Target: relayed.target})
 		}
 	}
 }
 
-// Leave notifies as many members as can be notified at once; nothing is sent after it.
-func (m *Detector) Leave(now clock.Nanos) []Message {
-	m.now, m.out = max(m.now, now), nil
-	m.self.State, m.left = Left, true
-	for _, p := range m.randomPeers(maxGoodbyes, "") {
-		m.send(Message{Kind: Ack, To: p.Address, Target: m.settings.Name})
+// Leave returns messages that notify up to maxLeaveNotices members that this router leaves. The detector sends nothing
+// after it.
+func (d *Detector) Leave(now clock.Nanos) []Message {
+	d.now, d.outgoing = max(d.now, now), nil
+	d.self.State, d.hasLeft = Left, true
+	for _, peer := range d.randomPeers(maxLeaveNotices, "") {
+		d.send(Message{Kind: Ack, To: peer.Address, Target: d.settings.Name})
 	}
-	return m.out
+	return d.outgoing
 }
 
-// setState changes a member's state and broadcasts it.
-func (m *Detector) setState(p *peer, s State) {
-	if p.State == s {
+// setState changes a member's state and queues the update.
+func (d *Detector) setState(peer *peerState, state State) {
+	if peer.State == state {
 		return
 	}
-	p.State, p.Since, p.Accuser = s, m.now, ""
-	if s != Suspect {
-		p.accusers, p.probeSoon = nil, false
+	peer.State, peer.Since, peer.ReportedBy = state, d.now, ""
+	if state != Suspect {
+		peer.reporters, peer.probeNext = nil, false
 	} else {
-		p.suspectSince = m.now
+		peer.suspectedAt = d.now
 	}
-	if s == Dead {
-		p.Accuser = m.settings.Name
+	if state == Dead {
+		peer.ReportedBy = d.settings.Name
 	}
-	m.broadcast(p.Update)
+	d.queueUpdate(peer.Update)
 }
 
-// accuse suspects a member, or counts one more accuser.
-func (m *Detector) accuse(p *peer, by string, doom State) {
-	if p.State >= Dead {
+// suspectPeer makes a member a suspect, or adds a reporter to its suspicion. finalState is the state that the report
+// claims.
+func (d *Detector) suspectPeer(peer *peerState, reporter string, finalState State) {
+	if peer.State >= Dead {
 		return
 	}
-	if p.State != Suspect {
-		m.setState(p, Suspect)
-		p.finalState = Dead
+	if peer.State != Suspect {
+		d.setState(peer, Suspect)
+		peer.finalState = Dead
 	}
-	p.finalState = max(p.finalState, doom)
-	if len(p.accusers) <= m.settings.Confirmations && !slices.Contains(p.accusers, by) {
-		p.accusers = append(p.accusers, by)
-		p.Accuser = by
-		m.broadcast(p.Update) // its part of the suspicion is passed on
+	peer.finalState = max(peer.finalState, finalState)
+	if len(peer.reporters) <= d.settings.Confirmations && !slices.Contains(peer.reporters, reporter) {
+		peer.reporters = append(peer.reporters, reporter)
+		peer.ReportedBy = reporter
+		d.queueUpdate(peer.Update) // propagates this reporter's confirmation
 	}
 }
--- a/policy/membership/detector_test.go
+++ b/policy/membership/detector_test.go
@@ -478,7 +478,7 @@
 		n.run(100 * ms)
 		for to := range 6 {
 			for of := range 6 {
-				u := Update{Name: name(of), Address: address(of), Epoch: 1, Incarnation: 1 << 20, State: []State{Suspect, Dead, Left}[int(n.draw()*3)], Accuser: name(6)}
+				u := Update{Name: name(of), Address: address(of), Epoch: 1, Incarnation: 1 << 20, State: []State{Suspect, Dead, Left}[int(n.draw()*3)], ReportedBy: name(6)}
 				for _, m := range n.nodes[of].View().Members {
 					if m.Name == name(of) {
 						u.Incarnation = m.Incarnation
@@ -505,7 +505,7 @@
 	}
 	n.nodes[3].Detector, n.nodes[3].killed, n.nodes[3].skew = second, false, 0
 	n.run(4000 * ms)
-	if v := second.View(); !v.NameTaken || v.Majority {
+	if v := second.View(); !v.DuplicateName || v.Majority {
 		t.Errorf("the younger one was not told: %+v", v)
 	}
 	for _, x := range n.nodes[:3] {
--- a/policy/membership/explore_test.go
+++ b/policy/membership/explore_test.go
@@ -22,19 +22,19 @@
 	path   []string
 }
 
-func (m *Detector) clone() *Detector {
-	c := *m
-	c.peers, c.order, c.relays = map[string]*peer{}, nil, maps.Clone(m.relays)
-	for _, p := range m.order {
+func (d *Detector) clone() *Detector {
+	c := *d
+	c.peers, c.sortedPeers, c.relays = map[string]*peerState{}, nil, maps.Clone(d.relays)
+	for _, p := range d.sortedPeers {
 		q := *p
-		q.accusers = slices.Clone(p.accusers)
-		c.add(&q)
+		q.reporters = slices.Clone(p.reporters)
+		c.addPeer(&q)
 	}
-	if m.probe != nil {
-		q := *m.probe
+	if d.probe != nil {
+		q := *d.probe
 		c.probe = &q
 	}
-	c.probeOrder, c.updates, c.out = slices.Clone(m.probeOrder), slices.Clone(m.updates), nil
+	c.probeOrder, c.queuedUpdates, c.outgoing = slices.Clone(d.probeOrder), slices.Clone(d.queuedUpdates), nil
 	return &c
 }
 
@@ -49,11 +49,11 @@
 func (w *world) hash() uint64 {
 	h := fnv.New64a()
 	for i, m := range w.who {
-		fmt.Fprint(h, w.killed[i], w.asleep, w.wakes, m.self, m.since, m.probeOrder, m.nextProbeAt, m.rounds, m.seq, m.health, m.unanswered, m.unansweredBy, m.isolated, m.nameTaken, m.relays, m.updates, m.rng, m.now, m.nextSyncAt, m.syncInterval, m.syncTaught)
+		fmt.Fprint(h, w.killed[i], w.asleep, w.wakes, m.self, m.startedAt, m.probeOrder, m.nextProbeAt, m.probePeriods, m.lastSeq, m.healthScore, m.unansweredProbes, m.lastUnansweredName, m.isolated, m.duplicateName, m.relays, m.queuedUpdates, m.rng, m.now, m.nextSyncAt, m.syncInterval, m.lastSyncAddedMember)
 		if m.probe != nil {
 			fmt.Fprint(h, *m.probe)
 		}
-		for _, p := range m.order {
+		for _, p := range m.sortedPeers {
 			fmt.Fprint(h, *p)
 		}
 	}
@@ -113,7 +113,7 @@
 func (w *world) broken(before *world) string {
 	for i, m := range w.who {
 		v := m.View()
-		if v.Majority && (v.Isolated || v.NameTaken || 2*v.Present <= m.settings.Configured) {
+		if v.Majority && (v.Isolated || v.DuplicateName || 2*v.Present <= m.settings.Configured) {
 			return fmt.Sprintf("%s takes %d of %d for a majority", m.settings.Name, v.Present, m.settings.Configured)
 		}
 		if m.self.State != Alive || m.Size() > 3+4+maxRelays {
@@ -127,8 +127,8 @@
 			if p.Incarnation < old.Incarnation {
 				return fmt.Sprintf("%s: the incarnation of %s fell", m.settings.Name, name)
 			}
-			if p.State >= Dead && old.State < Dead && old.HeardAt > old.suspectSince && old.HeardAt > 0 {
-				return fmt.Sprintf("%s: %s is dead, though heard at %d ms and doubted since %d ms", m.settings.Name, name, old.HeardAt/ms, old.suspectSince/ms)
+			if p.State >= Dead && old.State < Dead && old.LastHeardAt > old.suspectedAt && old.LastHeardAt > 0 {
+				return fmt.Sprintf("%s: %s is dead, though heard at %d ms and doubted since %d ms", m.settings.Name, name, old.LastHeardAt/ms, old.suspectedAt/ms)
 			}
 		}
 	}
@@ -149,13 +149,13 @@
 		}
 		for j := range w.who {
 			if j != i {
-				m.add(&peer{Member: Member{Update: Update{Name: name(j), Address: address(j), Epoch: 1, State: Alive}}})
+				m.addPeer(&peerState{Member: Member{Update: Update{Name: name(j), Address: address(j), Epoch: 1, State: Alive}}})
 			}
 		}
-		m.updates, m.nextSyncAt = nil, 1<<60 // they have compared all they know
+		m.queuedUpdates, m.nextSyncAt = nil, 1<<60 // they have compared all they know
 		w.who[i] = m
 	}
-	w.who[0].accuse(w.who[0].peers[name(1)], name(0), Dead)
+	w.who[0].suspectPeer(w.who[0].peers[name(1)], name(0), Dead)
 	return w
 }
 
--- a/policy/membership/peers.go
+++ b/policy/membership/peers.go
@@ -7,69 +7,71 @@
 	"lotushook/policy/clock"
 )
 
-type peer struct {
+// peerState is what this router knows of another member.
+type peerState struct {
 	Member
-	suspectSince clock.Nanos // when it became a suspect
-	accusers     []string    // distinct
-	finalState   State       // what it becomes when the suspicion ends: Dead, or Left
-	probeSoon    bool        // to be probed out of turn
-	rivalSince   clock.Nanos // when a younger process of its name was first seen; 0: never
+	suspectedAt     clock.Nanos // when it became a suspect
+	reporters       []string    // distinct members that reported it since then
+	finalState      State       // state after the suspicion times out, Dead or Left
+	probeNext       bool        // probe it out of turn
+	duplicateSeenAt clock.Nanos // when a younger process with its name was first seen; 0: never
 }
 
-// add and remove keep both indexes of the members in step.
-func (m *Detector) add(p *peer) {
-	m.peers[p.Name] = p
-	at, _ := slices.BinarySearchFunc(m.order, p.Name, func(q *peer, name string) int { return cmp.Compare(q.Name, name) })
-	m.order = slices.Insert(m.order, at, p)
+// addPeer and removePeer keep both indexes of the members consistent.
+func (d *Detector) addPeer(peer *peerState) {
+	d.peers[peer.Name] = peer
+	index, _ := slices.BinarySearchFunc(d.sortedPeers, peer.Name, func(other *peerState, name string) int { return cmp.Compare(other.Name, name) })
+	d.sortedPeers = slices.Insert(d.sortedPeers, index, peer)
 }
 
-func (m *Detector) remove(p *peer) {
-	delete(m.peers, p.Name)
-	m.order = slices.DeleteFunc(m.order, func(q *peer) bool { return q == p })
+func (d *Detector) removePeer(peer *peerState) {
+	delete(d.peers, peer.Name)
+	d.sortedPeers = slices.DeleteFunc(d.sortedPeers, func(other *peerState) bool { return other == peer })
 }
 
-// filterPeers returns the members that match, by name.
-func (m *Detector) filterPeers(hold func(*peer) bool) []*peer {
-	var list []*peer
-	for _, p := range m.order {
-		if hold(p) {
-			list = append(list, p)
+// matchingPeers returns the members that match, ordered by name.
+func (d *Detector) matchingPeers(matches func(*peerState) bool) []*peerState {
+	var peers []*peerState
+	for _, peer := range d.sortedPeers {
+		if matches(peer) {
+			peers = append(peers, peer)
 		}
 	}
-	return list
+	return peers
 }
 
-// randomPeers draws members that are alive, except the one of a name.
-func (m *Detector) randomPeers(n int, but string) []*peer {
-	list := m.filterPeers(func(p *peer) bool { return p.Name != but && p.State == Alive })
-	shuffle(m, list)
-	return list[:min(n, len(list))]
+// randomPeers returns up to count random members that are alive, without the one named except.
+func (d *Detector) randomPeers(count int, except string) []*peerState {
+	candidates := d.matchingPeers(func(peer *peerState) bool { return peer.Name != except && peer.State == Alive })
+	shuffle(d, candidates)
+	return candidates[:min(count, len(candidates))]
 }
 
-func shuffle[T any](m *Detector, list []T) {
+func shuffle[T any](d *Detector, list []T) {
 	for i := len(list) - 1; i > 0; i-- {
-		j := int(m.draw() * float64(i+1))
-		list[i], list[j] = list[j], list[i]
+		other := int(d.random() * float64(i+1))
+		list[i], list[other] = list[other], list[i]
 	}
 }
 
-// aliveCount is how many others are neither dead nor departed.
-func (m *Detector) aliveCount() int {
-	n := 0
-	for _, p := range m.order {
-		if p.State < Dead {
-			n++
+// otherCount returns the number of other members that are neither dead nor departed.
+func (d *Detector) otherCount() int {
+	count := 0
+	for _, peer := range d.sortedPeers {
+		if peer.State < Dead {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (m *Detector) presentCount() int {
-	n := 1
-	for _, p := range m.order {
-		if p.State <= Suspect {
-			n++
+// presentCount returns the number of members that are alive or suspect, including this router.
+func (d *Detector) presentCount() int {
+	count := 1
+	for _, peer := range d.sortedPeers {
+		if peer.State <= Suspect {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/policy/membership/probe.go
+++ b/policy/membership/probe.go
@@ -7,146 +7,150 @@
 	"lotushook/policy/clock"
 )
 
-// checkProbe advances the open probe: indirect checks after a timeout, and a suspicion at its end.
-func (m *Detector) checkProbe() {
-	q := m.probe
-	if q == nil {
+// checkProbe advances the probe in flight: it sends indirect checks after AckTimeout, and suspects the member after
+// ProbeInterval.
+func (d *Detector) checkProbe() {
+	probe := d.probe
+	if probe == nil {
 		return
 	}
-	p := m.peers[q.name]
-	if p == nil || p.State >= Dead {
-		m.probe = nil
+	peer := d.peers[probe.name]
+	if peer == nil || peer.State >= Dead {
+		d.probe = nil
 		return
 	}
-	if !q.escalated && m.now-q.sentAt >= m.stretch(m.settings.AckTimeout) {
-		q.escalated = true
-		for _, h := range m.randomPeers(m.settings.IndirectChecks, q.name) {
-			q.helpersAsked++
-			m.send(Message{Kind: IndirectPing, To: h.Address, Seq: q.seq, Target: q.name, TargetAddress: p.Address})
+	if !probe.indirectSent && d.now-probe.sentAt >= d.extendTimeout(d.settings.AckTimeout) {
+		probe.indirectSent = true
+		for _, helper := range d.randomPeers(d.settings.IndirectChecks, probe.name) {
+			probe.helperCount++
+			d.send(Message{Kind: IndirectPing, To: helper.Address, Seq: probe.seq, Target: probe.name, TargetAddress: peer.Address})
 		}
 	}
-	if m.now-q.sentAt < m.stretch(m.settings.ProbeInterval) {
+	if d.now-probe.sentAt < d.extendTimeout(d.settings.ProbeInterval) {
 		return
 	}
-	m.probe = nil
-	if m.settings.Lifeguard {
-		m.health = min(m.health+q.helpersAsked-q.answers, maxHealthScore) // that one member is dead says nothing of this router
-		if q.answers == 0 {
-			if m.unanswered++; m.unansweredBy != q.name {
-				m.unansweredBy = q.name
-				m.isolated = m.isolated || m.unanswered >= min(isolatedRounds, 2*max(m.aliveCount(), 1))
+	d.probe = nil
+	if d.settings.Lifeguard {
+		// Only missing answers of helpers count: a dead target says nothing about this router.
+		d.healthScore = min(d.healthScore+probe.helperCount-probe.helperAnswers, maxHealthScore)
+		if probe.helperAnswers == 0 {
+			if d.unansweredProbes++; d.lastUnansweredName != probe.name {
+				d.lastUnansweredName = probe.name
+				d.isolated = d.isolated || d.unansweredProbes >= min(isolatedAfterProbes, 2*max(d.otherCount(), 1))
 			}
 		}
-		if m.isolated || q.answers == 0 && q.helpersAsked > 0 { // no helper was heard: the fault may well be this router's own
+		// Without an answer of any helper, the fault may be this router's own.
+		if d.isolated || probe.helperAnswers == 0 && probe.helperCount > 0 {
 			return
 		}
-		if p.State == Isolated { // it can't answer; it is judged by its own silence
+		if peer.State == Isolated { // an isolated member can't answer; expire suspects it if it falls silent
 			return
 		}
 	}
-	m.accuse(p, m.settings.Name, Dead)
+	d.suspectPeer(peer, d.settings.Name, Dead)
 }
 
-// startProbe probes the next member, and now and then contacts removed members and seeds.
-func (m *Detector) startProbe() {
-	m.nextProbeAt = max(m.nextProbeAt+m.settings.ProbeInterval, m.now)
-	if m.rounds++; m.rounds%contactEvery == 0 || m.aliveCount() == 0 {
-		m.contactLost()
-	}
-	m.syncState()
-	p := m.nextToProbe()
-	if p == nil {
+// startProbe probes the next member. Every contactPeriods it also contacts a dead member or an unknown seed.
+func (d *Detector) startProbe() {
+	d.nextProbeAt = max(d.nextProbeAt+d.settings.ProbeInterval, d.now)
+	if d.probePeriods++; d.probePeriods%contactPeriods == 0 || d.otherCount() == 0 {
+		d.contactUnreachable()
+	}
+	d.requestSync()
+	peer := d.nextToProbe()
+	if peer == nil {
 		return
 	}
-	m.seq++
-	m.probe = &probe{name: p.Name, seq: m.seq, sentAt: m.now}
-	m.send(Message{Kind: Ping, To: p.Address, Seq: m.seq, Target: p.Name})
+	d.lastSeq++
+	d.probe = &pendingProbe{name: peer.Name, seq: d.lastSeq, sentAt: d.now}
+	d.send(Message{Kind: Ping, To: peer.Address, Seq: d.lastSeq, Target: peer.Name})
 }
 
-// nextToProbe returns the member to probe: round-robin in an order drawn anew for each round, and in every second period one of
-// the suspects, so that each is probed several times before its suspicion times out.
-func (m *Detector) nextToProbe() *peer {
-	if m.rounds%2 == 0 && m.settings.Lifeguard {
-		doubted := m.filterPeers(func(p *peer) bool { return p.State < Dead && (p.probeSoon || p.State == Suspect) })
-		if len(doubted) > 0 {
-			p := doubted[int(m.draw()*float64(len(doubted)))]
-			p.probeSoon = false
-			return p
+// nextToProbe returns the next member to probe: round-robin in a new random order for each round and, in every second
+// period, one of the suspects, so that each suspect is probed several times before its suspicion times out.
+func (d *Detector) nextToProbe() *peerState {
+	if d.probePeriods%2 == 0 && d.settings.Lifeguard {
+		suspects := d.matchingPeers(func(peer *peerState) bool { return peer.State < Dead && (peer.probeNext || peer.State == Suspect) })
+		if len(suspects) > 0 {
+			peer := suspects[int(d.random()*float64(len(suspects)))]
+			peer.probeNext = false
+			return peer
 		}
 	}
 	for range 2 {
-		for len(m.probeOrder) > 0 {
-			p := m.peers[m.probeOrder[0]]
-			m.probeOrder = m.probeOrder[1:]
-			if p != nil && p.State < Dead {
-				return p
+		for len(d.probeOrder) > 0 {
+			peer := d.peers[d.probeOrder[0]]
+			d.probeOrder = d.probeOrder[1:]
+			if peer != nil && peer.State < Dead {
+				return peer
 			}
 		}
-		for _, p := range m.order {
-			m.probeOrder = append(m.probeOrder, p.Name)
+		for _, peer := range d.sortedPeers {
+			d.probeOrder = append(d.probeOrder, peer.Name)
 		}
-		shuffle(m, m.probeOrder)
+		shuffle(d, d.probeOrder)
 	}
 	return nil
 }
 
-// contactLost requests the full state of a removed member, or of an unknown seed: the halves of a partition find each
-// other again, and a router that started alone finds the others.
-func (m *Detector) contactLost() {
-	var doors []string
-	here := map[string]bool{m.settings.Address: true}
-	for _, p := range m.order {
-		if p.State < Dead {
-			here[p.Address] = true
-		} else if p.State == Dead {
-			doors = append(doors, p.Address)
+// contactUnreachable requests the full state from a dead member or an unknown seed, so that the sides of a healed
+// partition, and a router that started alone, find the others.
+func (d *Detector) contactUnreachable() {
+	var addresses []string
+	present := map[string]bool{d.settings.Address: true}
+	for _, peer := range d.sortedPeers {
+		if peer.State < Dead {
+			present[peer.Address] = true
+		} else if peer.State == Dead {
+			addresses = append(addresses, peer.Address)
 		}
 	}
-	doors = append(doors, m.settings.Seeds...)
-	doors = slices.DeleteFunc(doors, func(a string) bool { return here[a] })
-	if len(doors) > 0 {
-		m.send(Message{Kind: StateRequest, To: doors[int(m.draw()*float64(len(doors)))]})
+	addresses = append(addresses, d.settings.Seeds...)
+	addresses = slices.DeleteFunc(addresses, func(address string) bool { return present[address] })
+	if len(addresses) > 0 {
+		d.send(Message{Kind: StateRequest, To: addresses[int(d.random()*float64(len(addresses)))]})
 	}
 }
 
-// syncState now and then requests a member's full state: soon again while that teaches something, and finally once in as
-// many periods as there are members, so that the bytes per second do not grow with them.
-func (m *Detector) syncState() {
-	if m.now < m.nextSyncAt {
+// requestSync requests a random member's full state. While the replies contain unknown members, the interval is
+// contactPeriods probe intervals; otherwise it doubles up to one probe interval per member, so that the bytes per
+// second do not grow with the cluster.
+func (d *Detector) requestSync() {
+	if d.now < d.nextSyncAt {
 		return
 	}
-	for _, p := range m.randomPeers(1, "") {
-		if m.syncInterval *= 2; m.syncTaught {
-			m.syncInterval = 0
+	for _, peer := range d.randomPeers(1, "") {
+		if d.syncInterval *= 2; d.lastSyncAddedMember {
+			d.syncInterval = 0
 		}
-		m.syncInterval = max(contactEvery*m.settings.ProbeInterval, min(m.syncInterval, clock.Nanos(len(m.order))*m.settings.ProbeInterval))
-		m.nextSyncAt, m.syncTaught = m.now+m.syncInterval, false
-		m.send(Message{Kind: StateRequest, To: p.Address})
+		d.syncInterval = max(contactPeriods*d.settings.ProbeInterval, min(d.syncInterval, clock.Nanos(len(d.sortedPeers))*d.settings.ProbeInterval))
+		d.nextSyncAt, d.lastSyncAddedMember = d.now+d.syncInterval, false
+		d.send(Message{Kind: StateRequest, To: peer.Address})
 	}
 }
 
-// suspicionTimeout is how long a suspicion lasts: the more accusers, the shorter (Lifeguard). A member that misses answers itself, on a
-// slow machine or over lossy links, waits longer.
-func (m *Detector) suspicionTimeout(p *peer) clock.Nanos {
-	if !m.settings.Lifeguard {
-		return m.settings.MaxSuspicion
+// suspicionTimeout returns how long a suspicion lasts: the more reporters, the shorter (Lifeguard). A router that
+// misses answers itself, as on a slow machine or a lossy link, waits longer.
+func (d *Detector) suspicionTimeout(peer *peerState) clock.Nanos {
+	if !d.settings.Lifeguard {
+		return d.settings.MaxSuspicion
 	}
-	return m.baseSuspicionTimeout(p) * clock.Nanos(2+m.health) / 2
+	return d.baseSuspicionTimeout(peer) * clock.Nanos(2+d.healthScore) / 2
 }
 
-func (m *Detector) baseSuspicionTimeout(p *peer) clock.Nanos {
-	others := min(len(p.accusers)-1, m.settings.Confirmations)
-	share := math.Log(float64(others)+1) / math.Log(float64(m.settings.Confirmations)+1)
-	if m.settings.Confirmations == 0 {
-		share = 1
+func (d *Detector) baseSuspicionTimeout(peer *peerState) clock.Nanos {
+	confirmations := min(len(peer.reporters)-1, d.settings.Confirmations)
+	progress := math.Log(float64(confirmations)+1) / math.Log(float64(d.settings.Confirmations)+1)
+	if d.settings.Confirmations == 0 {
+		progress = 1
 	}
-	return max(m.settings.MinSuspicion, m.settings.MaxSuspicion-clock.Nanos(share*float64(m.settings.MaxSuspicion-m.settings.MinSuspicion)))
+	return max(d.settings.MinSuspicion, d.settings.MaxSuspicion-clock.Nanos(progress*float64(d.settings.MaxSuspicion-d.settings.MinSuspicion)))
 }
 
-// stretch lengthens a timeout by the local health score.
-func (m *Detector) stretch(d clock.Nanos) clock.Nanos {
-	if !m.settings.Lifeguard || m.isolated { // an isolated member accuses none, and wants to be heard
-		return d
+// extendTimeout lengthens a timeout by the local health score.
+func (d *Detector) extendTimeout(timeout clock.Nanos) clock.Nanos {
+	if !d.settings.Lifeguard || d.isolated { // an isolated router suspects nobody, and should reconnect soon
+		return timeout
 	}
-	return d * clock.Nanos(1+m.health)
+	return timeout * clock.Nanos(1+d.healthScore)
 }
--- a/policy/membership/receive.go
+++ b/policy/membership/receive.go
@@ -2,145 +2,150 @@
 
 import "lotushook/policy/clock"
 
-// Receive processes a message and returns the messages to send for it.
-func (m *Detector) Receive(now clock.Nanos, msg Message) []Message {
-	if gap := now - m.now; gap > m.settings.MaxTickGap && m.settings.Lifeguard {
-		m.resumeAfterGap(gap) // it is the first message after the pause
+// Receive processes a message and returns the messages to send in response.
+func (d *Detector) Receive(now clock.Nanos, message Message) []Message {
+	if gap := now - d.now; gap > d.settings.MaxTickGap && d.settings.Lifeguard {
+		d.resumeAfterGap(gap) // the first message after a pause may precede the first Tick
 	}
-	m.now, m.out = max(m.now, now), nil
-	if m.left || msg.From == "" || msg.Address == "" || m.isForeign(msg.From) {
+	d.now, d.outgoing = max(d.now, now), nil
+	if d.hasLeft || message.From == "" || message.Address == "" || d.isForeign(message.From) {
 		return nil
 	}
-	if msg.From == m.settings.Name {
-		m.resolveDuplicateName(&msg)
-		return m.out
+	if message.From == d.settings.Name {
+		d.resolveDuplicateName(&message)
+		return d.outgoing
 	}
-	if m.nameTaken {
+	if d.duplicateName {
 		return nil
 	}
-	for i := range msg.Updates {
-		m.applyUpdate(&msg.Updates[i], &msg)
+	for i := range message.Updates {
+		d.applyUpdate(&message.Updates[i], &message)
 	}
-	p := m.peers[msg.From]
-	if p == nil || p.Epoch != msg.Epoch { // no capacity for it, an older process of that name, or a younger one beside a living
+	peer := d.peers[message.From]
+	// The sender is not a member for lack of capacity, is an older process of its name, or is a younger one beside the
+	// member.
+	if peer == nil || peer.Epoch != message.Epoch {
 		switch {
-		case p == nil:
-		case msg.Epoch > p.Epoch && p.rivalSince > 0 && p.HeardAt > p.rivalSince: // the older one was heard since
-			m.send(Message{Kind: NameTaken, To: msg.Address})
-		case msg.Epoch < p.Epoch && (p.Address == msg.Address || p.State >= Dead): // its clock was set back: it must start above
-			m.send(Message{Kind: StateReply, To: msg.Address, Updates: []Update{p.Update}})
+		case peer == nil:
+		// The older process was heard since the younger one appeared: it still runs.
+		case message.Epoch > peer.Epoch && peer.duplicateSeenAt > 0 && peer.LastHeardAt > peer.duplicateSeenAt:
+			d.send(Message{Kind: DuplicateName, To: message.Address})
+		// The sender's clock was set back: it must start above the old epoch.
+		case message.Epoch < peer.Epoch && (peer.Address == message.Address || peer.State >= Dead):
+			d.send(Message{Kind: StateReply, To: message.Address, Updates: []Update{peer.Update}})
 		}
-		return m.out
+		return d.outgoing
 	}
-	m.markHeard(p, &msg)
-	m.reply(p, &msg)
-	return m.out
+	d.recordHeard(peer, &message)
+	d.reply(peer, &message)
+	return d.outgoing
 }
 
-// isForeign says whether a name is not the installation's.
-func (m *Detector) isForeign(name string) bool { return m.allowed != nil && !m.allowed[name] }
+// isForeign says whether a name does not belong to the installation.
+func (d *Detector) isForeign(name string) bool { return d.allowedNames != nil && !d.allowedNames[name] }
 
-// markHeard records that a member was heard.
-func (m *Detector) markHeard(p *peer, msg *Message) {
-	p.HeardAt = m.now
-	if !m.settings.Lifeguard {
+// recordHeard records that a message from a member was received.
+func (d *Detector) recordHeard(peer *peerState, message *Message) {
+	peer.LastHeardAt = d.now
+	if !d.settings.Lifeguard {
 		return
 	}
 	switch {
-	case msg.Isolated && p.State < Dead:
-		m.setState(p, Isolated)
-	case !msg.Isolated && p.State == Isolated:
-		m.setState(p, Alive)
+	case message.Isolated && peer.State < Dead:
+		d.setState(peer, Isolated)
+	case !message.Isolated && peer.State == Isolated:
+		d.setState(peer, Alive)
 	}
 }
 
-// resolveDuplicateName decides which of two processes with one name stays: the older, the only one that the others accept.
-func (m *Detector) resolveDuplicateName(msg *Message) {
+// resolveDuplicateName resolves a conflict between two processes with this router's name: the older one stays, as the
+// other members accept only that one.
+func (d *Detector) resolveDuplicateName(message *Message) {
 	switch {
-	case msg.Epoch > m.self.Epoch:
-		m.send(Message{Kind: NameTaken, To: msg.Address})
-	case msg.Epoch < m.self.Epoch && msg.Address != m.settings.Address:
-		m.nameTaken = true
-		m.updateMajority()
+	case message.Epoch > d.self.Epoch:
+		d.send(Message{Kind: DuplicateName, To: message.Address})
+	case message.Epoch < d.self.Epoch && message.Address != d.settings.Address:
+		d.duplicateName = true
+		d.updateMajority()
 	}
 }
 
-func (m *Detector) reply(p *peer, msg *Message) {
-	switch msg.Kind {
+func (d *Detector) reply(peer *peerState, message *Message) {
+	switch message.Kind {
 	case Ping:
-		reply := Message{Kind: Ack, To: msg.Address, Seq: msg.Seq, Target: m.settings.Name}
-		if p.State != Alive { // it learns of the accusation, and can refute it
-			reply.Updates = []Update{p.Update}
+		reply := Message{Kind: Ack, To: message.Address, Seq: message.Seq, Target: d.settings.Name}
+		if peer.State != Alive { // so that the member can refute it
+			reply.Updates = []Update{peer.Update}
 		}
-		if m.lease != nil && msg.Target == m.settings.Name {
-			row := m.lease.Vote(m.now, p.Name, p.Epoch, p.Address, m.isRemoved)
-			reply.Vote = &row
+		if d.quotaLease != nil && message.Target == d.settings.Name {
+			vote := d.quotaLease.Vote(d.now, peer.Name, peer.Epoch, peer.Address, d.isRemoved)
+			reply.Vote = &vote
 		}
-		m.send(reply)
+		d.send(reply)
 	case IndirectPing:
-		if len(m.relays) < maxRelays {
-			m.seq++
-			m.relays[m.seq] = relay{address: msg.Address, seq: msg.Seq, target: msg.Target, receivedAt: m.now}
-			m.send(Message{Kind: Ping, To: msg.TargetAddress, Seq: m.seq, Target: msg.Target})
+		if len(d.relays) < maxRelays {
+			d.lastSeq++
+			d.relays[d.lastSeq] = relayedProbe{requester: message.Address, requesterSeq: message.Seq, target: message.Target, receivedAt: d.now}
+			d.send(Message{Kind: Ping, To: message.TargetAddress, Seq: d.lastSeq, Target: message.Target})
 		}
 	case Ack:
-		if r, ok := m.relays[msg.Seq]; ok && r.target == msg.From {
-			delete(m.relays, msg.Seq)
-			m.send(Message{Kind: Ack, To: r.address, Seq: r.seq, Target: r.target})
+		if relayed, ok := d.relays[message.Seq]; ok && relayed.target == message.From {
+			delete(d.relays, message.Seq)
+			d.send(Message{Kind: Ack, To: relayed.requester, Seq: relayed.requesterSeq, Target: relayed.target})
 			return
 		}
-		m.probeAcked(p, msg)
+		d.probeAcked(peer, message)
 	case Nack:
-		if q := m.probe; q != nil && q.seq == msg.Seq {
-			q.answers++
-			m.probeAnswered()
+		if probe := d.probe; probe != nil && probe.seq == message.Seq {
+			probe.helperAnswers++
+			d.probeAnswered()
 		}
 	case StateRequest:
-		m.sendFullState(msg.Address)
-	case NameTaken:
-		if msg.To == m.settings.Address {
-			m.nameTaken = true
-			m.updateMajority()
+		d.sendFullState(message.Address)
+	case DuplicateName:
+		if message.To == d.settings.Address {
+			d.duplicateName = true
+			d.updateMajority()
 		}
 	}
 }
 
-// probeAcked ends the open probe.
-func (m *Detector) probeAcked(p *peer, msg *Message) {
-	q := m.probe
-	if q == nil || q.seq != msg.Seq || q.name != msg.Target {
+// probeAcked ends the probe in flight if the message acknowledges it.
+func (d *Detector) probeAcked(peer *peerState, message *Message) {
+	probe := d.probe
+	if probe == nil || probe.seq != message.Seq || probe.name != message.Target {
 		return
 	}
-	m.probe = nil
-	m.health = max(0, m.health-1)
-	m.probeAnswered()
-	if msg.From == q.name {
-		p.RoundTrip = m.now - q.sentAt
-		if m.lease != nil && msg.Vote != nil {
-			m.lease.AddVote(q.sentAt, p.Name, *msg.Vote)
+	d.probe = nil
+	d.healthScore = max(0, d.healthScore-1)
+	d.probeAnswered()
+	if message.From == probe.name {
+		peer.RoundTrip = d.now - probe.sentAt
+		if d.quotaLease != nil && message.Vote != nil {
+			d.quotaLease.AddVote(probe.sentAt, peer.Name, *message.Vote)
 		}
 		return
 	}
-	if t := m.peers[q.name]; t != nil && t.State == Suspect { // a helper heard it
-		m.setState(t, Alive)
+	if target := d.peers[probe.name]; target != nil && target.State == Suspect { // a helper received its answer
+		d.setState(target, Alive)
 	}
 }
 
-// probeAnswered processes an answer to this router's own probe: it hears, and is heard.
-func (m *Detector) probeAnswered() {
-	m.unanswered, m.unansweredBy = 0, ""
-	if m.isolated {
-		m.isolated = false
-		m.self.Incarnation++
-		m.broadcast(m.self)
+// probeAnswered records that this router's probe was answered, so that it can both send and receive.
+func (d *Detector) probeAnswered() {
+	d.unansweredProbes, d.lastUnansweredName = 0, ""
+	if d.isolated {
+		d.isolated = false
+		d.self.Incarnation++
+		d.queueUpdate(d.self)
 	}
 }
 
-// sendFullState sends the state of all members: a long message, which Settings.MaxMembers bounds.
-func (m *Detector) sendFullState(to string) {
-	all := make([]Update, 0, len(m.order)+1)
-	for _, p := range m.order {
-		all = append(all, p.Update)
+// sendFullState sends the state of all members in one message, whose size Settings.MaxMembers bounds.
+func (d *Detector) sendFullState(address string) {
+	updates := make([]Update, 0, len(d.sortedPeers)+1)
+	for _, peer := range d.sortedPeers {
+		updates = append(updates, peer.Update)
 	}
-	m.send(Message{Kind: StateReply, To: to, Updates: all})
+	d.send(Message{Kind: StateReply, To: address, Updates: updates})
 }
--- a/policy/membership/replay_test.go
+++ b/policy/membership/replay_test.go
@@ -35,7 +35,7 @@
 			if len(sent) > 0 && driver.IntN(2) == 0 {
 				message.Kind, message.Seq, message.From = membership.Ack, sent[0].Seq, sent[0].To
 			}
-			if message.Kind > membership.NameTaken || message.Kind == membership.NameTaken && driver.IntN(50) > 0 {
+			if message.Kind > membership.DuplicateName || message.Kind == membership.DuplicateName && driver.IntN(50) > 0 {
 				message.Kind = membership.Ack
 			}
 			return members.Receive(now, message)
--- a/policy/membership/settings.go
+++ b/policy/membership/settings.go
@@ -1,7 +1,7 @@
-// Package membership decides which routers are alive. It takes the messages a router receives and the time, and
-// returns the messages to send and the current view: a failure detector after SWIM (Das, Gupta, Motivala 2002) with the
-// corrections of Lifeguard (Dadgar, Phillips, Currey 2017), extended for paused processes and one-way partitions.
-// How messages travel, and what follows from a view, is not decided here.
+// Package membership decides which routers are alive. Its inputs are the messages that a router receives and the time;
+// its outputs are the messages to send and the current view. It implements the failure detector SWIM (Das, Gupta,
+// Motivala 2002) with the corrections of Lifeguard (Dadgar, Phillips, Currey 2017), extended for paused processes and
+// one-way partitions. It decides neither how messages are transported nor what follows from a view.
 package membership
 
 import (
@@ -12,130 +12,133 @@
 	"lotushook/policy/quotalease"
 )
 
-// State is the believed state of a member.
+// State is the state of a member as another one sees it.
 type State uint8
 
-// The states. Within one incarnation the greater one prevails.
+// The states of a member. Within one incarnation the greater state prevails.
 const (
 	Alive    State = iota + 1
-	Suspect        // did not answer; becomes Dead unless it, or a member that heard it, refutes that in time
-	Isolated       // heard but not hearing, or the reverse: it neither counts nor accuses
+	Suspect        // did not answer a probe; becomes Dead unless it or a member that heard it refutes that in time
+	Isolated       // can send or receive, but not both; neither counts as present nor suspects others
 	Dead
-	Left // by its own announcement
+	Left // announced that it leaves
 )
 
 var stateNames = [...]string{"unknown", "alive", "suspect", "cut off", "dead", "left"}
 
-// String is the state's name in logs.
+// String returns the state's name in logs.
 func (s State) String() string { return stateNames[s] }
 
 // Settings are the settings of one member.
 type Settings struct {
 	Name       string
-	Address    string // where others reach it
-	Epoch      uint64 // greater at each start of the same name
-	Seeds      []string
-	Configured int // routers of the installation: a side with no more than half of these may be half of a partition
+	Address    string   // where other members reach it
+	Epoch      uint64   // greater at each start of a process with this name
+	Seeds      []string // addresses of members to contact
+	Configured int      // routers of the installation; only more than half of them are a majority
 
-	AllowedNames  []string // the names of all of them: no other is accepted, and quota shares follow the members present. Empty: any name, and shares are fixed
-	IsolatedShare float64  // see quotalease.Settings
+	// AllowedNames are the names of all configured routers. Other names are rejected, and quota shares follow the
+	// present members. If it is nil, any name is accepted and quota shares are fixed.
+	AllowedNames  []string
+	IsolatedShare float64 // see quotalease.Settings
 
-	ProbeInterval    clock.Nanos // one member is probed in each
+	ProbeInterval    clock.Nanos // one member is probed per interval
 	AckTimeout       clock.Nanos // for a direct answer, before indirect checks
-	IndirectChecks   int         // how many members are asked for one
-	MinSuspicion     clock.Nanos // a suspicion that Confirmations others share times out after this
-	MaxSuspicion     clock.Nanos // and one that none shares after this
-	Confirmations    int         // accusers beside the first
-	MaxTickGap       clock.Nanos // a gap between ticks that means that this process was paused
-	ForgetAfter      clock.Nanos // dead and departed members are remembered so long
-	MaxMembers       int         // remembered at most
-	MaxUpdates       int         // in a message, at most
-	RetransmitFactor float64     // each update is sent so many times the logarithm of the number of members
-	Lifeguard        bool        // Lifeguard's corrections and those against pauses and partitions; without, it is SWIM with suspicion
+	IndirectChecks   int         // number of members that check a silent one
+	MinSuspicion     clock.Nanos // timeout of a suspicion with Confirmations further reporters
+	MaxSuspicion     clock.Nanos // timeout of a suspicion with one reporter
+	Confirmations    int         // reporters beside the first that reduce the timeout to MinSuspicion
+	MaxTickGap       clock.Nanos // a longer gap between calls means that this process was paused
+	ForgetAfter      clock.Nanos // how long dead and departed members are remembered
+	MaxMembers       int         // maximum number of members, including this one
+	MaxUpdates       int         // maximum number of queued updates in a message
+	RetransmitFactor float64     // transmissions of each update, times the binary logarithm of the number of members
+	Lifeguard        bool        // the corrections of Lifeguard, and for pauses and partitions; without: plain SWIM
 }
 
-// DefaultSettings are settings for a name on a local network; empty fields must be filled in.
-func DefaultSettings(name, address string, boot uint64, configured int) Settings {
+// DefaultSettings returns settings for a local network. The caller adds Seeds and, if needed, AllowedNames and
+// IsolatedShare.
+func DefaultSettings(name, address string, epoch uint64, configured int) Settings {
 	const ms = 1e6
-	return Settings{Name: name, Address: address, Epoch: boot, Configured: configured, ProbeInterval: 200 * ms, AckTimeout: 70 * ms, IndirectChecks: 3,
+	return Settings{Name: name, Address: address, Epoch: epoch, Configured: configured, ProbeInterval: 200 * ms, AckTimeout: 70 * ms, IndirectChecks: 3,
 		MinSuspicion: 800 * ms, MaxSuspicion: 2400 * ms, Confirmations: 3, MaxTickGap: 150 * ms, ForgetAfter: 60_000 * ms, MaxMembers: 1000, MaxUpdates: 10, RetransmitFactor: 3,
 		Lifeguard: true}
 }
 
-// Term is how long the votes of the quota lease last: four rounds over all members, as in one each is probed twice
-// while others are suspected too.
+// Term returns how long the votes of the quota lease are valid: four probe intervals per member, in which each member
+// is probed twice even if every second probe goes to a suspect.
 func (s *Settings) Term() clock.Nanos { return 4 * clock.Nanos(s.Configured) * s.ProbeInterval }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	var errs []error
-	want := func(ok bool, field string) {
+	require := func(ok bool, field string) {
 		if !ok {
 			errs = append(errs, fmt.Errorf("member: %s: missing or out of range", field))
 		}
 	}
-	want(s.Name != "" && s.Address != "", "Name, Address")
-	want(s.Configured > 0 && (s.AllowedNames == nil || len(s.AllowedNames) == s.Configured), "Configured")
-	want(s.ProbeInterval > 0 && s.AckTimeout > 0 && s.AckTimeout < s.ProbeInterval, "Period, Wait")
-	want(s.MinSuspicion > 0 && s.MaxSuspicion >= s.MinSuspicion, "LeastDoubt, MostDoubt")
-	want(min(s.IndirectChecks, s.Confirmations) >= 0 && s.IndirectChecks <= maxIndirectChecks, "Helpers, Confirms")
-	want(s.MaxTickGap > 0 && s.ForgetAfter > s.MaxSuspicion, "Pause, Forget")
-	want(s.MaxMembers > 0 && s.MaxUpdates > 0 && s.RetransmitFactor > 0, "Members, News, Retell")
+	require(s.Name != "" && s.Address != "", "Name, Address")
+	require(s.Configured > 0 && (s.AllowedNames == nil || len(s.AllowedNames) == s.Configured), "Configured")
+	require(s.ProbeInterval > 0 && s.AckTimeout > 0 && s.AckTimeout < s.ProbeInterval, "Period, Wait")
+	require(s.MinSuspicion > 0 && s.MaxSuspicion >= s.MinSuspicion, "LeastDoubt, MostDoubt")
+	require(min(s.IndirectChecks, s.Confirmations) >= 0 && s.IndirectChecks <= maxIndirectChecks, "Helpers, Confirms")
+	require(s.MaxTickGap > 0 && s.ForgetAfter > s.MaxSuspicion, "Pause, Forget")
+	require(s.MaxMembers > 0 && s.MaxUpdates > 0 && s.RetransmitFactor > 0, "Members, News, Retell")
 	return errors.Join(errs...)
 }
 
 // Kind is the type of a message.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages.
 const (
-	Ping         Kind = iota + 1 // requests an Ack
-	IndirectPing                 // requests a probe of Target
-	Ack                          // Target answers, itself or through another
-	Nack                         // Target has not answered yet
-	StateRequest                 // requests the full state
-	StateReply                   // the full state
-	NameTaken                    // the name is used by another, older process
+	Ping          Kind = iota + 1 // requests an Ack
+	IndirectPing                  // requests that the receiver pings Target
+	Ack                           // Target has answered, directly or to a helper
+	Nack                          // Target has not answered the helper yet
+	StateRequest                  // requests a StateReply
+	StateReply                    // the state of all members
+	DuplicateName                 // an older process uses the receiver's name
 )
 
-// Update is one member's state as another believes it.
+// Update is a member's state as another member sees it.
 type Update struct {
 	Name, Address string
 	Epoch         uint64
 	Incarnation   uint32
 	State         State
-	Accuser       string // of an accusation: its maker
+	ReportedBy    string // of Suspect and Dead: the member that reported it
 }
 
-// Message goes from one member to another.
+// Message is a message from one member to another.
 type Message struct {
 	Kind          Kind
-	From, Address string // the sender, and its address
+	From, Address string // the sender's name and address
 	Epoch         uint64
-	To            string // an address
+	To            string // the receiver's address
 	Seq           uint32
-	Target        string // IndirectPing, Ack, Nack: a name
-	TargetAddress string // IndirectPing
+	Target        string // name of the member that is probed
+	TargetAddress string // for IndirectPing
 
-	Isolated bool // the sender hears hardly any member: its reports on others are ignored
+	Isolated bool // the sender is isolated
 	Updates  []Update
-	Vote     *quotalease.Vote // of an answer to the receiver's own probe: the sender's vote
+	Vote     *quotalease.Vote // the sender's vote, in an answer to the receiver's direct probe
 }
 
 // Member is one member in a view.
 type Member struct {
 	Update
-	Since     clock.Nanos // of its state
-	HeardAt   clock.Nanos // last directly; 0: never
-	RoundTrip clock.Nanos // of its last direct answer; 0: unknown
+	Since       clock.Nanos // start of its state
+	LastHeardAt clock.Nanos // last message from the member itself; 0: none
+	RoundTrip   clock.Nanos // of its last answer to a direct probe; 0: unknown
 }
 
-// View is what this router believes.
+// View is the cluster as this router sees it.
 type View struct {
-	Members       []Member    // by name, this router included
-	Present       int         // alive or suspect, this router included: these may have quota shares
-	Majority      bool        // more than half of those configured
+	Members       []Member    // ordered by name, including this router
+	Present       int         // members that are alive or suspect, including this router, and may have quota shares
+	Majority      bool        // more than half of the configured routers are present
 	MajoritySince clock.Nanos // when Majority last changed
-	Isolated      bool        // this router is cut off: it hears hardly any member, or is not heard
-	NameTaken     bool        // another, older process has this name
+	Isolated      bool        // this router's probes are not answered: it can't receive, can't send, or both
+	DuplicateName bool        // an older process has this router's name
 	Quota         quotalease.Quota
 }
--- a/policy/membership/update.go
+++ b/policy/membership/update.go
@@ -3,127 +3,128 @@
 // applyUpdate processes one update of a message.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (m *Detector) applyUpdate(u *Update, msg *Message) {
-	if u.Name == "" || u.Address == "" || u.State < Alive || u.State > Left || m.isForeign(u.Name) {
+func (d *Detector) applyUpdate(update *Update, message *Message) {
+	if update.Name == "" || update.Address == "" || update.State < Alive || update.State > Left || d.isForeign(update.Name) {
 		return
 	}
-	if u.Name == m.settings.Name {
-		m.self.refute(u, m)
+	if update.Name == d.settings.Name {
+		d.self.refute(update, d)
 		return
 	}
-	own := u.Name == msg.From && u.Epoch == msg.Epoch
-	p := m.peers[u.Name]
-	if p == nil {
-		if u.State < Dead && m.makeRoom() {
-			p = &peer{Member: Member{Update: *u, Since: m.now}}
-			p.State, p.Accuser = Alive, ""
-			m.add(p)
-			m.probeOrder = append(m.probeOrder, u.Name)
-			if msg.Kind == StateReply { // others have it from the sender
-				m.syncTaught = true
+	fromItself := update.Name == message.From && update.Epoch == message.Epoch
+	peer := d.peers[update.Name]
+	if peer == nil {
+		if update.State < Dead && d.ensureCapacity() {
+			peer = &peerState{Member: Member{Update: *update, Since: d.now}}
+			peer.State, peer.ReportedBy = Alive, ""
+			d.addPeer(peer)
+			d.probeOrder = append(d.probeOrder, update.Name)
+			if message.Kind == StateReply { // the sender propagates it itself
+				d.lastSyncAddedMember = true
 			} else {
-				m.broadcast(p.Update)
+				d.queueUpdate(peer.Update)
 			}
-			if u.State == Suspect {
-				m.addAccusation(p, u)
+			if update.State == Suspect {
+				d.addSuspicion(peer, update)
 			}
 		}
 		return
 	}
-	if u.Epoch < p.Epoch {
+	if update.Epoch < peer.Epoch {
 		return
 	}
-	if u.Epoch > p.Epoch {
-		// a restart; beside a process that was heard recently at another address it is a second one with that name
-		if p.State == Alive && p.Address != u.Address && m.settings.Lifeguard {
-			if p.rivalSince == 0 {
-				p.rivalSince = m.now
+	if update.Epoch > peer.Epoch {
+		// The member restarted. If it is alive at another address, this may be a second process with its name.
+		if peer.State == Alive && peer.Address != update.Address && d.settings.Lifeguard {
+			if peer.duplicateSeenAt == 0 {
+				peer.duplicateSeenAt = d.now
 			}
-			p.probeSoon = true
+			peer.probeNext = true
 			return
 		}
-		since := p.Since
-		*p = peer{Member: Member{Update: *u, Since: since}}
-		p.State, p.Accuser = 0, ""
-		m.setState(p, Alive)
+		since := peer.Since
+		*peer = peerState{Member: Member{Update: *update, Since: since}}
+		peer.State, peer.ReportedBy = 0, ""
+		d.setState(peer, Alive)
 		return
 	}
-	if u.Incarnation > p.Incarnation {
-		p.Incarnation, p.Address = u.Incarnation, u.Address
-		if u.State == Alive && p.State != Alive {
-			m.setState(p, Alive)
-		} else if u.State == Alive {
-			m.broadcast(p.Update)
+	if update.Incarnation > peer.Incarnation {
+		peer.Incarnation, peer.Address = update.Incarnation, update.Address
+		if update.State == Alive && peer.State != Alive {
+			d.setState(peer, Alive)
+		} else if update.State == Alive {
+			d.queueUpdate(peer.Update)
 		}
 	}
-	if u.Incarnation < p.Incarnation || u.State <= p.State && u.State != Suspect {
+	if update.Incarnation < peer.Incarnation || update.State <= peer.State && update.State != Suspect {
 		return
 	}
 	switch {
-	case u.State == Suspect:
-		m.addAccusation(p, u)
-	case u.State == Isolated && own:
-		m.setState(p, Isolated)
-	case u.State == Left && own, u.State >= Dead && !m.settings.Lifeguard:
-		m.setState(p, u.State)
-	case u.State >= Dead:
-		m.addDeathReport(p, u)
+	case update.State == Suspect:
+		d.addSuspicion(peer, update)
+	case update.State == Isolated && fromItself:
+		d.setState(peer, Isolated)
+	case update.State == Left && fromItself, update.State >= Dead && !d.settings.Lifeguard:
+		d.setState(peer, update.State)
+	case update.State >= Dead:
+		d.addDeathReport(peer, update)
 	}
 }
 
-// refute answers an accusation of this router itself: it goes on under a greater incarnation.
-func (own *Update) refute(u *Update, m *Detector) {
-	if u.Epoch > own.Epoch && u.Epoch+1 > u.Epoch && (u.Address == own.Address || u.State >= Dead) {
-		// An earlier process had a greater epoch, and is gone, as addresses are unique: the clock was set back.
-		own.Epoch, own.Incarnation = u.Epoch+1, 0
-		m.broadcast(*own)
+// refute processes an update about this router itself. It refutes a suspicion by a greater incarnation.
+func (own *Update) refute(update *Update, detector *Detector) {
+	if update.Epoch > own.Epoch && update.Epoch+1 > update.Epoch && (update.Address == own.Address || update.State >= Dead) {
+		// The clock was set back: an earlier process, which has ended as addresses are unique, had a greater epoch.
+		own.Epoch, own.Incarnation = update.Epoch+1, 0
+		detector.queueUpdate(*own)
 		return
 	}
-	if u.Epoch != own.Epoch || u.State == Alive || u.Incarnation < own.Incarnation {
+	if update.Epoch != own.Epoch || update.State == Alive || update.Incarnation < own.Incarnation {
 		return
 	}
-	own.Incarnation = u.Incarnation + 1
-	if m.settings.Lifeguard {
-		m.health = min(m.health+1, maxHealthScore)
+	own.Incarnation = update.Incarnation + 1
+	if detector.settings.Lifeguard {
+		detector.healthScore = min(detector.healthScore+1, maxHealthScore)
 	}
-	m.broadcast(*own)
+	detector.queueUpdate(*own)
 }
 
-// addAccusation counts an accusation, unless this router has heard the accused recently.
-func (m *Detector) addAccusation(p *peer, u *Update) {
-	if p.State == Isolated {
+// addSuspicion processes a report that a member is suspect, unless this router has heard the member recently.
+func (d *Detector) addSuspicion(peer *peerState, update *Update) {
+	if peer.State == Isolated {
 		return
 	}
-	if m.settings.Lifeguard && p.HeardAt > 0 && float64(m.now-p.HeardAt) < recentlyHeardPeriods*float64(m.settings.ProbeInterval) && p.State == Alive {
-		p.probeSoon = true // probed out of turn, and judged by its answer
+	if d.settings.Lifeguard && peer.LastHeardAt > 0 && float64(d.now-peer.LastHeardAt) < recentlyHeardPeriods*float64(d.settings.ProbeInterval) && peer.State == Alive {
+		peer.probeNext = true // its answer to this router's own probe decides
 		return
 	}
-	m.accuse(p, u.Accuser, Dead)
+	d.suspectPeer(peer, update.ReportedBy, Dead)
 }
 
-// addDeathReport processes a report that a member is dead or has left. One liar must not end a member that others hear: the report is an
-// accusation like others, and this router itself probes the accused.
-func (m *Detector) addDeathReport(p *peer, u *Update) {
-	if p.State >= Dead || p.State == Isolated && m.now-p.HeardAt < m.settings.MaxSuspicion {
+// addDeathReport processes another member's report that a member is dead or has left. A single faulty member must not
+// remove one that others hear, so the report only raises a suspicion, and this router probes the suspect itself.
+func (d *Detector) addDeathReport(peer *peerState, update *Update) {
+	if peer.State >= Dead || peer.State == Isolated && d.now-peer.LastHeardAt < d.settings.MaxSuspicion {
 		return
 	}
-	p.probeSoon = p.probeSoon || p.State != Suspect
-	m.accuse(p, u.Accuser, u.State)
+	peer.probeNext = peer.probeNext || peer.State != Suspect
+	d.suspectPeer(peer, update.ReportedBy, update.State)
 }
 
-// makeRoom makes room for one more: the member removed longest ago is forgotten.
-func (m *Detector) makeRoom() bool {
-	if len(m.peers) < m.settings.MaxMembers-1 {
+// ensureCapacity says whether one more member can be added. If necessary, it forgets the member that died or left
+// longest ago.
+func (d *Detector) ensureCapacity() bool {
+	if len(d.peers) < d.settings.MaxMembers-1 {
 		return true
 	}
-	var oldest *peer
-	for _, p := range m.order {
-		if p.State >= Dead && (oldest == nil || p.Since < oldest.Since) {
-			oldest = p
+	var oldest *peerState
+	for _, peer := range d.sortedPeers {
+		if peer.State >= Dead && (oldest == nil || peer.Since < oldest.Since) {
+			oldest = peer
 		}
 	}
 	if oldest != nil {
-		m.remove(oldest)
+		d.removePeer(oldest)
 	}
 	return oldest != nil
 }
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -8,49 +8,49 @@
 )
 
 // View returns the current view.
-func (m *Detector) View() View {
-	v := View{Present: m.presentCount(), Majority: m.majority, MajoritySince: m.majorityAt, Isolated: m.isolated, NameTaken: m.nameTaken}
-	me := Member{Update: m.self, Since: m.since, HeardAt: m.now}
-	v.Members = append(v.Members, me)
-	for _, p := range m.order {
-		v.Members = append(v.Members, p.Member)
+func (d *Detector) View() View {
+	view := View{Present: d.presentCount(), Majority: d.hasMajority, MajoritySince: d.majorityChangedAt, Isolated: d.isolated, DuplicateName: d.duplicateName}
+	self := Member{Update: d.self, Since: d.startedAt, LastHeardAt: d.now}
+	view.Members = append(view.Members, self)
+	for _, peer := range d.sortedPeers {
+		view.Members = append(view.Members, peer.Member)
 	}
-	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	if v.Quota = (quotalease.Quota{Share: 1 / float64(m.settings.Configured), Min: 1 / float64(m.settings.Configured), Until: m.now}); m.lease != nil {
-		v.Quota = m.lease.Quota(m.now, m.isRemoved)
+	slices.SortFunc(view.Members, func(left, right Member) int { return cmp.Compare(left.Name, right.Name) })
+	if view.Quota = (quotalease.Quota{Share: 1 / float64(d.settings.Configured), Min: 1 / float64(d.settings.Configured), Until: d.now}); d.quotaLease != nil {
+		view.Quota = d.quotaLease.Quota(d.now, d.isRemoved)
 	}
-	return v
+	return view
 }
 
-// isRemoved says whether a member is considered dead or departed, or was never seen.
-func (m *Detector) isRemoved(name string) bool {
-	p := m.peers[name]
-	return p == nil || p.State >= Dead
+// isRemoved says whether a member is dead, has left or is unknown.
+func (d *Detector) isRemoved(name string) bool {
+	peer := d.peers[name]
+	return peer == nil || peer.State >= Dead
 }
 
-// AliveOthers are the members that are alive, by name.
-func (m *Detector) AliveOthers() []Update {
-	var out []Update
-	for _, p := range m.order {
-		if p.State == Alive {
-			out = append(out, p.Update)
+// AliveOthers returns the other members that are alive, ordered by name.
+func (d *Detector) AliveOthers() []Update {
+	var alive []Update
+	for _, peer := range d.sortedPeers {
+		if peer.State == Alive {
+			alive = append(alive, peer.Update)
 		}
 	}
-	return out
+	return alive
 }
 
 // IsMember says whether a name belongs to a member that is neither dead nor departed.
-func (m *Detector) IsMember(name string) bool {
-	p := m.peers[name]
-	return p != nil && p.State < Dead
+func (d *Detector) IsMember(name string) bool {
+	peer := d.peers[name]
+	return peer != nil && peer.State < Dead
 }
 
-// Size is how many members, updates and open checks are remembered.
-func (m *Detector) Size() int { return len(m.peers) + len(m.updates) + len(m.relays) }
+// Size returns the number of members, queued updates and indirect checks in flight.
+func (d *Detector) Size() int { return len(d.peers) + len(d.queuedUpdates) + len(d.relays) }
 
-// updateMajority checks whether this side is more than half.
-func (m *Detector) updateMajority() {
-	if v := 2*m.presentCount() > m.settings.Configured && !m.isolated && !m.nameTaken; v != m.majority {
-		m.majority, m.majorityAt = v, m.now
+// updateMajority checks whether this router sees more than half of the configured routers.
+func (d *Detector) updateMajority() {
+	if hasMajority := 2*d.presentCount() > d.settings.Configured && !d.isolated && !d.duplicateName; hasMajority != d.hasMajority {
+		d.hasMajority, d.majorityChangedAt = hasMajority, d.now
 	}
 }
