--- a/policy/persistence/record.go
+++ b/policy/persistence/record.go
@@ -45,7 +45,7 @@
 	case !(s.FsyncsPerSecond >= 0.1 && s.FsyncsPerSecond <= 1000):
 		return fmt.Errorf("persistence: FsyncsPerSecond: %v is not between 0.1 and 1000", s.FsyncsPerSecond)
 	case s.RetryBackoff <= 0 || s.MaxRetryBackoff < s.RetryBackoff:
-		return errors.New("persistence: RetryBackoff must be above 0, and MaxRetryBackoff at least RetryBackoff")
+		return errors.New("persistence: RetryBackoff must be above 0, and MaxRetryBackoff not below RetryBackoff")
 	}
 	return nil
 }
