--- a/policy/persistence/replay_test.go
+++ b/policy/persistence/replay_test.go
@@ -23,8 +23,8 @@
 				return nil
 			}
 			records := queue.TakeBatch(now).Records()
-			slices.SortFunc(records, func(x, y persistence.Record) int {
-				return cmp.Or(cmp.Compare(x.Kind, y.Kind), slices.Compare(x.Key, y.Key))
+			slices.SortFunc(records, func(left, right persistence.Record) int {
+				return cmp.Or(cmp.Compare(left.Kind, right.Kind), slices.Compare(left.Key, right.Key))
 			})
 			if fail {
 				queue.Failed(now, now+1e8, 2)
--- a/policy/recovery/budget.go
+++ b/policy/recovery/budget.go
@@ -6,9 +6,8 @@
 	"lotushook/policy/clock"
 )
 
-// UpdatePeers replaces the view of the peers that membership has. While this router is returning, it counts as
-// returning every configured router that is missing from the view, was not heard directly or started within
-// RestartWindow of it.
+// UpdatePeers records the current view of the peers. A router that is itself returning counts each configured router as
+// returning unless the view says that the router was heard directly and started more than RestartWindow earlier.
 func (recovery *Recovery) UpdatePeers(now clock.Nanos, peers []Peer) {
 	servingPeers, heardPeers := 0, 0
 	for _, peer := range peers {
@@ -22,8 +21,8 @@
 	if recovery.stage < Serving {
 		recovery.returning = max(1, recovery.settings.Routers-servingPeers)
 		recovery.seesMajority = 2*(heardPeers+1) > recovery.settings.Routers
-	} else if n := recovery.returningPeers(now, peers); n > 0 {
-		recovery.returning, recovery.yieldDeadline = n, now+recovery.settings.RestartWindow
+	} else if count := recovery.returningPeers(now, peers); count > 0 {
+		recovery.returning, recovery.yieldDeadline = count, now+recovery.settings.RestartWindow
 	}
 	recovery.Tick(now)
 }
