--- a/policy/persistence/replay_test.go
+++ b/policy/persistence/replay_test.go
@@ -18,13 +18,13 @@
 		}
 		driver := replaytest.NewDriver(seed, digest)
 		write := func(now int64, fail bool) []persistence.Record {
-			at, due := queue.Due()
-			if !due || now < at {
+			dueAt, isDue := queue.Due()
+			if !isDue || now < dueAt {
 				return nil
 			}
-			records := queue.Take(now).Records()
-			slices.SortFunc(records, func(x, y persistence.Record) int {
-				return cmp.Or(cmp.Compare(x.Kind, y.Kind), slices.Compare(x.Key, y.Key))
+			records := queue.TakeBatch(now).Records()
+			slices.SortFunc(records, func(left, right persistence.Record) int {
+				return cmp.Or(cmp.Compare(left.Kind, right.Kind), slices.Compare(left.Key, right.Key))
 			})
 			if fail {
 				queue.Failed(now, now+1e8, 2)
