--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -85,7 +85,7 @@
 	defer stop()
 	if !t.router.loop.do(ctx, func() {
 		if l != nil {
-			if err = t.shedding.shedder.Set(*l); err != nil {
+			if err = t.shedding.shedder.Configure(*l); err != nil {
 				return
 			}
 			t.shedding.settings = *l
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -138,7 +138,7 @@
 			at += 600e9
 			if v := l.shedder.Admit(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Share: 1}, at); v.Reason != shedding.Shed {
 				l.shedder.RequestStarted(1, at, 1e6)
-				l.shedder.RequestEnded(1, v.PriorityClass, "", shedding.End{ArrivedAt: at, Elapsed: 1e6, LatencyObjective: 1e6}, at)
+				l.shedder.RequestEnded(1, v.PriorityClass, "", shedding.Outcome{ArrivedAt: at, Elapsed: 1e6, LatencyObjective: 1e6}, at)
 			}
 			l.shedder.Tick(at, shedding.Connectivity{}, nil)
 		}
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -300,8 +300,8 @@
 func (m *membershipService) quotaChange(now clock.Nanos) (balance.Event, bool) {
 	f := m.quota.Load()
 	share := f.Share
-	if now >= f.Until {
-		share = f.Min
+	if now >= f.ValidUntil {
+		share = f.MinShare
 	}
 	if share == m.share {
 		return balance.Event{}, false
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -28,12 +28,12 @@
 		force quotalease.Quota
 		share float64 // of the event; 0: there is none
 	}{
-		{10, quotalease.Quota{Share: 0.2, Until: 20, Min: 0.1}, 0},
-		{19, quotalease.Quota{Share: 0.35, Until: 20, Min: 0.1}, 0.35},
-		{19, quotalease.Quota{Share: 0.35, Until: 40, Min: 0.1}, 0},
-		{40, quotalease.Quota{Share: 0.35, Until: 40, Min: 0.1}, 0.1}, // nobody renewed it: this process may have been stopped
-		{41, quotalease.Quota{Share: 0.35, Until: 40, Min: 0.1}, 0},
-		{42, quotalease.Quota{Share: 0.2, Until: 60, Min: 0.1}, 0.2},
+		{10, quotalease.Quota{Share: 0.2, ValidUntil: 20, MinShare: 0.1}, 0},
+		{19, quotalease.Quota{Share: 0.35, ValidUntil: 20, MinShare: 0.1}, 0.35},
+		{19, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0},
+		{40, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0.1}, // nobody renewed it: this process may have been stopped
+		{41, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0},
+		{42, quotalease.Quota{Share: 0.2, ValidUntil: 60, MinShare: 0.1}, 0.2},
 	} {
 		m.quota.Store(&c.force)
 		e, ok := m.quotaChange(c.now)
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -99,7 +99,7 @@
 
 // requestEnded records a request's end.
 func (l *sheddingService) requestEnded(r *request, now clock.Nanos) {
-	e := shedding.End{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
+	e := shedding.Outcome{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayHaveRun: r.end.MayRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
 	if l.router.config.Settings.IsWrite(r.Class) && r.Session != "" {
 		e.SessionWritten = shedding.Session(r.Cluster, r.Session)
 	}
@@ -142,7 +142,7 @@
 				clear(l.lastLines)
 			}
 			l.lastLines[s.Group] = thresholdLine{now, s.PriorityClass}
-			slog.Info("lanes", "cluster", s.Group, "shed_up_to", s.PriorityClass, "level", s.Threshold, "most", s.MaxThreshold, "epoch", s.SaltEpoch, "heard", s.Heard, "whole", s.Quorum, "alone", s.Isolated,
+			slog.Info("lanes", "cluster", s.Group, "shed_up_to", s.PriorityClass, "level", s.Threshold, "most", s.MaxThreshold, "epoch", s.SaltEpoch, "heard", s.Reporters, "whole", s.Quorum, "alone", s.Isolated,
 				"pressure", strconv.FormatFloat(s.Pressure, 'f', 3, 64))
 		}
 	}
@@ -150,9 +150,9 @@
 
 // SheddingReport is the operators' report of load shedding.
 type SheddingReport struct {
-	Groups []shedding.State `json:"groups"`
-	Lanes  []shedding.Count `json:"lanes"`
-	Full   uint64           `json:"full"` // requests that passed because there was no room for their group
+	Groups []shedding.GroupState  `json:"groups"`
+	Lanes  []shedding.ClassCounts `json:"lanes"`
+	Full   uint64                 `json:"full"` // requests that passed because there was no room for their group
 }
 
 // report returns the current state; it is called on the event loop's goroutine.
--- a/internal/siteconfig/shedding.go
+++ b/internal/siteconfig/shedding.go
@@ -38,7 +38,7 @@
 func defaultShedding() *Shedding {
 	u := shedding.DefaultSettings()
 	const ms = 1e6
-	return &Shedding{PriorityClasses: []PriorityClass{}, By: string(u.AccountKey), Least: 0.05, High: u.High, Low: u.Low, LookMS: u.Interval / ms, FreshMS: u.MaxReportAge / ms, AloneMS: u.IsolationTimeout / ms, EpochMS: u.SaltPeriod / ms,
+	return &Shedding{PriorityClasses: []PriorityClass{}, By: string(u.AccountKey), Least: 0.05, High: u.HighPressure, Low: u.LowPressure, LookMS: u.Interval / ms, FreshMS: u.MaxReportAge / ms, AloneMS: u.IsolationTimeout / ms, EpochMS: u.SaltPeriod / ms,
 		MaxRetryAfterMS: u.MaxRetryAfter / ms, OweMS: u.WriteAffinity / ms, Accounts: u.MaxAccounts, Owed: u.MaxWriteAffinities, Groups: u.MaxGroups}
 }
 
@@ -70,14 +70,14 @@
 			return nil, fmt.Errorf("lanes.%s: %d is not between 0 and a week", v.field, v.ms)
 		}
 	}
-	s := &shedding.Settings{AccountKey: shedding.AccountKey(l.By), Router: f.Router, Epoch: f.Boot, Routers: f.Routers, Shared: f.Agreed, High: l.High, Low: l.Low, Interval: l.LookMS * ms, MaxReportAge: l.FreshMS * ms,
+	s := &shedding.Settings{AccountKey: shedding.AccountKey(l.By), Router: f.Router, Epoch: f.Boot, Routers: f.Routers, Shared: f.Agreed, HighPressure: l.High, LowPressure: l.Low, Interval: l.LookMS * ms, MaxReportAge: l.FreshMS * ms,
 		IsolationTimeout: l.AloneMS * ms, SaltPeriod: l.EpochMS * ms, MaxRetryAfter: l.MaxRetryAfterMS * ms, PlatformMaxRetryAfter: longestBack, WriteAffinity: l.OweMS * ms, MaxAccounts: l.Accounts, MaxWriteAffinities: l.Owed, MaxGroups: l.Groups}
 	for _, one := range l.PriorityClasses {
 		least := l.Least
 		if one.ReservedShare != nil {
 			least = *one.ReservedShare
 		}
-		s.PriorityClasses = append(s.PriorityClasses, shedding.PriorityClass{Name: one.Name, PerS: one.PerS, Burst: one.Burst, ReservedShare: least})
+		s.PriorityClasses = append(s.PriorityClasses, shedding.PriorityClass{Name: one.Name, RequestsPerSecond: one.PerS, Burst: one.Burst, ReservedShare: least})
 	}
 	for _, t := range c.Teams {
 		i := len(l.PriorityClasses) - 1
@@ -86,7 +86,7 @@
 				return nil, fmt.Errorf("teams.%s.lane: no lane %q", t.Name, t.Lane)
 			}
 		}
-		s.Teams = append(s.Teams, shedding.Team{Name: t.Name, PriorityClass: max(0, i), PerS: t.LanePerS, Burst: t.LaneBurst})
+		s.Teams = append(s.Teams, shedding.Team{Name: t.Name, PriorityClass: max(0, i), RequestsPerSecond: t.LanePerS, Burst: t.LaneBurst})
 	}
 	return s, s.Check()
 }
--- a/policy/balance/balance_test.go
+++ b/policy/balance/balance_test.go
@@ -626,7 +626,7 @@
 	for range 50 {
 		r.now += 2500 * ms
 		r.step()
-		if r.b.quotas.Over(r.now, 0, r.b.slowStart.Routers()) {
+		if r.b.quotas.Exceeds(r.now, 0, r.b.slowStart.RouterCount()) {
 			over++
 		}
 	}
@@ -649,7 +649,7 @@
 		r.step()
 		within := 0
 		for range 100 {
-			if !r.b.quotas.Over(r.now, 0, r.b.slowStart.Routers()) {
+			if !r.b.quotas.Exceeds(r.now, 0, r.b.slowStart.RouterCount()) {
 				within++
 			}
 		}
@@ -725,7 +725,7 @@
 			}
 			r.step(Event{Kind: TimerFired})
 		}
-		return r.b.slowStart.Part()
+		return r.b.slowStart.WorkRate()
 	}
 	if all, few := part(0), part(6); few > all*1.01 {
 		t.Errorf("part %.4f with six of eight suspect, %.4f with none", few, all)
--- a/policy/balance/balancer.go
+++ b/policy/balance/balancer.go
@@ -52,7 +52,7 @@
 	settings.Classes, settings.Tenants = slices.Clone(settings.Classes), slices.Clone(settings.Tenants)
 	objectives, deadlines := settings.classSpans()
 	unit, random := slices.Min(objectives), seeded.New(seed)
-	zones, err := zone.New(zone.Settings{Servers: minZoneSize, Backoff: unit, MaxBackoff: maxZoneBackoff * unit})
+	zones, err := zone.New(zone.Settings{MinSize: minZoneSize, Backoff: unit, MaxBackoff: maxZoneBackoff * unit})
 	b := &Balancer{
 		settings:     settings,
 		random:       random,
@@ -63,7 +63,7 @@
 		slowStart:    slowstart.New(settings.slowStart(), settings.Routers, random),
 		zones:        zones,
 		quotas:       quota.New(settings.tenantQuotas()),
-		outliers:     outlier.Settings{Unit: unit, HighLoad: overloadShare},
+		outliers:     outlier.Settings{BaseDelay: unit, HighLoad: overloadShare},
 		minObjective: unit, maxDeadline: slices.Max(deadlines),
 	}
 	for queue := range queuesPerClass * len(settings.Classes) {
@@ -104,7 +104,7 @@
 		for _, ep := range g.members {
 			b.checkSilence(ep)
 			lost := b.inZoneOutage(ep) && ep.state == Ready
-			if lost && b.random.Draw() < zoneProbeShare && b.zones.TryNow(ep.zone, b.now) {
+			if lost && b.random.Draw() < zoneProbeShare && b.zones.StartProbe(ep.zone, b.now) {
 				b.probe(ep) // a read sent for the same answer would be lost
 			}
 		}
--- a/policy/balance/concurrency.go
+++ b/policy/balance/concurrency.go
@@ -24,7 +24,7 @@
 
 // minLimitOf is this router's part of the endpoint's cores, which work side by side however slow.
 func (b *Balancer) minLimitOf(ep *endpoint) float64 {
-	return max(minLimit, ep.weight/b.slowStart.Routers())
+	return max(minLimit, ep.weight/b.slowStart.RouterCount())
 }
 
 // withinLimits returns the endpoint if it may take one more attempt, else nil.
--- a/policy/balance/endpoint.go
+++ b/policy/balance/endpoint.go
@@ -96,7 +96,7 @@
 }
 
 func (b *Balancer) addEndpoint(e *Endpoint) *endpoint {
-	limit := max(minLimit, initialLimit/b.slowStart.Routers())
+	limit := max(minLimit, initialLimit/b.slowStart.RouterCount())
 	health := outlier.New(&b.outliers, initialLoad)
 	ep := &endpoint{id: e.ID, group: b.group(e.Group), limit: limit, health: health, answeredAt: b.now}
 	b.groups.endpoints[e.ID] = ep
--- a/policy/balance/health.go
+++ b/policy/balance/health.go
@@ -53,7 +53,7 @@
 	b.classes.Answered(class, elapsed)
 	b.slowStart.Answered(work)
 	if ep != ep.group.primary && elapsed > float64(b.minObjective)/2 && e.Position > 0 {
-		b.classes.Lagged(class, float64(b.now-e.Position)/elapsed)
+		b.classes.AddReplicaLag(class, float64(b.now-e.Position)/elapsed)
 	}
 	ep.health.AddSuccess()
 	b.lostShare -= lostWeight * b.lostShare
@@ -68,7 +68,7 @@
 
 func (b *Balancer) zoneSilent(a *attempt) {
 	if b.settings.ProbesAllowed {
-		b.zones.Silent(a.endpoint.zone, uint32(a.endpoint.id), a.sentAt, b.now)
+		b.zones.Unanswered(a.endpoint.zone, uint32(a.endpoint.id), a.sentAt, b.now)
 	}
 }
 
@@ -115,7 +115,7 @@
 		usual := max(b.classes.Work(class), min(ep.health.Load(), 1)*b.classes.Patience(class))
 		ages += float64(b.now-max(ep.answeredAt, a.sentAt)) / usual
 	}
-	if outlier.TooSilent(ages) {
+	if outlier.UnansweredTooLong(ages) {
 		b.eject(ep, "silent")
 	}
 }
--- a/policy/balance/queue.go
+++ b/policy/balance/queue.go
@@ -45,7 +45,7 @@
 	r := b.addRequest(e)
 	// Departure: many routers with one attempt each fill an endpoint, so limits can't hold an overload back.
 	// There what is beyond is rejected at once, and may come again.
-	if b.slowStart.Routers()*minLimit > initialLimit && b.groupOverloaded(r.group) {
+	if b.slowStart.RouterCount()*minLimit > initialLimit && b.groupOverloaded(r.group) {
 		b.giveUp(r, ReasonGroupOverloaded)
 	} else {
 		b.enqueue(r)
@@ -58,7 +58,7 @@
 		arrivedAt: b.now, objective: b.now + clock.Nanos(b.classes.Patience(e.Class)), deadline: e.Deadline}
 	class := b.classOf(r)
 	r.recentWork = b.slowStart.Requested(b.now, &r.group.demand, class.demand(), b.classes.Work(r.class))
-	if b.quotas.Over(b.now, e.Tenant, b.slowStart.Routers()) || e.OverQuota {
+	if b.quotas.Exceeds(b.now, e.Tenant, b.slowStart.RouterCount()) || e.OverQuota {
 		r.queue++
 	}
 	if class.Consistency == ReadYourWrites {
--- a/policy/balance/rules_test.go
+++ b/policy/balance/rules_test.go
@@ -437,7 +437,7 @@
 		}
 	}
 	share := h.set.ColdCapacity + (1-h.set.ColdCapacity)*float64(age)/float64(h.set.WarmUpTime)
-	part := h.b.slowStart.Part() * cmp.Or(n.Weight, 1)
+	part := h.b.slowStart.WorkRate() * cmp.Or(n.Weight, 1)
 	if limit := h.set.OverloadMultiple * share * part * float64(h.set.OverloadWindow); total-3*work > limit {
 		h.failf("cold node %d over its budget: %.0f of %.0f", n.ID, total, limit)
 	}
--- a/policy/balance/selection.go
+++ b/policy/balance/selection.go
@@ -35,7 +35,7 @@
 	switch {
 	case consistency == FreshRead:
 		return primary
-	case consistency == AnyReplica && b.classes.Blocks(r.class):
+	case consistency == AnyReplica && b.classes.BlocksReplication(r.class):
 		return cmp.Or(b.selectForBlocking(g, r, primary), b.selectReplica(g, r))
 	}
 	return b.selectReplica(g, r)
--- a/policy/estimate/estimate.go
+++ b/policy/estimate/estimate.go
@@ -57,10 +57,10 @@
 	c.patience[class] += leaveWeight * answerWeight * min(0, waited-c.patience[class])
 }
 
-// Lagged takes in how far a replica was behind after a long answer, as a share of the answer's time.
-func (c *Classes) Lagged(class int, share float64) {
+// AddReplicaLag takes in how far a replica was behind after a long answer, as a share of the answer's time.
+func (c *Classes) AddReplicaLag(class int, share float64) {
 	c.blocking[class] += blockingWeight * (min(1, share) - c.blocking[class])
 }
 
-// Blocks says that reads of the class keep replicas from applying their log.
-func (c *Classes) Blocks(class int) bool { return c.blocking[class] > minBlocking }
+// BlocksReplication says that reads of the class keep replicas from applying their log.
+func (c *Classes) BlocksReplication(class int) bool { return c.blocking[class] > minBlocking }
--- a/policy/estimate/estimate_test.go
+++ b/policy/estimate/estimate_test.go
@@ -8,7 +8,7 @@
 
 func TestLearnsFromAnswersAndLeavers(t *testing.T) {
 	c := New([]clock.Nanos{100, 1000})
-	if c.Work(0) != 20 || c.MaxWork() != 200 || c.Patience(1) != 1000 || c.Blocks(0) {
+	if c.Work(0) != 20 || c.MaxWork() != 200 || c.Patience(1) != 1000 || c.BlocksReplication(0) {
 		t.Fatalf("before any answer: %+v", c)
 	}
 	for range 200 {
@@ -29,15 +29,15 @@
 func TestLongAnswersThatApplyNothingBlock(t *testing.T) {
 	c := New([]clock.Nanos{100})
 	for range 5 {
-		c.Lagged(0, 1)
+		c.AddReplicaLag(0, 1)
 	}
-	if !c.Blocks(0) {
+	if !c.BlocksReplication(0) {
 		t.Error("a class that stops the log is not known")
 	}
 	for range 5 {
-		c.Lagged(0, 0)
+		c.AddReplicaLag(0, 0)
 	}
-	if c.Blocks(0) {
+	if c.BlocksReplication(0) {
 		t.Error("it stays known for good")
 	}
 }
--- a/policy/membership/detector.go
+++ b/policy/membership/detector.go
@@ -77,7 +77,7 @@
 	m := &Detector{settings: s, now: now, rng: seed, since: now, nextProbeAt: now, peers: map[string]*peer{}, relays: map[uint32]relay{},
 		self: Update{Name: s.Name, Address: s.Address, Epoch: s.Epoch, State: Alive}, majorityAt: now}
 	if s.Allowed != nil {
-		p, err := quotalease.New(quotalease.Settings{Names: s.Allowed, Self: s.Name, Term: s.Term(), IsolatedShare: s.IsolatedShare}, now)
+		p, err := quotalease.New(quotalease.Settings{RouterNames: s.Allowed, Self: s.Name, Term: s.Term(), IsolatedShare: s.IsolatedShare}, now)
 		if err != nil {
 			return nil, err
 		}
--- a/policy/membership/detector_test.go
+++ b/policy/membership/detector_test.go
@@ -168,10 +168,10 @@
 		if n.now >= x.stoppedTill {
 			x.force = x.View().Quota
 		}
-		if n.clock(x) < x.force.Until {
+		if n.clock(x) < x.force.ValidUntil {
 			sum += x.force.Share
 		} else {
-			sum += x.force.Min
+			sum += x.force.MinShare
 		}
 	}
 	if n.most = max(n.most, sum); sum > 1+1e-9 {
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -16,7 +16,7 @@
 		v.Members = append(v.Members, p.Member)
 	}
 	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	if v.Quota = (quotalease.Quota{Share: 1 / float64(m.settings.Configured), Min: 1 / float64(m.settings.Configured), Until: m.now}); m.lease != nil {
+	if v.Quota = (quotalease.Quota{Share: 1 / float64(m.settings.Configured), MinShare: 1 / float64(m.settings.Configured), ValidUntil: m.now}); m.lease != nil {
 		v.Quota = m.lease.Quota(m.now, m.isRemoved)
 	}
 	return v
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -16,8 +16,8 @@
 
 // Settings are the same for all endpoints of a router.
 type Settings struct {
-	Unit     clock.Nanos // the shortest latency objective
-	HighLoad float64     // load above which an endpoint is not healthy
+	BaseDelay clock.Nanos // the shortest latency objective
+	HighLoad  float64     // load above which an endpoint is not healthy
 }
 
 // Health is one endpoint's. It belongs to one goroutine.
@@ -94,14 +94,14 @@
 // pause keeps the least bad of a group whose members all fail from being asked in a tight loop.
 func (h *Health) pause(now, work clock.Nanos) {
 	doublings := min(h.failures+h.busy, maxDoublings)
-	h.pausedUntil = now + min(work<<doublings, h.settings.Unit)
+	h.pausedUntil = now + min(work<<doublings, h.settings.BaseDelay)
 }
 
 // SetDown notes that the endpoint refuses connections.
 func (h *Health) SetDown() { h.down = true }
 
-// TooSilent says whether the ages of silent attempts, each over its usual age and summed, eject an endpoint.
-func TooSilent(ages float64) bool { return ages > silenceToEject }
+// UnansweredTooLong says whether the ages of silent attempts, each over its usual age and summed, eject an endpoint.
+func UnansweredTooLong(ages float64) bool { return ages > silenceToEject }
 
 // Eject ejects the endpoint, or extends the ejection once a canary request was due. The first result says whether
 // it was not ejected before, the second whether anything changed.
@@ -111,8 +111,8 @@
 		return false, false
 	}
 	h.ejected = true
-	h.backoff = max(2*h.backoff, h.settings.Unit)
-	h.backoff = min(h.backoff, maxEjectionBackoff*h.settings.Unit)
+	h.backoff = max(2*h.backoff, h.settings.BaseDelay)
+	h.backoff = min(h.backoff, maxEjectionBackoff*h.settings.BaseDelay)
 	h.canaryAt = now + h.backoff
 	return first, true
 }
@@ -124,7 +124,7 @@
 func (h *Health) CanaryAt() clock.Nanos { return h.canaryAt }
 
 // CanarySent delays the next canary request.
-func (h *Health) CanarySent(now clock.Nanos) { h.canaryAt = now + max(h.backoff, h.settings.Unit) }
+func (h *Health) CanarySent(now clock.Nanos) { h.canaryAt = now + max(h.backoff, h.settings.BaseDelay) }
 
 // Restarted lets a canary request go at once: the endpoint's process is a new one.
 func (h *Health) Restarted(now clock.Nanos) { h.canaryAt = now }
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -8,7 +8,7 @@
 
 const unit = 100 * clock.Millisecond
 
-func newHealth() Health { return New(&Settings{Unit: unit, HighLoad: 0.35}, 0.2) }
+func newHealth() Health { return New(&Settings{BaseDelay: unit, HighLoad: 0.35}, 0.2) }
 
 func TestFailuresInARowEject(t *testing.T) {
 	h := newHealth()
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -25,9 +25,9 @@
 	return &Quotas{rates: rates, buckets: make([]bucket, len(rates))}
 }
 
-// Over counts one request of a tenant and says whether it is beyond the quota, of which this router's part is one in so
+// Exceeds counts one request of a tenant and says whether it is beyond the quota, of which this router's part is one in so
 // many. An unknown tenant has none. Requests beyond the quota use nothing up.
-func (q *Quotas) Over(now clock.Nanos, tenant int, routers float64) bool {
+func (q *Quotas) Exceeds(now clock.Nanos, tenant int, routers float64) bool {
 	if tenant < 0 || tenant >= len(q.buckets) || q.rates[tenant] <= 0 {
 		return false
 	}
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -19,10 +19,10 @@
 		for range rapid.IntRange(1, 400).Draw(t, "asks") {
 			now += rapid.Int64Range(0, 50e6).Draw(t, "pause")
 			asked++
-			if !q.Over(now, 1, routers) {
+			if !q.Exceeds(now, 1, routers) {
 				inside++
 			}
-			if q.Over(now, 0, routers) || q.Over(now, 2, routers) || q.Over(now, -1, routers) {
+			if q.Exceeds(now, 0, routers) || q.Exceeds(now, 2, routers) || q.Exceeds(now, -1, routers) {
 				t.Fatal("one without a quota is over it")
 			}
 		}
--- a/policy/quota/replay_test.go
+++ b/policy/quota/replay_test.go
@@ -12,7 +12,7 @@
 	for seed := range uint64(8) {
 		quotas := quota.New([]float64{0, 5, 40, 300})
 		over := func(now int64, tenant int, routers uint8) bool {
-			return quotas.Over(now, tenant-1, float64(routers))
+			return quotas.Exceeds(now, tenant-1, float64(routers))
 		}
 		replaytest.NewDriver(seed, digest).Run(600, over)
 	}
--- a/policy/quotalease/lease.go
+++ b/policy/quotalease/lease.go
@@ -25,7 +25,7 @@
 
 // Settings are the settings of one router.
 type Settings struct {
-	Names         []string // all routers of the installation, this one included; the same on all
+	RouterNames   []string // all routers of the installation, this one included; the same on all
 	Self          string
 	Term          clock.Nanos // of a vote
 	IsolatedShare float64     // from 0 to 1: the part of an even share that a router uses when it may have been excluded. 1: shares are fixed
@@ -65,17 +65,17 @@
 // New returns the lease of a router that has just started. It does not know its votes before: it grants
 // nothing for a term.
 func New(s Settings, now clock.Nanos) (*Lease, error) {
-	s.Names = slices.Clone(s.Names)
-	slices.Sort(s.Names)
-	p := &Lease{settings: s, namesHash: hashNames(s.Names), indexByName: map[string]int{}, startedAt: now}
-	for i, name := range s.Names {
+	s.RouterNames = slices.Clone(s.RouterNames)
+	slices.Sort(s.RouterNames)
+	p := &Lease{settings: s, namesHash: hashNames(s.RouterNames), indexByName: map[string]int{}, startedAt: now}
+	for i, name := range s.RouterNames {
 		p.indexByName[name] = i
 	}
 	var errs []error
 	if _, ok := p.indexByName[s.Self]; !ok {
 		errs = append(errs, fmt.Errorf("part: %q is not among the names", s.Self))
 	}
-	if len(p.indexByName) != len(s.Names) {
+	if len(p.indexByName) != len(s.RouterNames) {
 		errs = append(errs, errors.New("part: a name is there twice"))
 	}
 	if s.Term <= 0 {
@@ -84,7 +84,7 @@
 	if !(s.IsolatedShare >= 0 && s.IsolatedShare <= 1) {
 		errs = append(errs, fmt.Errorf("part: alone: %v is not between 0 and 1", s.IsolatedShare))
 	}
-	n := len(s.Names)
+	n := len(s.RouterNames)
 	p.grantedTo, p.excludedAt, p.grantedBy, p.votes = make([]grantedLease, n), make([]clock.Nanos, n), make([]clock.Nanos, n), make([]receivedVote, n)
 	return p, errors.Join(errs...)
 }
@@ -128,8 +128,8 @@
 
 // excluded returns the routers that this one excludes from now on.
 func (p *Lease) excluded(now clock.Nanos, dead func(string) bool) []byte {
-	bits := make([]byte, (len(p.settings.Names)+7)/8)
-	for i, name := range p.settings.Names {
+	bits := make([]byte, (len(p.settings.RouterNames)+7)/8)
+	for i, name := range p.settings.RouterNames {
 		if name != p.settings.Self && !p.isBinding(p.grantedTo[i].at, now) && dead(name) {
 			p.excludedAt[i] = now
 			bits[i/8] |= 1 << (i % 8)
@@ -141,7 +141,7 @@
 // AddVote processes a router's vote in answer to a probe sent at a given time.
 func (p *Lease) AddVote(asked clock.Nanos, from string, r Vote) {
 	i, ok := p.indexByName[from]
-	if !ok || r.NamesHash != p.namesHash || from == p.settings.Self || len(r.Excluded) != (len(p.settings.Names)+7)/8 || asked <= p.votes[i].at {
+	if !ok || r.NamesHash != p.namesHash || from == p.settings.Self || len(r.Excluded) != (len(p.settings.RouterNames)+7)/8 || asked <= p.votes[i].at {
 		return // a router with other names counts differently
 	}
 	p.votes[i] = receivedVote{asked, r.Excluded}
@@ -152,30 +152,30 @@
 
 // Quota is the share in force.
 type Quota struct {
-	Share    float64     // of the total
-	Until    clock.Nanos // when Share ends without further votes; then it is Min
-	Min      float64     // this router's share in any case
-	IsHolder bool        // this router is certainly not excluded
-	Excluded int         // the routers whose shares are divided
+	Share      float64     // of the total
+	ValidUntil clock.Nanos // when Share ends without further votes; then it is Min
+	MinShare   float64     // this router's share in any case
+	IsHolder   bool        // this router is certainly not excluded
+	Excluded   int         // the routers whose shares are divided
 }
 
 // Quota returns this router's share now.
 func (p *Lease) Quota(now clock.Nanos, dead func(string) bool) Quota {
-	n := len(p.settings.Names)
-	f := Quota{Min: p.settings.IsolatedShare / float64(n), Until: now}
-	f.Share = f.Min
+	n := len(p.settings.RouterNames)
+	f := Quota{MinShare: p.settings.IsolatedShare / float64(n), ValidUntil: now}
+	f.Share = f.MinShare
 	majority := n/2 + 1
 	ends, ok := p.validUntil(p.grantedBy, n-majority, now) // this router grants itself one
 	if !ok {
 		return f
 	}
-	f.IsHolder, f.Until = true, ends
+	f.IsHolder, f.ValidUntil = true, ends
 	var own []byte
 	if !p.isQuarantined(now) {
 		own = p.excluded(now, dead)
 	}
 	said := make([]clock.Nanos, 0, n)
-	for i := range p.settings.Names {
+	for i := range p.settings.RouterNames {
 		said = said[:0]
 		for j, r := range p.votes {
 			if j != i && r.excluded != nil && r.excluded[i/8]&(1<<(i%8)) != 0 {
@@ -188,7 +188,7 @@
 		}
 		if ends, ok := p.validUntil(said, need, now); ok {
 			f.Excluded++
-			f.Until = min(f.Until, ends)
+			f.ValidUntil = min(f.ValidUntil, ends)
 		}
 	}
 	f.Share += (1 - p.settings.IsolatedShare) / float64(n-f.Excluded)
--- a/policy/quotalease/lease_test.go
+++ b/policy/quotalease/lease_test.go
@@ -53,12 +53,12 @@
 }
 
 func (f *fleet) start(t interface{ Fatal(...any) }, i int) {
-	p, err := New(Settings{Names: f.names, Self: f.names[i], Term: term, IsolatedShare: f.alone}, f.clock(i))
+	p, err := New(Settings{RouterNames: f.names, Self: f.names[i], Term: term, IsolatedShare: f.alone}, f.clock(i))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.boot[i]++
-	f.parts[i], f.force[i] = p, Quota{Share: f.alone / float64(f.n), Min: f.alone / float64(f.n)}
+	f.parts[i], f.force[i] = p, Quota{Share: f.alone / float64(f.n), MinShare: f.alone / float64(f.n)}
 }
 
 func (f *fleet) believes(i int) func(string) bool {
@@ -88,10 +88,10 @@
 		if !f.paused[i] {
 			f.force[i] = p.Quota(f.clock(i), f.believes(i))
 		}
-		if f.clock(i) < f.force[i].Until {
+		if f.clock(i) < f.force[i].ValidUntil {
 			sum += f.force[i].Share
 		} else {
-			sum += f.force[i].Min
+			sum += f.force[i].MinShare
 		}
 	}
 	return sum
@@ -246,8 +246,8 @@
 
 func TestBadSettings(t *testing.T) {
 	for _, s := range []Settings{
-		{Names: []string{"a", "b"}, Self: "c", Term: 1}, {Names: []string{"a", "a"}, Self: "a", Term: 1}, {Names: []string{"a"}, Self: "a"},
-		{Names: []string{"a"}, Self: "a", Term: 1, IsolatedShare: 2}, {Self: "a", Term: 1},
+		{RouterNames: []string{"a", "b"}, Self: "c", Term: 1}, {RouterNames: []string{"a", "a"}, Self: "a", Term: 1}, {RouterNames: []string{"a"}, Self: "a"},
+		{RouterNames: []string{"a"}, Self: "a", Term: 1, IsolatedShare: 2}, {Self: "a", Term: 1},
 	} {
 		if _, err := New(s, 0); err == nil {
 			t.Errorf("%+v was taken", s)
--- a/policy/quotalease/replay_test.go
+++ b/policy/quotalease/replay_test.go
@@ -12,7 +12,7 @@
 	names := []string{"r-0", "r-1", "r-2", "r-3", "r-4"}
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		parts, err := quotalease.New(quotalease.Settings{Names: names, Self: "r-0", Term: 2e9, IsolatedShare: 0.5}, driver.Now)
+		parts, err := quotalease.New(quotalease.Settings{RouterNames: names, Self: "r-0", Term: 2e9, IsolatedShare: 0.5}, driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -80,7 +80,7 @@
 		for a := range uint64(6) {
 			if v := l.Admit(Request{Team: int(a % 3), Account: a, Group: 1, Share: 1}, c.now); v.Reason != Shed {
 				l.RequestStarted(1, c.now, 100*ms)
-				l.RequestEnded(1, v.PriorityClass, "", End{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot}, c.now)
+				l.RequestEnded(1, v.PriorityClass, "", Outcome{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot}, c.now)
 			}
 		}
 		var reports []Report
@@ -188,7 +188,7 @@
 		s := three(fmt.Sprint("r", i), 3)
 		s.Interval, s.MaxReportAge = exploreLook, 250*ms
 		for j := range s.PriorityClasses {
-			s.PriorityClasses[j].PerS = 0
+			s.PriorityClasses[j].RequestsPerSecond = 0
 		}
 		l := lanes(t, s)
 		l.tickedAt, l.saltChangedAt, l.resumedAt = w.now, w.now, 1
--- a/policy/shedding/merge.go
+++ b/policy/shedding/merge.go
@@ -19,7 +19,7 @@
 type Merged struct {
 	Threshold   int    // the mean of the wishes, weighted by load
 	SaltEpoch   uint64 // the greatest
-	Heard       int    // routers with a fresh report that count
+	Reporters   int    // routers with a fresh report that count
 	AnyShedding bool   // some wish is above 0
 }
 
@@ -44,7 +44,7 @@
 			list = append(list, r)
 		}
 	}
-	if j.Heard = len(list); j.Heard > maxSample {
+	if j.Reporters = len(list); j.Reporters > maxSample {
 		slices.SortFunc(list, func(x, y *Report) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Router, y.Router)) })
 		list = list[:maxSample]
 	}
@@ -143,9 +143,9 @@
 	if j.SaltEpoch > l.saltEpoch {
 		l.saltEpoch, l.saltChangedAt = j.SaltEpoch, now
 	}
-	g.reporters = j.Heard
+	g.reporters = j.Reporters
 	need := min(l.settings.Routers/2+1, quorumReports)
-	g.hasQuorum = l.settings.Shared && j.Heard >= need && sight.Majority && !sight.Isolated &&
+	g.hasQuorum = l.settings.Shared && j.Reporters >= need && sight.Majority && !sight.Isolated &&
 		now-l.resumedAt >= l.settings.MaxReportAge // what waited in its sockets while it was stopped looks fresh
 	if g.hasQuorum || g.threshold == 0 && g.ownThreshold == 0 {
 		g.quorumAt = now
@@ -155,7 +155,7 @@
 		g.threshold = j.Threshold
 	case l.isIsolated(g, now):
 	default: // of those that say nothing it is not known that they would have more shed: they count for none
-		g.threshold = max(g.threshold, j.Threshold*min(j.Heard, need)/need)
+		g.threshold = max(g.threshold, j.Threshold*min(j.Reporters, need)/need)
 	}
 	return j
 }
--- a/policy/shedding/pressure.go
+++ b/policy/shedding/pressure.go
@@ -16,7 +16,7 @@
 	maxGive        = 0.15 // where all that would be admitted is well below what was served during the overload
 	headroom       = 0.9  // of that
 	minCalmLooks   = 2    // evaluations under Low before the threshold falls
-	maxStep        = Steps / 4
+	maxStep        = Positions / 4
 )
 
 // group is the pressure and the threshold of one group of data servers.
@@ -80,7 +80,7 @@
 	g.endedShare, g.ended = 0, 0
 }
 
-func (g *group) requestEnded(e End) {
+func (g *group) requestEnded(e Outcome) {
 	if e.Served {
 		g.served++
 	}
@@ -139,11 +139,11 @@
 	if g.updatePressure(now) {
 		step := 0
 		switch {
-		case g.pressure > set.High && g.looks < settleLooks: // what was queued under the last threshold still counts
+		case g.pressure > set.HighPressure && g.looks < settleLooks: // what was queued under the last threshold still counts
 			g.calmLooks = 0
-		case g.pressure > set.High && g.threshold == 0 && g.highLooks == 0 && g.pressure < severePressure*set.High: // one evaluation may be chance
+		case g.pressure > set.HighPressure && g.threshold == 0 && g.highLooks == 0 && g.pressure < severePressure*set.HighPressure: // one evaluation may be chance
 			g.highLooks, g.calmLooks = 1, 0
-		case g.pressure > set.High:
+		case g.pressure > set.HighPressure:
 			g.calmLooks = 0
 			if g.servedAtOverload == 0 {
 				g.servedAtOverload = g.served
@@ -153,7 +153,7 @@
 			if taken := g.admittedAt(g.threshold); taken > 0 { // what is admitted and not served is too much
 				step = g.stepUp(min(maxCut, max(minCut, 1-g.served/taken)), o.maxThreshold)
 			}
-		case g.pressure >= set.Low:
+		case g.pressure >= set.LowPressure:
 			g.calmLooks, g.highLooks = 0, 0
 		case g.threshold == 0:
 			g.highLooks = 0
@@ -193,7 +193,7 @@
 		return 0
 	}
 	for i := g.threshold; i < most; i++ {
-		if sum += g.arrivals[i]; sum >= share*taken || i-g.threshold+1 >= Steps {
+		if sum += g.arrivals[i]; sum >= share*taken || i-g.threshold+1 >= Positions {
 			return i - g.threshold + 1
 		}
 	}
--- a/policy/shedding/replay_test.go
+++ b/policy/shedding/replay_test.go
@@ -11,8 +11,8 @@
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
 		settings := shedding.DefaultSettings()
-		settings.PriorityClasses = []shedding.PriorityClass{{Name: "premium", PerS: 5, Burst: 5}, {Name: "regular"}, {Name: "background", ReservedShare: 0.1}}
-		settings.Teams = []shedding.Team{{Name: "r-0", PriorityClass: 0, PerS: 20, Burst: 20}, {Name: "r-1", PriorityClass: 1}, {Name: "r-2", PriorityClass: 2}}
+		settings.PriorityClasses = []shedding.PriorityClass{{Name: "premium", RequestsPerSecond: 5, Burst: 5}, {Name: "regular"}, {Name: "background", ReservedShare: 0.1}}
+		settings.Teams = []shedding.Team{{Name: "r-0", PriorityClass: 0, RequestsPerSecond: 20, Burst: 20}, {Name: "r-1", PriorityClass: 1}, {Name: "r-2", PriorityClass: 2}}
 		settings.Router, settings.Epoch, settings.Routers = "r-0", 3, 4
 		settings.Shared = seed%2 == 0
 		lanes, err := shedding.New(settings)
@@ -27,7 +27,7 @@
 			return lanes.Admit(request, now)
 		}
 		begun := func(group uint8, now int64) { lanes.RequestStarted(int64(group%3), now-1e8, 1e8) }
-		ended := func(group uint8, lane int, key string, end shedding.End, now int64) {
+		ended := func(group uint8, lane int, key string, end shedding.Outcome, now int64) {
 			end.ArrivedAt, end.Elapsed, end.LatencyObjective = now-2e8, int64(driver.IntN(2e8)), 1e8
 			lanes.RequestEnded(int64(group%3), lane%3, key, end, now)
 		}
--- a/policy/shedding/rules_test.go
+++ b/policy/shedding/rules_test.go
@@ -37,7 +37,7 @@
 				least, most = min(least, max(0, min(150, r.Threshold))), max(most, max(0, min(150, r.Threshold)))
 			}
 		}
-		if want.Heard != heard || heard > 0 && (want.Threshold < least || want.Threshold > most) || want.AnyShedding != (heard > 0 && most > 0) {
+		if want.Reporters != heard || heard > 0 && (want.Threshold < least || want.Threshold > most) || want.AnyShedding != (heard > 0 && most > 0) {
 			t.Fatalf("%+v of %d wishes from %d to %d", want, heard, least, most)
 		}
 		twice := append([]Report(nil), all...)
@@ -70,12 +70,12 @@
 			hot := rapid.Bool().Draw(t, "hot")
 			for range rapid.IntRange(0, 6).Draw(t, "requests") {
 				v := l.Admit(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Share: 1}, now)
-				if (v.Reason == Shed) != (v.Standing < v.Threshold) {
+				if (v.Reason == Shed) != (v.Rank < v.Threshold) {
 					t.Fatalf("%+v", v)
 				}
 				if v.Reason != Shed {
 					l.RequestStarted(1, now, 100*ms)
-					l.RequestEnded(1, v.PriorityClass, fmt.Sprint("k", step), End{ArrivedAt: now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot, MayRun: true, SessionWritten: fmt.Sprint("s", step)}, now)
+					l.RequestEnded(1, v.PriorityClass, fmt.Sprint("k", step), Outcome{ArrivedAt: now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot, MayHaveRun: true, SessionWritten: fmt.Sprint("s", step)}, now)
 				}
 			}
 			var reports []Report
--- a/policy/shedding/settings.go
+++ b/policy/shedding/settings.go
@@ -13,7 +13,7 @@
 
 // Bounds of the standing of accounts.
 const (
-	Steps              = 64 // positions of accounts in a priority class
+	Positions          = 64 // positions of accounts in a priority class
 	MaxPriorityClasses = 8
 )
 
@@ -38,11 +38,11 @@
 	Routers int  // of the installation
 	Shared  bool // thresholds are agreed with the others; without, each router decides alone
 
-	High, Low        float64     // pressure, as a share of latency objectives: above, more is shed; below, less
-	Interval         clock.Nanos // between two evaluations of the pressure, and so two steps of a threshold
-	MaxReportAge     clock.Nanos // an older report is ignored
-	IsolationTimeout clock.Nanos // without a quorum for so long a router uses its own pressure alone
-	SaltPeriod       clock.Nanos // the salt changes after it
+	HighPressure, LowPressure float64     // pressure, as a share of latency objectives: above, more is shed; below, less
+	Interval                  clock.Nanos // between two evaluations of the pressure, and so two steps of a threshold
+	MaxReportAge              clock.Nanos // an older report is ignored
+	IsolationTimeout          clock.Nanos // without a quorum for so long a router uses its own pressure alone
+	SaltPeriod                clock.Nanos // the salt changes after it
 
 	MaxRetryAfter, PlatformMaxRetryAfter clock.Nanos // the longest Retry-After time, of the lowest class; the platform's maximum, 0: none is sent
 	WriteAffinity                        clock.Nanos // retries of a write, and reads after it, stay in its class for so long
@@ -52,32 +52,32 @@
 
 // PriorityClass is a class of accounts.
 type PriorityClass struct {
-	Name          string
-	PerS          float64 // requests a second of one account in the class, over all routers; beyond, they are downgraded. 0: no limit
-	Burst         float64 // at once
-	ReservedShare float64 // share of its positions that is shed only when the best class would be otherwise
+	Name              string
+	RequestsPerSecond float64 // requests a second of one account in the class, over all routers; beyond, they are downgraded. 0: no limit
+	Burst             float64 // at once
+	ReservedShare     float64 // share of its positions that is shed only when the best class would be otherwise
 }
 
 // Team is the part of a team's contract about priority classes.
 type Team struct {
-	Name          string
-	PriorityClass int
-	PerS          float64 // requests a second of the whole team in its class, over all routers; 0: only its accounts' limits apply
-	Burst         float64
+	Name              string
+	PriorityClass     int
+	RequestsPerSecond float64 // requests a second of the whole team in its class, over all routers; 0: only its accounts' limits apply
+	Burst             float64
 }
 
 // DefaultSettings are settings without priority classes, teams and this router's name.
 func DefaultSettings() Settings {
 	const ms = 1e6
-	return Settings{AccountKey: BySession, Routers: 1, High: 0.35, Low: 0.25, Interval: 200 * ms, MaxReportAge: 1000 * ms, IsolationTimeout: 30_000 * ms, SaltPeriod: 60_000 * ms, MaxRetryAfter: 2000 * ms,
+	return Settings{AccountKey: BySession, Routers: 1, HighPressure: 0.35, LowPressure: 0.25, Interval: 200 * ms, MaxReportAge: 1000 * ms, IsolationTimeout: 30_000 * ms, SaltPeriod: 60_000 * ms, MaxRetryAfter: 2000 * ms,
 		WriteAffinity: 10_000 * ms, MaxAccounts: 32_768, MaxWriteAffinities: 4096, MaxGroups: 1024}
 }
 
 // SettingError is an invalid field.
-type SettingError struct{ Field, Why string }
+type SettingError struct{ Field, Reason string }
 
 // Error implements the error interface.
-func (e *SettingError) Error() string { return e.Field + ": " + e.Why }
+func (e *SettingError) Error() string { return e.Field + ": " + e.Reason }
 
 // Kind is the same for all of the type.
 func (e *SettingError) Kind() string { return "lane-setting" }
@@ -101,17 +101,17 @@
 		at := fmt.Sprintf("lanes.lanes[%d]", i)
 		want(l.Name != "" && !names[l.Name], at+".name", "%q is missing or given twice", l.Name)
 		names[l.Name] = true
-		want(l.PerS >= 0 && l.Burst >= 0 && (l.PerS == 0 || l.Burst >= 1), at+".per_s", "%v and burst %v: a rate above 0 wants a burst of 1 at least", l.PerS, l.Burst)
+		want(l.RequestsPerSecond >= 0 && l.Burst >= 0 && (l.RequestsPerSecond == 0 || l.Burst >= 1), at+".per_s", "%v and burst %v: a rate above 0 wants a burst of 1 at least", l.RequestsPerSecond, l.Burst)
 		want(l.ReservedShare >= 0 && l.ReservedShare <= 0.5, at+".least", "%v is not between 0 and 0.5", l.ReservedShare)
 	}
 	for _, t := range s.Teams {
 		at := "teams." + t.Name
 		want(t.PriorityClass >= 0 && t.PriorityClass < len(s.PriorityClasses), at+".lane", "no lane %d", t.PriorityClass)
-		want(t.PerS >= 0 && t.Burst >= 0 && (t.PerS == 0 || t.Burst >= 1), at+".lane_per_s", "%v and burst %v: a rate above 0 wants a burst of 1 at least", t.PerS, t.Burst)
+		want(t.RequestsPerSecond >= 0 && t.Burst >= 0 && (t.RequestsPerSecond == 0 || t.Burst >= 1), at+".lane_per_s", "%v and burst %v: a rate above 0 wants a burst of 1 at least", t.RequestsPerSecond, t.Burst)
 	}
 	want(s.AccountKey == ByTeam || s.AccountKey == BySession || s.AccountKey == ByBoth, "lanes.by", "%q is none of team, session, both", s.AccountKey)
 	want(s.Routers >= 1 && (s.Router != "" || !s.Shared), "lanes.routers", "%d, or no name of this one", s.Routers)
-	want(s.Low > 0 && s.Low < s.High, "lanes.high, lanes.low", "low %v and high %v are not in order above 0", s.Low, s.High)
+	want(s.LowPressure > 0 && s.LowPressure < s.HighPressure, "lanes.high, lanes.low", "low %v and high %v are not in order above 0", s.LowPressure, s.HighPressure)
 	want(s.Interval >= 10e6 && s.MaxReportAge >= 2*s.Interval && s.IsolationTimeout >= s.MaxReportAge, "lanes.look_ms, fresh_ms, alone_ms", "%d, %d, %d ns: 10 ms at least, twice the first at least, the second at least", s.Interval, s.MaxReportAge, s.IsolationTimeout)
 	want(s.SaltPeriod >= s.MaxReportAge, "lanes.epoch_ms", "%d ns is below fresh_ms", s.SaltPeriod)
 	want(s.MaxRetryAfter >= 0 && s.PlatformMaxRetryAfter >= 0 && s.WriteAffinity >= 0, "lanes.come_back_ms, owe_ms", "below 0")
@@ -157,18 +157,18 @@
 type Verdict struct {
 	Reason        Reason
 	PriorityClass int // in which it was decided
-	Standing      int // among all, the first that are shed first
+	Rank          int // among all, the first that are shed first
 	Threshold     int // in force: a lower standing is shed
 	RetryAfter    clock.Nanos
 }
 
-// End is how an admitted request ended.
-type End struct {
+// Outcome is how an admitted request ended.
+type Outcome struct {
 	ArrivedAt        clock.Nanos
 	Elapsed          clock.Nanos
 	LatencyObjective clock.Nanos
 	Served           bool
-	MayRun           bool   // not served, and it may have run
+	MayHaveRun       bool   // not served, and it may have run
 	Abandoned        bool   // its client left: within its objective it says nothing about load
 	SessionWritten   string // the session of a write that was served
 }
@@ -192,23 +192,23 @@
 	Isolated bool // this router hears hardly any member, or is not heard
 }
 
-// State is the operators' report on a group.
-type State struct {
-	Group         int64   `json:"group"`
-	Threshold     int     `json:"level"` // a lower standing is shed; 0: none
-	MaxThreshold  int     `json:"most"`
-	PriorityClass string  `json:"lane"` // that contains the threshold; "": none is shed
-	OwnThreshold  int     `json:"wish"`
-	SaltEpoch     uint64  `json:"epoch"`
-	Heard         int     `json:"heard"` // routers whose reports are fresh, this one included
-	Quorum        bool    `json:"whole"` // they are enough for the threshold to fall
-	Isolated      bool    `json:"alone"` // it uses its own pressure alone
-	Pressure      float64 `json:"pressure"`
-	PerS          int64   `json:"per_s"`
+// GroupState is the operators' report on a group.
+type GroupState struct {
+	Group             int64   `json:"group"`
+	Threshold         int     `json:"level"` // a lower standing is shed; 0: none
+	MaxThreshold      int     `json:"most"`
+	PriorityClass     string  `json:"lane"` // that contains the threshold; "": none is shed
+	OwnThreshold      int     `json:"wish"`
+	SaltEpoch         uint64  `json:"epoch"`
+	Reporters         int     `json:"heard"` // routers whose reports are fresh, this one included
+	Quorum            bool    `json:"whole"` // they are enough for the threshold to fall
+	Isolated          bool    `json:"alone"` // it uses its own pressure alone
+	Pressure          float64 `json:"pressure"`
+	RequestsPerSecond int64   `json:"per_s"`
 }
 
-// Count counts the requests of a class, by the class in which they were decided.
-type Count struct {
+// ClassCounts counts the requests of a class, by the class in which they were decided.
+type ClassCounts struct {
 	PriorityClass string              `json:"lane"`
 	ByReason      [ReasonCount]uint64 `json:"-"`
 	Counts        map[string]uint64   `json:"counts"`
--- a/policy/shedding/shedder.go
+++ b/policy/shedding/shedder.go
@@ -39,11 +39,11 @@
 // New returns a Shedder without usage, and with thresholds that shed nothing.
 func New(s Settings) (*Shedder, error) {
 	l := &Shedder{affinities: map[string]writeAffinity{}, groups: map[int64]*group{}, buckets: [2]map[bucketKey]*bucket{{}, {}}}
-	return l, l.Set(s)
+	return l, l.Configure(s)
 }
 
-// Set puts new settings in force in one step. Usage stays; thresholds start anew where the classes changed.
-func (l *Shedder) Set(s Settings) error {
+// Configure puts new settings in force in one step. Usage stays; thresholds start anew where the classes changed.
+func (l *Shedder) Configure(s Settings) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
@@ -75,19 +75,19 @@
 	var o shedOrder
 	at := 0
 	for i, l := range lanes {
-		o.unreserved[i] = Steps - int(l.ReservedShare*Steps+0.5)
+		o.unreserved[i] = Positions - int(l.ReservedShare*Positions+0.5)
 		if l.ReservedShare > 0 {
-			o.unreserved[i] = min(o.unreserved[i], Steps-1)
+			o.unreserved[i] = min(o.unreserved[i], Positions-1)
 		}
 	}
 	for i := len(lanes) - 1; i > 0; i-- {
 		o.first[i], at = at, at+o.unreserved[i]
 	}
 	for i := len(lanes) - 1; i > 0; i-- {
-		o.reservedFirst[i], at = at, at+Steps-o.unreserved[i]
+		o.reservedFirst[i], at = at, at+Positions-o.unreserved[i]
 	}
 	o.first[0], o.reservedFirst[0] = at, at+o.unreserved[0]
-	o.maxThreshold, o.size = o.reservedFirst[0], at+Steps
+	o.maxThreshold, o.size = o.reservedFirst[0], at+Positions
 	return o
 }
 
@@ -101,16 +101,16 @@
 
 // downgradedStanding is the standing of a request that was downgraded to the class: never in the reserved share, which is for the class's own.
 func (o *shedOrder) downgradedStanding(lane, position int) int {
-	return o.first[lane] + position*o.unreserved[lane]/Steps
+	return o.first[lane] + position*o.unreserved[lane]/Positions
 }
 
 // lastStanding is the standing in a class that is shed last.
-func (o *shedOrder) lastStanding(lane int) int { return o.standing(lane, Steps-1) }
+func (o *shedOrder) lastStanding(lane int) int { return o.standing(lane, Positions-1) }
 
 // priorityClassAt is the class of a standing.
 func (o *shedOrder) priorityClassAt(lanes, standing int) int {
 	for i := range lanes {
-		if standing >= o.first[i] && standing < o.first[i]+o.unreserved[i] || standing >= o.reservedFirst[i] && standing < o.reservedFirst[i]+Steps-o.unreserved[i] {
+		if standing >= o.first[i] && standing < o.first[i]+o.unreserved[i] || standing >= o.reservedFirst[i] && standing < o.reservedFirst[i]+Positions-o.unreserved[i] {
 			return i
 		}
 	}
@@ -160,7 +160,7 @@
 }
 
 // Position is an account's position in any class, in this epoch.
-func (l *Shedder) Position(account uint64) int { return int(mix(account^l.salt()) % Steps) }
+func (l *Shedder) Position(account uint64) int { return int(mix(account^l.salt()) % Positions) }
 
 // Admit decides on a new request.
 func (l *Shedder) Admit(r Request, now clock.Nanos) Verdict {
@@ -172,23 +172,23 @@
 	}
 	v := Verdict{Reason: AboveThreshold, PriorityClass: own}
 	if lane, ok := l.affinityOf(r, own, now); ok {
-		v.Reason, v.PriorityClass, v.Standing = FollowsWrite, lane, l.order.lastStanding(lane)
+		v.Reason, v.PriorityClass, v.Rank = FollowsWrite, lane, l.order.lastStanding(lane)
 	} else {
 		var fits bool
 		position := l.Position(r.Account)
 		v.PriorityClass, fits = l.takeEntitlement(r, team, own, now)
 		switch {
 		case !fits: // beyond the lowest class's too
-			v.Reason, v.Standing = Downgraded, l.order.first[v.PriorityClass]
+			v.Reason, v.Rank = Downgraded, l.order.first[v.PriorityClass]
 		case v.PriorityClass == own:
-			v.Standing = l.order.standing(own, position)
+			v.Rank = l.order.standing(own, position)
 		default:
-			v.Reason, v.Standing = Downgraded, l.order.downgradedStanding(v.PriorityClass, position)
+			v.Reason, v.Rank = Downgraded, l.order.downgradedStanding(v.PriorityClass, position)
 		}
 	}
 	if g := l.group(r.Group, now); g != nil {
-		g.addArrival(v.Standing, r.IsRetry)
-		if v.Threshold = g.threshold; v.Standing < g.threshold {
+		g.addArrival(v.Rank, r.IsRetry)
+		if v.Threshold = g.threshold; v.Rank < g.threshold {
 			v.Reason, v.RetryAfter = Shed, l.retryAfter(r.Account, v.PriorityClass)
 		}
 	}
@@ -211,13 +211,13 @@
 	for lane = own; lane < len(l.settings.PriorityClasses); lane++ {
 		set := &l.settings.PriorityClasses[lane]
 		var mine, all *bucket
-		if set.PerS > 0 {
-			if mine = l.bucket(bucketKey{r.Account, lane}, now, set.PerS*r.Share); !mine.has(set.Burst) {
+		if set.RequestsPerSecond > 0 {
+			if mine = l.bucket(bucketKey{r.Account, lane}, now, set.RequestsPerSecond*r.Share); !mine.has(set.Burst) {
 				continue
 			}
 		}
-		if lane == own && team.PerS > 0 {
-			if all = l.bucket(bucketKey{uint64(r.Team), -1}, now, team.PerS*r.Share); !all.has(team.Burst) {
+		if lane == own && team.RequestsPerSecond > 0 {
+			if all = l.bucket(bucketKey{uint64(r.Team), -1}, now, team.RequestsPerSecond*r.Share); !all.has(team.Burst) {
 				continue
 			}
 		}
@@ -289,8 +289,8 @@
 }
 
 // RequestEnded processes the end of a started request; class and key are its verdict's and its own.
-func (l *Shedder) RequestEnded(group int64, lane int, key string, e End, now clock.Nanos) {
-	if key != "" && !e.Served && e.MayRun {
+func (l *Shedder) RequestEnded(group int64, lane int, key string, e Outcome, now clock.Nanos) {
+	if key != "" && !e.Served && e.MayHaveRun {
 		l.addAffinity(key, lane, now)
 	}
 	if e.Served && e.SessionWritten != "" {
@@ -337,24 +337,24 @@
 }
 
 // States are the current thresholds, by group.
-func (l *Shedder) States() []State {
-	var out []State
+func (l *Shedder) States() []GroupState {
+	var out []GroupState
 	for n, g := range l.groups {
-		s := State{Group: n, Threshold: g.threshold, MaxThreshold: l.order.maxThreshold, OwnThreshold: g.ownThreshold, SaltEpoch: l.saltEpoch, Heard: g.reporters, Quorum: g.hasQuorum, Isolated: g.isolated, Pressure: g.pressure, PerS: int64(g.rate)}
+		s := GroupState{Group: n, Threshold: g.threshold, MaxThreshold: l.order.maxThreshold, OwnThreshold: g.ownThreshold, SaltEpoch: l.saltEpoch, Reporters: g.reporters, Quorum: g.hasQuorum, Isolated: g.isolated, Pressure: g.pressure, RequestsPerSecond: int64(g.rate)}
 		if g.threshold > 0 {
 			s.PriorityClass = l.settings.PriorityClasses[l.order.priorityClassAt(len(l.settings.PriorityClasses), g.threshold-1)].Name
 		}
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(x, y State) int { return cmp.Compare(x.Group, y.Group) })
+	slices.SortFunc(out, func(x, y GroupState) int { return cmp.Compare(x.Group, y.Group) })
 	return out
 }
 
 // Counts are the decisions since the start, by the class in which they were made.
-func (l *Shedder) Counts() []Count {
-	var out []Count
+func (l *Shedder) Counts() []ClassCounts {
+	var out []ClassCounts
 	for i, lane := range l.settings.PriorityClasses {
-		c := Count{PriorityClass: lane.Name, ByReason: l.counts[i], Counts: map[string]uint64{}}
+		c := ClassCounts{PriorityClass: lane.Name, ByReason: l.counts[i], Counts: map[string]uint64{}}
 		for r, n := range c.ByReason {
 			if n > 0 {
 				c.Counts[Reason(r).String()] = n
--- a/policy/shedding/shedder_test.go
+++ b/policy/shedding/shedder_test.go
@@ -21,7 +21,7 @@
 func three(router string, routers int) Settings {
 	s := DefaultSettings()
 	s.Router, s.Epoch, s.Routers, s.Shared, s.PlatformMaxRetryAfter = router, 1, routers, true, 4*second
-	s.PriorityClasses = []PriorityClass{{Name: "premium", PerS: 10, Burst: 2, ReservedShare: 0.25}, {Name: "regular", PerS: 5, Burst: 2, ReservedShare: 0.1}, {Name: "background", ReservedShare: 0.1}}
+	s.PriorityClasses = []PriorityClass{{Name: "premium", RequestsPerSecond: 10, Burst: 2, ReservedShare: 0.25}, {Name: "regular", RequestsPerSecond: 5, Burst: 2, ReservedShare: 0.1}, {Name: "background", ReservedShare: 0.1}}
 	s.Teams = []Team{{"a", 0, 0, 0}, {"b", 1, 0, 0}, {"c", 2, 0, 0}, {"d", 0, 1, 1}}
 	return s
 }
@@ -54,7 +54,7 @@
 		}
 		o, seen := newShedOrder(list), map[int]bool{}
 		for lane := range n {
-			for p := range Steps {
+			for p := range Positions {
 				at := o.standing(lane, p)
 				if seen[at] || at < 0 || at >= o.size || o.priorityClassAt(n, at) != lane {
 					t.Fatalf("%d lanes: %d of %d stands at %d, lane %d", n, p, lane, at, o.priorityClassAt(n, at))
@@ -106,8 +106,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := lanes(t, s)
 			c.r.Account, c.r.Share, c.r.Group = l.account(3), 1, 1
-			l.RequestEnded(1, 0, "k", End{MayRun: true}, second)
-			l.RequestEnded(1, 0, "", End{Served: true, SessionWritten: "s"}, second)
+			l.RequestEnded(1, 0, "k", Outcome{MayHaveRun: true}, second)
+			l.RequestEnded(1, 0, "", Outcome{Served: true, SessionWritten: "s"}, second)
 			for range c.before {
 				r := c.r
 				r.Key, r.ReadSession = "", ""
@@ -161,14 +161,14 @@
 	}
 	low := map[uint64]bool{}
 	for a := range uint64(6400) {
-		low[a] = l.Position(a) < Steps/4
+		low[a] = l.Position(a) < Positions/4
 	}
 	both, n := 0, 0
 	l.saltEpoch++
 	for a, was := range low {
 		if was {
 			n++
-			if l.Position(a) < Steps/4 {
+			if l.Position(a) < Positions/4 {
 				both++
 			}
 		}
@@ -201,7 +201,7 @@
 		"teams.d.lane_per_s":   func(s *Settings) { s.Teams[3].Burst = 0 },
 		"lanes.by":             func(s *Settings) { s.AccountKey = "x" },
 		"lanes.routers":        func(s *Settings) { s.Router = "" },
-		"lanes.high":           func(s *Settings) { s.Low = s.High },
+		"lanes.high":           func(s *Settings) { s.LowPressure = s.HighPressure },
 		"lanes.look_ms":        func(s *Settings) { s.MaxReportAge = s.Interval },
 		"lanes.epoch_ms":       func(s *Settings) { s.SaltPeriod = 1 },
 		"lanes.come_back_ms":   func(s *Settings) { s.MaxRetryAfter = -1 },
--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -67,7 +67,7 @@
 	for i := range n {
 		s := three(fmt.Sprintf("r%04d", i), n)
 		for j := range s.PriorityClasses {
-			s.PriorityClasses[j].PerS = 0 // entitlements have tests of their own
+			s.PriorityClasses[j].RequestsPerSecond = 0 // entitlements have tests of their own
 		}
 		f.routers = append(f.routers, &simulated{Shedder: lanes(t, s), speed: 0.98 + 0.04*f.rng.Float64(), next: f.rng.Int64N(simTick), copies: map[string]copied{}, turn: i, share: 1 / float64(n)})
 	}
@@ -123,7 +123,7 @@
 		if f.load > 0.9 {
 			share = 0.1 + 4*(f.load-0.9)
 		}
-		r.RequestEnded(1, v.PriorityClass, "", End{ArrivedAt: now, Elapsed: clock.Nanos(share * 100e6), LatencyObjective: 100 * ms, Served: share < 1}, now)
+		r.RequestEnded(1, v.PriorityClass, "", Outcome{ArrivedAt: now, Elapsed: clock.Nanos(share * 100e6), LatencyObjective: 100 * ms, Served: share < 1}, now)
 	}
 }
 
@@ -180,7 +180,7 @@
 		agreed, began := clock.Nanos(-1), f.now
 		for f.now < began+2*second {
 			f.run(100 * ms)
-			if apart, least, _ := f.spread(); least == 0 || apart > Steps/8 {
+			if apart, least, _ := f.spread(); least == 0 || apart > Positions/8 {
 				agreed = -1
 			} else if agreed < 0 {
 				agreed = f.now - began
@@ -217,7 +217,7 @@
 		r.share = [7]float64{0.55, 0.15, 0.15, 0.05, 0.05, 0.05, 0}[i]
 	}
 	f.run(2 * second)
-	if apart, least, _ := f.spread(); least == 0 || apart > Steps/8 {
+	if apart, least, _ := f.spread(); least == 0 || apart > Positions/8 {
 		t.Fatalf("level %d, %d apart", least, apart)
 	}
 	f.routers[1].paused, f.routers[2].cut = true, true
@@ -244,7 +244,7 @@
 		t.Errorf("one that was stopped wakes up and goes from %d to %d by what it knew", before, level)
 	}
 	f.run(1500 * ms)
-	if apart, least, epochs := f.spread(); least == 0 || apart > Steps/8 || epochs > 0 {
+	if apart, least, epochs := f.spread(); least == 0 || apart > Positions/8 || epochs > 0 {
 		t.Errorf("afterwards: level %d, %d apart, %d epochs", least, apart, epochs)
 	}
 	f.routers[0].cut = true // it goes alone in the end, and serves as without the others
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -99,11 +99,11 @@
 	}
 }
 
-// Routers is by how many what all routers share is divided.
-func (b *Budget) Routers() float64 { return b.routers }
+// RouterCount is by how many what all routers share is divided.
+func (b *Budget) RouterCount() float64 { return b.routers }
 
-// Part is the work that a warm endpoint of weight 1 does for this router in a nanosecond.
-func (b *Budget) Part() float64 { return b.perRouter }
+// WorkRate is the work that a warm endpoint of weight 1 does for this router in a nanosecond.
+func (b *Budget) WorkRate() float64 { return b.perRouter }
 
 // SetShare puts another share of the whole in force.
 func (b *Budget) SetShare(share float64) { b.routers = 1 / share }
--- a/policy/slowstart/slowstart_test.go
+++ b/policy/slowstart/slowstart_test.go
@@ -69,7 +69,7 @@
 		}
 		b.Learn(now, []*Demand{demand}, 1)
 	}
-	if got := b.Part(); got < 0.49 || got > 0.51 {
+	if got := b.WorkRate(); got < 0.49 || got > 0.51 {
 		t.Errorf("a warm endpoint does %.3f for this router, want 0.5", got)
 	}
 	if b.LearnDue(now) {
@@ -79,7 +79,7 @@
 
 func TestShareIsTakenOver(t *testing.T) {
 	b := New(testSettings, 4, seeded.New(1))
-	if b.SetShare(0.5); b.Routers() != 2 {
-		t.Errorf("%v routers at half of all", b.Routers())
+	if b.SetShare(0.5); b.RouterCount() != 2 {
+		t.Errorf("%v routers at half of all", b.RouterCount())
 	}
 }
--- a/policy/zone/zone.go
+++ b/policy/zone/zone.go
@@ -13,7 +13,7 @@
 
 // Settings are the thresholds.
 type Settings struct {
-	Servers    int         // endpoints of a zone that stay silent, with no answer from any, before the zone is in outage
+	MinSize    int         // endpoints of a zone that stay silent, with no answer from any, before the zone is in outage
 	Backoff    clock.Nanos // from the start of an outage to the first try whether the zone is back
 	MaxBackoff clock.Nanos // the pause doubles with each failed try, up to this
 }
@@ -35,8 +35,8 @@
 
 // New returns a Tracker without outages.
 func New(s Settings) (*Tracker, error) {
-	if s.Servers < 2 {
-		return nil, fmt.Errorf("zone: Servers: %d, at least 2 wanted: one server is not a zone", s.Servers)
+	if s.MinSize < 2 {
+		return nil, fmt.Errorf("zone: Servers: %d, at least 2 wanted: one server is not a zone", s.MinSize)
 	}
 	if s.Backoff <= 0 || s.MaxBackoff < s.Backoff {
 		return nil, errors.New("zone: Backoff is above 0, and MaxBackoff not below it")
@@ -59,12 +59,12 @@
 	return s
 }
 
-// Silent records that an endpoint has not answered a request by now, though answers usually come sooner. A
+// Unanswered records that an endpoint has not answered a request by now, though answers usually come sooner. A
 // refused connection is no silence: the machine answers. If the zone has answered since, the silence is the endpoint's
 // own: a slow endpoint is noticed long after another's answer.
-func (h *Tracker) Silent(hall string, server uint32, asked, now clock.Nanos) {
+func (h *Tracker) Unanswered(hall string, server uint32, asked, now clock.Nanos) {
 	s := h.zone(hall)
-	if asked < s.answeredAt || s.inOutage(h.settings.Servers) {
+	if asked < s.answeredAt || s.inOutage(h.settings.MinSize) {
 		return
 	}
 	if len(s.silentServers) == 0 {
@@ -76,7 +76,7 @@
 			return
 		}
 	}
-	if s.silentServers = append(s.silentServers, server); s.inOutage(h.settings.Servers) {
+	if s.silentServers = append(s.silentServers, server); s.inOutage(h.settings.MinSize) {
 		s.nextTryAt = now + s.backoff
 	}
 }
@@ -90,13 +90,13 @@
 		return false
 	}
 	s := h.zones[hall]
-	return s != nil && s.inOutage(h.settings.Servers) && answered <= s.silentSince
+	return s != nil && s.inOutage(h.settings.MinSize) && answered <= s.silentSince
 }
 
-// TryNow says whether it is time to probe one endpoint of a zone in outage, and counts that as done.
-func (h *Tracker) TryNow(hall string, now clock.Nanos) bool {
+// StartProbe says whether it is time to probe one endpoint of a zone in outage, and counts that as done.
+func (h *Tracker) StartProbe(hall string, now clock.Nanos) bool {
 	s := h.zones[hall]
-	if s == nil || !s.inOutage(h.settings.Servers) || now < s.nextTryAt {
+	if s == nil || !s.inOutage(h.settings.MinSize) || now < s.nextTryAt {
 		return false
 	}
 	s.nextTryAt = now + s.backoff
--- a/policy/zone/zone_test.go
+++ b/policy/zone/zone_test.go
@@ -15,7 +15,7 @@
 	Fatal(...any)
 }) *Tracker {
 	t.Helper()
-	h, err := New(Settings{Servers: 3, Backoff: 300 * ms, MaxBackoff: 2400 * ms})
+	h, err := New(Settings{MinSize: 3, Backoff: 300 * ms, MaxBackoff: 2400 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,15 +24,15 @@
 
 func TestDarkAfterThreeSilentServers(t *testing.T) {
 	h := lit(t)
-	h.Silent("a", 1, 1000*ms, 1250*ms)
-	h.Silent("a", 2, 1100*ms, 1350*ms)
+	h.Unanswered("a", 1, 1000*ms, 1250*ms)
+	h.Unanswered("a", 2, 1100*ms, 1350*ms)
 	for range 5 {
-		h.Silent("a", 2, 1200*ms, 1450*ms) // the same server again is no further proof
+		h.Unanswered("a", 2, 1200*ms, 1450*ms) // the same server again is no further proof
 	}
 	if h.InOutage("a", 900*ms) {
 		t.Error("dark after two servers")
 	}
-	h.Silent("a", 3, 1300*ms, 1550*ms)
+	h.Unanswered("a", 3, 1300*ms, 1550*ms)
 	for _, c := range []struct {
 		hall     string
 		answered clock.Nanos
@@ -47,21 +47,21 @@
 func TestAnswerLightsTheHall(t *testing.T) {
 	h := lit(t)
 	for i := range uint32(3) {
-		h.Silent("a", i, 1000*ms, 1250*ms)
+		h.Unanswered("a", i, 1000*ms, 1250*ms)
 	}
 	h.Answered("a", 1260*ms)
-	h.Silent("a", 7, 1300*ms, 1550*ms)
+	h.Unanswered("a", 7, 1300*ms, 1550*ms)
 	if h.InOutage("a", 0) {
 		t.Error("dark with one silent server since the last answer")
 	}
 	for i := range uint32(3) { // slow ones, asked before it
-		h.Silent("a", i, 1200*ms, 1700*ms)
+		h.Unanswered("a", i, 1200*ms, 1700*ms)
 	}
 	if h.InOutage("a", 0) {
 		t.Error("dark by what was asked before the last answer")
 	}
-	h.Silent("a", 1, 1300*ms, 1800*ms)
-	h.Silent("a", 2, 1400*ms, 1900*ms)
+	h.Unanswered("a", 1, 1300*ms, 1800*ms)
+	h.Unanswered("a", 2, 1400*ms, 1900*ms)
 	if !h.InOutage("a", 1260*ms) {
 		t.Error("not dark after three that were asked since")
 	}
@@ -70,11 +70,11 @@
 func TestTriesArePaced(t *testing.T) {
 	h := lit(t)
 	for i := range uint32(3) {
-		h.Silent("a", i, 0, 250*ms)
+		h.Unanswered("a", i, 0, 250*ms)
 	}
 	var tries []clock.Nanos
 	for now := 250 * ms; now < 10_000*ms; now += 10 * ms {
-		if h.TryNow("a", now) {
+		if h.StartProbe("a", now) {
 			tries = append(tries, now/ms)
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	for _, s := range []Settings{{}, {Servers: 1, Backoff: 1, MaxBackoff: 1}, {Servers: 3}, {Servers: 3, Backoff: 2, MaxBackoff: 1}} {
+	for _, s := range []Settings{{}, {MinSize: 1, Backoff: 1, MaxBackoff: 1}, {MinSize: 3}, {MinSize: 3, Backoff: 2, MaxBackoff: 1}} {
 		if _, err := New(s); err == nil {
 			t.Errorf("%+v was taken", s)
 		}
@@ -112,11 +112,11 @@
 				heard[hall] = now
 				clear(silent[hall])
 			case 1:
-				h.TryNow(hall, now)
+				h.StartProbe(hall, now)
 			default:
 				server := uint32(rapid.IntRange(1, 5).Draw(t, "server"))
 				asked := now - clock.Nanos(rapid.IntRange(0, 500).Draw(t, "asked"))*ms
-				h.Silent(hall, server, asked, now)
+				h.Unanswered(hall, server, asked, now)
 				if at, met := heard[hall]; !met || asked >= at {
 					silent[hall][server] = true
 				}
