--- a/policy/choose/choose_test.go
+++ b/policy/choose/choose_test.go
@@ -10,12 +10,12 @@
 	}
 	larger := func(x, y *int) bool { return *x > *y }
 	if got := Best(items, func(*int) bool { return true }, larger); got != items[1] {
-		t.Error("not the earlier of the two that are best")
+		t.Error("Best did not return the earlier of two equally good items")
 	}
-	if got := Best(items, func(x *int) bool { return *x < 5 }, larger); got != items[0] {
-		t.Error("not the best of those that pass")
+	if got := Best(items, func(item *int) bool { return *item < 5 }, larger); got != items[0] {
+		t.Error("Best did not return the best of the eligible items")
 	}
 	if Best(items, func(*int) bool { return false }, larger) != nil {
-		t.Error("one that does not pass")
+		t.Error("Best returned an item that is not eligible")
 	}
 }
--- a/policy/clock/clock.go
+++ b/policy/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock names the unit of time that all decision packages share. They read no clock: whoever calls them
-// passes the time in.
+// Package clock defines the unit of time that all decision packages share. Decision packages never read a clock: their
+// callers pass the time in.
 package clock
 
-// Nanos is a span, or a point of the caller's clock, in nanoseconds. Points of different clocks are never compared.
+// Nanos is a duration, or a time on the caller's clock, in nanoseconds. Times of different clocks are never compared.
 type Nanos = int64
 
-// Spans in nanoseconds.
+// Durations in nanoseconds.
 const (
 	Millisecond Nanos = 1e6
 	Second      Nanos = 1e9
--- a/policy/decay/decay_test.go
+++ b/policy/decay/decay_test.go
@@ -7,18 +7,18 @@
 	"lotushook/policy/clock"
 )
 
-func TestOlderValuesCountLess(t *testing.T) {
-	var m Mean
-	if got := m.Value(0, clock.Second, 2, 1); got != 2 {
-		t.Errorf("without values %v, want the prior", got)
+func TestOlderValuesHaveLessWeight(t *testing.T) {
+	var mean Mean
+	if got := mean.Value(0, clock.Second, 2, 1); got != 2 {
+		t.Errorf("mean without values is %v, want the prior 2", got)
 	}
-	m.Add(0, clock.Second, 10)
-	m.Add(clock.Second, clock.Second, 0)
+	mean.Add(0, clock.Second, 10)
+	mean.Add(clock.Second, clock.Second, 0)
 	want := 10 / math.E / (1 + 1/math.E)
-	if got := m.Value(clock.Second, clock.Second, 0, 0); math.Abs(got-want) > 1e-9 {
-		t.Errorf("mean %v, want %v", got, want)
+	if got := mean.Value(clock.Second, clock.Second, 0, 0); math.Abs(got-want) > 1e-9 {
+		t.Errorf("mean is %v, want %v", got, want)
 	}
-	if got := m.Value(100*clock.Second, clock.Second, 3, 1); math.Abs(got-3) > 1e-9 {
-		t.Errorf("long after: %v, want the prior", got)
+	if got := mean.Value(100*clock.Second, clock.Second, 3, 1); math.Abs(got-3) > 1e-9 {
+		t.Errorf("mean after 100 time constants is %v, want the prior 3", got)
 	}
 }
--- a/policy/seeded/seeded_test.go
+++ b/policy/seeded/seeded_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-func TestDrawsFollowFromTheSeed(t *testing.T) {
-	x, y, other := New(7), New(7), New(8)
-	same, sum := 0, 0.0
+func TestDrawsDependOnSeed(t *testing.T) {
+	first, second, otherSeed := New(7), New(7), New(8)
+	equal, sum := 0, 0.0
 	const draws = 10_000
 	for range draws {
-		got := x.Draw()
+		got := first.Draw()
 		if got < 0 || got >= 1 {
-			t.Fatalf("drew %v", got)
+			t.Fatalf("drew %v, want a number in [0, 1)", got)
 		}
-		if got != y.Draw() {
-			t.Fatal("two generators of one seed differ")
+		if got != second.Draw() {
+			t.Fatal("two generators with the same seed drew different numbers")
 		}
-		if got == other.Draw() {
-			same++
+		if got == otherSeed.Draw() {
+			equal++
 		}
 		sum += got
 	}
-	if mean := sum / draws; same > 0 || mean < 0.48 || mean > 0.52 {
-		t.Errorf("%d draws equal to another seed's, mean %.3f", same, mean)
+	if mean := sum / draws; equal > 0 || mean < 0.48 || mean > 0.52 {
+		t.Errorf("%d draws equal those of another seed; the mean is %.3f", equal, mean)
 	}
 }
--- a/policy/session/session.go
+++ b/policy/session/session.go
@@ -1,63 +1,63 @@
-// Package session remembers up to which log position each session has written, so that its reads see its own
-// writes (read-your-writes). Its memory is bounded: what is forgotten raises a position that every session of
-// the group must see, so that forgetting never lets a stale read through.
+// Package session records the log position up to which each session has written, so that the session's reads see its own
+// writes (read-your-writes). Memory is bounded: when a commit is evicted, its position becomes the minimum for every
+// session of the group, so eviction never permits a stale read.
 package session
 
 import "lotushook/policy/clock"
 
-// Key names a session within a replication group.
+// Key identifies a session within a replication group.
 type Key struct {
 	Group   int64
 	Session string
 }
 
 type commit struct {
-	key      Key
-	position clock.Nanos
-	at       clock.Nanos
+	key        Key
+	position   clock.Nanos
+	recordedAt clock.Nanos
 }
 
-// Commits are the last commits of sessions. They belong to one goroutine.
+// Commits holds the latest commits of sessions. It is not safe for concurrent use.
 type Commits struct {
-	capacity  int
-	lifetime  clock.Nanos
-	last      map[Key]clock.Nanos
-	history   []commit              // in order of arrival
-	forgotten map[int64]clock.Nanos // by group: commits up to there are no longer remembered one by one
+	capacity         int
+	lifetime         clock.Nanos
+	lastBySession    map[Key]clock.Nanos
+	history          []commit              // in order of arrival
+	evictedPositions map[int64]clock.Nanos // by group: the highest position of an evicted commit
 }
 
-// NewCommits remembers at most so many commits, each for a lifetime.
+// NewCommits returns a Commits that holds at most capacity commits, each for a lifetime.
 func NewCommits(capacity int, lifetime clock.Nanos) *Commits {
 	return &Commits{
-		capacity:  capacity,
-		lifetime:  lifetime,
-		last:      map[Key]clock.Nanos{},
-		forgotten: map[int64]clock.Nanos{},
+		capacity:         capacity,
+		lifetime:         lifetime,
+		lastBySession:    map[Key]clock.Nanos{},
+		evictedPositions: map[int64]clock.Nanos{},
 	}
 }
 
-// Position is the log position that a session's reads must see; 0: any will do.
+// Position returns the log position that a session's reads must see; 0: any position will do.
 func (c *Commits) Position(key Key) clock.Nanos {
-	return max(c.last[key], c.forgotten[key.Group])
+	return max(c.lastBySession[key], c.evictedPositions[key.Group])
 }
 
-// Record remembers that a session has written at a log position.
+// Record records that a session has written at a log position.
 func (c *Commits) Record(now clock.Nanos, key Key, position clock.Nanos) {
-	c.last[key] = max(c.last[key], position)
+	c.lastBySession[key] = max(c.lastBySession[key], position)
 	c.history = append(c.history, commit{key, position, now})
-	for len(c.history) > c.capacity || c.history[0].at < now-c.lifetime {
-		c.forget(c.history[0])
+	for len(c.history) > c.capacity || c.history[0].recordedAt < now-c.lifetime {
+		c.evict(c.history[0])
 		c.history = c.history[1:]
 	}
 }
 
-// Size is the number of commits that are remembered.
+// Size returns the number of commits held.
 func (c *Commits) Size() int { return len(c.history) }
 
-func (c *Commits) forget(old commit) {
-	if c.last[old.key] != old.position {
-		return // a later one is remembered
+func (c *Commits) evict(old commit) {
+	if c.lastBySession[old.key] != old.position {
+		return // a later commit of the session is still held
 	}
-	delete(c.last, old.key)
-	c.forgotten[old.key.Group] = max(c.forgotten[old.key.Group], old.position)
+	delete(c.lastBySession, old.key)
+	c.evictedPositions[old.key.Group] = max(c.evictedPositions[old.key.Group], old.position)
 }
--- a/policy/session/session_test.go
+++ b/policy/session/session_test.go
@@ -8,42 +8,43 @@
 )
 
 func TestReadsSeeTheirOwnWrites(t *testing.T) {
-	c := NewCommits(10, clock.Second)
+	commits := NewCommits(10, clock.Second)
 	key := Key{Group: 1, Session: "s"}
-	c.Record(0, key, 500)
-	c.Record(1, key, 400) // an answer that came late lowers nothing
-	if got := c.Position(key); got != 500 {
-		t.Errorf("position %d, want 500", got)
+	commits.Record(0, key, 500)
+	commits.Record(1, key, 400) // an answer that arrives late must not lower the position
+	if got := commits.Position(key); got != 500 {
+		t.Errorf("position is %d, want 500", got)
 	}
-	if got := c.Position(Key{Group: 1, Session: "other"}); got != 0 {
-		t.Errorf("another session must see %d", got)
+	if got := commits.Position(Key{Group: 1, Session: "other"}); got != 0 {
+		t.Errorf("position of another session is %d, want 0", got)
 	}
 }
 
-// What is forgotten for want of room or time binds all sessions of its group, and none of another.
-func TestForgottenCommitsBind(t *testing.T) {
-	for name, forget := range map[string]func(c *Commits){
-		"for want of room": func(c *Commits) {
+// A commit evicted because of the capacity or its lifetime sets a minimum for all sessions of its group, but not for other
+// groups.
+func TestEvictedCommitsBindTheGroup(t *testing.T) {
+	for name, evict := range map[string]func(commits *Commits){
+		"over capacity": func(commits *Commits) {
 			for i := range 3 {
-				c.Record(0, Key{Group: 2, Session: fmt.Sprint(i)}, 1)
+				commits.Record(0, Key{Group: 2, Session: fmt.Sprint(i)}, 1)
 			}
 		},
-		"after its lifetime": func(c *Commits) { c.Record(2*clock.Second, Key{Group: 2}, 1) },
+		"after its lifetime": func(commits *Commits) { commits.Record(2*clock.Second, Key{Group: 2}, 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := NewCommits(3, clock.Second)
-			c.Record(0, Key{Group: 1, Session: "s"}, 500)
-			forget(c)
+			commits := NewCommits(3, clock.Second)
+			commits.Record(0, Key{Group: 1, Session: "s"}, 500)
+			evict(commits)
 			for _, session := range []string{"s", "other"} {
-				if got := c.Position(Key{Group: 1, Session: session}); got != 500 {
-					t.Errorf("session %s must see %d, want 500", session, got)
+				if got := commits.Position(Key{Group: 1, Session: session}); got != 500 {
+					t.Errorf("position of session %s is %d, want 500", session, got)
 				}
 			}
-			if got := c.Position(Key{Group: 3, Session: "s"}); got != 0 {
-				t.Errorf("another group's session must see %d", got)
+			if got := commits.Position(Key{Group: 3, Session: "s"}); got != 0 {
+				t.Errorf("position of another group's session is %d, want 0", got)
 			}
-			if c.Size() > 3 {
-				t.Errorf("%d commits are remembered", c.Size())
+			if commits.Size() > 3 {
+				t.Errorf("%d commits are held, at most 3 allowed", commits.Size())
 			}
 		})
 	}
--- a/policy/timequeue/timequeue.go
+++ b/policy/timequeue/timequeue.go
@@ -1,4 +1,4 @@
-// Package timequeue holds items in the order of the times at which they came.
+// Package timequeue provides a queue that orders items by their arrival times.
 package timequeue
 
 import (
@@ -8,37 +8,37 @@
 	"lotushook/policy/clock"
 )
 
-// Queue is ordered by time, oldest first. The zero value is empty.
+// Queue is ordered by arrival time, oldest first. The zero value is empty.
 type Queue[T comparable] struct {
 	items []entry[T]
 }
 
 type entry[T comparable] struct {
-	at   clock.Nanos
-	item T
+	arrivedAt clock.Nanos
+	item      T
 }
 
-// Push adds an item that came no earlier than those that are there.
-func (q *Queue[T]) Push(at clock.Nanos, item T) {
-	q.items = append(q.items, entry[T]{at, item})
+// Push appends an item. Its arrival time must not be earlier than that of any queued item.
+func (q *Queue[T]) Push(arrivedAt clock.Nanos, item T) {
+	q.items = append(q.items, entry[T]{arrivedAt, item})
 }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// At returns the item at a place, the oldest at 0.
-func (q *Queue[T]) At(place int) T { return q.items[place].item }
+// At returns the item at an index; index 0 is the oldest.
+func (q *Queue[T]) At(index int) T { return q.items[index].item }
 
-// RemoveAt removes the item at a place.
-func (q *Queue[T]) RemoveAt(place int) { q.items = slices.Delete(q.items, place, place+1) }
+// RemoveAt removes the item at an index.
+func (q *Queue[T]) RemoveAt(index int) { q.items = slices.Delete(q.items, index, index+1) }
 
-// Remove removes an item that came at a time and is there.
-func (q *Queue[T]) Remove(at clock.Nanos, item T) {
-	place, _ := slices.BinarySearchFunc(q.items, at, func(e entry[T], at clock.Nanos) int {
-		return cmp.Compare(e.at, at)
+// Remove removes an item, which must be queued with the given arrival time.
+func (q *Queue[T]) Remove(arrivedAt clock.Nanos, item T) {
+	index, _ := slices.BinarySearchFunc(q.items, arrivedAt, func(e entry[T], arrivedAt clock.Nanos) int {
+		return cmp.Compare(e.arrivedAt, arrivedAt)
 	})
-	for q.items[place].item != item {
-		place++
+	for q.items[index].item != item {
+		index++
 	}
-	q.RemoveAt(place)
+	q.RemoveAt(index)
 }
