--- a/policy/estimate/estimate.go
+++ b/policy/estimate/estimate.go
@@ -9,7 +9,7 @@
 	answerWeight   = 0.05 // weight of the newest answer in a class's work and patience
 	leaveWeight    = 8.0  // weight of an abandoned request in the patience, relative to an answered one
 	blockingWeight = 0.3  // weight of the newest long answer
-	minBlocking    = 0.5  // share of long answers during which a replica applied no log, above which the class blocks replication
+	minBlocking    = 0.5  // lag after long answers, as a share of their times, above which the class blocks replication
 )
 
 // Classes holds the estimates by class index. It is not safe for concurrent use.
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -1,110 +1,111 @@
-// Package outlier decides from the ends of attempts which endpoint is ejected, and when a canary request may find
-// out whether it is back. It keeps the load and the share of errors that an endpoint's answers have shown.
+// Package outlier decides from the outcomes of attempts which endpoint is ejected, and when a canary request may test
+// whether it has recovered. It tracks the load and the error rate that an endpoint's answers show.
 package outlier
 
 import "lotushook/policy/clock"
 
 const (
-	silenceToEject     = 12.0 // ages of silent attempts over their usual ages, summed
-	failuresToEject    = 4    // in a row; fewer may be a full connection table, or the fault of all endpoints
-	maxDoublings       = 8    // of the pause after failures in a row
-	maxEjectionBackoff = 8    // longest time between canaries, in Settings.Unit
-	errorWeight        = 0.3  // weight of the newest answer in the share of errors: few have any
+	maxUnanswered      = 12.0 // sum over unanswered attempts of their ages relative to the usual age
+	failuresToEject    = 4    // consecutively; fewer may be a full connection table, or a fault of all endpoints
+	maxDoublings       = 8    // of the pause after consecutive failures
+	maxEjectionBackoff = 8    // longest time between canaries, as a multiple of Settings.BaseDelay
+	errorWeight        = 0.3  // weight of the newest answer in the error rate: few answers are errors
 	loadWeight         = 0.1  // weight of the newest answer in the load
-	healthyErrors      = 0.15 // share of errors below which an endpoint is healthy
+	healthyErrors      = 0.15 // error rate below which an endpoint is healthy
 )
 
 // Settings are the same for all endpoints of a router.
 type Settings struct {
-	BaseDelay clock.Nanos // the shortest latency objective
+	BaseDelay clock.Nanos // longest pause, and first ejection backoff: the shortest latency objective
 	HighLoad  float64     // load above which an endpoint is not healthy
 }
 
-// Health is one endpoint's. It belongs to one goroutine.
+// Health is the health of one endpoint. It is not safe for concurrent use.
 type Health struct {
 	settings *Settings
 	load     float64 // mean of answer time over latency objective
-	errors   float64 // share among answers
-	failures int     // in a row
-	busy     int     // answers in a row that it is busy
+	errors   float64 // share of answers that are errors
+	failures int     // consecutive
+	busy     int     // consecutive answers that the endpoint is busy
 	ejected  bool
 	down     bool // it has refused connections since its last answer
 
 	backoff     clock.Nanos // from an ejection to the next canary
-	canaryAt    clock.Nanos // when it may go
+	canaryAt    clock.Nanos // when the next canary may be sent
 	pausedUntil clock.Nanos
 }
 
-// New returns the health of an endpoint of which nothing is known but the load to start from.
+// New returns the health of an endpoint about which only an initial load is known.
 func New(settings *Settings, load float64) Health { return Health{settings: settings, load: load} }
 
-// Load is the mean of answer time over latency objective.
+// Load returns the mean of answer time over latency objective.
 func (h *Health) Load() float64 { return h.load }
 
-// SetLoad takes a load report.
+// SetLoad replaces the load with a reported one.
 func (h *Health) SetLoad(load float64) { h.load = load }
 
-// AddLoad moves the load by one attempt.
+// AddLoad updates the load with one attempt's answer time over its latency objective.
 func (h *Health) AddLoad(share float64) { h.load += loadWeight * (share - h.load) }
 
-// Errors is the share of errors among answers.
+// Errors returns the share of answers that are errors.
 func (h *Health) Errors() float64 { return h.errors }
 
-// Healthy says that neither load nor errors speak against the endpoint.
+// Healthy reports whether load and error rate are both low.
 func (h *Health) Healthy() bool { return h.load <= h.settings.HighLoad && h.errors < healthyErrors }
 
-// Overloaded says that answers take more of their latency objectives than an endpoint should need.
+// Overloaded reports whether the load is above Settings.HighLoad.
 func (h *Health) Overloaded() bool { return h.load > h.settings.HighLoad }
 
-// Ejected says that only canary requests may go to the endpoint.
+// Ejected reports whether only canary requests may be sent to the endpoint.
 func (h *Health) Ejected() bool { return h.ejected }
 
-// Available says that the endpoint is neither ejected nor paused.
+// Available reports whether the endpoint is neither ejected nor paused.
 func (h *Health) Available(now clock.Nanos) bool { return !h.ejected && !h.Paused(now) }
 
-// Paused says that the endpoint is left alone for a moment.
+// Paused reports whether no requests should be sent to the endpoint for now.
 func (h *Health) Paused(now clock.Nanos) bool { return now < h.pausedUntil }
 
-// Failing says that its last answers were failures, or that it is busy.
+// Failing reports whether the latest attempts failed, or were answered that the endpoint is busy.
 func (h *Health) Failing() bool { return h.failures+h.busy > 0 }
 
-// AddSuccess counts an answer that was none of errors.
+// AddSuccess records an answer that is not an error.
 func (h *Health) AddSuccess() { h.errors -= errorWeight * h.errors }
 
-// AddError counts an answer that was an error.
+// AddError records an answer that is an error.
 func (h *Health) AddError() { h.errors += errorWeight * (1 - h.errors) }
 
-// AddBusy counts an answer that the endpoint is busy, and pauses it: it answers fast and would look idle.
+// AddBusy records an answer that the endpoint is busy, and pauses the endpoint: it answers fast and would seem idle.
 func (h *Health) AddBusy(now, work clock.Nanos) {
 	h.busy++
 	h.pause(now, work)
 }
 
-// AddFailure counts a failure and pauses the endpoint; it says whether the endpoint is to be ejected. This guards
-// against endpoints that fail fast, which look idle.
+// AddFailure records a failure and pauses the endpoint, because an endpoint that fails fast would seem idle. It reports
+// whether the endpoint should be ejected.
 func (h *Health) AddFailure(now, work clock.Nanos) (eject bool) {
 	h.pause(now, work)
 	h.failures++
 	return h.failures >= failuresToEject
 }
 
-// PauseFor leaves the endpoint alone for a span.
+// PauseFor pauses the endpoint for a span.
 func (h *Health) PauseFor(now, span clock.Nanos) { h.pausedUntil = now + span }
 
-// pause keeps the least bad of a group whose members all fail from being asked in a tight loop.
+// pause prevents requests in a tight loop to the best endpoint of a group whose endpoints all fail.
 func (h *Health) pause(now, work clock.Nanos) {
 	doublings := min(h.failures+h.busy, maxDoublings)
 	h.pausedUntil = now + min(work<<doublings, h.settings.BaseDelay)
 }
 
-// SetDown notes that the endpoint refuses connections.
+// SetDown records that the endpoint refuses connections.
 func (h *Health) SetDown() { h.down = true }
 
-// UnansweredTooLong says whether the ages of silent attempts, each over its usual age and summed, eject an endpoint.
-func UnansweredTooLong(ages float64) bool { return ages > silenceToEject }
+// UnansweredTooLong reports whether an endpoint must be ejected because of its unanswered attempts, given the sum of
+// their ages relative to the usual age.
+func UnansweredTooLong(ages float64) bool { return ages > maxUnanswered }
 
-// Eject ejects the endpoint, or extends the ejection once a canary request was due. The first result says whether
-// it was not ejected before, the second whether anything changed.
+// Eject ejects the endpoint, or extends its ejection if a canary request was due. It reports whether the endpoint was
+// not ejected before, and whether anything changed.
 func (h *Health) Eject(now clock.Nanos) (first, changed bool) {
 	first = !h.ejected
 	if !first && now < h.canaryAt {
@@ -117,20 +118,20 @@
 	return first, true
 }
 
-// CanaryDue says whether a canary request may go.
+// CanaryDue reports whether a canary request may be sent.
 func (h *Health) CanaryDue(now clock.Nanos) bool { return h.ejected && now >= h.canaryAt }
 
-// CanaryAt orders ejected endpoints by when their canaries are due.
+// CanaryAt returns when the next canary request of an ejected endpoint is due.
 func (h *Health) CanaryAt() clock.Nanos { return h.canaryAt }
 
-// CanarySent delays the next canary request.
+// CanarySent schedules the next canary request.
 func (h *Health) CanarySent(now clock.Nanos) { h.canaryAt = now + max(h.backoff, h.settings.BaseDelay) }
 
-// Restarted lets a canary request go at once: the endpoint's process is a new one.
+// Restarted permits a canary request at once, because the endpoint's process is a new one.
 func (h *Health) Restarted(now clock.Nanos) { h.canaryAt = now }
 
-// Readmit ends failures and ejection, as the endpoint has answered. It says whether the endpoint was ejected, and
-// whether its process had been gone.
+// Readmit resets failures and ends an ejection, because the endpoint has answered. It reports whether the endpoint was
+// ejected, and whether it had refused connections.
 func (h *Health) Readmit() (wasEjected, wasDown bool) {
 	wasEjected, wasDown = h.ejected, h.down
 	h.ejected, h.down = false, false
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -6,83 +6,83 @@
 	"lotushook/policy/clock"
 )
 
-const unit = 100 * clock.Millisecond
+const baseDelay = 100 * clock.Millisecond
 
-func newHealth() Health { return New(&Settings{BaseDelay: unit, HighLoad: 0.35}, 0.2) }
+func newHealth() Health { return New(&Settings{BaseDelay: baseDelay, HighLoad: 0.35}, 0.2) }
 
-func TestFailuresInARowEject(t *testing.T) {
-	h := newHealth()
+func TestConsecutiveFailuresEject(t *testing.T) {
+	health := newHealth()
 	for i := range failuresToEject {
-		if eject := h.AddFailure(0, clock.Millisecond); eject != (i == failuresToEject-1) {
-			t.Fatalf("failure %d: eject %v", i+1, eject)
+		if eject := health.AddFailure(0, clock.Millisecond); eject != (i == failuresToEject-1) {
+			t.Fatalf("failure %d: eject is %v", i+1, eject)
 		}
 	}
-	h.Readmit()
-	if h.AddFailure(0, clock.Millisecond) {
-		t.Error("an answer in between does not count")
+	health.Readmit()
+	if health.AddFailure(0, clock.Millisecond) {
+		t.Error("an answer did not reset the count of consecutive failures")
 	}
 }
 
 func TestEjectionBacksOffUntilAnAnswer(t *testing.T) {
-	h := newHealth()
+	health := newHealth()
 	now := clock.Nanos(0)
-	wait := unit
+	backoff := baseDelay
 	for range 8 {
-		h.Eject(now)
-		if !h.Ejected() || h.CanaryDue(now+wait-1) || !h.CanaryDue(now+wait) {
-			t.Fatalf("after %d: the canary is due at %d, want %d later", now, h.CanaryAt(), wait)
+		health.Eject(now)
+		if !health.Ejected() || health.CanaryDue(now+backoff-1) || !health.CanaryDue(now+backoff) {
+			t.Fatalf("ejected at %d: the canary is due at %d, want %d later", now, health.CanaryAt(), backoff)
 		}
-		now += wait
-		wait = min(2*wait, maxEjectionBackoff*unit)
+		now += backoff
+		backoff = min(2*backoff, maxEjectionBackoff*baseDelay)
 	}
-	if wasEjected, wasDown := h.Readmit(); !wasEjected || wasDown || h.Ejected() || !h.Available(now) {
-		t.Errorf("readmitted: %v, %v, %+v", wasEjected, wasDown, h)
+	if wasEjected, wasDown := health.Readmit(); !wasEjected || wasDown || health.Ejected() || !health.Available(now) {
+		t.Errorf("Readmit returned %v, %v and left %+v", wasEjected, wasDown, health)
 	}
 }
 
-func TestEjectedAgainOnlyOnceACanaryWasDue(t *testing.T) {
-	h := newHealth()
-	if first, changed := h.Eject(0); !first || !changed {
-		t.Fatal("the first ejection")
+func TestEjectionExtendedOnlyOnceACanaryWasDue(t *testing.T) {
+	health := newHealth()
+	if first, changed := health.Eject(0); !first || !changed {
+		t.Fatal("the first ejection did not report first and changed")
 	}
-	if first, changed := h.Eject(unit - 1); first || changed {
+	if first, changed := health.Eject(baseDelay - 1); first || changed {
 		t.Error("an ejection was extended before its canary was due")
 	}
-	if first, changed := h.Eject(unit); first || !changed {
-		t.Error("an ejection was not extended")
+	if first, changed := health.Eject(baseDelay); first || !changed {
+		t.Error("an ejection was not extended once its canary was due")
 	}
 }
 
-func TestPauseGrowsUpToTheUnit(t *testing.T) {
-	h := newHealth()
+func TestPauseGrowsUpToBaseDelay(t *testing.T) {
+	health := newHealth()
 	work := 20 * clock.Millisecond
-	for _, want := range []clock.Nanos{2 * work, 4 * work, unit, unit} {
-		h.AddBusy(0, work)
-		if !h.Paused(want-1) || h.Paused(want) {
-			t.Errorf("paused until %d, want %d", h.pausedUntil, want)
+	for _, want := range []clock.Nanos{2 * work, 4 * work, baseDelay, baseDelay} {
+		health.AddBusy(0, work)
+		if !health.Paused(want-1) || health.Paused(want) {
+			t.Errorf("paused until %d, want %d", health.pausedUntil, want)
 		}
 	}
 }
 
 func TestErrorsAndLoadMakeUnhealthy(t *testing.T) {
-	h := newHealth()
-	if !h.Healthy() || h.Overloaded() {
+	health := newHealth()
+	if !health.Healthy() || health.Overloaded() {
 		t.Fatal("a new endpoint is not healthy")
 	}
-	h.AddError()
-	if h.Healthy() {
-		t.Error("healthy after an error")
+	health.AddError()
+	if health.Healthy() {
+		t.Error("an endpoint is healthy after an error")
 	}
 	for range 3 {
-		h.AddSuccess()
+		health.AddSuccess()
 	}
-	if !h.Healthy() {
-		t.Errorf("errors %.2f after three successes", h.Errors())
+	if !health.Healthy() {
+		t.Errorf("an endpoint is unhealthy after three successes, with an error rate of %.2f", health.Errors())
 	}
 	for range 10 {
-		h.AddLoad(1)
+		health.AddLoad(1)
 	}
-	if !h.Overloaded() || h.Healthy() {
-		t.Errorf("load %.2f", h.Load())
+	if !health.Overloaded() || health.Healthy() {
+		t.Errorf("an endpoint with load %.2f is not overloaded", health.Load())
 	}
 }
--- a/policy/session/session.go
+++ b/policy/session/session.go
@@ -1,6 +1,6 @@
-// Package session records the log position up to which each session has written, so that the session's reads see its own
-// writes (read-your-writes). Memory is bounded: when a commit is evicted, its position becomes the minimum for every
-// session of the group, so eviction never permits a stale read.
+// Package session records the log position up to which each session has written, so that the session's reads see its
+// own writes (read-your-writes). Memory is bounded: when a commit is evicted, its position becomes the minimum for
+// every session of the group, so eviction never permits a stale read.
 package session
 
 import "lotushook/policy/clock"
--- a/policy/session/session_test.go
+++ b/policy/session/session_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// A commit evicted because of the capacity or its lifetime sets a minimum for all sessions of its group, but not for other
-// groups.
+// A commit evicted because of the capacity or its lifetime sets a minimum for all sessions of its group, but not for
+// other groups.
 func TestEvictedCommitsBindTheGroup(t *testing.T) {
 	for name, evict := range map[string]func(commits *Commits){
 		"over capacity": func(commits *Commits) {
--- a/policy/zone/zone.go
+++ b/policy/zone/zone.go
@@ -1,6 +1,7 @@
-// Package zone decides whether a whole zone is out of service, from how attempts at its endpoints end. One router among
-// many sends to each endpoint so seldom that it would lose several requests to each one of the zone, so the failures of all
-// its endpoints count together. Which endpoint gets a request, and whether a single endpoint is healthy, is not decided here.
+// Package zone detects outages of whole zones from the outcomes of attempts at their endpoints. In a large fleet each
+// router sends requests to an endpoint so rarely that detecting each endpoint's failure separately would lose several
+// requests per endpoint, so the unanswered requests of all endpoints of a zone count together. Endpoint selection and
+// the health of a single endpoint are not decided here.
 package zone
 
 import (
@@ -13,96 +14,98 @@
 
 // Settings are the thresholds.
 type Settings struct {
-	MinSize    int         // endpoints of a zone that stay silent, with no answer from any, before the zone is in outage
-	Backoff    clock.Nanos // from the start of an outage to the first try whether the zone is back
-	MaxBackoff clock.Nanos // the pause doubles with each failed try, up to this
+	MinSize    int         // endpoints with unanswered requests, and none with an answer, that make an outage
+	Backoff    clock.Nanos // from the start of an outage to the first probe
+	MaxBackoff clock.Nanos // limit of the backoff, which doubles with each failed probe
 }
 
-// Tracker tracks the zones by name. It is not safe for concurrent use. It remembers one entry for each zone seen, and
-// in it at most Settings.Servers endpoints.
+// Tracker tracks zones by name. It is not safe for concurrent use. It stores one entry for each zone seen, and in each
+// entry at most Settings.MinSize endpoints.
 type Tracker struct {
 	settings Settings
 	zones    map[string]*state
 }
 
 type state struct {
-	answeredAt    clock.Nanos // its last answer
-	silentServers []uint32    // endpoints that had requests since then and stayed silent
-	silentSince   clock.Nanos // when the first of these was sent
-	nextTryAt     clock.Nanos
-	backoff       clock.Nanos
+	answeredAt          clock.Nanos // time of the zone's latest answer
+	unansweredEndpoints []uint32    // endpoints that have left requests unanswered since then
+	unansweredSince     clock.Nanos // when the earliest of these requests was sent
+	nextProbeAt         clock.Nanos
+	backoff             clock.Nanos
 }
 
 // New returns a Tracker without outages.
-func New(s Settings) (*Tracker, error) {
-	if s.MinSize < 2 {
-		return nil, fmt.Errorf("zone: Servers: %d, at least 2 wanted: one server is not a zone", s.MinSize)
+func New(settings Settings) (*Tracker, error) {
+	if settings.MinSize < 2 {
+		return nil, fmt.Errorf("zone: MinSize is %d, must be at least 2: a single endpoint is not a zone", settings.MinSize)
 	}
-	if s.Backoff <= 0 || s.MaxBackoff < s.Backoff {
-		return nil, errors.New("zone: Backoff is above 0, and MaxBackoff not below it")
+	if settings.Backoff <= 0 || settings.MaxBackoff < settings.Backoff {
+		return nil, errors.New("zone: Backoff must be above 0, and MaxBackoff not below Backoff")
 	}
-	return &Tracker{settings: s, zones: map[string]*state{}}, nil
+	return &Tracker{settings: settings, zones: map[string]*state{}}, nil
 }
 
-// Answered records that an endpoint of a zone answered, be it an error.
-func (h *Tracker) Answered(hall string, now clock.Nanos) {
-	s := h.zone(hall)
-	s.answeredAt, s.silentServers = max(s.answeredAt, now), s.silentServers[:0]
+// Answered records that an endpoint of a zone answered, even if with an error.
+func (t *Tracker) Answered(name string, now clock.Nanos) {
+	zone := t.zone(name)
+	zone.answeredAt, zone.unansweredEndpoints = max(zone.answeredAt, now), zone.unansweredEndpoints[:0]
 }
 
-func (h *Tracker) zone(name string) *state {
-	s := h.zones[name]
-	if s == nil {
-		s = &state{answeredAt: math.MinInt64}
-		h.zones[name] = s
+func (t *Tracker) zone(name string) *state {
+	zone := t.zones[name]
+	if zone == nil {
+		zone = &state{answeredAt: math.MinInt64}
+		t.zones[name] = zone
 	}
-	return s
+	return zone
 }
 
-// Unanswered records that an endpoint has not answered a request by now, though answers usually come sooner. A
-// refused connection is no silence: the machine answers. If the zone has answered since, the silence is the endpoint's
-// own: a slow endpoint is noticed long after another's answer.
-func (h *Tracker) Unanswered(hall string, server uint32, asked, now clock.Nanos) {
-	s := h.zone(hall)
-	if asked < s.answeredAt || s.inOutage(h.settings.MinSize) {
+// Unanswered records that an endpoint has not yet answered a request that would usually have been answered by now. A
+// refused connection does not count, because the machine responded. If any endpoint of the zone has answered since the
+// request was sent, the failure is the endpoint's own, not the zone's: a slow endpoint is often noticed long after
+// another one's answer.
+func (t *Tracker) Unanswered(name string, endpoint uint32, sentAt, now clock.Nanos) {
+	zone := t.zone(name)
+	if sentAt < zone.answeredAt || zone.inOutage(t.settings.MinSize) {
 		return
 	}
-	if len(s.silentServers) == 0 {
-		s.silentSince, s.backoff = asked, h.settings.Backoff
+	if len(zone.unansweredEndpoints) == 0 {
+		zone.unansweredSince, zone.backoff = sentAt, t.settings.Backoff
 	}
-	s.silentSince = min(s.silentSince, asked)
-	for _, x := range s.silentServers {
-		if x == server {
+	zone.unansweredSince = min(zone.unansweredSince, sentAt)
+	for _, known := range zone.unansweredEndpoints {
+		if known == endpoint {
 			return
 		}
 	}
-	if s.silentServers = append(s.silentServers, server); s.inOutage(h.settings.MinSize) {
-		s.nextTryAt = now + s.backoff
+	if zone.unansweredEndpoints = append(zone.unansweredEndpoints, endpoint); zone.inOutage(t.settings.MinSize) {
+		zone.nextProbeAt = now + zone.backoff
 	}
 }
 
-func (s *state) inOutage(servers int) bool { return len(s.silentServers) >= servers }
+func (s *state) inOutage(minSize int) bool { return len(s.unansweredEndpoints) >= minSize }
 
-// InOutage says whether an endpoint with a given last answer is lost with its zone. An endpoint that answered after the
-// outage began is not; with an empty name, which is no zone, none is.
-func (h *Tracker) InOutage(hall string, answered clock.Nanos) bool {
-	if len(h.zones) == 0 || hall == "" {
+// InOutage reports whether an endpoint that last answered at a given time is unavailable because its zone is in outage.
+// An endpoint that has answered since the outage began is available. The empty name is no zone and never in outage.
+func (t *Tracker) InOutage(name string, answeredAt clock.Nanos) bool {
+	if len(t.zones) == 0 || name == "" {
 		return false
 	}
-	s := h.zones[hall]
-	return s != nil && s.inOutage(h.settings.MinSize) && answered <= s.silentSince
+	zone := t.zones[name]
+	return zone != nil && zone.inOutage(t.settings.MinSize) && answeredAt <= zone.unansweredSince
 }
 
-// StartProbe says whether it is time to probe one endpoint of a zone in outage, and counts that as done.
-func (h *Tracker) StartProbe(hall string, now clock.Nanos) bool {
-	s := h.zones[hall]
-	if s == nil || !s.inOutage(h.settings.MinSize) || now < s.nextTryAt {
+// StartProbe reports whether a probe of an endpoint of a zone in outage is due. If so, the caller must send it: the
+// next probe is scheduled.
+func (t *Tracker) StartProbe(name string, now clock.Nanos) bool {
+	zone := t.zones[name]
+	if zone == nil || !zone.inOutage(t.settings.MinSize) || now < zone.nextProbeAt {
 		return false
 	}
-	s.nextTryAt = now + s.backoff
-	s.backoff = min(2*s.backoff, h.settings.MaxBackoff)
+	zone.nextProbeAt = now + zone.backoff
+	zone.backoff = min(2*zone.backoff, t.settings.MaxBackoff)
 	return true
 }
 
-// Size is the number of zones that are remembered: all that were seen.
-func (h *Tracker) Size() int { return len(h.zones) }
+// Size returns the number of zones seen.
+func (t *Tracker) Size() int { return len(t.zones) }
