--- a/policy/quotalease/replay_test.go
+++ b/policy/quotalease/replay_test.go
@@ -12,22 +12,22 @@
 	names := []string{"r-0", "r-1", "r-2", "r-3", "r-4"}
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		parts, err := quotalease.New(quotalease.Settings{RouterNames: names, Self: "r-0", Term: 2e9, IsolatedShare: 0.5}, driver.Now)
+		lease, err := quotalease.New(quotalease.Settings{RouterNames: names, Self: "r-0", Term: 2e9, IsolatedShare: 0.5}, driver.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told []quotalease.Vote
-		answer := func(now int64, name string, boot uint64, address string, dead func(string) bool) quotalease.Vote {
-			row := parts.Vote(now, name, boot, address, dead)
-			told = append(told, row)
-			return row
+		var cast []quotalease.Vote
+		vote := func(now int64, name string, epoch uint64, address string, isRemoved func(string) bool) quotalease.Vote {
+			vote := lease.Vote(now, name, epoch, address, isRemoved)
+			cast = append(cast, vote)
+			return vote
 		}
-		heard := func(now int64, from string, which uint8) {
-			if len(told) > 0 {
-				parts.AddVote(now, from, told[len(told)-1-int(which)%min(len(told), 4)])
+		addVote := func(now int64, from string, which uint8) {
+			if len(cast) > 0 {
+				lease.AddVote(now, from, cast[len(cast)-1-int(which)%min(len(cast), 4)])
 			}
 		}
-		driver.Run(600, answer, heard, heard, heard, parts.Quota)
+		driver.Run(600, vote, addVote, addVote, addVote, lease.Quota)
 	}
 	digest.Check(t, "10888bc03412269e/8515")
 }
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -1,6 +1,6 @@
-// Package slowstart keeps all routers together within the budget of an endpoint that warms up, though they share
-// nothing. Each router spends its own part: what a warm endpoint does for it in the mean, which sums up to no more
-// than the endpoint could do.
+// Package slowstart keeps the sum of all routers' requests to a warming endpoint within the endpoint's budget, although
+// the routers share no state. Each router spends only its own part: the mean work that a warm endpoint does for it.
+// These parts sum up to no more than the endpoint could do.
 package slowstart
 
 import (
@@ -12,22 +12,22 @@
 )
 
 const (
-	budgetUse     = 0.8  // of the budget that routers aim at in sum: the rest is for chance
-	recentShare   = 0.5  // of Settings.Window: the span over which asked work fades, by which a jump is seen
-	foreignDemand = 4.0  // reads at a primary, and writes at a replica, have so much less of its budget
-	minWarmth     = 0.01 // of its capacity: an endpoint that has just started counts as this warm
-	learnWeight   = 0.1  // weight of the newest window in what was learned
+	budgetUse     = 0.8  // share of the budget that all routers together aim at; the rest absorbs random variation
+	recentShare   = 0.5  // time constant of recent work, as a share of Settings.Window; short, to detect jumps
+	foreignDemand = 4.0  // factor by which reads get less of a primary's budget, and writes less of a replica's
+	minWarmth     = 0.01 // lower bound of the warmth: an endpoint that has just started counts as this warm
+	learnWeight   = 0.1  // weight of the newest window in learned values
 )
 
-// Settings are told by the platform.
+// Settings come from the platform.
 type Settings struct {
 	ColdCapacity     float64     // share of its capacity that an endpoint has when it starts
-	WarmUpTime       clock.Nanos // until it has all
-	Window           clock.Nanos // in which an overload makes a warming endpoint fall; 0: none does
-	OverloadMultiple float64     // of its present capacity that it bears in a window
+	WarmUpTime       clock.Nanos // until an endpoint has its full capacity
+	Window           clock.Nanos // span in which an overload makes a warming endpoint fail; 0: no overload does
+	OverloadMultiple float64     // multiple of its present capacity that a warming endpoint tolerates within a window
 }
 
-// Kind says who must take a request.
+// Kind is the kind of endpoint that a request needs.
 type Kind int
 
 // The kinds.
@@ -37,84 +37,84 @@
 	kinds
 )
 
-// Demand is what is asked of one group.
+// Demand is the work requested of one group.
 type Demand struct {
-	requested [kinds]float64 // work in the present window
-	learned   [kinds]float64 // work in a window, learned
+	requested [kinds]float64 // in the present window
+	learned   [kinds]float64 // per window, moving average
 }
 
-// Window is what was sent to one endpoint that warms up.
+// Window records the work sent to one warming endpoint.
 type Window struct {
-	startedAt      clock.Nanos // of the present window; 0: there was none
+	startedAt      clock.Nanos // of the present window; 0: there was no window yet
 	work, previous float64     // sent in the present window and in the one before
-	draw           float64     // the window's chance of one request beyond the budget
+	draw           float64     // random number of the window, which decides whether one request may exceed the budget
 }
 
-// Reset starts over, as the endpoint's process has.
+// Reset starts over, because the endpoint's process has restarted.
 func (w *Window) Reset() { w.startedAt = 0 }
 
-// Sent counts work that was sent to the endpoint, warm or not.
+// Sent counts work sent to the endpoint, warm or not.
 func (w *Window) Sent(work float64) { w.work += work }
 
-// Endpoint is the endpoint that a request would go to.
+// Endpoint describes the endpoint that is considered for a request.
 type Endpoint struct {
 	ID        uint32
 	Weight    float64
-	StartedAt clock.Nanos // 0: long past
+	StartedAt clock.Nanos // 0: so long ago that the endpoint is warm
 	IsPrimary bool
 	Window    *Window
 	Demand    *Demand // of its group
 }
 
-// Request is what counts of a request here.
+// Request contains the properties of a request that the budget depends on.
 type Request struct {
 	Kind       Kind
 	Work       float64
 	MaxWork    float64  // of any class
-	RecentWork float64  // that Asked returned for it
-	Draw       *float64 // of the present attempt; 0: not drawn yet
+	RecentWork float64  // as Requested returned it for this request
+	Draw       *float64 // random number of the present attempt; 0: not drawn yet
 }
 
-// Budget is one router's part. It belongs to one goroutine.
+// Budget is one router's part of the endpoints' budgets. It is not safe for concurrent use.
 type Budget struct {
-	settings  Settings
-	random    *seeded.Generator
-	routers   float64 // by how many the whole is divided
-	groups    int
-	perRouter float64 // work that a warm endpoint of weight 1 does for this router in a nanosecond
-	answered  float64 // work since learnedAt
-	learnedAt clock.Nanos
-	recent    float64 // work asked of this router, as it had faded at recentAt
-	recentAt  clock.Nanos
-	mean      [kinds]float64 // usual demand of the mean group
+	settings   Settings
+	random     *seeded.Generator
+	routers    float64 // number of routers that share the total
+	groups     int
+	workRate   float64 // work that a warm endpoint of weight 1 does for this router in a nanosecond
+	answered   float64 // work since learnedAt
+	learnedAt  clock.Nanos
+	recent     float64 // work requested of this router, decayed up to recentAt
+	recentAt   clock.Nanos
+	meanDemand [kinds]float64 // mean of the groups' demands per window
 }
 
-// New returns the budget of one of so many routers, which draws from a shared generator.
+// New returns the budget of one of several routers, which draws from a shared generator.
 func New(settings Settings, routers int, random *seeded.Generator) *Budget {
 	return &Budget{
-		settings:  settings,
-		random:    random,
-		routers:   float64(routers),
-		perRouter: 1 / float64(routers),
+		settings: settings,
+		random:   random,
+		routers:  float64(routers),
+		workRate: 1 / float64(routers),
 	}
 }
 
-// RouterCount is by how many what all routers share is divided.
+// RouterCount returns the number of routers that share each total.
 func (b *Budget) RouterCount() float64 { return b.routers }
 
-// WorkRate is the work that a warm endpoint of weight 1 does for this router in a nanosecond.
-func (b *Budget) WorkRate() float64 { return b.perRouter }
+// WorkRate returns the work that a warm endpoint of weight 1 does for this router in a nanosecond.
+func (b *Budget) WorkRate() float64 { return b.workRate }
 
-// SetShare puts another share of the whole in force.
+// SetShare sets this router's share of the total.
 func (b *Budget) SetShare(share float64) { b.routers = 1 / share }
 
-// SetGroups says how many groups there are.
+// SetGroups sets the number of groups.
 func (b *Budget) SetGroups(groups int) { b.groups = groups }
 
-// Requested counts a request's work and returns the work lately asked, this request's included.
+// Requested counts a request's work and returns the recently requested work, including this request's.
 func (b *Budget) Requested(now clock.Nanos, demand *Demand, kind Kind, work float64) (recent float64) {
-	fade := math.Exp(-float64(now-b.recentAt) / recentShare / float64(b.settings.Window))
-	b.recent = b.recent*fade + work
+	decay := math.Exp(-float64(now-b.recentAt) / recentShare / float64(b.settings.Window))
+	b.recent = b.recent*decay + work
 	b.recentAt = now
 	demand.requested[kind] += work
 	return b.recent
@@ -123,7 +123,7 @@
 // Answered counts work that was answered.
 func (b *Budget) Answered(work float64) { b.answered += work }
 
-// Warmth is the least share of its capacity that an endpoint surely has by now.
+// Warmth returns the share of its capacity that an endpoint has by now, at least.
 func (b *Budget) Warmth(now, startedAt clock.Nanos) float64 {
 	age := now - startedAt
 	if startedAt == 0 || age >= b.settings.WarmUpTime {
@@ -133,30 +133,31 @@
 	return max(minWarmth, cold+(1-cold)*float64(max(age, 0))/float64(b.settings.WarmUpTime))
 }
 
-// Allows says whether a request may go to an endpoint. Where this router's part is less than a request, few routers
-// have one at hand when they might send it: there each request goes with the chance that the part is of what is asked
-// now. So the budget is the mean of the sum whatever is asked.
-func (b *Budget) Allows(now clock.Nanos, e Endpoint, r Request) bool {
-	warmth, span := b.Warmth(now, e.StartedAt), b.settings.Window
+// Allows reports whether a request may be sent to an endpoint. If this router's part of the budget is smaller than one
+// request, few of the routers that could send one have a request at hand. Each request is then sent with a probability
+// of the budget over the present demand, so that the routers' total is the budget on average, whatever the demand.
+func (b *Budget) Allows(now clock.Nanos, endpoint Endpoint, request Request) bool {
+	warmth, span := b.Warmth(now, endpoint.StartedAt), b.settings.Window
 	if warmth >= 1 || span == 0 {
 		return true
 	}
-	window := e.Window
+	window := endpoint.Window
 	b.advance(now, window)
-	// The rule holds for any window: what the last one sent counts as far as it may lie in a sliding one.
+	// The limit applies to any window of this length, so work of the previous one counts by its overlap with a sliding
+	// window.
 	used := window.work + window.previous*(1-float64(now-window.startedAt)/float64(span))
-	budget := budgetUse * b.settings.OverloadMultiple * warmth * b.perRouter * e.Weight * float64(span)
-	asked := b.demandAt(e, r)
-	known := b.mean[Replica]+b.mean[Primary] > 0
-	if known && asked > 0 && budget < r.MaxWork {
-		*r.Draw = cmp.Or(*r.Draw, b.random.Draw())
-		draw := math.Mod(*r.Draw+float64(e.ID)*math.Phi, 1) // another one at each endpoint
-		return used < budget+r.Work && draw*asked < budget
+	budget := budgetUse * b.settings.OverloadMultiple * warmth * b.workRate * endpoint.Weight * float64(span)
+	demand := b.demandAt(endpoint, request)
+	known := b.meanDemand[Replica]+b.meanDemand[Primary] > 0
+	if known && demand > 0 && budget < request.MaxWork {
+		*request.Draw = cmp.Or(*request.Draw, b.random.Draw())
+		draw := math.Mod(*request.Draw+float64(endpoint.ID)*math.Phi, 1) // a different number at each endpoint
+		return used < budget+request.Work && draw*demand < budget
 	}
-	return budget-used >= window.draw*r.Work
+	return budget-used >= window.draw*request.Work
 }
 
-// advance begins a new window when the present one is over.
+// advance begins a new window once the present one is over.
 func (b *Budget) advance(now clock.Nanos, window *Window) {
 	age, span := now-window.startedAt, b.settings.Window
 	if age < span {
@@ -168,48 +169,51 @@
 	}
 }
 
-// demandAt is the work in a window that this router could have for an endpoint: its group's usual share (no less than
-// the mean group's, as one is seen too seldom) of the usual amount, or of what was lately asked of the router as the
-// request arrived, that included, where this is more: a jump of demand shows in it at once.
-func (b *Budget) demandAt(e Endpoint, r Request) float64 {
-	total := (b.mean[Replica] + b.mean[Primary]) * float64(b.groups)
-	share := max(e.Demand.learned[r.Kind], b.mean[r.Kind]) / total
-	asked := share * max(total, r.RecentWork/recentShare)
-	if e.IsPrimary != (r.Kind == Primary) {
-		asked *= foreignDemand
+// demandAt returns the work per window that this router could request of an endpoint: the group's learned share of
+// either the learned total or, if it is more, the work requested of the router when the request arrived, which includes
+// the request and shows a jump of demand at once. The share is no less than the mean group's, because one router sees
+// each group too rarely to learn its share well.
+func (b *Budget) demandAt(endpoint Endpoint, request Request) float64 {
+	total := (b.meanDemand[Replica] + b.meanDemand[Primary]) * float64(b.groups)
+	share := max(endpoint.Demand.learned[request.Kind], b.meanDemand[request.Kind]) / total
+	demand := share * max(total, request.RecentWork/recentShare)
+	if endpoint.IsPrimary != (request.Kind == Primary) {
+		demand *= foreignDemand
 	}
-	return asked
+	return demand
 }
 
-// LearnDue says whether a window has passed since Learn was called.
+// LearnDue reports whether a window has passed since the last call of Learn.
 func (b *Budget) LearnDue(now clock.Nanos) bool {
 	span := now - b.learnedAt
 	return span >= b.settings.Window && span > 0
 }
 
-// Learn takes in what was asked and answered since it was called last; warmSize sums the present sizes of all
-// endpoints. It counts answered work, so that a backlog is not taken for capacity.
+// Learn updates the averages with the work requested and answered since its last call. warmSize is the sum of the
+// present sizes of all endpoints. The work rate follows answered work only, so that a backlog does not count as
+// capacity.
 func (b *Budget) Learn(now clock.Nanos, demands []*Demand, warmSize float64) {
 	span := float64(now - b.learnedAt)
-	asked := b.learnDemand(span, demands)
+	demand := b.learnDemand(span, demands)
 	if b.learnedAt > 0 && warmSize > 0 {
-		b.perRouter += learnWeight * (b.answered/span/warmSize - b.perRouter)
-		for i, work := range asked {
-			b.mean[i] = cmp.Or(b.mean[i], work) // the first window is all that is known
-			b.mean[i] += learnWeight * (work - b.mean[i])
+		b.workRate += learnWeight * (b.answered/span/warmSize - b.workRate)
+		for i, work := range demand {
+			b.meanDemand[i] = cmp.Or(b.meanDemand[i], work) // the first window initializes the average
+			b.meanDemand[i] += learnWeight * (work - b.meanDemand[i])
 		}
 	}
 	b.answered, b.learnedAt = 0, now
 }
 
-// learnDemand moves each group's usual demand by what was asked of it in a span, and returns the mean group's.
+// learnDemand updates each group's learned demand with the work requested of it in a span, and returns the mean of the
+// groups' demands in that span.
 func (b *Budget) learnDemand(span float64, demands []*Demand) (mean [kinds]float64) {
-	for _, d := range demands {
-		for i := range d.learned {
-			asked := d.requested[i] * float64(b.settings.Window) / span
-			d.learned[i] += learnWeight * (asked - d.learned[i])
-			mean[i] += asked / float64(len(demands))
-			d.requested[i] = 0
+	for _, demand := range demands {
+		for i := range demand.learned {
+			perWindow := demand.requested[i] * float64(b.settings.Window) / span
+			demand.learned[i] += learnWeight * (perWindow - demand.learned[i])
+			mean[i] += perWindow / float64(len(demands))
+			demand.requested[i] = 0
 		}
 	}
 	return mean
