--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -42,7 +42,7 @@
 	c.groups = map[int64]*group{}
 	for n, g := range l.groups {
 		h := *g
-		h.arrivals = slices.Clone(g.arrivals)
+		h.arrivalsByRank = slices.Clone(g.arrivalsByRank)
 		c.groups[n] = &h
 	}
 	return &c
@@ -63,7 +63,7 @@
 	for _, l := range w.who {
 		fmt.Fprint(h, l.saltEpoch, l.saltChangedAt, l.tickedAt, l.resumedAt)
 		if g := l.groups[1]; g != nil {
-			fmt.Fprint(h, g.threshold, g.ownThreshold, g.reported, g.seq, g.endedShare, g.ended, g.thresholdSince, g.lookedAt, g.looks, g.calmLooks, g.highLooks, g.servedAtOverload, g.served, g.quorumAt, g.pressure, g.quietLooks)
+			fmt.Fprint(h, g.threshold, g.ownThreshold, g.hasReport, g.seq, g.sampleSum, g.sampleCount, g.thresholdSince, g.evaluatedAt, g.evaluations, g.calmEvaluations, g.highEvaluations, g.servedAtOverload, g.served, g.quorumAt, g.pressure, g.quietEvaluations)
 		}
 	}
 	return h.Sum64()
@@ -193,7 +193,7 @@
 		l := lanes(t, s)
 		l.tickedAt, l.saltChangedAt, l.resumedAt = w.now, w.now, 1
 		g := l.group(1, w.now)
-		g.threshold, g.ownThreshold, g.reported, g.seq, g.quietLooks = 60, 60, true, 1, 0
+		g.threshold, g.ownThreshold, g.hasReport, g.seq, g.quietEvaluations = 60, 60, true, 1, 0
 		w.who[i] = l
 		for j := range w.who {
 			if j != i {
--- a/policy/shedding/merge.go
+++ b/policy/shedding/merge.go
@@ -7,175 +7,178 @@
 	"lotushook/policy/clock"
 )
 
-// mostLoad and mostEpoch bound what a report may say.
+// Limits on the values of a report, and on the number of reports.
 const (
-	maxLoad       = 1 << 24
-	maxEpoch      = 1 << 62
-	quorumReports = 12 // fresh reports that stand for any number of routers
-	maxSample     = 16 // the most of which the mean is taken: as many others as internal/peer pushes to at a time
+	maxLoad           = 1 << 24
+	maxEpoch          = 1 << 62
+	quorumReports     = 12 // fresh reports that are a quorum however many routers there are
+	maxSampledReports = 16 // reports that the mean is computed from: as many as internal/peer pushes to at a time
 )
 
-// Merged is what reports of one group say together.
+// Merged is the result of merging the reports on one group.
 type Merged struct {
-	Threshold   int    // the mean of the wishes, weighted by load
-	SaltEpoch   uint64 // the greatest
-	Reporters   int    // routers with a fresh report that count
-	AnyShedding bool   // some wish is above 0
+	Threshold   int    // mean of the reported thresholds, weighted by load
+	SaltEpoch   uint64 // highest of all reports
+	Reporters   int    // routers with a fresh report, excluded ones not counted
+	AnyShedding bool   // any reported threshold is above 0
 }
 
-// Merge is one answer for the same reports whatever their order, and whether some came twice: of each router the latest word of
-// its latest start, if it is fresh; the older age of two copies of it holds, as ages tell too little of the way. Of many
-// routers the freshest tell the mean: all of them would tell what it was half a Fresh ago.
-func Merge(reports []Report, fresh clock.Nanos, most int) Merged {
-	var j Merged
+// Merge merges reports. The result depends neither on their order nor on duplicates. Only the latest report of each
+// router's latest process counts, and only if it is fresh. Of two copies of a report the one with the higher age
+// counts, because ages omit part of the time in transit. With many routers, the mean includes the freshest reports
+// only: the mean of all reports would be half of maxAge old.
+func Merge(reports []Report, maxAge clock.Nanos, maxThreshold int) Merged {
+	var merged Merged
 	latest := make(map[string]*Report, len(reports))
 	for i := range reports {
-		r := &reports[i]
-		if r.SaltEpoch < maxEpoch { // also of an old word: epochs only rise
-			j.SaltEpoch = max(j.SaltEpoch, r.SaltEpoch)
+		report := &reports[i]
+		if report.SaltEpoch < maxEpoch { // also of an outdated report, because epochs never decrease
+			merged.SaltEpoch = max(merged.SaltEpoch, report.SaltEpoch)
 		}
-		if old := latest[r.Router]; old == nil || old.compare(r) < 0 {
-			latest[r.Router] = r
+		if old := latest[report.Router]; old == nil || old.compare(report) < 0 {
+			latest[report.Router] = report
 		}
 	}
-	list := make([]*Report, 0, len(latest))
-	for _, r := range latest {
-		if r.Age >= 0 && r.Age <= fresh && !r.Excluded {
-			list = append(list, r)
+	fresh := make([]*Report, 0, len(latest))
+	for _, report := range latest {
+		if report.Age >= 0 && report.Age <= maxAge && !report.Excluded {
+			fresh = append(fresh, report)
 		}
 	}
-	if j.Reporters = len(list); j.Reporters > maxSample {
-		slices.SortFunc(list, func(x, y *Report) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Router, y.Router)) })
-		list = list[:maxSample]
+	if merged.Reporters = len(fresh); merged.Reporters > maxSampledReports {
+		slices.SortFunc(fresh, func(x, y *Report) int { return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Router, y.Router)) })
+		fresh = fresh[:maxSampledReports]
 	}
-	sum, all := int64(0), int64(0)
-	for _, r := range list {
-		load, wish := max(0, min(maxLoad, r.Load))+1, max(0, min(most, r.Threshold))
-		sum, all = sum+load*int64(wish), all+load
-		j.AnyShedding = j.AnyShedding || wish > 0
+	sum, totalLoad := int64(0), int64(0)
+	for _, report := range fresh {
+		load, threshold := max(0, min(maxLoad, report.Load))+1, max(0, min(maxThreshold, report.Threshold))
+		sum, totalLoad = sum+load*int64(threshold), totalLoad+load
+		merged.AnyShedding = merged.AnyShedding || threshold > 0
 	}
-	if all > 0 {
-		j.Threshold = int((2*sum + all) / (2 * all)) // half is up
+	if totalLoad > 0 {
+		merged.Threshold = int((2*sum + totalLoad) / (2 * totalLoad)) // rounded, half up
 	}
-	return j
+	return merged
 }
 
-// compare orders two words of one router.
-func (r *Report) compare(s *Report) int {
-	out := func(b bool) int {
+// compare orders two reports of one router; the later one is greater.
+func (r *Report) compare(other *Report) int {
+	toInt := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(r.Epoch, s.Epoch), cmp.Compare(r.Seq, s.Seq), cmp.Compare(r.Age, s.Age), cmp.Compare(r.Threshold, s.Threshold), cmp.Compare(r.Load, s.Load),
-		cmp.Compare(out(r.Excluded), out(s.Excluded)))
+	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Seq, other.Seq), cmp.Compare(r.Age, other.Age), cmp.Compare(r.Threshold, other.Threshold), cmp.Compare(r.Load, other.Load),
+		cmp.Compare(toInt(r.Excluded), toInt(other.Excluded)))
 }
 
-// Tick goes on to now with what the others report, each group's level first and then, where it is time, this router's wish.
-// It returns what is to be told to the others. It wants to be called some times a Look.
-func (l *Shedder) Tick(now clock.Nanos, sight Connectivity, reports []Report) []Report {
-	paused := now-l.tickedAt > l.settings.MaxReportAge || now < l.tickedAt
-	if l.tickedAt = now; paused {
-		l.resumedAt = now
+// Tick applies the other routers' reports to each group's threshold, and then, if an evaluation is due, adjusts this
+// router's own threshold. It returns the reports to send to the other routers. It must be called several times per
+// Settings.Interval.
+func (s *Shedder) Tick(now clock.Nanos, connectivity Connectivity, reports []Report) []Report {
+	paused := now-s.tickedAt > s.settings.MaxReportAge || now < s.tickedAt
+	if s.tickedAt = now; paused {
+		s.resumedAt = now
 	}
-	l.rotateSalt(now)
+	s.rotateSalt(now)
 	byGroup := map[int64][]Report{}
-	for _, r := range reports {
-		if r.Router != l.settings.Router {
-			byGroup[r.Group] = append(byGroup[r.Group], r)
-			l.group(r.Group, now) // others feel its pressure before any request of it came here
+	for _, report := range reports {
+		if report.Router != s.settings.Router {
+			byGroup[report.Group] = append(byGroup[report.Group], report)
+			s.group(report.Group, now) // other routers may measure its pressure before a request arrives here
 		}
 	}
-	var out []Report
-	for _, number := range l.numbers() {
-		g := l.groups[number]
+	var own []Report
+	for _, number := range s.groupNumbers() {
+		group := s.groups[number]
 		if paused {
-			g.forgetPressure(now)
+			group.resetAfterPause(now)
 		}
-		j := l.applyReports(number, g, byGroup[number], sight, now)
-		if now-g.lookedAt < l.settings.Interval {
+		merged := s.applyReports(number, group, byGroup[number], connectivity, now)
+		if now-group.evaluatedAt < s.settings.Interval {
 			continue
 		}
-		g.adjustThreshold(&l.settings, &l.order, now)
-		if l.isIsolated(g, now) {
-			g.threshold = g.ownThreshold
-		} else if g.ownThreshold > g.threshold && !g.hasQuorum {
-			g.threshold = g.ownThreshold // it may rise on its own
+		group.adjustThreshold(&s.settings, &s.order, now)
+		if s.updateIsolated(group, now) {
+			group.threshold = group.ownThreshold
+		} else if group.ownThreshold > group.threshold && !group.hasQuorum {
+			group.threshold = group.ownThreshold // without a quorum the threshold may still rise
 		}
-		if g.quietLooks++; j.AnyShedding || g.threshold > 0 || g.ownThreshold > 0 {
-			g.quietLooks = 0
+		if group.quietEvaluations++; merged.AnyShedding || group.threshold > 0 || group.ownThreshold > 0 {
+			group.quietEvaluations = 0
 		}
-		if g.reported = l.settings.Shared && g.quietLooks <= finalReports; g.reported {
-			g.seq++
-			out = append(out, Report{Group: number, Router: l.settings.Router, Epoch: l.settings.Epoch, Seq: g.seq, Load: int64(g.rate), Threshold: g.ownThreshold, SaltEpoch: l.saltEpoch})
+		if group.hasReport = s.settings.Shared && group.quietEvaluations <= finalReports; group.hasReport {
+			group.seq++
+			own = append(own, Report{Group: number, Router: s.settings.Router, Epoch: s.settings.Epoch, Seq: group.seq, Load: int64(group.arrivalRate), Threshold: group.ownThreshold, SaltEpoch: s.saltEpoch})
 		}
 	}
-	return out
+	return own
 }
 
-const finalReports = 3 // a router says so often that there is nothing to shed any more
+const finalReports = 3 // number of reports that a router sends after shedding has ended
 
-// forgetPressure forgets what was felt before this router was stopped: it tells nothing of now.
-func (g *group) forgetPressure(now clock.Nanos) {
+// resetAfterPause drops what was measured before this router was paused, because it says nothing about the present.
+func (g *group) resetAfterPause(now clock.Nanos) {
 	g.resetSamples(now)
-	g.quorumAt = now // and nobody could be heard meanwhile
-	g.pressure, g.calmLooks, g.lookedAt, g.reported, g.newArrivals = 0, 0, now, false, 0
+	g.quorumAt = now // no reports could arrive during the pause
+	g.pressure, g.calmEvaluations, g.evaluatedAt, g.hasReport, g.newArrivals = 0, 0, now, false, 0
 }
 
-// numbers are the groups in order.
-func (l *Shedder) numbers() []int64 {
-	out := make([]int64, 0, len(l.groups))
-	for n := range l.groups {
-		out = append(out, n)
+// groupNumbers returns the groups' numbers in ascending order.
+func (s *Shedder) groupNumbers() []int64 {
+	numbers := make([]int64, 0, len(s.groups))
+	for number := range s.groups {
+		numbers = append(numbers, number)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(numbers)
+	return numbers
 }
 
-// applyReports takes the others' reports of a group in, and moves its level. Only whole evidence makes it fall: this router is on
-// the larger side, hears and is heard, and knows what enough of the routers want now. Short of that it may rise.
-func (l *Shedder) applyReports(number int64, g *group, reports []Report, sight Connectivity, now clock.Nanos) Merged {
-	if g.reported {
-		reports = append(reports, Report{Group: number, Router: l.settings.Router, Epoch: l.settings.Epoch, Seq: g.seq, Age: max(0, now-g.lookedAt), Load: int64(g.rate), Threshold: g.ownThreshold})
+// applyReports applies the other routers' reports to a group's threshold. The threshold falls only with a quorum: this
+// router belongs to the majority, is not isolated, and has fresh reports of enough routers. Otherwise it may only rise.
+func (s *Shedder) applyReports(number int64, group *group, reports []Report, connectivity Connectivity, now clock.Nanos) Merged {
+	if group.hasReport {
+		reports = append(reports, Report{Group: number, Router: s.settings.Router, Epoch: s.settings.Epoch, Seq: group.seq, Age: max(0, now-group.evaluatedAt), Load: int64(group.arrivalRate), Threshold: group.ownThreshold})
 	}
-	j := Merge(reports, l.settings.MaxReportAge, l.order.maxThreshold)
-	if j.SaltEpoch > l.saltEpoch {
-		l.saltEpoch, l.saltChangedAt = j.SaltEpoch, now
+	merged := Merge(reports, s.settings.MaxReportAge, s.order.maxThreshold)
+	if merged.SaltEpoch > s.saltEpoch {
+		s.saltEpoch, s.saltChangedAt = merged.SaltEpoch, now
 	}
-	g.reporters = j.Reporters
-	need := min(l.settings.Routers/2+1, quorumReports)
-	g.hasQuorum = l.settings.Shared && j.Reporters >= need && sight.Majority && !sight.Isolated &&
-		now-l.resumedAt >= l.settings.MaxReportAge // what waited in its sockets while it was stopped looks fresh
-	if g.hasQuorum || g.threshold == 0 && g.ownThreshold == 0 {
-		g.quorumAt = now
+	group.reporters = merged.Reporters
+	needed := min(s.settings.Routers/2+1, quorumReports)
+	group.hasQuorum = s.settings.Shared && merged.Reporters >= needed && connectivity.Majority && !connectivity.Isolated &&
+		now-s.resumedAt >= s.settings.MaxReportAge // messages that were buffered in sockets during a pause seem fresh
+	if group.hasQuorum || group.threshold == 0 && group.ownThreshold == 0 {
+		group.quorumAt = now
 	}
 	switch {
-	case g.hasQuorum:
-		g.threshold = j.Threshold
-	case l.isIsolated(g, now):
-	default: // of those that say nothing it is not known that they would have more shed: they count for none
-		g.threshold = max(g.threshold, j.Threshold*min(j.Reporters, need)/need)
+	case group.hasQuorum:
+		group.threshold = merged.Threshold
+	case s.updateIsolated(group, now):
+	default: // missing reports count as a threshold of 0, because it is unknown whether those routers would shed more
+		group.threshold = max(group.threshold, merged.Threshold*min(merged.Reporters, needed)/needed)
 	}
-	return j
+	return merged
 }
 
-// isIsolated says whether this router goes by its own pressure.
-func (l *Shedder) isIsolated(g *group, now clock.Nanos) bool {
-	g.isolated = !l.settings.Shared || now-g.quorumAt >= l.settings.IsolationTimeout
-	return g.isolated
+// updateIsolated updates and returns whether this router uses only its own pressure for a group.
+func (s *Shedder) updateIsolated(group *group, now clock.Nanos) bool {
+	group.isolated = !s.settings.Shared || now-group.quorumAt >= s.settings.IsolationTimeout
+	return group.isolated
 }
 
-// rotateSalt begins another epoch when the present one is over by this router's clock. Whoever is first tells the others with its
-// next report, and their own spans begin anew: no clock is compared with another, and the fastest one leads.
-func (l *Shedder) rotateSalt(now clock.Nanos) {
+// rotateSalt begins another salt epoch when the present one is over by this router's clock. The other routers learn of
+// it from this router's next report, and restart their own timers. So no two clocks are compared, and the fastest clock
+// determines the period.
+func (s *Shedder) rotateSalt(now clock.Nanos) {
 	switch {
-	case l.saltChangedAt == 0 || now < l.saltChangedAt:
-		l.saltChangedAt = now
-	case now-l.saltChangedAt >= l.settings.SaltPeriod && l.saltEpoch < maxEpoch-1:
-		l.saltEpoch, l.saltChangedAt = l.saltEpoch+1, now
+	case s.saltChangedAt == 0 || now < s.saltChangedAt:
+		s.saltChangedAt = now
+	case now-s.saltChangedAt >= s.settings.SaltPeriod && s.saltEpoch < maxEpoch-1:
+		s.saltEpoch, s.saltChangedAt = s.saltEpoch+1, now
 	}
 }
 
-// SaltEpoch is the number of the present salt.
-func (l *Shedder) SaltEpoch() uint64 { return l.saltEpoch }
+// SaltEpoch returns the number of the present salt epoch.
+func (s *Shedder) SaltEpoch() uint64 { return s.saltEpoch }
--- a/policy/shedding/pressure.go
+++ b/policy/shedding/pressure.go
@@ -3,135 +3,138 @@
 import "lotushook/policy/clock"
 
 const (
-	unservedShare  = 1.5 // the sample of a request that was admitted and not served, in objectives
-	minSamples     = 3   // ends needed for an update
-	priorSamples   = 4.0 // the weight of earlier samples, in ends
-	arrivalDecay   = 0.8 // factor on the arrivals by standing, per evaluation
-	severePressure = 2.0 // times High: then one evaluation is enough to begin
-	settleLooks    = 2   // evaluations until a threshold shows in the ends
-	maxCut         = 0.4 // of what is admitted, in one evaluation
-	minCut         = 0.02
-	initialGive    = 0.04 // more than is admitted, in one evaluation: stepwise, or all that were shed return together
-	giveIncrement  = 0.01 // for each such step in a row
-	maxGive        = 0.15 // where all that would be admitted is well below what was served during the overload
-	headroom       = 0.9  // of that
-	minCalmLooks   = 2    // evaluations under Low before the threshold falls
-	maxStep        = Positions / 4
+	unservedSample       = 1.5 // sample of an unserved request, and maximum of any sample, in latency objectives
+	minSamples           = 3   // needed to update the pressure
+	priorSamples         = 4.0 // weight of earlier samples, in samples
+	arrivalDecay         = 0.8 // factor on the arrivals by rank, per evaluation
+	severePressure       = 2.0 // multiple of HighPressure at which one evaluation is enough to start shedding
+	settleEvaluations    = 2   // until the outcomes reflect a changed threshold
+	maxShedStep          = 0.4 // share of the admitted requests, per evaluation
+	minShedStep          = 0.02
+	initialReleaseStep   = 0.04 // like maxShedStep; small, or all shed requests return together
+	releaseStepIncrement = 0.01 // for each consecutive step
+	maxReleaseStep       = 0.15 // allowed while the admitted requests would stay below releaseHeadroom
+	releaseHeadroom      = 0.9  // share of what was served during the overload
+	minCalmEvaluations   = 2    // evaluations below LowPressure before the threshold falls
+	maxReleaseRanks      = Positions / 4
 )
 
 // group is the pressure and the threshold of one group of data servers.
 type group struct {
-	threshold    int // in force
-	ownThreshold int // this router's own choice
-	reported     bool
-	seq          uint64
-	quietLooks   int // evaluations since any router had a threshold above 0
-
-	arrivals       []float64 // arrivals by standing, decaying
-	newArrivals    float64   // arrivals since the last evaluation
-	rate           float64   // of them, a second
-	endedShare     float64   // of ends since then: of their times as shares of their objectives
-	ended          float64
-	thresholdSince clock.Nanos // earlier arrivals say nothing about the present threshold
-
-	open              int     // open requests that arrived since
-	inverseObjectives float64 // sums over these: of 1/objective, and of arrival/objective with arrivals counted from base
-	weightedArrivals  float64
-	baseTime          clock.Nanos
-	lookedAt          clock.Nanos
-	looks             int // since the last change
-	calmLooks         int
-	highLooks         int     // evaluations above High in a row, from threshold 0
-	served            float64 // what was served, decaying as arrivals do
-	servedAtOverload  float64 // what was served during the latest overload: the servers' capacity. 0: there was none since all was released
-	createdAt         clock.Nanos
-	quorumAt          clock.Nanos // the reports last had a quorum
+	threshold        int // in force
+	ownThreshold     int // that this router would choose by itself
+	hasReport        bool
+	seq              uint64
+	quietEvaluations int // since any router had a threshold above 0
+
+	arrivalsByRank []float64   // decaying
+	newArrivals    float64     // since the last evaluation
+	arrivalRate    float64     // requests per second, moving average
+	sampleSum      float64     // sum over requests ended since the last update of time/objective
+	sampleCount    float64     // number of these requests
+	thresholdSince clock.Nanos // requests that arrived earlier are ignored, as they don't reflect the present threshold
+
+	openRequests      int         // that arrived since thresholdSince
+	inverseObjectives float64     // sum over the open requests of 1/objective
+	weightedArrivals  float64     // sum over the open requests of (arrival time - referenceTime)/objective
+	referenceTime     clock.Nanos // of weightedArrivals
+	evaluatedAt       clock.Nanos
+	evaluations       int // since thresholdSince
+	calmEvaluations   int
+	highEvaluations   int         // consecutive evaluations above HighPressure with threshold 0
+	served            float64     // decaying like arrivalsByRank
+	servedAtOverload  float64     // during the latest overload, shows the capacity; 0: no overload since threshold 0
+	createdAt         clock.Nanos // of this state
+	quorumAt          clock.Nanos // when the reports last had a quorum
 
 	pressure            float64
 	reporters           int
 	hasQuorum, isolated bool
 }
 
-func newGroup(now clock.Nanos, standings int) *group {
-	return &group{arrivals: make([]float64, standings), baseTime: now, thresholdSince: now, lookedAt: now, createdAt: now, quorumAt: now, quietLooks: finalReports + 1}
+func newGroup(now clock.Nanos, rankCount int) *group {
+	return &group{arrivalsByRank: make([]float64, rankCount), referenceTime: now, thresholdSince: now, evaluatedAt: now, createdAt: now, quorumAt: now, quietEvaluations: finalReports + 1}
 }
 
-// addArrival counts an arrival; a client's marked retry is no new demand.
-func (g *group) addArrival(standing int, again bool) {
-	if !again {
-		g.arrivals[standing]++
+// addArrival counts an arrival. A request marked as the client's own retry is not new demand.
+func (g *group) addArrival(rank int, isRetry bool) {
+	if !isRetry {
+		g.arrivalsByRank[rank]++
 		g.newArrivals++
 	}
 }
 
-func (g *group) requestStarted(came, aim clock.Nanos) {
-	if came < g.thresholdSince { // its threshold was replaced before the event loop processed it
+func (g *group) requestStarted(arrivedAt, latencyObjective clock.Nanos) {
+	if arrivedAt < g.thresholdSince { // the threshold changed before the event loop processed the request
 		return
 	}
-	g.open++
-	g.inverseObjectives += 1 / float64(aim)
-	g.weightedArrivals += float64(came-g.baseTime) / float64(aim)
+	g.openRequests++
+	g.inverseObjectives += 1 / float64(latencyObjective)
+	g.weightedArrivals += float64(arrivedAt-g.referenceTime) / float64(latencyObjective)
 }
 
-// resetSamples drops samples from an earlier threshold: they would count for as long as clients wait.
+// resetSamples drops the samples of an earlier threshold. They would otherwise keep arriving for as long as clients
+// wait.
 func (g *group) resetSamples(now clock.Nanos) {
-	g.thresholdSince, g.looks = now, 0
-	g.open, g.inverseObjectives, g.weightedArrivals = 0, 0, 0
-	g.endedShare, g.ended = 0, 0
+	g.thresholdSince, g.evaluations = now, 0
+	g.openRequests, g.inverseObjectives, g.weightedArrivals = 0, 0, 0
+	g.sampleSum, g.sampleCount = 0, 0
 }
 
-func (g *group) requestEnded(e Outcome) {
-	if e.Served {
+func (g *group) requestEnded(outcome Outcome) {
+	if outcome.Served {
 		g.served++
 	}
-	if e.ArrivedAt < g.thresholdSince {
+	if outcome.ArrivedAt < g.thresholdSince {
 		return
 	}
-	if g.open--; g.open <= 0 {
-		g.open, g.inverseObjectives, g.weightedArrivals = 0, 0, 0
+	if g.openRequests--; g.openRequests <= 0 {
+		g.openRequests, g.inverseObjectives, g.weightedArrivals = 0, 0, 0
 	} else {
-		g.inverseObjectives -= 1 / float64(e.LatencyObjective)
-		g.weightedArrivals -= float64(e.ArrivedAt-g.baseTime) / float64(e.LatencyObjective)
+		g.inverseObjectives -= 1 / float64(outcome.LatencyObjective)
+		g.weightedArrivals -= float64(outcome.ArrivedAt-g.referenceTime) / float64(outcome.LatencyObjective)
 	}
-	share := unservedShare
+	sample := unservedSample
 	switch {
-	case e.Abandoned && e.Elapsed < e.LatencyObjective: // it left before it could be answered
+	case outcome.Abandoned && outcome.Elapsed < outcome.LatencyObjective: // the client left before the answer was due
 		return
-	case e.Served:
-		share = min(unservedShare, float64(e.Elapsed)/float64(e.LatencyObjective))
+	case outcome.Served:
+		sample = min(unservedSample, float64(outcome.Elapsed)/float64(outcome.LatencyObjective))
 	}
-	g.endedShare += share
-	g.ended++
+	g.sampleSum += sample
+	g.sampleCount++
 }
 
-// openAge is the mean age of open requests, as a share of the objectives.
+// openAge returns the mean age of the open requests, as a share of their latency objectives.
 func (g *group) openAge(now clock.Nanos) float64 {
-	if g.open == 0 || g.inverseObjectives <= 0 {
+	if g.openRequests == 0 || g.inverseObjectives <= 0 {
 		return 0
 	}
-	return max(0, min(unservedShare, (float64(now-g.baseTime)*g.inverseObjectives-g.weightedArrivals)/float64(g.open)))
+	return max(0, min(unservedSample, (float64(now-g.referenceTime)*g.inverseObjectives-g.weightedArrivals)/float64(g.openRequests)))
 }
 
-// updatePressure brings the pressure up to now, and says whether it reflects the present threshold.
+// updatePressure updates the pressure and reports whether it reflects the present threshold.
 func (g *group) updatePressure(now clock.Nanos) bool {
-	g.looks++
-	old := g.openAge(now)
+	g.evaluations++
+	age := g.openAge(now)
 	switch {
-	case g.ended >= minSamples || g.ended > 0 && g.looks > settleLooks:
-		g.pressure += g.ended / (g.ended + priorSamples) * (max(g.endedShare/g.ended, old) - g.pressure) // fast answers do not hide a queue that persists
-	case g.looks > settleLooks: // nothing ended for long: the open requests count, and none open means no pressure
-		g.pressure += 0.5 * (old - g.pressure)
+	case g.sampleCount >= minSamples || g.sampleCount > 0 && g.evaluations > settleEvaluations:
+		// The age of open requests counts too, so that fast answers do not hide a persistent queue.
+		g.pressure += g.sampleCount / (g.sampleCount + priorSamples) * (max(g.sampleSum/g.sampleCount, age) - g.pressure)
+	case g.evaluations > settleEvaluations: // no request has ended for long: only open requests count, if any
+		g.pressure += 0.5 * (age - g.pressure)
 	default:
 		return false
 	}
-	g.endedShare, g.ended = 0, 0
+	g.sampleSum, g.sampleCount = 0, 0
 	return true
 }
 
-// adjustThreshold moves this router's choice one step from the threshold in force: up by a share of what is admitted, the larger the
-// higher the pressure; down by a smaller one, and only after calm evaluations.
-func (g *group) adjustThreshold(set *Settings, o *shedOrder, now clock.Nanos) {
-	g.rate += 0.4 * (g.newArrivals/(float64(now-g.lookedAt)/1e9) - g.rate)
+// adjustThreshold moves this router's own threshold by one step from the threshold in force. A step up sheds a share of
+// the admitted requests, the larger the more of them are not served. A step down is smaller, and needs several calm
+// evaluations.
+func (g *group) adjustThreshold(settings *Settings, order *shedOrder, now clock.Nanos) {
+	g.arrivalRate += 0.4 * (g.newArrivals/(float64(now-g.evaluatedAt)/1e9) - g.arrivalRate)
 	g.newArrivals = 0
 	if g.ownThreshold = g.threshold; g.threshold == 0 {
 		g.servedAtOverload = 0
@@ -139,29 +142,31 @@
 	if g.updatePressure(now) {
 		step := 0
 		switch {
-		case g.pressure > set.HighPressure && g.looks < settleLooks: // what was queued under the last threshold still counts
-			g.calmLooks = 0
-		case g.pressure > set.HighPressure && g.threshold == 0 && g.highLooks == 0 && g.pressure < severePressure*set.HighPressure: // one evaluation may be chance
-			g.highLooks, g.calmLooks = 1, 0
-		case g.pressure > set.HighPressure:
-			g.calmLooks = 0
+		case g.pressure > settings.HighPressure && g.evaluations < settleEvaluations:
+			// The pressure still includes requests that were queued under the previous threshold.
+			g.calmEvaluations = 0
+		case g.pressure > settings.HighPressure && g.threshold == 0 && g.highEvaluations == 0 && g.pressure < severePressure*settings.HighPressure:
+			// A single evaluation may be chance.
+			g.highEvaluations, g.calmEvaluations = 1, 0
+		case g.pressure > settings.HighPressure:
+			g.calmEvaluations = 0
 			if g.servedAtOverload == 0 {
 				g.servedAtOverload = g.served
 			} else {
 				g.servedAtOverload += 0.5 * (g.served - g.servedAtOverload)
 			}
-			if taken := g.admittedAt(g.threshold); taken > 0 { // what is admitted and not served is too much
-				step = g.stepUp(min(maxCut, max(minCut, 1-g.served/taken)), o.maxThreshold)
+			if admitted := g.admittedAt(g.threshold); admitted > 0 { // shed the share that was admitted but not served
+				step = g.stepUp(min(maxShedStep, max(minShedStep, 1-g.served/admitted)), order.maxThreshold)
 			}
-		case g.pressure >= set.LowPressure:
-			g.calmLooks, g.highLooks = 0, 0
+		case g.pressure >= settings.LowPressure:
+			g.calmEvaluations, g.highEvaluations = 0, 0
 		case g.threshold == 0:
-			g.highLooks = 0
+			g.highEvaluations = 0
 		default:
-			if g.calmLooks++; g.calmLooks >= minCalmLooks {
-				step = g.stepDown(maxGive)
-				if g.admittedAt(g.threshold-step) > headroom*g.servedAtOverload {
-					step = g.stepDown(min(maxGive, initialGive+giveIncrement*float64(g.calmLooks-minCalmLooks)))
+			if g.calmEvaluations++; g.calmEvaluations >= minCalmEvaluations {
+				step = g.stepDown(maxReleaseStep)
+				if g.admittedAt(g.threshold-step) > releaseHeadroom*g.servedAtOverload {
+					step = g.stepDown(min(maxReleaseStep, initialReleaseStep+releaseStepIncrement*float64(g.calmEvaluations-minCalmEvaluations)))
 				}
 				step = -step
 			}
@@ -171,40 +176,41 @@
 			g.resetSamples(now)
 		}
 	}
-	for i := range g.arrivals {
-		g.arrivals[i] *= arrivalDecay
+	for i := range g.arrivalsByRank {
+		g.arrivalsByRank[i] *= arrivalDecay
 	}
 	g.served *= arrivalDecay
-	g.lookedAt = now
+	g.evaluatedAt = now
 }
 
-// admittedAt is what a threshold would admit, of the recent arrivals.
-func (g *group) admittedAt(level int) (sum float64) {
-	for _, n := range g.arrivals[level:] {
-		sum += n
+// admittedAt returns how many of the recent arrivals a threshold would admit.
+func (g *group) admittedAt(threshold int) (sum float64) {
+	for _, arrivals := range g.arrivalsByRank[threshold:] {
+		sum += arrivals
 	}
 	return sum
 }
 
-// stepUp is how many standings hold a share of what is admitted, from the threshold on.
-func (g *group) stepUp(share float64, most int) int {
-	taken, sum := g.admittedAt(g.threshold), 0.0
-	if taken == 0 { // nothing is there to shed
+// stepUp returns how many ranks from the threshold on contain a share of the admitted requests.
+func (g *group) stepUp(share float64, maxThreshold int) int {
+	admitted, sum := g.admittedAt(g.threshold), 0.0
+	if admitted == 0 { // there is nothing to shed
 		return 0
 	}
-	for i := g.threshold; i < most; i++ {
-		if sum += g.arrivals[i]; sum >= share*taken || i-g.threshold+1 >= Positions {
+	for i := g.threshold; i < maxThreshold; i++ {
+		if sum += g.arrivalsByRank[i]; sum >= share*admitted || i-g.threshold+1 >= Positions {
 			return i - g.threshold + 1
 		}
 	}
-	return max(0, most-g.threshold)
+	return max(0, maxThreshold-g.threshold)
 }
 
-// stepDown is how many standings below the threshold hold no more than a share of what is admitted: at least one.
+// stepDown returns how many ranks below the threshold contain no more than a share of the admitted requests, at least
+// one.
 func (g *group) stepDown(share float64) int {
-	taken, sum := g.admittedAt(g.threshold), 0.0
+	admitted, sum := g.admittedAt(g.threshold), 0.0
 	for i := g.threshold - 1; i >= 0; i-- {
-		if sum += g.arrivals[i]; i < g.threshold-1 && sum > share*taken || g.threshold-i > maxStep {
+		if sum += g.arrivalsByRank[i]; i < g.threshold-1 && sum > share*admitted || g.threshold-i > maxReleaseRanks {
 			return g.threshold - 1 - i
 		}
 	}
--- a/policy/shedding/settings.go
+++ b/policy/shedding/settings.go
@@ -1,7 +1,8 @@
-// Package shedding decides which requests are shed while a group of data servers is overloaded, so that every router
-// sheds the same accounts: the lowest priority class first, and within a class by a salted hash of the account. It decides from
-// arrivals, ends and the other routers' reports; how reports travel, and where a request that is not shed goes, is not decided here.
-// The compound threshold is DAGOR's (Zhou et al., SoCC 2018); how it is agreed without a central server is this package's own.
+// Package shedding decides which requests are shed while a group of data servers is overloaded. All routers shed the
+// same accounts: the lowest priority class first, and within a class by a salted hash of the account. The decisions
+// depend on the requests' arrivals and outcomes and on the other routers' reports; how reports are sent, and where an
+// admitted request is sent, is not decided here. The combined threshold over classes and accounts is DAGOR's (Zhou et
+// al., SoCC 2018); agreement on it without a central server is this package's own.
 package shedding
 
 import (
@@ -11,62 +12,64 @@
 	"lotushook/policy/clock"
 )
 
-// Bounds of the standing of accounts.
+// Sizes of the order of shedding.
 const (
-	Positions          = 64 // positions of accounts in a priority class
+	Positions          = 64 // positions of accounts within a priority class
 	MaxPriorityClasses = 8
 )
 
 // AccountKey says what identifies an account.
 type AccountKey string
 
-// The keys of an account.
+// The account keys.
 const (
 	ByTeam    AccountKey = "team"
 	BySession AccountKey = "session"
-	ByBoth    AccountKey = "both" // a session of one team is another account than the same session of another
+	ByBoth    AccountKey = "both" // sessions of the same name in different teams are different accounts
 )
 
-// Settings are the priority classes, and how thresholds are found.
+// Settings are the priority classes, and the parameters of the thresholds.
 type Settings struct {
-	PriorityClasses []PriorityClass // the best first
-	Teams           []Team          // as the contracts number them
+	PriorityClasses []PriorityClass // highest priority first
+	Teams           []Team          // in the order of the contracts
 	AccountKey      AccountKey
 
-	Router  string // this router's name; the salt of an isolated one
+	Router  string // this router's name; salts the hash if the thresholds are not shared
 	Epoch   uint64
-	Routers int  // of the installation
-	Shared  bool // thresholds are agreed with the others; without, each router decides alone
+	Routers int  // in the installation
+	Shared  bool // the routers agree on thresholds; otherwise each router decides alone
 
-	HighPressure, LowPressure float64     // pressure, as a share of latency objectives: above, more is shed; below, less
-	Interval                  clock.Nanos // between two evaluations of the pressure, and so two steps of a threshold
-	MaxReportAge              clock.Nanos // an older report is ignored
-	IsolationTimeout          clock.Nanos // without a quorum for so long a router uses its own pressure alone
-	SaltPeriod                clock.Nanos // the salt changes after it
+	HighPressure, LowPressure float64     // shares of latency objectives; above High more is shed, below Low less
+	Interval                  clock.Nanos // between two evaluations of the pressure
+	MaxReportAge              clock.Nanos // older reports are ignored
+	IsolationTimeout          clock.Nanos // a router without a quorum for this long uses only its own pressure
+	SaltPeriod                clock.Nanos // how long a salt is used
 
-	MaxRetryAfter, PlatformMaxRetryAfter clock.Nanos // the longest Retry-After time, of the lowest class; the platform's maximum, 0: none is sent
-	WriteAffinity                        clock.Nanos // retries of a write, and reads after it, stay in its class for so long
+	// MaxRetryAfter is the longest Retry-After time of the lowest class; PlatformMaxRetryAfter is the platform's limit,
+	// where 0 means that none is sent.
+	MaxRetryAfter, PlatformMaxRetryAfter clock.Nanos
+	WriteAffinity                        clock.Nanos // how long a write's class applies to its retries and later reads
 
-	MaxAccounts, MaxWriteAffinities, MaxGroups int // remembered at most
+	MaxAccounts, MaxWriteAffinities, MaxGroups int // limits on stored entries
 }
 
 // PriorityClass is a class of accounts.
 type PriorityClass struct {
 	Name              string
-	RequestsPerSecond float64 // requests a second of one account in the class, over all routers; beyond, they are downgraded. 0: no limit
-	Burst             float64 // at once
-	ReservedShare     float64 // share of its positions that is shed only when the best class would be otherwise
+	RequestsPerSecond float64 // entitlement of an account over all routers; the excess is downgraded; 0: no limit
+	Burst             float64 // requests
+	ReservedShare     float64 // share of its positions that is shed only when the highest class would be shed otherwise
 }
 
-// Team is the part of a team's contract about priority classes.
+// Team is the part of a team's contract that concerns priority classes.
 type Team struct {
 	Name              string
 	PriorityClass     int
-	RequestsPerSecond float64 // requests a second of the whole team in its class, over all routers; 0: only its accounts' limits apply
-	Burst             float64
+	RequestsPerSecond float64 // entitlement of the team in its class, over all routers; 0: only its accounts' apply
+	Burst             float64 // requests
 }
 
-// DefaultSettings are settings without priority classes, teams and this router's name.
+// DefaultSettings returns settings without priority classes, teams and this router's name.
 func DefaultSettings() Settings {
 	const ms = 1e6
 	return Settings{AccountKey: BySession, Routers: 1, HighPressure: 0.35, LowPressure: 0.25, Interval: 200 * ms, MaxReportAge: 1000 * ms, IsolationTimeout: 30_000 * ms, SaltPeriod: 60_000 * ms, MaxRetryAfter: 2000 * ms,
@@ -79,43 +82,43 @@
 // Error implements the error interface.
 func (e *SettingError) Error() string { return e.Field + ": " + e.Reason }
 
-// Kind is the same for all of the type.
+// Kind returns the error kind, which is the same for all setting errors.
 func (e *SettingError) Kind() string { return "lane-setting" }
 
-// Hint is for operators.
+// Hint tells operators how to correct the error.
 func (e *SettingError) Hint() string {
-	return "correct contracts." + e.Field + " in the settings file; what was in force stays until then"
+	return "correct contracts." + e.Field + " in the settings file; the previous settings stay in force until then"
 }
 
-// Check returns an error that names the first invalid field.
+// Check returns an error that names each invalid field.
 func (s *Settings) Check() error {
 	var errs []error
-	want := func(ok bool, field, text string, args ...any) {
+	check := func(ok bool, field, reason string, args ...any) {
 		if !ok {
-			errs = append(errs, &SettingError{field, fmt.Sprintf(text, args...)})
+			errs = append(errs, &SettingError{field, fmt.Sprintf(reason, args...)})
 		}
 	}
-	want(len(s.PriorityClasses) >= 1 && len(s.PriorityClasses) <= MaxPriorityClasses, "lanes.lanes", "%d, 1 to %d wanted", len(s.PriorityClasses), MaxPriorityClasses)
+	check(len(s.PriorityClasses) >= 1 && len(s.PriorityClasses) <= MaxPriorityClasses, "lanes.lanes", "%d, 1 to %d wanted", len(s.PriorityClasses), MaxPriorityClasses)
 	names := map[string]bool{}
-	for i, l := range s.PriorityClasses {
-		at := fmt.Sprintf("lanes.lanes[%d]", i)
-		want(l.Name != "" && !names[l.Name], at+".name", "%q is missing or given twice", l.Name)
-		names[l.Name] = true
-		want(l.RequestsPerSecond >= 0 && l.Burst >= 0 && (l.RequestsPerSecond == 0 || l.Burst >= 1), at+".per_s", "%v and burst %v: a rate above 0 wants a burst of 1 at least", l.RequestsPerSecond, l.Burst)
-		want(l.ReservedShare >= 0 && l.ReservedShare <= 0.5, at+".least", "%v is not between 0 and 0.5", l.ReservedShare)
+	for i, class := range s.PriorityClasses {
+		path := fmt.Sprintf("lanes.lanes[%d]", i)
+		check(class.Name != "" && !names[class.Name], path+".name", "%q is empty or a duplicate", class.Name)
+		names[class.Name] = true
+		check(class.RequestsPerSecond >= 0 && class.Burst >= 0 && (class.RequestsPerSecond == 0 || class.Burst >= 1), path+".per_s", "%v and burst %v: neither may be negative, and a rate above 0 needs a burst of at least 1", class.RequestsPerSecond, class.Burst)
+		check(class.ReservedShare >= 0 && class.ReservedShare <= 0.5, path+".least", "%v is not between 0 and 0.5", class.ReservedShare)
 	}
-	for _, t := range s.Teams {
-		at := "teams." + t.Name
-		want(t.PriorityClass >= 0 && t.PriorityClass < len(s.PriorityClasses), at+".lane", "no lane %d", t.PriorityClass)
-		want(t.RequestsPerSecond >= 0 && t.Burst >= 0 && (t.RequestsPerSecond == 0 || t.Burst >= 1), at+".lane_per_s", "%v and burst %v: a rate above 0 wants a burst of 1 at least", t.RequestsPerSecond, t.Burst)
+	for _, team := range s.Teams {
+		path := "teams." + team.Name
+		check(team.PriorityClass >= 0 && team.PriorityClass < len(s.PriorityClasses), path+".lane", "there is no lane %d", team.PriorityClass)
+		check(team.RequestsPerSecond >= 0 && team.Burst >= 0 && (team.RequestsPerSecond == 0 || team.Burst >= 1), path+".lane_per_s", "%v and burst %v: neither may be negative, and a rate above 0 needs a burst of at least 1", team.RequestsPerSecond, team.Burst)
 	}
-	want(s.AccountKey == ByTeam || s.AccountKey == BySession || s.AccountKey == ByBoth, "lanes.by", "%q is none of team, session, both", s.AccountKey)
-	want(s.Routers >= 1 && (s.Router != "" || !s.Shared), "lanes.routers", "%d, or no name of this one", s.Routers)
-	want(s.LowPressure > 0 && s.LowPressure < s.HighPressure, "lanes.high, lanes.low", "low %v and high %v are not in order above 0", s.LowPressure, s.HighPressure)
-	want(s.Interval >= 10e6 && s.MaxReportAge >= 2*s.Interval && s.IsolationTimeout >= s.MaxReportAge, "lanes.look_ms, fresh_ms, alone_ms", "%d, %d, %d ns: 10 ms at least, twice the first at least, the second at least", s.Interval, s.MaxReportAge, s.IsolationTimeout)
-	want(s.SaltPeriod >= s.MaxReportAge, "lanes.epoch_ms", "%d ns is below fresh_ms", s.SaltPeriod)
-	want(s.MaxRetryAfter >= 0 && s.PlatformMaxRetryAfter >= 0 && s.WriteAffinity >= 0, "lanes.come_back_ms, owe_ms", "below 0")
-	want(min(s.MaxAccounts, s.MaxWriteAffinities, s.MaxGroups) >= 1, "lanes.accounts, owed, groups", "%d, %d, %d, at least 1 needed", s.MaxAccounts, s.MaxWriteAffinities, s.MaxGroups)
+	check(s.AccountKey == ByTeam || s.AccountKey == BySession || s.AccountKey == ByBoth, "lanes.by", "%q is none of team, session, both", s.AccountKey)
+	check(s.Routers >= 1 && (s.Router != "" || !s.Shared), "lanes.routers", "%d is below 1, or this router has no name", s.Routers)
+	check(s.LowPressure > 0 && s.LowPressure < s.HighPressure, "lanes.high, lanes.low", "low %v must be above 0 and below high %v", s.LowPressure, s.HighPressure)
+	check(s.Interval >= 10e6 && s.MaxReportAge >= 2*s.Interval && s.IsolationTimeout >= s.MaxReportAge, "lanes.look_ms, fresh_ms, alone_ms", "%d, %d, %d ns: the first must be at least 10 ms, the second at least twice the first, the third at least the second", s.Interval, s.MaxReportAge, s.IsolationTimeout)
+	check(s.SaltPeriod >= s.MaxReportAge, "lanes.epoch_ms", "%d ns is below fresh_ms", s.SaltPeriod)
+	check(s.MaxRetryAfter >= 0 && s.PlatformMaxRetryAfter >= 0 && s.WriteAffinity >= 0, "lanes.come_back_ms, owe_ms", "must not be negative")
+	check(min(s.MaxAccounts, s.MaxWriteAffinities, s.MaxGroups) >= 1, "lanes.accounts, owed, groups", "%d, %d, %d: each must be at least 1", s.MaxAccounts, s.MaxWriteAffinities, s.MaxGroups)
 	return errors.Join(errs...)
 }
 
@@ -125,15 +128,15 @@
 // The reasons for admission, and Shed.
 const (
 	AboveThreshold Reason = iota // in its own class, and above the threshold
-	Downgraded                   // beyond its entitlement: in a class below its own, and above the threshold
-	FollowsWrite                 // a retry of a write that may have run, or a read after its session's write: in the class of that write
+	Downgraded                   // over its entitlement, so in a class below its own, and above the threshold
+	FollowsWrite                 // in a write's class: a retry of it if it may have run, or a later read of its session
 	Shed                         // below the threshold
 	ReasonCount
 )
 
 var reasonNames = [ReasonCount]string{"above", "fell", "owed", "shed"}
 
-// String is the reason's name in accounts.
+// String returns the reason's name in ClassCounts.
 func (r Reason) String() string {
 	if r < ReasonCount {
 		return reasonNames[r]
@@ -141,24 +144,24 @@
 	return "unknown"
 }
 
-// Request is the part of a request that decisions need.
+// Request contains the properties of a request that decisions depend on.
 type Request struct {
 	Team           int
-	Account        uint64 // as Account returns it
+	Account        uint64 // as returned by Settings.Account
 	Group          int64
-	Key            string  // of a keyed write
-	ReadSession    string  // of a session's read: the session, as Session returns it
-	WroteElsewhere bool    // another router saw its session write recently
-	Share          float64 // of the entitlements that this router admits
-	IsRetry        bool    // its client marks it as its own retry
+	Key            string  // idempotency key of a keyed write
+	ReadSession    string  // of a read in a session: the session, as returned by Session
+	WroteElsewhere bool    // another router recently served a write of its session
+	Share          float64 // part of each entitlement that this router grants
+	IsRetry        bool    // the client marked the request as its own retry
 }
 
 // Verdict is the decision on a request.
 type Verdict struct {
 	Reason        Reason
-	PriorityClass int // in which it was decided
-	Rank          int // among all, the first that are shed first
-	Threshold     int // in force: a lower standing is shed
+	PriorityClass int // in which the request was decided
+	Rank          int // in the order of shedding; the lowest ranks are shed first
+	Threshold     int // in force; ranks below it are shed
 	RetryAfter    clock.Nanos
 }
 
@@ -168,9 +171,9 @@
 	Elapsed          clock.Nanos
 	LatencyObjective clock.Nanos
 	Served           bool
-	MayHaveRun       bool   // not served, and it may have run
-	Abandoned        bool   // its client left: within its objective it says nothing about load
-	SessionWritten   string // the session of a write that was served
+	MayHaveRun       bool   // the request was not served, but may have run
+	Abandoned        bool   // the client left; if within the latency objective, that says nothing about load
+	SessionWritten   string // session of a served write
 }
 
 // Report is one router's report on a group.
@@ -178,36 +181,36 @@
 	Group     int64
 	Router    string
 	Epoch     uint64
-	Seq       uint64 // the latest report of a process holds
+	Seq       uint64 // increases with each report of a process; the latest report is valid
 	Age       clock.Nanos
-	Load      int64 // requests a second that arrive
-	Threshold int   // the threshold that it would choose
+	Load      int64 // arriving requests per second
+	Threshold int   // that the router would choose by itself
 	SaltEpoch uint64
-	Excluded  bool // the router does not count: it is dead, departed or isolated
+	Excluded  bool // the router does not count, because it is dead, departed or isolated
 }
 
-// Connectivity is what membership reports.
+// Connectivity describes this router's connectivity, as membership reports it.
 type Connectivity struct {
 	Majority bool // more than half of the installation's routers are present
-	Isolated bool // this router hears hardly any member, or is not heard
+	Isolated bool // this router receives messages from hardly any member, or reaches hardly any
 }
 
-// GroupState is the operators' report on a group.
+// GroupState reports a group's state to operators.
 type GroupState struct {
 	Group             int64   `json:"group"`
-	Threshold         int     `json:"level"` // a lower standing is shed; 0: none
+	Threshold         int     `json:"level"` // ranks below it are shed; 0: none
 	MaxThreshold      int     `json:"most"`
-	PriorityClass     string  `json:"lane"` // that contains the threshold; "": none is shed
+	PriorityClass     string  `json:"lane"` // class that contains the threshold; "": nothing is shed
 	OwnThreshold      int     `json:"wish"`
 	SaltEpoch         uint64  `json:"epoch"`
-	Reporters         int     `json:"heard"` // routers whose reports are fresh, this one included
-	Quorum            bool    `json:"whole"` // they are enough for the threshold to fall
-	Isolated          bool    `json:"alone"` // it uses its own pressure alone
+	Reporters         int     `json:"heard"` // routers with a fresh report, including this one
+	Quorum            bool    `json:"whole"` // the reporters are enough for the threshold to fall
+	Isolated          bool    `json:"alone"` // this router uses only its own pressure
 	Pressure          float64 `json:"pressure"`
 	RequestsPerSecond int64   `json:"per_s"`
 }
 
-// ClassCounts counts the requests of a class, by the class in which they were decided.
+// ClassCounts counts the decisions made in a priority class.
 type ClassCounts struct {
 	PriorityClass string              `json:"lane"`
 	ByReason      [ReasonCount]uint64 `json:"-"`
--- a/policy/shedding/shedder.go
+++ b/policy/shedding/shedder.go
@@ -9,137 +9,143 @@
 	"lotushook/policy/clock"
 )
 
-// Shedder keeps the accounts' usage and the groups' thresholds, and decides. It is not safe for concurrent use.
+// Shedder tracks the usage of accounts and the thresholds of groups, and decides on requests. It is not safe for
+// concurrent use.
 type Shedder struct {
-	settings      Settings
-	order         shedOrder
-	buckets       [2]map[bucketKey]*bucket // the younger first: where it is full the older is dropped, and its accounts start anew
+	settings Settings
+	order    shedOrder
+	// buckets has two generations, the newer first. Once that is full, the older one is dropped, and its accounts start
+	// again with full buckets.
+	buckets       [2]map[bucketKey]*bucket
 	affinities    map[string]writeAffinity
-	affinityOrder []string // the oldest first
+	affinityOrder []string // oldest first
 	groups        map[int64]*group
 	saltEpoch     uint64
-	saltChangedAt clock.Nanos // when the epoch last changed
+	saltChangedAt clock.Nanos
 	tickedAt      clock.Nanos
-	resumedAt     clock.Nanos // it was paused, or started, until then
+	resumedAt     clock.Nanos // end of this router's latest pause, or its start
 	counts        [MaxPriorityClasses][ReasonCount]uint64
 	ungrouped     uint64
 }
 
 type bucketKey struct {
-	account  uint64
-	priority int
+	account uint64
+	class   int // -1: the account is a team
 }
 
-// writeAffinity is the class of a write for its retries and the reads after it.
+// writeAffinity is the class of a write, which applies to its retries and the reads after it.
 type writeAffinity struct {
-	priority int
-	at       clock.Nanos
+	class     int
+	writtenAt clock.Nanos
 }
 
 // New returns a Shedder without usage, and with thresholds that shed nothing.
-func New(s Settings) (*Shedder, error) {
-	l := &Shedder{affinities: map[string]writeAffinity{}, groups: map[int64]*group{}, buckets: [2]map[bucketKey]*bucket{{}, {}}}
-	return l, l.Configure(s)
+func New(settings Settings) (*Shedder, error) {
+	s := &Shedder{affinities: map[string]writeAffinity{}, groups: map[int64]*group{}, buckets: [2]map[bucketKey]*bucket{{}, {}}}
+	return s, s.Configure(settings)
 }
 
-// Configure puts new settings in force in one step. Usage stays; thresholds start anew where the classes changed.
-func (l *Shedder) Configure(s Settings) error {
-	if err := s.Check(); err != nil {
+// Configure replaces the settings. The state is reset if the priority classes differ; otherwise only the teams' usage
+// is.
+func (s *Shedder) Configure(settings Settings) error {
+	if err := settings.Check(); err != nil {
 		return err
 	}
-	if !slices.Equal(l.settings.PriorityClasses, s.PriorityClasses) {
-		clear(l.groups)
-		l.counts = [MaxPriorityClasses][ReasonCount]uint64{}
-		l.buckets = [2]map[bucketKey]*bucket{{}, {}}
-		clear(l.affinities)
-		l.affinityOrder = nil
+	if !slices.Equal(s.settings.PriorityClasses, settings.PriorityClasses) {
+		clear(s.groups)
+		s.counts = [MaxPriorityClasses][ReasonCount]uint64{}
+		s.buckets = [2]map[bucketKey]*bucket{{}, {}}
+		clear(s.affinities)
+		s.affinityOrder = nil
 	}
-	for i := range l.buckets { // teams may have other numbers now
-		maps.DeleteFunc(l.buckets[i], func(k bucketKey, _ *bucket) bool { return k.priority < 0 })
+	for i := range s.buckets { // the teams' indices may have changed
+		maps.DeleteFunc(s.buckets[i], func(key bucketKey, _ *bucket) bool { return key.class < 0 })
 	}
-	l.settings, l.order = s, newShedOrder(s.PriorityClasses)
+	s.settings, s.order = settings, newShedOrder(settings.PriorityClasses)
 	return nil
 }
 
-// shedOrder is the order of shedding. The first positions of each class but the best come first, the lowest class before the others;
-// then the last positions of these classes, their reserved shares; then the best class. So one number cuts all classes.
+// shedOrder ranks the positions of all classes in the order of shedding, so that one threshold applies to all classes.
+// The unreserved positions of each class but the highest are shed first, lowest class first; then the reserved
+// positions of these classes; then the highest class.
 type shedOrder struct {
-	unreserved    [MaxPriorityClasses]int // positions that are not reserved
-	first         [MaxPriorityClasses]int // where these begin
-	reservedFirst [MaxPriorityClasses]int // where the reserved share begins
-	maxThreshold  int                     // the greatest threshold: the best class's reserved share is never shed
-	size          int
+	unreservedPositions [MaxPriorityClasses]int // number of positions that are not reserved
+	firstRank           [MaxPriorityClasses]int // of the unreserved positions
+	firstReservedRank   [MaxPriorityClasses]int
+	maxThreshold        int // the reserved positions of the highest class are never shed
+	rankCount           int
 }
 
-func newShedOrder(lanes []PriorityClass) shedOrder {
-	var o shedOrder
-	at := 0
-	for i, l := range lanes {
-		o.unreserved[i] = Positions - int(l.ReservedShare*Positions+0.5)
-		if l.ReservedShare > 0 {
-			o.unreserved[i] = min(o.unreserved[i], Positions-1)
+func newShedOrder(classes []PriorityClass) shedOrder {
+	var order shedOrder
+	rank := 0
+	for i, class := range classes {
+		order.unreservedPositions[i] = Positions - int(class.ReservedShare*Positions+0.5)
+		if class.ReservedShare > 0 {
+			order.unreservedPositions[i] = min(order.unreservedPositions[i], Positions-1)
 		}
 	}
-	for i := len(lanes) - 1; i > 0; i-- {
-		o.first[i], at = at, at+o.unreserved[i]
+	for i := len(classes) - 1; i > 0; i-- {
+		order.firstRank[i], rank = rank, rank+order.unreservedPositions[i]
 	}
-	for i := len(lanes) - 1; i > 0; i-- {
-		o.reservedFirst[i], at = at, at+Positions-o.unreserved[i]
+	for i := len(classes) - 1; i > 0; i-- {
+		order.firstReservedRank[i], rank = rank, rank+Positions-order.unreservedPositions[i]
 	}
-	o.first[0], o.reservedFirst[0] = at, at+o.unreserved[0]
-	o.maxThreshold, o.size = o.reservedFirst[0], at+Positions
-	return o
+	order.firstRank[0], order.firstReservedRank[0] = rank, rank+order.unreservedPositions[0]
+	order.maxThreshold, order.rankCount = order.firstReservedRank[0], rank+Positions
+	return order
 }
 
-// standing is the standing of a position of a class.
-func (o *shedOrder) standing(lane, position int) int {
-	if position < o.unreserved[lane] {
-		return o.first[lane] + position
+// rank returns the rank of a position of a class.
+func (o *shedOrder) rank(class, position int) int {
+	if position < o.unreservedPositions[class] {
+		return o.firstRank[class] + position
 	}
-	return o.reservedFirst[lane] + position - o.unreserved[lane]
+	return o.firstReservedRank[class] + position - o.unreservedPositions[class]
 }
 
-// downgradedStanding is the standing of a request that was downgraded to the class: never in the reserved share, which is for the class's own.
-func (o *shedOrder) downgradedStanding(lane, position int) int {
-	return o.first[lane] + position*o.unreserved[lane]/Positions
+// downgradedRank returns the rank of a request that was downgraded to a class. It is never a reserved rank: these are
+// for the class's own accounts.
+func (o *shedOrder) downgradedRank(class, position int) int {
+	return o.firstRank[class] + position*o.unreservedPositions[class]/Positions
 }
 
-// lastStanding is the standing in a class that is shed last.
-func (o *shedOrder) lastStanding(lane int) int { return o.standing(lane, Positions-1) }
+// lastRank returns the rank of a class that is shed last.
+func (o *shedOrder) lastRank(class int) int { return o.rank(class, Positions-1) }
 
-// priorityClassAt is the class of a standing.
-func (o *shedOrder) priorityClassAt(lanes, standing int) int {
-	for i := range lanes {
-		if standing >= o.first[i] && standing < o.first[i]+o.unreserved[i] || standing >= o.reservedFirst[i] && standing < o.reservedFirst[i]+Positions-o.unreserved[i] {
+// priorityClassOf returns the class of a rank.
+func (o *shedOrder) priorityClassOf(classes, rank int) int {
+	for i := range classes {
+		if rank >= o.firstRank[i] && rank < o.firstRank[i]+o.unreservedPositions[i] || rank >= o.firstReservedRank[i] && rank < o.firstReservedRank[i]+Positions-o.unreservedPositions[i] {
 			return i
 		}
 	}
 	return 0
 }
 
-// Account is the number of an account. A request without a session is its team's.
+// Account returns the number of an account. A request without a session belongs to its team's account.
 func (s *Settings) Account(team, session string) uint64 {
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	if s.AccountKey != BySession || session == "" {
-		h.Write([]byte(team))
-		h.Write([]byte{0})
+		hash.Write([]byte(team))
+		hash.Write([]byte{0})
 	}
 	if s.AccountKey != ByTeam {
-		h.Write([]byte(session))
+		hash.Write([]byte(session))
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// Session names a session of a group.
+// Session returns a name for a session of a group that is unique over all groups.
 func Session(group int64, session string) string {
-	b := make([]byte, 0, len(session)+9)
+	name := make([]byte, 0, len(session)+9)
 	for i := range 8 {
-		b = append(b, byte(group>>(8*i)))
+		name = append(name, byte(group>>(8*i)))
 	}
-	return string(append(append(b, 1), session...))
+	return string(append(append(name, 1), session...))
 }
 
-// mix spreads an account's number (the finalizer of MurmurHash3).
+// mix distributes account numbers evenly (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -148,222 +154,226 @@
 	return x ^ x>>33
 }
 
-// salt is the same at all routers of an epoch, and different at each isolated one.
-func (l *Shedder) salt() uint64 {
-	s := mix(l.saltEpoch + 0x9e3779b97f4a7c15)
-	if !l.settings.Shared {
-		h := fnv.New64a()
-		h.Write([]byte(l.settings.Router))
-		s ^= h.Sum64()
+// salt returns the salt of the present epoch: the same at all routers that share thresholds, a different one at each
+// router that does not.
+func (s *Shedder) salt() uint64 {
+	salt := mix(s.saltEpoch + 0x9e3779b97f4a7c15)
+	if !s.settings.Shared {
+		hash := fnv.New64a()
+		hash.Write([]byte(s.settings.Router))
+		salt ^= hash.Sum64()
 	}
-	return s
+	return salt
 }
 
-// Position is an account's position in any class, in this epoch.
-func (l *Shedder) Position(account uint64) int { return int(mix(account^l.salt()) % Positions) }
+// Position returns an account's position, which is the same in each class, in the present salt epoch.
+func (s *Shedder) Position(account uint64) int { return int(mix(account^s.salt()) % Positions) }
 
 // Admit decides on a new request.
-func (l *Shedder) Admit(r Request, now clock.Nanos) Verdict {
-	own := len(l.settings.PriorityClasses) - 1
+func (s *Shedder) Admit(request Request, now clock.Nanos) Verdict {
+	own := len(s.settings.PriorityClasses) - 1
 	var team Team
-	if r.Team >= 0 && r.Team < len(l.settings.Teams) {
-		team = l.settings.Teams[r.Team]
+	if request.Team >= 0 && request.Team < len(s.settings.Teams) {
+		team = s.settings.Teams[request.Team]
 		own = team.PriorityClass
 	}
-	v := Verdict{Reason: AboveThreshold, PriorityClass: own}
-	if lane, ok := l.affinityOf(r, own, now); ok {
-		v.Reason, v.PriorityClass, v.Rank = FollowsWrite, lane, l.order.lastStanding(lane)
+	verdict := Verdict{Reason: AboveThreshold, PriorityClass: own}
+	if class, ok := s.affinityOf(request, own, now); ok {
+		verdict.Reason, verdict.PriorityClass, verdict.Rank = FollowsWrite, class, s.order.lastRank(class)
 	} else {
-		var fits bool
-		position := l.Position(r.Account)
-		v.PriorityClass, fits = l.takeEntitlement(r, team, own, now)
+		var entitled bool
+		position := s.Position(request.Account)
+		verdict.PriorityClass, entitled = s.consumeEntitlement(request, team, own, now)
 		switch {
-		case !fits: // beyond the lowest class's too
-			v.Reason, v.Rank = Downgraded, l.order.first[v.PriorityClass]
-		case v.PriorityClass == own:
-			v.Rank = l.order.standing(own, position)
+		case !entitled: // over the entitlement of the lowest class, too
+			verdict.Reason, verdict.Rank = Downgraded, s.order.firstRank[verdict.PriorityClass]
+		case verdict.PriorityClass == own:
+			verdict.Rank = s.order.rank(own, position)
 		default:
-			v.Reason, v.Rank = Downgraded, l.order.downgradedStanding(v.PriorityClass, position)
+			verdict.Reason, verdict.Rank = Downgraded, s.order.downgradedRank(verdict.PriorityClass, position)
 		}
 	}
-	if g := l.group(r.Group, now); g != nil {
-		g.addArrival(v.Rank, r.IsRetry)
-		if v.Threshold = g.threshold; v.Rank < g.threshold {
-			v.Reason, v.RetryAfter = Shed, l.retryAfter(r.Account, v.PriorityClass)
+	if group := s.group(request.Group, now); group != nil {
+		group.addArrival(verdict.Rank, request.IsRetry)
+		if verdict.Threshold = group.threshold; verdict.Rank < group.threshold {
+			verdict.Reason, verdict.RetryAfter = Shed, s.retryAfter(request.Account, verdict.PriorityClass)
 		}
 	}
-	l.counts[v.PriorityClass][v.Reason]++
-	return v
+	s.counts[verdict.PriorityClass][verdict.Reason]++
+	return verdict
 }
 
-// affinityOf says whether a request belongs to an earlier write, and in which class that was.
-func (l *Shedder) affinityOf(r Request, own int, now clock.Nanos) (lane int, ok bool) {
-	for _, name := range [2]string{r.Key, r.ReadSession} {
-		if d, found := l.affinities[name]; name != "" && found && now-d.at < l.settings.WriteAffinity {
-			return d.priority, true
+// affinityOf reports whether a request follows an earlier write, and the class of that write.
+func (s *Shedder) affinityOf(request Request, own int, now clock.Nanos) (class int, ok bool) {
+	for _, name := range [2]string{request.Key, request.ReadSession} {
+		if affinity, found := s.affinities[name]; name != "" && found && now-affinity.writtenAt < s.settings.WriteAffinity {
+			return affinity.class, true
 		}
 	}
-	return own, r.WroteElsewhere // another router served the write: its class is not known here, so the account's own
+	return own, request.WroteElsewhere // the class of another router's write is unknown; the own class is used
 }
 
-// takeEntitlement finds the class whose entitlement covers a request, from the account's own downwards, and takes it.
-func (l *Shedder) takeEntitlement(r Request, team Team, own int, now clock.Nanos) (lane int, fits bool) {
-	for lane = own; lane < len(l.settings.PriorityClasses); lane++ {
-		set := &l.settings.PriorityClasses[lane]
-		var mine, all *bucket
-		if set.RequestsPerSecond > 0 {
-			if mine = l.bucket(bucketKey{r.Account, lane}, now, set.RequestsPerSecond*r.Share); !mine.has(set.Burst) {
+// consumeEntitlement consumes the entitlement of the highest class, from the account's own downwards, that covers a
+// request.
+func (s *Shedder) consumeEntitlement(request Request, team Team, own int, now clock.Nanos) (class int, entitled bool) {
+	for class = own; class < len(s.settings.PriorityClasses); class++ {
+		settings := &s.settings.PriorityClasses[class]
+		var accountBucket, teamBucket *bucket
+		if settings.RequestsPerSecond > 0 {
+			if accountBucket = s.bucket(bucketKey{request.Account, class}, now, settings.RequestsPerSecond*request.Share); !accountBucket.hasToken(settings.Burst) {
 				continue
 			}
 		}
-		if lane == own && team.RequestsPerSecond > 0 {
-			if all = l.bucket(bucketKey{uint64(r.Team), -1}, now, team.RequestsPerSecond*r.Share); !all.has(team.Burst) {
+		if class == own && team.RequestsPerSecond > 0 {
+			if teamBucket = s.bucket(bucketKey{uint64(request.Team), -1}, now, team.RequestsPerSecond*request.Share); !teamBucket.hasToken(team.Burst) {
 				continue
 			}
 		}
-		if mine != nil {
-			mine.spent++
+		if accountBucket != nil {
+			accountBucket.spent++
 		}
-		if all != nil {
-			all.spent++
+		if teamBucket != nil {
+			teamBucket.spent++
 		}
-		return lane, true
+		return class, true
 	}
-	return len(l.settings.PriorityClasses) - 1, false
+	return len(s.settings.PriorityClasses) - 1, false
 }
 
 // bucket is a token bucket that starts full.
 type bucket struct {
-	spent float64
-	at    clock.Nanos
+	spent     float64 // tokens
+	updatedAt clock.Nanos
 }
 
-func (b *bucket) has(burst float64) bool { return b.spent+1 <= burst+1e-9 }
+func (b *bucket) hasToken(burst float64) bool { return b.spent+1 <= burst+1e-9 }
 
-// bucket returns an account's bucket of a class, refilled up to now.
-func (l *Shedder) bucket(k bucketKey, now clock.Nanos, rate float64) *bucket {
-	b := l.buckets[0][k]
-	if b == nil {
-		if len(l.buckets[0]) >= l.settings.MaxAccounts {
-			l.buckets[0], l.buckets[1] = map[bucketKey]*bucket{}, l.buckets[0]
+// bucket returns the bucket of an account in a class, refilled up to now.
+func (s *Shedder) bucket(key bucketKey, now clock.Nanos, rate float64) *bucket {
+	found := s.buckets[0][key]
+	if found == nil {
+		if len(s.buckets[0]) >= s.settings.MaxAccounts {
+			s.buckets[0], s.buckets[1] = map[bucketKey]*bucket{}, s.buckets[0]
 		}
-		if b = l.buckets[1][k]; b == nil {
-			b = &bucket{at: now}
+		if found = s.buckets[1][key]; found == nil {
+			found = &bucket{updatedAt: now}
 		}
-		l.buckets[0][k] = b
+		s.buckets[0][key] = found
 	}
-	if now > b.at {
-		b.spent = max(0, b.spent-rate*float64(now-b.at)/1e9)
+	if now > found.updatedAt {
+		found.spent = max(0, found.spent-rate*float64(now-found.updatedAt)/1e9)
 	}
-	b.at = now // a clock that goes back refills nothing
-	return b
+	found.updatedAt = now // a clock that is set back refills nothing
+	return found
 }
 
-// retryAfter is a shed account's Retry-After time: shorter in a better class, and spread, so that clients don't return together.
-func (l *Shedder) retryAfter(account uint64, lane int) clock.Nanos {
-	longest := min(l.settings.MaxRetryAfter, l.settings.PlatformMaxRetryAfter)
-	window := float64(longest) * float64(lane+1) / float64(len(l.settings.PriorityClasses))
+// retryAfter returns the Retry-After time of a shed account: shorter in a higher class, and different between accounts
+// so that clients don't return together.
+func (s *Shedder) retryAfter(account uint64, class int) clock.Nanos {
+	longest := min(s.settings.MaxRetryAfter, s.settings.PlatformMaxRetryAfter)
+	window := float64(longest) * float64(class+1) / float64(len(s.settings.PriorityClasses))
 	return clock.Nanos(window * (0.5 + 0.5*float64(mix(account^0x5bd1e995)>>11)/(1<<53)))
 }
 
-// addAffinity remembers the class of a write; the oldest is forgotten where there are too many.
-func (l *Shedder) addAffinity(name string, lane int, now clock.Nanos) {
+// addAffinity stores the class of a write under a key or session, and evicts the oldest entries over the limit.
+func (s *Shedder) addAffinity(name string, class int, now clock.Nanos) {
 	if name == "" {
 		return
 	}
-	if _, ok := l.affinities[name]; !ok {
-		l.affinityOrder = append(l.affinityOrder, name)
+	if _, ok := s.affinities[name]; !ok {
+		s.affinityOrder = append(s.affinityOrder, name)
 	}
-	l.affinities[name] = writeAffinity{lane, now}
-	for len(l.affinityOrder) > l.settings.MaxWriteAffinities {
-		delete(l.affinities, l.affinityOrder[0])
-		l.affinityOrder = l.affinityOrder[1:]
+	s.affinities[name] = writeAffinity{class, now}
+	for len(s.affinityOrder) > s.settings.MaxWriteAffinities {
+		delete(s.affinities, s.affinityOrder[0])
+		s.affinityOrder = s.affinityOrder[1:]
 	}
 }
 
-// RequestStarted records that a request admitted here is open; RequestEnded must follow.
-func (l *Shedder) RequestStarted(group int64, came, aim clock.Nanos) {
-	if g := l.groups[group]; g != nil && aim > 0 {
-		g.requestStarted(came, aim)
+// RequestStarted records that a request admitted here is open. RequestEnded must follow.
+func (s *Shedder) RequestStarted(group int64, arrivedAt, latencyObjective clock.Nanos) {
+	if state := s.groups[group]; state != nil && latencyObjective > 0 {
+		state.requestStarted(arrivedAt, latencyObjective)
 	}
 }
 
-// RequestEnded processes the end of a started request; class and key are its verdict's and its own.
-func (l *Shedder) RequestEnded(group int64, lane int, key string, e Outcome, now clock.Nanos) {
-	if key != "" && !e.Served && e.MayHaveRun {
-		l.addAffinity(key, lane, now)
+// RequestEnded processes the outcome of a started request. class is the one in which it was admitted; key is the
+// request's idempotency key.
+func (s *Shedder) RequestEnded(group int64, class int, key string, outcome Outcome, now clock.Nanos) {
+	if key != "" && !outcome.Served && outcome.MayHaveRun {
+		s.addAffinity(key, class, now)
 	}
-	if e.Served && e.SessionWritten != "" {
-		l.addAffinity(e.SessionWritten, lane, now)
+	if outcome.Served && outcome.SessionWritten != "" {
+		s.addAffinity(outcome.SessionWritten, class, now)
 	}
-	if g := l.groups[group]; g != nil && e.LatencyObjective > 0 {
-		g.requestEnded(e)
+	if state := s.groups[group]; state != nil && outcome.LatencyObjective > 0 {
+		state.requestEnded(outcome)
 	}
 }
 
-// group returns a group's state. Where too many are remembered one is dropped that sheds nothing and has no open request; failing that the
-// group has no state, and its requests pass as without shedding: they are counted.
-func (l *Shedder) group(number int64, now clock.Nanos) *group {
-	g := l.groups[number]
-	if g == nil {
-		if len(l.groups) >= l.settings.MaxGroups && !l.evictGroup() {
-			l.ungrouped++
+// group returns a group's state. If too many groups are stored, one that sheds nothing and has no open requests is
+// evicted. If there is none, group returns nil: requests of the new group are counted and admitted without shedding.
+func (s *Shedder) group(number int64, now clock.Nanos) *group {
+	found := s.groups[number]
+	if found == nil {
+		if len(s.groups) >= s.settings.MaxGroups && !s.evictGroup() {
+			s.ungrouped++
 			return nil
 		}
-		g = newGroup(now, l.order.size)
-		l.groups[number] = g
+		found = newGroup(now, s.order.rankCount)
+		s.groups[number] = found
 	}
-	return g
+	return found
 }
 
-// evictGroup drops a group, the first by number so that runs can be replayed.
-func (l *Shedder) evictGroup() bool {
-	least, found := int64(0), false
-	for n, g := range l.groups {
-		if g.threshold == 0 && g.ownThreshold == 0 && g.open == 0 && (!found || n < least) {
-			least, found = n, true
+// evictGroup evicts the idle group with the lowest number, so that runs can be replayed.
+func (s *Shedder) evictGroup() bool {
+	lowest, found := int64(0), false
+	for number, group := range s.groups {
+		if group.threshold == 0 && group.ownThreshold == 0 && group.openRequests == 0 && (!found || number < lowest) {
+			lowest, found = number, true
 		}
 	}
-	delete(l.groups, least)
+	delete(s.groups, lowest)
 	return found
 }
 
-// Ungrouped counts requests that passed because there was no room for their group.
-func (l *Shedder) Ungrouped() uint64 { return l.ungrouped }
+// Ungrouped counts requests that were admitted without shedding because too many groups were stored.
+func (s *Shedder) Ungrouped() uint64 { return s.ungrouped }
 
-// Size is how many buckets, affinities and groups are remembered.
-func (l *Shedder) Size() (budgets, debts, groups int) {
-	return len(l.buckets[0]) + len(l.buckets[1]), len(l.affinityOrder), len(l.groups)
+// Size returns the numbers of stored buckets, write affinities and groups.
+func (s *Shedder) Size() (buckets, affinities, groups int) {
+	return len(s.buckets[0]) + len(s.buckets[1]), len(s.affinityOrder), len(s.groups)
 }
 
-// States are the current thresholds, by group.
-func (l *Shedder) States() []GroupState {
-	var out []GroupState
-	for n, g := range l.groups {
-		s := GroupState{Group: n, Threshold: g.threshold, MaxThreshold: l.order.maxThreshold, OwnThreshold: g.ownThreshold, SaltEpoch: l.saltEpoch, Reporters: g.reporters, Quorum: g.hasQuorum, Isolated: g.isolated, Pressure: g.pressure, RequestsPerSecond: int64(g.rate)}
-		if g.threshold > 0 {
-			s.PriorityClass = l.settings.PriorityClasses[l.order.priorityClassAt(len(l.settings.PriorityClasses), g.threshold-1)].Name
+// States returns the present states of all groups, sorted by group.
+func (s *Shedder) States() []GroupState {
+	var states []GroupState
+	for number, group := range s.groups {
+		state := GroupState{Group: number, Threshold: group.threshold, MaxThreshold: s.order.maxThreshold, OwnThreshold: group.ownThreshold, SaltEpoch: s.saltEpoch, Reporters: group.reporters, Quorum: group.hasQuorum, Isolated: group.isolated, Pressure: group.pressure, RequestsPerSecond: int64(group.arrivalRate)}
+		if group.threshold > 0 {
+			state.PriorityClass = s.settings.PriorityClasses[s.order.priorityClassOf(len(s.settings.PriorityClasses), group.threshold-1)].Name
 		}
-		out = append(out, s)
+		states = append(states, state)
 	}
-	slices.SortFunc(out, func(x, y GroupState) int { return cmp.Compare(x.Group, y.Group) })
-	return out
+	slices.SortFunc(states, func(x, y GroupState) int { return cmp.Compare(x.Group, y.Group) })
+	return states
 }
 
-// Counts are the decisions since the start, by the class in which they were made.
-func (l *Shedder) Counts() []ClassCounts {
-	var out []ClassCounts
-	for i, lane := range l.settings.PriorityClasses {
-		c := ClassCounts{PriorityClass: lane.Name, ByReason: l.counts[i], Counts: map[string]uint64{}}
-		for r, n := range c.ByReason {
+// Counts returns the numbers of decisions by priority class, since the start or the latest change of the classes.
+func (s *Shedder) Counts() []ClassCounts {
+	var counts []ClassCounts
+	for i, class := range s.settings.PriorityClasses {
+		count := ClassCounts{PriorityClass: class.Name, ByReason: s.counts[i], Counts: map[string]uint64{}}
+		for reason, n := range count.ByReason {
 			if n > 0 {
-				c.Counts[Reason(r).String()] = n
+				count.Counts[Reason(reason).String()] = n
 			}
 		}
-		out = append(out, c)
+		counts = append(counts, count)
 	}
-	return out
+	return counts
 }
 
-// Name is a class's name.
-func (l *Shedder) Name(lane int) string { return l.settings.PriorityClasses[lane].Name }
+// Name returns the name of a priority class.
+func (s *Shedder) Name(class int) string { return s.settings.PriorityClasses[class].Name }
--- a/policy/shedding/shedder_test.go
+++ b/policy/shedding/shedder_test.go
@@ -55,24 +55,24 @@
 		o, seen := newShedOrder(list), map[int]bool{}
 		for lane := range n {
 			for p := range Positions {
-				at := o.standing(lane, p)
-				if seen[at] || at < 0 || at >= o.size || o.priorityClassAt(n, at) != lane {
-					t.Fatalf("%d lanes: %d of %d stands at %d, lane %d", n, p, lane, at, o.priorityClassAt(n, at))
+				at := o.rank(lane, p)
+				if seen[at] || at < 0 || at >= o.rankCount || o.priorityClassOf(n, at) != lane {
+					t.Fatalf("%d lanes: %d of %d stands at %d, lane %d", n, p, lane, at, o.priorityClassOf(n, at))
 				}
 				seen[at] = true
-				if f := o.downgradedStanding(lane, p); o.priorityClassAt(n, f) != lane || f >= o.first[lane]+o.unreserved[lane] {
+				if f := o.downgradedRank(lane, p); o.priorityClassOf(n, f) != lane || f >= o.firstRank[lane]+o.unreservedPositions[lane] {
 					t.Fatalf("%d lanes: fallen %d of %d stands at %d", n, p, lane, f)
 				}
-				if lane > 0 && at >= o.first[0] {
+				if lane > 0 && at >= o.firstRank[0] {
 					t.Fatalf("%d lanes: %d of %d stands among the best", n, p, lane)
 				}
-				if worse := lane + 1; worse < n && p < o.unreserved[lane] && (at < o.first[worse]+o.unreserved[worse] || lane > 0 && at >= o.reservedFirst[worse]) {
+				if worse := lane + 1; worse < n && p < o.unreservedPositions[lane] && (at < o.firstRank[worse]+o.unreservedPositions[worse] || lane > 0 && at >= o.firstReservedRank[worse]) {
 					t.Fatalf("%d lanes: %d of %d at %d against lane %d", n, p, lane, at, worse)
 				}
 			}
 		}
-		if len(seen) != o.size || o.lastStanding(0) < o.maxThreshold && list[0].ReservedShare > 0 {
-			t.Fatalf("%d lanes: %d of %d standings, most %d", n, len(seen), o.size, o.maxThreshold)
+		if len(seen) != o.rankCount || o.lastRank(0) < o.maxThreshold && list[0].ReservedShare > 0 {
+			t.Fatalf("%d lanes: %d of %d standings, most %d", n, len(seen), o.rankCount, o.maxThreshold)
 		}
 	}
 }
@@ -92,15 +92,15 @@
 		{"calm: nobody is shed", Request{Team: 2}, 0, 0, Verdict{AboveThreshold, 2, 3, 0, 0}},
 		{"background stands lowest", Request{Team: 2}, 0, 4, Verdict{Shed, 2, 3, 4, 0}},
 		{"at the level it is taken", Request{Team: 2}, 0, 3, Verdict{AboveThreshold, 2, 3, 3, 0}},
-		{"regular is above all background", Request{Team: 1}, 0, o.first[1], Verdict{AboveThreshold, 1, o.first[1] + 3, o.first[1], 0}},
+		{"regular is above all background", Request{Team: 1}, 0, o.firstRank[1], Verdict{AboveThreshold, 1, o.firstRank[1] + 3, o.firstRank[1], 0}},
 		{"no team is of the last lane", Request{Team: -1}, 0, 4, Verdict{Shed, 2, 3, 4, 0}},
-		{"premium beyond its entitlement is regular", Request{Team: 0}, 2, o.first[1] + 1, Verdict{Downgraded, 1, o.downgradedStanding(1, 3), o.first[1] + 1, 0}},
-		{"and shed as regular", Request{Team: 0}, 2, o.first[0], Verdict{Shed, 1, o.downgradedStanding(1, 3), o.first[0], 0}},
-		{"beyond two entitlements it is background", Request{Team: 0}, 4, 0, Verdict{Downgraded, 2, o.downgradedStanding(2, 3), 0, 0}},
-		{"a team beyond its own falls too", Request{Team: 3}, 1, 0, Verdict{Downgraded, 1, o.downgradedStanding(1, 3), 0, 0}},
-		{"a repeat of a premium write stands last in its lane", Request{Team: 2, Key: "k"}, 0, o.maxThreshold, Verdict{FollowsWrite, 0, o.lastStanding(0), o.maxThreshold, 0}},
-		{"a read after a premium write too", Request{Team: 2, ReadSession: "s"}, 0, o.maxThreshold, Verdict{FollowsWrite, 0, o.lastStanding(0), o.maxThreshold, 0}},
-		{"a read after another router's write is of its own lane", Request{Team: 2, WroteElsewhere: true}, 0, o.first[1], Verdict{FollowsWrite, 2, o.lastStanding(2), o.first[1], 0}},
+		{"premium beyond its entitlement is regular", Request{Team: 0}, 2, o.firstRank[1] + 1, Verdict{Downgraded, 1, o.downgradedRank(1, 3), o.firstRank[1] + 1, 0}},
+		{"and shed as regular", Request{Team: 0}, 2, o.firstRank[0], Verdict{Shed, 1, o.downgradedRank(1, 3), o.firstRank[0], 0}},
+		{"beyond two entitlements it is background", Request{Team: 0}, 4, 0, Verdict{Downgraded, 2, o.downgradedRank(2, 3), 0, 0}},
+		{"a team beyond its own falls too", Request{Team: 3}, 1, 0, Verdict{Downgraded, 1, o.downgradedRank(1, 3), 0, 0}},
+		{"a repeat of a premium write stands last in its lane", Request{Team: 2, Key: "k"}, 0, o.maxThreshold, Verdict{FollowsWrite, 0, o.lastRank(0), o.maxThreshold, 0}},
+		{"a read after a premium write too", Request{Team: 2, ReadSession: "s"}, 0, o.maxThreshold, Verdict{FollowsWrite, 0, o.lastRank(0), o.maxThreshold, 0}},
+		{"a read after another router's write is of its own lane", Request{Team: 2, WroteElsewhere: true}, 0, o.firstRank[1], Verdict{FollowsWrite, 2, o.lastRank(2), o.firstRank[1], 0}},
 		{"another key is not", Request{Team: 2, Key: "x", ReadSession: "y"}, 0, 0, Verdict{AboveThreshold, 2, 3, 0, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -186,7 +186,7 @@
 				agreed = f.now - began
 			}
 		}
-		if _, level, _ := f.spread(); f.load > 1 || level > f.routers[0].order.first[0] {
+		if _, level, _ := f.spread(); f.load > 1 || level > f.routers[0].order.firstRank[0] {
 			t.Errorf("%d routers: load %.2f, level %d after the first seconds", n, f.load, level)
 		}
 		perMember[n] = float64(f.sent) / float64(n) / 2
