--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -11,91 +11,94 @@
 	"lotushook/policy/clock"
 )
 
-// world is three routers before one group, and the reports under way between them; each event makes another one of it.
+// world is a state of three routers that serve one group, including the reports in flight between them. Each event
+// makes a new world.
 type world struct {
-	now    clock.Nanos
-	who    [3]*Shedder
-	copies [3][3]said // what each knows of the others: their latest words
-	way    []said
-	asleep int // who is stopped; -1: nobody
-	split  int // who is cut off from the others; -1: nobody
-	used   [4]int
-	old    bool // the rule that is broken on purpose: whatever came once is taken for fresh
-	path   []string
+	now          clock.Nanos
+	routers      [3]*Shedder
+	received     [3][3]message // by receiver and sender: the latest report
+	inFlight     []message
+	paused       int    // the paused router; -1: none
+	partitioned  int    // the router that is cut off from the others; -1: none
+	eventCounts  [4]int // of limited events: overloaded intervals, pauses, partitions
+	ignoreMaxAge bool   // deliberate fault: every report counts as fresh
+	path         []string
 }
 
-type said struct {
+type message struct {
 	Report
-	from, to int
-	made     clock.Nanos // when it was said, which no router can know
-	came     clock.Nanos
+	from, to   int
+	sentAt     clock.Nanos // unknown to the routers
+	receivedAt clock.Nanos
 }
 
 const (
-	exploreLook = 100 * ms
-	onWay       = 3 // beyond it something must arrive or be lost first
+	exploreInterval = 100 * ms
+	maxInFlight     = 3 // with more reports in flight, time does not advance
 )
 
-func (l *Shedder) clone() *Shedder {
-	c := *l
-	c.affinities, c.buckets = maps.Clone(l.affinities), [2]map[bucketKey]*bucket{maps.Clone(l.buckets[0]), maps.Clone(l.buckets[1])}
+func (s *Shedder) clone() *Shedder {
+	c := *s
+	c.affinities, c.buckets = maps.Clone(s.affinities), [2]map[bucketKey]*bucket{maps.Clone(s.buckets[0]), maps.Clone(s.buckets[1])}
 	c.groups = map[int64]*group{}
-	for n, g := range l.groups {
-		h := *g
-		h.arrivalsByRank = slices.Clone(g.arrivalsByRank)
-		c.groups[n] = &h
+	for number, original := range s.groups {
+		copied := *original
+		copied.arrivalsByRank = slices.Clone(original.arrivalsByRank)
+		c.groups[number] = &copied
 	}
 	return &c
 }
 
-func (w *world) next(what string) *world {
+// next returns a copy of the world, to which the caller applies the named event.
+func (w *world) next(event string) *world {
 	c := *w
-	for i, l := range w.who {
-		c.who[i] = l.clone()
+	for i, router := range w.routers {
+		c.routers[i] = router.clone()
 	}
-	c.way, c.path = slices.Clone(w.way), append(slices.Clone(w.path), what)
+	c.inFlight, c.path = slices.Clone(w.inFlight), append(slices.Clone(w.path), event)
 	return &c
 }
 
 func (w *world) hash() uint64 {
-	h := fnv.New64a()
-	fmt.Fprint(h, w.now, w.copies, w.way, w.asleep, w.split, w.used)
-	for _, l := range w.who {
-		fmt.Fprint(h, l.saltEpoch, l.saltChangedAt, l.tickedAt, l.resumedAt)
-		if g := l.groups[1]; g != nil {
-			fmt.Fprint(h, g.threshold, g.ownThreshold, g.hasReport, g.seq, g.sampleSum, g.sampleCount, g.thresholdSince, g.evaluatedAt, g.evaluations, g.calmEvaluations, g.highEvaluations, g.servedAtOverload, g.served, g.quorumAt, g.pressure, g.quietEvaluations)
+	hash := fnv.New64a()
+	fmt.Fprint(hash, w.now, w.received, w.inFlight, w.paused, w.partitioned, w.eventCounts)
+	for _, router := range w.routers {
+		fmt.Fprint(hash, router.saltEpoch, router.saltChangedAt, router.tickedAt, router.resumedAt)
+		if g := router.groups[1]; g != nil {
+			fmt.Fprint(hash, g.threshold, g.ownThreshold, g.hasReport, g.seq, g.sampleSum, g.sampleCount, g.thresholdSince, g.evaluatedAt, g.evaluations, g.calmEvaluations, g.highEvaluations, g.servedAtOverload, g.served, g.quorumAt, g.pressure, g.quietEvaluations)
 		}
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// tick has time go on: each router that runs takes requests, which end well or badly, and looks.
-func (w *world) tick(hot bool) *world {
-	c := w.next(fmt.Sprintf("look, hot %v", hot))
-	c.now += exploreLook
-	for i, l := range c.who {
-		if i == c.asleep {
+// tick advances time by an interval: each running router receives requests, which are served unless the group is
+// overloaded, and evaluates its pressure.
+func (w *world) tick(overloaded bool) *world {
+	c := w.next(fmt.Sprintf("tick, overloaded: %v", overloaded))
+	c.now += exploreInterval
+	for i, router := range c.routers {
+		if i == c.paused {
 			continue
 		}
-		for a := range uint64(6) {
-			if v := l.Admit(Request{Team: int(a % 3), Account: a, Group: 1, Share: 1}, c.now); v.Reason != Shed {
-				l.RequestStarted(1, c.now, 100*ms)
-				l.RequestEnded(1, v.PriorityClass, "", Outcome{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot}, c.now)
+		for account := range uint64(6) {
+			if verdict := router.Admit(Request{Team: int(account % 3), Account: account, Group: 1, Share: 1}, c.now); verdict.Reason != Shed {
+				router.RequestStarted(1, c.now, 100*ms)
+				router.RequestEnded(1, verdict.PriorityClass, "", Outcome{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !overloaded}, c.now)
 			}
 		}
 		var reports []Report
-		for j, s := range c.copies[i] {
-			if s.Seq > 0 && j != i {
-				if s.Age = c.now - s.came; c.old {
-					s.Age = 0
+		for j, m := range c.received[i] {
+			if m.Seq > 0 && j != i {
+				if m.Age = c.now - m.receivedAt; c.ignoreMaxAge {
+					m.Age = 0
 				}
-				reports = append(reports, s.Report)
+				reports = append(reports, m.Report)
 			}
 		}
-		for _, r := range l.Tick(c.now, Connectivity{Majority: i != c.split}, reports) {
-			for j := range c.who {
-				if j != i && i != c.split && j != c.split {
-					c.way = append(c.way, said{r, i, j, c.now, 0})
+		for _, report := range router.Tick(c.now, Connectivity{Majority: i != c.partitioned}, reports) {
+			for j := range c.routers {
+				if j != i && i != c.partitioned && j != c.partitioned {
+					c.inFlight = append(c.inFlight, message{report, i, j, c.now, 0})
 				}
 			}
 		}
@@ -103,145 +106,148 @@
 	return c
 }
 
-// events are all that can happen next: a look in a good or a bad time, a report arrives or is lost, a router is stopped or
-// goes on, one is cut off or is not any more.
+// events returns the worlds after each possible next event: an interval with or without overload, a report received or
+// lost, a router paused or resumed, a router cut off or reconnected.
 func (w *world) events() []*world {
 	var out []*world
-	if len(w.way) <= onWay {
-		if out = append(out, w.tick(false)); w.used[0] < 4 {
+	if len(w.inFlight) <= maxInFlight {
+		if out = append(out, w.tick(false)); w.eventCounts[0] < 4 {
 			c := w.tick(true)
-			c.used[0]++
+			c.eventCounts[0]++
 			out = append(out, c)
 		}
 	}
-	for k, s := range w.way {
-		c := w.next(fmt.Sprintf("lose %d>%d", s.from, s.to))
-		c.way = slices.Delete(c.way, k, k+1)
-		out = append(out, c)
-		if s.to == w.asleep {
+	for k, m := range w.inFlight {
+		lost := w.next(fmt.Sprintf("lose %d>%d", m.from, m.to))
+		lost.inFlight = slices.Delete(lost.inFlight, k, k+1)
+		out = append(out, lost)
+		if m.to == w.paused {
 			continue
 		}
-		d := w.next(fmt.Sprintf("deliver %d>%d", s.from, s.to))
-		d.way = slices.Delete(d.way, k, k+1)
-		if s.came = w.now; s.Seq > d.copies[s.to][s.from].Seq {
-			d.copies[s.to][s.from] = s
+		delivered := w.next(fmt.Sprintf("deliver %d>%d", m.from, m.to))
+		delivered.inFlight = slices.Delete(delivered.inFlight, k, k+1)
+		if m.receivedAt = w.now; m.Seq > delivered.received[m.to][m.from].Seq {
+			delivered.received[m.to][m.from] = m
 		}
-		out = append(out, d)
+		out = append(out, delivered)
 	}
-	for i := range w.who {
-		if w.asleep < 0 && w.used[1] == 0 {
-			c := w.next(fmt.Sprint("stop ", i))
-			c.asleep, c.used[1] = i, 1
+	for i := range w.routers {
+		if w.paused < 0 && w.eventCounts[1] == 0 {
+			c := w.next(fmt.Sprint("pause ", i))
+			c.paused, c.eventCounts[1] = i, 1
 			out = append(out, c)
 		}
-		if w.split < 0 && w.used[2] == 0 {
+		if w.partitioned < 0 && w.eventCounts[2] == 0 {
 			c := w.next(fmt.Sprint("cut off ", i))
-			c.split, c.used[2] = i, 1
+			c.partitioned, c.eventCounts[2] = i, 1
 			out = append(out, c)
 		}
 	}
-	if w.asleep >= 0 {
-		c := w.next("go on")
-		c.asleep = -1
+	if w.paused >= 0 {
+		c := w.next("resume")
+		c.paused = -1
 		out = append(out, c)
 	}
-	if w.split >= 0 {
-		c := w.next("heal")
-		c.split = -1
+	if w.partitioned >= 0 {
+		c := w.next("reconnect")
+		c.partitioned = -1
 		out = append(out, c)
 	}
 	return out
 }
 
-// broken says which invariant an event has broken. That evidence is old is judged by when it was said, which the routers
-// themselves can't know: a report may have waited on its way for as long as the explorer lets it, so it is old by when it came.
-func (w *world) broken(before *world) string {
-	for i, l := range w.who {
-		g, was := l.groups[1], before.who[i].groups[1]
-		if g == nil {
+// violation returns which invariant an event violated. The freshness of reports is judged by when they were received,
+// not sent: routers can't know the time in transit, which the explorer does not limit.
+func (w *world) violation(before *world) string {
+	for i, router := range w.routers {
+		after, old := router.groups[1], before.routers[i].groups[1]
+		if after == nil {
 			continue
 		}
-		if g.threshold < 0 || g.threshold > l.order.maxThreshold || l.saltEpoch < before.who[i].saltEpoch {
-			return fmt.Sprintf("%d has level %d of %d, epoch %d after %d", i, g.threshold, l.order.maxThreshold, l.saltEpoch, before.who[i].saltEpoch)
+		if after.threshold < 0 || after.threshold > router.order.maxThreshold || router.saltEpoch < before.routers[i].saltEpoch {
+			return fmt.Sprintf("router %d has threshold %d of at most %d, salt epoch %d after %d", i, after.threshold, router.order.maxThreshold, router.saltEpoch, before.routers[i].saltEpoch)
 		}
-		if was == nil || g.threshold >= was.threshold {
+		if old == nil || after.threshold >= old.threshold {
 			continue
 		}
 		fresh := 1
-		for j, s := range w.copies[i] {
-			if j != i && s.Seq > 0 && w.now-s.came <= 250*ms {
+		for j, m := range w.received[i] {
+			if j != i && m.Seq > 0 && w.now-m.receivedAt <= 250*ms {
 				fresh++
 			}
 		}
-		if fresh < 2 || i == w.split {
-			return fmt.Sprintf("the level of %d fell from %d to %d with %d fresh reports, cut off: %v", i, was.threshold, g.threshold, fresh, i == w.split)
+		if fresh < 2 || i == w.partitioned {
+			return fmt.Sprintf("the threshold of router %d fell from %d to %d with %d fresh reports, cut off: %v", i, old.threshold, after.threshold, fresh, i == w.partitioned)
 		}
 	}
 	return ""
 }
 
-// exploreStart is three that share one level, which half of what is asked stands below, and knew each other's word just now.
-func exploreStart(t *testing.T, old bool) *world {
+// exploreStart returns a world whose routers share a threshold that sheds half of the requests, and have just received
+// each other's reports.
+func exploreStart(t *testing.T, ignoreMaxAge bool) *world {
 	t.Helper()
-	w := &world{now: 10 * second, asleep: -1, split: -1, old: old}
-	for i := range w.who {
-		s := three(fmt.Sprint("r", i), 3)
-		s.Interval, s.MaxReportAge = exploreLook, 250*ms
-		for j := range s.PriorityClasses {
-			s.PriorityClasses[j].RequestsPerSecond = 0
-		}
-		l := lanes(t, s)
-		l.tickedAt, l.saltChangedAt, l.resumedAt = w.now, w.now, 1
-		g := l.group(1, w.now)
+	w := &world{now: 10 * second, paused: -1, partitioned: -1, ignoreMaxAge: ignoreMaxAge}
+	for i := range w.routers {
+		settings := testSettings(fmt.Sprint("r", i), 3)
+		settings.Interval, settings.MaxReportAge = exploreInterval, 250*ms
+		for j := range settings.PriorityClasses {
+			settings.PriorityClasses[j].RequestsPerSecond = 0
+		}
+		router := newShedder(t, settings)
+		router.tickedAt, router.saltChangedAt, router.resumedAt = w.now, w.now, 1
+		g := router.group(1, w.now)
 		g.threshold, g.ownThreshold, g.hasReport, g.seq, g.quietEvaluations = 60, 60, true, 1, 0
-		w.who[i] = l
-		for j := range w.who {
+		w.routers[i] = router
+		for j := range w.routers {
 			if j != i {
-				w.copies[j][i] = said{Report{Group: 1, Router: s.Router, Epoch: 1, Seq: 1, Threshold: 60}, i, j, w.now, w.now}
+				w.received[j][i] = message{Report{Group: 1, Router: settings.Router, Epoch: 1, Seq: 1, Threshold: 60}, i, j, w.now, w.now}
 			}
 		}
 	}
 	return w
 }
 
-// explore sees worlds breadth first, up to so many, and returns how many and how deep, and the shortest way to a broken one.
-func explore(w *world, most int) (states, depth int, fault string) {
-	seen, row := map[uint64]bool{w.hash(): true}, []*world{w}
-	for len(row) > 0 && len(seen) < most {
+// explore visits worlds breadth first, up to a number of states. It returns how many states and levels it visited, and
+// the shortest path to a violation.
+func explore(w *world, maxStates int) (states, depth int, fault string) {
+	seen, frontier := map[uint64]bool{w.hash(): true}, []*world{w}
+	for len(frontier) > 0 && len(seen) < maxStates {
 		var next []*world
-		for _, x := range row {
-			for _, y := range x.events() {
-				if b := y.broken(x); b != "" {
-					return len(seen), len(y.path), b + "\n" + strings.Join(y.path, "\n")
+		for _, before := range frontier {
+			for _, after := range before.events() {
+				if violation := after.violation(before); violation != "" {
+					return len(seen), len(after.path), violation + "\n" + strings.Join(after.path, "\n")
 				}
-				if h := y.hash(); !seen[h] {
-					seen[h] = true
-					next = append(next, y)
+				if hash := after.hash(); !seen[hash] {
+					seen[hash] = true
+					next = append(next, after)
 				}
 			}
 		}
 		depth++
-		row = next
+		frontier = next
 	}
 	return len(seen), depth, ""
 }
 
 func TestExplore(t *testing.T) {
 	states, depth, fault := explore(exploreStart(t, false), 8_000)
-	t.Logf("%d states, %d events deep", states, depth)
+	t.Logf("explored %d states, %d events deep", states, depth)
 	if fault != "" {
 		t.Error(fault)
 	}
 	if states < 8_000 || depth < 5 {
-		t.Errorf("only %d states, %d events deep", states, depth)
+		t.Errorf("explored only %d states, %d events deep", states, depth)
 	}
 }
 
-// A rule broken on purpose is found: reports that never grow old let a level fall that nobody spoke of for long.
+// The explorer detects a deliberate fault: with reports that never expire, a threshold falls although no router has
+// sent a report for long.
 func TestExploreFindsABrokenRule(t *testing.T) {
 	states, depth, fault := explore(exploreStart(t, true), 20_000)
-	t.Logf("%d states, %d events deep: %s", states, depth, fault)
+	t.Logf("explored %d states, %d events deep: %s", states, depth, fault)
 	if !strings.Contains(fault, "fell") {
-		t.Error("nothing was found")
+		t.Error("the explorer did not find the fault")
 	}
 }
--- a/policy/shedding/rules_test.go
+++ b/policy/shedding/rules_test.go
@@ -9,131 +9,133 @@
 	"lotushook/policy/clock"
 )
 
-// reported is any word of one of a few routers; the number of it is its time, so that no process says two things at once.
-func reported(t *rapid.T, i int) Report {
+// drawReport draws a report of one of a few routers. The sequence number is unique, so no process sends two different
+// reports with the same number.
+func drawReport(t *rapid.T, i int) Report {
 	return Report{Group: 1, Router: fmt.Sprint("r", rapid.IntRange(0, 6).Draw(t, "name")), Epoch: uint64(rapid.IntRange(1, 2).Draw(t, "boot")), Seq: uint64(i + 1),
 		Age: clock.Nanos(rapid.IntRange(0, 1500).Draw(t, "age")) * ms, Load: rapid.Int64Range(-5, 1<<30).Draw(t, "load"), Threshold: rapid.IntRange(-5, 200).Draw(t, "wish"),
 		SaltEpoch: uint64(rapid.IntRange(0, 9).Draw(t, "epoch")), Excluded: rapid.IntRange(0, 5).Draw(t, "out") == 0}
 }
 
-// Whatever order reports come in, and however many of them come twice or come after a later word, the answer is one; without
-// one of them it lies between the least and the greatest wish of those that are left.
-func TestJoinRules(t *testing.T) {
+// Merging gives the same result for any order of the reports, with duplicates, and with outdated reports. The merged
+// threshold lies between the lowest and the highest one reported.
+func TestMergeRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Report
 		latest := map[string]Report{}
 		for i := range rapid.IntRange(0, 20).Draw(t, "reports") {
-			r := reported(t, i)
-			all = append(all, r)
-			if old, ok := latest[r.Router]; !ok || r.Epoch > old.Epoch || r.Epoch == old.Epoch && r.Seq > old.Seq {
-				latest[r.Router] = r
+			report := drawReport(t, i)
+			all = append(all, report)
+			if old, ok := latest[report.Router]; !ok || report.Epoch > old.Epoch || report.Epoch == old.Epoch && report.Seq > old.Seq {
+				latest[report.Router] = report
 			}
 		}
 		want := Merge(all, second, 150)
-		heard, least, most := 0, 1<<30, 0
-		for _, r := range latest {
-			if r.Age <= second && !r.Excluded {
-				heard++
-				least, most = min(least, max(0, min(150, r.Threshold))), max(most, max(0, min(150, r.Threshold)))
+		reporters, lowest, highest := 0, 1<<30, 0
+		for _, report := range latest {
+			if report.Age <= second && !report.Excluded {
+				reporters++
+				lowest, highest = min(lowest, max(0, min(150, report.Threshold))), max(highest, max(0, min(150, report.Threshold)))
 			}
 		}
-		if want.Reporters != heard || heard > 0 && (want.Threshold < least || want.Threshold > most) || want.AnyShedding != (heard > 0 && most > 0) {
-			t.Fatalf("%+v of %d wishes from %d to %d", want, heard, least, most)
+		if want.Reporters != reporters || reporters > 0 && (want.Threshold < lowest || want.Threshold > highest) || want.AnyShedding != (reporters > 0 && highest > 0) {
+			t.Fatalf("merged %+v from %d fresh reports with thresholds from %d to %d", want, reporters, lowest, highest)
 		}
-		twice := append([]Report(nil), all...)
-		for _, r := range all {
-			r.Age -= clock.Nanos(rapid.IntRange(0, int(r.Age/ms)).Draw(t, "younger")) * ms // a copy whose way was not counted
-			twice = append(twice, r)
+		duplicated := append([]Report(nil), all...)
+		for _, report := range all {
+			// The age of the copy omits some time in transit.
+			report.Age -= clock.Nanos(rapid.IntRange(0, int(report.Age/ms)).Draw(t, "younger")) * ms
+			duplicated = append(duplicated, report)
 		}
-		if got := Merge(rapid.Permutation(twice).Draw(t, "order"), second, 150); got != want {
-			t.Fatalf("%+v in another order, with doubles, %+v before", got, want)
+		if got := Merge(rapid.Permutation(duplicated).Draw(t, "order"), second, 150); got != want {
+			t.Fatalf("merged %+v in another order and with duplicates, %+v before", got, want)
 		}
 	})
 }
 
-// A level never falls on old evidence: only when enough routers that count have spoken within Fresh, this router is on the
-// larger side and not cut off, or nobody could be heard for so long that it goes alone. It stays within its bounds, and so
-// does what is remembered; the epoch never falls.
+// A threshold falls only with a quorum: fresh reports of enough routers, while this router belongs to the majority and
+// is not isolated; or once this router has had no quorum for IsolationTimeout. Thresholds and stored entries stay
+// within their limits, and the salt epoch never decreases.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
+//nolint:gocognit,funlen // the events of one simulated history
 func TestNeverFallsOnOldEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := three("r0", 7)
-		s.MaxAccounts, s.MaxWriteAffinities, s.MaxGroups = 20, 10, 3
-		l := lanes(t, s)
-		now, heard, woke, epoch := 1000*second, 1000*second, 1000*second, uint64(0)
+		settings := testSettings("r0", 7)
+		settings.MaxAccounts, settings.MaxWriteAffinities, settings.MaxGroups = 20, 10, 3
+		shedder := newShedder(t, settings)
+		now, quorumAt, resumedAt, saltEpoch := 1000*second, 1000*second, 1000*second, uint64(0)
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			gap := rapid.SampledFrom([]clock.Nanos{50 * ms, 50 * ms, 100 * ms, 250 * ms, 3 * second, 40 * second, -100 * ms, -3600 * second}).Draw(t, "gap")
 			if now += gap; gap < 0 || gap > second || step == 0 {
-				heard, woke = now, now
+				quorumAt, resumedAt = now, now
 			}
-			hot := rapid.Bool().Draw(t, "hot")
+			overloaded := rapid.Bool().Draw(t, "hot")
 			for range rapid.IntRange(0, 6).Draw(t, "requests") {
-				v := l.Admit(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Share: 1}, now)
-				if (v.Reason == Shed) != (v.Rank < v.Threshold) {
-					t.Fatalf("%+v", v)
+				verdict := shedder.Admit(Request{Team: rapid.IntRange(-1, 4).Draw(t, "team"), Account: uint64(rapid.IntRange(0, 99).Draw(t, "account")), Group: int64(rapid.IntRange(1, 5).Draw(t, "group")), Share: 1}, now)
+				if (verdict.Reason == Shed) != (verdict.Rank < verdict.Threshold) {
+					t.Fatalf("%+v: shed although the rank is not below the threshold, or admitted although it is", verdict)
 				}
-				if v.Reason != Shed {
-					l.RequestStarted(1, now, 100*ms)
-					l.RequestEnded(1, v.PriorityClass, fmt.Sprint("k", step), Outcome{ArrivedAt: now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !hot, MayHaveRun: true, SessionWritten: fmt.Sprint("s", step)}, now)
+				if verdict.Reason != Shed {
+					shedder.RequestStarted(1, now, 100*ms)
+					shedder.RequestEnded(1, verdict.PriorityClass, fmt.Sprint("k", step), Outcome{ArrivedAt: now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !overloaded, MayHaveRun: true, SessionWritten: fmt.Sprint("s", step)}, now)
 				}
 			}
 			var reports []Report
-			names := map[string]Report{}
+			latest := map[string]Report{}
 			for i := range rapid.IntRange(0, 7).Draw(t, "reports") {
-				r := reported(t, step*10+i)
-				reports = append(reports, r)
-				if old, ok := names[r.Router]; !ok || r.Epoch > old.Epoch || r.Epoch == old.Epoch && r.Seq > old.Seq {
-					names[r.Router] = r
+				report := drawReport(t, step*10+i)
+				reports = append(reports, report)
+				if old, ok := latest[report.Router]; !ok || report.Epoch > old.Epoch || report.Epoch == old.Epoch && report.Seq > old.Seq {
+					latest[report.Router] = report
 				}
 			}
-			fresh := 1 // itself
-			for name, r := range names {
-				if name != "r0" && r.Age <= second && !r.Excluded {
+			fresh := 1 // this router's own report
+			for name, report := range latest {
+				if name != "r0" && report.Age <= second && !report.Excluded {
 					fresh++
 				}
 			}
-			sight := Connectivity{Majority: rapid.IntRange(0, 3).Draw(t, "majority") > 0, Isolated: rapid.IntRange(0, 5).Draw(t, "cut") == 0}
-			whole := fresh >= 4 && sight.Majority && !sight.Isolated && now-woke >= second
+			connectivity := Connectivity{Majority: rapid.IntRange(0, 3).Draw(t, "majority") > 0, Isolated: rapid.IntRange(0, 5).Draw(t, "cut") == 0}
+			quorum := fresh >= 4 && connectivity.Majority && !connectivity.Isolated && now-resumedAt >= second
 			before := map[int64]int{}
-			for n, g := range l.groups {
-				before[n] = g.threshold
+			for number, group := range shedder.groups {
+				before[number] = group.threshold
 			}
-			if whole || before[1] == 0 {
-				heard = now
+			if quorum || before[1] == 0 {
+				quorumAt = now
 			}
-			l.Tick(now, sight, reports)
-			for n, g := range l.groups {
-				if g.threshold < 0 || g.threshold > l.order.maxThreshold || g.ownThreshold < 0 || g.ownThreshold > l.order.maxThreshold {
-					t.Fatalf("level %d, wish %d of %d", g.threshold, g.ownThreshold, l.order.maxThreshold)
+			shedder.Tick(now, connectivity, reports)
+			for number, group := range shedder.groups {
+				if group.threshold < 0 || group.threshold > shedder.order.maxThreshold || group.ownThreshold < 0 || group.ownThreshold > shedder.order.maxThreshold {
+					t.Fatalf("threshold %d, own threshold %d, at most %d allowed", group.threshold, group.ownThreshold, shedder.order.maxThreshold)
 				}
-				if n == 1 && g.threshold < before[n] && !whole && now-heard < s.IsolationTimeout {
-					t.Fatalf("fell from %d to %d with %d fresh reports, %+v", before[n], g.threshold, fresh, sight)
+				if number == 1 && group.threshold < before[number] && !quorum && now-quorumAt < settings.IsolationTimeout {
+					t.Fatalf("the threshold fell from %d to %d without a quorum: %d fresh reports, %+v", before[number], group.threshold, fresh, connectivity)
 				}
 			}
-			if l.SaltEpoch() < epoch {
-				t.Fatalf("epoch %d after %d", l.SaltEpoch(), epoch)
+			if shedder.SaltEpoch() < saltEpoch {
+				t.Fatalf("salt epoch %d after %d", shedder.SaltEpoch(), saltEpoch)
 			}
-			epoch = l.SaltEpoch()
-			if u, d, g := l.Size(); u > 40 || d > 10 || g > 3 || len(l.affinities) > 10 {
-				t.Fatalf("%d budgets, %d debts, %d groups", u, d, g)
+			saltEpoch = shedder.SaltEpoch()
+			if buckets, affinities, groups := shedder.Size(); buckets > 40 || affinities > 10 || groups > 3 || len(shedder.affinities) > 10 {
+				t.Fatalf("%d buckets, %d write affinities and %d groups are stored, above the limits", buckets, affinities, groups)
 			}
 		}
 	})
 }
 
-// A group that finds no room passes; the counts say so.
-func TestFull(t *testing.T) {
-	s := three("a", 1)
-	s.MaxGroups = 1
-	l := lanes(t, s)
-	l.Admit(Request{Group: 1, Share: 1}, second)
-	l.groups[1].threshold = 5
-	if v := l.Admit(Request{Team: 2, Account: l.account(0), Group: 2, Share: 1}, second); v.Reason != AboveThreshold || l.Ungrouped() != 1 {
-		t.Errorf("%+v, %d without room", v, l.Ungrouped())
+// Requests of a group over MaxGroups are admitted and counted as ungrouped.
+func TestMaxGroups(t *testing.T) {
+	settings := testSettings("a", 1)
+	settings.MaxGroups = 1
+	shedder := newShedder(t, settings)
+	shedder.Admit(Request{Group: 1, Share: 1}, second)
+	shedder.groups[1].threshold = 5
+	if verdict := shedder.Admit(Request{Team: 2, Account: shedder.accountAt(0), Group: 2, Share: 1}, second); verdict.Reason != AboveThreshold || shedder.Ungrouped() != 1 {
+		t.Errorf("verdict over MaxGroups is %+v, %d requests are ungrouped", verdict, shedder.Ungrouped())
 	}
-	l.groups[1].threshold = 0
-	if l.Admit(Request{Group: 2, Share: 1}, second); l.groups[2] == nil {
-		t.Error("a group that sheds nobody did not make room")
+	shedder.groups[1].threshold = 0
+	if shedder.Admit(Request{Group: 2, Share: 1}, second); shedder.groups[2] == nil {
+		t.Error("an idle group was not evicted for a new group")
 	}
 }
--- a/policy/shedding/shedder_test.go
+++ b/policy/shedding/shedder_test.go
@@ -17,8 +17,8 @@
 	second = 1000 * ms
 )
 
-// three lanes: two premium accounts' worth of entitlement, regular ones, and the rest.
-func three(router string, routers int) Settings {
+// testSettings returns settings with three priority classes, of which the two higher ones limit accounts.
+func testSettings(router string, routers int) Settings {
 	s := DefaultSettings()
 	s.Router, s.Epoch, s.Routers, s.Shared, s.PlatformMaxRetryAfter = router, 1, routers, true, 4*second
 	s.PriorityClasses = []PriorityClass{{Name: "premium", RequestsPerSecond: 10, Burst: 2, ReservedShare: 0.25}, {Name: "regular", RequestsPerSecond: 5, Burst: 2, ReservedShare: 0.1}, {Name: "background", ReservedShare: 0.1}}
@@ -26,173 +26,175 @@
 	return s
 }
 
-func lanes(t interface{ Fatal(...any) }, s Settings) *Shedder {
-	l, err := New(s)
+func newShedder(t interface{ Fatal(...any) }, settings Settings) *Shedder {
+	shedder, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return shedder
 }
 
-// account finds one of a position in the present epoch.
-func (l *Shedder) account(position int) uint64 {
-	for a := uint64(1); ; a++ {
-		if l.Position(a) == position {
-			return a
+// accountAt returns an account that has a position in the present salt epoch.
+func (s *Shedder) accountAt(position int) uint64 {
+	for account := uint64(1); ; account++ {
+		if s.Position(account) == position {
+			return account
 		}
 	}
 }
 
-// Each position of each lane stands alone; a lower lane stands lower but for the least shares, and these lower than the best lane.
+// Each position of each class has a rank of its own. Positions of a lower class have lower ranks, except for reserved
+// positions; these rank below the highest class only.
 //
-//nolint:gocognit // one history or table of cases, told in order
+//nolint:gocognit // one table of all positions
 func TestOrder(t *testing.T) {
 	for n := 1; n <= MaxPriorityClasses; n++ {
-		var list []PriorityClass
+		var classes []PriorityClass
 		for i := range n {
-			list = append(list, PriorityClass{Name: fmt.Sprint(i), ReservedShare: float64(i%3) * 0.1})
+			classes = append(classes, PriorityClass{Name: fmt.Sprint(i), ReservedShare: float64(i%3) * 0.1})
 		}
-		o, seen := newShedOrder(list), map[int]bool{}
-		for lane := range n {
-			for p := range Positions {
-				at := o.rank(lane, p)
-				if seen[at] || at < 0 || at >= o.rankCount || o.priorityClassOf(n, at) != lane {
-					t.Fatalf("%d lanes: %d of %d stands at %d, lane %d", n, p, lane, at, o.priorityClassOf(n, at))
+		order, seen := newShedOrder(classes), map[int]bool{}
+		for class := range n {
+			for position := range Positions {
+				rank := order.rank(class, position)
+				if seen[rank] || rank < 0 || rank >= order.rankCount || order.priorityClassOf(n, rank) != class {
+					t.Fatalf("%d classes: position %d of class %d has rank %d, of class %d", n, position, class, rank, order.priorityClassOf(n, rank))
 				}
-				seen[at] = true
-				if f := o.downgradedRank(lane, p); o.priorityClassOf(n, f) != lane || f >= o.firstRank[lane]+o.unreservedPositions[lane] {
-					t.Fatalf("%d lanes: fallen %d of %d stands at %d", n, p, lane, f)
+				seen[rank] = true
+				if downgraded := order.downgradedRank(class, position); order.priorityClassOf(n, downgraded) != class || downgraded >= order.firstRank[class]+order.unreservedPositions[class] {
+					t.Fatalf("%d classes: position %d downgraded to class %d has rank %d", n, position, class, downgraded)
 				}
-				if lane > 0 && at >= o.firstRank[0] {
-					t.Fatalf("%d lanes: %d of %d stands among the best", n, p, lane)
+				if class > 0 && rank >= order.firstRank[0] {
+					t.Fatalf("%d classes: position %d of class %d ranks within the highest class", n, position, class)
 				}
-				if worse := lane + 1; worse < n && p < o.unreservedPositions[lane] && (at < o.firstRank[worse]+o.unreservedPositions[worse] || lane > 0 && at >= o.firstReservedRank[worse]) {
-					t.Fatalf("%d lanes: %d of %d at %d against lane %d", n, p, lane, at, worse)
+				if lower := class + 1; lower < n && position < order.unreservedPositions[class] && (rank < order.firstRank[lower]+order.unreservedPositions[lower] || class > 0 && rank >= order.firstReservedRank[lower]) {
+					t.Fatalf("%d classes: position %d of class %d has rank %d, out of order with class %d", n, position, class, rank, lower)
 				}
 			}
 		}
-		if len(seen) != o.rankCount || o.lastRank(0) < o.maxThreshold && list[0].ReservedShare > 0 {
-			t.Fatalf("%d lanes: %d of %d standings, most %d", n, len(seen), o.rankCount, o.maxThreshold)
+		if len(seen) != order.rankCount || order.lastRank(0) < order.maxThreshold && classes[0].ReservedShare > 0 {
+			t.Fatalf("%d classes: %d of %d ranks are used, the maximum threshold is %d", n, len(seen), order.rankCount, order.maxThreshold)
 		}
 	}
 }
 
-// What each request is judged as, at one level after the other.
-func TestAsk(t *testing.T) {
-	s := three("a", 1)
-	o := newShedOrder(s.PriorityClasses)
+// Verdicts on requests of different teams, usage and write affinities, at different thresholds.
+func TestAdmit(t *testing.T) {
+	settings := testSettings("a", 1)
+	order := newShedOrder(settings.PriorityClasses)
 	type row struct {
-		name   string
-		r      Request
-		before int // requests of the same account just before
-		level  int
-		want   Verdict // but the time to return
-	}
-	for _, c := range []row{
-		{"calm: nobody is shed", Request{Team: 2}, 0, 0, Verdict{AboveThreshold, 2, 3, 0, 0}},
-		{"background stands lowest", Request{Team: 2}, 0, 4, Verdict{Shed, 2, 3, 4, 0}},
-		{"at the level it is taken", Request{Team: 2}, 0, 3, Verdict{AboveThreshold, 2, 3, 3, 0}},
-		{"regular is above all background", Request{Team: 1}, 0, o.firstRank[1], Verdict{AboveThreshold, 1, o.firstRank[1] + 3, o.firstRank[1], 0}},
-		{"no team is of the last lane", Request{Team: -1}, 0, 4, Verdict{Shed, 2, 3, 4, 0}},
-		{"premium beyond its entitlement is regular", Request{Team: 0}, 2, o.firstRank[1] + 1, Verdict{Downgraded, 1, o.downgradedRank(1, 3), o.firstRank[1] + 1, 0}},
-		{"and shed as regular", Request{Team: 0}, 2, o.firstRank[0], Verdict{Shed, 1, o.downgradedRank(1, 3), o.firstRank[0], 0}},
-		{"beyond two entitlements it is background", Request{Team: 0}, 4, 0, Verdict{Downgraded, 2, o.downgradedRank(2, 3), 0, 0}},
-		{"a team beyond its own falls too", Request{Team: 3}, 1, 0, Verdict{Downgraded, 1, o.downgradedRank(1, 3), 0, 0}},
-		{"a repeat of a premium write stands last in its lane", Request{Team: 2, Key: "k"}, 0, o.maxThreshold, Verdict{FollowsWrite, 0, o.lastRank(0), o.maxThreshold, 0}},
-		{"a read after a premium write too", Request{Team: 2, ReadSession: "s"}, 0, o.maxThreshold, Verdict{FollowsWrite, 0, o.lastRank(0), o.maxThreshold, 0}},
-		{"a read after another router's write is of its own lane", Request{Team: 2, WroteElsewhere: true}, 0, o.firstRank[1], Verdict{FollowsWrite, 2, o.lastRank(2), o.firstRank[1], 0}},
-		{"another key is not", Request{Team: 2, Key: "x", ReadSession: "y"}, 0, 0, Verdict{AboveThreshold, 2, 3, 0, 0}},
+		name      string
+		request   Request
+		before    int // earlier requests of the same account
+		threshold int
+		want      Verdict // without RetryAfter
+	}
+	for _, test := range []row{
+		{"threshold 0: nothing is shed", Request{Team: 2}, 0, 0, Verdict{AboveThreshold, 2, 3, 0, 0}},
+		{"background ranks lowest", Request{Team: 2}, 0, 4, Verdict{Shed, 2, 3, 4, 0}},
+		{"at the threshold it is admitted", Request{Team: 2}, 0, 3, Verdict{AboveThreshold, 2, 3, 3, 0}},
+		{"regular ranks above all background", Request{Team: 1}, 0, order.firstRank[1], Verdict{AboveThreshold, 1, order.firstRank[1] + 3, order.firstRank[1], 0}},
+		{"without a team it is of the lowest class", Request{Team: -1}, 0, 4, Verdict{Shed, 2, 3, 4, 0}},
+		{"premium over its entitlement is regular", Request{Team: 0}, 2, order.firstRank[1] + 1, Verdict{Downgraded, 1, order.downgradedRank(1, 3), order.firstRank[1] + 1, 0}},
+		{"and shed as regular", Request{Team: 0}, 2, order.firstRank[0], Verdict{Shed, 1, order.downgradedRank(1, 3), order.firstRank[0], 0}},
+		{"over two entitlements it is background", Request{Team: 0}, 4, 0, Verdict{Downgraded, 2, order.downgradedRank(2, 3), 0, 0}},
+		{"a team over its entitlement is downgraded too", Request{Team: 3}, 1, 0, Verdict{Downgraded, 1, order.downgradedRank(1, 3), 0, 0}},
+		{"a retry of a premium write ranks last in its class", Request{Team: 2, Key: "k"}, 0, order.maxThreshold, Verdict{FollowsWrite, 0, order.lastRank(0), order.maxThreshold, 0}},
+		{"a read after a premium write too", Request{Team: 2, ReadSession: "s"}, 0, order.maxThreshold, Verdict{FollowsWrite, 0, order.lastRank(0), order.maxThreshold, 0}},
+		{"a read after another router's write is of its own class", Request{Team: 2, WroteElsewhere: true}, 0, order.firstRank[1], Verdict{FollowsWrite, 2, order.lastRank(2), order.firstRank[1], 0}},
+		{"another key has no write affinity", Request{Team: 2, Key: "x", ReadSession: "y"}, 0, 0, Verdict{AboveThreshold, 2, 3, 0, 0}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			l := lanes(t, s)
-			c.r.Account, c.r.Share, c.r.Group = l.account(3), 1, 1
-			l.RequestEnded(1, 0, "k", Outcome{MayHaveRun: true}, second)
-			l.RequestEnded(1, 0, "", Outcome{Served: true, SessionWritten: "s"}, second)
-			for range c.before {
-				r := c.r
-				r.Key, r.ReadSession = "", ""
-				l.Admit(r, second)
+		t.Run(test.name, func(t *testing.T) {
+			shedder := newShedder(t, settings)
+			test.request.Account, test.request.Share, test.request.Group = shedder.accountAt(3), 1, 1
+			shedder.RequestEnded(1, 0, "k", Outcome{MayHaveRun: true}, second)
+			shedder.RequestEnded(1, 0, "", Outcome{Served: true, SessionWritten: "s"}, second)
+			for range test.before {
+				request := test.request
+				request.Key, request.ReadSession = "", ""
+				shedder.Admit(request, second)
 			}
-			l.group(1, second).threshold = c.level
-			v := l.Admit(c.r, second)
-			if wait := v.RetryAfter; (v.Reason == Shed) != (wait > 0) || wait > 2*second {
-				t.Errorf("a time to return of %d ms", wait/ms)
+			shedder.group(1, second).threshold = test.threshold
+			verdict := shedder.Admit(test.request, second)
+			if retryAfter := verdict.RetryAfter; (verdict.Reason == Shed) != (retryAfter > 0) || retryAfter > 2*second {
+				t.Errorf("RetryAfter is %d ms", retryAfter/ms)
 			}
-			if v.RetryAfter = 0; v != c.want {
-				t.Errorf("%+v, wanted %+v", v, c.want)
+			if verdict.RetryAfter = 0; verdict != test.want {
+				t.Errorf("verdict is %+v, want %+v", verdict, test.want)
 			}
-			if v.Reason == FollowsWrite { // for a while
-				if v := l.Admit(c.r, second+s.WriteAffinity); !c.r.WroteElsewhere && v.Reason == FollowsWrite {
-					t.Error("it is owed for ever")
+			if verdict.Reason == FollowsWrite { // the affinity expires
+				if verdict := shedder.Admit(test.request, second+settings.WriteAffinity); !test.request.WroteElsewhere && verdict.Reason == FollowsWrite {
+					t.Error("the write affinity did not expire")
 				}
 			}
 		})
 	}
-	// Half of an entitlement at a router that sees half of the load, and no budget from a clock that goes back.
-	l := lanes(t, s)
-	r := Request{Team: 0, Account: 9, Group: 1, Share: 0.5}
+	// A router that gets half of the load grants half of an entitlement. A clock that is set back refills no bucket.
+	shedder := newShedder(t, settings)
+	request := Request{Team: 0, Account: 9, Group: 1, Share: 0.5}
 	got := map[Reason]int{}
 	for i := range 100 {
-		got[l.Admit(r, second+clock.Nanos(i)*20*ms).Reason]++
+		got[shedder.Admit(request, second+clock.Nanos(i)*20*ms).Reason]++
 	}
 	if got[AboveThreshold] != 2+9 {
-		t.Errorf("%v of 100 in 2 s at 5 a second and a burst of 2", got)
+		t.Errorf("100 requests in 2 s have reasons %v, want 11 above the threshold: a burst of 2, then 5 per second", got)
 	}
-	if v := l.Admit(r, 0); v.Reason == AboveThreshold {
-		t.Error("a clock that goes back fills a budget")
+	if verdict := shedder.Admit(request, 0); verdict.Reason == AboveThreshold {
+		t.Error("a clock that was set back refilled a bucket")
 	}
 }
 
-// Times to return are sooner in better lanes, spread, and within what the platform allows; the salt turns who stands where.
-func TestWaitAndSalt(t *testing.T) {
-	l := lanes(t, three("a", 1))
-	sum, least, most := [3]clock.Nanos{}, clock.Nanos(1<<60), clock.Nanos(0)
-	for a := range uint64(1000) {
-		for lane := range 3 {
-			w := l.retryAfter(a, lane)
-			sum[lane] += w
-			if lane == 2 {
-				least, most = min(least, w), max(most, w)
+// Retry-After times are shorter in higher classes, different between accounts, and within the platform's limit. Each
+// salt epoch gives the accounts other positions.
+func TestRetryAfterAndSalt(t *testing.T) {
+	shedder := newShedder(t, testSettings("a", 1))
+	sum, shortest, longest := [3]clock.Nanos{}, clock.Nanos(1<<60), clock.Nanos(0)
+	for account := range uint64(1000) {
+		for class := range 3 {
+			retryAfter := shedder.retryAfter(account, class)
+			sum[class] += retryAfter
+			if class == 2 {
+				shortest, longest = min(shortest, retryAfter), max(longest, retryAfter)
 			}
 		}
 	}
-	if sum[0] >= sum[1] || sum[1] >= sum[2] || least > 1100*ms || most < 1900*ms || most > 2*second {
-		t.Errorf("%v, from %d to %d ms", sum, least/ms, most/ms)
+	if sum[0] >= sum[1] || sum[1] >= sum[2] || shortest > 1100*ms || longest < 1900*ms || longest > 2*second {
+		t.Errorf("Retry-After sums by class are %v; in the lowest class they range from %d to %d ms", sum, shortest/ms, longest/ms)
 	}
 	low := map[uint64]bool{}
-	for a := range uint64(6400) {
-		low[a] = l.Position(a) < Positions/4
-	}
-	both, n := 0, 0
-	l.saltEpoch++
-	for a, was := range low {
-		if was {
-			n++
-			if l.Position(a) < Positions/4 {
+	for account := range uint64(6400) {
+		low[account] = shedder.Position(account) < Positions/4
+	}
+	both, count := 0, 0
+	shedder.saltEpoch++
+	for account, wasLow := range low {
+		if wasLow {
+			count++
+			if shedder.Position(account) < Positions/4 {
 				both++
 			}
 		}
 	}
-	if n < 1400 || n > 1800 || both > n/3 || both < n/6 {
-		t.Errorf("of %d that stood low %d do so in the next epoch", n, both)
+	if count < 1400 || count > 1800 || both > count/3 || both < count/6 {
+		t.Errorf("%d accounts have positions in the lowest quarter, %d of them also in the next epoch; want about a quarter each", count, both)
 	}
-	other := lanes(t, three("b", 1))
-	if other.saltEpoch = l.saltEpoch; other.Position(77) != l.Position(77) {
-		t.Error("two routers place an account differently")
+	other := newShedder(t, testSettings("b", 1))
+	if other.saltEpoch = shedder.saltEpoch; other.Position(77) != shedder.Position(77) {
+		t.Error("two routers give an account different positions")
 	}
-	for by, want := range map[AccountKey]bool{ByTeam: true, BySession: false, ByBoth: false} {
-		s := Settings{AccountKey: by}
-		if same := s.Account("t", "x") == s.Account("t", "y"); same != want {
-			t.Errorf("by %s: two sessions of a team are one account: %v", by, same)
+	for key, want := range map[AccountKey]bool{ByTeam: true, BySession: false, ByBoth: false} {
+		settings := Settings{AccountKey: key}
+		if same := settings.Account("t", "x") == settings.Account("t", "y"); same != want {
+			t.Errorf("account key %s: two sessions of a team are one account: %v", key, same)
 		}
 	}
-	if s := (Settings{AccountKey: BySession}); s.Account("t", "x") != s.Account("u", "x") || s.Account("t", "") == s.Account("u", "") {
-		t.Error("by session: teams")
+	if settings := (Settings{AccountKey: BySession}); settings.Account("t", "x") != settings.Account("u", "x") || settings.Account("t", "") == settings.Account("u", "") {
+		t.Error("account key session: the team must count exactly for requests without a session")
 	}
 }
 
 func TestSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"lanes.lanes:":         func(s *Settings) { s.PriorityClasses = nil },
 		"lanes.lanes[1].name":  func(s *Settings) { s.PriorityClasses[1].Name = "premium" },
 		"lanes.lanes[0].per_s": func(s *Settings) { s.PriorityClasses[0].Burst = 0 },
@@ -207,20 +209,20 @@
 		"lanes.come_back_ms":   func(s *Settings) { s.MaxRetryAfter = -1 },
 		"lanes.accounts":       func(s *Settings) { s.MaxWriteAffinities = 0 },
 	} {
-		s := three("a", 1)
-		spoil(&s)
-		_, err := New(s)
-		var bad *SettingError
-		if !errors.As(err, &bad) || !strings.HasPrefix(err.Error(), field) || bad.Kind() == "" || !strings.Contains(bad.Hint(), bad.Field) {
-			t.Errorf("%s: %v", field, err)
+		settings := testSettings("a", 1)
+		invalidate(&settings)
+		_, err := New(settings)
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) || !strings.HasPrefix(err.Error(), field) || settingErr.Kind() == "" || !strings.Contains(settingErr.Hint(), settingErr.Field) {
+			t.Errorf("invalid field %s: error is %v", field, err)
 		}
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
-	l := lanes(b, three("a", 7))
+func BenchmarkAdmit(b *testing.B) {
+	shedder := newShedder(b, testSettings("a", 7))
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Admit(Request{Team: i % 3, Account: uint64(i % 5000), Group: int64(i % 8), Share: 0.3}, clock.Nanos(i)*10_000)
+		shedder.Admit(Request{Team: i % 3, Account: uint64(i % 5000), Group: int64(i % 8), Share: 0.3}, clock.Nanos(i)*10_000)
 	}
 }
--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -9,252 +9,255 @@
 	"lotushook/policy/clock"
 )
 
-// fleet is routers before one group of servers, whose answers take longer the more is taken in. Reports go to so many others
-// by turns, as internal/peer pushes them, and nothing else: no copy is asked for.
+// fleet simulates routers in front of one group of servers, whose answers take longer the more requests are admitted.
+// Each router pushes its reports to a number of others in turn, as internal/peer does, but requests no state from them.
 type fleet struct {
-	rng      *rand.Rand
-	routers  []*simulated
-	now      clock.Nanos
-	way      queue
-	loss     float64
-	capacity float64 // requests that all take in a Look while answers are quick
-	asked    float64 // that come to all in a Look
-	taken    float64 // in this step, of all
-	load     float64 // taken against the capacity, smoothed as a queue does
-	sent     int
-	bytes    int
+	random    *rand.Rand
+	routers   []*simulated
+	now       clock.Nanos
+	inFlight  messageQueue
+	lossRate  float64
+	capacity  float64 // requests that all servers complete in an interval while answers are fast
+	requested float64 // requests that arrive at all routers in an interval
+	admitted  float64 // by all routers in this step
+	load      float64 // admitted requests over the capacity, smoothed as by a queue
+	sent      int     // messages
+	bytes     int
 }
 
 type simulated struct {
 	*Shedder
-	speed  float64 // of its clock
-	turn   int
-	next   clock.Nanos
-	copies map[string]copied // the latest word of each
-	share  float64
-	paused bool
-	cut    bool
+	clockRate float64
+	target    int // router to which the latest report was pushed
+	nextTick  clock.Nanos
+	received  map[string]receivedReport // latest report of each router
+	share     float64                   // of the requests
+	paused    bool
+	isolated  bool
 }
 
-type copied struct {
+type receivedReport struct {
 	Report
 	at clock.Nanos
 }
 
-type way struct {
-	at     clock.Nanos
-	to     int
-	report Report
+type messageInFlight struct {
+	arrivesAt clock.Nanos
+	to        int
+	report    Report
 }
 
-type queue []way
+type messageQueue []messageInFlight
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(way)) }
-func (q *queue) Pop() any          { old := *q; x := old[len(old)-1]; *q = old[:len(old)-1]; return x }
+func (q messageQueue) Len() int           { return len(q) }
+func (q messageQueue) Less(i, j int) bool { return q[i].arrivesAt < q[j].arrivesAt }
+func (q messageQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *messageQueue) Push(x any)        { *q = append(*q, x.(messageInFlight)) }
+func (q *messageQueue) Pop() any          { old := *q; x := old[len(old)-1]; *q = old[:len(old)-1]; return x }
 
 const (
-	simFan   = 16
-	simTick  = 100 * ms
-	simBytes = 131 // of one report and its envelope on the wire, as TestLevelBytes of internal/peer measures it
+	fanout          = 16
+	tickInterval    = 100 * ms
+	bytesPerMessage = 131 // of one report with its envelope on the wire, as measured by TestLevelBytes of internal/peer
 )
 
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
 	t.Helper()
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), loss: 0.1, capacity: float64(8 * n), asked: float64(11 * n / 2)}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), lossRate: 0.1, capacity: float64(8 * n), requested: float64(11 * n / 2)}
 	for i := range n {
-		s := three(fmt.Sprintf("r%04d", i), n)
-		for j := range s.PriorityClasses {
-			s.PriorityClasses[j].RequestsPerSecond = 0 // entitlements have tests of their own
+		settings := testSettings(fmt.Sprintf("r%04d", i), n)
+		for j := range settings.PriorityClasses {
+			settings.PriorityClasses[j].RequestsPerSecond = 0 // other tests cover entitlements
 		}
-		f.routers = append(f.routers, &simulated{Shedder: lanes(t, s), speed: 0.98 + 0.04*f.rng.Float64(), next: f.rng.Int64N(simTick), copies: map[string]copied{}, turn: i, share: 1 / float64(n)})
+		f.routers = append(f.routers, &simulated{Shedder: newShedder(t, settings), clockRate: 0.98 + 0.04*f.random.Float64(), nextTick: f.random.Int64N(tickInterval), received: map[string]receivedReport{}, target: i, share: 1 / float64(n)})
 	}
 	return f
 }
 
-// run goes on for a span in steps of 10 ms.
+// run advances the simulation by a span, in steps of 10 ms.
 func (f *fleet) run(span clock.Nanos) {
 	for end := f.now + span; f.now < end; {
 		f.now += 10 * ms
-		for len(f.way) > 0 && f.way[0].at <= f.now {
-			w := heap.Pop(&f.way).(way)
-			r := f.routers[w.to]
-			if old, ok := r.copies[w.report.Router]; !ok || w.report.Seq > old.Seq {
-				r.copies[w.report.Router] = copied{w.report, r.clock(f.now)}
+		for len(f.inFlight) > 0 && f.inFlight[0].arrivesAt <= f.now {
+			message := heap.Pop(&f.inFlight).(messageInFlight)
+			router := f.routers[message.to]
+			if old, ok := router.received[message.report.Router]; !ok || message.report.Seq > old.Seq {
+				router.received[message.report.Router] = receivedReport{message.report, router.clock(f.now)}
 			}
 		}
-		f.taken = 0
-		for _, r := range f.routers {
-			if !r.paused {
-				f.ask(r)
+		f.admitted = 0
+		for _, router := range f.routers {
+			if !router.paused {
+				f.sendRequests(router)
 			}
 		}
-		f.load += 0.05 * (f.taken/(f.capacity*10/200) - f.load)
-		for i, r := range f.routers {
-			if !r.paused && f.now >= r.next {
-				r.next = f.now + simTick
-				f.tick(i, r)
+		f.load += 0.05 * (f.admitted/(f.capacity*10/200) - f.load)
+		for i, router := range f.routers {
+			if !router.paused && f.now >= router.nextTick {
+				router.nextTick = f.now + tickInterval
+				f.tick(i, router)
 			}
 		}
 	}
 }
 
 func (r *simulated) clock(now clock.Nanos) clock.Nanos {
-	return second + clock.Nanos(float64(now)*r.speed)
+	return second + clock.Nanos(float64(now)*r.clockRate)
 }
 
-// ask has a step's requests come to a router: an eighth premium, five eighths regular, a quarter background.
-func (f *fleet) ask(r *simulated) {
-	now := r.clock(f.now)
-	for n := f.asked * r.share * 10 / 200; n > 0; n-- {
-		if n < 1 && f.rng.Float64() > n {
+// sendRequests sends a router its requests of one step: an eighth premium, five eighths regular, a quarter background.
+func (f *fleet) sendRequests(router *simulated) {
+	now := router.clock(f.now)
+	for n := f.requested * router.share * 10 / 200; n > 0; n-- {
+		if n < 1 && f.random.Float64() > n {
 			break
 		}
-		account := f.rng.Uint64N(1000)
-		v := r.Admit(Request{Team: [8]int{0, 1, 1, 1, 1, 1, 2, 2}[account%8], Account: account, Group: 1, Share: 1}, now)
-		if v.Reason == Shed {
+		account := f.random.Uint64N(1000)
+		verdict := router.Admit(Request{Team: [8]int{0, 1, 1, 1, 1, 1, 2, 2}[account%8], Account: account, Group: 1, Share: 1}, now)
+		if verdict.Reason == Shed {
 			continue
 		}
-		f.taken++
-		r.RequestStarted(1, now, 100*ms)
-		share := 0.1
+		f.admitted++
+		router.RequestStarted(1, now, 100*ms)
+		share := 0.1 // of the latency objective
 		if f.load > 0.9 {
 			share = 0.1 + 4*(f.load-0.9)
 		}
-		r.RequestEnded(1, v.PriorityClass, "", Outcome{ArrivedAt: now, Elapsed: clock.Nanos(share * 100e6), LatencyObjective: 100 * ms, Served: share < 1}, now)
+		router.RequestEnded(1, verdict.PriorityClass, "", Outcome{ArrivedAt: now, Elapsed: clock.Nanos(share * 100e6), LatencyObjective: 100 * ms, Served: share < 1}, now)
 	}
 }
 
-func (f *fleet) tick(i int, r *simulated) {
-	now := r.clock(f.now)
-	var heard []Report
-	for name, c := range r.copies {
-		if c.Age = now - c.at; c.Age > second {
-			delete(r.copies, name)
+func (f *fleet) tick(i int, router *simulated) {
+	now := router.clock(f.now)
+	var reports []Report
+	for name, latest := range router.received {
+		if latest.Age = now - latest.at; latest.Age > second {
+			delete(router.received, name)
 			continue
 		}
-		heard = append(heard, c.Report)
+		reports = append(reports, latest.Report)
 	}
-	for _, said := range r.Tick(now, Connectivity{Majority: true}, heard) {
-		for range min(simFan, len(f.routers)-1) {
-			if r.turn = (r.turn + 1) % len(f.routers); r.turn == i {
-				r.turn = (r.turn + 1) % len(f.routers)
+	for _, report := range router.Tick(now, Connectivity{Majority: true}, reports) {
+		for range min(fanout, len(f.routers)-1) {
+			if router.target = (router.target + 1) % len(f.routers); router.target == i {
+				router.target = (router.target + 1) % len(f.routers)
 			}
 			f.sent++
-			f.bytes += simBytes
-			if to := f.routers[r.turn]; f.rng.Float64() >= f.loss && !r.cut && !to.cut {
-				heap.Push(&f.way, way{f.now + ms + f.rng.Int64N(20*ms), r.turn, said})
+			f.bytes += bytesPerMessage
+			if to := f.routers[router.target]; f.random.Float64() >= f.lossRate && !router.isolated && !to.isolated {
+				heap.Push(&f.inFlight, messageInFlight{f.now + ms + f.random.Int64N(20*ms), router.target, report})
 			}
 		}
 	}
 }
 
-// spread is how far apart the levels of all are, the least of them, and by how many epochs they differ.
-func (f *fleet) spread() (apart, least int, epochs uint64) {
-	most, first, last := 0, uint64(1<<62), uint64(0)
-	least = 1 << 30
-	for _, r := range f.routers {
-		if r.paused || r.cut {
+// spread returns the difference between the highest and the lowest threshold of the connected routers, the lowest
+// threshold, and the difference between their salt epochs.
+func (f *fleet) spread() (difference, lowest int, epochs uint64) {
+	highest, firstEpoch, lastEpoch := 0, uint64(1<<62), uint64(0)
+	lowest = 1 << 30
+	for _, router := range f.routers {
+		if router.paused || router.isolated {
 			continue
 		}
-		level := r.group(1, 0).threshold
-		most, least = max(most, level), min(least, level)
-		first, last = min(first, r.saltEpoch), max(last, r.saltEpoch)
+		threshold := router.group(1, 0).threshold
+		highest, lowest = max(highest, threshold), min(lowest, threshold)
+		firstEpoch, lastEpoch = min(firstEpoch, router.saltEpoch), max(lastEpoch, router.saltEpoch)
 	}
-	return most - least, least, last - first
+	return highest - lowest, lowest, lastEpoch - firstEpoch
 }
 
-// A surge, in fleets of ten to a thousand: how soon all have one level, how long it takes to shed enough and to release all,
-// and what each sends: neither grows with the fleet.
-func TestSizes(t *testing.T) {
+// A surge of requests in fleets of ten to a thousand routers: the thresholds converge, enough is shed, all is released
+// after the surge, and neither these times nor the messages per member grow with the fleet.
+func TestFleetSizes(t *testing.T) {
 	perMember := map[int]float64{}
 	for _, n := range []int{10, 100, 1000} {
 		f := newFleet(t, n, 1)
 		f.run(second)
-		if _, level, _ := f.spread(); level != 0 || f.sent > 0 {
-			t.Fatalf("%d routers in calm: level %d, %d messages", n, level, f.sent)
+		if _, threshold, _ := f.spread(); threshold != 0 || f.sent > 0 {
+			t.Fatalf("%d routers without overload: threshold %d, %d messages", n, threshold, f.sent)
 		}
-		f.asked *= 2.2
-		agreed, began := clock.Nanos(-1), f.now
-		for f.now < began+2*second {
+		f.requested *= 2.2
+		convergedAfter, surgeAt := clock.Nanos(-1), f.now
+		for f.now < surgeAt+2*second {
 			f.run(100 * ms)
-			if apart, least, _ := f.spread(); least == 0 || apart > Positions/8 {
-				agreed = -1
-			} else if agreed < 0 {
-				agreed = f.now - began
+			if difference, lowest, _ := f.spread(); lowest == 0 || difference > Positions/8 {
+				convergedAfter = -1
+			} else if convergedAfter < 0 {
+				convergedAfter = f.now - surgeAt
 			}
 		}
-		if _, level, _ := f.spread(); f.load > 1 || level > f.routers[0].order.firstRank[0] {
-			t.Errorf("%d routers: load %.2f, level %d after the first seconds", n, f.load, level)
+		if _, threshold, _ := f.spread(); f.load > 1 || threshold > f.routers[0].order.firstRank[0] {
+			t.Errorf("%d routers: load %.2f, threshold %d after the first 2 s of the surge", n, f.load, threshold)
 		}
 		perMember[n] = float64(f.sent) / float64(n) / 2
-		f.asked /= 2.2
-		surge := f.now
-		for _, level, _ := f.spread(); level > 0 && f.now < surge+10*second; _, level, _ = f.spread() {
+		f.requested /= 2.2
+		surgeEnd := f.now
+		for _, threshold, _ := f.spread(); threshold > 0 && f.now < surgeEnd+10*second; _, threshold, _ = f.spread() {
 			f.run(100 * ms)
 		}
-		t.Logf("%d routers: one level after %d ms, all released %d ms after the surge, %.0f messages of %d bytes a member and second", n, agreed/ms, (f.now-surge)/ms, perMember[n], simBytes)
-		if agreed < 0 || agreed > 2*second || f.now-surge > 5*second || perMember[n] > 5*simFan {
-			t.Errorf("%d routers: agreed after %d ms, released after %d ms, %.0f messages", n, agreed/ms, (f.now-surge)/ms, perMember[n])
+		t.Logf("%d routers: thresholds converged after %d ms, all requests admitted %d ms after the surge, %.0f messages of %d bytes per member and second", n, convergedAfter/ms, (f.now-surgeEnd)/ms, perMember[n], bytesPerMessage)
+		if convergedAfter < 0 || convergedAfter > 2*second || f.now-surgeEnd > 5*second || perMember[n] > 5*fanout {
+			t.Errorf("%d routers: converged after %d ms, all requests admitted %d ms after the surge, %.0f messages per member and second", n, convergedAfter/ms, (f.now-surgeEnd)/ms, perMember[n])
 		}
 	}
 	if perMember[1000] > 1.1*perMember[100] {
-		t.Errorf("messages grow with the fleet: %v", perMember)
+		t.Errorf("messages per member grow with the fleet: %v", perMember)
 	}
 }
 
-// Faults in the middle of a surge: whoever can't know what the others want keeps its level or rises, the salt is one again
-// soon after each turn under clocks 2% apart, and all have one level again once they can hear each other.
+// Faults during a surge: a router that can't know the other routers' thresholds keeps its own or raises it, all routers
+// use the same salt again soon after each rotation although their clocks differ by 2%, and the thresholds converge once
+// the routers are connected again.
 func TestFaults(t *testing.T) {
 	f := newFleet(t, 7, 2)
-	for _, r := range f.routers {
-		r.settings.SaltPeriod = 3 * second
+	for _, router := range f.routers {
+		router.settings.SaltPeriod = 3 * second
 	}
-	f.capacity, f.asked, f.loss = 700, 1200, 0.3
-	for i, r := range f.routers { // most of it comes to three
-		r.share = [7]float64{0.55, 0.15, 0.15, 0.05, 0.05, 0.05, 0}[i]
+	f.capacity, f.requested, f.lossRate = 700, 1200, 0.3
+	for i, router := range f.routers { // three routers get most of the requests
+		router.share = [7]float64{0.55, 0.15, 0.15, 0.05, 0.05, 0.05, 0}[i]
 	}
 	f.run(2 * second)
-	if apart, least, _ := f.spread(); least == 0 || apart > Positions/8 {
-		t.Fatalf("level %d, %d apart", least, apart)
+	if difference, lowest, _ := f.spread(); lowest == 0 || difference > Positions/8 {
+		t.Fatalf("during the surge the lowest threshold is %d, the difference %d", lowest, difference)
 	}
-	f.routers[1].paused, f.routers[2].cut = true, true
-	held := f.routers[2].groups[1].threshold
-	differ := clock.Nanos(0)
+	f.routers[1].paused, f.routers[2].isolated = true, true
+	previous := f.routers[2].groups[1].threshold
+	twoSalts := clock.Nanos(0)
 	for range 500 {
 		f.run(10 * ms)
 		if _, _, epochs := f.spread(); epochs > 0 {
-			differ += 10 * ms
+			twoSalts += 10 * ms
 		}
-		if level := f.routers[2].groups[1].threshold; level < held && f.now > 3*second+100*ms { // its evidence was fresh for a second
-			t.Fatalf("the level of the one that is cut off fell from %d to %d", held, level)
+		// During the first second of the partition the reports that the router has received are still fresh.
+		if threshold := f.routers[2].groups[1].threshold; threshold < previous && f.now > 3*second+100*ms {
+			t.Fatalf("the threshold of the isolated router fell from %d to %d", previous, threshold)
 		} else {
-			held = level
+			previous = threshold
 		}
 	}
-	if e := f.routers[0].SaltEpoch(); e < 2 || differ > 600*ms {
-		t.Errorf("epoch %d, %d ms of 5 s with two salts", e, differ/ms)
+	if epoch := f.routers[0].SaltEpoch(); epoch < 2 || twoSalts > 600*ms {
+		t.Errorf("salt epoch is %d; routers used two salts for %d ms of 5 s", epoch, twoSalts/ms)
 	}
 	before := f.routers[1].groups[1].threshold
-	f.routers[1].paused, f.routers[1].next, f.routers[2].cut = false, 0, false
+	f.routers[1].paused, f.routers[1].nextTick, f.routers[2].isolated = false, 0, false
 	f.tick(1, f.routers[1])
-	if level := f.routers[1].groups[1].threshold; level < before {
-		t.Errorf("one that was stopped wakes up and goes from %d to %d by what it knew", before, level)
+	if threshold := f.routers[1].groups[1].threshold; threshold < before {
+		t.Errorf("the threshold of a resumed router fell from %d to %d because of outdated reports", before, threshold)
 	}
 	f.run(1500 * ms)
-	if apart, least, epochs := f.spread(); least == 0 || apart > Positions/8 || epochs > 0 {
-		t.Errorf("afterwards: level %d, %d apart, %d epochs", least, apart, epochs)
+	if difference, lowest, epochs := f.spread(); lowest == 0 || difference > Positions/8 || epochs > 0 {
+		t.Errorf("after the faults the lowest threshold is %d, the difference %d, and %d salt epochs apart", lowest, difference, epochs)
 	}
-	f.routers[0].cut = true // it goes alone in the end, and serves as without the others
-	f.asked = 100
+	f.routers[0].isolated = true // after IsolationTimeout it decides alone, and admits all requests again
+	f.requested = 100
 	f.run(2 * second)
 	if f.routers[0].groups[1].threshold == 0 {
-		t.Error("the level of one that is cut off fell at once")
+		t.Error("the threshold of an isolated router fell before IsolationTimeout")
 	}
 	f.run(f.routers[0].settings.IsolationTimeout + 5*second)
-	if g := f.routers[0].groups[1]; g.threshold != 0 || !g.isolated && g.quorumAt == 0 {
-		t.Errorf("%+v", g)
+	if group := f.routers[0].groups[1]; group.threshold != 0 || !group.isolated && group.quorumAt == 0 {
+		t.Errorf("after IsolationTimeout the isolated router still sheds: %+v", group)
 	}
 }
