--- a/policy/pure_test.go
+++ b/policy/pure_test.go
@@ -1,4 +1,4 @@
-// Package policy holds the decisions, one package each.
+// Package policy contains the decision packages as subdirectories.
 package policy
 
 import (
@@ -11,13 +11,12 @@
 	"testing"
 )
 
-// Decisions get events and the time passed in. A package that could open a
-// socket or a file, or read a clock by itself, would not be one; net/netip only
-// names addresses.
+// Decision packages are pure: their callers pass events and the time in. So they must not import packages that open
+// sockets or files, or read a clock. net/netip is allowed, as it only represents addresses.
 func TestDecisionsArePure(t *testing.T) {
 	var dirs []string
-	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
-		if err == nil && d.IsDir() && path != "." {
+	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && entry.IsDir() && path != "." {
 			dirs = append(dirs, path)
 		}
 		return err
@@ -27,25 +26,25 @@
 	}
 	checked := 0
 	for _, dir := range dirs {
-		p, err := build.ImportDir(dir, 0)
+		pkg, err := build.ImportDir(dir, 0)
 		if err != nil {
 			t.Fatalf("%s: %v", dir, err)
 		}
 		checked++
-		for _, name := range p.Imports {
-			if pure(name) {
+		for _, name := range pkg.Imports {
+			if isPure(name) {
 				continue
 			}
-			t.Errorf("%s imports %s", dir, name)
+			t.Errorf("%s imports %s, which decision packages must not import", dir, name)
 		}
 	}
 	if checked < 2 {
-		t.Errorf("only %d packages were looked at", checked)
+		t.Errorf("only %d packages were checked, at least 2 expected", checked)
 	}
 	if _, err := exec.LookPath("go"); err != nil {
 		return
 	}
-	// No way round it through another package of ours.
+	// Indirect imports through other packages of this module must not bypass the check.
 	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}}: {{join .Deps \" \"}}", "./...").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -54,14 +53,14 @@
 		from, deps, _ := strings.Cut(line, ":")
 		for dep := range strings.FieldsSeq(deps) {
 			if strings.HasPrefix(dep, "lotushook/") && !strings.HasPrefix(dep, "lotushook/policy/") {
-				t.Errorf("%s depends on %s", from, dep)
+				t.Errorf("%s depends on %s, which is not a decision package", from, dep)
 			}
 		}
 	}
 }
 
-// pure says whether a decision may import a package.
-func pure(name string) bool {
-	barred := []string{"time", "os", "net", "syscall", "log", "log/slog", "io", "bufio", "sync", "sync/atomic", "context", "crypto/rand", "unsafe", "runtime"}
-	return !slices.Contains(barred, name) && (name == "net/netip" || !slices.ContainsFunc(barred, func(b string) bool { return strings.HasPrefix(name, b+"/") }))
+// isPure reports whether a decision package may import a package.
+func isPure(name string) bool {
+	forbidden := []string{"time", "os", "net", "syscall", "log", "log/slog", "io", "bufio", "sync", "sync/atomic", "context", "crypto/rand", "unsafe", "runtime"}
+	return !slices.Contains(forbidden, name) && (name == "net/netip" || !slices.ContainsFunc(forbidden, func(parent string) bool { return strings.HasPrefix(name, parent+"/") }))
 }
