--- a/policy/quotalease/lease.go
+++ b/policy/quotalease/lease.go
@@ -32,7 +32,7 @@
 	RouterNames   []string // all routers of the installation, including this one; the same on all routers
 	Self          string
 	Term          clock.Nanos // how long a vote is valid
-	IsolatedShare float64     // 0 to 1: part of its even share that a router uses while possibly excluded; 1: fixed shares
+	IsolatedShare float64     // 0 to 1: part of its even share that a possibly excluded router uses; 1: fixed shares
 }
 
 // Vote is a router's promise to the router whose probe it answers.
--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -208,7 +208,7 @@
 	return w
 }
 
-// explore visits worlds breadth first, up to a number of states. It returns how many states and levels it visited, and
+// explore visits worlds breadth first, up to a number of states. It returns the number of states, the depth, and
 // the shortest path to a violation.
 func explore(w *world, maxStates int) (states, depth int, fault string) {
 	seen, frontier := map[uint64]bool{w.hash(): true}, []*world{w}
--- a/policy/shedding/pressure.go
+++ b/policy/shedding/pressure.go
@@ -13,8 +13,8 @@
 	minShedStep          = 0.02
 	initialReleaseStep   = 0.04 // like maxShedStep; small, or all shed requests return together
 	releaseStepIncrement = 0.01 // for each consecutive step
-	maxReleaseStep       = 0.15 // allowed while the admitted requests would stay below releaseHeadroom
-	releaseHeadroom      = 0.9  // share of what was served during the overload
+	maxReleaseStep       = 0.15 // like maxShedStep; used below releaseHeadroom
+	releaseHeadroom      = 0.9  // share of the capacity below which steps may be as large as maxReleaseStep
 	minCalmEvaluations   = 2    // evaluations below LowPressure before the threshold falls
 	maxReleaseRanks      = Positions / 4
 )
--- a/policy/zone/zone.go
+++ b/policy/zone/zone.go
@@ -14,7 +14,7 @@
 
 // Settings are the thresholds.
 type Settings struct {
-	MinSize    int         // endpoints with unanswered requests, and none with an answer, that make an outage
+	MinSize    int         // number of endpoints with unanswered requests, and none with an answer, that is an outage
 	Backoff    clock.Nanos // from the start of an outage to the first probe
 	MaxBackoff clock.Nanos // limit of the backoff, which doubles with each failed probe
 }
