--- a/policy/balance/balance_test.go
+++ b/policy/balance/balance_test.go
@@ -629,7 +629,7 @@
 	for range 50 {
 		router.now += 2500 * ms
 		router.step()
-		if router.lb.quotas.Over(router.now, 0, router.lb.slowStart.Routers()) {
+		if router.lb.quotas.Exceeds(router.now, 0, router.lb.slowStart.RouterCount()) {
 			over++
 		}
 	}
@@ -653,7 +653,7 @@
 		router.step()
 		within := 0
 		for range 100 {
-			if !router.lb.quotas.Over(router.now, 0, router.lb.slowStart.Routers()) {
+			if !router.lb.quotas.Exceeds(router.now, 0, router.lb.slowStart.RouterCount()) {
 				within++
 			}
 		}
@@ -728,7 +728,7 @@
 			}
 			router.step(Event{Kind: TimerFired})
 		}
-		return router.lb.slowStart.Part()
+		return router.lb.slowStart.WorkRate()
 	}
 	if noneEjected, mostEjected := budgetShare(0), budgetShare(6); mostEjected > noneEjected*1.01 {
 		t.Errorf("share %.4f with six of eight endpoints ejected, %.4f with none", mostEjected, noneEjected)
--- a/policy/balance/balancer.go
+++ b/policy/balance/balancer.go
@@ -52,7 +52,7 @@
 	settings.Classes, settings.Tenants = slices.Clone(settings.Classes), slices.Clone(settings.Tenants)
 	objectives, deadlines := settings.classTimes()
 	unit, random := slices.Min(objectives), seeded.New(seed)
-	zones, err := zone.New(zone.Settings{Servers: minSilent, Backoff: unit, MaxBackoff: maxZoneBackoff * unit})
+	zones, err := zone.New(zone.Settings{MinSize: minSilent, Backoff: unit, MaxBackoff: maxZoneBackoff * unit})
 	lb := &Balancer{
 		settings:        settings,
 		random:          random,
@@ -63,7 +63,7 @@
 		slowStart:       slowstart.New(settings.slowStart(), settings.Routers, random),
 		zones:           zones,
 		quotas:          quota.New(settings.tenantQuotas()),
-		outlierSettings: outlier.Settings{Unit: unit, HighLoad: overloadShare},
+		outlierSettings: outlier.Settings{BaseDelay: unit, HighLoad: overloadShare},
 		minObjective:    unit, maxDeadline: slices.Max(deadlines),
 	}
 	for queueIndex := range queuesPerClass * len(settings.Classes) {
@@ -104,7 +104,7 @@
 		for _, ep := range group.endpoints {
 			lb.checkSilence(ep)
 			lost := lb.inZoneOutage(ep) && ep.state == Ready
-			if lost && lb.random.Draw() < zoneProbeChance && lb.zones.TryNow(ep.zone, lb.now) {
+			if lost && lb.random.Draw() < zoneProbeChance && lb.zones.StartProbe(ep.zone, lb.now) {
 				lb.probe(ep) // not a canary request, as a read could be lost
 			}
 		}
--- a/policy/balance/concurrency.go
+++ b/policy/balance/concurrency.go
@@ -24,7 +24,7 @@
 
 // minLimitOf is this router's share of the endpoint's cores: a lower limit would leave cores idle.
 func (lb *Balancer) minLimitOf(ep *endpoint) float64 {
-	return max(minLimit, ep.weight/lb.slowStart.Routers())
+	return max(minLimit, ep.weight/lb.slowStart.RouterCount())
 }
 
 // allowed returns the endpoint if it is usable and its limits permit one more attempt, else nil.
--- a/policy/balance/endpoint.go
+++ b/policy/balance/endpoint.go
@@ -96,7 +96,7 @@
 }
 
 func (lb *Balancer) addEndpoint(listed *Endpoint) *endpoint {
-	limit := max(minLimit, initialLimit/lb.slowStart.Routers())
+	limit := max(minLimit, initialLimit/lb.slowStart.RouterCount())
 	health := outlier.New(&lb.outlierSettings, initialLoad)
 	ep := &endpoint{id: listed.ID, group: lb.group(listed.Group), limit: limit, health: health,
 		answeredAt: lb.now}
--- a/policy/balance/health.go
+++ b/policy/balance/health.go
@@ -52,7 +52,7 @@
 	lb.classes.Answered(class, elapsed)
 	lb.slowStart.Answered(work)
 	if ep != ep.group.primary && elapsed > float64(lb.minObjective)/2 && event.Position > 0 {
-		lb.classes.Lagged(class, float64(lb.now-event.Position)/elapsed)
+		lb.classes.AddReplicaLag(class, float64(lb.now-event.Position)/elapsed)
 	}
 	ep.health.AddSuccess()
 	lb.lostShare -= lostShareWeight * lb.lostShare
@@ -67,7 +67,7 @@
 
 func (lb *Balancer) recordZoneSilence(attempt *attempt) {
 	if lb.settings.ProbesAllowed {
-		lb.zones.Silent(attempt.endpoint.zone, uint32(attempt.endpoint.id), attempt.sentAt, lb.now)
+		lb.zones.Unanswered(attempt.endpoint.zone, uint32(attempt.endpoint.id), attempt.sentAt, lb.now)
 	}
 }
 
@@ -113,7 +113,7 @@
 		normal := max(lb.classes.Work(class), min(ep.health.Load(), 1)*lb.classes.Patience(class))
 		ages += float64(lb.now-max(ep.answeredAt, attempt.sentAt)) / normal
 	}
-	if outlier.TooSilent(ages) {
+	if outlier.UnansweredTooLong(ages) {
 		lb.eject(ep, "silent")
 	}
 }
--- a/policy/balance/queue.go
+++ b/policy/balance/queue.go
@@ -45,7 +45,7 @@
 	req := lb.addRequest(event)
 	// Departure: many routers with one attempt each can fill an endpoint, so that limits can't stop an overload.
 	// Therefore the excess is rejected at once, and its clients may retry.
-	if lb.slowStart.Routers()*minLimit > initialLimit && lb.groupOverloaded(req.group) {
+	if lb.slowStart.RouterCount()*minLimit > initialLimit && lb.groupOverloaded(req.group) {
 		lb.endUnserved(req, ReasonGroupOverloaded)
 	} else {
 		lb.enqueue(req)
@@ -59,7 +59,7 @@
 		objective: lb.now + clock.Nanos(lb.classes.Patience(event.Class)), deadline: event.Deadline}
 	class := lb.classOf(req)
 	req.workload = lb.slowStart.Requested(lb.now, &req.group.demand, class.kind(), lb.classes.Work(req.class))
-	if lb.quotas.Over(lb.now, event.Tenant, lb.slowStart.Routers()) || event.OverQuota {
+	if lb.quotas.Exceeds(lb.now, event.Tenant, lb.slowStart.RouterCount()) || event.OverQuota {
 		req.queueIndex++
 	}
 	if class.Consistency == ReadYourWrites {
--- a/policy/balance/rules_test.go
+++ b/policy/balance/rules_test.go
@@ -440,7 +440,7 @@
 		}
 	}
 	capacityShare := history.settings.ColdCapacity + (1-history.settings.ColdCapacity)*float64(uptime)/float64(history.settings.WarmUpTime)
-	routerShare := history.lb.slowStart.Part() * cmp.Or(target.Weight, 1)
+	routerShare := history.lb.slowStart.WorkRate() * cmp.Or(target.Weight, 1)
 	if allowed := history.settings.OverloadMultiple * capacityShare * routerShare * float64(history.settings.OverloadWindow); total-3*work > allowed {
 		history.failf("cold endpoint %d is over its budget: %.0f of %.0f", target.ID, total, allowed)
 	}
--- a/policy/balance/selection.go
+++ b/policy/balance/selection.go
@@ -35,7 +35,7 @@
 	switch {
 	case consistency == FreshRead:
 		return primary
-	case consistency == AnyReplica && lb.classes.Blocks(req.class):
+	case consistency == AnyReplica && lb.classes.BlocksReplication(req.class):
 		return cmp.Or(lb.selectForBlocking(group, req, primary), lb.selectReplica(group, req))
 	}
 	return lb.selectReplica(group, req)
--- a/policy/membership/detector.go
+++ b/policy/membership/detector.go
@@ -78,7 +78,7 @@
 	detector := &Detector{settings: settings, now: now, rng: seed, startedAt: now, nextProbeAt: now, peers: map[string]*peerState{}, relays: map[uint32]relayedProbe{},
 		self: Update{Name: settings.Name, Address: settings.Address, Epoch: settings.Epoch, State: Alive}, majorityChangedAt: now}
 	if settings.AllowedNames != nil {
-		lease, err := quotalease.New(quotalease.Settings{Names: settings.AllowedNames, Self: settings.Name, Term: settings.Term(), IsolatedShare: settings.IsolatedShare}, now)
+		lease, err := quotalease.New(quotalease.Settings{RouterNames: settings.AllowedNames, Self: settings.Name, Term: settings.Term(), IsolatedShare: settings.IsolatedShare}, now)
 		if err != nil {
 			return nil, err
 		}
--- a/policy/membership/detector_test.go
+++ b/policy/membership/detector_test.go
@@ -169,10 +169,10 @@
 		if sim.now >= node.resumesAt {
 			node.quota = node.View().Quota
 		}
-		if sim.time(node) < node.quota.Until {
+		if sim.time(node) < node.quota.ValidUntil {
 			sum += node.quota.Share
 		} else {
-			sum += node.quota.Min
+			sum += node.quota.MinShare
 		}
 	}
 	if sim.maxShareSum = max(sim.maxShareSum, sum); sum > 1+1e-9 {
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -16,7 +16,7 @@
 		view.Members = append(view.Members, peer.Member)
 	}
 	slices.SortFunc(view.Members, func(left, right Member) int { return cmp.Compare(left.Name, right.Name) })
-	if view.Quota = (quotalease.Quota{Share: 1 / float64(d.settings.Configured), Min: 1 / float64(d.settings.Configured), Until: d.now}); d.quotaLease != nil {
+	if view.Quota = (quotalease.Quota{Share: 1 / float64(d.settings.Configured), MinShare: 1 / float64(d.settings.Configured), ValidUntil: d.now}); d.quotaLease != nil {
 		view.Quota = d.quotaLease.Quota(d.now, d.isRemoved)
 	}
 	return view
