--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -88,12 +88,12 @@
 		c.Caught, c.Fed, c.Broadcast = t.Caught, t.Fed, t.BroadcastCounts
 	}
 	s.Each(func(store *crdt.Store, _ int64) {
-		for k := crdt.SessionCommit; k <= crdt.Last; k++ {
+		for k := crdt.SessionCommit; k <= crdt.LastKind; k++ {
 			c.Size[k.String()] += store.Size(k)
 			c.Digest[k.String()] += store.Digest(k)
 		}
 		c.Refused += store.Rejected()
-		c.Withheld += store.Withheld()
+		c.Withheld += store.WithheldClaims()
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -123,7 +123,7 @@
 		names[i], address[m.Name] = m.Name, m.Address
 	}
 	for _, t := range s.broadcaster.Deliveries(now, names) {
-		out := &push{Number: t.Number, Pass: t.Pass}
+		out := &push{Number: t.BatchNumber, Pass: t.AwaitedCount}
 		for i := range t.Entries {
 			out.Entries = append(out.Entries, wire(&t.Entries[i]))
 		}
@@ -157,7 +157,7 @@
 		list = append(list, crdt.PeerInZone{Name: n, Zone: p.opt.Zones[n]})
 	}
 	s.turn++
-	of, _ := crdt.Choose(list, p.opt.Zones[p.opt.Member.Name], !s.caught, s.tries, s.turn)
+	of, _ := crdt.ChoosePeer(list, p.opt.Zones[p.opt.Member.Name], !s.caught, s.tries, s.turn)
 	if address[s.of] != "" { // the same one goes on serving; if it falls silent another is asked, and goes on from there
 		of.Name = s.of
 	}
@@ -165,14 +165,14 @@
 	places := map[crdt.Origin]int{}
 	for room := wantBytes; len(w.Digests) < pieces; {
 		st.at((s.first+len(w.Digests))%pieces, func(store *crdt.Store, _ int64) {
-			w.Digests = append(w.Digests, store.Sum())
+			w.Digests = append(w.Digests, store.TotalDigest())
 			v := make([]uint64, len(w.Origins))
 			for o, upto := range store.VersionVector() {
 				at, ok := places[o]
 				if !ok {
 					at = len(w.Origins)
 					places[o] = at
-					w.Origins = append(w.Origins, origin{Name: o.Name, Boot: o.Boot})
+					w.Origins = append(w.Origins, origin{Name: o.Name, Boot: o.Epoch})
 					room -= 12 + len(o.Name)
 				}
 				for len(v) <= at {
@@ -206,7 +206,7 @@
 		p.takePush(now, e)
 	}
 	for _, a := range in.Acks {
-		p.opt.State.ended(s.broadcaster.Acked(e.From, a.Number, a.Lacks))
+		p.opt.State.ended(s.broadcaster.Acknowledge(e.From, a.Number, a.Lacks))
 	}
 	if in.Want != nil {
 		p.postState(e.Address, &state{Feed: p.answerState(now, e.From, in.Want)})
@@ -258,13 +258,13 @@
 	for k := range w.Digests {
 		i := (w.First + k) % pieces
 		st.at(i, func(store *crdt.Store, now int64) {
-			if store.Sum() == w.Digests[k] {
+			if store.TotalDigest() == w.Digests[k] {
 				return
 			}
 			v := crdt.VersionVector{}
 			for j, o := range w.Origins {
 				if w.Upto[k][j] > 0 {
-					v[crdt.Origin{Name: o.Name, Boot: o.Boot}] = w.Upto[k][j]
+					v[crdt.Origin{Name: o.Name, Epoch: o.Boot}] = w.Upto[k][j]
 				}
 			}
 			for _, r := range store.Since(now, v, room-gave) {
@@ -277,7 +277,7 @@
 					gave += r.Entries[j].Size()
 					out.Sum += r.Entries[j].Hash()
 				}
-				out.More = out.More || r.Span.IsPiece()
+				out.More = out.More || r.Span.IsPartial()
 				out.Runs = append(out.Runs, wireRun(i, &r))
 			}
 			if gave+runBytes+maxEntryBytes > room {
--- a/policy/crdt/broadcaster.go
+++ b/policy/crdt/broadcaster.go
@@ -8,247 +8,272 @@
 	"lotushook/policy/clock"
 )
 
-// BroadcasterSettings bound how much is sent to whom and how often.
+// BroadcasterSettings limit how much is sent, to how many members and how often.
 type BroadcasterSettings struct {
-	Bytes   int         // of entries in one batch
-	Every   clock.Nanos // between batches, at least
-	Soon    clock.Nanos // the same while an acknowledgement is awaited
-	Members int         // recipients of a batch, in turn where there are more
-	Pass    int         // recipients to which an entry is forwarded that another router's write waits for
-	First   clock.Nanos // until a batch without acknowledgement is sent again; each time twice as long
-	Longest clock.Nanos // the maximum of it
-	Tries   int         // how often it is sent; then the recipients fetch it
-	Queue   int         // entries that wait for a batch; beyond it the latest of the least important kind is dropped
-	Batches int         // batches without acknowledgement; beyond it the oldest is dropped
-}
-
-// DefaultBroadcasterSettings are settings for a router.
+	// Maximum size of the entries in one batch.
+	MaxBatchBytes int
+	// Minimum time between two new batches.
+	MinBatchInterval clock.Nanos
+	// Minimum time between two new batches while the oldest queued entry awaits an acknowledgement.
+	MinAwaitedBatchInterval clock.Nanos
+	// Maximum number of members that receive one batch; larger clusters are served in rotation.
+	MaxRecipients int
+	// Maximum number of members to which a router forwards an awaited entry that it received from another member.
+	MaxForwardRecipients int
+	// Delay before a batch without acknowledgement is retried; doubles with each retry.
+	InitialRetryDelay clock.Nanos
+	// Maximum of the retry delay.
+	MaxRetryDelay clock.Nanos
+	// Maximum number of times that a batch is sent to a member; after that the member has to fetch the entries.
+	MaxAttempts int
+	// Maximum number of entries waiting for a batch; when exceeded, the latest entry of the least urgent kind is
+	// dropped.
+	MaxQueuedEntries int
+	// Maximum number of batches with outstanding acknowledgements; when exceeded, the oldest batch is dropped.
+	MaxOpenBatches int
+}
+
+// DefaultBroadcasterSettings returns the default settings of a router.
 func DefaultBroadcasterSettings() BroadcasterSettings {
 	const ms = 1e6
-	return BroadcasterSettings{Bytes: 900, Every: 5 * ms, Soon: ms / 2, Members: 16, Pass: 3, First: 10 * ms, Longest: 160 * ms, Tries: 8, Queue: 1024, Batches: 256}
+	return BroadcasterSettings{MaxBatchBytes: 900, MinBatchInterval: 5 * ms, MinAwaitedBatchInterval: ms / 2,
+		MaxRecipients: 16, MaxForwardRecipients: 3, InitialRetryDelay: 10 * ms, MaxRetryDelay: 160 * ms,
+		MaxAttempts: 8, MaxQueuedEntries: 1024, MaxOpenBatches: 256}
 }
 
-func (s *BroadcasterSettings) check() error {
-	if s.Bytes < 1 || s.Every < 0 || s.Soon < 0 || s.Members < 1 || s.Pass < 0 || s.First <= 0 || s.Longest < s.First || s.Tries < 1 || s.Queue < 1 || s.Batches < 1 {
-		return errors.New("broadcast: Bytes, Members, First, Tries, Queue and Batches are above 0, Longest at least First, the others not negative")
+func (settings *BroadcasterSettings) validate() error {
+	if settings.MaxBatchBytes < 1 || settings.MinBatchInterval < 0 || settings.MinAwaitedBatchInterval < 0 ||
+		settings.MaxRecipients < 1 || settings.MaxForwardRecipients < 0 || settings.InitialRetryDelay <= 0 ||
+		settings.MaxRetryDelay < settings.InitialRetryDelay || settings.MaxAttempts < 1 ||
+		settings.MaxQueuedEntries < 1 || settings.MaxOpenBatches < 1 {
+		return errors.New("broadcaster settings: MaxBatchBytes, MaxRecipients, InitialRetryDelay, MaxAttempts, MaxQueuedEntries and MaxOpenBatches must be above 0, MaxRetryDelay at least InitialRetryDelay, and the others not negative")
 	}
 	return nil
 }
 
-// Delivery is a batch for a member. Its outcome is reported by its number.
+// Delivery is a batch addressed to one member. Its outcome is reported by its batch number.
 type Delivery struct {
-	To      string
-	Number  uint64
-	Pass    int // so many of the first entries are awaited: a recipient that did not have one forwards it
-	Entries []Entry
+	To          string
+	BatchNumber uint64
+	// Number of leading entries whose first acknowledgement is awaited; a recipient to which one is new forwards it.
+	AwaitedCount int
+	Entries      []Entry
 }
 
 // BroadcastCounts counts the outcomes of entries and batches since the start.
 type BroadcastCounts struct {
 	Batches uint64 `json:"batches"`
-	Again   uint64 `json:"again"`   // repeated sends of a batch to a member
-	Left    uint64 `json:"left"`    // batches that some member did not acknowledge in the end: it will fetch them
-	Dropped uint64 `json:"dropped"` // entries for which the queue had no room: members that lack them fetch them
+	// Repeated sends of a batch to a member.
+	Retries uint64 `json:"again"`
+	// Batches that at least one member never acknowledged; that member has to fetch the entries.
+	Unacknowledged uint64 `json:"left"`
+	// Entries dropped because the queue was full; members that lack them have to fetch them.
+	Dropped uint64 `json:"dropped"`
 }
 
 // Broadcaster sends new entries to members until each has acknowledged them. It is not safe for concurrent use.
 //
-// An acknowledgement says that its sender holds the entries, or ones that supersede them. The first one for an awaited
-// entry ends the wait: two routers have it then, and a third gets it until it acknowledges it too.
+// An acknowledgement means that the acknowledging member holds the entries, or entries that supersede them. The first
+// acknowledgement of an awaited entry ends the wait, because two routers then hold the entry. Sending to the other
+// recipients continues until they acknowledge it too.
 type Broadcaster struct {
-	set    BroadcasterSettings
-	queue  []queued
-	open   []*batch // in order of their numbers
-	number uint64
-	last   clock.Nanos // when the last new batch was made
-	turn   int
-	counts BroadcastCounts
+	settings    BroadcasterSettings
+	queue       []queuedEntry
+	open        []*batch // batches with outstanding acknowledgements, ordered by number
+	lastNumber  uint64
+	lastBatchAt clock.Nanos // when the last new batch was built
+	rotation    int
+	counts      BroadcastCounts
 }
 
-type queued struct {
+type queuedEntry struct {
 	Entry
-	at   clock.Nanos
-	wait uint64
-	not  string // its sender; "": it was learned here
+	queuedAt   clock.Nanos
+	waitNumber uint64
+	sender     string // the member that sent the entry; empty if this router learned it
 }
 
 type batch struct {
-	number uint64
-	list   []queued
-	pass   int
-	left   []string // members that have not acknowledged it
-	due    clock.Nanos
-	tries  int
+	number         uint64
+	entries        []queuedEntry
+	awaitedCount   int
+	unacknowledged []string // recipients that have not acknowledged the batch
+	retryAt        clock.Nanos
+	attempts       int
 }
 
-// NewBroadcaster returns a broadcaster with nothing to send.
-func NewBroadcaster(s BroadcasterSettings) (*Broadcaster, error) {
-	if err := s.check(); err != nil {
+// NewBroadcaster returns a broadcaster with an empty queue.
+func NewBroadcaster(settings BroadcasterSettings) (*Broadcaster, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &Broadcaster{set: s, last: -s.Every}, nil
+	return &Broadcaster{settings: settings, lastBatchAt: -settings.MinBatchInterval}, nil
 }
 
-// Add queues an entry that was learned here just now. wait is the number by which its first
-// acknowledgement is awaited; 0: it is not.
-func (t *Broadcaster) Add(now clock.Nanos, e Entry, wait uint64) {
-	t.add(queued{Entry: e, at: now, wait: wait})
+// Add queues an entry that this router has just learned. Acknowledge returns waitNumber at the first acknowledgement of
+// the entry; with waitNumber 0 no acknowledgement is awaited.
+func (bcast *Broadcaster) Add(now clock.Nanos, entry Entry, waitNumber uint64) {
+	bcast.enqueue(queuedEntry{Entry: entry, queuedAt: now, waitNumber: waitNumber})
 }
 
-// Forward queues an entry that a member sent to this router: its origin may fail before it has sent it to the others.
-func (t *Broadcaster) Forward(now clock.Nanos, e Entry, by string) {
-	t.add(queued{Entry: e, at: now, not: by})
+// Forward queues an entry received from a member, because the origin may fail before it has sent the entry to the other
+// members.
+func (bcast *Broadcaster) Forward(now clock.Nanos, entry Entry, sender string) {
+	bcast.enqueue(queuedEntry{Entry: entry, queuedAt: now, sender: sender})
 }
 
-func (t *Broadcaster) add(q queued) {
-	at, _ := slices.BinarySearchFunc(t.queue, q, func(x, y queued) int { return cmp.Or(x.order(&y), -1) })
-	t.queue = slices.Insert(t.queue, at, q)
-	if len(t.queue) > t.set.Queue {
-		t.queue = t.queue[:t.set.Queue]
-		t.counts.Dropped++
+func (bcast *Broadcaster) enqueue(added queuedEntry) {
+	index, _ := slices.BinarySearchFunc(bcast.queue, added, func(existing, target queuedEntry) int { return cmp.Or(existing.compareUrgency(&target), -1) })
+	bcast.queue = slices.Insert(bcast.queue, index, added)
+	if len(bcast.queue) > bcast.settings.MaxQueuedEntries {
+		bcast.queue = bcast.queue[:bcast.settings.MaxQueuedEntries]
+		bcast.counts.Dropped++
 	}
 }
 
-// order: awaited entries, then by kind; the earlier first.
-func (q *queued) order(r *queued) int {
-	class := func(q *queued) int {
+// compareUrgency orders awaited entries first, then forwarded entries, then the other entries by kind. Entries of equal
+// urgency keep their order of arrival.
+func (queued *queuedEntry) compareUrgency(other *queuedEntry) int {
+	urgency := func(queued *queuedEntry) int {
 		switch {
-		case q.wait != 0:
+		case queued.waitNumber != 0:
 			return 0
-		case q.not != "":
+		case queued.sender != "":
 			return 1
 		}
-		return 1 + int(q.Kind)
+		return 1 + int(queued.Kind)
 	}
-	return cmp.Compare(class(q), class(r))
+	return cmp.Compare(urgency(queued), urgency(other))
 }
 
-// Deliveries returns what to send now, and to whom; others are the members present, in a stable order. No acknowledgement is awaited
-// of a member that is not present.
-func (t *Broadcaster) Deliveries(now clock.Nanos, others []string) (out []Delivery) {
-	t.open = slices.DeleteFunc(t.open, func(b *batch) bool {
-		if now < b.due {
+// Deliveries returns the batches that are due, with their recipients. members lists the members that are present, in a
+// stable order. Acknowledgements from members that are no longer present are not awaited.
+func (bcast *Broadcaster) Deliveries(now clock.Nanos, members []string) (deliveries []Delivery) {
+	bcast.open = slices.DeleteFunc(bcast.open, func(batch *batch) bool {
+		if now < batch.retryAt {
 			return false
 		}
-		b.left = slices.DeleteFunc(b.left, func(m string) bool { return !slices.Contains(others, m) })
-		if len(b.left) == 0 {
+		batch.unacknowledged = slices.DeleteFunc(batch.unacknowledged, func(member string) bool { return !slices.Contains(members, member) })
+		if len(batch.unacknowledged) == 0 {
 			return true
 		}
-		if b.tries >= t.set.Tries {
-			t.counts.Left++
+		if batch.attempts >= bcast.settings.MaxAttempts {
+			bcast.counts.Unacknowledged++
 			return true
 		}
-		t.counts.Again += uint64(len(b.left))
-		out = append(out, t.broadcast(now, b)...)
+		bcast.counts.Retries += uint64(len(batch.unacknowledged))
+		deliveries = append(deliveries, bcast.send(now, batch)...)
 		return false
 	})
-	for len(t.queue) > 0 && len(others) > 0 {
-		pace := t.set.Every
-		if t.queue[0].wait != 0 {
-			pace = t.set.Soon
+	for len(bcast.queue) > 0 && len(members) > 0 {
+		interval := bcast.settings.MinBatchInterval
+		if bcast.queue[0].waitNumber != 0 {
+			interval = bcast.settings.MinAwaitedBatchInterval
 		}
-		if now-t.last < pace {
+		if now-bcast.lastBatchAt < interval {
 			break
 		}
-		b := t.batch(now, others)
-		if t.open = append(t.open, b); len(t.open) > t.set.Batches {
-			t.open = slices.Delete(t.open, 0, 1)
-			t.counts.Left++
+		batch := bcast.newBatch(now, members)
+		if bcast.open = append(bcast.open, batch); len(bcast.open) > bcast.settings.MaxOpenBatches {
+			bcast.open = slices.Delete(bcast.open, 0, 1)
+			bcast.counts.Unacknowledged++
 		}
-		out = append(out, t.broadcast(now, b)...)
+		deliveries = append(deliveries, bcast.send(now, batch)...)
 	}
-	return out
-}
-
-// batch takes from the queue what fits, from one source: learned here, or sent by one member.
-func (t *Broadcaster) batch(now clock.Nanos, others []string) *batch {
-	t.number++
-	t.counts.Batches++
-	t.last = now
-	b := &batch{number: t.number}
-	room, by := t.set.Bytes, t.queue[0].not
-	t.queue = slices.DeleteFunc(t.queue, func(q queued) bool {
-		size := q.Size()
-		if q.not != by || size > room && len(b.list) > 0 {
+	return deliveries
+}
+
+// newBatch removes from the queue as many entries as fit into one batch. All of them come from one source: either this
+// router or one other member.
+func (bcast *Broadcaster) newBatch(now clock.Nanos, members []string) *batch {
+	bcast.lastNumber++
+	bcast.counts.Batches++
+	bcast.lastBatchAt = now
+	batch := &batch{number: bcast.lastNumber}
+	remainingBytes, sender := bcast.settings.MaxBatchBytes, bcast.queue[0].sender
+	bcast.queue = slices.DeleteFunc(bcast.queue, func(queued queuedEntry) bool {
+		size := queued.Size()
+		if queued.sender != sender || size > remainingBytes && len(batch.entries) > 0 {
 			return false
 		}
-		room -= size
-		if q.wait != 0 {
-			b.pass++
+		remainingBytes -= size
+		if queued.waitNumber != 0 {
+			batch.awaitedCount++
 		}
-		b.list = append(b.list, q)
+		batch.entries = append(batch.entries, queued)
 		return true
 	})
-	most := t.set.Members
-	if by != "" {
-		most = t.set.Pass
+	maxRecipients := bcast.settings.MaxRecipients
+	if sender != "" {
+		maxRecipients = bcast.settings.MaxForwardRecipients
 	}
-	for range others {
-		t.turn = (t.turn + 1) % len(others)
-		if m := others[t.turn]; m != by && len(b.left) < most {
-			b.left = append(b.left, m)
+	for range members {
+		bcast.rotation = (bcast.rotation + 1) % len(members)
+		if member := members[bcast.rotation]; member != sender && len(batch.unacknowledged) < maxRecipients {
+			batch.unacknowledged = append(batch.unacknowledged, member)
 		}
 	}
-	return b
+	return batch
 }
 
-func (t *Broadcaster) broadcast(now clock.Nanos, b *batch) (out []Delivery) {
-	b.due = now + min(t.set.First<<min(b.tries, 20), t.set.Longest)
-	b.tries++
-	list := make([]Entry, len(b.list))
-	for i, q := range b.list {
-		list[i] = q.Entry
-		list[i].Age += max(0, now-q.at)
+func (bcast *Broadcaster) send(now clock.Nanos, batch *batch) (deliveries []Delivery) {
+	batch.retryAt = now + min(bcast.settings.InitialRetryDelay<<min(batch.attempts, 20), bcast.settings.MaxRetryDelay)
+	batch.attempts++
+	entries := make([]Entry, len(batch.entries))
+	for i, queued := range batch.entries {
+		entries[i] = queued.Entry
+		entries[i].Age += max(0, now-queued.queuedAt)
 	}
-	for _, m := range b.left {
-		out = append(out, Delivery{m, b.number, b.pass, list})
+	for _, member := range batch.unacknowledged {
+		deliveries = append(deliveries, Delivery{member, batch.number, batch.awaitedCount, entries})
 	}
-	return out
+	return deliveries
 }
 
-// Acked processes a member's acknowledgement: it holds all of the batch but the entries at these places, which it rejects. It
-// returns the waits that end, each at its first acknowledgement.
-func (t *Broadcaster) Acked(from string, number uint64, lacks []uint8) (ended []uint64) {
-	at, ok := slices.BinarySearchFunc(t.open, number, func(b *batch, n uint64) int { return cmp.Compare(b.number, n) })
-	if !ok {
+// Acknowledge processes a member's acknowledgement: the member holds all entries of the batch except those at the
+// rejected indexes. It returns the wait numbers of the entries that are acknowledged for the first time.
+func (bcast *Broadcaster) Acknowledge(member string, batchNumber uint64, rejected []uint8) (ended []uint64) {
+	index, found := slices.BinarySearchFunc(bcast.open, batchNumber, func(batch *batch, number uint64) int { return cmp.Compare(batch.number, number) })
+	if !found {
 		return nil
 	}
-	b := t.open[at]
-	i := slices.Index(b.left, from)
+	batch := bcast.open[index]
+	i := slices.Index(batch.unacknowledged, member)
 	if i < 0 {
 		return nil
 	}
-	b.left = slices.Delete(b.left, i, i+1)
-	for i := range b.list {
-		if q := &b.list[i]; q.wait != 0 && !slices.Contains(lacks, uint8(i)) {
-			ended = append(ended, q.wait)
-			q.wait = 0
+	batch.unacknowledged = slices.Delete(batch.unacknowledged, i, i+1)
+	for i := range batch.entries {
+		if queued := &batch.entries[i]; queued.waitNumber != 0 && !slices.Contains(rejected, uint8(i)) {
+			ended = append(ended, queued.waitNumber)
+			queued.waitNumber = 0
 		}
 	}
-	if len(b.left) == 0 {
-		t.open = slices.Delete(t.open, at, at+1)
+	if len(batch.unacknowledged) == 0 {
+		bcast.open = slices.Delete(bcast.open, index, index+1)
 	}
 	return ended
 }
 
-// Due says whether Deliveries may have anything to send, and from when on.
-func (t *Broadcaster) Due() (at clock.Nanos, ok bool) {
-	if len(t.queue) > 0 {
-		at, ok = t.last+t.set.Every, true
-		if t.queue[0].wait != 0 {
-			at = t.last + t.set.Soon
+// Due returns the earliest time at which Deliveries may have something to send; ok is false if there is nothing to
+// send.
+func (bcast *Broadcaster) Due() (at clock.Nanos, ok bool) {
+	if len(bcast.queue) > 0 {
+		at, ok = bcast.lastBatchAt+bcast.settings.MinBatchInterval, true
+		if bcast.queue[0].waitNumber != 0 {
+			at = bcast.lastBatchAt + bcast.settings.MinAwaitedBatchInterval
 		}
 	}
-	for _, b := range t.open {
-		if !ok || b.due < at {
-			at, ok = b.due, true
+	for _, batch := range bcast.open {
+		if !ok || batch.retryAt < at {
+			at, ok = batch.retryAt, true
 		}
 	}
 	return at, ok
 }
 
-// Counts counts since the start.
-func (t *Broadcaster) Counts() BroadcastCounts { return t.counts }
+// Counts returns the counts since the start.
+func (bcast *Broadcaster) Counts() BroadcastCounts { return bcast.counts }
 
-// Size is how many entries wait, and how many batches are open.
-func (t *Broadcaster) Size() (entries, batches int) { return len(t.queue), len(t.open) }
+// Size returns the number of queued entries and of batches with outstanding acknowledgements.
+func (bcast *Broadcaster) Size() (entries, batches int) { return len(bcast.queue), len(bcast.open) }
--- a/policy/crdt/broadcaster_test.go
+++ b/policy/crdt/broadcaster_test.go
@@ -16,7 +16,7 @@
 func TestTeller(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultBroadcasterSettings()
-		set.Queue, set.Batches, set.Bytes, set.Members = 6, 3, 150, 2
+		set.MaxQueuedEntries, set.MaxOpenBatches, set.MaxBatchBytes, set.MaxRecipients = 6, 3, 150, 2
 		tell, err := NewBroadcaster(set)
 		if err != nil {
 			t.Fatal(err)
@@ -26,7 +26,7 @@
 		var way []Delivery
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += clock.Nanos(rapid.IntRange(0, 20e6).Draw(t, "wait"))
-			switch e := (Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(now), From: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
+			switch e := (Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(now), Origin: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0:
 				wait++
 				tell.Add(now, e, wait)
@@ -34,13 +34,13 @@
 				e.Kind = ServerPosition
 				tell.Add(now, e, 0)
 			case 2:
-				e.From.Name = "b"
+				e.Origin.Name = "b"
 				tell.Forward(now, e, "b")
 			default:
 				if len(way) > 0 {
 					i := rapid.IntRange(0, len(way)-1).Draw(t, "which")
-					acked[fmt.Sprint(way[i].To, way[i].Number)] = true
-					for _, n := range tell.Acked(way[i].To, way[i].Number, nil) {
+					acked[fmt.Sprint(way[i].To, way[i].BatchNumber)] = true
+					for _, n := range tell.Acknowledge(way[i].To, way[i].BatchNumber, nil) {
 						if ended[n] {
 							t.Fatalf("wait %d ended twice", n)
 						}
@@ -49,23 +49,23 @@
 				}
 			}
 			for _, x := range tell.Deliveries(now, others) {
-				key := fmt.Sprint(x.To, x.Number)
-				if times[key]++; acked[key] || times[key] > set.Tries || x.Pass > len(x.Entries) || len(x.Entries) == 0 {
+				key := fmt.Sprint(x.To, x.BatchNumber)
+				if times[key]++; acked[key] || times[key] > set.MaxAttempts || x.AwaitedCount > len(x.Entries) || len(x.Entries) == 0 {
 					t.Fatalf("%+v, acknowledged %v, told %d times", x, acked[key], times[key])
 				}
 				for _, e := range x.Entries {
-					if e.From.Name == x.To || e.Age < 0 {
+					if e.Origin.Name == x.To || e.Age < 0 {
 						t.Fatalf("%+v goes to %s", e, x.To)
 					}
 				}
 				way = append(way, x)
 			}
-			if entries, batches := tell.Size(); entries > set.Queue || batches > set.Batches {
+			if entries, batches := tell.Size(); entries > set.MaxQueuedEntries || batches > set.MaxOpenBatches {
 				t.Fatalf("%d wait, %d are open", entries, batches)
 			}
 		}
 		for range 200 {
-			now += set.Longest
+			now += set.MaxRetryDelay
 			tell.Deliveries(now, others)
 		}
 		if entries, batches := tell.Size(); entries+batches > 0 {
@@ -106,7 +106,7 @@
 			f.Served(who, room, false)
 		}
 	}
-	if most := 2*f.set.PerS + f.set.Piece; gave > most || gave < most/2 || turned == 0 {
+	if most := 2*f.settings.BytesPerSecond + f.settings.MaxPieceBytes; gave > most || gave < most/2 || turned == 0 {
 		t.Errorf("%d bytes in 2 s, at most %d; %d turned away", gave, most, turned)
 	}
 	f.Served("n3", 0, true)
@@ -123,16 +123,16 @@
 	}
 	list := []PeerInZone{{"a", "x"}, {"b", "y"}, {"c", "x"}, {"d", "z"}}
 	for tries, halls := range []string{"x", "x", "yz", "yz", "x"} {
-		if of, _ := Choose(list, "x", true, tries, 5); of.Zone != halls[:1] && of.Zone != halls[len(halls)-1:] {
+		if of, _ := ChoosePeer(list, "x", true, tries, 5); of.Zone != halls[:1] && of.Zone != halls[len(halls)-1:] {
 			t.Errorf("after %d tries %v", tries, of)
 		}
 	}
 	seen := map[string]bool{}
 	for turn := range 4 {
-		of, ok := Choose(list, "x", false, 0, turn)
+		of, ok := ChoosePeer(list, "x", false, 0, turn)
 		seen[of.Name] = ok
 	}
-	if _, ok := Choose(nil, "x", true, 0, 0); ok || len(seen) != 4 {
+	if _, ok := ChoosePeer(nil, "x", true, 0, 0); ok || len(seen) != 4 {
 		t.Errorf("%v, %v", seen, ok)
 	}
 }
--- a/policy/crdt/catchup.go
+++ b/policy/crdt/catchup.go
@@ -9,101 +9,110 @@
 	"lotushook/policy/clock"
 )
 
-// CatchUpSettings bound what a router sends to those that catch up.
+// CatchUpSettings limit what a router sends to members that catch up.
 type CatchUpSettings struct {
-	MaxClients int         // served at a time
-	PerS       int         // bytes a second to all of them together
-	Piece      int         // bytes of one answer
-	Small      int         // bytes of an answer to one that has caught up before, and lacks little
-	Pause      clock.Nanos // a client that returns within it keeps its place; after it another may have it
+	// Clients that are served at the same time.
+	MaxClients int
+	// For all clients together.
+	BytesPerSecond int
+	// Size of one answer to a client that has not caught up since its start.
+	MaxPieceBytes int
+	// Size of one answer to a client that has caught up before and lacks only recent entries.
+	MaxIncrementalBytes int
+	// A client that sends no request for this long loses its slot.
+	ClientTimeout clock.Nanos
 }
 
-// DefaultCatchUpSettings are settings for a router.
+// DefaultCatchUpSettings returns the default settings of a router.
 func DefaultCatchUpSettings() CatchUpSettings {
-	return CatchUpSettings{MaxClients: 10, PerS: 2 << 20, Piece: 48 << 10, Small: 32 << 10, Pause: 2e9}
+	return CatchUpSettings{MaxClients: 10, BytesPerSecond: 2 << 20, MaxPieceBytes: 48 << 10, MaxIncrementalBytes: 32 << 10, ClientTimeout: 2e9}
 }
 
-func (s *CatchUpSettings) check() error {
-	if s.MaxClients < 1 || s.Piece < 1 || s.PerS < s.Piece || s.Small < 1 || s.Pause <= 0 {
-		return errors.New("catch-up: MaxClients, PerS, Piece, Small and Pause are above 0, PerS at least Piece")
+func (settings *CatchUpSettings) validate() error {
+	if settings.MaxClients < 1 || settings.MaxPieceBytes < 1 || settings.BytesPerSecond < settings.MaxPieceBytes ||
+		settings.MaxIncrementalBytes < 1 || settings.ClientTimeout <= 0 {
+		return errors.New("catch-up settings: MaxClients, BytesPerSecond, MaxPieceBytes, MaxIncrementalBytes and ClientTimeout must be above 0, and BytesPerSecond at least MaxPieceBytes")
 	}
 	return nil
 }
 
-// CatchUpServer decides which clients are served and how fast, so that many that restart at once don't use what a router needs to serve.
-// It is not safe for concurrent use.
+// CatchUpServer decides which clients are served and at what rate, so that many members restarting at once don't
+// consume the capacity that the router needs for requests. It is not safe for concurrent use.
 type CatchUpServer struct {
-	set  CatchUpSettings
-	fed  map[string]clock.Nanos // the clients served, and their last requests
-	left float64                // bytes that may be sent now
-	at   clock.Nanos
+	settings      CatchUpSettings
+	lastRequestAt map[string]clock.Nanos // the last request of each client that has a slot
+	tokens        float64                // bytes that may be sent now
+	refilledAt    clock.Nanos
 }
 
-// NewCatchUpServer returns one without clients.
-func NewCatchUpServer(s CatchUpSettings, now clock.Nanos) (*CatchUpServer, error) {
-	if err := s.check(); err != nil {
+// NewCatchUpServer returns a server without clients.
+func NewCatchUpServer(settings CatchUpSettings, now clock.Nanos) (*CatchUpServer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &CatchUpServer{set: s, fed: map[string]clock.Nanos{}, left: float64(s.Piece), at: now}, nil
+	return &CatchUpServer{settings: settings, lastRequestAt: map[string]clock.Nanos{}, tokens: float64(settings.MaxPieceBytes), refilledAt: now}, nil
 }
 
-// Admit says how many bytes a member may be answered with now; 0: none, and it should retry later, or try
-// another. hungry is one that has not caught up since its start.
-func (f *CatchUpServer) Admit(now clock.Nanos, who string, hungry bool) (room int, wait clock.Nanos) {
-	maps.DeleteFunc(f.fed, func(_ string, at clock.Nanos) bool { return now-at > f.set.Pause })
-	f.left = min(float64(f.set.PerS), f.left+float64(now-f.at)*float64(f.set.PerS)/1e9)
-	f.at = now
-	room = f.set.Small
-	if hungry {
-		if _, ok := f.fed[who]; !ok && len(f.fed) >= f.set.MaxClients {
-			return 0, f.set.Pause
+// Admit returns the maximum size of an answer to a client now, in bytes. A size of 0 means that the client is not
+// served and should retry after retryAfter, or ask another member. initial means that the client has not caught up
+// since its start.
+func (server *CatchUpServer) Admit(now clock.Nanos, client string, initial bool) (maxBytes int, retryAfter clock.Nanos) {
+	maps.DeleteFunc(server.lastRequestAt, func(_ string, at clock.Nanos) bool { return now-at > server.settings.ClientTimeout })
+	server.tokens = min(float64(server.settings.BytesPerSecond), server.tokens+float64(now-server.refilledAt)*float64(server.settings.BytesPerSecond)/1e9)
+	server.refilledAt = now
+	maxBytes = server.settings.MaxIncrementalBytes
+	if initial {
+		if _, ok := server.lastRequestAt[client]; !ok && len(server.lastRequestAt) >= server.settings.MaxClients {
+			return 0, server.settings.ClientTimeout
 		}
-		f.fed[who] = now
-		room = f.set.Piece
+		server.lastRequestAt[client] = now
+		maxBytes = server.settings.MaxPieceBytes
 	}
-	if lack := float64(room) - f.left; lack > 0 {
-		return 0, clock.Nanos(lack / float64(f.set.PerS) * 1e9)
+	if deficit := float64(maxBytes) - server.tokens; deficit > 0 {
+		return 0, clock.Nanos(deficit / float64(server.settings.BytesPerSecond) * 1e9)
 	}
-	return room, 0
+	return maxBytes, 0
 }
 
-// Served records an answer. Done: the member has everything, and another may have its place.
-func (f *CatchUpServer) Served(who string, bytes int, done bool) {
-	f.left -= float64(bytes)
-	if done {
-		delete(f.fed, who)
+// Served records the size of an answer. complete means that the client now has all entries, which frees its slot.
+func (server *CatchUpServer) Served(client string, bytes int, complete bool) {
+	server.tokens -= float64(bytes)
+	if complete {
+		delete(server.lastRequestAt, client)
 	}
 }
 
-// ClientCount is how many are served.
-func (f *CatchUpServer) ClientCount() int { return len(f.fed) }
+// ClientCount returns the number of clients that have a slot.
+func (server *CatchUpServer) ClientCount() int { return len(server.lastRequestAt) }
 
-// PeerInZone is a member that can be asked for what a copy lacks.
+// PeerInZone is a member that can be asked for missing entries.
 type PeerInZone struct{ Name, Zone string }
 
-// Choose returns the member to ask: while hungry, one of the own zone as long as there is any that has not been tried, then the others;
-// tries counts those that were silent or too busy in a row. One that has caught up asks all in turn.
-func Choose(list []PeerInZone, hall string, hungry bool, tries, turn int) (of PeerInZone, ok bool) {
-	if len(list) == 0 {
+// ChoosePeer returns the member to ask for missing entries. During the initial catch-up these are first the members of
+// the router's own zone and, once all of them have failed, the other members; failures counts the consecutive members
+// that did not answer or were too busy. After the initial catch-up all members are asked in rotation.
+func ChoosePeer(peers []PeerInZone, zone string, initial bool, failures, rotation int) (peer PeerInZone, ok bool) {
+	if len(peers) == 0 {
 		return PeerInZone{}, false
 	}
-	list = slices.Clone(list)
-	far := func(s PeerInZone) int {
-		if hungry && s.Zone != hall {
+	peers = slices.Clone(peers)
+	distance := func(candidate PeerInZone) int {
+		if initial && candidate.Zone != zone {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(list, func(x, y PeerInZone) int { return cmp.Or(far(x)-far(y), cmp.Compare(x.Name, y.Name)) })
-	if !hungry {
-		return list[turn%len(list)], true
+	slices.SortFunc(peers, func(x, y PeerInZone) int { return cmp.Or(distance(x)-distance(y), cmp.Compare(x.Name, y.Name)) })
+	if !initial {
+		return peers[rotation%len(peers)], true
 	}
-	near := 0
-	for near < len(list) && far(list[near]) == 0 {
-		near++
+	localCount := 0
+	for localCount < len(peers) && distance(peers[localCount]) == 0 {
+		localCount++
 	}
-	if tries %= len(list); tries < near { // each starts with another, or all would ask the first
-		return list[(tries+turn)%near], true
+	// The rotation makes routers start with different peers; otherwise all would ask the first one.
+	if failures %= len(peers); failures < localCount {
+		return peers[(failures+rotation)%localCount], true
 	}
-	return list[near+(tries-near+turn)%(len(list)-near)], true
+	return peers[localCount+(failures-localCount+rotation)%(len(peers)-localCount)], true
 }
--- a/policy/crdt/entry.go
+++ b/policy/crdt/entry.go
@@ -1,10 +1,12 @@
-// Package crdt holds the state that routers replicate: positions, primaries, sessions' commits, keyed
-// writes that may have run, usage of contracts, hints. Each kind is a join-semilattice: copies that merged the same entries in any
-// order, some of them twice, are equal. How entries travel is not decided here.
+// Package crdt holds the state that routers replicate: log positions, primaries, commit positions of sessions, keyed
+// writes that may have run, contract usage, hints, feed cursors and shedding levels. Each kind is a join-semilattice:
+// copies that merged the same entries are equal, whatever the order and the number of repetitions. The package does not
+// decide how entries are transported.
 //
-// No entry is an order. A router sends only to servers that its own list names; a position that a peer reports too high makes a
-// read go to servers that lack it and be rejected there, never be answered stale; a commit reported too high delays a
-// session's read, one reported too low changes nothing, as joins only raise.
+// Entries are information, never commands. A router sends only to servers that its own endpoint list names. If a peer
+// reports a position that is too high, reads go to servers that have not reached it and are rejected there; they are
+// never answered with stale data. A commit position that is too high delays the session's reads, and one that is too
+// low changes nothing, because joins only raise values.
 package crdt
 
 import (
@@ -15,118 +17,152 @@
 	"lotushook/policy/clock"
 )
 
-// Kind is the kind of an entry, the most urgent first.
+// Kind is the kind of an entry. Lower values are more urgent.
 type Kind uint8
 
-// The kinds.
+// The kinds, with the meaning of an entry's fields and the order in which entries of one ID prevail.
 const (
-	SessionCommit  Kind = iota + 1 // A group, B session: the position of its last commit. The greater prevails
-	PrimaryClaim                   // A group: the position of the evidence, then the server's start, then the origin
-	PendingWrite                   // A class and scope, B key: it may have run, until its window is over
-	ServerPosition                 // A server, Born its start: how far it has applied the log. The greater prevails
-	Usage                          // A team, B class, by origin: what it has used. The greater prevails
-	Hint                           // A subject, by origin: zones in outage, slow starts, suspects. The origin's latest prevails
-	FeedCursor                     // A feed, B subscriber: Count its generation, Born its history, At and Acked positions. In this order the greater prevails
-	SheddingLevel                  // A group, by origin: the shedding threshold, and its load. The origin's latest prevails
-
-	// Last is the last of them.
-	Last  = SheddingLevel
-	kinds = Last + 1
+	// Subject: group, Qualifier: session. The position of the session's last commit; the greater one prevails.
+	SessionCommit Kind = iota + 1
+	// Subject: group. Ordered by the position of the evidence, the server's start and the server's name, then by
+	// origin.
+	PrimaryClaim
+	// Subject: class and scope, Qualifier: key. A write that may have run, until its window has passed.
+	PendingWrite
+	// Subject: server, Incarnation: its start. How far the server has applied the log; the greater position prevails.
+	ServerPosition
+	// Subject: team, Qualifier: class; one entry per origin. The contract's usage; the greater one prevails.
+	Usage
+	// Subject: what the hint is about; one entry per origin. Zones in outage, slow starts, suspects; the origin's
+	// latest prevails.
+	Hint
+	// Subject: feed, Qualifier: subscriber. Ordered by Count (generation), Origin, Incarnation (history), Position and
+	// Acked.
+	FeedCursor
+	// Subject: group; one entry per origin. The shedding threshold and the load; the origin's latest prevails.
+	SheddingLevel
+
+	// LastKind is the greatest kind.
+	LastKind  = SheddingLevel
+	kindCount = LastKind + 1
 )
 
 var kindNames = [...]string{"none", "session", "primary", "write", "position", "use", "hint", "cursor", "level"}
 
-// String is the kind's name in logs.
-func (k Kind) String() string {
-	if int(k) < len(kindNames) {
-		return kindNames[k]
+// String returns the kind's name in logs.
+func (kind Kind) String() string {
+	if int(kind) < len(kindNames) {
+		return kindNames[kind]
 	}
 	return "unknown"
 }
 
-// Origin is one process of a router: a name that restarts has another boot.
+// Origin identifies one process of a router. A router that restarts under the same name has another epoch.
 type Origin struct {
-	Name string
-	Boot uint64
+	Name  string
+	Epoch uint64
 }
 
-func (o Origin) compare(p Origin) int {
-	return cmp.Or(cmp.Compare(o.Name, p.Name), cmp.Compare(o.Boot, p.Boot))
+func (origin Origin) compare(other Origin) int {
+	return cmp.Or(cmp.Compare(origin.Name, other.Name), cmp.Compare(origin.Epoch, other.Epoch))
 }
 
 // Entry is one fact that a router has learned.
 type Entry struct {
-	Kind   Kind
-	A, B   string
-	Born   int64  // ServerPosition, PrimaryClaim: the server's start, as listed
-	At     int64  // SessionCommit, PrimaryClaim, ServerPosition, FeedCursor: a log position
-	Acked  int64  // FeedCursor: what its subscriber has acknowledged; -1: nothing
-	Count  int64  // Usage: in thousandths; FeedCursor: its generation, which never falls; SheddingLevel: see NewSheddingLevel
-	Server string // PrimaryClaim
-	From   Origin
-	Seq    uint64      // among all entries that its origin learned, from 1
-	Age    clock.Nanos // since it was learned; the time in transit is not in it
+	Kind               Kind
+	Subject, Qualifier string
+	// ServerPosition, PrimaryClaim: the server's start according to the endpoint list; FeedCursor: the history's
+	// number; SheddingLevel: an epoch.
+	Incarnation int64
+	// SessionCommit, PrimaryClaim, ServerPosition, FeedCursor: a log position.
+	Position int64
+	// FeedCursor: the position that the subscriber has acknowledged; -1: none.
+	Acked int64
+	// Usage: the usage in thousandths; FeedCursor: the generation, which never decreases; SheddingLevel: see
+	// NewSheddingLevel.
+	Count int64
+	// PrimaryClaim: the server that is claimed to be the primary.
+	Server string
+	Origin Origin
+	Seq    uint64      // number among all entries that the origin has learned, starting at 1
+	Age    clock.Nanos // time since the origin learned the entry, without the time in transit
 }
 
-// Key is the key by which an entry is stored: all entries that one query is about have one key, and so one shard of those that store
-// copies in several.
-func (e *Entry) Key() (a, b string) {
-	if e.Kind == Hint { // found by its subject, whatever its origin and part
-		return e.A, ""
+// Key returns the key by which stores are sharded. All entries that one query reads have the same key and so are in the
+// same shard.
+func (entry *Entry) Key() (subject, qualifier string) {
+	if entry.Kind == Hint { // a query reads the hints of all origins on a subject
+		return entry.Subject, ""
 	}
-	return e.A, e.B
+	return entry.Subject, entry.Qualifier
 }
 
-// Settings bound the store.
+// Settings limit what a store holds and accepts.
 type Settings struct {
-	Self             Origin
-	MaxEntries       [kinds]int  // of each kind, by Kind; sessions and writes of each group or class
-	MaxOrigins       int         // processes whose sequence numbers are remembered
-	WriteWindow      clock.Nanos // of keyed writes
-	HintLifetime     clock.Nanos // hints expire after it
-	LevelLifetime    clock.Nanos // and levels
-	MaxAhead         int64       // a position further beyond the greatest of this router's own is rejected
-	MaxText          int         // bytes of a name or key
-	MinLearnInterval clock.Nanos // a server's position, and a primary that stays, are learned anew so often at most: each answer carries them
-	MaxPending       int         // entries that wait to be sent; beyond it they are left to be fetched
+	Self Origin
+	// Maximum number of stored entries, indexed by Kind.
+	MaxEntries [kindCount]int
+	// Maximum number of processes whose sequence numbers are remembered.
+	MaxOrigins int
+	// Time during which a keyed write may have run.
+	WriteWindow clock.Nanos
+	// Time after which a hint expires.
+	HintLifetime clock.Nanos
+	// Time after which a shedding level expires.
+	LevelLifetime clock.Nanos
+	// Positions that exceed the greatest one learned by this router by more than this are rejected.
+	MaxAhead int64
+	// Maximum length of a name or key in bytes.
+	MaxText int
+	// Minimum time between two learned entries on one server's position or on an unchanged primary. Each answer of a
+	// server carries both.
+	MinLearnInterval clock.Nanos
+	// Maximum number of entries waiting to be sent; those beyond it are left for members to fetch.
+	MaxPending int
 }
 
-// Shard returns the settings of one of so many stores, over which the keys are spread.
-func (s Settings) Shard(of int) Settings {
-	for k := range s.MaxEntries {
-		s.MaxEntries[k] = (s.MaxEntries[k] + of - 1) / of
+// Shard returns the settings of each store when the keys are divided among count stores.
+func (settings Settings) Shard(count int) Settings {
+	for kind := range settings.MaxEntries {
+		settings.MaxEntries[kind] = (settings.MaxEntries[kind] + count - 1) / count
 	}
-	return s
+	return settings
 }
 
-// DefaultSettings are settings for a router.
+// DefaultSettings returns the default settings of a router.
 func DefaultSettings(self Origin) Settings {
-	const s = 1e9
-	return Settings{Self: self, MaxOrigins: 4096, WriteWindow: 30 * s, HintLifetime: 10 * s, LevelLifetime: 2 * s, MaxAhead: 60 * s, MaxText: 128, MinLearnInterval: s / 4, MaxPending: 1024,
-		MaxEntries: [kinds]int{SessionCommit: 20_000, PrimaryClaim: 4096, PendingWrite: 20_000, ServerPosition: 4096, Usage: 8192, Hint: 4096, FeedCursor: 20_000, SheddingLevel: 8192}}
+	const second = 1e9
+	return Settings{Self: self, MaxOrigins: 4096, WriteWindow: 30 * second, HintLifetime: 10 * second,
+		LevelLifetime: 2 * second, MaxAhead: 60 * second, MaxText: 128, MinLearnInterval: second / 4,
+		MaxPending: 1024,
+		MaxEntries: [kindCount]int{SessionCommit: 20_000, PrimaryClaim: 4096, PendingWrite: 20_000,
+			ServerPosition: 4096, Usage: 8192, Hint: 4096, FeedCursor: 20_000, SheddingLevel: 8192}}
 }
 
-func (s *Settings) validate() error {
+func (settings *Settings) validate() error {
 	var errs []error
-	for k := SessionCommit; k < kinds; k++ {
-		if s.MaxEntries[k] < 1 {
-			errs = append(errs, fmt.Errorf("replicated state: MaxEntries of %s is below 1", k))
+	for kind := SessionCommit; kind < kindCount; kind++ {
+		if settings.MaxEntries[kind] < 1 {
+			errs = append(errs, fmt.Errorf("replicated state: MaxEntries of %s is below 1", kind))
 		}
 	}
-	if s.Self.Name == "" || s.MaxOrigins < 1 || s.WriteWindow <= 0 || s.HintLifetime <= 0 || s.LevelLifetime <= 0 || s.MaxAhead <= 0 || s.MaxText < 1 || s.MinLearnInterval < 0 || s.MaxPending < 1 {
-		errs = append(errs, errors.New("replicated state: Self is named; MaxOrigins, WriteWindow, HintLifetime, LevelLifetime, MaxAhead, MaxText and MaxPending are above 0"))
+	if settings.Self.Name == "" || settings.MaxOrigins < 1 || settings.WriteWindow <= 0 ||
+		settings.HintLifetime <= 0 || settings.LevelLifetime <= 0 || settings.MaxAhead <= 0 ||
+		settings.MaxText < 1 || settings.MinLearnInterval < 0 || settings.MaxPending < 1 {
+		errs = append(errs, errors.New("replicated state: Self must have a name, MinLearnInterval must not be negative, and MaxOrigins, WriteWindow, HintLifetime, LevelLifetime, MaxAhead, MaxText and MaxPending must be above 0"))
 	}
 	return errors.Join(errs...)
 }
 
-const levelBits = 10 // of Count, for the threshold
+const thresholdBits = 10 // low bits of Count that hold the threshold of a SheddingLevel
 
-// NewSheddingLevel returns a router's report on a group: its load in requests a second, the threshold that it would choose, and its epoch.
-func NewSheddingLevel(group string, load int64, wish int, epoch uint64) Entry {
-	return Entry{Kind: SheddingLevel, A: group, Born: int64(epoch), Count: load<<levelBits | int64(wish)&(1<<levelBits-1)}
+// NewSheddingLevel returns a router's report on a group: its load in requests per second, the threshold that it would
+// choose, and its epoch.
+func NewSheddingLevel(group string, load int64, threshold int, epoch uint64) Entry {
+	return Entry{Kind: SheddingLevel, Subject: group, Incarnation: int64(epoch), Count: load<<thresholdBits | int64(threshold)&(1<<thresholdBits-1)}
 }
 
-// SheddingLevel returns what NewSheddingLevel stored.
-func (e *Entry) SheddingLevel() (load int64, wish int, epoch uint64) {
-	return e.Count >> levelBits, int(e.Count & (1<<levelBits - 1)), uint64(e.Born)
+// SheddingLevel returns the values that NewSheddingLevel stored in the entry.
+func (entry *Entry) SheddingLevel() (load int64, threshold int, epoch uint64) {
+	return entry.Count >> thresholdBits, int(entry.Count & (1<<thresholdBits - 1)), uint64(entry.Incarnation)
 }
--- a/policy/crdt/explore_test.go
+++ b/policy/crdt/explore_test.go
@@ -50,7 +50,7 @@
 
 func (s *Store) clone() *Store {
 	c := *s
-	c.entries, c.logs, c.seen = map[entryID]*storedEntry{}, map[Origin]*log{}, maps.Clone(s.seen)
+	c.entries, c.logs, c.seenUpTo = map[entryID]*storedEntry{}, map[Origin]*originLog{}, maps.Clone(s.seenUpTo)
 	same := map[*storedEntry]*storedEntry{nil: nil}
 	take := func(h *storedEntry) *storedEntry {
 		if same[h] == nil && h != nil {
@@ -62,16 +62,16 @@
 	for k, h := range s.entries {
 		c.entries[k] = take(h)
 	}
-	for k, p := range s.piles {
-		c.piles[k] = nil
+	for k, p := range s.heaps {
+		c.heaps[k] = nil
 		for _, h := range p {
-			c.piles[k] = append(c.piles[k], take(h))
+			c.heaps[k] = append(c.heaps[k], take(h))
 		}
 	}
 	for o, l := range s.logs {
-		m := &log{stale: l.stale}
-		for _, x := range l.list {
-			m.list = append(m.list, logged{x.seq, take(x.h)})
+		m := &originLog{removedCount: l.removedCount}
+		for _, x := range l.entries {
+			m.entries = append(m.entries, logEntry{x.seq, take(x.stored)})
 		}
 		c.logs[o] = m
 	}
@@ -84,7 +84,7 @@
 	c.queue, c.open = slices.Clone(t.queue), nil
 	for _, b := range t.open {
 		d := *b
-		d.list, d.left = slices.Clone(b.list), slices.Clone(b.left)
+		d.entries, d.unacknowledged = slices.Clone(b.entries), slices.Clone(b.unacknowledged)
 		c.open = append(c.open, &d)
 	}
 	return &c
@@ -103,8 +103,8 @@
 func (w *world) hash() uint64 {
 	h := fnv.New64a()
 	for i, s := range w.who {
-		fmt.Fprint(h, w.boots[i], w.down[i], s.seq, s.seen, s.pass, w.tell[i].queue, w.tell[i].number)
-		for k := SessionCommit; k < kinds; k++ {
+		fmt.Fprint(h, w.boots[i], w.down[i], s.lastSeq, s.seenUpTo, s.pass, w.tell[i].queue, w.tell[i].lastNumber)
+		for k := SessionCommit; k < kindCount; k++ {
 			fmt.Fprint(h, s.digests[k])
 		}
 		for _, b := range w.tell[i].open {
@@ -114,7 +114,7 @@
 	for _, l := range w.way {
 		fmt.Fprint(h, l.from, l.to, l.boot, l.fromBoot, l.ack, l.twice, l.runs)
 		if l.tell != nil {
-			fmt.Fprint(h, l.tell.Number)
+			fmt.Fprint(h, l.tell.BatchNumber)
 		}
 	}
 	fmt.Fprint(h, w.now, w.waits, w.acked, w.writes)
@@ -146,7 +146,7 @@
 	set := DefaultSettings(Origin{exploreNames[i], w.boots[i]})
 	w.who[i], _ = New(set)
 	teller := DefaultBroadcasterSettings()
-	teller.Every, teller.Soon, teller.Tries = 0, 0, 3
+	teller.MinBatchInterval, teller.MinAwaitedBatchInterval, teller.MaxAttempts = 0, 0, 3
 	w.tell[i], _ = NewBroadcaster(teller)
 }
 
@@ -164,7 +164,7 @@
 func (w *world) write(i int, session string) {
 	w.writes++
 	at := int64(w.writes)
-	e, ok := w.who[i].LearnDurably(w.now, Entry{Kind: SessionCommit, A: "1", B: session, At: at})
+	e, ok := w.who[i].LearnDurably(w.now, Entry{Kind: SessionCommit, Subject: "1", Qualifier: session, Position: at})
 	if !ok {
 		return
 	}
@@ -193,14 +193,14 @@
 			if w.rules == "acknowledges first" {
 				break
 			}
-			if changed := s.Merge(w.now, e); changed && n < l.tell.Pass {
+			if changed := s.Merge(w.now, e); changed && n < l.tell.AwaitedCount {
 				w.tell[i].Forward(w.now, e, exploreNames[l.from])
 			}
 		}
 		w.send(i)
-		w.way = append(w.way, letter{from: i, to: l.from, boot: w.boots[l.from], ack: l.tell.Number, fromBoot: w.boots[i]})
+		w.way = append(w.way, letter{from: i, to: l.from, boot: w.boots[l.from], ack: l.tell.BatchNumber, fromBoot: w.boots[i]})
 	default:
-		for _, number := range w.tell[i].Acked(exploreNames[l.from], l.ack, nil) {
+		for _, number := range w.tell[i].Acknowledge(exploreNames[l.from], l.ack, nil) {
 			p := w.waits[number]
 			delete(w.waits, number)
 			p.with, p.other = l.from, l.fromBoot
@@ -237,7 +237,7 @@
 			out = append(out, c)
 		}
 		for j := range w.who {
-			if j != i && !w.down[j] && len(w.way) < exploreWay && w.who[i].Sum() != w.who[j].Sum() {
+			if j != i && !w.down[j] && len(w.way) < exploreWay && w.who[i].TotalDigest() != w.who[j].TotalDigest() {
 				for _, room := range exploreRooms {
 					c := w.next("%s asks %s for %d bytes", exploreNames[i], exploreNames[j], room)
 					if runs := c.who[j].Since(c.now, c.who[i].VersionVector(), room); len(runs) > 0 {
@@ -341,7 +341,7 @@
 		}
 	}
 	for _, x := range live {
-		if x.Sum() != live[0].Sum() {
+		if x.TotalDigest() != live[0].TotalDigest() {
 			return nil, "all have met and differ: " + differ(live[0], x)
 		}
 	}
--- a/policy/crdt/heap.go
+++ b/policy/crdt/heap.go
@@ -2,41 +2,42 @@
 
 import "cmp"
 
-// entryHeap is one kind's entries, the least first.
+// entryHeap holds the entries of one kind, with the next one to evict at the root.
 type entryHeap []*storedEntry
 
 // Len implements heap.Interface.
-func (p entryHeap) Len() int { return len(p) }
+func (h entryHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (p entryHeap) Less(i, j int) bool { return p[i].rank(p[j]) < 0 }
+func (h entryHeap) Less(i, j int) bool { return h[i].compareEvictionRank(h[j]) < 0 }
 
 // Swap implements heap.Interface.
-func (p entryHeap) Swap(i, j int) { p[i], p[j] = p[j], p[i]; p[i].heapIndex, p[j].heapIndex = i, j }
+func (h entryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
 
 // Push implements heap.Interface.
-func (p *entryHeap) Push(x any) { h := x.(*storedEntry); h.heapIndex = len(*p); *p = append(*p, h) }
+func (h *entryHeap) Push(x any) { e := x.(*storedEntry); e.heapIndex = len(*h); *h = append(*h, e) }
 
 // Pop implements heap.Interface.
-func (p *entryHeap) Pop() any {
-	old := *p
-	h := old[len(old)-1]
-	h.heapIndex = -1
-	*p = old[:len(old)-1]
-	return h
+func (h *entryHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	last.heapIndex = -1
+	*h = old[:len(old)-1]
+	return last
 }
 
-// rank orders the entries of a kind: the least is evicted first. Where joins only raise it, the entries that stay do not
-// depend on the order in which they came.
-func (h *storedEntry) rank(g *storedEntry) int {
-	var first int
-	switch h.Kind {
+// compareEvictionRank orders the entries of a kind; the least one is evicted first. As long as joins only raise an
+// entry's rank, the entries that remain do not depend on the order in which entries arrived.
+func (entry *storedEntry) compareEvictionRank(other *storedEntry) int {
+	var byKind int
+	switch entry.Kind {
 	case PendingWrite, Hint, SheddingLevel:
-		first = cmp.Compare(h.learnedAt, g.learnedAt)
-	case Usage, FeedCursor: // a cursor's generation begins at the position of its last reconnect: the oldest are evicted first
-		first = cmp.Compare(h.Count, g.Count)
+		byKind = cmp.Compare(entry.learnedAt, other.learnedAt)
+	// A cursor's generation starts at the position of the last reconnect, so this evicts the oldest first.
+	case Usage, FeedCursor:
+		byKind = cmp.Compare(entry.Count, other.Count)
 	default:
-		first = cmp.Compare(h.At, g.At)
+		byKind = cmp.Compare(entry.Position, other.Position)
 	}
-	return cmp.Or(first, cmp.Compare(h.A, g.A), cmp.Compare(h.B, g.B), cmp.Compare(h.Born, g.Born), h.From.compare(g.From), cmp.Compare(h.Server, g.Server))
+	return cmp.Or(byKind, cmp.Compare(entry.Subject, other.Subject), cmp.Compare(entry.Qualifier, other.Qualifier), cmp.Compare(entry.Incarnation, other.Incarnation), entry.Origin.compare(other.Origin), cmp.Compare(entry.Server, other.Server))
 }
--- a/policy/crdt/order.go
+++ b/policy/crdt/order.go
@@ -6,55 +6,56 @@
 	"hash/fnv"
 )
 
-// entryID identifies an entry's subject: two entries of one ID are joined.
+// entryID identifies the subject of an entry. Two entries with the same ID are joined.
 type entryID struct {
-	kind Kind
-	a, b string
-	born int64
-	from Origin
+	kind               Kind
+	subject, qualifier string
+	incarnation        int64
+	origin             Origin
 }
 
-func (e *Entry) id() entryID {
-	i := entryID{kind: e.Kind, a: e.A, b: e.B}
-	switch e.Kind {
+func (entry *Entry) id() entryID {
+	id := entryID{kind: entry.Kind, subject: entry.Subject, qualifier: entry.Qualifier}
+	switch entry.Kind {
 	case ServerPosition:
-		i.born = e.Born
+		id.incarnation = entry.Incarnation
 	case Usage, Hint, SheddingLevel:
-		i.from = e.From
+		id.origin = entry.Origin
 	}
-	return i
+	return id
 }
 
-// compare orders two entries of one ID: the greater one prevails. It ignores ages, which differ by the paths they came on.
-func (e *Entry) compare(f *Entry) int {
-	switch e.Kind {
+// compare orders two entries with the same ID; the greater one prevails. It ignores ages, which depend on the path of
+// each copy.
+func (entry *Entry) compare(other *Entry) int {
+	switch entry.Kind {
 	case SessionCommit, ServerPosition:
-		return cmp.Or(cmp.Compare(e.At, f.At), e.compareVersion(f))
+		return cmp.Or(cmp.Compare(entry.Position, other.Position), entry.compareVersion(other))
 	case PrimaryClaim:
-		return cmp.Or(cmp.Compare(e.At, f.At), cmp.Compare(e.Born, f.Born), cmp.Compare(e.Server, f.Server), e.compareVersion(f))
+		return cmp.Or(cmp.Compare(entry.Position, other.Position), cmp.Compare(entry.Incarnation, other.Incarnation), cmp.Compare(entry.Server, other.Server), entry.compareVersion(other))
 	case Usage:
-		return cmp.Or(cmp.Compare(e.Count, f.Count), cmp.Compare(e.Seq, f.Seq))
-	case FeedCursor: // generation and who raised it, history by ancestry, position
-		return cmp.Or(cmp.Compare(e.Count, f.Count), e.From.compare(f.From), cmp.Compare(uint64(e.Born), uint64(f.Born)), cmp.Compare(e.At, f.At),
-			cmp.Compare(e.Acked, f.Acked), cmp.Compare(e.Seq, f.Seq))
+		return cmp.Or(cmp.Compare(entry.Count, other.Count), cmp.Compare(entry.Seq, other.Seq))
+	case FeedCursor: // generation and the router that raised it, then history by ancestry, then position
+		return cmp.Or(cmp.Compare(entry.Count, other.Count), entry.Origin.compare(other.Origin), cmp.Compare(uint64(entry.Incarnation), uint64(other.Incarnation)), cmp.Compare(entry.Position, other.Position),
+			cmp.Compare(entry.Acked, other.Acked), cmp.Compare(entry.Seq, other.Seq))
 	}
-	return e.compareVersion(f)
+	return entry.compareVersion(other)
 }
 
-func (e *Entry) compareVersion(f *Entry) int {
-	return cmp.Or(e.From.compare(f.From), cmp.Compare(e.Seq, f.Seq))
+func (entry *Entry) compareVersion(other *Entry) int {
+	return cmp.Or(entry.Origin.compare(other.Origin), cmp.Compare(entry.Seq, other.Seq))
 }
 
-// hash covers all that is joined, and not the age.
-func (h *storedEntry) hash() uint64 {
-	x := fnv.New64a()
-	buf := []byte{byte(h.Kind)}
-	for _, text := range []string{h.A, h.B, h.Server, h.From.Name} {
-		buf = append(append(buf, text...), 0xff)
+// hash covers all fields that are joined, which excludes the age.
+func (entry *storedEntry) hash() uint64 {
+	hasher := fnv.New64a()
+	buffer := []byte{byte(entry.Kind)}
+	for _, text := range []string{entry.Subject, entry.Qualifier, entry.Server, entry.Origin.Name} {
+		buffer = append(append(buffer, text...), 0xff)
 	}
-	for _, n := range []uint64{h.From.Boot, h.Seq, uint64(h.Born), uint64(h.At), uint64(h.Acked), uint64(h.Count)} {
-		buf = binary.LittleEndian.AppendUint64(buf, n)
+	for _, number := range []uint64{entry.Origin.Epoch, entry.Seq, uint64(entry.Incarnation), uint64(entry.Position), uint64(entry.Acked), uint64(entry.Count)} {
+		buffer = binary.LittleEndian.AppendUint64(buffer, number)
 	}
-	x.Write(buf)
-	return x.Sum64()
+	hasher.Write(buffer)
+	return hasher.Sum64()
 }
--- a/policy/crdt/pass.go
+++ b/policy/crdt/pass.go
@@ -6,93 +6,99 @@
 	"slices"
 )
 
-// KeySpan is a part of the circle of all keys' hashes: those after After up to Upto, which may lie beyond the greatest. All of
-// them where the two are equal, as in the zero value.
-type KeySpan struct{ After, Upto uint64 }
+// KeySpan is an arc of the circle of key hashes: the hashes after After up to and including UpTo, wrapping around at
+// the greatest hash. If both are equal, as in the zero value, the span covers all keys.
+type KeySpan struct{ After, UpTo uint64 }
 
-func (k KeySpan) isAll() bool { return k.After == k.Upto }
+func (span KeySpan) isAll() bool { return span.After == span.UpTo }
 
-// IsPiece says that a span does not cover all keys: there is more to fetch.
-func (k KeySpan) IsPiece() bool { return !k.isAll() }
+// IsPartial reports whether the span does not cover all keys, so that there is more to fetch.
+func (span KeySpan) IsPartial() bool { return !span.isAll() }
 
-// keyHash places a key on the circle. It is the same in all routers.
-func (e *Entry) keyHash() uint64 {
-	id := e.id()
-	x := fnv.New64a()
-	buf := []byte{byte(id.kind)}
-	for _, text := range []string{id.a, id.b, id.from.Name} {
-		buf = append(append(buf, text...), 0xff)
+// keyHash returns the position of the entry's key on the circle. It is the same on all routers.
+func (entry *Entry) keyHash() uint64 {
+	id := entry.id()
+	hasher := fnv.New64a()
+	buffer := []byte{byte(id.kind)}
+	for _, text := range []string{id.subject, id.qualifier, id.origin.Name} {
+		buffer = append(append(buffer, text...), 0xff)
 	}
-	for _, n := range []uint64{uint64(id.born), id.from.Boot} {
+	for _, number := range []uint64{uint64(id.incarnation), id.origin.Epoch} {
 		for shift := 0; shift < 64; shift += 8 {
-			buf = append(buf, byte(n>>shift))
+			buffer = append(buffer, byte(number>>shift))
 		}
 	}
-	x.Write(buf)
-	return mix(x.Sum64())
+	hasher.Write(buffer)
+	return mixHash(hasher.Sum64())
 }
 
-// mix spreads a hash over the whole circle: FNV's upper bits hardly differ for short keys that end alike. It is the finalizer of
-// MurmurHash3.
-func mix(x uint64) uint64 {
+// mixHash is the finalizer of MurmurHash3. It distributes hashes over the whole circle, because the upper bits of FNV
+// hardly differ between short keys with the same ending.
+func mixHash(x uint64) uint64 {
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
 }
 
-// nextPiece returns those of the missing entries whose keys' hashes come first in a span, as many as there is room for, and the part
-// of the span that they cover: all of it, where there is room for all entries in it. Entries of one hash are not parted.
-func nextPiece(missing []*storedEntry, span KeySpan, room int) ([]*storedEntry, KeySpan) {
-	place := func(h *storedEntry) uint64 { return h.keyHash - span.After - 1 } // from 0 on, for the first hash in the span
+// nextPiece returns the missing entries whose key hashes come first in the span, up to maxBytes, and the part of the
+// span that they cover, which is the whole span if all of its missing entries fit. Entries with the same hash are never
+// split between two pieces.
+func nextPiece(missing []*storedEntry, span KeySpan, maxBytes int) ([]*storedEntry, KeySpan) {
+	// 0 for the first hash of the span.
+	offset := func(entry *storedEntry) uint64 { return entry.keyHash - span.After - 1 }
 	if !span.isAll() {
-		missing = slices.DeleteFunc(missing, func(h *storedEntry) bool { return place(h) >= span.Upto-span.After })
+		missing = slices.DeleteFunc(missing, func(entry *storedEntry) bool { return offset(entry) >= span.UpTo-span.After })
 	}
-	slices.SortFunc(missing, func(x, y *storedEntry) int { return cmp.Compare(place(x), place(y)) })
-	taken := 0
-	for ; taken < len(missing) && missing[taken].Size() <= room; taken++ {
-		room -= missing[taken].Size()
+	slices.SortFunc(missing, func(x, y *storedEntry) int { return cmp.Compare(offset(x), offset(y)) })
+	count := 0
+	for ; count < len(missing) && missing[count].Size() <= maxBytes; count++ {
+		maxBytes -= missing[count].Size()
 	}
-	if taken == len(missing) {
+	if count == len(missing) {
 		return missing, span
 	}
-	for taken > 0 && missing[taken-1].keyHash == missing[taken].keyHash {
-		taken--
+	for count > 0 && missing[count-1].keyHash == missing[count].keyHash {
+		count--
 	}
-	if taken == 0 {
+	if count == 0 {
 		return nil, KeySpan{}
 	}
-	return missing[:taken], KeySpan{span.After, missing[taken-1].keyHash}
+	return missing[:count], KeySpan{span.After, missing[count-1].keyHash}
 }
 
-// fetchPass is a fetch that takes several pieces. Each piece covers a span of the circle of keys, and claims what its sender had of
-// these keys; the members that send them may differ, as a sender may die on the way. Once the spans have gone round the circle, what
-// every piece claimed is held of all keys. It is a value: a copy of it is independent.
+// fetchPass is the state of a fetch that takes several pieces. Each piece covers a span of the circle of key hashes and
+// claims what its sender held of the keys in that span. Different members may send the pieces, because a sender may
+// fail during the fetch. Once the spans cover the whole circle, this copy holds, for all keys, what every piece
+// claimed. A copy of a fetchPass value is independent of the original.
 type fetchPass struct {
-	left KeySpan       // what no piece has covered yet; all keys before the first
-	upto VersionVector // what all pieces claimed; nil: there was no piece. It is replaced, not changed.
+	// The span that no piece has covered yet; all keys before the first piece.
+	remaining KeySpan
+	// What all pieces so far have claimed; nil before the first piece. It is replaced, never modified.
+	claimedUpTo VersionVector
 }
 
-func (p *fetchPass) begun() bool { return p.upto != nil }
+func (pass *fetchPass) hasBegun() bool { return pass.claimedUpTo != nil }
 
-// add records a piece's claims, and says whether the pass is complete. The first piece may begin anywhere.
-func (p *fetchPass) add(span KeySpan, claims []OriginRun) bool {
-	if !p.begun() {
-		p.left = KeySpan{span.After, span.After}
+// add records the claims of a piece and reports whether the pass is complete. The first piece may begin anywhere on the
+// circle.
+func (pass *fetchPass) add(span KeySpan, claims []OriginRun) bool {
+	if !pass.hasBegun() {
+		pass.remaining = KeySpan{span.After, span.After}
 	}
-	if span.After != p.left.After || !p.left.isAll() && span.Upto-span.After > p.left.Upto-p.left.After {
-		return false // of a pass that is over
+	if span.After != pass.remaining.After || !pass.remaining.isAll() && span.UpTo-span.After > pass.remaining.UpTo-pass.remaining.After {
+		return false // the piece belongs to an earlier pass
 	}
-	least := VersionVector{}
-	for _, r := range claims {
-		upto, ok := p.upto[r.From]
+	common := VersionVector{}
+	for _, claim := range claims {
+		claimedUpTo, ok := pass.claimedUpTo[claim.Origin]
 		switch {
-		case r.Span != span: // no message has two
-		case !p.begun():
-			least[r.From] = r.Upto
+		case claim.Span != span: // all runs of a message have the same span
+		case !pass.hasBegun():
+			common[claim.Origin] = claim.UpTo
 		case ok:
-			least[r.From] = min(upto, r.Upto)
+			common[claim.Origin] = min(claimedUpTo, claim.UpTo)
 		}
 	}
-	p.upto, p.left.After = least, span.Upto
-	return p.left.isAll()
+	pass.claimedUpTo, pass.remaining.After = common, span.UpTo
+	return pass.remaining.isAll()
 }
--- a/policy/crdt/query.go
+++ b/policy/crdt/query.go
@@ -2,79 +2,81 @@
 
 import "lotushook/policy/clock"
 
-// CommitPosition is the position that a session's reads must see. Of a session that is not known it is the least that any known
-// one has, once some were let go: a read then waits for a server that is fresh enough for whichever it was.
-func (s *Store) CommitPosition(group, session string) (at int64, known bool) {
-	if h := s.entries[entryID{kind: SessionCommit, a: group, b: session}]; h != nil {
-		return h.At, true
+// CommitPosition returns the position that a session's reads must see. For an unknown session it is 0 or, if sessions
+// have been evicted, the lowest commit position among the stored sessions: a read then waits for a server that is fresh
+// enough for any evicted session.
+func (store *Store) CommitPosition(group, session string) (position int64, known bool) {
+	if stored := store.entries[entryID{kind: SessionCommit, subject: group, qualifier: session}]; stored != nil {
+		return stored.Position, true
 	}
-	if p := s.piles[SessionCommit]; s.evicted[SessionCommit] && len(p) > 0 {
-		return p[0].At, false
+	if entries := store.heaps[SessionCommit]; store.evicted[SessionCommit] && len(entries) > 0 {
+		return entries[0].Position, false
 	}
 	return 0, false
 }
 
-// Cursor is what is known of a subscriber of a feed; forgot says that some cursors were evicted, perhaps this one
-// too.
-func (s *Store) Cursor(now clock.Nanos, feed, subscriber string) (e Entry, known, forgot bool) {
-	if h := s.entries[entryID{kind: FeedCursor, a: feed, b: subscriber}]; h != nil {
-		return h.entryAt(now), true, false
+// Cursor returns what is known of a feed's subscriber. evicted means that the subscriber is unknown and cursors have
+// been evicted, possibly including this one.
+func (store *Store) Cursor(now clock.Nanos, feed, subscriber string) (entry Entry, known, evicted bool) {
+	if stored := store.entries[entryID{kind: FeedCursor, subject: feed, qualifier: subscriber}]; stored != nil {
+		return stored.withAge(now), true, false
 	}
-	return Entry{}, false, s.evicted[FeedCursor]
+	return Entry{}, false, store.evicted[FeedCursor]
 }
 
-// Primary is the server believed to be a group's primary: one of its starts, and at which position that was seen.
-func (s *Store) Primary(group string) (server string, born, at int64) {
-	if h := s.entries[entryID{kind: PrimaryClaim, a: group}]; h != nil {
-		return h.Server, h.Born, h.At
+// Primary returns the server believed to be the primary of a group, its start, and the position at which it was seen as
+// the primary.
+func (store *Store) Primary(group string) (server string, incarnation, position int64) {
+	if stored := store.entries[entryID{kind: PrimaryClaim, subject: group}]; stored != nil {
+		return stored.Server, stored.Incarnation, stored.Position
 	}
 	return "", 0, 0
 }
 
-// AppliedPosition is how far a server has applied the log since a start, how long ago that was learned, and whether by this router
-// itself; 0: not known.
-func (s *Store) AppliedPosition(now clock.Nanos, server string, born int64) (at int64, age clock.Nanos, own bool) {
-	if h := s.entries[entryID{kind: ServerPosition, a: server, born: born}]; h != nil {
-		return h.At, now - h.learnedAt, h.From == s.settings.Self
+// AppliedPosition returns how far a server has applied the log since the given start, the age of that information, and
+// whether this router learned it itself. The position is 0 if it is unknown.
+func (store *Store) AppliedPosition(now clock.Nanos, server string, incarnation int64) (position int64, age clock.Nanos, learnedHere bool) {
+	if stored := store.entries[entryID{kind: ServerPosition, subject: server, incarnation: incarnation}]; stored != nil {
+		return stored.Position, now - stored.learnedAt, stored.Origin == store.settings.Self
 	}
 	return 0, 0, false
 }
 
-// MayHaveRun says whether a keyed write may have run at any router within its window.
-func (s *Store) MayHaveRun(now clock.Nanos, class, key string) bool {
-	h := s.entries[entryID{kind: PendingWrite, a: class, b: key}]
-	return h != nil && now-h.learnedAt < s.settings.WriteWindow
+// MayHaveRun reports whether any router may have run a keyed write within the write window.
+func (store *Store) MayHaveRun(now clock.Nanos, class, key string) bool {
+	stored := store.entries[entryID{kind: PendingWrite, subject: class, qualifier: key}]
+	return stored != nil && now-stored.learnedAt < store.settings.WriteWindow
 }
 
-// Usage is what all processes together have used of a team's contract, in thousandths.
-func (s *Store) Usage(team, class string) int64 {
+// Usage returns the usage of a team's contract by all processes together, in thousandths.
+func (store *Store) Usage(team, class string) int64 {
 	sum := int64(0)
-	for _, h := range s.piles[Usage] {
-		if h.A == team && h.B == class {
-			sum += h.Count
+	for _, stored := range store.heaps[Usage] {
+		if stored.Subject == team && stored.Qualifier == class {
+			sum += stored.Count
 		}
 	}
 	return sum
 }
 
-// Hints are the origins with a hint on a subject, and how long ago each learned it.
-func (s *Store) Hints(now clock.Nanos, what string) map[Origin]clock.Nanos {
-	out := map[Origin]clock.Nanos{}
-	for _, h := range s.piles[Hint] {
-		if h.A == what && now-h.learnedAt < s.settings.HintLifetime {
-			out[h.From] = now - h.learnedAt
+// Hints returns the origins that have an unexpired hint on a subject, with the age of each hint.
+func (store *Store) Hints(now clock.Nanos, subject string) map[Origin]clock.Nanos {
+	ages := map[Origin]clock.Nanos{}
+	for _, stored := range store.heaps[Hint] {
+		if stored.Subject == subject && now-stored.learnedAt < store.settings.HintLifetime {
+			ages[stored.Origin] = now - stored.learnedAt
 		}
 	}
-	return out
+	return ages
 }
 
-// SheddingLevels are the levels of all origins that have not expired, with their ages.
-func (s *Store) SheddingLevels(now clock.Nanos) []Entry {
-	var out []Entry
-	for _, h := range s.piles[SheddingLevel] {
-		if now-h.learnedAt < s.settings.LevelLifetime {
-			out = append(out, h.entryAt(now))
+// SheddingLevels returns the unexpired shedding levels of all origins, with their ages.
+func (store *Store) SheddingLevels(now clock.Nanos) []Entry {
+	var levels []Entry
+	for _, stored := range store.heaps[SheddingLevel] {
+		if now-stored.learnedAt < store.settings.LevelLifetime {
+			levels = append(levels, stored.withAge(now))
 		}
 	}
-	return out
+	return levels
 }
--- a/policy/crdt/spread_test.go
+++ b/policy/crdt/spread_test.go
@@ -46,22 +46,22 @@
 		answer         func(*Store) string
 	}
 	return map[Kind]kind{
-		SessionCommit: {Entry{A: "1", B: "session", At: 2}, Entry{A: "1", B: "session", At: 3},
+		SessionCommit: {Entry{Subject: "1", Qualifier: "session", Position: 2}, Entry{Subject: "1", Qualifier: "session", Position: 3},
 			func(s *Store) string { return fmt.Sprint(s.CommitPosition("1", "session")) }},
-		PrimaryClaim: {Entry{A: "1", Server: "x", At: 2}, Entry{A: "1", Server: "y", At: 3},
+		PrimaryClaim: {Entry{Subject: "1", Server: "x", Position: 2}, Entry{Subject: "1", Server: "y", Position: 3},
 			func(s *Store) string { return fmt.Sprint(s.Primary("1")) }},
-		PendingWrite: {Entry{A: "class", B: "key"}, Entry{A: "class", B: "key"},
+		PendingWrite: {Entry{Subject: "class", Qualifier: "key"}, Entry{Subject: "class", Qualifier: "key"},
 			func(s *Store) string { return fmt.Sprint(s.MayHaveRun(now, "class", "key")) }},
-		ServerPosition: {Entry{A: "server", At: 2}, Entry{A: "server", At: 3},
+		ServerPosition: {Entry{Subject: "server", Position: 2}, Entry{Subject: "server", Position: 3},
 			func(s *Store) string { return fmt.Sprint(s.AppliedPosition(now, "server", 0)) }},
-		Usage: {Entry{A: "team", B: "class", Count: 2}, Entry{A: "team", B: "class", Count: 3},
+		Usage: {Entry{Subject: "team", Qualifier: "class", Count: 2}, Entry{Subject: "team", Qualifier: "class", Count: 3},
 			func(s *Store) string { return fmt.Sprint(s.Usage("team", "class")) }},
-		Hint: {Entry{A: "zone dark"}, Entry{A: "zone dark"},
+		Hint: {Entry{Subject: "zone dark"}, Entry{Subject: "zone dark"},
 			func(s *Store) string { return fmt.Sprint(len(s.Hints(now, "zone dark"))) }},
-		FeedCursor: {Entry{A: "feed", B: "subscriber", Count: 1, At: 2, Acked: 1}, Entry{A: "feed", B: "subscriber", Count: 1, At: 3, Acked: 2},
+		FeedCursor: {Entry{Subject: "feed", Qualifier: "subscriber", Count: 1, Position: 2, Acked: 1}, Entry{Subject: "feed", Qualifier: "subscriber", Count: 1, Position: 3, Acked: 2},
 			func(s *Store) string {
 				e, known, _ := s.Cursor(now, "feed", "subscriber")
-				return fmt.Sprint(e.At, e.Acked, known)
+				return fmt.Sprint(e.Position, e.Acked, known)
 			}},
 		SheddingLevel: {NewSheddingLevel("1", 200, 2, 1), NewSheddingLevel("1", 300, 3, 2),
 			func(s *Store) string {
@@ -83,7 +83,7 @@
 // the member that died had it superseded.
 func TestFetchGoesOnAfterSenderDies(t *testing.T) {
 	const learnInterval = second // positions and claims are learned anew only after some time
-	for k := SessionCommit; k < kinds; k++ {
+	for k := SessionCommit; k < kindCount; k++ {
 		c := perKind(4 * learnInterval)[k]
 		c.earlier.Kind, c.later.Kind = k, k
 		for _, superseder := range []string{"origin", "sender"} {
@@ -92,7 +92,7 @@
 					all := newCopies(t, "origin", "sender", "witness", "receiver")
 					all["origin"].Learn(0, c.earlier)
 					for i := range 3 {
-						all["origin"].Learn(0, Entry{Kind: SessionCommit, A: "2", B: fmt.Sprint(i), At: 1})
+						all["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "2", Qualifier: fmt.Sprint(i), Position: 1})
 					}
 					all.fetch(0, "witness", "origin", wideRoom)
 					all.fetch(0, "sender", "origin", wideRoom)
@@ -122,8 +122,8 @@
 	const perMember = 100
 	for i := range perMember {
 		for _, name := range names {
-			all[name].Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint("session-", i), At: int64(1 + i)})
-			all[name].Learn(0, Entry{Kind: Usage, A: fmt.Sprint("team-", i), B: "class", Count: 1})
+			all[name].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint("session-", i), Position: int64(1 + i)})
+			all[name].Learn(0, Entry{Kind: Usage, Subject: fmt.Sprint("team-", i), Qualifier: "class", Count: 1})
 		}
 	}
 	for _, to := range names {
@@ -163,7 +163,7 @@
 	const capacity, room = 5, 10_000
 	sender, receiver := store(t, "sender", capacity), store(t, "receiver", 0)
 	for i := range 2 * capacity {
-		sender.Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(i), At: int64(1 + i)})
+		sender.Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(i), Position: int64(1 + i)})
 	}
 	receiver.MergeRuns(0, sender.Since(0, receiver.VersionVector(), room))
 	for i := range 2 * capacity {
@@ -177,10 +177,10 @@
 func TestRejectedEntryWithholdsClaims(t *testing.T) {
 	all := newCopies(t, "sender", "receiver")
 	all["receiver"].ObservePosition(second)
-	all["sender"].Learn(0, Entry{Kind: SessionCommit, A: "1", B: "session", At: 100 * second})
+	all["sender"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 100 * second})
 	all.fetch(0, "receiver", "sender", wideRoom)
-	if at, known := all["receiver"].CommitPosition("1", "session"); known || all["receiver"].Withheld() != 1 {
-		t.Fatalf("a commit at %d, far beyond all that is known, was believed; %d claims withheld", at, all["receiver"].Withheld())
+	if at, known := all["receiver"].CommitPosition("1", "session"); known || all["receiver"].WithheldClaims() != 1 {
+		t.Fatalf("a commit at %d, far beyond all that is known, was believed; %d claims withheld", at, all["receiver"].WithheldClaims())
 	}
 	all["receiver"].ObservePosition(90 * second)
 	all.fetch(0, "receiver", "sender", wideRoom)
@@ -193,10 +193,10 @@
 // superseded is fetched again.
 func TestDroppedPositionIsFetchedAgain(t *testing.T) {
 	all := newCopies(t, "origin", "receiver")
-	all["origin"].Learn(0, Entry{Kind: SessionCommit, A: "1", B: "session", At: 5 * second})
+	all["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 5 * second})
 	all.fetch(0, "receiver", "origin", wideRoom)
-	all["receiver"].Merge(0, Entry{Kind: SessionCommit, A: "1", B: "session", At: 1e6 * second, From: Origin{"liar", 1}, Seq: 1})
-	all["receiver"].Learn(0, Entry{Kind: ServerPosition, A: "server", At: 4 * second})
+	all["receiver"].Merge(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 1e6 * second, Origin: Origin{"liar", 1}, Seq: 1})
+	all["receiver"].Learn(0, Entry{Kind: ServerPosition, Subject: "server", Position: 4 * second})
 	all.fetch(0, "receiver", "origin", wideRoom)
 	if at, _ := all["receiver"].CommitPosition("1", "session"); at != 5*second {
 		t.Errorf("%d: the commit is missed", at)
--- a/policy/crdt/store.go
+++ b/policy/crdt/store.go
@@ -11,317 +11,326 @@
 // storedEntry is an entry in the store.
 type storedEntry struct {
 	Entry
-	learnedAt clock.Nanos // by this router's clock
-	heapIndex int         // in its kind's heap; -1: it was evicted
-	keyHash   uint64      // where its key lies on the circle of keys
+	learnedAt clock.Nanos // on this router's clock
+	heapIndex int         // in the heap of its kind; -1 once it has been removed
+	keyHash   uint64      // position of its key on the circle of key hashes
 }
 
-// Store is one router's copy. It is not safe for concurrent use.
+// Store is one router's copy of the replicated state. It is not safe for concurrent use.
 type Store struct {
-	settings    Settings
-	entries     map[entryID]*storedEntry
-	piles       [kinds]entryHeap
-	digests     [kinds]uint64
-	evicted     [kinds]bool // an entry was evicted for lack of capacity
-	seen        map[Origin]uint64
-	logs        map[Origin]*log
-	seq         uint64
-	maxPosition int64 // the greatest position that this router learned itself; 0: none
-	pending     []*storedEntry
-	pass        fetchPass
-	turn        uint32 // see draw
-	rejected    uint64
-	withheld    uint64
+	settings Settings
+	entries  map[entryID]*storedEntry
+	heaps    [kindCount]entryHeap
+	digests  [kindCount]uint64
+	// Whether an entry of the kind was evicted for lack of capacity, here or at the sender of a claim.
+	evicted        [kindCount]bool
+	seenUpTo       map[Origin]uint64
+	logs           map[Origin]*originLog
+	lastSeq        uint64
+	maxPosition    int64 // the greatest position that this router has learned itself; 0: none
+	pending        []*storedEntry
+	pass           fetchPass
+	randomState    uint32 // see nextRandom
+	rejected       uint64
+	withheldClaims uint64
 }
 
-// log is what one origin learned, by number; an entry that was superseded stays until the log is compacted.
-type log struct {
-	list  []logged
-	stale int
+// originLog lists the entries that one origin learned, ordered by sequence number. Superseded entries stay until the
+// log is compacted.
+type originLog struct {
+	entries      []logEntry
+	removedCount int
 }
 
-const maxStale = 64 // a log with fewer entries that are not held any more is not compacted
+const maxUncompacted = 64 // a log with at most this many removed entries is not compacted
 
-type logged struct {
-	seq uint64
-	h   *storedEntry
+type logEntry struct {
+	seq    uint64
+	stored *storedEntry
 }
 
-// New returns an empty copy.
-func New(s Settings) (*Store, error) {
-	if err := s.validate(); err != nil {
+// New returns an empty store.
+func New(settings Settings) (*Store, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	return &Store{settings: s, entries: map[entryID]*storedEntry{}, seen: map[Origin]uint64{}, logs: map[Origin]*log{}}, nil
+	return &Store{settings: settings, entries: map[entryID]*storedEntry{}, seenUpTo: map[Origin]uint64{}, logs: map[Origin]*originLog{}}, nil
 }
 
-// ObservePosition sets the greatest position that this router has learned by itself, in whichever store: positions far beyond it
-// are rejected.
-func (s *Store) ObservePosition(at int64) {
-	if at <= s.maxPosition {
+// ObservePosition raises the greatest position that this router has learned itself, in any of its stores. Positions far
+// beyond it are rejected.
+func (store *Store) ObservePosition(position int64) {
+	if position <= store.maxPosition {
 		return
 	}
-	first := s.maxPosition == 0
-	if s.maxPosition = at; first {
-		s.dropAhead()
+	isFirst := store.maxPosition == 0
+	if store.maxPosition = position; isFirst {
+		store.dropAhead()
 	}
 }
 
-// Learn stores what this router itself has learned just now, and says whether anything is new.
-func (s *Store) Learn(now clock.Nanos, e Entry) bool {
-	h := s.learn(now, &e)
-	if h == nil {
+// Learn stores an entry that this router has just learned and reports whether it is new.
+func (store *Store) Learn(now clock.Nanos, entry Entry) bool {
+	stored := store.learn(now, &entry)
+	if stored == nil {
 		return false
 	}
-	if len(s.pending) < s.settings.MaxPending {
-		s.pending = append(s.pending, h)
+	if len(store.pending) < store.settings.MaxPending {
+		store.pending = append(store.pending, stored)
 	}
 	return true
 }
 
-// LearnDurably is Learn for what another member must have before it counts: it returns the entry that is held then, this router's
-// own or one that supersedes it, for its caller to send. None where there is no room for it.
-func (s *Store) LearnDurably(now clock.Nanos, e Entry) (Entry, bool) {
-	s.learn(now, &e)
-	if h := s.entries[e.id()]; h != nil {
-		return h.entryAt(now), true
+// LearnDurably is like Learn, for an entry that counts only once another member holds it. It returns the entry that is
+// stored afterwards, which is either the given one or one that supersedes it, and leaves sending it to the caller. It
+// returns false if there is no capacity for the entry.
+func (store *Store) LearnDurably(now clock.Nanos, entry Entry) (Entry, bool) {
+	store.learn(now, &entry)
+	if stored := store.entries[entry.id()]; stored != nil {
+		return stored.withAge(now), true
 	}
 	return Entry{}, false
 }
 
-func (s *Store) learn(now clock.Nanos, e *Entry) *storedEntry {
-	e.From, e.Age = s.settings.Self, 0
-	e.Seq = s.seq + 1
-	if e.Kind == SessionCommit || e.Kind == PrimaryClaim || e.Kind == ServerPosition {
-		s.ObservePosition(e.At)
-		old := s.entries[e.id()]
-		same := old != nil && (e.Kind != PrimaryClaim || old.Server == e.Server && old.Born == e.Born)
-		if same && (old.At >= e.At || e.Kind != SessionCommit && now-old.learnedAt < s.settings.MinLearnInterval) {
+func (store *Store) learn(now clock.Nanos, entry *Entry) *storedEntry {
+	entry.Origin, entry.Age = store.settings.Self, 0
+	entry.Seq = store.lastSeq + 1
+	if entry.Kind == SessionCommit || entry.Kind == PrimaryClaim || entry.Kind == ServerPosition {
+		store.ObservePosition(entry.Position)
+		old := store.entries[entry.id()]
+		sameClaim := old != nil && (entry.Kind != PrimaryClaim || old.Server == entry.Server && old.Incarnation == entry.Incarnation)
+		if sameClaim && (old.Position >= entry.Position || entry.Kind != SessionCommit && now-old.learnedAt < store.settings.MinLearnInterval) {
 			return nil
 		}
 	}
-	if e.Kind == FeedCursor { // repeated without a change, it would be sent for nothing
-		if old := s.entries[e.id()]; old != nil && old.From == e.From && old.Count == e.Count && old.Born == e.Born && old.At == e.At && old.Acked == e.Acked {
+	if entry.Kind == FeedCursor { // a repeated cursor without a change would be sent for nothing
+		if old := store.entries[entry.id()]; old != nil && old.Origin == entry.Origin && old.Count == entry.Count && old.Incarnation == entry.Incarnation && old.Position == entry.Position && old.Acked == entry.Acked {
 			return nil
 		}
 	}
-	h := s.merge(now, e)
-	if h != nil {
-		s.seq++
-		s.seen[s.settings.Self] = s.seq
+	stored := store.merge(now, entry)
+	if stored != nil {
+		store.lastSeq++
+		store.seenUpTo[store.settings.Self] = store.lastSeq
 	}
-	return h
+	return stored
 }
 
-// Last is this router's own latest entry: what Learn made of the entry that it took.
-func (s *Store) Last() (Origin, uint64) { return s.settings.Self, s.seq }
+// LastLearned returns this router's origin and the sequence number of the entry that it learned last.
+func (store *Store) LastLearned() (Origin, uint64) { return store.settings.Self, store.lastSeq }
 
-// Holds says whether an entry is the one held for its key, whatever its origin.
-func (s *Store) Holds(e Entry) bool {
-	h := s.entries[e.id()]
-	return h != nil && h.compare(&e) == 0
+// Holds reports whether the stored entry with the same ID equals the given one in the merge order.
+func (store *Store) Holds(entry Entry) bool {
+	stored := store.entries[entry.id()]
+	return stored != nil && stored.compare(&entry) == 0
 }
 
-// dropAhead drops positions of the future that were received before this router knew better. What they had superseded is not held
-// any more, so nothing is known to be complete: all is fetched again.
-func (s *Store) dropAhead() {
+// dropAhead removes positions too far in the future that were received before this router knew a position of its own.
+// The entries that they superseded are gone, so the copy can't claim to be complete for any origin and everything is
+// fetched again.
+func (store *Store) dropAhead() {
 	dropped := false
-	for _, h := range s.entries {
-		if h.Kind <= ServerPosition && h.At > s.maxPosition+s.settings.MaxAhead {
-			s.remove(h)
-			s.rejected++
+	for _, stored := range store.entries {
+		if stored.Kind <= ServerPosition && stored.Position > store.maxPosition+store.settings.MaxAhead {
+			store.remove(stored)
+			store.rejected++
 			dropped = true
 		}
 	}
 	if !dropped {
 		return
 	}
-	for o, l := range s.logs {
-		if o == s.settings.Self {
+	for origin, log := range store.logs {
+		if origin == store.settings.Self {
 			continue
 		}
-		l.compact()
-		delete(s.seen, o)
+		log.compact()
+		delete(store.seenUpTo, origin)
 	}
-	s.pass = fetchPass{}
+	store.pass = fetchPass{}
 }
 
-// Merge joins an entry that a peer sent, and says whether it changed anything.
-func (s *Store) Merge(now clock.Nanos, e Entry) bool {
+// Merge joins an entry that a peer sent and reports whether the store changed.
+func (store *Store) Merge(now clock.Nanos, entry Entry) bool {
 	switch {
-	case !s.isWellFormed(&e) || s.isAhead(&e):
-		s.rejected++
+	case !store.isWellFormed(&entry) || store.isAhead(&entry):
+		store.rejected++
 		return false
-	case s.hasExpired(&e):
+	case store.hasExpired(&entry):
 		return false
 	}
-	changed := s.merge(now, &e) != nil
-	if h := s.entries[e.id()]; h != nil && e.compare(&h.Entry) <= 0 {
-		s.advanceVector(&e)
+	changed := store.merge(now, &entry) != nil
+	if stored := store.entries[entry.id()]; stored != nil && entry.compare(&stored.Entry) <= 0 {
+		store.advanceVector(&entry)
 	}
 	return changed
 }
 
-// isWellFormed says whether an entry can be right at all: no copy holds one that is not.
-func (s *Store) isWellFormed(e *Entry) bool {
+// isWellFormed reports whether an entry can be valid at all. Malformed entries are never stored.
+func (store *Store) isWellFormed(entry *Entry) bool {
 	switch {
-	case e.Kind < SessionCommit || e.Kind >= kinds || e.From.Name == "" || e.Seq == 0 || e.Age < 0:
+	case entry.Kind < SessionCommit || entry.Kind >= kindCount || entry.Origin.Name == "" || entry.Seq == 0 || entry.Age < 0:
 		return false
-	case e.From == s.settings.Self && e.Seq > s.seq:
+	case entry.Origin == store.settings.Self && entry.Seq > store.lastSeq:
 		return false
-	case max(len(e.A), len(e.B), len(e.Server), len(e.From.Name)) > s.settings.MaxText:
+	case max(len(entry.Subject), len(entry.Qualifier), len(entry.Server), len(entry.Origin.Name)) > store.settings.MaxText:
 		return false
 	}
-	return e.Kind != FeedCursor || e.Count >= 1 && e.At >= e.Acked && e.Acked >= -1
+	return entry.Kind != FeedCursor || entry.Count >= 1 && entry.Position >= entry.Acked && entry.Acked >= -1
 }
 
-// isAhead says whether an entry's position is too far in the future to be believed; a cursor's is checked against its feed.
-func (s *Store) isAhead(e *Entry) bool {
-	return s.maxPosition > 0 && e.Kind != FeedCursor && e.At > s.maxPosition+s.settings.MaxAhead
+// isAhead reports whether the entry's position is implausibly far in the future. Cursors are checked against their feed
+// instead.
+func (store *Store) isAhead(entry *Entry) bool {
+	return store.maxPosition > 0 && entry.Kind != FeedCursor && entry.Position > store.maxPosition+store.settings.MaxAhead
 }
 
-// hasExpired says whether an entry's window is over.
-func (s *Store) hasExpired(e *Entry) bool {
-	switch e.Kind {
+// hasExpired reports whether the entry's lifetime has passed.
+func (store *Store) hasExpired(entry *Entry) bool {
+	switch entry.Kind {
 	case PendingWrite:
-		return e.Age >= s.settings.WriteWindow
+		return entry.Age >= store.settings.WriteWindow
 	case Hint:
-		return e.Age >= s.settings.HintLifetime
+		return entry.Age >= store.settings.HintLifetime
 	case SheddingLevel:
-		return e.Age >= s.settings.LevelLifetime
+		return entry.Age >= store.settings.LevelLifetime
 	}
 	return false
 }
 
-// advanceVector records an entry that came by itself, where all entries before it of its origin were had: it need not be fetched again.
-func (s *Store) advanceVector(e *Entry) {
-	seen, known := s.seen[e.From]
-	if e.From == s.settings.Self || e.Seq != seen+1 || !known && len(s.seen) >= s.settings.MaxOrigins {
+// advanceVector records an entry that arrived outside a run. If all earlier entries of its origin are covered, the
+// entry need not be fetched again.
+func (store *Store) advanceVector(entry *Entry) {
+	upTo, known := store.seenUpTo[entry.Origin]
+	if entry.Origin == store.settings.Self || entry.Seq != upTo+1 || !known && len(store.seenUpTo) >= store.settings.MaxOrigins {
 		return
 	}
-	s.seen[e.From] = e.Seq
-	if l := s.logs[e.From]; l != nil { // and those after it that came before it
-		at, _ := slices.BinarySearchFunc(l.list, e.Seq+1, func(x logged, seq uint64) int { return cmp.Compare(x.seq, seq) })
-		for ; at < len(l.list) && l.list[at].seq == s.seen[e.From]+1; at++ {
-			s.seen[e.From]++
+	store.seenUpTo[entry.Origin] = entry.Seq
+	// Later entries that arrived before this one are now covered as well.
+	if log := store.logs[entry.Origin]; log != nil {
+		index, _ := slices.BinarySearchFunc(log.entries, entry.Seq+1, func(logged logEntry, seq uint64) int { return cmp.Compare(logged.seq, seq) })
+		for ; index < len(log.entries) && log.entries[index].seq == store.seenUpTo[entry.Origin]+1; index++ {
+			store.seenUpTo[entry.Origin]++
 		}
 	}
 }
 
-// Covers says whether this copy needs nothing more for an entry: it is held, or superseded, or has
-// expired, or would be evicted first for lack of capacity.
-func (s *Store) Covers(now clock.Nanos, e *Entry) bool {
-	if h := s.entries[e.id()]; h != nil {
-		return e.compare(&h.Entry) <= 0
+// Covers reports whether this copy needs nothing more for an entry: the entry is stored, superseded or expired, or it
+// would be the first to be evicted for lack of capacity.
+func (store *Store) Covers(now clock.Nanos, entry *Entry) bool {
+	if stored := store.entries[entry.id()]; stored != nil {
+		return entry.compare(&stored.Entry) <= 0
 	}
-	if s.hasExpired(e) {
+	if store.hasExpired(entry) {
 		return true
 	}
-	kind := min(e.Kind, kinds-1)
-	p := s.piles[kind]
-	return s.evicted[kind] && len(p) > 0 && (&storedEntry{Entry: *e, learnedAt: now - e.Age}).rank(p[0]) < 0
+	kind := min(entry.Kind, kindCount-1)
+	entries := store.heaps[kind]
+	return store.evicted[kind] && len(entries) > 0 && (&storedEntry{Entry: *entry, learnedAt: now - entry.Age}).compareEvictionRank(entries[0]) < 0
 }
 
-// merge puts an entry in place of a lesser one; nil if the greater one is there, or no room.
-func (s *Store) merge(now clock.Nanos, e *Entry) *storedEntry {
-	key := e.id()
-	old := s.entries[key]
-	at := now - e.Age
+// merge replaces a lesser entry by the given one. It returns nil if a greater or equal entry is stored or there is no
+// capacity.
+func (store *Store) merge(now clock.Nanos, entry *Entry) *storedEntry {
+	key := entry.id()
+	old := store.entries[key]
+	learnedAt := now - entry.Age
 	if old != nil {
-		if e.Kind == PendingWrite && at > old.learnedAt { // it may have run later than was known
-			old.learnedAt = at
-			heap.Fix(&s.piles[e.Kind], old.heapIndex)
+		if entry.Kind == PendingWrite && learnedAt > old.learnedAt { // the write may have run later than known so far
+			old.learnedAt = learnedAt
+			heap.Fix(&store.heaps[entry.Kind], old.heapIndex)
 		}
-		if e.compare(&old.Entry) <= 0 {
+		if entry.compare(&old.Entry) <= 0 {
 			return nil
 		}
-		if e.Kind == PendingWrite {
-			at = max(at, old.learnedAt)
+		if entry.Kind == PendingWrite {
+			learnedAt = max(learnedAt, old.learnedAt)
 		}
 	}
-	if _, ok := s.logs[e.From]; !ok && len(s.logs) >= s.settings.MaxOrigins && !s.forgetOrigin() {
-		s.rejected++
+	if _, ok := store.logs[entry.Origin]; !ok && len(store.logs) >= store.settings.MaxOrigins && !store.evictOrigin() {
+		store.rejected++
 		return nil
 	}
-	h := &storedEntry{Entry: *e, learnedAt: at, keyHash: e.keyHash()}
-	p := &s.piles[e.Kind]
-	if old == nil && len(*p) >= s.settings.MaxEntries[e.Kind] {
-		s.evicted[e.Kind] = true
-		if h.rank((*p)[0]) < 0 {
+	stored := &storedEntry{Entry: *entry, learnedAt: learnedAt, keyHash: entry.keyHash()}
+	entries := &store.heaps[entry.Kind]
+	if old == nil && len(*entries) >= store.settings.MaxEntries[entry.Kind] {
+		store.evicted[entry.Kind] = true
+		if stored.compareEvictionRank((*entries)[0]) < 0 {
 			return nil
 		}
-		s.remove((*p)[0])
+		store.remove((*entries)[0])
 	} else if old != nil {
-		s.remove(old)
+		store.remove(old)
 	}
-	s.entries[key] = h
-	heap.Push(p, h)
-	s.digests[e.Kind] += h.hash()
-	l := s.logs[e.From]
-	if l == nil {
-		l = &log{}
-		s.logs[e.From] = l
+	store.entries[key] = stored
+	heap.Push(entries, stored)
+	store.digests[entry.Kind] += stored.hash()
+	log := store.logs[entry.Origin]
+	if log == nil {
+		log = &originLog{}
+		store.logs[entry.Origin] = log
 	}
-	at2, _ := slices.BinarySearchFunc(l.list, e.Seq, func(x logged, seq uint64) int { return cmp.Compare(x.seq, seq) })
-	l.list = slices.Insert(l.list, at2, logged{e.Seq, h})
-	return h
+	index, _ := slices.BinarySearchFunc(log.entries, entry.Seq, func(logged logEntry, seq uint64) int { return cmp.Compare(logged.seq, seq) })
+	log.entries = slices.Insert(log.entries, index, logEntry{entry.Seq, stored})
+	return stored
 }
 
-// forgetOrigin makes room: an origin without entries is dropped.
-func (s *Store) forgetOrigin() bool {
-	for o, l := range s.logs {
-		if o != s.settings.Self && !slices.ContainsFunc(l.list, func(x logged) bool { return x.h.heapIndex >= 0 }) {
-			delete(s.logs, o)
-			delete(s.seen, o)
+// evictOrigin frees capacity for a new origin by removing one that has no stored entries.
+func (store *Store) evictOrigin() bool {
+	for origin, log := range store.logs {
+		if origin != store.settings.Self && !slices.ContainsFunc(log.entries, func(logged logEntry) bool { return logged.stored.heapIndex >= 0 }) {
+			delete(store.logs, origin)
+			delete(store.seenUpTo, origin)
 			return true
 		}
 	}
 	return false
 }
 
-// remove removes an entry.
-func (s *Store) remove(h *storedEntry) {
-	delete(s.entries, h.id())
-	heap.Remove(&s.piles[h.Kind], h.heapIndex)
-	h.heapIndex = -1
-	s.digests[h.Kind] -= h.hash()
-	l := s.logs[h.From]
-	if l.stale++; l.stale > maxStale && l.stale > len(l.list)/2 {
-		l.compact()
+// remove deletes an entry from the store. It stays in its origin's log until the log is compacted.
+func (store *Store) remove(stored *storedEntry) {
+	delete(store.entries, stored.id())
+	heap.Remove(&store.heaps[stored.Kind], stored.heapIndex)
+	stored.heapIndex = -1
+	store.digests[stored.Kind] -= stored.hash()
+	log := store.logs[stored.Origin]
+	if log.removedCount++; log.removedCount > maxUncompacted && log.removedCount > len(log.entries)/2 {
+		log.compact()
 	}
 }
 
-// compact removes entries that are not held any more.
-func (l *log) compact() {
-	l.list = slices.DeleteFunc(l.list, func(x logged) bool { return x.h.heapIndex < 0 })
-	l.stale = 0
+// compact deletes removed entries from the log.
+func (log *originLog) compact() {
+	log.entries = slices.DeleteFunc(log.entries, func(logged logEntry) bool { return logged.stored.heapIndex < 0 })
+	log.removedCount = 0
 }
 
-// Expire drops writes, hints and levels that have expired.
-func (s *Store) Expire(now clock.Nanos) {
-	for kind, span := range map[Kind]clock.Nanos{PendingWrite: s.settings.WriteWindow, Hint: s.settings.HintLifetime, SheddingLevel: s.settings.LevelLifetime} {
-		for p := s.piles[kind]; len(p) > 0 && now-p[0].learnedAt >= span; p = s.piles[kind] {
-			s.remove(p[0])
+// Expire removes writes, hints and shedding levels whose lifetime has passed.
+func (store *Store) Expire(now clock.Nanos) {
+	for kind, lifetime := range map[Kind]clock.Nanos{PendingWrite: store.settings.WriteWindow, Hint: store.settings.HintLifetime, SheddingLevel: store.settings.LevelLifetime} {
+		for entries := store.heaps[kind]; len(entries) > 0 && now-entries[0].learnedAt >= lifetime; entries = store.heaps[kind] {
+			store.remove(entries[0])
 		}
 	}
 }
 
-// Digest says whether two copies hold the same entries of a kind.
-func (s *Store) Digest(k Kind) uint64 { return s.digests[k] }
+// Digest returns a digest of the stored entries of a kind, by which two copies can be compared.
+func (store *Store) Digest(kind Kind) uint64 { return store.digests[kind] }
 
-// Size is how many entries of a kind are held.
-func (s *Store) Size(k Kind) int { return len(s.piles[k]) }
+// Size returns the number of stored entries of a kind.
+func (store *Store) Size(kind Kind) int { return len(store.heaps[kind]) }
 
-// Sum is over all kinds: equal where two copies hold the same.
-func (s *Store) Sum() (sum uint64) {
-	for _, d := range s.digests {
-		sum += d
+// TotalDigest returns a digest of the stored entries of all kinds.
+func (store *Store) TotalDigest() (sum uint64) {
+	for _, digest := range store.digests {
+		sum += digest
 	}
 	return sum
 }
 
-// Withheld counts claims of runs that did not count, as an entry that came with them could not be taken.
-func (s *Store) Withheld() uint64 { return s.withheld }
+// WithheldClaims returns the number of claims that were ignored because an entry of the same message could not be
+// stored.
+func (store *Store) WithheldClaims() uint64 { return store.withheldClaims }
 
-// Rejected counts received entries that can't be right, or of more origins than are remembered.
-func (s *Store) Rejected() uint64 { return s.rejected }
+// Rejected returns the number of received entries that were invalid or came from more origins than are remembered.
+func (store *Store) Rejected() uint64 { return store.rejected }
--- a/policy/crdt/store_test.go
+++ b/policy/crdt/store_test.go
@@ -15,7 +15,7 @@
 	set := DefaultSettings(Origin{name, 1})
 	set.LevelLifetime = set.HintLifetime // what is forgotten at one copy before another is no matter of joins
 	if most > 0 {
-		for k := SessionCommit; k < kinds; k++ {
+		for k := SessionCommit; k < kindCount; k++ {
 			set.MaxEntries[k] = most
 		}
 	}
@@ -28,29 +28,29 @@
 
 // drawn is something that a router might learn; few names, so that much is joined.
 func drawn(t *rapid.T) Entry {
-	e := Entry{Kind: Kind(rapid.IntRange(int(SessionCommit), int(Last)).Draw(t, "kind")), A: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "a"),
-		B: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "b")), At: int64(rapid.IntRange(1, 40).Draw(t, "at"))}
+	e := Entry{Kind: Kind(rapid.IntRange(int(SessionCommit), int(LastKind)).Draw(t, "kind")), Subject: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "a"),
+		Qualifier: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "b")), Position: int64(rapid.IntRange(1, 40).Draw(t, "at"))}
 	switch e.Kind {
 	case PrimaryClaim:
-		e.B, e.Server, e.Born = "", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), int64(rapid.IntRange(0, 2).Draw(t, "born"))
+		e.Qualifier, e.Server, e.Incarnation = "", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), int64(rapid.IntRange(0, 2).Draw(t, "born"))
 	case ServerPosition:
-		e.B, e.Born = "", int64(rapid.IntRange(0, 2).Draw(t, "born"))
+		e.Qualifier, e.Incarnation = "", int64(rapid.IntRange(0, 2).Draw(t, "born"))
 	case Usage:
-		e.At, e.Count = 0, int64(rapid.IntRange(1, 40).Draw(t, "count"))
+		e.Position, e.Count = 0, int64(rapid.IntRange(1, 40).Draw(t, "count"))
 	case PendingWrite, Hint, SheddingLevel:
-		e.At = 0
+		e.Position = 0
 	case FeedCursor: // few generations and histories, so that all of the order is met
-		e.Count, e.Born, e.Acked = int64(rapid.IntRange(1, 3).Draw(t, "gen")), int64(rapid.IntRange(1, 2).Draw(t, "history"))<<32, e.At/2
+		e.Count, e.Incarnation, e.Acked = int64(rapid.IntRange(1, 3).Draw(t, "gen")), int64(rapid.IntRange(1, 2).Draw(t, "history"))<<32, e.Position/2
 	}
 	return e
 }
 
 func differ(x, y *Store) string {
-	for k := SessionCommit; k < kinds; k++ {
+	for k := SessionCommit; k < kindCount; k++ {
 		if x.Digest(k) != y.Digest(k) {
 			set := map[string]bool{}
 			for _, e := range x.Difference(0, k, y.All(0, k), 3) {
-				set[fmt.Sprintf("%s %s/%s at %d of %v", e.Kind, e.A, e.B, e.At, e.From)] = true
+				set[fmt.Sprintf("%s %s/%s at %d of %v", e.Kind, e.Subject, e.Qualifier, e.Position, e.Origin)] = true
 			}
 			return fmt.Sprintf("%s: %v", k, set)
 		}
@@ -67,7 +67,7 @@
 			for range rapid.IntRange(0, 30).Draw(t, "learned") {
 				s.Learn(0, drawn(t))
 			}
-			for k := SessionCommit; k < kinds; k++ {
+			for k := SessionCommit; k < kindCount; k++ {
 				all = append(all, s.All(0, k)...)
 			}
 		}
@@ -83,9 +83,9 @@
 			t.Fatal(d)
 		}
 		for _, e := range all {
-			ax, kx := x.CommitPosition(e.A, e.B)
-			if ay, ky := y.CommitPosition(e.A, e.B); e.Kind == SessionCommit && (ax != ay || kx != ky || ax < e.At && x.evicted[SessionCommit] || ax < e.At && kx) {
-				t.Fatalf("session %s/%s at %d: %d %v, %d %v", e.A, e.B, e.At, ax, kx, ay, ky)
+			ax, kx := x.CommitPosition(e.Subject, e.Qualifier)
+			if ay, ky := y.CommitPosition(e.Subject, e.Qualifier); e.Kind == SessionCommit && (ax != ay || kx != ky || ax < e.Position && x.evicted[SessionCommit] || ax < e.Position && kx) {
+				t.Fatalf("session %s/%s at %d: %d %v, %d %v", e.Subject, e.Qualifier, e.Position, ax, kx, ay, ky)
 			}
 		}
 	})
@@ -121,7 +121,7 @@
 				e := drawn(t)
 				all[i].Learn(now, e)
 				if e.Kind == SessionCommit && i == 0 {
-					had[e.A+"/"+e.B] = max(had[e.A+"/"+e.B], e.At)
+					had[e.Subject+"/"+e.Qualifier] = max(had[e.Subject+"/"+e.Qualifier], e.Position)
 				}
 			case 4, 5:
 				for _, e := range all[i].TakePending(now, 300) {
@@ -178,37 +178,37 @@
 		s := store(t, "r", 5)
 		s.settings.MaxOrigins = 4
 		for i := range 300 {
-			e := Entry{Kind: Kind(rapid.IntRange(0, 8).Draw(t, "kind")), A: rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "a"), B: fmt.Sprint(rapid.IntRange(0, 99).Draw(t, "b")),
-				Born: rapid.Int64().Draw(t, "born"), At: rapid.Int64().Draw(t, "at"), Count: rapid.Int64().Draw(t, "count"), Seq: rapid.Uint64().Draw(t, "seq"),
-				Age: rapid.Int64().Draw(t, "age"), From: Origin{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "from")), rapid.Uint64().Draw(t, "boot")}}
+			e := Entry{Kind: Kind(rapid.IntRange(0, 8).Draw(t, "kind")), Subject: rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "a"), Qualifier: fmt.Sprint(rapid.IntRange(0, 99).Draw(t, "b")),
+				Incarnation: rapid.Int64().Draw(t, "born"), Position: rapid.Int64().Draw(t, "at"), Count: rapid.Int64().Draw(t, "count"), Seq: rapid.Uint64().Draw(t, "seq"),
+				Age: rapid.Int64().Draw(t, "age"), Origin: Origin{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "from")), rapid.Uint64().Draw(t, "boot")}}
 			s.Merge(clock.Nanos(i), e)
-			s.MergeRuns(clock.Nanos(i), []OriginRun{{From: e.From, Upto: e.Seq, Entries: []Entry{e}}})
+			s.MergeRuns(clock.Nanos(i), []OriginRun{{Origin: e.Origin, UpTo: e.Seq, Entries: []Entry{e}}})
 			s.Expire(clock.Nanos(i))
 			logged := 0
 			for _, l := range s.logs {
-				logged += len(l.list)
+				logged += len(l.entries)
 			}
-			for k := SessionCommit; k < kinds; k++ {
+			for k := SessionCommit; k < kindCount; k++ {
 				if s.Size(k) > 5 {
 					t.Fatalf("%d of %s", s.Size(k), k)
 				}
 			}
-			if len(s.logs) > 4 || len(s.seen) > 5 || len(s.entries) > 30 || logged > 30+4*130 {
-				t.Fatalf("%d logs of %d, %d seen, %d entries", len(s.logs), logged, len(s.seen), len(s.entries))
+			if len(s.logs) > 4 || len(s.seenUpTo) > 5 || len(s.entries) > 30 || logged > 30+4*130 {
+				t.Fatalf("%d logs of %d, %d seen, %d entries", len(s.logs), logged, len(s.seenUpTo), len(s.entries))
 			}
 		}
 	})
 	s := store(t, "r", 0)
-	s.Merge(0, Entry{Kind: ServerPosition, A: "h", At: 1e6 * second, From: Origin{"liar", 1}, Seq: 1})
+	s.Merge(0, Entry{Kind: ServerPosition, Subject: "h", Position: 1e6 * second, Origin: Origin{"liar", 1}, Seq: 1})
 	applied := func() int64 { at, _, _ := s.AppliedPosition(0, "h", 0); return at }
 	if applied() == 0 {
 		t.Error("a router that knows nothing believes the first it hears")
 	}
-	s.Learn(0, Entry{Kind: ServerPosition, A: "h", At: 5 * second})
+	s.Learn(0, Entry{Kind: ServerPosition, Subject: "h", Position: 5 * second})
 	if applied() != 5*second || s.Rejected() != 1 {
 		t.Errorf("%d after it has learned better, %d refused", applied(), s.Rejected())
 	}
-	if s.Merge(0, Entry{Kind: SessionCommit, A: "1", B: "s", At: 100 * second, From: Origin{"liar", 1}, Seq: 2}) {
+	if s.Merge(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "s", Position: 100 * second, Origin: Origin{"liar", 1}, Seq: 2}) {
 		t.Error("a commit of the future was believed")
 	}
 }
@@ -217,8 +217,8 @@
 func TestWindows(t *testing.T) {
 	a, b := store(t, "a", 0), store(t, "b", 0)
 	skew := 3600 * second
-	a.Learn(0, Entry{Kind: PendingWrite, A: "ausleihe", B: "k"})
-	a.Learn(0, Entry{Kind: Hint, A: "halle-a dark"})
+	a.Learn(0, Entry{Kind: PendingWrite, Subject: "ausleihe", Qualifier: "k"})
+	a.Learn(0, Entry{Kind: Hint, Subject: "halle-a dark"})
 	a.Learn(0, NewSheddingLevel("1", 300, 77, 5))
 	a.Learn(4*second, NewSheddingLevel("1", 310, 78, 6))
 	late := a.Since(20*second, nil, 1000)
@@ -254,8 +254,8 @@
 // Two that claim a group: the later evidence holds, then the later start.
 func TestPrimary(t *testing.T) {
 	a, b := store(t, "a", 0), store(t, "b", 0)
-	a.Learn(0, Entry{Kind: PrimaryClaim, A: "1", Server: "x", Born: 1, At: 10})
-	b.Learn(0, Entry{Kind: PrimaryClaim, A: "1", Server: "y", Born: 2, At: 10})
+	a.Learn(0, Entry{Kind: PrimaryClaim, Subject: "1", Server: "x", Incarnation: 1, Position: 10})
+	b.Learn(0, Entry{Kind: PrimaryClaim, Subject: "1", Server: "y", Incarnation: 2, Position: 10})
 	a.MergeRuns(0, b.Since(0, nil, 1000))
 	b.MergeRuns(0, a.Since(0, b.VersionVector(), 1000))
 	for _, s := range []*Store{a, b} {
@@ -263,14 +263,14 @@
 			t.Errorf("%s %d %d", server, born, at)
 		}
 	}
-	if a.Learn(1, Entry{Kind: PrimaryClaim, A: "1", Server: "x", Born: 3, At: 11}); a.Digest(PrimaryClaim) == b.Digest(PrimaryClaim) {
+	if a.Learn(1, Entry{Kind: PrimaryClaim, Subject: "1", Server: "x", Incarnation: 3, Position: 11}); a.Digest(PrimaryClaim) == b.Digest(PrimaryClaim) {
 		t.Error("digests do not differ")
 	}
 	if d := a.Difference(1, PrimaryClaim, b.All(1, PrimaryClaim), 5); len(d) != 1 || d[0].Server != "x" {
 		t.Errorf("%+v", d)
 	}
-	a.Learn(0, Entry{Kind: Usage, A: "t", B: "c", Count: 500})
-	b.Learn(0, Entry{Kind: Usage, A: "t", B: "c", Count: 700})
+	a.Learn(0, Entry{Kind: Usage, Subject: "t", Qualifier: "c", Count: 500})
+	b.Learn(0, Entry{Kind: Usage, Subject: "t", Qualifier: "c", Count: 700})
 	if a.MergeRuns(2, b.Since(2, a.VersionVector(), 1000)); a.Usage("t", "c") != 1200 {
 		t.Errorf("used %d", a.Usage("t", "c"))
 	}
@@ -280,7 +280,7 @@
 func TestGap(t *testing.T) {
 	a, b := store(t, "a", 0), store(t, "b", 0)
 	for i := range 6 {
-		a.Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(i), At: int64(i + 1)})
+		a.Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(i), Position: int64(i + 1)})
 	}
 	b.MergeRuns(0, a.Since(0, VersionVector{a.settings.Self: 3}, 1000))
 	if b.Size(SessionCommit) != 3 || b.VersionVector()[a.settings.Self] != 0 {
@@ -289,8 +289,8 @@
 	if b.MergeRuns(0, a.Since(0, b.VersionVector(), 1000)); b.Size(SessionCommit) != 6 || b.VersionVector()[a.settings.Self] != 6 {
 		t.Errorf("%d had, up to %d", b.Size(SessionCommit), b.VersionVector()[a.settings.Self])
 	}
-	for k, e := range []Entry{{From: Origin{"x", 1}, Age: 1 * second}, {From: Origin{"y", 1}, Age: 20 * second}, {From: Origin{"w", 1}, Age: 0}} {
-		e.Kind, e.A, e.B, e.Seq = PendingWrite, "c", "k", 1
+	for k, e := range []Entry{{Origin: Origin{"x", 1}, Age: 1 * second}, {Origin: Origin{"y", 1}, Age: 20 * second}, {Origin: Origin{"w", 1}, Age: 0}} {
+		e.Kind, e.Subject, e.Qualifier, e.Seq = PendingWrite, "c", "k", 1
 		if b.Merge(0, e); !b.MayHaveRun(28*second, "c", "k") || k == 2 && !b.MayHaveRun(29*second, "c", "k") {
 			t.Errorf("after the %d. word the window ends early", k+1)
 		}
--- a/policy/crdt/sync.go
+++ b/policy/crdt/sync.go
@@ -9,322 +9,336 @@
 )
 
 const (
-	entryBytes = 48             // of an entry in transit, beside its texts, and of a run
-	minRoom    = 2 * entryBytes // of an answer: a run of entries and a claim
+	entryBytes     = 48             // size in transit of an entry without its texts, and of a run
+	minAnswerBytes = 2 * entryBytes // a run of entries and a claim
 )
 
-// VersionVector says up to which number all entries of each origin, or ones that supersede them, are held. Under two origins without
-// a name, which no entry has, it carries the span of keys that this copy's fetch has not covered yet (see fetchPass).
+// VersionVector holds for each origin the sequence number up to which all entries, or entries that supersede them, are
+// held. Under two origins without a name, which no entry has, it carries the span of keys that the owner's current
+// fetch has not covered yet (see fetchPass).
 type VersionVector map[Origin]uint64
 
-// The keys under which a version vector carries the ends of that span.
+// The keys under which a version vector carries the ends of the span that remains to be fetched.
 var (
-	fetchAfter = Origin{}
-	fetchUpto  = Origin{Boot: 1}
+	remainingAfterKey = Origin{}
+	remainingUpToKey  = Origin{Epoch: 1}
 )
 
-// OriginRun holds entries of one origin or, where From is the zero Origin, of several. Where Upto is greater than After, it claims to
-// be complete: of the keys in Span all entries of its origin after the one number up to the other are in it, or are superseded by
-// what the receiver holds once it has merged the message up to this run. Where they are equal it claims nothing.
+// OriginRun holds entries of one origin or, if Origin is zero, of several. If UpTo is greater than After, the run
+// claims to be complete: for the keys in Span, each entry of the origin with a sequence number in (After, UpTo] is in
+// the run or superseded by what the receiver holds once it has merged the message up to and including this run. If UpTo
+// equals After, the run claims nothing.
 type OriginRun struct {
-	From        Origin
-	After, Upto uint64
+	Origin      Origin
+	After, UpTo uint64
 	Span        KeySpan
-	Evicted     KindSet // the sender has evicted entries of these kinds for lack of capacity: they are not held, and not superseded
-	Entries     []Entry
+	// Kinds of which the sender has evicted entries for lack of capacity; those entries are neither held nor
+	// superseded.
+	Evicted KindSet
+	Entries []Entry
 }
 
-func (r *OriginRun) isClaim() bool { return r.Upto > r.After }
+func (run *OriginRun) isClaim() bool { return run.UpTo > run.After }
 
-// KindSet is a set of kinds.
+// KindSet is a set of kinds, as a bit mask.
 type KindSet uint16
 
-func (k *KindSet) add(kind Kind) { *k |= 1 << kind }
+func (set *KindSet) add(kind Kind) { *set |= 1 << kind }
 
-func (k *KindSet) has(kind Kind) bool { return *k&(1<<kind) != 0 }
+func (set *KindSet) has(kind Kind) bool { return *set&(1<<kind) != 0 }
 
-// VersionVector returns this copy's vector.
-func (s *Store) VersionVector() VersionVector {
-	v := maps.Clone(s.seen)
-	if s.pass.begun() {
-		v[fetchAfter], v[fetchUpto] = s.pass.left.After, s.pass.left.Upto
+// VersionVector returns the version vector of this copy.
+func (store *Store) VersionVector() VersionVector {
+	vector := maps.Clone(store.seenUpTo)
+	if store.pass.hasBegun() {
+		vector[remainingAfterKey], vector[remainingUpToKey] = store.pass.remaining.After, store.pass.remaining.UpTo
 	}
-	return v
+	return vector
 }
 
-// Size is an entry's size in transit, in bytes.
-func (e *Entry) Size() int {
-	return entryBytes + len(e.A) + len(e.B) + len(e.Server) + len(e.From.Name)
+// Size returns the size of an entry in transit, in bytes.
+func (entry *Entry) Size() int {
+	return entryBytes + len(entry.Subject) + len(entry.Qualifier) + len(entry.Server) + len(entry.Origin.Name)
 }
 
-// entryAt is an entry with its age in transit.
-func (h *storedEntry) entryAt(now clock.Nanos) Entry {
-	e := h.Entry
-	e.Age = max(0, now-h.learnedAt)
-	return e
+// withAge returns the entry with its present age.
+func (stored *storedEntry) withAge(now clock.Nanos) Entry {
+	entry := stored.Entry
+	entry.Age = max(0, now-stored.learnedAt)
+	return entry
 }
 
-// TakePending removes and returns what this router learned since the last call, the most urgent first, up to so many bytes; the rest
-// is left to be fetched. It says nothing about completeness: datagrams get lost.
-func (s *Store) TakePending(now clock.Nanos, room int) []Entry {
-	fresh := slices.DeleteFunc(s.pending, func(h *storedEntry) bool { return h.heapIndex < 0 })
-	slices.SortStableFunc(fresh, func(x, y *storedEntry) int { return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(y.Seq, x.Seq)) })
-	var out []Entry
-	for _, h := range fresh {
-		if room -= h.Size(); room < 0 {
+// TakePending removes the entries that this router has learned since the last call and returns the most urgent ones, up
+// to maxBytes. The others are left for members to fetch. The result makes no claim to be complete, because datagrams
+// may be lost.
+func (store *Store) TakePending(now clock.Nanos, maxBytes int) []Entry {
+	pending := slices.DeleteFunc(store.pending, func(stored *storedEntry) bool { return stored.heapIndex < 0 })
+	slices.SortStableFunc(pending, func(x, y *storedEntry) int { return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(y.Seq, x.Seq)) })
+	var entries []Entry
+	for _, stored := range pending {
+		if maxBytes -= stored.Size(); maxBytes < 0 {
 			break
 		}
-		out = append(out, h.entryAt(now))
+		entries = append(entries, stored.withAge(now))
 	}
-	s.pending = nil
-	return out
+	store.pending = nil
+	return entries
 }
 
-// Since returns what the owner of a vector lacks, up to so many bytes. Where there is room for all of it, the runs claim all that this
-// copy has. Where there is not, the entries are a piece, the next ones in the order of their keys' hashes, and the runs' claims are
-// for the span of keys that the piece covers: the receiver adds them up (see fetchPass).
+// Since returns the entries that the owner of a version vector lacks, up to maxBytes. If all of them fit, the runs
+// claim everything that this copy holds. Otherwise the result is one piece of a fetch: the next missing entries in the
+// order of their key hashes, with claims limited to the span of keys that the piece covers. The receiver combines the
+// claims of all pieces (see fetchPass).
 //
-// A claim by origin alone would be wrong for a piece: what superseded a missing entry may have another origin, or a later number, and
-// stand in a piece that never comes. All entries of a key are in one span, so what superseded an entry is in the entry's span.
-func (s *Store) Since(now clock.Nanos, v VersionVector, room int) []OriginRun {
-	if room < minRoom {
+// A piece can't make claims by origin alone: the entry that superseded a missing one may have another origin or a later
+// sequence number, and so may be in a piece that never arrives. All entries of a key are in the same span, so the
+// superseding entry is always in the span of the superseded one.
+func (store *Store) Since(now clock.Nanos, vector VersionVector, maxBytes int) []OriginRun {
+	if maxBytes < minAnswerBytes {
 		return nil
 	}
-	missing := s.missing(v)
-	claims := s.claims(v)
-	claimRoom := min(len(claims)*entryBytes, room/2)
-	claims = claims[:claimRoom/entryBytes]
-	room -= claimRoom + entryBytes
-	if entriesSize(missing) <= room {
+	missing := store.missing(vector)
+	claims := store.claims(vector)
+	claimBytes := min(len(claims)*entryBytes, maxBytes/2)
+	claims = claims[:claimBytes/entryBytes]
+	maxBytes -= claimBytes + entryBytes
+	if entriesSize(missing) <= maxBytes {
 		return completeRuns(now, missing, claims)
 	}
-	piece, span := nextPiece(missing, s.spanToFetch(v, missing), room)
-	if len(piece) == 0 && !span.IsPiece() {
+	piece, span := nextPiece(missing, store.spanToFetch(vector, missing), maxBytes)
+	if len(piece) == 0 && !span.IsPartial() {
 		return nil
 	}
-	runs := append([]OriginRun{{Entries: entriesAt(now, piece)}}, claims...)
+	runs := append([]OriginRun{{Entries: entriesWithAges(now, piece)}}, claims...)
 	for i := range runs {
 		runs[i].Span = span
 	}
 	return runs
 }
 
-// spanToFetch returns the keys that the owner of a vector has not been sent yet. A fetch that has not begun begins at an entry that is
-// drawn: if all began at one place, members that are asked in turn could each be asked for the same entries for ever.
-func (s *Store) spanToFetch(v VersionVector, missing []*storedEntry) KeySpan {
-	after, begun := v[fetchAfter]
+// spanToFetch returns the span of keys that the owner of a version vector has not received yet. A new fetch begins at a
+// randomly chosen missing entry. If all fetches began at the same key, a receiver that asks members in turn could be
+// sent the same entries by each of them forever.
+func (store *Store) spanToFetch(vector VersionVector, missing []*storedEntry) KeySpan {
+	after, begun := vector[remainingAfterKey]
 	if begun {
-		return KeySpan{after, v[fetchUpto]}
+		return KeySpan{after, vector[remainingUpToKey]}
 	}
-	slices.SortFunc(missing, compareVersions) // so that a replay draws the same one
-	after = missing[int(s.draw()%uint32(len(missing)))].keyHash - 1
+	slices.SortFunc(missing, compareVersions) // sorted so that a replay chooses the same entry
+	after = missing[int(store.nextRandom()%uint32(len(missing)))].keyHash - 1
 	return KeySpan{after, after}
 }
 
-// draw returns the next number of a linear congruential generator (Numerical Recipes), without its low bits, which repeat early.
-func (s *Store) draw() uint32 {
+// nextRandom returns the next number of a linear congruential generator (constants from Numerical Recipes). It omits
+// the low bits, which have a short period.
+func (store *Store) nextRandom() uint32 {
 	const factor, increment, lowBits = 1664525, 1013904223, 16
-	s.turn = s.turn*factor + increment
-	return s.turn >> lowBits
+	store.randomState = store.randomState*factor + increment
+	return store.randomState >> lowBits
 }
 
-// missing returns the entries that a vector does not cover.
-func (s *Store) missing(v VersionVector) []*storedEntry {
-	var out []*storedEntry
-	for o, l := range s.logs {
-		first, _ := slices.BinarySearchFunc(l.list, v[o]+1, func(x logged, seq uint64) int { return cmp.Compare(x.seq, seq) })
-		for _, x := range l.list[first:] {
-			if x.h.heapIndex >= 0 {
-				out = append(out, x.h)
+// missing returns the stored entries that a version vector does not cover.
+func (store *Store) missing(vector VersionVector) []*storedEntry {
+	var missing []*storedEntry
+	for origin, log := range store.logs {
+		first, _ := slices.BinarySearchFunc(log.entries, vector[origin]+1, func(logged logEntry, seq uint64) int { return cmp.Compare(logged.seq, seq) })
+		for _, logged := range log.entries[first:] {
+			if logged.stored.heapIndex >= 0 {
+				missing = append(missing, logged.stored)
 			}
 		}
 	}
-	return out
+	return missing
 }
 
-// claims returns a run without entries for each origin of which this copy has more than a vector, in a stable order.
-func (s *Store) claims(v VersionVector) []OriginRun {
+// claims returns a run without entries for each origin of which this copy holds more than the version vector covers, in
+// a stable order.
+func (store *Store) claims(vector VersionVector) []OriginRun {
 	var evicted KindSet
-	for k := SessionCommit; k < kinds; k++ {
-		if s.evicted[k] {
-			evicted.add(k)
+	for kind := SessionCommit; kind < kindCount; kind++ {
+		if store.evicted[kind] {
+			evicted.add(kind)
 		}
 	}
-	var out []OriginRun
-	for o := range s.logs {
-		if s.seen[o] > v[o] {
-			out = append(out, OriginRun{From: o, After: v[o], Upto: s.seen[o], Evicted: evicted})
+	var claims []OriginRun
+	for origin := range store.logs {
+		if store.seenUpTo[origin] > vector[origin] {
+			claims = append(claims, OriginRun{Origin: origin, After: vector[origin], UpTo: store.seenUpTo[origin], Evicted: evicted})
 		}
 	}
-	slices.SortFunc(out, func(x, y OriginRun) int { return x.From.compare(y.From) })
-	return out
+	slices.SortFunc(claims, func(x, y OriginRun) int { return x.Origin.compare(y.Origin) })
+	return claims
 }
 
-// completeRuns returns runs that hold all missing entries and make all claims. An origin whose entries leave no gap up to its claim has
-// a run of its own that makes it. The other claims come after all entries, since any of those may be what superseded a missing one.
+// completeRuns returns runs that contain all missing entries and make all claims. If the missing entries of an origin
+// have no gap up to its claim, they form a run with that claim. All other claims come after all entries, because any of
+// those entries may have superseded a missing one.
 func completeRuns(now clock.Nanos, missing []*storedEntry, claims []OriginRun) []OriginRun {
 	byOrigin := map[Origin][]*storedEntry{}
-	for _, h := range missing {
-		byOrigin[h.From] = append(byOrigin[h.From], h)
+	for _, stored := range missing {
+		byOrigin[stored.Origin] = append(byOrigin[stored.Origin], stored)
 	}
 	var withoutGap, withGaps []OriginRun
-	for _, c := range claims {
-		list := byOrigin[c.From]
-		isLast := func(h *storedEntry) bool { return h.Seq == c.Upto }
-		if uint64(len(list)) != c.Upto-c.After || !isLast(slices.MaxFunc(list, compareVersions)) {
-			withGaps = append(withGaps, c)
+	for _, claim := range claims {
+		entries := byOrigin[claim.Origin]
+		isLast := func(stored *storedEntry) bool { return stored.Seq == claim.UpTo }
+		if uint64(len(entries)) != claim.UpTo-claim.After || !isLast(slices.MaxFunc(entries, compareVersions)) {
+			withGaps = append(withGaps, claim)
 			continue
 		}
-		c.Entries = entriesAt(now, list)
-		withoutGap = append(withoutGap, c)
-		delete(byOrigin, c.From)
+		claim.Entries = entriesWithAges(now, entries)
+		withoutGap = append(withoutGap, claim)
+		delete(byOrigin, claim.Origin)
 	}
 	var others []*storedEntry
-	for _, h := range missing {
-		if _, ok := byOrigin[h.From]; ok {
-			others = append(others, h)
+	for _, stored := range missing {
+		if _, ok := byOrigin[stored.Origin]; ok {
+			others = append(others, stored)
 		}
 	}
-	var out []OriginRun
+	var runs []OriginRun
 	if len(others) > 0 {
-		out = append(out, OriginRun{Entries: entriesAt(now, others)})
+		runs = append(runs, OriginRun{Entries: entriesWithAges(now, others)})
 	}
-	return append(append(out, withoutGap...), withGaps...)
+	return append(append(runs, withoutGap...), withGaps...)
 }
 
 func compareVersions(x, y *storedEntry) int { return x.compareVersion(&y.Entry) }
 
-// entriesAt returns entries with their ages, in a stable order.
-func entriesAt(now clock.Nanos, list []*storedEntry) []Entry {
-	slices.SortFunc(list, compareVersions)
-	out := make([]Entry, len(list))
-	for i, h := range list {
-		out[i] = h.entryAt(now)
+// entriesWithAges returns the entries with their present ages, in a stable order.
+func entriesWithAges(now clock.Nanos, stored []*storedEntry) []Entry {
+	slices.SortFunc(stored, compareVersions)
+	entries := make([]Entry, len(stored))
+	for i, one := range stored {
+		entries[i] = one.withAge(now)
 	}
-	return out
+	return entries
 }
 
-// entriesSize is the size of entries in transit, in bytes.
-func entriesSize(list []*storedEntry) int {
+// entriesSize returns the size of entries in transit, in bytes.
+func entriesSize(entries []*storedEntry) int {
 	size := 0
-	for _, h := range list {
-		size += h.Size()
+	for _, stored := range entries {
+		size += stored.Size()
 	}
 	return size
 }
 
-// MergeRuns merges the runs of one message and returns how many entries changed the copy. A run that begins beyond the held entries
-// of its origin leaves a gap: its entries are merged, and fetched again. Where an entry of the message could not be taken, no claim
-// in it counts: that entry may be what superseded others.
-func (s *Store) MergeRuns(now clock.Nanos, runs []OriginRun) int {
+// MergeRuns merges the runs of one message and returns how many entries changed the store. If a run begins after the
+// covered entries of its origin, its entries are merged but the claim is ignored, so the gap is fetched again. If any
+// entry of the message could not be stored, all claims of the message are ignored, because that entry may be the one
+// that superseded others.
+func (store *Store) MergeRuns(now clock.Nanos, runs []OriginRun) int {
 	changed, covered := 0, true
 	var claims []OriginRun
 	var span KeySpan
-	for _, r := range runs {
-		sound := r.From.Name != "" && r.From != s.settings.Self && r.Upto >= r.After
-		for _, e := range r.Entries {
-			if r.From != (Origin{}) && (e.From != r.From || e.Seq <= r.After) {
-				sound, covered = false, false
-				s.rejected++
+	for _, run := range runs {
+		valid := run.Origin.Name != "" && run.Origin != store.settings.Self && run.UpTo >= run.After
+		for _, entry := range run.Entries {
+			if run.Origin != (Origin{}) && (entry.Origin != run.Origin || entry.Seq <= run.After) {
+				valid, covered = false, false
+				store.rejected++
 				continue
 			}
-			if s.Merge(now, e) {
+			if store.Merge(now, entry) {
 				changed++
 			}
-			covered = covered && (!s.isWellFormed(&e) || s.Covers(now, &e))
+			covered = covered && (!store.isWellFormed(&entry) || store.Covers(now, &entry))
 		}
-		if sound && r.isClaim() {
-			claims = append(claims, r)
+		if valid && run.isClaim() {
+			claims = append(claims, run)
 		}
-		span = r.Span
+		span = run.Span
 	}
 	if !covered {
-		s.withheld += uint64(len(claims))
+		store.withheldClaims += uint64(len(claims))
 		claims = nil
 	}
-	for _, r := range claims {
-		for k := SessionCommit; k < kinds; k++ {
-			s.evicted[k] = s.evicted[k] || r.Evicted.has(k)
+	for _, run := range claims {
+		for kind := SessionCommit; kind < kindCount; kind++ {
+			store.evicted[kind] = store.evicted[kind] || run.Evicted.has(kind)
 		}
 	}
 	if span.isAll() {
-		s.takeClaims(claims)
+		store.applyClaims(claims)
 	} else {
-		s.takePiece(span, claims)
+		store.applyPiece(span, claims)
 	}
 	return changed
 }
 
-// takeClaims moves the vector by claims for all keys.
-func (s *Store) takeClaims(claims []OriginRun) {
-	for _, r := range claims {
-		if r.Span.isAll() && r.After <= s.seen[r.From] {
-			s.raiseVector(r.From, r.Upto)
+// applyClaims advances the version vector by claims for all keys.
+func (store *Store) applyClaims(claims []OriginRun) {
+	for _, claim := range claims {
+		if claim.Span.isAll() && claim.After <= store.seenUpTo[claim.Origin] {
+			store.raiseVector(claim.Origin, claim.UpTo)
 		}
 	}
 }
 
-// takePiece adds a piece to the pass, and moves the vector once that is complete. A piece without claims takes the pass on too, so
-// that what follows it is fetched.
-func (s *Store) takePiece(span KeySpan, claims []OriginRun) {
-	if !s.pass.add(span, claims) {
+// applyPiece adds a piece to the fetch pass and advances the version vector once the pass is complete. A piece without
+// claims also advances the pass, so that the next piece is fetched.
+func (store *Store) applyPiece(span KeySpan, claims []OriginRun) {
+	if !store.pass.add(span, claims) {
 		return
 	}
-	for o, upto := range s.pass.upto {
-		s.raiseVector(o, upto)
+	for origin, upTo := range store.pass.claimedUpTo {
+		store.raiseVector(origin, upTo)
 	}
-	s.pass = fetchPass{}
+	store.pass = fetchPass{}
 }
 
-// raiseVector records that all entries of an origin up to a number are covered.
-func (s *Store) raiseVector(o Origin, upto uint64) {
-	if _, known := s.seen[o]; known || len(s.seen) < s.settings.MaxOrigins {
-		s.seen[o] = max(s.seen[o], upto)
+// raiseVector records that all entries of an origin up to a sequence number are covered.
+func (store *Store) raiseVector(origin Origin, upTo uint64) {
+	if _, known := store.seenUpTo[origin]; known || len(store.seenUpTo) < store.settings.MaxOrigins {
+		store.seenUpTo[origin] = max(store.seenUpTo[origin], upTo)
 	}
 }
 
-// Hash covers the joined part of an entry: a check of a received piece of runs.
-func (e *Entry) Hash() uint64 { return (&storedEntry{Entry: *e}).hash() }
+// Hash returns a hash of the joined fields of an entry, as a checksum of received runs.
+func (entry *Entry) Hash() uint64 { return (&storedEntry{Entry: *entry}).hash() }
 
-// EntriesOlderThan returns entries known for longer than a bound, in turn, at most so many: a copy without them has missed them.
-func (s *Store) EntriesOlderThan(now, bound clock.Nanos, most int) []Entry {
-	var out []Entry
-	for k := SessionCommit; k < kinds; k++ {
-		p := s.piles[k]
-		for i := range p { // one of each kind, then of the next store
-			if h := p[(int(s.turn>>16)+i)%len(p)]; now-h.learnedAt > bound && len(out) < most {
-				out = append(out, h.entryAt(now))
+// EntriesOlderThan returns up to maxEntries entries that have been known for longer than a bound, a different selection
+// with each call. A copy without one of them has missed it.
+func (store *Store) EntriesOlderThan(now, bound clock.Nanos, maxEntries int) []Entry {
+	var entries []Entry
+	for kind := SessionCommit; kind < kindCount; kind++ {
+		candidates := store.heaps[kind]
+		for i := range candidates { // at most one entry of each kind
+			if stored := candidates[(int(store.randomState>>16)+i)%len(candidates)]; now-stored.learnedAt > bound && len(entries) < maxEntries {
+				entries = append(entries, stored.withAge(now))
 				break
 			}
 		}
 	}
-	s.draw()
-	return out
+	store.nextRandom()
+	return entries
 }
 
-// Difference names entries that differ between two copies, at most so many: for people.
-func (s *Store) Difference(now clock.Nanos, k Kind, other []Entry, most int) []Entry {
+// Difference returns up to maxEntries entries of a kind that this copy holds and another copy, given by its entries,
+// lacks or holds differently. It is meant for reports to people.
+func (store *Store) Difference(now clock.Nanos, kind Kind, others []Entry, maxEntries int) []Entry {
 	theirs := map[entryID]*Entry{}
-	for i := range other {
-		theirs[other[i].id()] = &other[i]
+	for i := range others {
+		theirs[others[i].id()] = &others[i]
 	}
-	var out []Entry
-	for _, h := range s.piles[k] {
-		if e := theirs[h.id()]; e == nil || e.compare(&h.Entry) != 0 {
-			out = append(out, h.entryAt(now))
+	var differing []Entry
+	for _, stored := range store.heaps[kind] {
+		if their := theirs[stored.id()]; their == nil || their.compare(&stored.Entry) != 0 {
+			differing = append(differing, stored.withAge(now))
 		}
 	}
-	slices.SortFunc(out, func(x, y Entry) int {
-		return cmp.Or(cmp.Compare(x.A, y.A), cmp.Compare(x.B, y.B), x.compareVersion(&y))
+	slices.SortFunc(differing, func(x, y Entry) int {
+		return cmp.Or(cmp.Compare(x.Subject, y.Subject), cmp.Compare(x.Qualifier, y.Qualifier), x.compareVersion(&y))
 	})
-	return out[:min(most, len(out))]
+	return differing[:min(maxEntries, len(differing))]
 }
 
-// All are the entries of a kind.
-func (s *Store) All(now clock.Nanos, k Kind) []Entry {
-	var out []Entry
-	for _, h := range s.piles[k] {
-		out = append(out, h.entryAt(now))
+// All returns all stored entries of a kind.
+func (store *Store) All(now clock.Nanos, kind Kind) []Entry {
+	var entries []Entry
+	for _, stored := range store.heaps[kind] {
+		entries = append(entries, stored.withAge(now))
 	}
-	return out
+	return entries
 }
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -138,7 +138,7 @@
 //nolint:gocognit,funlen // one history or table of cases, told in order
 func (w *world) request(r, s int, lost bool, broken string) *world {
 	c := w.next("subscriber %d asks router %d, lost %v", s, r, lost)
-	sub, router, self := &c.subs[s], &c.routers[r], crdt.Origin{Name: fmt.Sprint("r", r), Boot: 1}
+	sub, router, self := &c.subs[s], &c.routers[r], crdt.Origin{Name: fmt.Sprint("r", r), Epoch: 1}
 	known := router.known[s]
 	q := Request{Turn: NewConnection, Known: known, Own: known.By == self}
 	if s == 0 || sub.at == r { // its connection remembers what went out on it
--- a/policy/cursor/registry.go
+++ b/policy/cursor/registry.go
@@ -16,7 +16,7 @@
 
 // Compare goes by number, then by who raised it.
 func (g Generation) Compare(h Generation) int {
-	return cmp.Or(cmp.Compare(g.Gen, h.Gen), cmp.Compare(g.By.Name, h.By.Name), cmp.Compare(g.By.Boot, h.By.Boot))
+	return cmp.Or(cmp.Compare(g.Gen, h.Gen), cmp.Compare(g.By.Name, h.By.Name), cmp.Compare(g.By.Epoch, h.By.Epoch))
 }
 
 // Cursor is what is known of one subscriber of one feed. The zero Cursor is nothing.
@@ -49,12 +49,12 @@
 
 // Entry is a cursor as routers replicate it.
 func (c Cursor) Entry(feed, subscriber string) crdt.Entry {
-	return crdt.Entry{Kind: crdt.FeedCursor, A: feed, B: subscriber, From: c.By, Count: c.Gen, Born: int64(c.Number()), At: c.At, Acked: c.Acked}
+	return crdt.Entry{Kind: crdt.FeedCursor, Subject: feed, Qualifier: subscriber, Origin: c.By, Count: c.Gen, Incarnation: int64(c.Number()), Position: c.At, Acked: c.Acked}
 }
 
 // FromEntry is the cursor of an entry.
 func FromEntry(e crdt.Entry) Cursor {
-	return Cursor{Generation{e.Count, e.From}, Position{HistoryOf(uint64(e.Born)), e.At}, e.Acked, e.Age}
+	return Cursor{Generation{e.Count, e.Origin}, Position{HistoryOf(uint64(e.Incarnation)), e.Position}, e.Acked, e.Age}
 }
 
 // Registry holds the cursors that this router issued, at most so many. The least recently used one is evicted first; from
--- a/policy/cursor/replay_test.go
+++ b/policy/cursor/replay_test.go
@@ -31,7 +31,7 @@
 		settings.RingEvents, settings.BatchEvents = 12, 3
 		driver := replaytest.NewDriver(seed, digest)
 		feed, pace := cursor.NewFeed(&settings), cursor.NewLimiter(&settings, driver.Now)
-		book := cursor.NewRegistry(crdt.Origin{Name: "r-0", Boot: 1}, 4)
+		book := cursor.NewRegistry(crdt.Origin{Name: "r-0", Epoch: 1}, 4)
 		point := func() cursor.Position {
 			era := uint32(1 + driver.IntN(2))
 			id := uint32(7 + driver.IntN(3))
--- a/policy/cursor/rules_test.go
+++ b/policy/cursor/rules_test.go
@@ -15,7 +15,7 @@
 
 func drawnCursor(t *rapid.T) Cursor {
 	n := func(name string, most int) int64 { return int64(rapid.IntRange(0, most).Draw(t, name)) }
-	return Cursor{Generation{n("gen", 2), crdt.Origin{Name: fmt.Sprint("r", n("by", 1)), Boot: uint64(n("boot", 1))}},
+	return Cursor{Generation{n("gen", 2), crdt.Origin{Name: fmt.Sprint("r", n("by", 1)), Epoch: uint64(n("boot", 1))}},
 		Position{History{uint32(n("era", 2)), uint32(n("id", 1))}, n("at", 3)}, n("acked", 3), n("age", 3)}
 }
 
@@ -40,13 +40,13 @@
 		}
 		var kept [2]Cursor
 		for i, list := range [][]Cursor{{a, b}, {b, a, b}} {
-			s, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Boot: 1}))
+			s, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Epoch: 1}))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for j, x := range list {
 				e := x.Entry("f", "s")
-				e.Acked, e.Seq = min(e.Acked, e.At), uint64(j+1)
+				e.Acked, e.Seq = min(e.Acked, e.Position), uint64(j+1)
 				s.Merge(0, e)
 			}
 			e, _, _ := s.Cursor(0, "f", "s")
@@ -63,7 +63,7 @@
 // A book has room for so many, keeps those touched last, never goes back, and says that it let some go.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := NewRegistry(crdt.Origin{Name: "r", Boot: 1}, 4), clock.Nanos(0)
+		b, now := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, 4), clock.Nanos(0)
 		model, order := map[string]Cursor{}, []string{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now++
@@ -109,13 +109,13 @@
 		runtime.ReadMemStats(&after)
 		return int(after.HeapAlloc) - int(before.HeapAlloc)
 	}
-	book := NewRegistry(crdt.Origin{Name: "r", Boot: 1}, n)
+	book := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, n)
 	own := heap(func() {
 		for i := range n {
 			book.Put(0, uint32(i%3), fmt.Sprintf("subscriber-%013d", i), Cursor{Generation{Gen: 1}, pt(1, 1, int64(i)), 0, 0})
 		}
 	})
-	set := crdt.DefaultSettings(crdt.Origin{Name: "r", Boot: 1})
+	set := crdt.DefaultSettings(crdt.Origin{Name: "r", Epoch: 1})
 	set.MaxEntries[crdt.FeedCursor] = n
 	store, err := crdt.New(set)
 	if err != nil {
--- a/policy/trust/trust.go
+++ b/policy/trust/trust.go
@@ -183,12 +183,12 @@
 }
 
 func keyOf(e *crdt.Entry) entryKey {
-	k := entryKey{kind: e.Kind, a: e.A, b: e.B}
+	k := entryKey{kind: e.Kind, a: e.Subject, b: e.Qualifier}
 	switch e.Kind {
 	case crdt.ServerPosition:
-		k.startedAt = e.Born
+		k.startedAt = e.Incarnation
 	case crdt.Usage, crdt.Hint:
-		k.from = e.From
+		k.from = e.Origin
 	}
 	return k
 }
