--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -54,15 +54,15 @@
 }
 
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (p *Feeds) answer(seat *Subscription, q *Request) (value []byte, row cursor.Row, n int, err error) {
+func (p *Feeds) answer(seat *Subscription, q *Request) (value []byte, row cursor.Outcome, n int, err error) {
 	l := p.log(q.Class, q.Group)
 	crowded := func(why string, wait int64) error {
-		return &cursor.OverloadedError{Why: why, Feed: l.text, Subscriber: q.Subscriber, Wait: wait}
+		return &cursor.OverloadedError{Reason: why, Feed: l.text, Subscriber: q.Subscriber, RetryAfter: wait}
 	}
 	seat.mu.Lock()
 	if seat.busy {
 		seat.mu.Unlock()
-		return nil, cursor.Wait, 0, crowded(cursor.CrowdBusy, 0)
+		return nil, cursor.Wait, 0, crowded(cursor.ReasonBusy, 0)
 	}
 	seat.busy = true
 	goesOn, held, point := seat.log == l && seat.subscriber == q.Subscriber, seat.held, seat.point
@@ -73,18 +73,18 @@
 		seat.mu.Unlock()
 	}()
 
-	asked := cursor.Request{Turn: cursor.NewConnection, Client: q.After}
+	asked := cursor.Request{Connection: cursor.NewConnection, Client: q.After}
 	carries := q.After.History != (cursor.History{})
 	if goesOn {
-		if asked.Turn = cursor.SameConnection; !carries { // this request shows that the last answer arrived
+		if asked.Connection = cursor.SameConnection; !carries { // this request shows that the last answer arrived
 			asked.Client = point
 		}
 	} else {
 		p.pace.Lock()
-		wait, ok := p.pace.Reconnect(p.opt.Now(), q.Subscriber)
+		wait, ok := p.pace.AllowReconnect(p.opt.Now(), q.Subscriber)
 		p.pace.Unlock()
 		if !ok {
-			return nil, cursor.Wait, 0, crowded(cursor.CrowdReturning, wait)
+			return nil, cursor.Wait, 0, crowded(cursor.ReasonReconnects, wait)
 		}
 	}
 	var far *reading
@@ -95,25 +95,25 @@
 		if _, read := l.feed.End(); read && known.Gen > l.feed.Head().At+maxGeneration { // no router raised it so far: it is invalid
 			known = cursor.Cursor{}
 		}
-		asked.Known, asked.Own, asked.LetGo = known, known.By == p.opt.Self, letGo
+		asked.Known, asked.IssuedHere, asked.Evicted = known, known.RaisedBy == p.opt.Self, letGo
 		if goesOn && known.Generation.Compare(held) > 0 {
-			asked.Turn = cursor.SupersededConnection
+			asked.Connection = cursor.SupersededConnection
 		}
 		v := l.feed.Decide(now, asked, try < maxTries)
-		row = v.Row
-		invariant.Check(row != cursor.Impossible, "no request stands as none can", "turn", asked.Turn, "client", q.After, "known", known)
+		row = v.Outcome
+		invariant.Check(row != cursor.Impossible, "no request stands as none can", "turn", asked.Connection, "client", q.After, "known", known)
 		switch row {
 		case cursor.Fenced, cursor.Snapshot, cursor.Future, cursor.Impossible:
 			begin := l.feed.Head()
 			l.mu.Unlock()
-			return nil, row, 0, &cursor.RejectedError{Row: row, Forgot: row == cursor.Snapshot && q.After.History == (cursor.History{}) && known.Gen == 0,
-				Feed: l.text, Subscriber: q.Subscriber, Had: v.Start, Begin: begin}
+			return nil, row, 0, &cursor.RejectedError{Outcome: row, Forgotten: row == cursor.Snapshot && q.After.History == (cursor.History{}) && known.Gen == 0,
+				Feed: l.text, Subscriber: q.Subscriber, Received: v.Start, SnapshotPosition: begin}
 		}
 		var r *reading
-		here := v.Need == cursor.NothingNeeded || v.Need == cursor.ReadCatchUp && far.serves(v.Start)
+		here := v.RequiredRead == cursor.NoRead || v.RequiredRead == cursor.ReadCatchUp && far.serves(v.Start)
 		switch {
 		case here:
-		case v.Need == cursor.ReadEnd:
+		case v.RequiredRead == cursor.ReadEnd:
 			r = l.end
 		default:
 			r = l.far[v.Start]
@@ -126,14 +126,14 @@
 				cause = far.err
 			}
 			l.mu.Unlock()
-			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: l.set.PollInterval, Cause: cause}
-		case begin && v.Need == cursor.ReadCatchUp:
+			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: l.text, RetryAfter: l.set.PollInterval, Cause: cause}
+		case begin && v.RequiredRead == cursor.ReadCatchUp:
 			p.pace.Lock()
-			wait, ok := p.pace.CatchUp(now, q.Subscriber)
+			wait, ok := p.pace.AllowCatchUp(now, q.Subscriber)
 			p.pace.Unlock()
 			if !ok {
 				l.mu.Unlock()
-				return nil, cursor.Wait, 0, crowded(cursor.CrowdFar, wait)
+				return nil, cursor.Wait, 0, crowded(cursor.ReasonCatchUp, wait)
 			}
 			r = p.read(l, v.Start, false, q.Who)
 		case begin:
@@ -142,7 +142,7 @@
 		}
 		if r == nil { // nothing more to read: the answer
 			var from []cursor.Event
-			if v.Need == cursor.ReadCatchUp {
+			if v.RequiredRead == cursor.ReadCatchUp {
 				from = far.answer.Events
 			}
 			list, next, more := []cursor.Event(nil), v.Start, false
@@ -151,7 +151,7 @@
 			}
 			head := l.feed.Head()
 			l.mu.Unlock()
-			b := &Batch{Events: events(list), Next: Place{After: next.At, History: next.String()}, Began: row == cursor.Begin}
+			b := &Batch{Events: events(list), Next: Place{After: next.At, History: next.String()}, Began: row == cursor.BeginAtHead}
 			if row == cursor.Rewind {
 				b.Rewound = &Rewound{History: v.Stale.String(), From: v.Stale.At, To: v.Start.At}
 			}
@@ -160,7 +160,7 @@
 			}
 			kept := cursor.Cursor{Generation: held, Position: next, Acked: min(v.Start.At, next.At)}
 			switch {
-			case row == cursor.Begin:
+			case row == cursor.BeginAtHead:
 				kept.Acked = cursor.NotAcknowledged
 			case row == cursor.Rewind && !carries: // until it is known to have received it, it is notified again
 				if kept.Position, kept.Acked = v.Stale, min(known.Acked, v.Stale.At); known.Gen == 0 {
@@ -172,7 +172,7 @@
 			}
 			gen, ok := p.deliver(seat, l, q, goesOn, kept, next, head)
 			if !ok {
-				return nil, cursor.Fenced, 0, &cursor.RejectedError{Row: cursor.Fenced, Feed: l.text, Subscriber: q.Subscriber}
+				return nil, cursor.Fenced, 0, &cursor.RejectedError{Outcome: cursor.Fenced, Feed: l.text, Subscriber: q.Subscriber}
 			}
 			b.Next.Gen = gen
 			value, err = json.Marshal(b)
@@ -183,12 +183,12 @@
 			return nil, cursor.Wait, 0, err
 		}
 		if r.err != nil && try+1 >= maxTries {
-			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: max(r.wait, l.set.PollInterval), Cause: r.err}
+			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: l.text, RetryAfter: max(r.wait, l.set.PollInterval), Cause: r.err}
 		}
 		if r.err != nil && r.wait > 0 { // the module says when: an earlier try would add load
-			return nil, cursor.Elsewhere, 0, &cursor.UnreadableError{Feed: l.text, Wait: r.wait, Cause: r.err}
+			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: l.text, RetryAfter: r.wait, Cause: r.err}
 		}
-		if far = nil; v.Need == cursor.ReadCatchUp {
+		if far = nil; v.RequiredRead == cursor.ReadCatchUp {
 			far = r
 		}
 	}
@@ -209,7 +209,7 @@
 		if client > head.At+maxGeneration {
 			client = 0
 		}
-		held = cursor.Generation{Gen: max(known.Gen, client, head.At) + 1, By: p.opt.Self}
+		held = cursor.Generation{Gen: max(known.Gen, client, head.At) + 1, RaisedBy: p.opt.Self}
 	}
 	c.Generation = held
 	kept := next.At <= head.At // a cursor that is ahead is the client's claim alone
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -71,7 +71,7 @@
 	FarReads uint64            `json:"far_reads"` // for subscribers behind the ring
 	Refused  uint64            `json:"refused"`
 	Rows     map[string]uint64 `json:"rows"` // of the table, by name
-	rows     [cursor.RowCount]uint64
+	rows     [cursor.OutcomeCount]uint64
 }
 
 // Feeds answers subscribers. It is safe for concurrent use.
@@ -163,7 +163,7 @@
 	c.Cursors, c.Rows = p.cursors(), map[string]uint64{}
 	for row, n := range c.rows {
 		if n > 0 {
-			c.Rows[cursor.Row(row).String()] = n
+			c.Rows[cursor.Outcome(row).String()] = n
 		}
 	}
 	return c
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -37,7 +37,7 @@
 	if m.reads++; m.fail != nil {
 		return ReadResult{Err: m.fail}
 	}
-	out := &cursor.Response{Line: m.line, From: a.After.At}
+	out := &cursor.Response{Lineage: m.line, From: a.After.At}
 	if end, on := m.line.End(a.After.History); on {
 		out.From = min(a.After.At, end)
 	} else if n := len(m.events) - a.MaxEvents; n > 0 {
@@ -123,9 +123,9 @@
 					}
 					b, err := ask(p, &Subscription{}, fmt.Sprint("s", c.who), cursor.Position{History: one, At: c.from})
 					var crowded *cursor.OverloadedError
-					if errors.As(err, &crowded) && crowded.Why == cursor.CrowdReturning && crowded.Wait > 0 && crowded.Wait <= p.opt.Settings.MaxRetryAfter {
+					if errors.As(err, &crowded) && crowded.Reason == cursor.ReasonReconnects && crowded.RetryAfter > 0 && crowded.RetryAfter <= p.opt.Settings.MaxRetryAfter {
 						late.Add(1)
-						c.due = now.Load() + crowded.Wait
+						c.due = now.Load() + crowded.RetryAfter
 						mu.Lock()
 						again = append(again, c)
 						mu.Unlock()
@@ -197,9 +197,9 @@
 	for place.At < 100 {
 		b, err := ask(p, seat, "slow", place)
 		var crowded *cursor.OverloadedError
-		if errors.As(err, &crowded) && crowded.Why == cursor.CrowdFar {
+		if errors.As(err, &crowded) && crowded.Reason == cursor.ReasonCatchUp {
 			refused++
-			now.Add(crowded.Wait)
+			now.Add(crowded.RetryAfter)
 			continue
 		}
 		if err != nil {
@@ -257,8 +257,8 @@
 	if r := operr.Of(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
 		t.Error(err)
 	}
-	for _, e := range []operr.Error{&cursor.RejectedError{Row: cursor.Future}, &cursor.RejectedError{Row: cursor.Snapshot}, &cursor.RejectedError{Row: cursor.Snapshot, Forgot: true}, &cursor.OverloadedError{Why: cursor.CrowdWaiting},
-		&cursor.OverloadedError{Why: cursor.CrowdBusy}, &cursor.OverloadedError{Why: cursor.CrowdFar}, &cursor.OverloadedError{Why: cursor.CrowdReturning}} {
+	for _, e := range []operr.Error{&cursor.RejectedError{Outcome: cursor.Future}, &cursor.RejectedError{Outcome: cursor.Snapshot}, &cursor.RejectedError{Outcome: cursor.Snapshot, Forgotten: true}, &cursor.OverloadedError{Reason: cursor.ReasonWaiting},
+		&cursor.OverloadedError{Reason: cursor.ReasonBusy}, &cursor.OverloadedError{Reason: cursor.ReasonCatchUp}, &cursor.OverloadedError{Reason: cursor.ReasonReconnects}} {
 		if e.Kind() == "" || e.Hint() == "" || strings.Contains(e.Error(), "%!") {
 			t.Errorf("%T: %s, %s, %s", e, e.Kind(), e.Hint(), e.Error())
 		}
--- a/internal/changefeed/reading.go
+++ b/internal/changefeed/reading.go
@@ -14,14 +14,14 @@
 	after  cursor.Position
 	done   chan struct{}
 	answer *cursor.Response // nil: there is none
-	member cursor.Member
+	member cursor.EndpointState
 	err    error
 	wait   int64
 }
 
 // serves says whether a finished catch-up read is what a start needs.
 func (r *reading) serves(start cursor.Position) bool {
-	return r != nil && r.answer != nil && r.member != cursor.MemberForked && r.after == start && r.answer.From <= start.At
+	return r != nil && r.answer != nil && r.member != cursor.EndpointForked && r.after == start && r.answer.From <= start.At
 }
 
 // read starts a read; the log's lock is held.
@@ -69,7 +69,7 @@
 func (p *Feeds) await(l *log, r *reading, q *Request) error {
 	if p.waiting.Add(1) > int64(p.opt.Waiting) {
 		p.waiting.Add(-1)
-		return &cursor.OverloadedError{Why: cursor.CrowdWaiting, Feed: l.text, Subscriber: q.Subscriber, Wait: l.set.PollInterval}
+		return &cursor.OverloadedError{Reason: cursor.ReasonWaiting, Feed: l.text, Subscriber: q.Subscriber, RetryAfter: l.set.PollInterval}
 	}
 	defer p.waiting.Add(-1)
 	late := time.NewTimer(time.Duration(q.Until - p.opt.Now()))
@@ -78,7 +78,7 @@
 	case <-r.done:
 		return nil
 	case <-late.C:
-		return &cursor.UnreadableError{Feed: l.text, Wait: l.set.PollInterval, Cause: context.DeadlineExceeded}
+		return &cursor.UnreadableError{Feed: l.text, RetryAfter: l.set.PollInterval, Cause: context.DeadlineExceeded}
 	case <-q.Left:
 		return &cursor.UnreadableError{Feed: l.text, Cause: errors.New("the client has left")}
 	}
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -38,7 +38,7 @@
 // AppendAnswer encodes a member's answer.
 func AppendAnswer(a *cursor.Response) ([]byte, error) {
 	t := memberAnswer{RemovedBefore: a.TruncatedUpTo, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
-	for _, f := range a.Line {
+	for _, f := range a.Lineage {
 		t.Line = append(t.Line, history{f.String(), f.From})
 	}
 	return json.Marshal(t)
@@ -56,7 +56,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
-		a.Line = append(a.Line, cursor.Fork{History: one, From: h.From})
+		a.Lineage = append(a.Lineage, cursor.Fork{History: one, From: h.From})
 	}
 	for _, e := range t.Events {
 		a.Events = append(a.Events, cursor.Event(e))
--- a/internal/emulator/feed.go
+++ b/internal/emulator/feed.go
@@ -134,7 +134,7 @@
 	line, events := s.history.log(limit)
 	g.audit.FeedReads++
 	g.mu.Unlock()
-	a := &cursor.Response{Line: line[max(0, len(line)-cursor.MaxLineage):]}
+	a := &cursor.Response{Lineage: line[max(0, len(line)-cursor.MaxLineage):]}
 	if n := len(events); n > 0 {
 		a.Head = events[n-1].At
 		if n > g.fleet.Retain {
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -85,9 +85,9 @@
 	var no *cursor.RejectedError
 	switch {
 	case errors.As(err, &crowded):
-		wait = retryAfterField(crowded.Wait)
+		wait = retryAfterField(crowded.RetryAfter)
 	case errors.As(err, &unread):
-		wait = retryAfterField(unread.Wait)
+		wait = retryAfterField(unread.RetryAfter)
 	case errors.As(err, &no):
 		code = pgwire.CodeCursor
 	}
--- a/policy/cursor/errors.go
+++ b/policy/cursor/errors.go
@@ -6,47 +6,47 @@
 	"lotushook/policy/clock"
 )
 
-// RejectedError reports a subscriber that is rejected although the feed could be read: its row says why.
+// RejectedError reports that a subscriber was rejected although the feed could be read. Outcome is the reason.
 type RejectedError struct {
-	Row        Row
-	Forgot     bool // Snapshot: nothing is known of it any more
-	Feed       string
-	Subscriber string
-	Had        Position // what it sent or is known to have received; none: without a history
-	Begin      Position // Snapshot, Future: where it resumes after a snapshot
+	Outcome          Outcome
+	Forgotten        bool // Snapshot: the routers know nothing of the subscriber any more
+	Feed             string
+	Subscriber       string
+	Received         Position // the position that it sent or is known to have received; none if History is zero
+	SnapshotPosition Position // Snapshot, Future: the position of the snapshot, from which it can resume
 }
 
-// Error describes the subscriber's cursor.
-func (e *RejectedError) Error() string {
-	at := fmt.Sprintf("feed %s, subscriber %.40q: ", e.Feed, e.Subscriber)
-	then := fmt.Sprintf("; take a snapshot at position %d, then resume with after=%d,history=%s", e.Begin.At, e.Begin.At, e.Begin.History)
+// Error describes the rejected cursor and how to resume.
+func (err *RejectedError) Error() string {
+	prefix := fmt.Sprintf("feed %s, subscriber %.40q: ", err.Feed, err.Subscriber)
+	advice := fmt.Sprintf("; take a snapshot at position %d, then resume with after=%d,history=%s", err.SnapshotPosition.At, err.SnapshotPosition.At, err.SnapshotPosition.History)
 	switch {
-	case e.Row == Fenced:
-		return at + "another connection of it took over"
-	case e.Forgot:
-		return at + "it brought no cursor, and its own was let go" + then
-	case e.Row == Future:
-		return fmt.Sprintf("%scursor %d of %s is of the future", at, e.Had.At, e.Had.History) + then
+	case err.Outcome == Fenced:
+		return prefix + "another connection of it took over"
+	case err.Forgotten:
+		return prefix + "it brought no cursor, and its own was let go" + advice
+	case err.Outcome == Future:
+		return fmt.Sprintf("%scursor %d of %s is of the future", prefix, err.Received.At, err.Received.History) + advice
 	}
-	return fmt.Sprintf("%swhat follows %d of %s is not kept", at, e.Had.At, e.Had.History) + then
+	return fmt.Sprintf("%swhat follows %d of %s is not kept", prefix, err.Received.At, err.Received.History) + advice
 }
 
-// Kind is one of cursor-fenced, cursor-forgotten, cursor-future, cursor-old.
-func (e *RejectedError) Kind() string {
+// Kind returns cursor-fenced, cursor-forgotten, cursor-future or cursor-old.
+func (err *RejectedError) Kind() string {
 	switch {
-	case e.Row == Fenced:
+	case err.Outcome == Fenced:
 		return "cursor-fenced"
-	case e.Forgot:
+	case err.Forgotten:
 		return "cursor-forgotten"
-	case e.Row == Future:
+	case err.Outcome == Future:
 		return "cursor-future"
 	}
 	return "cursor-old"
 }
 
-// Hint is for the subscriber's owner.
-func (e *RejectedError) Hint() string {
-	switch e.Row {
+// Hint returns advice for the owner of the subscriber.
+func (err *RejectedError) Hint() string {
+	switch err.Outcome {
 	case Fenced:
 		return "close this connection, or give each reader a name of its own; to take the feed back, connect again"
 	case Future:
@@ -55,62 +55,63 @@
 	return "take the snapshot that the message names and bring the cursor of each answer along; a longer retention or a larger most_cursors makes it rarer"
 }
 
-// OverloadedError reports a subscriber that must return later, with its cursor kept.
+// OverloadedError reports that a subscriber must retry later. Its cursor is retained.
 type OverloadedError struct {
-	Why        string // returning, far, busy, waiting
+	Reason     string // one of the Reason constants
 	Feed       string
 	Subscriber string
-	Wait       clock.Nanos
+	RetryAfter clock.Nanos
 }
 
-// The reasons of OverloadedError.
+// The reasons of an OverloadedError.
 const (
-	CrowdReturning = "returning" // more reconnect than return_per_s
-	CrowdFar       = "far"       // more are behind the ring than catch_up_per_s
-	CrowdBusy      = "busy"      // its connection has an open request of the feed
-	CrowdWaiting   = "waiting"   // most_waiting requests wait for data servers
+	ReasonReconnects = "returning" // reconnects exceed return_per_s
+	ReasonCatchUp    = "far"       // reads of subscribers behind the ring exceed catch_up_per_s
+	ReasonBusy       = "busy"      // another request for the feed is in flight on the connection
+	ReasonWaiting    = "waiting"   // most_waiting requests are already waiting for data servers
 )
 
-// Error names the limit.
-func (e *OverloadedError) Error() string {
-	says := map[string]string{CrowdReturning: "many come back at once (feeds: return_per_s)", CrowdFar: "it is far behind, as are others (feeds: catch_up_per_s)",
-		CrowdBusy: "a request of it is open on this connection", CrowdWaiting: "too many wait for data servers (feeds: most_waiting)"}[e.Why]
-	return fmt.Sprintf("feed %s, subscriber %.40q: %s; its cursor is kept", e.Feed, e.Subscriber, says)
+// Error names the limit that was reached.
+func (err *OverloadedError) Error() string {
+	explanation := map[string]string{ReasonReconnects: "many come back at once (feeds: return_per_s)", ReasonCatchUp: "it is far behind, as are others (feeds: catch_up_per_s)",
+		ReasonBusy: "a request of it is open on this connection", ReasonWaiting: "too many wait for data servers (feeds: most_waiting)"}[err.Reason]
+	return fmt.Sprintf("feed %s, subscriber %.40q: %s; its cursor is kept", err.Feed, err.Subscriber, explanation)
 }
 
-// Kind is feed- and the reason.
-func (e *OverloadedError) Kind() string { return "feed-" + e.Why }
+// Kind returns the reason with the prefix feed-.
+func (err *OverloadedError) Kind() string { return "feed-" + err.Reason }
 
-// Hint is for operators.
-func (e *OverloadedError) Hint() string {
-	switch e.Why {
-	case CrowdBusy:
+// Hint returns advice for operators.
+func (err *OverloadedError) Hint() string {
+	switch err.Reason {
+	case ReasonBusy:
 		return "ask again after the answer"
-	case CrowdFar:
+	case ReasonCatchUp:
 		return "come again after the time in DETAIL; a larger ring_events lets more be served without data servers"
 	}
 	return "come again after the time in DETAIL; raise the limit if data servers and routers have room"
 }
 
-// UnreadableError reports a feed that no member could be read for in time, or whose response was invalid; nothing was delivered.
+// UnreadableError reports that no endpoint could be read in time for a feed, or that its response was invalid. Nothing
+// was delivered.
 type UnreadableError struct {
-	Feed  string
-	Wait  clock.Nanos
-	Cause error
+	Feed       string
+	RetryAfter clock.Nanos
+	Cause      error
 }
 
-// Error describes the last try.
-func (e *UnreadableError) Error() string {
-	return fmt.Sprintf("feed %s: no member could be read: %v; nothing was delivered", e.Feed, e.Cause)
+// Error describes the last attempt.
+func (err *UnreadableError) Error() string {
+	return fmt.Sprintf("feed %s: no member could be read: %v; nothing was delivered", err.Feed, err.Cause)
 }
 
-// Unwrap returns the last try's error.
-func (e *UnreadableError) Unwrap() error { return e.Cause }
+// Unwrap returns the error of the last attempt.
+func (err *UnreadableError) Unwrap() error { return err.Cause }
 
-// Kind is feed-unread.
-func (e *UnreadableError) Kind() string { return "feed-unread" }
+// Kind returns feed-unread.
+func (err *UnreadableError) Kind() string { return "feed-unread" }
 
-// Hint is for operators.
-func (e *UnreadableError) Hint() string {
+// Hint returns advice for operators.
+func (err *UnreadableError) Hint() string {
 	return "ask again with the same cursor; if it stays, look whether the group's members serve the class and are on one history"
 }
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -52,7 +52,7 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, w.logs, w.from, w.subs)
 	for _, r := range w.routers {
-		fmt.Fprint(h, r.feed.lineage, r.feed.ring, r.feed.head, r.feed.newest, r.known)
+		fmt.Fprint(h, r.feed.lineage, r.feed.ring, r.feed.head, r.feed.end, r.known)
 	}
 	return h.Sum64()
 }
@@ -98,7 +98,7 @@
 		for m := 0; m <= newest; m++ { // whichever history the member is on: the forked one still answers
 			c := w.next("router %d reads a member of history %d", i, m)
 			line, all := c.log(m)
-			a := &Response{Line: line}
+			a := &Response{Lineage: line}
 			if n := len(all); n > 0 {
 				a.Head = all[n-1]
 			}
@@ -140,38 +140,38 @@
 	c := w.next("subscriber %d asks router %d, lost %v", s, r, lost)
 	sub, router, self := &c.subs[s], &c.routers[r], crdt.Origin{Name: fmt.Sprint("r", r), Epoch: 1}
 	known := router.known[s]
-	q := Request{Turn: NewConnection, Known: known, Own: known.By == self}
+	q := Request{Connection: NewConnection, Known: known, IssuedHere: known.RaisedBy == self}
 	if s == 0 || sub.at == r { // its connection remembers what went out on it
 		q.Client = sub.place
 	}
 	if sub.at == r {
-		if q.Turn = SameConnection; known.Generation.Compare(sub.held) > 0 {
-			q.Turn = SupersededConnection
+		if q.Connection = SameConnection; known.Generation.Compare(sub.held) > 0 {
+			q.Connection = SupersededConnection
 		}
 	}
 	if end, on := router.feed.lineage.End(q.Client.History); broken == "positions alone" && on && end < q.Client.At {
 		q.Client.History = router.feed.lineage.Newest()
 	}
 	v := router.feed.Decide(0, q, false)
-	if broken == "the fleet's word first" && v.Row == Resume && known.Gen > 0 {
+	if broken == "the fleet's word first" && v.Outcome == Resume && known.Gen > 0 {
 		v.Start = known.Position
 	}
 	switch {
-	case v.Need != NothingNeeded || v.Row == ReadFirst:
+	case v.RequiredRead != NoRead || v.Outcome == ReadFirst:
 		return nil
-	case v.Row == Fenced:
+	case v.Outcome == Fenced:
 		sub.at = -1
 		return c
-	case v.Row == Snapshot || v.Row == Future || v.Row == Impossible:
-		c.path = append(c.path, "BROKEN: "+v.Row.String())
+	case v.Outcome == Snapshot || v.Outcome == Future || v.Outcome == Impossible:
+		c.path = append(c.path, "BROKEN: "+v.Outcome.String())
 		return c
 	}
 	list, next, head := []Event(nil), v.Start, router.feed.Head()
-	if v.Row != Wait || v.Start.Compare(head) <= 0 && v.Start.At <= head.At {
+	if v.Outcome != Wait || v.Start.Compare(head) <= 0 && v.Start.At <= head.At {
 		list, next, _ = router.feed.Batch(v.Start, nil)
 	}
 	held := sub.held
-	if q.Turn == NewConnection {
+	if q.Connection == NewConnection {
 		client := sub.gen
 		if s == 1 {
 			client = 0
@@ -179,11 +179,11 @@
 		held = Generation{max(known.Gen, client, head.At) + 1, self}
 	}
 	acked := min(v.Start.At, next.At)
-	if v.Row == Begin && broken != "a beginning counts as heard" {
+	if v.Outcome == BeginAtHead && broken != "a beginning counts as heard" {
 		acked = NotAcknowledged
 	}
 	kept := next
-	if v.Row == Rewind && s == 1 && broken != "a rewind counts as heard" {
+	if v.Outcome == Rewind && s == 1 && broken != "a rewind counts as heard" {
 		kept, acked = v.Stale, known.Acked
 	}
 	if s == 1 && kept.Compare(known.Position) < 0 { // what it may have had stays known
@@ -197,10 +197,10 @@
 		return c
 	}
 	sub.at, sub.held, sub.gen, sub.place = r, held, held.Gen, next
-	if v.Row == Begin {
+	if v.Outcome == BeginAtHead {
 		sub.got, sub.began = nil, next.At
 	}
-	if v.Row == Rewind {
+	if v.Outcome == Rewind {
 		sub.began = min(sub.began, v.Start.At) // it may have begun on the lost tail
 		sub.got = slices.DeleteFunc(sub.got, func(at int64) bool { return at > v.Start.At })
 	}
@@ -263,7 +263,7 @@
 	}
 	// Two events, which the first router and its subscribers know.
 	line := Lineage{{histories[0], 0}}
-	first.routers[0].feed.Apply(0, &Response{Line: line}, true)
+	first.routers[0].feed.Apply(0, &Response{Lineage: line}, true)
 	for s := range first.subs {
 		first = first.request(0, s, false, "")
 	}
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -6,247 +6,254 @@
 	"lotushook/policy/clock"
 )
 
-// Feed is what this router knows of one group's log: the newest lineage that any member showed, and the events since some
-// position. It is not safe for concurrent use.
+// Feed is what this router knows of one group's log: the newest lineage that any endpoint reported, and a ring of the
+// most recent events. It is not safe for concurrent use.
 type Feed struct {
 	settings      *Settings
 	lineage       Lineage
-	truncatedUpTo int64 // events up to it are not retained by the members
-	head          int64 // the greatest position seen on the lineage
-	base          int64 // the ring has all events after it
-	newest        int64 // up to it
+	truncatedUpTo int64 // events up to this position are no longer retained by the endpoints
+	head          int64 // the greatest known position of the lineage
+	base          int64 // the ring holds all events in (base, end]
+	end           int64 // the position up to which events have been read
 	ring          []Event
-	bytes         int
-	hasRead       bool        // of any member
-	readAt        clock.Nanos // when its end was last read
+	ringBytes     int
+	read          bool        // whether any endpoint has been read
+	readAt        clock.Nanos // when the end of the feed was last read
 }
 
-// NewFeed returns a feed of which nothing is known.
-func NewFeed(s *Settings) *Feed { return &Feed{settings: s} }
+// NewFeed returns a feed of which nothing has been read.
+func NewFeed(settings *Settings) *Feed { return &Feed{settings: settings} }
 
-// End is the position that the next read of its end starts from; none: the member's choice.
-func (f *Feed) End() (Position, bool) { return Position{f.lineage.Newest(), f.newest}, f.hasRead }
+// End returns the position from which the end of the feed is read next. It returns false if nothing has been read yet,
+// in which case the endpoint chooses the position.
+func (feed *Feed) End() (Position, bool) { return Position{feed.lineage.Newest(), feed.end}, feed.read }
 
-// Head is the newest position that was seen, and its history.
-func (f *Feed) Head() Position { return Position{f.lineage.Newest(), f.head} }
+// Head returns the greatest known position with its history.
+func (feed *Feed) Head() Position { return Position{feed.lineage.Newest(), feed.head} }
 
-// Size is how many events are held, and the size of their texts.
-func (f *Feed) Size() (events, bytes int) { return len(f.ring), f.bytes }
+// Size returns the number of events in the ring and the total size of their texts.
+func (feed *Feed) Size() (events, bytes int) { return len(feed.ring), feed.ringBytes }
 
-// ClassMember classifies a member's response against the newest known lineage: one on an older history is behind as long
-// as it has no events that the lineage left out, and forked from then on.
-func (f *Feed) ClassMember(a *Response) Member {
-	newest := a.Line.Newest()
-	if !f.hasRead || newest.Compare(f.lineage.Newest()) > 0 {
-		return MemberCovers
+// ClassifyEndpoint compares an endpoint's response with the newest known lineage. An endpoint on an older history is
+// behind as long as its log has no events beyond the fork; after that it is forked.
+func (feed *Feed) ClassifyEndpoint(response *Response) EndpointState {
+	newest := response.Lineage.Newest()
+	if !feed.read || newest.Compare(feed.lineage.Newest()) > 0 {
+		return EndpointCovers
 	}
-	if end, on := f.lineage.End(newest); !on || a.Head > end {
-		return MemberForked
+	if end, included := feed.lineage.End(newest); !included || response.Head > end {
+		return EndpointForked
 	}
-	if a.Head < f.head {
-		return MemberBehind
+	if response.Head < feed.head {
+		return EndpointBehind
 	}
-	return MemberCovers
+	return EndpointCovers
 }
 
-// Apply merges a member's response, which must have passed Check. That of a forked member is ignored. End says whether it
-// was for what follows the feed's end.
-func (f *Feed) Apply(now clock.Nanos, a *Response, end bool) Member {
-	m := f.ClassMember(a)
-	if m == MemberForked {
-		return m
-	}
-	switch n := a.Line.Newest().Compare(f.lineage.Newest()); {
-	case !f.hasRead:
-		f.lineage, f.base, f.newest, f.hasRead = slices.Clone(a.Line), a.From, a.From, true
-	case n > 0: // a take-over
-		if at, on := a.Line.End(f.lineage.Newest()); !on {
-			f.truncate(0)
-		} else if at < f.newest {
-			f.truncate(at)
+// Apply merges an endpoint's response, which must have passed Check. The response of a forked endpoint is ignored.
+// isEndRead means that the read asked for the events after the end of the feed.
+func (feed *Feed) Apply(now clock.Nanos, response *Response, isEndRead bool) EndpointState {
+	state := feed.ClassifyEndpoint(response)
+	if state == EndpointForked {
+		return state
+	}
+	switch order := response.Lineage.Newest().Compare(feed.lineage.Newest()); {
+	case !feed.read:
+		feed.lineage, feed.base, feed.end, feed.read = slices.Clone(response.Lineage), response.From, response.From, true
+	case order > 0: // a failover
+		if forkedAt, included := response.Lineage.End(feed.lineage.Newest()); !included {
+			feed.truncate(0)
+		} else if forkedAt < feed.end {
+			feed.truncate(forkedAt)
 		}
-		f.lineage, f.head, f.truncatedUpTo = slices.Clone(a.Line), 0, 0
+		feed.lineage, feed.head, feed.truncatedUpTo = slices.Clone(response.Lineage), 0, 0
 	}
-	if f.head = max(f.head, a.Head); a.Head >= f.head {
-		f.truncatedUpTo = max(f.truncatedUpTo, a.TruncatedUpTo)
+	if feed.head = max(feed.head, response.Head); response.Head >= feed.head {
+		feed.truncatedUpTo = max(feed.truncatedUpTo, response.TruncatedUpTo)
 	}
-	if end {
-		f.readAt = now
+	if isEndRead {
+		feed.readAt = now
 	}
-	if a.From > f.newest && a.From <= a.Head { // a gap: the events before it are not available any more
-		f.truncate(0)
-		f.base, f.newest = a.From, a.From
+	// A gap: the events in between are no longer available.
+	if response.From > feed.end && response.From <= response.Head {
+		feed.truncate(0)
+		feed.base, feed.end = response.From, response.From
 	}
-	for _, e := range a.Events {
-		if e.At > f.newest {
-			f.ring, f.newest, f.bytes = append(f.ring, e), e.At, f.bytes+len(e.Text)
+	for _, event := range response.Events {
+		if event.At > feed.end {
+			feed.ring, feed.end, feed.ringBytes = append(feed.ring, event), event.At, feed.ringBytes+len(event.Text)
 		}
 	}
-	if !a.More {
-		f.newest = max(f.newest, a.Head)
+	if !response.More {
+		feed.end = max(feed.end, response.Head)
 	}
-	drop := 0
-	for drop < len(f.ring) && (len(f.ring)-drop > f.settings.RingEvents || f.bytes > f.settings.RingBytes) {
-		f.bytes -= len(f.ring[drop].Text)
-		f.base = f.ring[drop].At
-		drop++
+	dropped := 0
+	for dropped < len(feed.ring) && (len(feed.ring)-dropped > feed.settings.RingEvents || feed.ringBytes > feed.settings.RingBytes) {
+		feed.ringBytes -= len(feed.ring[dropped].Text)
+		feed.base = feed.ring[dropped].At
+		dropped++
 	}
-	f.ring = slices.Delete(f.ring, 0, drop)
-	return m
+	feed.ring = slices.Delete(feed.ring, 0, dropped)
+	return state
 }
 
-// truncate drops the events after a position.
-func (f *Feed) truncate(at int64) {
-	keep, _ := slices.BinarySearchFunc(f.ring, at+1, func(e Event, at int64) int { return int(min(max(e.At-at, -1), 1)) })
-	for _, e := range f.ring[keep:] {
-		f.bytes -= len(e.Text)
+// truncate removes the events after a position.
+func (feed *Feed) truncate(position int64) {
+	kept, _ := slices.BinarySearchFunc(feed.ring, position+1, func(event Event, position int64) int { return int(min(max(event.At-position, -1), 1)) })
+	for _, event := range feed.ring[kept:] {
+		feed.ringBytes -= len(event.Text)
 	}
-	f.ring = slices.Delete(f.ring, keep, len(f.ring))
-	f.newest, f.base = min(f.newest, at), min(f.base, at)
+	feed.ring = slices.Delete(feed.ring, kept, len(feed.ring))
+	feed.end, feed.base = min(feed.end, position), min(feed.base, position)
 }
 
-// ClassClient classifies a cursor against the lineage; none is one without a history.
-func (f *Feed) ClassClient(p Position) Client {
-	end, on := f.lineage.End(p.History)
+// ClassifyClient compares a client's cursor with the lineage. A position without a history stands for no cursor.
+func (feed *Feed) ClassifyClient(position Position) ClientState {
+	end, included := feed.lineage.End(position.History)
 	switch {
-	case p.History == (History{}):
+	case position.History == (History{}):
 		return ClientNone
-	case !f.hasRead:
+	case !feed.read:
 		return ClientBehind
-	case !on && p.History.Compare(f.lineage.Newest()) > 0 && p.Era <= f.lineage.Newest().Era+MaxLineage:
+	case !included && position.History.Compare(feed.lineage.Newest()) > 0 && position.Era <= feed.lineage.Newest().Era+MaxLineage:
 		return ClientAhead
-	case !on && p.History.Compare(f.lineage.Newest()) > 0:
+	case !included && position.History.Compare(feed.lineage.Newest()) > 0:
 		return ClientFuture
-	case !on, min(p.At, end) < f.truncatedUpTo:
+	case !included, min(position.At, end) < feed.truncatedUpTo:
 		return ClientOld
-	case p.At > end:
-		return ClientOther
-	case p.At > f.head+f.settings.MaxAhead:
+	case position.At > end:
+		return ClientOtherHistory
+	case position.At > feed.head+feed.settings.MaxAhead:
 		return ClientFuture
-	case p.At > f.head:
+	case position.At > feed.head:
 		return ClientAhead
-	case p.At == f.head:
+	case position.At == feed.head:
 		return ClientEqual
 	}
 	return ClientBehind
 }
 
-// Requirement is what must be read before a request can be answered.
-type Requirement uint8
+// ReadRequirement is the read that must precede the answer to a request.
+type ReadRequirement uint8
 
-// The requirements.
+// The read requirements.
 const (
-	NothingNeeded Requirement = iota
-	ReadEnd                   // what follows the feed's end: shared by all
-	ReadCatchUp               // what follows a start behind the ring: shared by those with the same start
+	NoRead ReadRequirement = iota
+	// The events after the end of the feed; one read serves all subscribers.
+	ReadEnd
+	// The events after a start behind the ring; one read serves all subscribers with the same start.
+	ReadCatchUp
 )
 
-// Verdict is the decision on one request.
-type Verdict struct {
-	Row   Row
-	Need  Requirement
-	Start Position // with Begin to Rewind: the answer's events are those after it
-	Stale Position // Rewind: where the client stood
+// Decision is the decision on one request.
+type Decision struct {
+	Outcome      Outcome
+	RequiredRead ReadRequirement
+	Start        Position // BeginAtHead, ResumeAcked, Resume, Skip, Rewind: the answer contains the events after this position
+	Stale        Position // Rewind: the position that is given up, on a history that the lineage left before it
 }
 
-// Request is the state of one request.
+// Request describes one request of a subscriber.
 type Request struct {
-	Turn   Connection
-	Client Position // what it sent, or received last on this connection; none: without a history
-	Known  Cursor   // of the subscriber, by all routers; the zero one: nothing
-	Own    bool     // this router issued it
-	LetGo  bool     // some cursors were evicted
+	Connection ConnectionState
+	Client     Position // the cursor that it sent, or the last one it received on this connection; none if History is zero
+	Known      Cursor   // what all routers together know of the subscriber; the zero Cursor if nothing
+	IssuedHere bool     // whether this router issued Known
+	Evicted    bool     // whether cursors have been evicted
 }
 
-// Decide decides on a request. After a read it is called again; patient is false where there is no time for
-// another read.
-func (f *Feed) Decide(now clock.Nanos, q Request, patient bool) Verdict {
-	v := f.decide(q)
-	stale := !f.hasRead || patient && now-f.readAt >= f.settings.EndReadInterval
-	switch v.Row {
-	case Wait, Begin, ReadFirst:
+// Decide decides on a request. The caller calls it again after each read that the decision requires. mayReadAgain is
+// false if there is no time for another read of the feed's end.
+func (feed *Feed) Decide(now clock.Nanos, request Request, mayReadAgain bool) Decision {
+	decision := feed.chooseStart(request)
+	stale := !feed.read || mayReadAgain && now-feed.readAt >= feed.settings.EndReadInterval
+	switch decision.Outcome {
+	case Wait, BeginAtHead, ReadFirst:
 		if stale {
-			v.Need = ReadEnd
-		} else if v.Row == ReadFirst {
-			v.Row = Wait // just read: it is told when to return
+			decision.RequiredRead = ReadEnd
+		} else if decision.Outcome == ReadFirst {
+			decision.Outcome = Wait // the end was just read: the client is told when to retry
 		}
-	case Resume, Recall, Skip, Rewind:
+	case Resume, ResumeAcked, Skip, Rewind:
 		switch {
-		case v.Start.At < f.base:
-			v.Need = ReadCatchUp
-		case v.Start.At >= f.newest && (stale || f.newest < f.head):
-			v.Need = ReadEnd
+		case decision.Start.At < feed.base:
+			decision.RequiredRead = ReadCatchUp
+		case decision.Start.At >= feed.end && (stale || feed.end < feed.head):
+			decision.RequiredRead = ReadEnd
 		}
 	}
-	return v
+	return decision
 }
 
-func (f *Feed) decide(q Request) Verdict {
-	client := f.ClassClient(q.Client)
-	_, on := f.lineage.End(q.Known.History)
-	proven := q.Own || on && q.Known.At <= f.head
-	if client == ClientNone && q.Turn == NewConnection && q.Known.Acked == NotAcknowledged {
-		q.Known = Cursor{} // whether it received its start is not known: it starts again, and is notified
-	}
-	fleet := ClassFleet(q.Client, client != ClientNone, q.Known, proven, q.LetGo)
-	v := Verdict{Row: Choose(q.Turn, client, fleet, f.member(client)), Start: q.Client}
-	switch v.Row {
-	case Recall: // its own acknowledgement, as the routers know it
-		p := Position{q.Known.History, q.Known.Acked}
-		if q.Turn == SameConnection { // this request shows that the last answer arrived
-			p.At = q.Known.At
+func (feed *Feed) chooseStart(request Request) Decision {
+	client := feed.ClassifyClient(request.Client)
+	_, included := feed.lineage.End(request.Known.History)
+	confirmed := request.IssuedHere || included && request.Known.At <= feed.head
+	if client == ClientNone && request.Connection == NewConnection && request.Known.Acked == NotAcknowledged {
+		request.Known = Cursor{} // it may not have received its start position: it starts again and is notified of that
+	}
+	cluster := ClassifyCluster(request.Client, client != ClientNone, request.Known, confirmed, request.Evicted)
+	decision := Decision{Outcome: ChooseOutcome(request.Connection, client, cluster, feed.endpointState(client)), Start: request.Client}
+	switch decision.Outcome {
+	case ResumeAcked: // resume from the acknowledged position that the routers know
+		acked := Position{request.Known.History, request.Known.Acked}
+		if request.Connection == SameConnection { // this request shows that the previous answer arrived
+			acked.At = request.Known.At
 		}
-		client = f.ClassClient(p)
-		v.Start = p
-		if f.ClassClient(q.Known.Position) == ClientOther && client != ClientOld { // it may have received lost events, acknowledged or not
-			v.Row, v.Stale = Rewind, q.Known.Position
-			end, _ := f.lineage.End(p.History)
-			v.Start.At = min(p.At, end)
-			return v
+		client = feed.ClassifyClient(acked)
+		decision.Start = acked
+		// It may have received events that the failover lost, whether or not it acknowledged them.
+		if feed.ClassifyClient(request.Known.Position) == ClientOtherHistory && client != ClientOld {
+			decision.Outcome, decision.Stale = Rewind, request.Known.Position
+			end, _ := feed.lineage.End(acked.History)
+			decision.Start.At = min(acked.At, end)
+			return decision
 		}
-		if row := Choose(NewConnection, client, FleetEqual, f.member(client)); row != Resume {
-			v.Row = row
+		if outcome := ChooseOutcome(NewConnection, client, ClusterEqual, feed.endpointState(client)); outcome != Resume {
+			decision.Outcome = outcome
 		}
 	case Skip:
-		v.Start.At = max(v.Start.At, q.Known.Acked)
-	case Begin:
-		v.Start = f.Head()
+		decision.Start.At = max(decision.Start.At, request.Known.Acked)
+	case BeginAtHead:
+		decision.Start = feed.Head()
 	}
-	if v.Row == Rewind {
-		v.Stale = v.Start
-		v.Start.At, _ = f.lineage.End(v.Start.History)
+	if decision.Outcome == Rewind {
+		decision.Stale = decision.Start
+		decision.Start.At, _ = feed.lineage.End(decision.Start.History)
 	}
-	return v
+	return decision
 }
 
-// member is the state of the feed's log against a cursor: responses of forked members were ignored.
-func (f *Feed) member(c Client) Member {
+// endpointState returns the state of the feed's log relative to a cursor. Responses of forked endpoints have been
+// ignored.
+func (feed *Feed) endpointState(client ClientState) EndpointState {
 	switch {
-	case !f.hasRead:
-		return MemberUnknown
-	case c == ClientAhead:
-		return MemberBehind
+	case !feed.read:
+		return EndpointUnread
+	case client == ClientAhead:
+		return EndpointBehind
 	}
-	return MemberCovers
+	return EndpointCovers
 }
 
-// Batch is what a subscriber gets from a start, out of the ring or out of a catch-up read's events; next is its cursor after it.
-// It carries the newest history, so that a cursor that went back to a fork still rises.
-func (f *Feed) Batch(start Position, far []Event) (events []Event, next Position, more bool) {
-	next = Position{f.lineage.Newest(), start.At}
-	from := f.ring
-	if far != nil {
-		from = far
-	}
-	i, _ := slices.BinarySearchFunc(from, start.At+1, func(e Event, at int64) int { return int(min(max(e.At-at, -1), 1)) })
-	bytes := 0
-	for _, e := range from[i:] {
-		if len(events) == f.settings.BatchEvents || len(events) > 0 && bytes+len(e.Text) > f.settings.BatchBytes {
+// Batch returns the events that a subscriber receives after a start position, and its cursor after them. The events
+// come from the ring or, if catchUp is not nil, from a catch-up read. The cursor carries the newest history, so that it
+// still increases for a subscriber that was sent back to a fork.
+func (feed *Feed) Batch(start Position, catchUp []Event) (events []Event, next Position, more bool) {
+	next = Position{feed.lineage.Newest(), start.At}
+	source := feed.ring
+	if catchUp != nil {
+		source = catchUp
+	}
+	first, _ := slices.BinarySearchFunc(source, start.At+1, func(event Event, position int64) int { return int(min(max(event.At-position, -1), 1)) })
+	size := 0
+	for _, event := range source[first:] {
+		if len(events) == feed.settings.BatchEvents || len(events) > 0 && size+len(event.Text) > feed.settings.BatchBytes {
 			return events, next, true
 		}
-		bytes += len(e.Text)
-		next.At = e.At
-		events = append(events, e)
+		size += len(event.Text)
+		next.At = event.At
+		events = append(events, event)
 	}
-	return events, next, next.At < f.head
+	return events, next, next.At < feed.head
 }
--- a/policy/cursor/limiter.go
+++ b/policy/cursor/limiter.go
@@ -7,69 +7,71 @@
 	"lotushook/policy/clock"
 )
 
-// Limiter limits a router's reads for subscribers that catch up, and spreads reconnects over time. It is not safe for
-// concurrent use.
+// Limiter limits the rate of a router's reads for subscribers that catch up, and distributes reconnects over time. It
+// is not safe for concurrent use.
 type Limiter struct {
 	settings          *Settings
-	catchUp           bucket
-	reconnect         bucket
-	pendingReconnects float64 // of those that got a Retry-After time; it falls as they are due
-	at                clock.Nanos
+	catchUp           tokenBucket
+	reconnect         tokenBucket
+	pendingReconnects float64 // subscribers that got a Retry-After time; decreases as these times pass
+	drainedAt         clock.Nanos
 }
 
-type bucket struct {
-	rate, left float64
-	at         clock.Nanos
+type tokenBucket struct {
+	rate, tokens float64
+	refilledAt   clock.Nanos
 }
 
-func (b *bucket) take(now clock.Nanos) bool {
-	most := max(1, b.rate)
-	if now > b.at {
-		b.left = min(most, b.left+b.rate*float64(now-b.at)/1e9)
-		b.at = now
+func (bucket *tokenBucket) take(now clock.Nanos) bool {
+	capacity := max(1, bucket.rate)
+	if now > bucket.refilledAt {
+		bucket.tokens = min(capacity, bucket.tokens+bucket.rate*float64(now-bucket.refilledAt)/1e9)
+		bucket.refilledAt = now
 	}
-	if b.left < 1 {
+	if bucket.tokens < 1 {
 		return false
 	}
-	b.left--
+	bucket.tokens--
 	return true
 }
 
-// NewLimiter starts with one second's tokens.
-func NewLimiter(s *Settings, now clock.Nanos) *Limiter {
-	return &Limiter{settings: s, at: now, catchUp: bucket{s.CatchUpReadsPerSecond, max(1, s.CatchUpReadsPerSecond), now}, reconnect: bucket{s.ReconnectsPerSecond, max(1, s.ReconnectsPerSecond), now}}
+// NewLimiter returns a limiter with the tokens of one second.
+func NewLimiter(settings *Settings, now clock.Nanos) *Limiter {
+	return &Limiter{settings: settings, drainedAt: now, catchUp: tokenBucket{settings.CatchUpReadsPerSecond, max(1, settings.CatchUpReadsPerSecond), now}, reconnect: tokenBucket{settings.ReconnectsPerSecond, max(1, settings.ReconnectsPerSecond), now}}
 }
 
-// CatchUp says whether a subscriber behind the ring may be read for now; if not, when it may return.
-func (p *Limiter) CatchUp(now clock.Nanos, subscriber string) (wait clock.Nanos, ok bool) {
-	if p.catchUp.take(now) {
+// AllowCatchUp reports whether a read for a subscriber behind the ring is allowed now; if not, it returns the time
+// after which the subscriber may retry.
+func (limiter *Limiter) AllowCatchUp(now clock.Nanos, subscriber string) (retryAfter clock.Nanos, ok bool) {
+	if limiter.catchUp.take(now) {
 		return 0, true
 	}
-	return clock.Nanos(float64(p.settings.PollInterval) * (1 + fraction(subscriber))), false
+	return clock.Nanos(float64(limiter.settings.PollInterval) * (1 + hashFraction(subscriber))), false
 }
 
-// Reconnect says whether a subscriber that reconnects, or is new, is accepted now; if not, when it is due: after those that were delayed before
-// it, moved by its hash, so that several routers that learned of the same failure do not accept it all at once.
-func (p *Limiter) Reconnect(now clock.Nanos, subscriber string) (wait clock.Nanos, ok bool) {
-	if now > p.at {
-		p.pendingReconnects = max(0, p.pendingReconnects-p.settings.ReconnectsPerSecond*float64(now-p.at)/1e9)
-		p.at = now
+// AllowReconnect reports whether a subscriber that reconnects or is new is accepted now. If not, it returns the time
+// after which it may retry: after those delayed before it, and shifted by the subscriber's hash so that several routers
+// that detect the same failure don't accept all subscribers at the same moment.
+func (limiter *Limiter) AllowReconnect(now clock.Nanos, subscriber string) (retryAfter clock.Nanos, ok bool) {
+	if now > limiter.drainedAt {
+		limiter.pendingReconnects = max(0, limiter.pendingReconnects-limiter.settings.ReconnectsPerSecond*float64(now-limiter.drainedAt)/1e9)
+		limiter.drainedAt = now
 	}
-	if p.reconnect.take(now) {
+	if limiter.reconnect.take(now) {
 		return 0, true
 	}
-	p.pendingReconnects = min(p.pendingReconnects+1, p.settings.ReconnectsPerSecond*float64(p.settings.MaxRetryAfter)/1e9)
-	turn := p.pendingReconnects / p.settings.ReconnectsPerSecond * (0.75 + 0.5*fraction(subscriber))
-	return min(p.settings.MaxRetryAfter, clock.Nanos(turn*1e9)+clock.Nanos(1e8*fraction(subscriber))), false
+	limiter.pendingReconnects = min(limiter.pendingReconnects+1, limiter.settings.ReconnectsPerSecond*float64(limiter.settings.MaxRetryAfter)/1e9)
+	delaySeconds := limiter.pendingReconnects / limiter.settings.ReconnectsPerSecond * (0.75 + 0.5*hashFraction(subscriber))
+	return min(limiter.settings.MaxRetryAfter, clock.Nanos(delaySeconds*1e9)+clock.Nanos(1e8*hashFraction(subscriber))), false
 }
 
-// fraction is a subscriber's place between 0 and 1, the same at all routers.
-func fraction(subscriber string) float64 {
-	h := fnv.New64a()
-	h.Write([]byte(subscriber))
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	return float64(x>>11) / math.Exp2(53)
+// hashFraction returns a number in [0, 1) that depends only on the subscriber's name, so it is the same on all routers.
+func hashFraction(subscriber string) float64 {
+	hasher := fnv.New64a()
+	hasher.Write([]byte(subscriber))
+	hash := hasher.Sum64()
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	return float64(hash>>11) / math.Exp2(53)
 }
--- a/policy/cursor/registry.go
+++ b/policy/cursor/registry.go
@@ -7,135 +7,140 @@
 	"lotushook/policy/crdt"
 )
 
-// Generation distinguishes a subscriber's connections: the greater one prevails. Of two that were raised alike at two routers it is
-// the one of the router whose name comes later.
+// Generation distinguishes the connections of a subscriber; the greatest one prevails. If two routers raised it to the
+// same number, the router with the later name prevails.
 type Generation struct {
-	Gen int64
-	By  crdt.Origin
+	Gen      int64
+	RaisedBy crdt.Origin
 }
 
-// Compare goes by number, then by who raised it.
-func (g Generation) Compare(h Generation) int {
-	return cmp.Or(cmp.Compare(g.Gen, h.Gen), cmp.Compare(g.By.Name, h.By.Name), cmp.Compare(g.By.Epoch, h.By.Epoch))
+// Compare orders generations by number, then by the router that raised them.
+func (generation Generation) Compare(other Generation) int {
+	return cmp.Or(cmp.Compare(generation.Gen, other.Gen), cmp.Compare(generation.RaisedBy.Name, other.RaisedBy.Name), cmp.Compare(generation.RaisedBy.Epoch, other.RaisedBy.Epoch))
 }
 
-// Cursor is what is known of one subscriber of one feed. The zero Cursor is nothing.
+// Cursor is what is known of one subscriber of one feed. The zero Cursor means that nothing is known.
 type Cursor struct {
 	Generation
-	Position       // delivered: what was answered last
-	Acked    int64 // of the same history: what the next request showed to have arrived; NotAcknowledged: not even its start
-	Age      clock.Nanos
+	// The position up to which events were delivered.
+	Position
+	// The position that the next request showed to have arrived, on the same history; NotAcknowledged if not even the
+	// start did.
+	Acked int64
+	Age   clock.Nanos
 }
 
-// NotAcknowledged is what a subscriber that has just started has acknowledged.
+// NotAcknowledged is the acknowledged position of a subscriber that has just started.
 const NotAcknowledged = -1
 
-// Compare is the order in which cursors are joined: generation, then history by ancestry, then position. It is a total order,
-// so the greater of two is their join, whatever the order, loss or duplication of messages.
-func (c Cursor) Compare(d Cursor) int {
-	return cmp.Or(c.Generation.Compare(d.Generation), c.Position.Compare(d.Position), cmp.Compare(c.Acked, d.Acked))
+// Compare orders cursors by generation, then by history along the lineage, then by position. The order is total, so the
+// greater of two cursors is their join, whatever the order, loss or duplication of messages.
+func (cursor Cursor) Compare(other Cursor) int {
+	return cmp.Or(cursor.Generation.Compare(other.Generation), cursor.Position.Compare(other.Position), cmp.Compare(cursor.Acked, other.Acked))
 }
 
-// Join is the greater one, with the age of the later report where they are the same.
-func (c Cursor) Join(d Cursor) Cursor {
-	switch n := c.Compare(d); {
-	case n < 0:
-		return d
-	case n == 0:
-		c.Age = min(c.Age, d.Age)
+// Join returns the greater cursor. If both are equal, it has the age of the later report.
+func (cursor Cursor) Join(other Cursor) Cursor {
+	switch order := cursor.Compare(other); {
+	case order < 0:
+		return other
+	case order == 0:
+		cursor.Age = min(cursor.Age, other.Age)
 	}
-	return c
+	return cursor
 }
 
-// Entry is a cursor as routers replicate it.
-func (c Cursor) Entry(feed, subscriber string) crdt.Entry {
-	return crdt.Entry{Kind: crdt.FeedCursor, Subject: feed, Qualifier: subscriber, Origin: c.By, Count: c.Gen, Incarnation: int64(c.Number()), Position: c.At, Acked: c.Acked}
+// Entry returns the cursor as a replicated entry.
+func (cursor Cursor) Entry(feed, subscriber string) crdt.Entry {
+	return crdt.Entry{Kind: crdt.FeedCursor, Subject: feed, Qualifier: subscriber, Origin: cursor.RaisedBy, Count: cursor.Gen, Incarnation: int64(cursor.Number()), Position: cursor.At, Acked: cursor.Acked}
 }
 
-// FromEntry is the cursor of an entry.
-func FromEntry(e crdt.Entry) Cursor {
-	return Cursor{Generation{e.Count, e.Origin}, Position{HistoryOf(uint64(e.Incarnation)), e.Position}, e.Acked, e.Age}
+// FromEntry returns the cursor of a replicated entry.
+func FromEntry(entry crdt.Entry) Cursor {
+	return Cursor{Generation{entry.Count, entry.Origin}, Position{HistoryFromNumber(uint64(entry.Incarnation)), entry.Position}, entry.Acked, entry.Age}
 }
 
-// Registry holds the cursors that this router issued, at most so many. The least recently used one is evicted first; from
-// then on the registry reports of unknown subscribers that it may have forgotten them. It is not safe for concurrent use.
+// Registry holds a limited number of cursors that this router issued. When it is full, the least recently used cursor
+// is evicted; Evicted then shows that an unknown subscriber may be one of those evicted. It is not safe for concurrent
+// use.
 type Registry struct {
 	self     crdt.Origin
 	capacity int
-	index    map[key]int32
-	slots    []slot // 0 is the ring's head: next the latest, prev the next to evict
-	evicted  uint64
+	index    map[registryKey]int32
+	// Slot 0 is the head of a circular list: its next is the most recently used slot, its prev the next one to evict.
+	slots   []registrySlot
+	evicted uint64
 }
 
-type key struct {
+type registryKey struct {
 	feed       uint32
 	subscriber string
 }
 
-type slot struct {
-	key
+type registrySlot struct {
+	registryKey
 	history    uint64
 	at, acked  int64
 	gen        int64
-	touched    clock.Nanos
+	lastUsedAt clock.Nanos
 	prev, next int32
 }
 
-// NewRegistry returns an empty registry for so many cursors.
-func NewRegistry(self crdt.Origin, most int) *Registry {
-	return &Registry{self: self, capacity: max(1, most), index: map[key]int32{}, slots: make([]slot, 1)}
+// NewRegistry returns an empty registry with a capacity of maxCursors.
+func NewRegistry(self crdt.Origin, maxCursors int) *Registry {
+	return &Registry{self: self, capacity: max(1, maxCursors), index: map[registryKey]int32{}, slots: make([]registrySlot, 1)}
 }
 
-// Get returns what this router issued last.
-func (b *Registry) Get(now clock.Nanos, feed uint32, subscriber string) (Cursor, bool) {
-	i, ok := b.index[key{feed, subscriber}]
+// Get returns the cursor that this router issued last.
+func (registry *Registry) Get(now clock.Nanos, feed uint32, subscriber string) (Cursor, bool) {
+	slotIndex, ok := registry.index[registryKey{feed, subscriber}]
 	if !ok {
 		return Cursor{}, false
 	}
-	s := &b.slots[i]
-	return Cursor{Generation{s.gen, b.self}, Position{HistoryOf(s.history), s.at}, s.acked, max(0, now-s.touched)}, true
+	slot := &registry.slots[slotIndex]
+	return Cursor{Generation{slot.gen, registry.self}, Position{HistoryFromNumber(slot.history), slot.at}, slot.acked, max(0, now-slot.lastUsedAt)}, true
 }
 
-// Put stores a cursor of this router's own, unless the stored one is greater.
-func (b *Registry) Put(now clock.Nanos, feed uint32, subscriber string, c Cursor) bool {
-	k := key{feed, subscriber}
-	i, ok := b.index[k]
+// Put stores a cursor that this router issues, unless the stored one is greater.
+func (registry *Registry) Put(now clock.Nanos, feed uint32, subscriber string, cursor Cursor) bool {
+	key := registryKey{feed, subscriber}
+	slotIndex, ok := registry.index[key]
 	if ok {
-		if old, _ := b.Get(now, feed, subscriber); c.Compare(old) < 0 {
+		if old, _ := registry.Get(now, feed, subscriber); cursor.Compare(old) < 0 {
 			return false
 		}
-		b.unlink(i)
+		registry.unlink(slotIndex)
 	} else {
-		i = b.room()
-		b.index[k] = i
+		slotIndex = registry.freeSlot()
+		registry.index[key] = slotIndex
 	}
-	s := &b.slots[i]
-	*s = slot{key: k, history: c.Number(), at: c.At, acked: c.Acked, gen: c.Gen, touched: now}
-	s.next, s.prev = b.slots[0].next, 0
-	b.slots[s.next].prev, b.slots[0].next = i, i
+	slot := &registry.slots[slotIndex]
+	*slot = registrySlot{registryKey: key, history: cursor.Number(), at: cursor.At, acked: cursor.Acked, gen: cursor.Gen, lastUsedAt: now}
+	slot.next, slot.prev = registry.slots[0].next, 0
+	registry.slots[slot.next].prev, registry.slots[0].next = slotIndex, slotIndex
 	return true
 }
 
-// room returns a free slot.
-func (b *Registry) room() int32 {
-	if len(b.index) >= b.capacity {
-		last := b.slots[0].prev
-		b.unlink(last)
-		delete(b.index, b.slots[last].key)
-		b.evicted++
-		return last
+// freeSlot returns an unused slot, and evicts the least recently used cursor if necessary.
+func (registry *Registry) freeSlot() int32 {
+	if len(registry.index) >= registry.capacity {
+		oldest := registry.slots[0].prev
+		registry.unlink(oldest)
+		delete(registry.index, registry.slots[oldest].registryKey)
+		registry.evicted++
+		return oldest
 	}
-	b.slots = append(b.slots, slot{})
-	return int32(len(b.slots) - 1)
+	registry.slots = append(registry.slots, registrySlot{})
+	return int32(len(registry.slots) - 1)
 }
 
-func (b *Registry) unlink(i int32) {
-	s := &b.slots[i]
-	b.slots[s.prev].next, b.slots[s.next].prev = s.next, s.prev
+func (registry *Registry) unlink(slotIndex int32) {
+	slot := &registry.slots[slotIndex]
+	registry.slots[slot.prev].next, registry.slots[slot.next].prev = slot.next, slot.prev
 }
 
-// Size is how many are held.
-func (b *Registry) Size() int { return len(b.index) }
+// Size returns the number of stored cursors.
+func (registry *Registry) Size() int { return len(registry.index) }
 
-// Evicted is how many were evicted for lack of capacity.
-func (b *Registry) Evicted() uint64 { return b.evicted }
+// Evicted returns the number of cursors evicted for lack of capacity.
+func (registry *Registry) Evicted() uint64 { return registry.evicted }
--- a/policy/cursor/replay_test.go
+++ b/policy/cursor/replay_test.go
@@ -15,7 +15,7 @@
 		line = append(line, cursor.Fork{History: cursor.History{Era: 2, ID: uint32(8 + driver.IntN(2))}, From: 40})
 	}
 	from := int64(driver.IntN(80))
-	answer := &cursor.Response{Line: line, From: from, TruncatedUpTo: int64(driver.IntN(5)), Head: from}
+	answer := &cursor.Response{Lineage: line, From: from, TruncatedUpTo: int64(driver.IntN(5)), Head: from}
 	for range driver.IntN(6) {
 		answer.Head += int64(1 + driver.IntN(4))
 		answer.Events = append(answer.Events, cursor.Event{At: answer.Head, Text: driver.Text()})
@@ -37,7 +37,7 @@
 			id := uint32(7 + driver.IntN(3))
 			return cursor.Position{History: cursor.History{Era: era, ID: id}, At: int64(driver.IntN(100))}
 		}
-		take := func(now int64, end bool) cursor.Member {
+		take := func(now int64, end bool) cursor.EndpointState {
 			answer := randomAnswer(driver)
 			if answer.Check() != nil {
 				return 0
@@ -46,21 +46,21 @@
 		}
 		batch := func() ([]cursor.Event, cursor.Position, bool) {
 			start := point()
-			if feed.ClassClient(start) != cursor.ClientBehind {
+			if feed.ClassifyClient(start) != cursor.ClientBehind {
 				return nil, start, false
 			}
 			return feed.Batch(start, nil)
 		}
-		class := func() cursor.Client { return feed.ClassClient(point()) }
+		class := func() cursor.ClientState { return feed.ClassifyClient(point()) }
 		put := func(now int64, feed uint32, subscriber string, c cursor.Cursor) bool {
 			c.Position = point()
 			return book.Put(now, feed, subscriber, c)
 		}
-		fleet := func(known cursor.Cursor, brought, proven, letGo bool) cursor.Fleet {
-			return cursor.ClassFleet(point(), brought, known, proven, letGo)
+		fleet := func(known cursor.Cursor, brought, proven, letGo bool) cursor.ClusterState {
+			return cursor.ClassifyCluster(point(), brought, known, proven, letGo)
 		}
-		driver.Run(800, take, take, take, batch, class, feed.End, feed.Head, feed.Size, pace.CatchUp, pace.Reconnect,
-			book.Get, put, put, book.Size, fleet, cursor.Choose)
+		driver.Run(800, take, take, take, batch, class, feed.End, feed.Head, feed.Size, pace.AllowCatchUp, pace.AllowReconnect,
+			book.Get, put, put, book.Size, fleet, cursor.ChooseOutcome)
 	}
 	digest.Check(t, "2e22fafc5e4727bc/14757")
 }
--- a/policy/cursor/rules_test.go
+++ b/policy/cursor/rules_test.go
@@ -69,7 +69,7 @@
 			now++
 			name := fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "who"))
 			c := drawnCursor(t)
-			c.By, c.Age = b.self, 0
+			c.RaisedBy, c.Age = b.self, 0
 			if old, ok := model[name]; ok && c.Compare(old) < 0 {
 				if b.Put(now, 1, name, c) {
 					t.Fatal("went back")
@@ -153,7 +153,7 @@
 	for back := 0; back < most; {
 		who := heap.Pop(&due).(waiter)
 		at, next := who.at, who.number
-		wait, ok := pace[(next+refusals)%routers].Reconnect(at, fmt.Sprint("subscriber-", next))
+		wait, ok := pace[(next+refusals)%routers].AllowReconnect(at, fmt.Sprint("subscriber-", next))
 		if wait > set.MaxRetryAfter || !ok && wait <= 0 {
 			t.Fatalf("told to wait %d", wait)
 		}
--- a/policy/cursor/table.go
+++ b/policy/cursor/table.go
@@ -2,152 +2,155 @@
 
 import "fmt"
 
-// Connection is the relation of a request to the subscriber's connections.
-type Connection uint8
+// ConnectionState is the relation of a request's connection to the subscriber's other connections.
+type ConnectionState uint8
 
-// The relations.
+// The states of a connection.
 const (
-	SameConnection       Connection = iota // on the connection of the last request
-	NewConnection                          // on another connection: it raises the generation
-	SupersededConnection                   // on one whose generation was raised elsewhere
+	SameConnection       ConnectionState = iota // the connection of the previous request
+	NewConnection                               // another connection, which raises the generation
+	SupersededConnection                        // a connection whose generation was raised elsewhere
 )
 
-// Client is the subscriber's cursor against the lineage that this router knows.
-type Client uint8
+// ClientState is the relation of the client's cursor to the lineage that this router knows.
+type ClientState uint8
 
-// The relations of the client's cursor.
+// The states of the client's cursor.
 const (
-	ClientNone   Client = iota // it sent none
-	ClientBehind               // on the lineage, and there is more; or no lineage is known yet
-	ClientEqual                // it has everything
-	ClientAhead                // beyond all that is known here
-	ClientFuture               // so far beyond that it is invalid
-	ClientOther                // on a history that the lineage left before the cursor
-	ClientOld                  // what follows it is not retained any more, or its history is unknown
+	ClientNone         ClientState = iota // the client sent no cursor
+	ClientBehind                          // on the lineage with more events following, or no lineage is known yet
+	ClientEqual                           // the client has all events
+	ClientAhead                           // beyond every position known to this router
+	ClientFuture                          // so far beyond every known position that it is invalid
+	ClientOtherHistory                    // on a history that the lineage left at a position before the cursor
+	ClientOld                             // the events after it are no longer retained, or its history is unknown
 )
 
-// Fleet is what the routers know of the subscriber, against what the client sent.
-type Fleet uint8
+// ClusterState is the relation of what the routers know of the subscriber to what the client sent.
+type ClusterState uint8
 
-// The relations of the fleet's cursor.
+// The states of the cluster's cursor.
 const (
-	FleetNone    Fleet = iota // the subscriber is unknown, and none was evicted
-	FleetForgot               // it is unknown, and some were evicted
-	FleetBehind               // less was delivered than the client has
-	FleetEqual                // as much
-	FleetAhead                // more: the last answer was lost, or this request was overtaken
-	FleetDoubted              // reported by another router, and not confirmed
-	FleetOther                // on another history than the client's
+	ClusterNone         ClusterState = iota // the subscriber is unknown, and no cursors have been evicted
+	ClusterEvicted                          // the subscriber is unknown, and cursors have been evicted
+	ClusterBehind                           // less was delivered than the client has received
+	ClusterEqual                            // as much was delivered as the client has received
+	ClusterAhead                            // more was delivered: the last answer was lost, or a later request overtook this one
+	ClusterUnconfirmed                      // reported by another router and not confirmed
+	ClusterOtherHistory                     // on a history other than the client's
 )
 
-// Member is the log that was read, against the cursor and against the newest known lineage.
-type Member uint8
+// EndpointState is the relation of the log that was read to the cursor and to the newest known lineage.
+type EndpointState uint8
 
-// The relations of the member.
+// The states of the endpoint's log.
 const (
-	MemberUnknown Member = iota // none has answered yet
-	MemberCovers                // it has the cursor's history, or knows where that ended, and is as far
-	MemberBehind                // it is not as far
-	MemberForked                // its log forked from the newest known lineage
+	EndpointUnread EndpointState = iota // no endpoint has answered yet
+	EndpointCovers                      // it contains the cursor's history, or knows where that ended, and reaches the cursor
+	EndpointBehind                      // it does not reach the cursor
+	EndpointForked                      // it forked from the newest known lineage
 )
 
-// Row names a decision: a class of the table's rows.
-type Row uint8
+// Outcome is the outcome of a request. Each row of the decision table leads to one.
+type Outcome uint8
 
-// The rows.
+// The outcomes.
 const (
-	Impossible Row = iota // can't occur: asserted
-	Begin                 // a new subscriber: from the newest position on, and the answer says so
-	Recall                // it sent no cursor: from what it acknowledged, as the fleet knows
-	Resume                // from its own cursor
-	Skip                  // a request that was overtaken: from what has been acknowledged since
-	Rewind                // to where its history ended, and the answer says so
-	Wait                  // nothing for it now: it is told when to return
-	ReadFirst             // a member must be read first
-	Elsewhere             // this member is never read for it: another one
-	Snapshot              // rejected: a snapshot at the newest position, then from there
-	Future                // rejected, likewise: it can't have received that
-	Fenced                // rejected: another connection superseded it
-	RowCount   = iota
+	Impossible        Outcome = iota // can't occur; callers assert this
+	BeginAtHead                      // new subscriber: starts at the newest position, and the answer says so
+	ResumeAcked                      // no cursor sent: resumes from the acknowledged position that the routers know
+	Resume                           // resumes from its own cursor
+	Skip                             // overtaken request: resumes from what has been acknowledged since
+	Rewind                           // goes back to the end of its history in the lineage, and the answer says so
+	Wait                             // no events now: the client is told when to retry
+	ReadFirst                        // an endpoint must be read first
+	ReadOtherEndpoint                // this endpoint must not be read for the subscriber, another one must
+	Snapshot                         // rejected: needs a snapshot at the newest position, from which it can resume
+	Future                           // rejected like Snapshot: the client can't have received that position
+	Fenced                           // rejected: superseded by another connection
+	OutcomeCount      = iota
 )
 
-var rowNames = [RowCount]string{"impossible", "begin", "recall", "resume", "skip", "rewind", "wait", "ask", "elsewhere", "snapshot", "future", "fenced"}
+var outcomeNames = [OutcomeCount]string{"impossible", "begin", "recall", "resume", "skip", "rewind", "wait", "ask", "elsewhere", "snapshot", "future", "fenced"}
 
-// String is the row's name in the design note, in rejections and in counts.
-func (r Row) String() string {
-	if int(r) < len(rowNames) {
-		return rowNames[r]
+// String returns the name of the outcome in the design document, in rejections and in counters.
+func (outcome Outcome) String() string {
+	if int(outcome) < len(outcomeNames) {
+		return outcomeNames[outcome]
 	}
-	return fmt.Sprint("row ", uint8(r))
+	return fmt.Sprint("row ", uint8(outcome))
 }
 
-// Choose is the table. The client's cursor comes first; the fleet's is for clients without one, and for detecting
-// an overtaken request; the member's decides whether it may be used.
-func Choose(turn Connection, client Client, fleet Fleet, member Member) Row {
-	nothing := fleet == FleetNone || fleet == FleetForgot
-	compared := fleet == FleetBehind || fleet == FleetEqual || fleet == FleetOther
+// ChooseOutcome is the decision table. The client's cursor decides first. The cluster's cursor serves clients without
+// one and detects overtaken requests. The endpoint's state decides whether its log may be used.
+func ChooseOutcome(connection ConnectionState, client ClientState, cluster ClusterState, endpoint EndpointState) Outcome {
+	unknown := cluster == ClusterNone || cluster == ClusterEvicted
+	compared := cluster == ClusterBehind || cluster == ClusterEqual || cluster == ClusterOtherHistory
 	switch {
-	case turn == SupersededConnection && nothing: // the connection that superseded it is unknown
+	// A superseded connection requires a known connection that superseded it.
+	case connection == SupersededConnection && unknown:
 		return Impossible
-	case client == ClientNone && compared: // there is nothing to compare with
+	case client == ClientNone && compared: // without a client cursor the cluster's cursor can't be compared
 		return Impossible
-	case turn == SupersededConnection:
+	case connection == SupersededConnection:
 		return Fenced
-	case member == MemberUnknown && client != ClientNone && client != ClientBehind: // no lineage to compare with
+	// Without a lineage the client's cursor can't be compared.
+	case endpoint == EndpointUnread && client != ClientNone && client != ClientBehind:
 		return Impossible
-	case member == MemberUnknown:
+	case endpoint == EndpointUnread:
 		return ReadFirst
-	case member == MemberForked:
-		return Elsewhere
+	case endpoint == EndpointForked:
+		return ReadOtherEndpoint
 	case client == ClientFuture:
 		return Future
 	case client == ClientOld:
 		return Snapshot
-	case member == MemberBehind:
+	case endpoint == EndpointBehind:
 		return Wait
 	}
-	switch client { // the member covers it
+	switch client { // the endpoint covers the cursor
 	case ClientNone:
-		switch fleet {
-		case FleetNone:
-			return Begin
-		case FleetForgot:
+		switch cluster {
+		case ClusterNone:
+			return BeginAtHead
+		case ClusterEvicted:
 			return Snapshot
 		}
-		return Recall
+		return ResumeAcked
 	case ClientBehind:
-		if turn == SameConnection && fleet == FleetAhead {
+		if connection == SameConnection && cluster == ClusterAhead {
 			return Skip
 		}
 		return Resume
 	case ClientEqual:
-		if fleet == FleetAhead || fleet == FleetOther { // other routers have seen more than this router's lineage
+		// Other routers have seen more than this router's lineage.
+		if cluster == ClusterAhead || cluster == ClusterOtherHistory {
 			return ReadFirst
 		}
 		return Wait
-	case ClientOther:
+	case ClientOtherHistory:
 		return Rewind
 	}
-	return Impossible // ahead of a member that covers it
+	return Impossible // the cursor can't be ahead of an endpoint that covers it
 }
 
-// ClassFleet classifies what is known of a subscriber against what the client sent.
-func ClassFleet(client Position, brought bool, known Cursor, proven, letGo bool) Fleet {
+// ClassifyCluster compares what is known of a subscriber with the cursor that the client sent.
+func ClassifyCluster(client Position, hasCursor bool, known Cursor, confirmed, evicted bool) ClusterState {
 	switch {
-	case known.Gen == 0 && letGo:
-		return FleetForgot
+	case known.Gen == 0 && evicted:
+		return ClusterEvicted
 	case known.Gen == 0:
-		return FleetNone
-	case !proven:
-		return FleetDoubted
-	case !brought:
-		return FleetAhead // of nothing
+		return ClusterNone
+	case !confirmed:
+		return ClusterUnconfirmed
+	case !hasCursor:
+		return ClusterAhead // without a client cursor, any delivered position is ahead
 	case known.History != client.History:
-		return FleetOther
+		return ClusterOtherHistory
 	case known.At < client.At:
-		return FleetBehind
+		return ClusterBehind
 	case known.At == client.At:
-		return FleetEqual
+		return ClusterEqual
 	}
-	return FleetAhead
+	return ClusterAhead
 }
