--- a/policy/crdt/broadcaster_test.go
+++ b/policy/crdt/broadcaster_test.go
@@ -9,128 +9,130 @@
 	"lotushook/policy/clock"
 )
 
-// Whatever is added, lost and acknowledged in whatever order: queues are bounded, a wait ends once and by a word only, what is
-// waited for goes first, no batch goes to its own source or to somebody who acknowledged it, and in the end nothing is open.
+// Entries are added, batches are lost, and acknowledgements arrive in any order. The queue and the number of open
+// batches stay within their limits, a wait ends once and only by an acknowledgement, awaited entries are sent first, no
+// batch is sent to its own source or to a member that has acknowledged it, and in the end no batch stays open.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func TestTeller(t *testing.T) {
+//nolint:gocognit,funlen // one linear scenario or table of cases
+func TestBroadcaster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := DefaultBroadcasterSettings()
-		set.MaxQueuedEntries, set.MaxOpenBatches, set.MaxBatchBytes, set.MaxRecipients = 6, 3, 150, 2
-		tell, err := NewBroadcaster(set)
+		settings := DefaultBroadcasterSettings()
+		settings.MaxQueuedEntries, settings.MaxOpenBatches, settings.MaxBatchBytes, settings.MaxRecipients = 6, 3, 150, 2
+		broadcaster, err := NewBroadcaster(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		others, now, wait := []string{"b", "c", "d"}, clock.Nanos(0), uint64(0)
-		ended, acked, times := map[uint64]bool{}, map[string]bool{}, map[string]int{}
-		var way []Delivery
+		members, now, waitNumber := []string{"b", "c", "d"}, clock.Nanos(0), uint64(0)
+		ended, acked, sends := map[uint64]bool{}, map[string]bool{}, map[string]int{}
+		var sent []Delivery
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += clock.Nanos(rapid.IntRange(0, 20e6).Draw(t, "wait"))
-			switch e := (Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(now), Origin: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
+			switch entry := (Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(now), Origin: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0:
-				wait++
-				tell.Add(now, e, wait)
+				waitNumber++
+				broadcaster.Add(now, entry, waitNumber)
 			case 1:
-				e.Kind = ServerPosition
-				tell.Add(now, e, 0)
+				entry.Kind = ServerPosition
+				broadcaster.Add(now, entry, 0)
 			case 2:
-				e.Origin.Name = "b"
-				tell.Forward(now, e, "b")
+				entry.Origin.Name = "b"
+				broadcaster.Forward(now, entry, "b")
 			default:
-				if len(way) > 0 {
-					i := rapid.IntRange(0, len(way)-1).Draw(t, "which")
-					acked[fmt.Sprint(way[i].To, way[i].BatchNumber)] = true
-					for _, n := range tell.Acknowledge(way[i].To, way[i].BatchNumber, nil) {
-						if ended[n] {
-							t.Fatalf("wait %d ended twice", n)
+				if len(sent) > 0 {
+					index := rapid.IntRange(0, len(sent)-1).Draw(t, "which")
+					acked[fmt.Sprint(sent[index].To, sent[index].BatchNumber)] = true
+					for _, number := range broadcaster.Acknowledge(sent[index].To, sent[index].BatchNumber, nil) {
+						if ended[number] {
+							t.Fatalf("wait %d ended twice", number)
 						}
-						ended[n] = true
+						ended[number] = true
 					}
 				}
 			}
-			for _, x := range tell.Deliveries(now, others) {
-				key := fmt.Sprint(x.To, x.BatchNumber)
-				if times[key]++; acked[key] || times[key] > set.MaxAttempts || x.AwaitedCount > len(x.Entries) || len(x.Entries) == 0 {
-					t.Fatalf("%+v, acknowledged %v, told %d times", x, acked[key], times[key])
+			for _, delivery := range broadcaster.Deliveries(now, members) {
+				key := fmt.Sprint(delivery.To, delivery.BatchNumber)
+				if sends[key]++; acked[key] || sends[key] > settings.MaxAttempts || delivery.AwaitedCount > len(delivery.Entries) || len(delivery.Entries) == 0 {
+					t.Fatalf("%+v, acknowledged %v, sent %d times", delivery, acked[key], sends[key])
 				}
-				for _, e := range x.Entries {
-					if e.Origin.Name == x.To || e.Age < 0 {
-						t.Fatalf("%+v goes to %s", e, x.To)
+				for _, entry := range delivery.Entries {
+					if entry.Origin.Name == delivery.To || entry.Age < 0 {
+						t.Fatalf("%+v is sent to %s", entry, delivery.To)
 					}
 				}
-				way = append(way, x)
+				sent = append(sent, delivery)
 			}
-			if entries, batches := tell.Size(); entries > set.MaxQueuedEntries || batches > set.MaxOpenBatches {
-				t.Fatalf("%d wait, %d are open", entries, batches)
+			if entries, batches := broadcaster.Size(); entries > settings.MaxQueuedEntries || batches > settings.MaxOpenBatches {
+				t.Fatalf("%d queued entries, %d open batches", entries, batches)
 			}
 		}
 		for range 200 {
-			now += set.MaxRetryDelay
-			tell.Deliveries(now, others)
+			now += settings.MaxRetryDelay
+			broadcaster.Deliveries(now, members)
 		}
-		if entries, batches := tell.Size(); entries+batches > 0 {
-			t.Fatalf("%d wait, %d are open for good", entries, batches)
+		if entries, batches := broadcaster.Size(); entries+batches > 0 {
+			t.Fatalf("%d entries stay queued, %d batches stay open", entries, batches)
 		}
-		if at, ok := tell.Due(); ok {
+		if at, ok := broadcaster.Due(); ok {
 			t.Fatalf("due at %d", at)
 		}
 	})
 }
 
-// Ten are fed at a time, an eleventh when one has all or has stopped asking; all together get no more bytes than there are;
-// who comes back asks its own hall first.
+// At most ten clients are served at a time; an eleventh is admitted when one of them has caught up or has stopped
+// asking. All clients together receive no more than the configured rate. A router that restarts asks the members of its
+// own zone first.
 //
-//nolint:gocognit // one history or table of cases, told in order
-func TestFeeder(t *testing.T) {
-	f, err := NewCatchUpServer(DefaultCatchUpSettings(), 0)
+//nolint:gocognit // one linear scenario or table of cases
+func TestCatchUpServer(t *testing.T) {
+	server, err := NewCatchUpServer(DefaultCatchUpSettings(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, gave, turned := clock.Nanos(0), 0, 0
+	now, sentBytes, rejected := clock.Nanos(0), 0, 0
 	for round := range 200 {
 		now += second / 100
 		for i := range 12 {
-			who := fmt.Sprint("n", i)
-			room, wait := f.Admit(now, who, true)
-			if room == 0 && wait <= 0 || f.ClientCount() > 10 {
-				t.Fatalf("%s gets nothing and may come after %d; %d are fed", who, wait, f.ClientCount())
+			client := fmt.Sprint("n", i)
+			maxBytes, retryAfter := server.Admit(now, client, true)
+			if maxBytes == 0 && retryAfter <= 0 || server.ClientCount() > 10 {
+				t.Fatalf("%s is not admitted and may retry after %d; %d clients are served", client, retryAfter, server.ClientCount())
 			}
-			if i >= 10 && room > 0 {
-				t.Fatalf("%s is fed beside ten, round %d", who, round)
+			if i >= 10 && maxBytes > 0 {
+				t.Fatalf("%s is served in addition to ten clients, round %d", client, round)
 			}
-			if room == 0 {
-				turned++
+			if maxBytes == 0 {
+				rejected++
 				continue
 			}
-			gave += room
-			f.Served(who, room, false)
+			sentBytes += maxBytes
+			server.Served(client, maxBytes, false)
 		}
 	}
-	if most := 2*f.settings.BytesPerSecond + f.settings.MaxPieceBytes; gave > most || gave < most/2 || turned == 0 {
-		t.Errorf("%d bytes in 2 s, at most %d; %d turned away", gave, most, turned)
+	if limit := 2*server.settings.BytesPerSecond + server.settings.MaxPieceBytes; sentBytes > limit || sentBytes < limit/2 || rejected == 0 {
+		t.Errorf("%d bytes in 2 s, limit %d; %d rejected", sentBytes, limit, rejected)
 	}
-	f.Served("n3", 0, true)
-	if now += second; f.ClientCount() != 9 {
-		t.Errorf("%d fed", f.ClientCount())
+	server.Served("n3", 0, true)
+	if now += second; server.ClientCount() != 9 {
+		t.Errorf("%d clients served, want 9", server.ClientCount())
 	}
-	if room, _ := f.Admit(now, "n11", true); room == 0 {
-		t.Error("the eleventh gets nothing though there is a place")
+	if maxBytes, _ := server.Admit(now, "n11", true); maxBytes == 0 {
+		t.Error("the eleventh client is rejected although a slot is free")
 	}
 	if now += 3 * second; true {
-		if room, _ := f.Admit(now, "late", true); room == 0 || f.ClientCount() != 1 {
-			t.Errorf("room %d; %d are fed after all others have stopped", room, f.ClientCount())
+		if maxBytes, _ := server.Admit(now, "late", true); maxBytes == 0 || server.ClientCount() != 1 {
+			t.Errorf("%d bytes admitted; %d clients served after all others have stopped", maxBytes, server.ClientCount())
 		}
 	}
-	list := []PeerInZone{{"a", "x"}, {"b", "y"}, {"c", "x"}, {"d", "z"}}
-	for tries, halls := range []string{"x", "x", "yz", "yz", "x"} {
-		if of, _ := ChoosePeer(list, "x", true, tries, 5); of.Zone != halls[:1] && of.Zone != halls[len(halls)-1:] {
-			t.Errorf("after %d tries %v", tries, of)
+	peers := []PeerInZone{{"a", "x"}, {"b", "y"}, {"c", "x"}, {"d", "z"}}
+	for tries, zones := range []string{"x", "x", "yz", "yz", "x"} {
+		if peer, _ := ChoosePeer(peers, "x", true, tries, 5); peer.Zone != zones[:1] && peer.Zone != zones[len(zones)-1:] {
+			t.Errorf("after %d failures %v", tries, peer)
 		}
 	}
 	seen := map[string]bool{}
 	for turn := range 4 {
-		of, ok := ChoosePeer(list, "x", false, 0, turn)
-		seen[of.Name] = ok
+		peer, ok := ChoosePeer(peers, "x", false, 0, turn)
+		seen[peer.Name] = ok
 	}
 	if _, ok := ChoosePeer(nil, "x", true, 0, 0); ok || len(seen) != 4 {
 		t.Errorf("%v, %v", seen, ok)
--- a/policy/crdt/explore_test.go
+++ b/policy/crdt/explore_test.go
@@ -11,369 +11,378 @@
 	"lotushook/policy/clock"
 )
 
-// world is three members, what is under way between them, and what clients were told; each event makes another one of it.
-type world struct {
-	now    clock.Nanos
-	who    [3]*Store
-	tell   [3]*Broadcaster
-	boots  [3]uint64
-	down   [3]bool
-	way    []letter
-	writes int
-	kills  int
-	waits  map[uint64]promise // answers that are held back, by the number of their wait
-	acked  []promise          // answers that went out because another had the entry
-	rules  string             // broken on purpose
-	silent bool               // all pushes are lost: what is known is fetched
-	path   []string
+// modelState is the state of three members, the messages between them, and the answers that clients received. Each
+// event leads to another state.
+type modelState struct {
+	now            clock.Nanos
+	stores         [3]*Store
+	broadcasters   [3]*Broadcaster
+	epochs         [3]uint64
+	crashed        [3]bool
+	inFlight       []message
+	writeCount     int
+	crashCount     int
+	pendingAnswers map[uint64]writeAnswer // answers that await an acknowledgement, by wait number
+	sentAnswers    []writeAnswer          // answers sent after another member had acknowledged the entry
+	brokenRule     string                 // a rule that the exploration breaks on purpose; empty: none
+	pushesLost     bool                   // all pushes are lost, so that entries arrive only by fetches
+	trace          []string
 }
 
-// letter is what is under way: a telling, a word on one, or runs that were asked for.
-type letter struct {
+// message is a message in flight: a delivery, its acknowledgement, or fetched runs.
+type message struct {
 	from, to int
-	boot     uint64 // of the receiver's process: what comes to a later one is nothing to it
-	fromBoot uint64 // of the sender's process: an acknowledgement says what that one holds, not what a later one does
-	tell     *Delivery
-	ack      uint64
-	runs     []OriginRun
-	twice    bool // it has come once already
+	// Epoch of the receiving process; a later process ignores the message.
+	receiverEpoch uint64
+	// Epoch of the sending process; an acknowledgement states what that process holds, not a later one.
+	senderEpoch uint64
+	delivery    *Delivery
+	ackedBatch  uint64
+	runs        []OriginRun
+	duplicated  bool // has been delivered once already
 }
 
-type promise struct {
-	by      int // the router that answered
-	boot    uint64
-	with    int // the member whose word let it go, and its boot
-	other   uint64
-	session string
-	at      int64
+// writeAnswer is the answer to a session's write.
+type writeAnswer struct {
+	router            int // the router that answers
+	epoch             uint64
+	acknowledger      int // the member whose acknowledgement released the answer, with its epoch
+	acknowledgerEpoch uint64
+	session           string
+	position          int64
 }
 
-func (s *Store) clone() *Store {
-	c := *s
-	c.entries, c.logs, c.seenUpTo = map[entryID]*storedEntry{}, map[Origin]*originLog{}, maps.Clone(s.seenUpTo)
-	same := map[*storedEntry]*storedEntry{nil: nil}
-	take := func(h *storedEntry) *storedEntry {
-		if same[h] == nil && h != nil {
-			g := *h
-			same[h] = &g
+func (store *Store) clone() *Store {
+	copied := *store
+	copied.entries, copied.logs, copied.seenUpTo = map[entryID]*storedEntry{}, map[Origin]*originLog{}, maps.Clone(store.seenUpTo)
+	clones := map[*storedEntry]*storedEntry{nil: nil}
+	cloneEntry := func(original *storedEntry) *storedEntry {
+		if clones[original] == nil && original != nil {
+			duplicate := *original
+			clones[original] = &duplicate
 		}
-		return same[h]
+		return clones[original]
 	}
-	for k, h := range s.entries {
-		c.entries[k] = take(h)
+	for key, original := range store.entries {
+		copied.entries[key] = cloneEntry(original)
 	}
-	for k, p := range s.heaps {
-		c.heaps[k] = nil
-		for _, h := range p {
-			c.heaps[k] = append(c.heaps[k], take(h))
+	for key, entries := range store.heaps {
+		copied.heaps[key] = nil
+		for _, original := range entries {
+			copied.heaps[key] = append(copied.heaps[key], cloneEntry(original))
 		}
 	}
-	for o, l := range s.logs {
-		m := &originLog{removedCount: l.removedCount}
-		for _, x := range l.entries {
-			m.entries = append(m.entries, logEntry{x.seq, take(x.stored)})
+	for origin, log := range store.logs {
+		logCopy := &originLog{removedCount: log.removedCount}
+		for _, logged := range log.entries {
+			logCopy.entries = append(logCopy.entries, logEntry{logged.seq, cloneEntry(logged.stored)})
 		}
-		c.logs[o] = m
+		copied.logs[origin] = logCopy
 	}
-	c.pending = nil
-	return &c
+	copied.pending = nil
+	return &copied
 }
 
-func (t *Broadcaster) clone() *Broadcaster {
-	c := *t
-	c.queue, c.open = slices.Clone(t.queue), nil
-	for _, b := range t.open {
-		d := *b
-		d.entries, d.unacknowledged = slices.Clone(b.entries), slices.Clone(b.unacknowledged)
-		c.open = append(c.open, &d)
+func (broadcaster *Broadcaster) clone() *Broadcaster {
+	copied := *broadcaster
+	copied.queue, copied.open = slices.Clone(broadcaster.queue), nil
+	for _, original := range broadcaster.open {
+		duplicate := *original
+		duplicate.entries, duplicate.unacknowledged = slices.Clone(original.entries), slices.Clone(original.unacknowledged)
+		copied.open = append(copied.open, &duplicate)
 	}
-	return &c
+	return &copied
 }
 
-func (w *world) next(what string, args ...any) *world {
-	c := *w
-	c.way, c.acked, c.waits = slices.Clone(w.way), slices.Clone(w.acked), maps.Clone(w.waits)
-	c.path = append(slices.Clone(w.path), fmt.Sprintf(what, args...))
-	for i := range w.who {
-		c.who[i], c.tell[i] = w.who[i].clone(), w.tell[i].clone()
+func (state *modelState) afterEvent(format string, args ...any) *modelState {
+	copied := *state
+	copied.inFlight, copied.sentAnswers, copied.pendingAnswers = slices.Clone(state.inFlight), slices.Clone(state.sentAnswers), maps.Clone(state.pendingAnswers)
+	copied.trace = append(slices.Clone(state.trace), fmt.Sprintf(format, args...))
+	for i := range state.stores {
+		copied.stores[i], copied.broadcasters[i] = state.stores[i].clone(), state.broadcasters[i].clone()
 	}
-	return &c
+	return &copied
 }
 
-func (w *world) hash() uint64 {
-	h := fnv.New64a()
-	for i, s := range w.who {
-		fmt.Fprint(h, w.boots[i], w.down[i], s.lastSeq, s.seenUpTo, s.pass, w.tell[i].queue, w.tell[i].lastNumber)
-		for k := SessionCommit; k < kindCount; k++ {
-			fmt.Fprint(h, s.digests[k])
+func (state *modelState) hash() uint64 {
+	hasher := fnv.New64a()
+	for i, store := range state.stores {
+		fmt.Fprint(hasher, state.epochs[i], state.crashed[i], store.lastSeq, store.seenUpTo, store.pass, state.broadcasters[i].queue, state.broadcasters[i].lastNumber)
+		for kind := SessionCommit; kind < kindCount; kind++ {
+			fmt.Fprint(hasher, store.digests[kind])
 		}
-		for _, b := range w.tell[i].open {
-			fmt.Fprint(h, *b)
+		for _, batch := range state.broadcasters[i].open {
+			fmt.Fprint(hasher, *batch)
 		}
 	}
-	for _, l := range w.way {
-		fmt.Fprint(h, l.from, l.to, l.boot, l.fromBoot, l.ack, l.twice, l.runs)
-		if l.tell != nil {
-			fmt.Fprint(h, l.tell.BatchNumber)
+	for _, message := range state.inFlight {
+		fmt.Fprint(hasher, message.from, message.to, message.receiverEpoch, message.senderEpoch, message.ackedBatch, message.duplicated, message.runs)
+		if message.delivery != nil {
+			fmt.Fprint(hasher, message.delivery.BatchNumber)
 		}
 	}
-	fmt.Fprint(h, w.now, w.waits, w.acked, w.writes)
-	return h.Sum64()
+	fmt.Fprint(hasher, state.now, state.pendingAnswers, state.sentAnswers, state.writeCount)
+	return hasher.Sum64()
 }
 
 const (
-	exploreStep = 10 * clock.Nanos(1e6)
-	exploreWay  = 3 // beyond it something must arrive or be lost first
-	exploreMost = 2 // writes
+	tickDuration = 10 * clock.Nanos(1e6)
+	maxInFlight  = 3 // above this, a message must arrive or be lost first
+	maxWrites    = 2
 )
 
-// exploreRooms are bytes of an answer: room for all, and for one entry or for the claim that a run is complete, not for both.
-var exploreRooms = [2]int{1000, 100}
+// answerSizes are the maximum sizes of an answer in bytes: enough for everything, and enough for one entry or for the
+// claim that a run is complete, but not for both.
+var answerSizes = [2]int{1000, 100}
 
-var exploreNames = [3]string{"a", "b", "c"}
+var memberNames = [3]string{"a", "b", "c"}
 
-func (w *world) others(i int) (out []string) {
-	for j, n := range exploreNames {
+func (state *modelState) otherNames(i int) (names []string) {
+	for j, name := range memberNames {
 		if j != i {
-			out = append(out, n)
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
-func (w *world) start(i int) {
-	w.boots[i]++
-	set := DefaultSettings(Origin{exploreNames[i], w.boots[i]})
-	w.who[i], _ = New(set)
-	teller := DefaultBroadcasterSettings()
-	teller.MinBatchInterval, teller.MinAwaitedBatchInterval, teller.MaxAttempts = 0, 0, 3
-	w.tell[i], _ = NewBroadcaster(teller)
+func (state *modelState) start(i int) {
+	state.epochs[i]++
+	storeSettings := DefaultSettings(Origin{memberNames[i], state.epochs[i]})
+	state.stores[i], _ = New(storeSettings)
+	broadcasterSettings := DefaultBroadcasterSettings()
+	broadcasterSettings.MinBatchInterval, broadcasterSettings.MinAwaitedBatchInterval, broadcasterSettings.MaxAttempts = 0, 0, 3
+	state.broadcasters[i], _ = NewBroadcaster(broadcasterSettings)
 }
 
-func (w *world) send(i int) {
-	if w.silent {
+func (state *modelState) send(sender int) {
+	if state.pushesLost {
 		return
 	}
-	for _, t := range w.tell[i].Deliveries(w.now, w.others(i)) {
-		j := slices.Index(exploreNames[:], t.To)
-		w.way = append(w.way, letter{from: i, to: j, boot: w.boots[j], tell: &t})
+	for _, delivery := range state.broadcasters[sender].Deliveries(state.now, state.otherNames(sender)) {
+		receiver := slices.Index(memberNames[:], delivery.To)
+		state.inFlight = append(state.inFlight, message{from: sender, to: receiver, receiverEpoch: state.epochs[receiver], delivery: &delivery})
 	}
 }
 
-// write is a session's write that is answered by a member once another has it.
-func (w *world) write(i int, session string) {
-	w.writes++
-	at := int64(w.writes)
-	e, ok := w.who[i].LearnDurably(w.now, Entry{Kind: SessionCommit, Subject: "1", Qualifier: session, Position: at})
-	if !ok {
+// write is a session's write that a member answers once another member holds its position.
+func (state *modelState) write(router int, session string) {
+	state.writeCount++
+	position := int64(state.writeCount)
+	entry, stored := state.stores[router].LearnDurably(state.now, Entry{Kind: SessionCommit, Subject: "1", Qualifier: session, Position: position})
+	if !stored {
 		return
 	}
-	number := uint64(w.writes)
-	w.tell[i].Add(w.now, e, number)
-	w.waits = maps.Clone(w.waits)
-	w.waits[number] = promise{by: i, boot: w.boots[i], session: session, at: at}
-	if w.rules == "answers at once" {
-		p := w.waits[number]
-		delete(w.waits, number)
-		p.with, p.other = (i+1)%3, w.boots[(i+1)%3]
-		w.acked = append(w.acked, p)
+	number := uint64(state.writeCount)
+	state.broadcasters[router].Add(state.now, entry, number)
+	state.pendingAnswers = maps.Clone(state.pendingAnswers)
+	state.pendingAnswers[number] = writeAnswer{router: router, epoch: state.epochs[router], session: session, position: position}
+	if state.brokenRule == "answers without an acknowledgement" {
+		answer := state.pendingAnswers[number]
+		delete(state.pendingAnswers, number)
+		answer.acknowledger, answer.acknowledgerEpoch = (router+1)%3, state.epochs[(router+1)%3]
+		state.sentAnswers = append(state.sentAnswers, answer)
 	}
-	w.send(i)
+	state.send(router)
 }
 
-func (w *world) arrive(k int) {
-	l := w.way[k]
-	w.way = slices.Delete(w.way, k, k+1)
-	i := l.to
-	switch s := w.who[i]; {
-	case l.runs != nil:
-		s.MergeRuns(w.now, l.runs)
-	case l.tell != nil:
-		for n, e := range l.tell.Entries {
-			if w.rules == "acknowledges first" {
+func (state *modelState) deliver(index int) {
+	delivered := state.inFlight[index]
+	state.inFlight = slices.Delete(state.inFlight, index, index+1)
+	receiver := delivered.to
+	switch store := state.stores[receiver]; {
+	case delivered.runs != nil:
+		store.MergeRuns(state.now, delivered.runs)
+	case delivered.delivery != nil:
+		for entryIndex, entry := range delivered.delivery.Entries {
+			if state.brokenRule == "acknowledges before storing" {
 				break
 			}
-			if changed := s.Merge(w.now, e); changed && n < l.tell.AwaitedCount {
-				w.tell[i].Forward(w.now, e, exploreNames[l.from])
+			if changed := store.Merge(state.now, entry); changed && entryIndex < delivered.delivery.AwaitedCount {
+				state.broadcasters[receiver].Forward(state.now, entry, memberNames[delivered.from])
 			}
 		}
-		w.send(i)
-		w.way = append(w.way, letter{from: i, to: l.from, boot: w.boots[l.from], ack: l.tell.BatchNumber, fromBoot: w.boots[i]})
+		state.send(receiver)
+		state.inFlight = append(state.inFlight, message{from: receiver, to: delivered.from, receiverEpoch: state.epochs[delivered.from], ackedBatch: delivered.delivery.BatchNumber, senderEpoch: state.epochs[receiver]})
 	default:
-		for _, number := range w.tell[i].Acknowledge(exploreNames[l.from], l.ack, nil) {
-			p := w.waits[number]
-			delete(w.waits, number)
-			p.with, p.other = l.from, l.fromBoot
-			w.acked = append(w.acked, p)
+		for _, number := range state.broadcasters[receiver].Acknowledge(memberNames[delivered.from], delivered.ackedBatch, nil) {
+			answer := state.pendingAnswers[number]
+			delete(state.pendingAnswers, number)
+			answer.acknowledger, answer.acknowledgerEpoch = delivered.from, delivered.senderEpoch
+			state.sentAnswers = append(state.sentAnswers, answer)
 		}
 	}
 }
 
-// events are all that can happen next.
+// successors returns the states that one event can lead to.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func (w *world) events() []*world {
-	var out []*world
-	for i := range w.who {
-		if w.down[i] {
-			c := w.next("restart %s", exploreNames[i])
-			c.down[i] = false
-			c.start(i)
-			out = append(out, c)
+//nolint:gocognit,funlen // one linear scenario or table of cases
+func (state *modelState) successors() []*modelState {
+	var successors []*modelState
+	for router := range state.stores {
+		if state.crashed[router] {
+			successor := state.afterEvent("restart %s", memberNames[router])
+			successor.crashed[router] = false
+			successor.start(router)
+			successors = append(successors, successor)
 			continue
 		}
-		if w.writes < exploreMost && len(w.way) < exploreWay {
-			for _, session := range []string{"s", "t"}[:1+w.writes] { // the first is as good as any
-				c := w.next("write %s at %s", session, exploreNames[i])
-				c.write(i, session)
-				out = append(out, c)
+		if state.writeCount < maxWrites && len(state.inFlight) < maxInFlight {
+			// The first write has only one session, because sessions are interchangeable.
+			for _, session := range []string{"s", "t"}[:1+state.writeCount] {
+				successor := state.afterEvent("write %s at %s", session, memberNames[router])
+				successor.write(router, session)
+				successors = append(successors, successor)
 			}
 		}
-		if w.kills < 2 {
-			c := w.next("crash %s", exploreNames[i])
-			c.down[i], c.kills = true, c.kills+1
-			c.who[i], c.tell[i] = mustStore(exploreNames[i]), mustTeller()
-			c.way = slices.DeleteFunc(c.way, func(l letter) bool { return l.to == i })
-			out = append(out, c)
+		if state.crashCount < 2 {
+			successor := state.afterEvent("crash %s", memberNames[router])
+			successor.crashed[router], successor.crashCount = true, successor.crashCount+1
+			successor.stores[router], successor.broadcasters[router] = mustStore(memberNames[router]), mustBroadcaster()
+			successor.inFlight = slices.DeleteFunc(successor.inFlight, func(message message) bool { return message.to == router })
+			successors = append(successors, successor)
 		}
-		for j := range w.who {
-			if j != i && !w.down[j] && len(w.way) < exploreWay && w.who[i].TotalDigest() != w.who[j].TotalDigest() {
-				for _, room := range exploreRooms {
-					c := w.next("%s asks %s for %d bytes", exploreNames[i], exploreNames[j], room)
-					if runs := c.who[j].Since(c.now, c.who[i].VersionVector(), room); len(runs) > 0 {
-						c.way = append(c.way, letter{from: j, to: i, boot: c.boots[i], runs: runs})
-						if c.silent { // delays and losses are explored with the pushes
-							c.arrive(len(c.way) - 1)
+		for peer := range state.stores {
+			if peer != router && !state.crashed[peer] && len(state.inFlight) < maxInFlight && state.stores[router].TotalDigest() != state.stores[peer].TotalDigest() {
+				for _, maxBytes := range answerSizes {
+					successor := state.afterEvent("%s asks %s for %d bytes", memberNames[router], memberNames[peer], maxBytes)
+					if runs := successor.stores[peer].Since(successor.now, successor.stores[router].VersionVector(), maxBytes); len(runs) > 0 {
+						successor.inFlight = append(successor.inFlight, message{from: peer, to: router, receiverEpoch: successor.epochs[router], runs: runs})
+						if successor.pushesLost { // delays and losses are explored together with the pushes
+							successor.deliver(len(successor.inFlight) - 1)
 						}
-						out = append(out, c)
+						successors = append(successors, successor)
 					}
 				}
 			}
 		}
 	}
-	if len(w.way) < exploreWay && !w.silent {
-		c := w.next("tick")
-		c.now += exploreStep
-		for i := range c.who {
-			if !c.down[i] {
-				c.send(i)
+	if len(state.inFlight) < maxInFlight && !state.pushesLost {
+		successor := state.afterEvent("tick")
+		successor.now += tickDuration
+		for router := range successor.stores {
+			if !successor.crashed[router] {
+				successor.send(router)
 			}
 		}
-		out = append(out, c)
+		successors = append(successors, successor)
 	}
-	for k, l := range w.way {
-		c := w.next("lose %d", k)
-		c.way = slices.Delete(c.way, k, k+1)
-		out = append(out, c)
-		if w.down[l.to] || l.boot != w.boots[l.to] {
+	for index, message := range state.inFlight {
+		successor := state.afterEvent("lose message %d", index)
+		successor.inFlight = slices.Delete(successor.inFlight, index, index+1)
+		successors = append(successors, successor)
+		if state.crashed[message.to] || message.receiverEpoch != state.epochs[message.to] {
 			continue
 		}
-		c = w.next("deliver %d: %s to %s", k, exploreNames[l.from], exploreNames[l.to])
-		c.arrive(k)
-		out = append(out, c)
-		if !l.twice {
-			d := w.next("deliver %d twice: %s to %s", k, exploreNames[l.from], exploreNames[l.to])
-			d.way[k].twice = true
-			again := d.way[k]
-			d.arrive(k)
-			d.way = append(d.way, again)
-			out = append(out, d)
+		successor = state.afterEvent("deliver message %d: %s to %s", index, memberNames[message.from], memberNames[message.to])
+		successor.deliver(index)
+		successors = append(successors, successor)
+		if !message.duplicated {
+			duplicate := state.afterEvent("deliver message %d twice: %s to %s", index, memberNames[message.from], memberNames[message.to])
+			duplicate.inFlight[index].duplicated = true
+			repeated := duplicate.inFlight[index]
+			duplicate.deliver(index)
+			duplicate.inFlight = append(duplicate.inFlight, repeated)
+			successors = append(successors, duplicate)
 		}
 	}
-	return out
+	return successors
 }
 
-func mustStore(name string) *Store { s, _ := New(DefaultSettings(Origin{name, 1 << 40})); return s }
-func mustTeller() *Broadcaster     { t, _ := NewBroadcaster(DefaultBroadcasterSettings()); return t }
+func mustStore(name string) *Store  { s, _ := New(DefaultSettings(Origin{name, 1 << 40})); return s }
+func mustBroadcaster() *Broadcaster { t, _ := NewBroadcaster(DefaultBroadcasterSettings()); return t }
 
-// broken says which invariant an event has broken: a commit fell at a process that lives; an own write whose answer went out
-// in mode one is held by neither of the two that had it, though one of them lives; copies that ask each other differ.
-func (w *world) broken(before *world) string {
-	for i, s := range w.who {
-		if w.down[i] || before.down[i] || w.boots[i] != before.boots[i] {
+// violation returns the invariant that the last event violated: a commit position decreased at a running process; a
+// write that was answered after an acknowledgement is held by neither of its two holders, although one of them still
+// runs; or copies differ after they have fetched from each other.
+func (state *modelState) violation(before *modelState) string {
+	for i, store := range state.stores {
+		if state.crashed[i] || before.crashed[i] || state.epochs[i] != before.epochs[i] {
 			continue
 		}
 		for _, session := range []string{"s", "t"} {
-			is, _ := s.CommitPosition("1", session)
-			if was, _ := before.who[i].CommitPosition("1", session); is < was {
-				return fmt.Sprintf("%s: the commit of %s fell from %d to %d", exploreNames[i], session, was, is)
+			current, _ := store.CommitPosition("1", session)
+			if previous, _ := before.stores[i].CommitPosition("1", session); current < previous {
+				return fmt.Sprintf("%s: the commit position of session %s decreased from %d to %d", memberNames[i], session, previous, current)
 			}
 		}
 	}
-	all, fault := w.met() // what they would all have once they had asked each other
+	converged, fault := state.converged() // the state of all running members after they have fetched from each other
 	if fault != "" {
 		return fault
 	}
-	for _, p := range w.acked {
-		if w.down[p.by] || w.boots[p.by] != p.boot { // the answering one has died: the other one must have it
-			if w.down[p.with] || w.boots[p.with] != p.other {
+	for _, answer := range state.sentAnswers {
+		// The answering router has failed, so the acknowledging member must hold the write.
+		if state.crashed[answer.router] || state.epochs[answer.router] != answer.epoch {
+			if state.crashed[answer.acknowledger] || state.epochs[answer.acknowledger] != answer.acknowledgerEpoch {
 				continue
 			}
-			if at, _ := w.who[p.with].CommitPosition("1", p.session); at < p.at {
-				return fmt.Sprintf("the write of %s at %d was answered by %s with the word of %s, and is lost", p.session, p.at, exploreNames[p.by], exploreNames[p.with])
+			if position, _ := state.stores[answer.acknowledger].CommitPosition("1", answer.session); position < answer.position {
+				return fmt.Sprintf("the write of session %s at %d was answered by %s after an acknowledgement of %s, and is lost", answer.session, answer.position, memberNames[answer.router], memberNames[answer.acknowledger])
 			}
 		}
-		if at, _ := all.CommitPosition("1", p.session); at < p.at {
-			return fmt.Sprintf("the write of %s at %d is missed after all have met", p.session, p.at)
+		if position, _ := converged.CommitPosition("1", answer.session); position < answer.position {
+			return fmt.Sprintf("the write of session %s at %d is missing after all members have fetched from each other", answer.session, answer.position)
 		}
 	}
 	return ""
 }
 
-// met has all that live ask each other until nothing is new; then they are equal.
-func (w *world) met() (*Store, string) {
+// converged lets all running members fetch from each other until nothing is missing, after which they must be equal.
+func (state *modelState) converged() (*Store, string) {
 	var live []*Store
-	for i, s := range w.who {
-		if !w.down[i] {
-			live = append(live, s.clone())
+	for i, store := range state.stores {
+		if !state.crashed[i] {
+			live = append(live, store.clone())
 		}
 	}
 	if len(live) == 0 {
 		return mustStore("nobody"), ""
 	}
 	for range 2 {
-		for i, x := range live {
-			for j, y := range live {
+		for i, receiver := range live {
+			for j, sender := range live {
 				if i != j {
-					x.MergeRuns(w.now, y.Since(w.now, x.VersionVector(), 10_000))
+					receiver.MergeRuns(state.now, sender.Since(state.now, receiver.VersionVector(), 10_000))
 				}
 			}
 		}
 	}
-	for _, x := range live {
-		if x.TotalDigest() != live[0].TotalDigest() {
-			return nil, "all have met and differ: " + differ(live[0], x)
+	for _, receiver := range live {
+		if receiver.TotalDigest() != live[0].TotalDigest() {
+			return nil, "copies differ after all members have fetched from each other: " + firstDifference(live[0], receiver)
 		}
 	}
 	return live[0], ""
 }
 
-func explore(rules string, silent bool, most int) (states, depth int, fault string) {
-	w := &world{rules: rules, silent: silent, waits: map[uint64]promise{}}
-	for i := range w.who {
-		w.start(i)
+func explore(brokenRule string, pushesLost bool, maxStates int) (states, depth int, fault string) {
+	initial := &modelState{brokenRule: brokenRule, pushesLost: pushesLost, pendingAnswers: map[uint64]writeAnswer{}}
+	for i := range initial.stores {
+		initial.start(i)
 	}
-	seen, row := map[uint64]bool{w.hash(): true}, []*world{w}
-	for len(row) > 0 && len(seen) < most {
-		var next []*world
-		for _, x := range row {
-			for _, y := range x.events() {
-				if b := y.broken(x); b != "" {
-					return len(seen), len(y.path), b + "\n" + strings.Join(y.path, "\n")
+	seen, frontier := map[uint64]bool{initial.hash(): true}, []*modelState{initial}
+	for len(frontier) > 0 && len(seen) < maxStates {
+		var nextFrontier []*modelState
+		for _, state := range frontier {
+			for _, successor := range state.successors() {
+				if violation := successor.violation(state); violation != "" {
+					return len(seen), len(successor.trace), violation + "\n" + strings.Join(successor.trace, "\n")
 				}
-				if h := y.hash(); !seen[h] {
-					seen[h] = true
-					next = append(next, y)
+				if hash := successor.hash(); !seen[hash] {
+					seen[hash] = true
+					nextFrontier = append(nextFrontier, successor)
 				}
 			}
 		}
 		depth++
-		row = next
+		frontier = nextFrontier
 	}
 	return len(seen), depth, ""
 }
 
-// Three members and two sessions of one group: whatever is delivered, lost, doubled, whoever crashes and comes back empty.
+// Three members and two sessions of one group: messages are delivered, lost and duplicated, and members crash and
+// restart with an empty copy.
 func TestExplore(t *testing.T) {
 	states, depth, fault := explore("", false, 20_000)
 	t.Logf("%d states, %d events deep", states, depth)
@@ -385,9 +394,9 @@
 	}
 }
 
-// The same where all pushes are lost, and members fetch from each other, also with little room from one that dies for good: all
-// states that two writes and two crashes lead to. Before claims were for spans of keys, a copy that missed a write for good was
-// found in 8 events.
+// All pushes are lost and members only fetch from each other, including small answers from a member that fails for
+// good. This covers all states that two writes and two crashes lead to. When claims did not yet have spans of keys,
+// eight events led to a copy that missed a write for good.
 func TestExploreFetches(t *testing.T) {
 	const limit = 60_000
 	states, depth, fault := explore("", true, limit)
@@ -396,17 +405,18 @@
 		t.Error(fault)
 	}
 	if states < 10_000 || states >= limit || depth < 8 {
-		t.Errorf("%d states, %d events deep: not all, or too few", states, depth)
+		t.Errorf("%d states, %d events deep: too few, or not all states", states, depth)
 	}
 }
 
-// Rules broken on purpose are found: an answer that waits for nobody, and a word that is given before the entry is held.
+// The exploration finds rules that are broken on purpose: a write that is answered without an acknowledgement, and an
+// acknowledgement that is sent before the entry is stored.
 func TestExploreFindsBrokenRules(t *testing.T) {
-	for _, rule := range []string{"answers at once", "acknowledges first"} {
+	for _, rule := range []string{"answers without an acknowledgement", "acknowledges before storing"} {
 		states, depth, fault := explore(rule, false, 60_000)
 		t.Logf("%s: %d states, %d events deep: %s", rule, states, depth, fault)
 		if fault == "" {
-			t.Errorf("%s: nothing was found", rule)
+			t.Errorf("%s: no violation was found", rule)
 		}
 	}
 }
--- a/policy/crdt/spread_test.go
+++ b/policy/crdt/spread_test.go
@@ -9,35 +9,36 @@
 	"lotushook/policy/clock"
 )
 
-// These tests guard what a copy may conclude from a fetch with little room.
+// These tests guard what a copy may conclude from a fetch that takes several pieces.
 //
-// What happened: a version vector counts by origin. A run that was marked complete up to a number said "what is missing up to
-// here was superseded", and it was, at the sender. But what superseded it had not been sent yet: it had another origin, or a
-// later number of the same one, and the piece had no room for it. When the sender then died, the receiver claimed to have all
-// of that origin, no member sent it again, and it answered queries as if nothing had ever been learned.
+// A version vector counts entries by origin. A run that claimed to be complete up to a sequence number was complete at
+// the sender, because the missing entries had been superseded there. But the superseding entry might have another
+// origin, or a later sequence number of the same one, and not fit into the piece. When the sender then failed, the
+// receiver claimed to hold all entries of the origin, no member sent them again, and queries were answered as if
+// nothing had ever been learned.
 //
-// What showed the cause: in the recorded history (testdata/TestSpread.history) r2's vector has r0 at 4 after a piece that
-// carried three of r0's four entries, while its copy has no entry for the session of the missing one.
+// testdata/TestSpread.history records such a case: r2's vector has r0 at 4 after a piece with three of r0's four
+// entries, while its copy has no entry for the session of the missing one.
 
-// copies are routers of one cluster by name.
-type copies map[string]*Store
+// storesByName holds the stores of the routers of one cluster.
+type storesByName map[string]*Store
 
-func newCopies(t *testing.T, names ...string) copies {
+func newStores(t *testing.T, names ...string) storesByName {
 	t.Helper()
-	out := copies{}
+	stores := storesByName{}
 	for _, name := range names {
-		out[name] = store(t, name, 0)
+		stores[name] = newTestStore(t, name, 0)
 	}
-	return out
+	return stores
 }
 
-func (c copies) fetch(now clock.Nanos, to, from string, room int) {
-	c[to].MergeRuns(now, c[from].Since(now, c[to].VersionVector(), room))
+func (stores storesByName) fetch(now clock.Nanos, to, from string, maxBytes int) {
+	stores[to].MergeRuns(now, stores[from].Since(now, stores[to].VersionVector(), maxBytes))
 }
 
-// perKind has for each kind an entry, a later one of the same key, and what a caller is answered; the answers to the later one
-// and to none differ from that to the earlier one.
-func perKind(now clock.Nanos) map[Kind]struct {
+// entriesPerKind returns for each kind an entry, a later entry with the same key, and a query. The query's answer for
+// the earlier entry differs from its answers for the later entry and for no entry.
+func entriesPerKind(now clock.Nanos) map[Kind]struct {
 	earlier, later Entry
 	answer         func(*Store) string
 } {
@@ -75,37 +76,37 @@
 }
 
 const (
-	littleRoom = 250 // bytes: three small entries of one origin
-	wideRoom   = 10_000
+	smallAnswer = 250 // bytes: three small entries of one origin
+	largeAnswer = 10_000
 )
 
-// A copy is fed in small pieces by a member that dies on the way; what it lacks then it gets from another, of every kind, though
-// the member that died had it superseded.
+// A copy is fetched in small pieces from a member that fails during the fetch. For every kind, the receiver then gets
+// what it lacks from another member, although the failed member held an entry that superseded it.
 func TestFetchGoesOnAfterSenderDies(t *testing.T) {
-	const learnInterval = second // positions and claims are learned anew only after some time
-	for k := SessionCommit; k < kindCount; k++ {
-		c := perKind(4 * learnInterval)[k]
-		c.earlier.Kind, c.later.Kind = k, k
+	const learnInterval = second // positions and claims are learned again only after MinLearnInterval
+	for kind := SessionCommit; kind < kindCount; kind++ {
+		testCase := entriesPerKind(4 * learnInterval)[kind]
+		testCase.earlier.Kind, testCase.later.Kind = kind, kind
 		for _, superseder := range []string{"origin", "sender"} {
 			for pieces := 1; pieces <= 8; pieces++ {
-				t.Run(fmt.Sprintf("%s/superseded by %s/after %d pieces", k, superseder, pieces), func(t *testing.T) {
-					all := newCopies(t, "origin", "sender", "witness", "receiver")
-					all["origin"].Learn(0, c.earlier)
+				t.Run(fmt.Sprintf("%s/superseded by %s/after %d pieces", kind, superseder, pieces), func(t *testing.T) {
+					stores := newStores(t, "origin", "sender", "witness", "receiver")
+					stores["origin"].Learn(0, testCase.earlier)
 					for i := range 3 {
-						all["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "2", Qualifier: fmt.Sprint(i), Position: 1})
+						stores["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "2", Qualifier: fmt.Sprint(i), Position: 1})
 					}
-					all.fetch(0, "witness", "origin", wideRoom)
-					all.fetch(0, "sender", "origin", wideRoom)
-					all[superseder].Learn(learnInterval, c.later)
-					all.fetch(learnInterval, "sender", "origin", wideRoom)
+					stores.fetch(0, "witness", "origin", largeAnswer)
+					stores.fetch(0, "sender", "origin", largeAnswer)
+					stores[superseder].Learn(learnInterval, testCase.later)
+					stores.fetch(learnInterval, "sender", "origin", largeAnswer)
 					for range pieces {
-						all.fetch(2*learnInterval, "receiver", "sender", littleRoom)
+						stores.fetch(2*learnInterval, "receiver", "sender", smallAnswer)
 					}
-					delete(all, "origin")
-					delete(all, "sender")
-					all.fetch(3*learnInterval, "receiver", "witness", wideRoom)
-					all.fetch(3*learnInterval, "witness", "receiver", wideRoom)
-					if got, want := c.answer(all["receiver"]), c.answer(all["witness"]); got != want {
+					delete(stores, "origin")
+					delete(stores, "sender")
+					stores.fetch(3*learnInterval, "receiver", "witness", largeAnswer)
+					stores.fetch(3*learnInterval, "witness", "receiver", largeAnswer)
+					if got, want := testCase.answer(stores["receiver"]), testCase.answer(stores["witness"]); got != want {
 						t.Errorf("the receiver answers %s, the witness %s", got, want)
 					}
 				})
@@ -114,108 +115,108 @@
 	}
 }
 
-// An empty copy is fed in small pieces by members that take turns, each with entries of its own and while more is learned, and
-// the feeding ends: after a bounded number of pieces it asks in vain.
+// An empty copy is fetched in small pieces from members in rotation, which hold entries of their own. The fetch ends:
+// after a limited number of pieces nothing is missing.
 func TestFeedingEnds(t *testing.T) {
 	names := []string{"a", "b", "c"}
-	all := newCopies(t, "a", "b", "c", "receiver")
+	stores := newStores(t, "a", "b", "c", "receiver")
 	const perMember = 100
 	for i := range perMember {
 		for _, name := range names {
-			all[name].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint("session-", i), Position: int64(1 + i)})
-			all[name].Learn(0, Entry{Kind: Usage, Subject: fmt.Sprint("team-", i), Qualifier: "class", Count: 1})
+			stores[name].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint("session-", i), Position: int64(1 + i)})
+			stores[name].Learn(0, Entry{Kind: Usage, Subject: fmt.Sprint("team-", i), Qualifier: "class", Count: 1})
 		}
 	}
 	for _, to := range names {
 		for _, from := range names {
-			all.fetch(0, to, from, 1<<20)
+			stores.fetch(0, to, from, 1<<20)
 		}
 	}
-	const room, maxPieces = 2000, 100 // 400 entries of 60 bytes are 12 pieces; each piece has claims too
+	const maxBytes, maxPieces = 2000, 100 // 400 entries of 60 bytes fill 12 pieces, and each piece also carries claims
 	for piece := range maxPieces {
-		from := all[names[piece%len(names)]]
-		runs := from.Since(0, all["receiver"].VersionVector(), room)
+		from := stores[names[piece%len(names)]]
+		runs := from.Since(0, stores["receiver"].VersionVector(), maxBytes)
 		if len(runs) == 0 {
 			t.Logf("%d pieces", piece)
-			if d := differ(from, all["receiver"]); d != "" {
-				t.Error(d)
+			if difference := firstDifference(from, stores["receiver"]); difference != "" {
+				t.Error(difference)
 			}
 			return
 		}
 		size := 0
-		for _, r := range runs {
+		for _, run := range runs {
 			size += entryBytes
-			for _, e := range r.Entries {
-				size += e.Size()
+			for _, entry := range run.Entries {
+				size += entry.Size()
 			}
 		}
-		if size > room {
-			t.Fatalf("a piece of %d bytes where %d were asked for", size, room)
+		if size > maxBytes {
+			t.Fatalf("a piece of %d bytes, limit %d", size, maxBytes)
 		}
-		all["receiver"].MergeRuns(0, runs)
+		stores["receiver"].MergeRuns(0, runs)
 	}
-	t.Errorf("still fed after %d pieces", maxPieces)
+	t.Errorf("the fetch has not ended after %d pieces", maxPieces)
 }
 
-// A member that has evicted sessions can't send them. Who fetches all that it has must not take them for sessions without a commit:
-// before, their reads were answered stale.
+// A member that has evicted sessions can't send them. A copy that fetches everything from it must not treat them as
+// sessions without a commit, because their reads would be answered stale.
 func TestEvictionTravelsWithClaims(t *testing.T) {
-	const capacity, room = 5, 10_000
-	sender, receiver := store(t, "sender", capacity), store(t, "receiver", 0)
+	const capacity, maxBytes = 5, 10_000
+	sender, receiver := newTestStore(t, "sender", capacity), newTestStore(t, "receiver", 0)
 	for i := range 2 * capacity {
 		sender.Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(i), Position: int64(1 + i)})
 	}
-	receiver.MergeRuns(0, sender.Since(0, receiver.VersionVector(), room))
+	receiver.MergeRuns(0, sender.Since(0, receiver.VersionVector(), maxBytes))
 	for i := range 2 * capacity {
-		if at, _ := receiver.CommitPosition("1", fmt.Sprint(i)); at < int64(1+i) {
-			t.Errorf("session %d: %d, it has committed at %d", i, at, 1+i)
+		if position, _ := receiver.CommitPosition("1", fmt.Sprint(i)); position < int64(1+i) {
+			t.Errorf("session %d: position %d, committed at %d", i, position, 1+i)
 		}
 	}
 }
 
-// An entry that could not be taken is not counted as had: once it can be believed, it is fetched.
+// An entry that was rejected does not count as held. Once its position is plausible, it is fetched.
 func TestRejectedEntryWithholdsClaims(t *testing.T) {
-	all := newCopies(t, "sender", "receiver")
-	all["receiver"].ObservePosition(second)
-	all["sender"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 100 * second})
-	all.fetch(0, "receiver", "sender", wideRoom)
-	if at, known := all["receiver"].CommitPosition("1", "session"); known || all["receiver"].WithheldClaims() != 1 {
-		t.Fatalf("a commit at %d, far beyond all that is known, was believed; %d claims withheld", at, all["receiver"].WithheldClaims())
+	stores := newStores(t, "sender", "receiver")
+	stores["receiver"].ObservePosition(second)
+	stores["sender"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 100 * second})
+	stores.fetch(0, "receiver", "sender", largeAnswer)
+	if position, known := stores["receiver"].CommitPosition("1", "session"); known || stores["receiver"].WithheldClaims() != 1 {
+		t.Fatalf("a commit at %d, far beyond all known positions, was accepted; %d claims withheld", position, stores["receiver"].WithheldClaims())
 	}
-	all["receiver"].ObservePosition(90 * second)
-	all.fetch(0, "receiver", "sender", wideRoom)
-	if at, _ := all["receiver"].CommitPosition("1", "session"); at != 100*second {
-		t.Errorf("%d: the commit was not fetched again", at)
+	stores["receiver"].ObservePosition(90 * second)
+	stores.fetch(0, "receiver", "sender", largeAnswer)
+	if position, _ := stores["receiver"].CommitPosition("1", "session"); position != 100*second {
+		t.Errorf("position %d: the commit was not fetched again", position)
 	}
 }
 
-// A position of the future is believed by a copy that knows none, and supersedes what is true. Once it is dropped, what it had
-// superseded is fetched again.
+// A copy without a position of its own accepts a position in the future, which supersedes the true one. Once that
+// position is dropped, the entry that it superseded is fetched again.
 func TestDroppedPositionIsFetchedAgain(t *testing.T) {
-	all := newCopies(t, "origin", "receiver")
-	all["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 5 * second})
-	all.fetch(0, "receiver", "origin", wideRoom)
-	all["receiver"].Merge(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 1e6 * second, Origin: Origin{"liar", 1}, Seq: 1})
-	all["receiver"].Learn(0, Entry{Kind: ServerPosition, Subject: "server", Position: 4 * second})
-	all.fetch(0, "receiver", "origin", wideRoom)
-	if at, _ := all["receiver"].CommitPosition("1", "session"); at != 5*second {
-		t.Errorf("%d: the commit is missed", at)
+	stores := newStores(t, "origin", "receiver")
+	stores["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 5 * second})
+	stores.fetch(0, "receiver", "origin", largeAnswer)
+	stores["receiver"].Merge(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 1e6 * second, Origin: Origin{"liar", 1}, Seq: 1})
+	stores["receiver"].Learn(0, Entry{Kind: ServerPosition, Subject: "server", Position: 4 * second})
+	stores.fetch(0, "receiver", "origin", largeAnswer)
+	if position, _ := stores["receiver"].CommitPosition("1", "session"); position != 5*second {
+		t.Errorf("position %d: the commit is missing", position)
 	}
 }
 
-// The histories on which TestSpread failed, each as it was drawn and shortened: the recorded one, those of five seeds, and three in
-// which a copy that asked members in turn was never sent one entry, on the way to the mend.
+// Replays the minimized histories on which TestSpread has failed: a recorded one, those of five seeds, and three in
+// which a copy that asked members in rotation was never sent one of the entries.
 func TestSpreadHistories(t *testing.T) {
 	histories, err := filepath.Glob("../../testdata/TestSpread*.history")
 	if err != nil || len(histories) < 9 {
 		t.Fatalf("%d histories, %v", len(histories), err)
 	}
-	play := flag.Lookup("rapid.failfile")
-	given := play.Value.String()
-	t.Cleanup(func() { _ = play.Value.Set(given) })
+	failFile := flag.Lookup("rapid.failfile")
+	previous := failFile.Value.String()
+	t.Cleanup(func() { _ = failFile.Value.Set(previous) })
 	for _, history := range histories {
 		t.Run(filepath.Base(history), func(t *testing.T) {
-			if err := play.Value.Set(history); err != nil {
+			if err := failFile.Value.Set(history); err != nil {
 				t.Fatal(err)
 			}
 			TestSpread(t)
