--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -9,297 +9,304 @@
 	"lotushook/policy/crdt"
 )
 
-// world is one log with a take-over that loses its last event, three routers, and two subscribers: the first carries its cursor,
-// the second does not.
-type world struct {
-	logs    [2][]int64 // events of each history: the second's own
-	from    int64      // where the second forked; 0: it has not begun
-	routers [3]struct {
+// modelState is the state of one log with a failover that loses its last event, of three routers, and of two
+// subscribers. The first subscriber sends its cursor, the second does not.
+type modelState struct {
+	logs     [2][]int64 // events of each history; the second history has only those after the fork
+	forkedAt int64      // position at which the second history forked; 0: it has not begun
+	routers  [3]struct {
 		feed  *Feed
 		known [2]Cursor
 	}
-	subs [2]struct {
-		place Position // what it was answered last
-		gen   int64
-		got   []int64 // without what it was told to forget
-		began int64   // what was before is not its business; -1: it has nothing yet
-		at    int     // the router that it is connected to; -1: none
-		held  Generation
+	subscribers [2]struct {
+		cursor               Position // the cursor of the last answer
+		generation           int64
+		received             []int64 // without the events that a rewind revoked
+		startedAfter         int64   // events up to this position precede its start; -1: it has received nothing yet
+		connectedTo          int     // the router that it is connected to; -1: none
+		connectionGeneration Generation
 	}
-	path []string
+	trace []string
 }
 
 var histories = [2]History{{1, 1}, {2, 2}}
 
-func (w *world) next(what string, args ...any) *world {
-	c := *w
-	for i := range c.logs {
-		c.logs[i] = slices.Clone(c.logs[i])
+func (state *modelState) afterEvent(format string, args ...any) *modelState {
+	copied := *state
+	for i := range copied.logs {
+		copied.logs[i] = slices.Clone(copied.logs[i])
 	}
-	for i := range c.routers {
-		f := *c.routers[i].feed
-		f.lineage, f.ring = slices.Clone(f.lineage), slices.Clone(f.ring)
-		c.routers[i].feed = &f
+	for i := range copied.routers {
+		feed := *copied.routers[i].feed
+		feed.lineage, feed.ring = slices.Clone(feed.lineage), slices.Clone(feed.ring)
+		copied.routers[i].feed = &feed
 	}
-	for i := range c.subs {
-		c.subs[i].got = slices.Clone(c.subs[i].got)
+	for i := range copied.subscribers {
+		copied.subscribers[i].received = slices.Clone(copied.subscribers[i].received)
 	}
-	c.path = append(slices.Clone(w.path), fmt.Sprintf(what, args...))
-	return &c
+	copied.trace = append(slices.Clone(state.trace), fmt.Sprintf(format, args...))
+	return &copied
 }
 
-func (w *world) hash() uint64 {
-	h := fnv.New64a()
-	fmt.Fprint(h, w.logs, w.from, w.subs)
-	for _, r := range w.routers {
-		fmt.Fprint(h, r.feed.lineage, r.feed.ring, r.feed.head, r.feed.end, r.known)
+func (state *modelState) hash() uint64 {
+	hasher := fnv.New64a()
+	fmt.Fprint(hasher, state.logs, state.forkedAt, state.subscribers)
+	for _, router := range state.routers {
+		fmt.Fprint(hasher, router.feed.lineage, router.feed.ring, router.feed.head, router.feed.end, router.known)
 	}
-	return h.Sum64()
+	return hasher.Sum64()
 }
 
-// log is a history's line and all events along it.
-func (w *world) log(n int) (Lineage, []int64) {
-	if n == 0 {
-		return Lineage{{histories[0], 0}}, w.logs[0]
+// historyLog returns the lineage of a history and all events along it.
+func (state *modelState) historyLog(historyIndex int) (Lineage, []int64) {
+	if historyIndex == 0 {
+		return Lineage{{histories[0], 0}}, state.logs[0]
 	}
-	i := 0
-	for i < len(w.logs[0]) && w.logs[0][i] <= w.from {
-		i++
+	count := 0
+	for count < len(state.logs[0]) && state.logs[0][count] <= state.forkedAt {
+		count++
 	}
-	return Lineage{{histories[0], 0}, {histories[1], w.from}}, append(slices.Clone(w.logs[0][:i]), w.logs[1]...)
+	return Lineage{{histories[0], 0}, {histories[1], state.forkedAt}}, append(slices.Clone(state.logs[0][:count]), state.logs[1]...)
 }
 
-const mostEvents = 3
+const maxEvents = 3
 
-// events are all that can happen next. A rule may be broken on purpose.
+// successors returns the states that one event can lead to. brokenRule names a rule to break on purpose.
 //
-//nolint:gocognit // one history or table of cases, told in order
-func (w *world) events(broken string) (out []*world) {
+//nolint:gocognit // one linear scenario or table of cases
+func (state *modelState) successors(brokenRule string) (successors []*modelState) {
 	newest := 0
-	if w.from > 0 {
+	if state.forkedAt > 0 {
 		newest = 1
 	}
-	if len(w.logs[0])+len(w.logs[1]) < mostEvents+newest {
-		c := w.next("commit")
-		_, all := c.log(newest)
-		at := c.from + 1
+	if len(state.logs[0])+len(state.logs[1]) < maxEvents+newest {
+		successor := state.afterEvent("commit")
+		_, all := successor.historyLog(newest)
+		position := successor.forkedAt + 1
 		if len(all) > 0 {
-			at = all[len(all)-1] + 1
+			position = all[len(all)-1] + 1
 		}
-		c.logs[newest] = append(c.logs[newest], at)
-		out = append(out, c)
-	}
-	if newest == 0 && len(w.logs[0]) > 1 {
-		c := w.next("take-over")
-		c.from = w.logs[0][len(w.logs[0])-2]
-		out = append(out, c)
-	}
-	for i := range w.routers {
-		for m := 0; m <= newest; m++ { // whichever history the member is on: the forked one still answers
-			c := w.next("router %d reads a member of history %d", i, m)
-			line, all := c.log(m)
-			a := &Response{Lineage: line}
-			if n := len(all); n > 0 {
-				a.Head = all[n-1]
+		successor.logs[newest] = append(successor.logs[newest], position)
+		successors = append(successors, successor)
+	}
+	if newest == 0 && len(state.logs[0]) > 1 {
+		successor := state.afterEvent("failover")
+		successor.forkedAt = state.logs[0][len(state.logs[0])-2]
+		successors = append(successors, successor)
+	}
+	for routerIndex := range state.routers {
+		// A forked endpoint of the older history still answers.
+		for historyIndex := 0; historyIndex <= newest; historyIndex++ {
+			successor := state.afterEvent("router %d reads an endpoint of history %d", routerIndex, historyIndex)
+			lineage, all := successor.historyLog(historyIndex)
+			response := &Response{Lineage: lineage}
+			if count := len(all); count > 0 {
+				response.Head = all[count-1]
 			}
-			f := c.routers[i].feed
-			if p, read := f.End(); read {
-				end, on := line.End(p.History)
-				if !on {
-					continue // it has not heard of that history, and says so
+			feed := successor.routers[routerIndex].feed
+			if feedEnd, read := feed.End(); read {
+				end, included := lineage.End(feedEnd.History)
+				if !included {
+					continue // the endpoint does not know that history and reports so
 				}
-				a.From = min(p.At, end)
+				response.From = min(feedEnd.At, end)
 			}
-			for _, at := range all {
-				if at > a.From {
-					a.Events = append(a.Events, Event{At: at})
+			for _, position := range all {
+				if position > response.From {
+					response.Events = append(response.Events, Event{At: position})
 				}
 			}
-			f.Apply(0, a, true)
-			out = append(out, c)
+			feed.Apply(0, response, true)
+			successors = append(successors, successor)
 		}
-		for s := range w.subs {
-			out = append(out, w.request(i, s, false, broken), w.request(i, s, true, broken))
-			for j := range w.routers {
-				if i != j && w.routers[i].known[s].Compare(w.routers[j].known[s]) > 0 {
-					c := w.next("router %d tells %d of %d", i, j, s)
-					c.routers[j].known[s] = c.routers[j].known[s].Join(c.routers[i].known[s])
-					out = append(out, c)
+		for subscriberIndex := range state.subscribers {
+			successors = append(successors, state.request(routerIndex, subscriberIndex, false, brokenRule), state.request(routerIndex, subscriberIndex, true, brokenRule))
+			for peerIndex := range state.routers {
+				if routerIndex != peerIndex && state.routers[routerIndex].known[subscriberIndex].Compare(state.routers[peerIndex].known[subscriberIndex]) > 0 {
+					successor := state.afterEvent("router %d sends router %d the cursor of subscriber %d", routerIndex, peerIndex, subscriberIndex)
+					successor.routers[peerIndex].known[subscriberIndex] = successor.routers[peerIndex].known[subscriberIndex].Join(successor.routers[routerIndex].known[subscriberIndex])
+					successors = append(successors, successor)
 				}
 			}
 		}
 	}
-	return slices.DeleteFunc(out, func(c *world) bool { return c == nil })
+	return slices.DeleteFunc(successors, func(successor *modelState) bool { return successor == nil })
 }
 
-// request is one of a subscriber's, on the connection that it has if it is to the same router, and whether its answer is lost,
-// which breaks the connection.
+// request is a subscriber's request, on its connection if that is to the same router. A lost answer breaks the
+// connection.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func (w *world) request(r, s int, lost bool, broken string) *world {
-	c := w.next("subscriber %d asks router %d, lost %v", s, r, lost)
-	sub, router, self := &c.subs[s], &c.routers[r], crdt.Origin{Name: fmt.Sprint("r", r), Epoch: 1}
-	known := router.known[s]
-	q := Request{Connection: NewConnection, Known: known, IssuedHere: known.RaisedBy == self}
-	if s == 0 || sub.at == r { // its connection remembers what went out on it
-		q.Client = sub.place
-	}
-	if sub.at == r {
-		if q.Connection = SameConnection; known.Generation.Compare(sub.held) > 0 {
-			q.Connection = SupersededConnection
+//nolint:gocognit,funlen // one linear scenario or table of cases
+func (state *modelState) request(routerIndex, subscriberIndex int, lost bool, brokenRule string) *modelState {
+	successor := state.afterEvent("subscriber %d sends a request to router %d, answer lost %v", subscriberIndex, routerIndex, lost)
+	subscriber, router, self := &successor.subscribers[subscriberIndex], &successor.routers[routerIndex], crdt.Origin{Name: fmt.Sprint("r", routerIndex), Epoch: 1}
+	known := router.known[subscriberIndex]
+	request := Request{Connection: NewConnection, Known: known, IssuedHere: known.RaisedBy == self}
+	// The connection remembers the cursor of its last answer.
+	if subscriberIndex == 0 || subscriber.connectedTo == routerIndex {
+		request.Client = subscriber.cursor
+	}
+	if subscriber.connectedTo == routerIndex {
+		if request.Connection = SameConnection; known.Generation.Compare(subscriber.connectionGeneration) > 0 {
+			request.Connection = SupersededConnection
 		}
 	}
-	if end, on := router.feed.lineage.End(q.Client.History); broken == "positions alone" && on && end < q.Client.At {
-		q.Client.History = router.feed.lineage.Newest()
+	if end, included := router.feed.lineage.End(request.Client.History); brokenRule == "positions without histories" && included && end < request.Client.At {
+		request.Client.History = router.feed.lineage.Newest()
 	}
-	v := router.feed.Decide(0, q, false)
-	if broken == "the fleet's word first" && v.Outcome == Resume && known.Gen > 0 {
-		v.Start = known.Position
+	decision := router.feed.Decide(0, request, false)
+	if brokenRule == "the cluster's cursor first" && decision.Outcome == Resume && known.Gen > 0 {
+		decision.Start = known.Position
 	}
 	switch {
-	case v.RequiredRead != NoRead || v.Outcome == ReadFirst:
+	case decision.RequiredRead != NoRead || decision.Outcome == ReadFirst:
 		return nil
-	case v.Outcome == Fenced:
-		sub.at = -1
-		return c
-	case v.Outcome == Snapshot || v.Outcome == Future || v.Outcome == Impossible:
-		c.path = append(c.path, "BROKEN: "+v.Outcome.String())
-		return c
-	}
-	list, next, head := []Event(nil), v.Start, router.feed.Head()
-	if v.Outcome != Wait || v.Start.Compare(head) <= 0 && v.Start.At <= head.At {
-		list, next, _ = router.feed.Batch(v.Start, nil)
-	}
-	held := sub.held
-	if q.Connection == NewConnection {
-		client := sub.gen
-		if s == 1 {
-			client = 0
+	case decision.Outcome == Fenced:
+		subscriber.connectedTo = -1
+		return successor
+	case decision.Outcome == Snapshot || decision.Outcome == Future || decision.Outcome == Impossible:
+		successor.trace = append(successor.trace, "BROKEN: "+decision.Outcome.String())
+		return successor
+	}
+	events, cursorAfter, head := []Event(nil), decision.Start, router.feed.Head()
+	if decision.Outcome != Wait || decision.Start.Compare(head) <= 0 && decision.Start.At <= head.At {
+		events, cursorAfter, _ = router.feed.Batch(decision.Start, nil)
+	}
+	generation := subscriber.connectionGeneration
+	if request.Connection == NewConnection {
+		clientGeneration := subscriber.generation
+		if subscriberIndex == 1 {
+			clientGeneration = 0
 		}
-		held = Generation{max(known.Gen, client, head.At) + 1, self}
+		generation = Generation{max(known.Gen, clientGeneration, head.At) + 1, self}
 	}
-	acked := min(v.Start.At, next.At)
-	if v.Outcome == BeginAtHead && broken != "a beginning counts as heard" {
+	acked := min(decision.Start.At, cursorAfter.At)
+	if decision.Outcome == BeginAtHead && brokenRule != "a start counts as acknowledged" {
 		acked = NotAcknowledged
 	}
-	kept := next
-	if v.Outcome == Rewind && s == 1 && broken != "a rewind counts as heard" {
-		kept, acked = v.Stale, known.Acked
+	delivered := cursorAfter
+	if decision.Outcome == Rewind && subscriberIndex == 1 && brokenRule != "a rewind counts as acknowledged" {
+		delivered, acked = decision.Stale, known.Acked
 	}
-	if s == 1 && kept.Compare(known.Position) < 0 { // what it may have had stays known
-		kept = known.Position
+	// The position that it may have received stays known.
+	if subscriberIndex == 1 && delivered.Compare(known.Position) < 0 {
+		delivered = known.Position
 	}
-	if next.At <= head.At {
-		router.known[s] = router.known[s].Join(Cursor{held, kept, acked, 0})
+	if cursorAfter.At <= head.At {
+		router.known[subscriberIndex] = router.known[subscriberIndex].Join(Cursor{generation, delivered, acked, 0})
 	}
 	if lost {
-		sub.at = -1
-		return c
+		subscriber.connectedTo = -1
+		return successor
 	}
-	sub.at, sub.held, sub.gen, sub.place = r, held, held.Gen, next
-	if v.Outcome == BeginAtHead {
-		sub.got, sub.began = nil, next.At
+	subscriber.connectedTo, subscriber.connectionGeneration, subscriber.generation, subscriber.cursor = routerIndex, generation, generation.Gen, cursorAfter
+	if decision.Outcome == BeginAtHead {
+		subscriber.received, subscriber.startedAfter = nil, cursorAfter.At
 	}
-	if v.Outcome == Rewind {
-		sub.began = min(sub.began, v.Start.At) // it may have begun on the lost tail
-		sub.got = slices.DeleteFunc(sub.got, func(at int64) bool { return at > v.Start.At })
+	if decision.Outcome == Rewind {
+		// Its start may have been on the lost tail.
+		subscriber.startedAfter = min(subscriber.startedAfter, decision.Start.At)
+		subscriber.received = slices.DeleteFunc(subscriber.received, func(position int64) bool { return position > decision.Start.At })
 	}
-	if s == 1 && len(list) > 0 { // another router may know it from before it began at one that did not
-		sub.began = min(sub.began, v.Start.At)
+	// Another router may know it from before its start at a router that did not.
+	if subscriberIndex == 1 && len(events) > 0 {
+		subscriber.startedAfter = min(subscriber.startedAfter, decision.Start.At)
 	}
-	for _, e := range list {
-		sub.got = append(sub.got, e.At)
+	for _, event := range events {
+		subscriber.received = append(subscriber.received, event.At)
 	}
-	return c
+	return successor
 }
 
-// wrong is what must never be: a row that nobody has a cause for, or a record that is not the log that its cursor is on.
-func (w *world) wrong() string {
-	if last := w.path[len(w.path)-1]; last[:min(6, len(last))] == "BROKEN" {
+// violation returns what must never happen: an outcome without a cause, or received events that differ from the log of
+// the subscriber's cursor.
+func (state *modelState) violation() string {
+	if last := state.trace[len(state.trace)-1]; last[:min(6, len(last))] == "BROKEN" {
 		return last
 	}
-	for s := range w.subs {
-		sub := &w.subs[s]
-		if sub.began < 0 {
+	for subscriberIndex := range state.subscribers {
+		subscriber := &state.subscribers[subscriberIndex]
+		if subscriber.startedAfter < 0 {
 			continue
 		}
-		n := slices.Index(histories[:], sub.place.History)
-		_, all := w.log(n)
+		historyIndex := slices.Index(histories[:], subscriber.cursor.History)
+		_, all := state.historyLog(historyIndex)
 		var want []int64
-		upto := sub.place.At
-		if s == 1 && len(sub.got) > 0 { // it may be sent back, and hears what is between again
-			upto = max(upto, slices.Max(sub.got))
+		upTo := subscriber.cursor.At
+		// It may be sent back, and then receives the events in between again.
+		if subscriberIndex == 1 && len(subscriber.received) > 0 {
+			upTo = max(upTo, slices.Max(subscriber.received))
 		}
-		for _, at := range all {
-			if at > sub.began && at <= upto {
-				want = append(want, at)
+		for _, position := range all {
+			if position > subscriber.startedAfter && position <= upTo {
+				want = append(want, position)
 			}
 		}
-		got := sub.got
-		if s == 1 { // it hears some again: what it has not had before must follow in order
-			got = nil
-			for _, at := range sub.got {
-				if !slices.Contains(got, at) {
-					got = append(got, at)
+		received := subscriber.received
+		if subscriberIndex == 1 { // it receives some events again; those that are new to it must follow in order
+			received = nil
+			for _, position := range subscriber.received {
+				if !slices.Contains(received, position) {
+					received = append(received, position)
 				}
 			}
 		}
-		if !slices.Equal(got, want) {
-			return fmt.Sprintf("subscriber %d at %v has %v of %v", s, sub.place, sub.got, want)
+		if !slices.Equal(received, want) {
+			return fmt.Sprintf("subscriber %d at %v has received %v, want %v", subscriberIndex, subscriber.cursor, subscriber.received, want)
 		}
 	}
 	return ""
 }
 
-// explore goes through all states up to a depth, breadth first.
-func explore(depth, most int, broken string) (states, reached int, path []string, wrong string) {
-	set := DefaultSettings()
-	first := &world{path: []string{"start"}}
+// explore visits all states up to a depth, breadth first.
+func explore(depth, maxStates int, brokenRule string) (states, reached int, trace []string, violation string) {
+	settings := DefaultSettings()
+	first := &modelState{trace: []string{"start"}}
 	for i := range first.routers {
-		first.routers[i].feed = NewFeed(&set)
+		first.routers[i].feed = NewFeed(&settings)
 	}
-	for i := range first.subs {
-		first.subs[i].began, first.subs[i].at = -1, -1
+	for i := range first.subscribers {
+		first.subscribers[i].startedAfter, first.subscribers[i].connectedTo = -1, -1
 	}
-	// Two events, which the first router and its subscribers know.
-	line := Lineage{{histories[0], 0}}
-	first.routers[0].feed.Apply(0, &Response{Lineage: line}, true)
-	for s := range first.subs {
-		first = first.request(0, s, false, "")
+	// Both subscribers start at the first router while the log is empty. Then two events are committed.
+	lineage := Lineage{{histories[0], 0}}
+	first.routers[0].feed.Apply(0, &Response{Lineage: lineage}, true)
+	for subscriberIndex := range first.subscribers {
+		first = first.request(0, subscriberIndex, false, "")
 	}
 	first.logs[0] = []int64{1, 2}
-	seen, now := map[uint64]bool{first.hash(): true}, []*world{first}
-	for d := 1; d <= depth && len(now) > 0 && len(seen) < most; d++ {
-		var then []*world
-		for _, w := range now {
-			for _, c := range w.events(broken) {
-				if text := c.wrong(); text != "" {
-					return len(seen), d, c.path, text
+	seen, frontier := map[uint64]bool{first.hash(): true}, []*modelState{first}
+	for level := 1; level <= depth && len(frontier) > 0 && len(seen) < maxStates; level++ {
+		var nextFrontier []*modelState
+		for _, state := range frontier {
+			for _, successor := range state.successors(brokenRule) {
+				if text := successor.violation(); text != "" {
+					return len(seen), level, successor.trace, text
 				}
-				if h := c.hash(); !seen[h] && len(seen) < most {
-					seen[h] = true
-					then = append(then, c)
+				if hash := successor.hash(); !seen[hash] && len(seen) < maxStates {
+					seen[hash] = true
+					nextFrontier = append(nextFrontier, successor)
 				}
 			}
 		}
-		now, reached = then, d
+		frontier, reached = nextFrontier, level
 	}
 	return len(seen), reached, nil, ""
 }
 
-// Every way in which reads of members on either side of a take-over, requests, lost answers, reconnects and what routers tell each
-// other can follow one another. Rules that are broken on purpose are found.
+// Explores the sequences of endpoint reads before and after a failover, requests, lost answers, reconnects, and cursors
+// replicated between routers. Rules that are broken on purpose are found.
 func TestExplore(t *testing.T) {
-	states, depth, path, wrong := explore(6, 60_000, "")
-	if wrong != "" {
-		t.Fatalf("%s: %q", wrong, path)
+	states, depth, trace, violation := explore(6, 60_000, "")
+	if violation != "" {
+		t.Fatalf("%s: %q", violation, trace)
 	}
 	t.Logf("%d states, depth %d", states, depth)
-	for _, broken := range []string{"positions alone", "the fleet's word first", "a beginning counts as heard", "a rewind counts as heard"} {
-		states, depth, path, wrong := explore(6, 60_000, broken)
-		if wrong == "" {
-			t.Errorf("%s: not found in %d states", broken, states)
+	for _, brokenRule := range []string{"positions without histories", "the cluster's cursor first", "a start counts as acknowledged", "a rewind counts as acknowledged"} {
+		states, depth, trace, violation := explore(6, 60_000, brokenRule)
+		if violation == "" {
+			t.Errorf("%s: not found in %d states", brokenRule, states)
 		}
-		t.Logf("%s: %s after %d states, depth %d: %q", broken, wrong, states, depth, path)
+		t.Logf("%s: %s after %d states, depth %d: %q", brokenRule, violation, states, depth, trace)
 	}
 }
--- a/policy/cursor/rules_test.go
+++ b/policy/cursor/rules_test.go
@@ -13,94 +13,96 @@
 	"lotushook/policy/crdt"
 )
 
-func drawnCursor(t *rapid.T) Cursor {
-	n := func(name string, most int) int64 { return int64(rapid.IntRange(0, most).Draw(t, name)) }
-	return Cursor{Generation{n("gen", 2), crdt.Origin{Name: fmt.Sprint("r", n("by", 1)), Epoch: uint64(n("boot", 1))}},
-		Position{History{uint32(n("era", 2)), uint32(n("id", 1))}, n("at", 3)}, n("acked", 3), n("age", 3)}
+func drawCursor(t *rapid.T) Cursor {
+	draw := func(name string, maxValue int) int64 { return int64(rapid.IntRange(0, maxValue).Draw(t, name)) }
+	return Cursor{Generation{draw("gen", 2), crdt.Origin{Name: fmt.Sprint("r", draw("by", 1)), Epoch: uint64(draw("boot", 1))}},
+		Position{History{uint32(draw("era", 2)), uint32(draw("id", 1))}, draw("at", 3)}, draw("acked", 3), draw("age", 3)}
 }
 
-// The join is a semilattice, ages and all; a raised generation wins whatever its position, and shared entries order as cursors do.
+// Joins of cursors form a semilattice, ages included. A raised generation prevails whatever its position, and
+// replicated entries are ordered like cursors.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawnCursor(t), drawnCursor(t), drawnCursor(t)
+		first, other, third := drawCursor(t), drawCursor(t), drawCursor(t)
 		switch {
-		case a.Join(a) != a, a.Join(b) != b.Join(a), a.Join(b).Join(c) != a.Join(b.Join(c)):
-			t.Fatalf("%v %v %v", a, b, c)
-		case a.Gen > b.Gen && a.Join(b) != a:
-			t.Fatal("a later generation lost")
-		case a.Generation == b.Generation && a.History.Compare(b.History) > 0 && a.Join(b) != a:
-			t.Fatal("a later history lost")
+		case first.Join(first) != first, first.Join(other) != other.Join(first), first.Join(other).Join(third) != first.Join(other.Join(third)):
+			t.Fatalf("%v %v %v", first, other, third)
+		case first.Gen > other.Gen && first.Join(other) != first:
+			t.Fatal("a later generation did not prevail")
+		case first.Generation == other.Generation && first.History.Compare(other.History) > 0 && first.Join(other) != first:
+			t.Fatal("a later history did not prevail")
 		}
-		if got := FromEntry(a.Entry("f", "s")); got != (Cursor{a.Generation, a.Position, a.Acked, 0}) {
-			t.Fatalf("%v came back as %v", a, got)
+		if got := FromEntry(first.Entry("f", "s")); got != (Cursor{first.Generation, first.Position, first.Acked, 0}) {
+			t.Fatalf("%v was restored as %v", first, got)
 		}
-		// Two copies of what is shared end with the join, in either order.
-		if a.Gen == 0 || b.Gen == 0 {
+		// Two copies of the replicated state end with the join, whatever the order of the entries.
+		if first.Gen == 0 || other.Gen == 0 {
 			return
 		}
-		var kept [2]Cursor
-		for i, list := range [][]Cursor{{a, b}, {b, a, b}} {
-			s, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Epoch: 1}))
+		var merged [2]Cursor
+		for i, cursors := range [][]Cursor{{first, other}, {other, first, other}} {
+			store, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Epoch: 1}))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for j, x := range list {
-				e := x.Entry("f", "s")
-				e.Acked, e.Seq = min(e.Acked, e.Position), uint64(j+1)
-				s.Merge(0, e)
+			for j, cursor := range cursors {
+				entry := cursor.Entry("f", "s")
+				entry.Acked, entry.Seq = min(entry.Acked, entry.Position), uint64(j+1)
+				store.Merge(0, entry)
 			}
-			e, _, _ := s.Cursor(0, "f", "s")
-			kept[i] = FromEntry(e)
+			entry, _, _ := store.Cursor(0, "f", "s")
+			merged[i] = FromEntry(entry)
 		}
-		a.Acked, b.Acked = min(a.Acked, a.At), min(b.Acked, b.At)
-		want := a.Join(b)
-		if want.Age = 0; kept[0] != want || kept[1] != want {
-			t.Fatalf("%v and %v: %v", a, b, kept)
+		first.Acked, other.Acked = min(first.Acked, first.At), min(other.Acked, other.At)
+		want := first.Join(other)
+		if want.Age = 0; merged[0] != want || merged[1] != want {
+			t.Fatalf("%v and %v: %v", first, other, merged)
 		}
 	})
 }
 
-// A book has room for so many, keeps those touched last, never goes back, and says that it let some go.
-func TestBook(t *testing.T) {
+// A registry has a limited capacity, retains the cursors that were used last, never replaces a cursor by a lesser one,
+// and reports evictions.
+func TestRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, 4), clock.Nanos(0)
+		registry, now := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, 4), clock.Nanos(0)
 		model, order := map[string]Cursor{}, []string{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now++
 			name := fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "who"))
-			c := drawnCursor(t)
-			c.RaisedBy, c.Age = b.self, 0
-			if old, ok := model[name]; ok && c.Compare(old) < 0 {
-				if b.Put(now, 1, name, c) {
-					t.Fatal("went back")
+			cursor := drawCursor(t)
+			cursor.RaisedBy, cursor.Age = registry.self, 0
+			if old, ok := model[name]; ok && cursor.Compare(old) < 0 {
+				if registry.Put(now, 1, name, cursor) {
+					t.Fatal("a lesser cursor replaced a greater one")
 				}
 				continue
 			}
-			if !b.Put(now, 1, name, c) {
-				t.Fatal("not kept")
+			if !registry.Put(now, 1, name, cursor) {
+				t.Fatal("a greater cursor was not stored")
 			}
 			order = append(slices.DeleteFunc(order, func(x string) bool { return x == name }), name)
-			if model[name] = c; len(order) > 4 {
+			if model[name] = cursor; len(order) > 4 {
 				delete(model, order[0])
 				order = order[1:]
 			}
 			for name, want := range model {
-				got, ok := b.Get(now, 1, name)
+				got, ok := registry.Get(now, 1, name)
 				if got.Age = 0; !ok || got != want {
 					t.Fatalf("%s: %v, wanted %v", name, got, want)
 				}
 			}
-			if b.Size() != len(model) || b.Evicted() > 0 && b.Size() != 4 {
-				t.Fatal(b.Size(), b.Evicted())
+			if registry.Size() != len(model) || registry.Evicted() > 0 && registry.Size() != 4 {
+				t.Fatal(registry.Size(), registry.Evicted())
 			}
 		}
 	})
 }
 
-// What a cursor takes at 100,000 of them, with 24 bytes of name, as the heap has it; and the copy that routers share of one.
+// Measures the heap use of 100,000 cursors with names of 24 bytes, in the registry and in the replicated state.
 func TestCursorBytes(t *testing.T) {
-	const n = 100_000
-	heap := func(build func()) int {
+	const count = 100_000
+	allocated := func(build func()) int {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -109,87 +111,87 @@
 		runtime.ReadMemStats(&after)
 		return int(after.HeapAlloc) - int(before.HeapAlloc)
 	}
-	book := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, n)
-	own := heap(func() {
-		for i := range n {
-			book.Put(0, uint32(i%3), fmt.Sprintf("subscriber-%013d", i), Cursor{Generation{Gen: 1}, pt(1, 1, int64(i)), 0, 0})
+	registry := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, count)
+	issuedBytes := allocated(func() {
+		for i := range count {
+			registry.Put(0, uint32(i%3), fmt.Sprintf("subscriber-%013d", i), Cursor{Generation{Gen: 1}, positionOf(1, 1, int64(i)), 0, 0})
 		}
 	})
-	set := crdt.DefaultSettings(crdt.Origin{Name: "r", Epoch: 1})
-	set.MaxEntries[crdt.FeedCursor] = n
-	store, err := crdt.New(set)
+	settings := crdt.DefaultSettings(crdt.Origin{Name: "r", Epoch: 1})
+	settings.MaxEntries[crdt.FeedCursor] = count
+	store, err := crdt.New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := heap(func() {
-		for i := range n {
-			store.Learn(0, Cursor{Generation{Gen: 1}, pt(1, 1, int64(i)), 0, 0}.Entry("feed/1", fmt.Sprintf("subscriber-%013d", i)))
+	replicatedBytes := allocated(func() {
+		for i := range count {
+			store.Learn(0, Cursor{Generation{Gen: 1}, positionOf(1, 1, int64(i)), 0, 0}.Entry("feed/1", fmt.Sprintf("subscriber-%013d", i)))
 			store.TakePending(0, 900)
 		}
 	})
-	t.Logf("%d B a cursor, %d B of one that is shared", own/n, told/n)
-	if book.Size() != n || own/n > 200 || store.Size(crdt.FeedCursor) != n {
-		t.Errorf("%d of %d, %d B each", book.Size(), n, own/n)
+	t.Logf("%d B per cursor in the registry, %d B in the replicated state", issuedBytes/count, replicatedBytes/count)
+	if registry.Size() != count || issuedBytes/count > 200 || store.Size(crdt.FeedCursor) != count {
+		t.Errorf("%d of %d cursors, %d B each", registry.Size(), count, issuedBytes/count)
 	}
-	runtime.KeepAlive(book)
+	runtime.KeepAlive(registry)
 	runtime.KeepAlive(store)
 }
 
-// A router dies with 10,000 subscribers, and six others were told so at once: what they tell them to wait spreads them; no second
-// has more than two and a half times what may return, all are back in the spread's time and a half, and nobody is told a time
-// beyond the spread.
-func TestReturn(t *testing.T) {
-	set := DefaultSettings()
-	const routers, most = 6, 10_000
-	var pace [routers]*Limiter
-	for i := range pace {
-		pace[i] = NewLimiter(&set, 0)
+// A router with 10,000 subscribers fails, and six others detect it at the same time. Their Retry-After times distribute
+// the reconnects: no second has more than 2.5 times the permitted reconnects, all subscribers are back within 1.5 times
+// MaxRetryAfter, and no Retry-After time exceeds MaxRetryAfter.
+func TestReconnects(t *testing.T) {
+	settings := DefaultSettings()
+	const routers, subscribers = 6, 10_000
+	var limiters [routers]*Limiter
+	for i := range limiters {
+		limiters[i] = NewLimiter(&settings, 0)
 	}
 	due := waiters{}
-	for i := range most {
-		due = append(due, waiter{clock.Nanos(i) * 1e8 / most, i}) // all within a tenth of a second
+	for i := range subscribers {
+		due = append(due, waiter{clock.Nanos(i) * 1e8 / subscribers, i}) // all within 100 ms
 	}
-	taken, last, refusals := map[clock.Nanos]int{}, clock.Nanos(0), 0
-	for back := 0; back < most; {
-		who := heap.Pop(&due).(waiter)
-		at, next := who.at, who.number
-		wait, ok := pace[(next+refusals)%routers].AllowReconnect(at, fmt.Sprint("subscriber-", next))
-		if wait > set.MaxRetryAfter || !ok && wait <= 0 {
-			t.Fatalf("told to wait %d", wait)
+	accepted, last, delays := map[clock.Nanos]int{}, clock.Nanos(0), 0
+	for returned := 0; returned < subscribers; {
+		subscriber := heap.Pop(&due).(waiter)
+		at, number := subscriber.dueAt, subscriber.number
+		retryAfter, ok := limiters[(number+delays)%routers].AllowReconnect(at, fmt.Sprint("subscriber-", number))
+		if retryAfter > settings.MaxRetryAfter || !ok && retryAfter <= 0 {
+			t.Fatalf("Retry-After time %d", retryAfter)
 		}
 		if ok {
-			taken[at/1e9]++
+			accepted[at/1e9]++
 			last = at
-			back++
+			returned++
 		} else {
-			refusals++
-			heap.Push(&due, waiter{at + wait, next})
+			delays++
+			heap.Push(&due, waiter{at + retryAfter, number})
 		}
 	}
 	worst := 0
-	for _, n := range taken {
-		worst = max(worst, n)
+	for _, count := range accepted {
+		worst = max(worst, count)
 	}
-	t.Logf("all back after %.1f s, at most %d in a second, told to wait %.2f times each", float64(last)/1e9, worst, float64(refusals)/most)
-	if last > set.MaxRetryAfter*3/2 || float64(worst) > 2.5*set.ReconnectsPerSecond*routers {
-		t.Errorf("last after %d, %d in one second", last, worst)
+	t.Logf("all back after %.1f s, at most %d in a second, delayed %.2f times each", float64(last)/1e9, worst, float64(delays)/subscribers)
+	if last > settings.MaxRetryAfter*3/2 || float64(worst) > 2.5*settings.ReconnectsPerSecond*routers {
+		t.Errorf("last reconnect after %d, %d in one second", last, worst)
 	}
 }
 
 type waiter struct {
-	at     clock.Nanos
+	dueAt  clock.Nanos
 	number int
 }
 
 type waiters []waiter
 
 func (w waiters) Len() int           { return len(w) }
-func (w waiters) Less(i, j int) bool { return w[i].at < w[j].at }
+func (w waiters) Less(i, j int) bool { return w[i].dueAt < w[j].dueAt }
 func (w waiters) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
 func (w *waiters) Push(x any)        { *w = append(*w, x.(waiter)) }
 func (w *waiters) Pop() any {
 	old := *w
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*w = old[:len(old)-1]
-	return x
+	return last
 }
