--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -68,7 +68,7 @@
 	if change != nil {
 		change(&set)
 	}
-	p, err := New(Options{Settings: set, Classes: map[string]cursor.Settings{"f": set}, Waiting: 20_000, ReadFor: time.Second, Self: crdt.Origin{Name: "r", Epoch: 1}, Now: now.Load, Read: m.read})
+	p, err := New(Options{Settings: set, Classes: map[string]cursor.Settings{"f": set}, Waiting: 20_000, ReadFor: time.Second, Self: crdt.Origin{Name: "r", Boot: 1}, Now: now.Load, Read: m.read})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -35,8 +35,8 @@
 
 // Error implements the error interface.
 func (e *DiffersError) Error() string {
-	return fmt.Sprintf("%s %s/%s of %s, known to %s for %s, was not here (nor %d others): taken now", e.Entry.Kind, e.Entry.Subject, e.Entry.Qualifier,
-		e.Entry.Origin.Name, e.From, time.Duration(e.Entry.Age).Round(time.Millisecond), e.Others)
+	return fmt.Sprintf("%s %s/%s of %s, known to %s for %s, was not here (nor %d others): taken now", e.Entry.Kind, e.Entry.A, e.Entry.B,
+		e.Entry.From.Name, e.From, time.Duration(e.Entry.Age).Round(time.Millisecond), e.Others)
 }
 
 // Kind implements operr.Error.
@@ -44,7 +44,7 @@
 
 // Hint implements operr.Error.
 func (e *DiffersError) Hint() string {
-	return "look at lost messages between this router and " + e.Entry.Origin.Name + " (routerctl members); after a split heals some such lines are usual"
+	return "look at lost messages between this router and " + e.Entry.From.Name + " (routerctl members); after a split heals some such lines are usual"
 }
 
 // ListenError reports an address that can't be listened on: the router does not start.
--- a/internal/peer/errors_test.go
+++ b/internal/peer/errors_test.go
@@ -23,7 +23,7 @@
 	_, line := ReadKeys(short)
 	_, place := Listen(Options{Listen: "nowhere"})
 	seen := map[string]bool{}
-	for _, err := range []error{keys, line, place, &CorruptError{"n1", 3}, &DiffersError{From: "n1", Entry: crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "s"}}} {
+	for _, err := range []error{keys, line, place, &CorruptError{"n1", 3}, &DiffersError{From: "n1", Entry: crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "s"}}} {
 		e := operr.Of(fmt.Errorf("router: %w", err))
 		if e == nil || e.Kind() == "" || strings.ContainsAny(e.Kind(), " \n") || len(e.Hint()) < 20 || strings.Contains(e.Error()+e.Hint(), "\n") {
 			t.Errorf("%T: %v", err, err)
@@ -41,7 +41,7 @@
 	a, sa, stop := sharer(t, "a", []string{"a", "b"})
 	stop() // its goroutine's part is this test's now
 	_, sb, _ := sharer(t, "b", []string{"a", "b"})
-	sb.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "s", Position: 9})
+	sb.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "s", At: 9})
 	w := &want{Hungry: true}
 	for range pieces {
 		w.Digests, w.Upto = append(w.Digests, 0), append(w.Upto, nil)
--- a/internal/peer/keeper.go
+++ b/internal/peer/keeper.go
@@ -28,7 +28,7 @@
 	if st.keeper == nil {
 		return
 	}
-	by := crdt.Origin{Name: e.From, Epoch: p.boot(e.From)}
+	by := crdt.Origin{Name: e.From, Boot: p.boot(e.From)}
 	put := func(list []entry) {
 		for i := range list {
 			one, held := list[i].entry(), false
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -172,7 +172,7 @@
 				if !ok {
 					at = len(w.Origins)
 					places[o] = at
-					w.Origins = append(w.Origins, origin{Name: o.Name, Boot: o.Epoch})
+					w.Origins = append(w.Origins, origin{Name: o.Name, Boot: o.Boot})
 					room -= 12 + len(o.Name)
 				}
 				for len(v) <= at {
@@ -264,7 +264,7 @@
 			v := crdt.VersionVector{}
 			for j, o := range w.Origins {
 				if w.Upto[k][j] > 0 {
-					v[crdt.Origin{Name: o.Name, Epoch: o.Boot}] = w.Upto[k][j]
+					v[crdt.Origin{Name: o.Name, Boot: o.Boot}] = w.Upto[k][j]
 				}
 			}
 			for _, r := range store.Since(now, v, room-gave) {
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -94,7 +94,7 @@
 		return
 	}
 	top := s.top.Load()
-	for e.Position > top && !s.top.CompareAndSwap(top, e.Position) {
+	for e.At > top && !s.top.CompareAndSwap(top, e.At) {
 		top = s.top.Load()
 	}
 }
@@ -105,7 +105,7 @@
 	s.at(s.index(&e), func(store *crdt.Store, now int64) {
 		if learned = store.Learn(now, e); learned {
 			e.Age = 0
-			e.Origin, e.Seq = store.LastLearned()
+			e.From, e.Seq = store.LastLearned()
 		}
 	})
 	if learned && s.keeper != nil {
@@ -140,7 +140,7 @@
 	ok := false
 	var tell crdt.Entry
 	s.at(s.index(&e), func(store *crdt.Store, now int64) { tell, ok = store.LearnDurably(now, e) })
-	if ok && s.keeper != nil && tell.Origin == s.self {
+	if ok && s.keeper != nil && tell.From == s.self {
 		s.keeper.Put(tell, crdt.Origin{})
 	}
 	s.mu.Lock()
--- a/internal/peer/state_test.go
+++ b/internal/peer/state_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	now := func() int64 { return int64(time.Since(began)) }
 	boot := uint64(time.Since(began))
-	st, err := NewState(crdt.DefaultSettings(crdt.Origin{Name: name, Epoch: boot}), now)
+	st, err := NewState(crdt.DefaultSettings(crdt.Origin{Name: name, Boot: boot}), now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,14 +53,14 @@
 	_, sb, stopB := sharer(t, "b", names, a.Address())
 	_, sc, _ := sharer(t, "c", names, a.Address())
 	until(t, "all know all", func() bool { return states(a) == "a alive, b alive, c alive" })
-	sb.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "s", Position: 7})
+	sb.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "s", At: 7})
 	until(t, "b's commit is known", func() bool { return commit(sa, "s") == 7 && commit(sc, "s") == 7 })
 	for i := range 5000 { // more than a push carries, and than a piece
-		sb.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: fmt.Sprint("many-", i), Position: int64(100 + i)})
+		sb.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: fmt.Sprint("many-", i), At: int64(100 + i)})
 	}
 	until(t, "all copies are equal", func() bool { return equal(sa, sb) && equal(sa, sc) })
 	stopB()
-	sc.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "s", Position: 9})
+	sc.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "s", At: 9})
 	_, sb, _ = sharer(t, "b", names, a.Address())
 	until(t, "b has caught up", func() bool {
 		return commit(sb, "s") == 9 && commit(sb, "many-17") == 117 && equal(sa, sb) && equal(sa, sc)
@@ -88,14 +88,14 @@
 	names := []string{"a", "b", "c"}
 	a, sa, _ := sharer(t, "a", names)
 	gone := make(chan struct{})
-	if sa.LearnDurably(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "early", Position: 1}, time.Millisecond, nil) {
+	if sa.LearnDurably(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "early", At: 1}, time.Millisecond, nil) {
 		t.Error("a word came from nobody")
 	}
 	_, sb, _ := sharer(t, "b", names, a.Address())
 	until(t, "both know both", func() bool { return states(a) == "a alive, b alive" })
 	for i := range 20 {
 		name := fmt.Sprint("s", i)
-		if !sa.LearnDurably(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: name, Position: int64(10 + i)}, 20*time.Second, gone) || commit(sb, name) != int64(10+i) {
+		if !sa.LearnDurably(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: name, At: int64(10 + i)}, 20*time.Second, gone) || commit(sb, name) != int64(10+i) {
 			t.Fatalf("%s: no word, or b has it at %d", name, commit(sb, name))
 		}
 	}
@@ -108,20 +108,20 @@
 func TestShardsGiveTheSame(t *testing.T) {
 	now := int64(0)
 	clock := func() int64 { return now }
-	one, err := newState(crdt.DefaultSettings(crdt.Origin{Name: "a", Epoch: 1}), clock, 1)
+	one, err := newState(crdt.DefaultSettings(crdt.Origin{Name: "a", Boot: 1}), clock, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	many, _ := newState(crdt.DefaultSettings(crdt.Origin{Name: "a", Epoch: 1}), clock, 64)
+	many, _ := newState(crdt.DefaultSettings(crdt.Origin{Name: "a", Boot: 1}), clock, 64)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for step := range 5000 {
 		now += int64(rng.IntN(20e6))
-		e := crdt.Entry{Kind: crdt.Kind(1 + rng.IntN(6)), Subject: fmt.Sprint(rng.IntN(5)), Qualifier: fmt.Sprint(rng.IntN(40)), Position: rng.Int64N(200e9), Count: rng.Int64N(100)}
+		e := crdt.Entry{Kind: crdt.Kind(1 + rng.IntN(6)), A: fmt.Sprint(rng.IntN(5)), B: fmt.Sprint(rng.IntN(40)), At: rng.Int64N(200e9), Count: rng.Int64N(100)}
 		if e.Kind == crdt.ServerPosition {
-			e.Qualifier = ""
+			e.B = ""
 		}
 		if rng.IntN(2) == 0 {
-			e.Origin, e.Seq = crdt.Origin{Name: "b", Epoch: 1}, uint64(step+1)
+			e.From, e.Seq = crdt.Origin{Name: "b", Boot: 1}, uint64(step+1)
 			was, covered := one.take(&e)
 			if is, c := many.take(&e); is != was || c != covered {
 				t.Fatalf("step %d: %+v: taken %v and %v, covered %v and %v", step, e, was, is, covered, c)
@@ -130,14 +130,14 @@
 			t.Fatalf("step %d: %+v: learned %v and %v", step, e, was, is)
 		}
 		verdicts := func(s *State) (out string) {
-			s.Look(e.Subject, e.Qualifier, func(store *crdt.Store, now int64) {
-				at, known := store.CommitPosition(e.Subject, e.Qualifier)
-				out = fmt.Sprint(at, known, store.MayHaveRun(now, e.Subject, e.Qualifier), store.Usage(e.Subject, e.Qualifier))
+			s.Look(e.A, e.B, func(store *crdt.Store, now int64) {
+				at, known := store.CommitPosition(e.A, e.B)
+				out = fmt.Sprint(at, known, store.MayHaveRun(now, e.A, e.B), store.Usage(e.A, e.B))
 			})
-			s.Look(e.Subject, "", func(store *crdt.Store, now int64) {
-				server, born, at := store.Primary(e.Subject)
-				applied, _, _ := store.AppliedPosition(now, e.Subject, 0)
-				out += fmt.Sprint(server, born, at, applied, len(store.Hints(now, e.Subject)))
+			s.Look(e.A, "", func(store *crdt.Store, now int64) {
+				server, born, at := store.Primary(e.A)
+				applied, _, _ := store.AppliedPosition(now, e.A, 0)
+				out += fmt.Sprint(server, born, at, applied, len(store.Hints(now, e.A)))
 			})
 			return out
 		}
@@ -154,7 +154,7 @@
 
 // Eight goroutines learn, ask and look over all at once.
 func TestStateOfManyGoroutines(t *testing.T) {
-	s, err := NewState(crdt.DefaultSettings(crdt.Origin{Name: "a", Epoch: 1}), func() int64 { return int64(time.Since(began)) })
+	s, err := NewState(crdt.DefaultSettings(crdt.Origin{Name: "a", Boot: 1}), func() int64 { return int64(time.Since(began)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 			last := int64(0)
 			for i := range 2000 {
 				name := fmt.Sprint("s", (i+g)%50)
-				s.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: name, Position: int64(i + 1)})
+				s.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: name, At: int64(i + 1)})
 				if at := commit(s, name); at < int64(i+1) {
 					t.Errorf("%s at %d, learned %d", name, at, i+1)
 				}
@@ -192,7 +192,7 @@
 	for _, goroutines := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprint("goroutines=", goroutines), func(b *testing.B) {
 			now := func() int64 { return int64(time.Since(began)) }
-			set := crdt.DefaultSettings(crdt.Origin{Name: "a", Epoch: 1})
+			set := crdt.DefaultSettings(crdt.Origin{Name: "a", Boot: 1})
 			one, _ := newState(set, now, 1)
 			many, _ := newState(set, now, pieces)
 			var took [2]time.Duration
@@ -207,7 +207,7 @@
 							for i := range looks {
 								name := names[(i*31+g*2499)%len(names)]
 								if i%10 == 0 {
-									s.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: name, Position: int64(n*looks + i)})
+									s.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: name, At: int64(n*looks + i)})
 								} else {
 									s.Look("1", name, func(store *crdt.Store, _ int64) { store.CommitPosition("1", name) })
 								}
@@ -230,8 +230,8 @@
 // A report of a level travels in one short datagram: what the lanes' simulation counts for it.
 func TestLevelBytes(t *testing.T) {
 	e := crdt.NewSheddingLevel("1000", 1200, 186, 100_000)
-	e.Origin, e.Seq = crdt.Origin{Name: "r0001", Epoch: 1 << 60}, 100_000
-	raw, err := seal(&envelope{Cluster: "oberland", From: e.Origin.Name, Address: "10.7.255.255:7400", Session: 1<<64 - 1, To: 1<<64 - 1, Count: 1 << 40, State: &state{Push: &push{Number: 1, Entries: []entry{wire(&e)}}}}, oldKey)
+	e.From, e.Seq = crdt.Origin{Name: "r0001", Boot: 1 << 60}, 100_000
+	raw, err := seal(&envelope{Cluster: "oberland", From: e.From.Name, Address: "10.7.255.255:7400", Session: 1<<64 - 1, To: 1<<64 - 1, Count: 1 << 40, State: &state{Push: &push{Number: 1, Entries: []entry{wire(&e)}}}}, oldKey)
 	if err != nil || len(raw) > 160 {
 		t.Errorf("%d bytes, %v", len(raw), err)
 	}
--- a/internal/peer/statewire.go
+++ b/internal/peer/statewire.go
@@ -70,7 +70,7 @@
 }
 
 func wireRun(shard int, r *crdt.OriginRun) run {
-	out := run{Shard: shard, Name: r.Origin.Name, Boot: r.Origin.Epoch, After: r.After, Upto: r.UpTo,
+	out := run{Shard: shard, Name: r.Origin.Name, Boot: r.Origin.Boot, After: r.After, Upto: r.UpTo,
 		SpanAfter: r.Span.After, SpanUpto: r.Span.UpTo, Evicted: uint16(r.Evicted)}
 	for i := range r.Entries {
 		out.Entries = append(out.Entries, wire(&r.Entries[i]))
@@ -79,7 +79,7 @@
 }
 
 func (r *run) run() crdt.OriginRun {
-	out := crdt.OriginRun{Origin: crdt.Origin{Name: r.Name, Epoch: r.Boot}, After: r.After, UpTo: r.Upto,
+	out := crdt.OriginRun{Origin: crdt.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, UpTo: r.Upto,
 		Span: crdt.KeySpan{After: r.SpanAfter, UpTo: r.SpanUpto}, Evicted: crdt.KindSet(r.Evicted)}
 	for i := range r.Entries {
 		out.Entries = append(out.Entries, r.Entries[i].entry())
@@ -102,12 +102,12 @@
 }
 
 func wire(e *crdt.Entry) entry {
-	return entry{Kind: uint8(e.Kind), A: e.Subject, B: e.Qualifier, Born: e.Incarnation, At: e.Position, Count: e.Count, Server: e.Server, Name: e.Origin.Name, Boot: e.Origin.Epoch, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
+	return entry{Kind: uint8(e.Kind), A: e.A, B: e.B, Born: e.Born, At: e.At, Count: e.Count, Server: e.Server, Name: e.From.Name, Boot: e.From.Boot, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
 }
 
 func (e *entry) entry() crdt.Entry {
-	return crdt.Entry{Kind: crdt.Kind(e.Kind), Subject: e.A, Qualifier: e.B, Incarnation: e.Born, Position: e.At, Count: e.Count, Server: e.Server,
-		Origin: crdt.Origin{Name: e.Name, Epoch: e.Boot}, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
+	return crdt.Entry{Kind: crdt.Kind(e.Kind), A: e.A, B: e.B, Born: e.Born, At: e.At, Count: e.Count, Server: e.Server,
+		From: crdt.Origin{Name: e.Name, Boot: e.Boot}, Seq: e.Seq, Age: e.Age, Acked: e.Acked}
 }
 
 // sound says whether the sizes of all its parts are within bounds.
--- a/internal/peer/wireformat_test.go
+++ b/internal/peer/wireformat_test.go
@@ -16,8 +16,8 @@
 		TargetAddress: "127.0.0.1:7003", Isolated: true,
 		Updates: []membership.Update{{Name: "n3", Address: "127.0.0.1:7004", Epoch: 5, Incarnation: 6, State: membership.Suspect, Accuser: "n4"}},
 		Vote:    &quotalease.Vote{NamesHash: 7, Granted: true, Excluded: []byte{1, 2}}}
-	e := &crdt.Entry{Kind: crdt.FeedCursor, Subject: "feed", Qualifier: "subscriber", Incarnation: 8, Position: 9, Acked: 10, Count: 11, Server: "s1",
-		Origin: crdt.Origin{Name: "n5", Epoch: 12}, Seq: 13, Age: 14}
+	e := &crdt.Entry{Kind: crdt.FeedCursor, A: "feed", B: "subscriber", Born: 8, At: 9, Acked: 10, Count: 11, Server: "s1",
+		From: crdt.Origin{Name: "n5", Boot: 12}, Seq: 13, Age: 14}
 	for name, sent := range map[string]struct {
 		envelope *envelope
 		recorded string
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -102,7 +102,7 @@
 		invariant.Check(g.Origin == "client" || v.Allowed, "a floor is raised on known evidence", "why", v.Reason)
 		s.Floor, s.On = r.positionEvidence.at/ms, append(s.On, g)
 	}
-	if f, e := m.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, Subject: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Provenance != trust.Unknown {
+	if f, e := m.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Provenance != trust.Unknown {
 		s.Beside = append(s.Beside, Provenance{What: "primary", Origin: f.Provenance.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
 	}
 	m.attemptLog.write(s)
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -42,7 +42,7 @@
 		}
 	}
 	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MaxWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
-		Self: crdt.Origin{Name: r.config.Name, Epoch: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
+		Self: crdt.Origin{Name: r.config.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
 	if r.membership != nil {
 		o.State = r.membership.state
 	}
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -65,7 +65,7 @@
 	}
 	m.share = 1 / float64(m.detectorSettings.Configured)
 	if own.Share {
-		set := crdt.DefaultSettings(crdt.Origin{Name: m.detectorSettings.Name, Epoch: m.detectorSettings.Epoch})
+		set := crdt.DefaultSettings(crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch})
 		if b := &r.config.Settings.Balance; b.ProbesAllowed && b.ProbesReportPosition && b.LagHandling == balance.LagUnchecked {
 			m.probes, m.givenPositions = true, map[balance.EndpointID]clock.Nanos{}
 		} else {
@@ -82,7 +82,7 @@
 		}
 	}
 	if own.Keep != nil {
-		if m.persisted, err = newPersistedState(own, crdt.Origin{Name: m.detectorSettings.Name, Epoch: m.detectorSettings.Epoch}, r.clock.now); err != nil {
+		if m.persisted, err = newPersistedState(own, crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch}, r.clock.now); err != nil {
 			return nil, err
 		}
 		m.state.SetKeeper(m.persisted)
@@ -176,7 +176,7 @@
 	if m == nil || m.state == nil || r.Session == "" || at <= 0 {
 		return
 	}
-	e := crdt.Entry{Kind: crdt.SessionCommit, Subject: strconv.FormatInt(r.Cluster, 10), Qualifier: r.Session, Position: at}
+	e := crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(r.Cluster, 10), B: r.Session, At: at}
 	switch m.settings.Modes.Of(r.Class) {
 	case siteconfig.ModeAsync:
 		m.state.Learn(e)
@@ -196,16 +196,16 @@
 	if host == "" {
 		return
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.ServerPosition, Subject: host, Incarnation: born, Position: res.Position})
+	m.state.Learn(crdt.Entry{Kind: crdt.ServerPosition, A: host, Born: born, At: res.Position})
 	if res.Role == balance.Primary {
-		m.state.Learn(crdt.Entry{Kind: crdt.PrimaryClaim, Subject: strconv.FormatInt(group, 10), Server: host, Incarnation: born, Position: res.Position})
+		m.state.Learn(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(group, 10), Server: host, Born: born, At: res.Position})
 	}
 }
 
 // mayHaveRun records that an attempt at a keyed write ended with an unknown outcome.
 func (m *membershipService) mayHaveRun(class, key string) {
 	if m != nil && m.state != nil && key != "" {
-		m.state.Learn(crdt.Entry{Kind: crdt.PendingWrite, Subject: class, Qualifier: key})
+		m.state.Learn(crdt.Entry{Kind: crdt.PendingWrite, A: class, B: key})
 	}
 }
 
@@ -228,7 +228,7 @@
 			return
 		case node := <-m.suspects:
 			if host := m.router.directory.NameOf(node); host != "" {
-				m.state.Learn(crdt.Entry{Kind: crdt.Hint, Subject: "suspect " + host})
+				m.state.Learn(crdt.Entry{Kind: crdt.Hint, A: "suspect " + host})
 			}
 		}
 	}
@@ -264,8 +264,8 @@
 	if m == nil || m.attemptLog == nil {
 		return positionProvenance{}
 	}
-	f, e := m.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, Subject: strconv.FormatInt(group, 10), Qualifier: session})
-	if e.Position != at {
+	f, e := m.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(group, 10), B: session})
+	if e.At != at {
 		f = trust.Fact{} // the client brought the position, or it stands for sessions that were evicted
 	}
 	return positionProvenance{at, f}
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -73,7 +73,7 @@
 		t.Fatalf("the commit of session %q is %d", written.Session, at)
 	}
 	idle := newOwnRouter(t, own, nettest.List(1)) // its owner does not run: events can be read
-	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: written.Session, Position: 1767225600000e6})
+	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: written.Session, At: 1767225600000e6})
 	for _, c := range []struct {
 		class string
 		after clock.Nanos
@@ -119,7 +119,7 @@
 	node := e.Endpoints[0].ID
 	tell := func(born, at, age int64) {
 		m.state.Look("h", "", func(s *crdt.Store, now int64) {
-			s.Merge(now, crdt.Entry{Kind: crdt.ServerPosition, Subject: "h", Incarnation: born, Position: at, Age: age, Origin: crdt.Origin{Name: "n9", Epoch: 1}, Seq: uint64(at)})
+			s.Merge(now, crdt.Entry{Kind: crdt.ServerPosition, A: "h", Born: born, At: at, Age: age, From: crdt.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
 		})
 	}
 	tell(4e6, 50, 0)
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -49,7 +49,7 @@
 	}
 	q := dkeep.DefaultSettings()
 	q.QueueBytes, q.FsyncsPerSecond = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
-	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Epoch, Queue: q, Now: now,
+	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
 	u := crdt.DefaultSettings(self)
 	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
@@ -104,8 +104,8 @@
 		}
 		list = append(list, e)
 		k.ledger.AddRestored(k.now(), e, r.MinAgeOnly)
-		if e.Origin.Name == k.self.Name && (e.Origin.Epoch > k.mark.Epoch || e.Origin.Epoch == k.mark.Epoch && e.Seq > k.mark.Number) {
-			k.mark = trust.Mark{Epoch: e.Origin.Epoch, Number: e.Seq}
+		if e.From.Name == k.self.Name && (e.From.Boot > k.mark.Epoch || e.From.Boot == k.mark.Epoch && e.Seq > k.mark.Number) {
+			k.mark = trust.Mark{Epoch: e.From.Boot, Number: e.Seq}
 		}
 	}
 	k.restored = len(list)
@@ -128,18 +128,18 @@
 	if own {
 		k.ledger.AddOwn(now, e)
 	} else {
-		k.ledger.AddFromPeer(now, e, by.Epoch != 0 && k.steadyEpochs[by.Name] == by.Epoch)
+		k.ledger.AddFromPeer(now, e, by.Boot != 0 && k.steadyEpochs[by.Name] == by.Boot)
 		k.compareWithPeer(&e)
 	}
-	met := !own && by.Epoch != 0 && k.seenEpochs[by.Name] != by.Epoch && (len(k.seenEpochs) < 4096 || k.seenEpochs[by.Name] != 0)
+	met := !own && by.Boot != 0 && k.seenEpochs[by.Name] != by.Boot && (len(k.seenEpochs) < 4096 || k.seenEpochs[by.Name] != 0)
 	if met {
-		k.seenEpochs[by.Name] = by.Epoch
+		k.seenEpochs[by.Name] = by.Boot
 	}
 	k.mu.Unlock()
 	if met {
-		k.store.Put(dkeep.Record{Kind: memberRecordKind, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Epoch)})
+		k.store.Put(dkeep.Record{Kind: memberRecordKind, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Boot)})
 	}
-	if was.Provenance != trust.Unknown && entry.Origin == e.Origin && entry.Seq == e.Seq && (e.Kind != crdt.PendingWrite || e.Age >= was.Age) {
+	if was.Provenance != trust.Unknown && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != crdt.PendingWrite || e.Age >= was.Age) {
 		return // it is queued or written already
 	}
 	value, err := cbor.Marshal(e)
@@ -150,10 +150,10 @@
 
 // compareWithPeer compares the copy with what a peer remembers of this router's own entries.
 func (k *persistedState) compareWithPeer(e *crdt.Entry) {
-	if e.Origin.Name != k.self.Name || e.Origin.Epoch == k.self.Epoch || k.mark == (trust.Mark{}) || k.standing == trust.StandingBehind {
+	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.Mark{}) || k.standing == trust.StandingBehind {
 		return
 	}
-	seen := trust.Mark{Epoch: e.Origin.Epoch, Number: e.Seq}
+	seen := trust.Mark{Epoch: e.From.Boot, Number: e.Seq}
 	if k.standing = max(k.standing, trust.Compare(k.mark, seen, maxCrashLoss)); k.standing == trust.StandingBehind {
 		k.ledger.DistrustRestored()
 		mark := func(m trust.Mark) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Epoch) }
@@ -173,12 +173,12 @@
 
 // entryKey returns an entry's key on disk.
 func entryKey(e *crdt.Entry) []byte {
-	out := append(append([]byte(e.Subject), 0), e.Qualifier...)
+	out := append(append([]byte(e.A), 0), e.B...)
 	switch e.Kind {
 	case crdt.ServerPosition:
-		out = binary.LittleEndian.AppendUint64(append(out, 0), uint64(e.Incarnation))
+		out = binary.LittleEndian.AppendUint64(append(out, 0), uint64(e.Born))
 	case crdt.Usage, crdt.Hint:
-		out = binary.LittleEndian.AppendUint64(append(append(out, 0), e.Origin.Name...), e.Origin.Epoch)
+		out = binary.LittleEndian.AppendUint64(append(append(out, 0), e.From.Name...), e.From.Boot)
 	}
 	return out
 }
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -36,13 +36,13 @@
 		m.restore(ctx, &parts)
 		return m, func() { cancel(); parts.Wait() }
 	}
-	session := crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "mine"}
+	session := crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine"}
 	m, stop := start()
-	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "mine", Position: 5e9})
-	primary := crdt.Entry{Kind: crdt.PrimaryClaim, Subject: "1", Server: "s1", Position: 4e9, Origin: crdt.Origin{Name: "n1", Epoch: 3}, Seq: 1}
+	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 5e9})
+	primary := crdt.Entry{Kind: crdt.PrimaryClaim, A: "1", Server: "s1", At: 4e9, From: crdt.Origin{Name: "n1", Boot: 3}, Seq: 1}
 	m.state.Learn(crdt.NewSheddingLevel("1", 100, 7, 1)) // neither this nor a cursor is copied
-	m.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, Subject: "f", Qualifier: "mine", Count: 1, Position: 5})
-	steady := crdt.Origin{Name: "n1", Epoch: 3}
+	m.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, A: "f", B: "mine", Count: 1, At: 5})
+	steady := crdt.Origin{Name: "n1", Boot: 3}
 	m.persisted.Put(primary, steady)
 	boot := m.detectorSettings.Epoch
 	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
@@ -61,7 +61,7 @@
 			t.Fatalf("%s: %+v", e.Kind, f)
 		}
 	}
-	m.persisted.Put(primary, crdt.Origin{Name: "n2", Epoch: 9}) // it may have it from its own disk
+	m.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
 	if f, _ := m.persisted.fact(primary); f.Proven {
 		t.Errorf("proven by who was not up: %+v", f)
 	}
@@ -69,12 +69,12 @@
 	if f, _ := m.persisted.fact(primary); !f.Proven {
 		t.Errorf("not proven by who was up all the while: %+v", f)
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "mine", Position: 4e9})
+	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 4e9})
 	if at := m.commit(1, "mine"); at != 5e9 {
 		t.Errorf("an older answer lowered the commit to %d", at)
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "mine", Position: 6e9})
-	if f, e := m.persisted.fact(session); f.Provenance != trust.OwnResponse || e.Position != 6e9 {
+	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 6e9})
+	if f, e := m.persisted.fact(session); f.Provenance != trust.OwnResponse || e.At != 6e9 {
 		t.Errorf("after an own answer: %+v", f)
 	}
 	r := m.persisted.report().(persistedReport)
@@ -82,7 +82,7 @@
 		t.Errorf("%+v", r)
 	}
 	e := session
-	e.Qualifier, e.Position, e.Origin, e.Seq = "other", 7e9, crdt.Origin{Name: m.detectorSettings.Name, Epoch: boot + 1}, 1 // of a start that the copy has not seen
+	e.B, e.At, e.From, e.Seq = "other", 7e9, crdt.Origin{Name: m.detectorSettings.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
 	if m.persisted.Put(e, steady); !m.persisted.report().(persistedReport).Old {
 		t.Error("an old copy was not noticed")
 	}
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -122,9 +122,9 @@
 	var reports []shedding.Report
 	m.state.Each(func(store *crdt.Store, now int64) {
 		for _, e := range store.SheddingLevels(now) {
-			if group, err := strconv.ParseInt(e.Subject, 10, 64); err == nil {
+			if group, err := strconv.ParseInt(e.A, 10, 64); err == nil {
 				load, wish, epoch := e.SheddingLevel()
-				reports = append(reports, shedding.Report{Group: group, Router: e.Origin.Name, Epoch: e.Origin.Epoch, Seq: e.Seq, Age: e.Age, Load: load, Threshold: wish, SaltEpoch: epoch, Excluded: !counts[e.Origin.Name]})
+				reports = append(reports, shedding.Report{Group: group, Router: e.From.Name, Epoch: e.From.Boot, Seq: e.Seq, Age: e.Age, Load: load, Threshold: wish, SaltEpoch: epoch, Excluded: !counts[e.From.Name]})
 			}
 		}
 	})
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -28,14 +28,14 @@
 
 // storedEntries has an entry of each kind that is copied to disk.
 func storedEntries() []crdt.Entry {
-	from := crdt.Origin{Name: "n1", Epoch: 3}
+	from := crdt.Origin{Name: "n1", Boot: 3}
 	return []crdt.Entry{
-		{Kind: crdt.SessionCommit, Subject: "1", Qualifier: "mine", Position: 5e9, Origin: from, Seq: 1},
-		{Kind: crdt.PrimaryClaim, Subject: "1", Incarnation: 7, Position: 4e9, Server: "s1", Origin: from, Seq: 2},
-		{Kind: crdt.PendingWrite, Subject: "write", Qualifier: "key", Origin: from, Seq: 3},
-		{Kind: crdt.ServerPosition, Subject: "s1", Incarnation: 7, Position: 6e9, Origin: from, Seq: 4},
-		{Kind: crdt.Usage, Subject: "team", Qualifier: "read", Count: 1500, Origin: from, Seq: 5},
-		{Kind: crdt.Hint, Subject: "suspect s2", Origin: from, Seq: 6},
+		{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 5e9, From: from, Seq: 1},
+		{Kind: crdt.PrimaryClaim, A: "1", Born: 7, At: 4e9, Server: "s1", From: from, Seq: 2},
+		{Kind: crdt.PendingWrite, A: "write", B: "key", From: from, Seq: 3},
+		{Kind: crdt.ServerPosition, A: "s1", Born: 7, At: 6e9, From: from, Seq: 4},
+		{Kind: crdt.Usage, A: "team", B: "read", Count: 1500, From: from, Seq: 5},
+		{Kind: crdt.Hint, A: "suspect s2", From: from, Seq: 6},
 	}
 }
 
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	k, err := newPersistedState(own.Members, crdt.Origin{Name: "n0", Epoch: 9}, func() int64 { return int64(time.Since(began)) })
+	k, err := newPersistedState(own.Members, crdt.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(began)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 	if *writeStore != "" {
 		k, stop := newStoredCopy(t, dir)
 		for _, e := range storedEntries() {
-			k.Put(e, e.Origin)
+			k.Put(e, e.From)
 		}
 		until(t, "all is on the disk", func() bool {
 			r := k.report().(persistedReport)
--- a/policy/crdt/broadcaster_test.go
+++ b/policy/crdt/broadcaster_test.go
@@ -27,7 +27,7 @@
 		var sent []Delivery
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += clock.Nanos(rapid.IntRange(0, 20e6).Draw(t, "wait"))
-			switch entry := (Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(now), Origin: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
+			switch entry := (Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(now), From: Origin{"a", 1}, Seq: 1}); rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0:
 				waitNumber++
 				broadcaster.Add(now, entry, waitNumber)
@@ -35,7 +35,7 @@
 				entry.Kind = ServerPosition
 				broadcaster.Add(now, entry, 0)
 			case 2:
-				entry.Origin.Name = "b"
+				entry.From.Name = "b"
 				broadcaster.Forward(now, entry, "b")
 			default:
 				if len(sent) > 0 {
@@ -55,7 +55,7 @@
 					t.Fatalf("%+v, acknowledged %v, sent %d times", delivery, acked[key], sends[key])
 				}
 				for _, entry := range delivery.Entries {
-					if entry.Origin.Name == delivery.To || entry.Age < 0 {
+					if entry.From.Name == delivery.To || entry.Age < 0 {
 						t.Fatalf("%+v is sent to %s", entry, delivery.To)
 					}
 				}
--- a/policy/crdt/entry.go
+++ b/policy/crdt/entry.go
@@ -22,24 +22,22 @@
 
 // The kinds, with the meaning of an entry's fields and the order in which entries of one ID prevail.
 const (
-	// Subject: group, Qualifier: session. The position of the session's last commit; the greater one prevails.
+	// A: group, B: session. The position of the session's last commit; the greater one prevails.
 	SessionCommit Kind = iota + 1
-	// Subject: group. Ordered by the position of the evidence, the server's start and the server's name, then by
-	// origin.
+	// A: group. Ordered by the position of the evidence, the server's start and the server's name, then by origin.
 	PrimaryClaim
-	// Subject: class and scope, Qualifier: key. A write that may have run, until its window has passed.
+	// A: class and scope, B: key. A write that may have run, until its window has passed.
 	PendingWrite
-	// Subject: server, Incarnation: its start. How far the server has applied the log; the greater position prevails.
+	// A: server, Born: its start. How far the server has applied the log; the greater position prevails.
 	ServerPosition
-	// Subject: team, Qualifier: class; one entry per origin. The contract's usage; the greater one prevails.
+	// A: team, B: class; one entry per origin. The contract's usage; the greater one prevails.
 	Usage
-	// Subject: what the hint is about; one entry per origin. Zones in outage, slow starts, suspects; the origin's
-	// latest prevails.
+	// A: what the hint is about; one entry per origin. Zones in outage, slow starts, suspects; the origin's latest
+	// prevails.
 	Hint
-	// Subject: feed, Qualifier: subscriber. Ordered by Count (generation), Origin, Incarnation (history), Position and
-	// Acked.
+	// A: feed, B: subscriber. Ordered by Count (generation), From, Born (history), At and Acked.
 	FeedCursor
-	// Subject: group; one entry per origin. The shedding threshold and the load; the origin's latest prevails.
+	// A: group; one entry per origin. The shedding threshold and the load; the origin's latest prevails.
 	SheddingLevel
 
 	// LastKind is the greatest kind.
@@ -57,25 +55,28 @@
 	return "unknown"
 }
 
-// Origin identifies one process of a router. A router that restarts under the same name has another epoch.
+// Origin identifies one process of a router. A router that restarts under the same name has another epoch. It is part
+// of stored entries, so its fields keep their names.
 type Origin struct {
-	Name  string
-	Epoch uint64
+	Name string
+	Boot uint64 // epoch of the process
 }
 
 func (origin Origin) compare(other Origin) int {
-	return cmp.Or(cmp.Compare(origin.Name, other.Name), cmp.Compare(origin.Epoch, other.Epoch))
+	return cmp.Or(cmp.Compare(origin.Name, other.Name), cmp.Compare(origin.Boot, other.Boot))
 }
 
-// Entry is one fact that a router has learned.
+// Entry is one fact that a router has learned. Routers persist entries in CBOR under the names of the fields, so the
+// fields keep their names.
 type Entry struct {
-	Kind               Kind
-	Subject, Qualifier string
+	Kind Kind
+	// The subject of the entry and its qualifier; see the kinds.
+	A, B string
 	// ServerPosition, PrimaryClaim: the server's start according to the endpoint list; FeedCursor: the history's
 	// number; SheddingLevel: an epoch.
-	Incarnation int64
+	Born int64
 	// SessionCommit, PrimaryClaim, ServerPosition, FeedCursor: a log position.
-	Position int64
+	At int64
 	// FeedCursor: the position that the subscriber has acknowledged; -1: none.
 	Acked int64
 	// Usage: the usage in thousandths; FeedCursor: the generation, which never decreases; SheddingLevel: see
@@ -83,18 +84,19 @@
 	Count int64
 	// PrimaryClaim: the server that is claimed to be the primary.
 	Server string
-	Origin Origin
-	Seq    uint64      // number among all entries that the origin has learned, starting at 1
-	Age    clock.Nanos // time since the origin learned the entry, without the time in transit
+	// The process that learned the entry.
+	From Origin
+	Seq  uint64      // number among all entries that the origin has learned, starting at 1
+	Age  clock.Nanos // time since the origin learned the entry, without the time in transit
 }
 
 // Key returns the key by which stores are sharded. All entries that one query reads have the same key and so are in the
 // same shard.
 func (entry *Entry) Key() (subject, qualifier string) {
 	if entry.Kind == Hint { // a query reads the hints of all origins on a subject
-		return entry.Subject, ""
+		return entry.A, ""
 	}
-	return entry.Subject, entry.Qualifier
+	return entry.A, entry.B
 }
 
 // Settings limit what a store holds and accepts.
@@ -149,7 +151,7 @@
 	if settings.Self.Name == "" || settings.MaxOrigins < 1 || settings.WriteWindow <= 0 ||
 		settings.HintLifetime <= 0 || settings.LevelLifetime <= 0 || settings.MaxAhead <= 0 ||
 		settings.MaxText < 1 || settings.MinLearnInterval < 0 || settings.MaxPending < 1 {
-		errs = append(errs, errors.New("replicated state: Self must have a name, MinLearnInterval must not be negative, and MaxOrigins, WriteWindow, HintLifetime, LevelLifetime, MaxAhead, MaxText and MaxPending must be above 0"))
+		errs = append(errs, errors.New("replicated state: Self must be named, MinLearnInterval must not be negative, and MaxOrigins, WriteWindow, HintLifetime, LevelLifetime, MaxAhead, MaxText and MaxPending must be above 0"))
 	}
 	return errors.Join(errs...)
 }
@@ -159,10 +161,10 @@
 // NewSheddingLevel returns a router's report on a group: its load in requests per second, the threshold that it would
 // choose, and its epoch.
 func NewSheddingLevel(group string, load int64, threshold int, epoch uint64) Entry {
-	return Entry{Kind: SheddingLevel, Subject: group, Incarnation: int64(epoch), Count: load<<thresholdBits | int64(threshold)&(1<<thresholdBits-1)}
+	return Entry{Kind: SheddingLevel, A: group, Born: int64(epoch), Count: load<<thresholdBits | int64(threshold)&(1<<thresholdBits-1)}
 }
 
 // SheddingLevel returns the values that NewSheddingLevel stored in the entry.
 func (entry *Entry) SheddingLevel() (load int64, threshold int, epoch uint64) {
-	return entry.Count >> thresholdBits, int(entry.Count & (1<<thresholdBits - 1)), uint64(entry.Incarnation)
+	return entry.Count >> thresholdBits, int(entry.Count & (1<<thresholdBits - 1)), uint64(entry.Born)
 }
--- a/policy/crdt/explore_test.go
+++ b/policy/crdt/explore_test.go
@@ -83,10 +83,10 @@
 	return &copied
 }
 
-func (broadcaster *Broadcaster) clone() *Broadcaster {
-	copied := *broadcaster
-	copied.queue, copied.open = slices.Clone(broadcaster.queue), nil
-	for _, original := range broadcaster.open {
+func (bcast *Broadcaster) clone() *Broadcaster {
+	copied := *bcast
+	copied.queue, copied.open = slices.Clone(bcast.queue), nil
+	for _, original := range bcast.open {
 		duplicate := *original
 		duplicate.entries, duplicate.unacknowledged = slices.Clone(original.entries), slices.Clone(original.unacknowledged)
 		copied.open = append(copied.open, &duplicate)
@@ -169,7 +169,7 @@
 func (state *modelState) write(router int, session string) {
 	state.writeCount++
 	position := int64(state.writeCount)
-	entry, stored := state.stores[router].LearnDurably(state.now, Entry{Kind: SessionCommit, Subject: "1", Qualifier: session, Position: position})
+	entry, stored := state.stores[router].LearnDurably(state.now, Entry{Kind: SessionCommit, A: "1", B: session, At: position})
 	if !stored {
 		return
 	}
--- a/policy/crdt/heap.go
+++ b/policy/crdt/heap.go
@@ -37,7 +37,7 @@
 	case Usage, FeedCursor:
 		byKind = cmp.Compare(entry.Count, other.Count)
 	default:
-		byKind = cmp.Compare(entry.Position, other.Position)
+		byKind = cmp.Compare(entry.At, other.At)
 	}
-	return cmp.Or(byKind, cmp.Compare(entry.Subject, other.Subject), cmp.Compare(entry.Qualifier, other.Qualifier), cmp.Compare(entry.Incarnation, other.Incarnation), entry.Origin.compare(other.Origin), cmp.Compare(entry.Server, other.Server))
+	return cmp.Or(byKind, cmp.Compare(entry.A, other.A), cmp.Compare(entry.B, other.B), cmp.Compare(entry.Born, other.Born), entry.From.compare(other.From), cmp.Compare(entry.Server, other.Server))
 }
--- a/policy/crdt/order.go
+++ b/policy/crdt/order.go
@@ -15,12 +15,12 @@
 }
 
 func (entry *Entry) id() entryID {
-	id := entryID{kind: entry.Kind, subject: entry.Subject, qualifier: entry.Qualifier}
+	id := entryID{kind: entry.Kind, subject: entry.A, qualifier: entry.B}
 	switch entry.Kind {
 	case ServerPosition:
-		id.incarnation = entry.Incarnation
+		id.incarnation = entry.Born
 	case Usage, Hint, SheddingLevel:
-		id.origin = entry.Origin
+		id.origin = entry.From
 	}
 	return id
 }
@@ -30,30 +30,30 @@
 func (entry *Entry) compare(other *Entry) int {
 	switch entry.Kind {
 	case SessionCommit, ServerPosition:
-		return cmp.Or(cmp.Compare(entry.Position, other.Position), entry.compareVersion(other))
+		return cmp.Or(cmp.Compare(entry.At, other.At), entry.compareVersion(other))
 	case PrimaryClaim:
-		return cmp.Or(cmp.Compare(entry.Position, other.Position), cmp.Compare(entry.Incarnation, other.Incarnation), cmp.Compare(entry.Server, other.Server), entry.compareVersion(other))
+		return cmp.Or(cmp.Compare(entry.At, other.At), cmp.Compare(entry.Born, other.Born), cmp.Compare(entry.Server, other.Server), entry.compareVersion(other))
 	case Usage:
 		return cmp.Or(cmp.Compare(entry.Count, other.Count), cmp.Compare(entry.Seq, other.Seq))
 	case FeedCursor: // generation and the router that raised it, then history by ancestry, then position
-		return cmp.Or(cmp.Compare(entry.Count, other.Count), entry.Origin.compare(other.Origin), cmp.Compare(uint64(entry.Incarnation), uint64(other.Incarnation)), cmp.Compare(entry.Position, other.Position),
+		return cmp.Or(cmp.Compare(entry.Count, other.Count), entry.From.compare(other.From), cmp.Compare(uint64(entry.Born), uint64(other.Born)), cmp.Compare(entry.At, other.At),
 			cmp.Compare(entry.Acked, other.Acked), cmp.Compare(entry.Seq, other.Seq))
 	}
 	return entry.compareVersion(other)
 }
 
 func (entry *Entry) compareVersion(other *Entry) int {
-	return cmp.Or(entry.Origin.compare(other.Origin), cmp.Compare(entry.Seq, other.Seq))
+	return cmp.Or(entry.From.compare(other.From), cmp.Compare(entry.Seq, other.Seq))
 }
 
 // hash covers all fields that are joined, which excludes the age.
 func (entry *storedEntry) hash() uint64 {
 	hasher := fnv.New64a()
 	buffer := []byte{byte(entry.Kind)}
-	for _, text := range []string{entry.Subject, entry.Qualifier, entry.Server, entry.Origin.Name} {
+	for _, text := range []string{entry.A, entry.B, entry.Server, entry.From.Name} {
 		buffer = append(append(buffer, text...), 0xff)
 	}
-	for _, number := range []uint64{entry.Origin.Epoch, entry.Seq, uint64(entry.Incarnation), uint64(entry.Position), uint64(entry.Acked), uint64(entry.Count)} {
+	for _, number := range []uint64{entry.From.Boot, entry.Seq, uint64(entry.Born), uint64(entry.At), uint64(entry.Acked), uint64(entry.Count)} {
 		buffer = binary.LittleEndian.AppendUint64(buffer, number)
 	}
 	hasher.Write(buffer)
--- a/policy/crdt/pass.go
+++ b/policy/crdt/pass.go
@@ -23,7 +23,7 @@
 	for _, text := range []string{id.subject, id.qualifier, id.origin.Name} {
 		buffer = append(append(buffer, text...), 0xff)
 	}
-	for _, number := range []uint64{uint64(id.incarnation), id.origin.Epoch} {
+	for _, number := range []uint64{uint64(id.incarnation), id.origin.Boot} {
 		for shift := 0; shift < 64; shift += 8 {
 			buffer = append(buffer, byte(number>>shift))
 		}
--- a/policy/crdt/query.go
+++ b/policy/crdt/query.go
@@ -7,10 +7,10 @@
 // enough for any evicted session.
 func (store *Store) CommitPosition(group, session string) (position int64, known bool) {
 	if stored := store.entries[entryID{kind: SessionCommit, subject: group, qualifier: session}]; stored != nil {
-		return stored.Position, true
+		return stored.At, true
 	}
 	if entries := store.heaps[SessionCommit]; store.evicted[SessionCommit] && len(entries) > 0 {
-		return entries[0].Position, false
+		return entries[0].At, false
 	}
 	return 0, false
 }
@@ -28,7 +28,7 @@
 // the primary.
 func (store *Store) Primary(group string) (server string, incarnation, position int64) {
 	if stored := store.entries[entryID{kind: PrimaryClaim, subject: group}]; stored != nil {
-		return stored.Server, stored.Incarnation, stored.Position
+		return stored.Server, stored.Born, stored.At
 	}
 	return "", 0, 0
 }
@@ -37,7 +37,7 @@
 // whether this router learned it itself. The position is 0 if it is unknown.
 func (store *Store) AppliedPosition(now clock.Nanos, server string, incarnation int64) (position int64, age clock.Nanos, learnedHere bool) {
 	if stored := store.entries[entryID{kind: ServerPosition, subject: server, incarnation: incarnation}]; stored != nil {
-		return stored.Position, now - stored.learnedAt, stored.Origin == store.settings.Self
+		return stored.At, now - stored.learnedAt, stored.From == store.settings.Self
 	}
 	return 0, 0, false
 }
@@ -52,7 +52,7 @@
 func (store *Store) Usage(team, class string) int64 {
 	sum := int64(0)
 	for _, stored := range store.heaps[Usage] {
-		if stored.Subject == team && stored.Qualifier == class {
+		if stored.A == team && stored.B == class {
 			sum += stored.Count
 		}
 	}
@@ -63,8 +63,8 @@
 func (store *Store) Hints(now clock.Nanos, subject string) map[Origin]clock.Nanos {
 	ages := map[Origin]clock.Nanos{}
 	for _, stored := range store.heaps[Hint] {
-		if stored.Subject == subject && now-stored.learnedAt < store.settings.HintLifetime {
-			ages[stored.Origin] = now - stored.learnedAt
+		if stored.A == subject && now-stored.learnedAt < store.settings.HintLifetime {
+			ages[stored.From] = now - stored.learnedAt
 		}
 	}
 	return ages
--- a/policy/crdt/replay_test.go
+++ b/policy/crdt/replay_test.go
@@ -11,7 +11,7 @@
 	digest := replaytest.NewDigest()
 	for seed := range uint64(8) {
 		driver := replaytest.NewDriver(seed, digest)
-		settings := crdt.DefaultSettings(crdt.Origin{Name: "r-0", Epoch: 1})
+		settings := crdt.DefaultSettings(crdt.Origin{Name: "r-0", Boot: 1})
 		for kind := range settings.MaxEntries {
 			settings.MaxEntries[kind] = 10
 		}
@@ -30,7 +30,7 @@
 		// plausible limits a drawn entry to values that a router could send.
 		plausible := func(entry crdt.Entry) crdt.Entry {
 			entry.Kind = crdt.SessionCommit + entry.Kind%crdt.LastKind
-			entry.Position, entry.Age = int64(driver.IntN(1000)), int64(driver.IntN(3e9))
+			entry.At, entry.Age = int64(driver.IntN(1000)), int64(driver.IntN(3e9))
 			entry.Seq = 1 + uint64(driver.IntN(200))
 			return entry
 		}
--- a/policy/crdt/spread_test.go
+++ b/policy/crdt/spread_test.go
@@ -47,22 +47,22 @@
 		answer         func(*Store) string
 	}
 	return map[Kind]kind{
-		SessionCommit: {Entry{Subject: "1", Qualifier: "session", Position: 2}, Entry{Subject: "1", Qualifier: "session", Position: 3},
+		SessionCommit: {Entry{A: "1", B: "session", At: 2}, Entry{A: "1", B: "session", At: 3},
 			func(s *Store) string { return fmt.Sprint(s.CommitPosition("1", "session")) }},
-		PrimaryClaim: {Entry{Subject: "1", Server: "x", Position: 2}, Entry{Subject: "1", Server: "y", Position: 3},
+		PrimaryClaim: {Entry{A: "1", Server: "x", At: 2}, Entry{A: "1", Server: "y", At: 3},
 			func(s *Store) string { return fmt.Sprint(s.Primary("1")) }},
-		PendingWrite: {Entry{Subject: "class", Qualifier: "key"}, Entry{Subject: "class", Qualifier: "key"},
+		PendingWrite: {Entry{A: "class", B: "key"}, Entry{A: "class", B: "key"},
 			func(s *Store) string { return fmt.Sprint(s.MayHaveRun(now, "class", "key")) }},
-		ServerPosition: {Entry{Subject: "server", Position: 2}, Entry{Subject: "server", Position: 3},
+		ServerPosition: {Entry{A: "server", At: 2}, Entry{A: "server", At: 3},
 			func(s *Store) string { return fmt.Sprint(s.AppliedPosition(now, "server", 0)) }},
-		Usage: {Entry{Subject: "team", Qualifier: "class", Count: 2}, Entry{Subject: "team", Qualifier: "class", Count: 3},
+		Usage: {Entry{A: "team", B: "class", Count: 2}, Entry{A: "team", B: "class", Count: 3},
 			func(s *Store) string { return fmt.Sprint(s.Usage("team", "class")) }},
-		Hint: {Entry{Subject: "zone dark"}, Entry{Subject: "zone dark"},
+		Hint: {Entry{A: "zone dark"}, Entry{A: "zone dark"},
 			func(s *Store) string { return fmt.Sprint(len(s.Hints(now, "zone dark"))) }},
-		FeedCursor: {Entry{Subject: "feed", Qualifier: "subscriber", Count: 1, Position: 2, Acked: 1}, Entry{Subject: "feed", Qualifier: "subscriber", Count: 1, Position: 3, Acked: 2},
+		FeedCursor: {Entry{A: "feed", B: "subscriber", Count: 1, At: 2, Acked: 1}, Entry{A: "feed", B: "subscriber", Count: 1, At: 3, Acked: 2},
 			func(s *Store) string {
 				e, known, _ := s.Cursor(now, "feed", "subscriber")
-				return fmt.Sprint(e.Position, e.Acked, known)
+				return fmt.Sprint(e.At, e.Acked, known)
 			}},
 		SheddingLevel: {NewSheddingLevel("1", 200, 2, 1), NewSheddingLevel("1", 300, 3, 2),
 			func(s *Store) string {
@@ -93,7 +93,7 @@
 					stores := newStores(t, "origin", "sender", "witness", "receiver")
 					stores["origin"].Learn(0, testCase.earlier)
 					for i := range 3 {
-						stores["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "2", Qualifier: fmt.Sprint(i), Position: 1})
+						stores["origin"].Learn(0, Entry{Kind: SessionCommit, A: "2", B: fmt.Sprint(i), At: 1})
 					}
 					stores.fetch(0, "witness", "origin", largeAnswer)
 					stores.fetch(0, "sender", "origin", largeAnswer)
@@ -123,8 +123,8 @@
 	const perMember = 100
 	for i := range perMember {
 		for _, name := range names {
-			stores[name].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint("session-", i), Position: int64(1 + i)})
-			stores[name].Learn(0, Entry{Kind: Usage, Subject: fmt.Sprint("team-", i), Qualifier: "class", Count: 1})
+			stores[name].Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint("session-", i), At: int64(1 + i)})
+			stores[name].Learn(0, Entry{Kind: Usage, A: fmt.Sprint("team-", i), B: "class", Count: 1})
 		}
 	}
 	for _, to := range names {
@@ -164,7 +164,7 @@
 	const capacity, maxBytes = 5, 10_000
 	sender, receiver := newTestStore(t, "sender", capacity), newTestStore(t, "receiver", 0)
 	for i := range 2 * capacity {
-		sender.Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(i), Position: int64(1 + i)})
+		sender.Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(i), At: int64(1 + i)})
 	}
 	receiver.MergeRuns(0, sender.Since(0, receiver.VersionVector(), maxBytes))
 	for i := range 2 * capacity {
@@ -178,7 +178,7 @@
 func TestRejectedEntryWithholdsClaims(t *testing.T) {
 	stores := newStores(t, "sender", "receiver")
 	stores["receiver"].ObservePosition(second)
-	stores["sender"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 100 * second})
+	stores["sender"].Learn(0, Entry{Kind: SessionCommit, A: "1", B: "session", At: 100 * second})
 	stores.fetch(0, "receiver", "sender", largeAnswer)
 	if position, known := stores["receiver"].CommitPosition("1", "session"); known || stores["receiver"].WithheldClaims() != 1 {
 		t.Fatalf("a commit at %d, far beyond all known positions, was accepted; %d claims withheld", position, stores["receiver"].WithheldClaims())
@@ -194,10 +194,10 @@
 // position is dropped, the entry that it superseded is fetched again.
 func TestDroppedPositionIsFetchedAgain(t *testing.T) {
 	stores := newStores(t, "origin", "receiver")
-	stores["origin"].Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 5 * second})
+	stores["origin"].Learn(0, Entry{Kind: SessionCommit, A: "1", B: "session", At: 5 * second})
 	stores.fetch(0, "receiver", "origin", largeAnswer)
-	stores["receiver"].Merge(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "session", Position: 1e6 * second, Origin: Origin{"liar", 1}, Seq: 1})
-	stores["receiver"].Learn(0, Entry{Kind: ServerPosition, Subject: "server", Position: 4 * second})
+	stores["receiver"].Merge(0, Entry{Kind: SessionCommit, A: "1", B: "session", At: 1e6 * second, From: Origin{"liar", 1}, Seq: 1})
+	stores["receiver"].Learn(0, Entry{Kind: ServerPosition, A: "server", At: 4 * second})
 	stores.fetch(0, "receiver", "origin", largeAnswer)
 	if position, _ := stores["receiver"].CommitPosition("1", "session"); position != 5*second {
 		t.Errorf("position %d: the commit is missing", position)
--- a/policy/crdt/store.go
+++ b/policy/crdt/store.go
@@ -93,18 +93,18 @@
 }
 
 func (store *Store) learn(now clock.Nanos, entry *Entry) *storedEntry {
-	entry.Origin, entry.Age = store.settings.Self, 0
+	entry.From, entry.Age = store.settings.Self, 0
 	entry.Seq = store.lastSeq + 1
 	if entry.Kind == SessionCommit || entry.Kind == PrimaryClaim || entry.Kind == ServerPosition {
-		store.ObservePosition(entry.Position)
+		store.ObservePosition(entry.At)
 		old := store.entries[entry.id()]
-		sameClaim := old != nil && (entry.Kind != PrimaryClaim || old.Server == entry.Server && old.Incarnation == entry.Incarnation)
-		if sameClaim && (old.Position >= entry.Position || entry.Kind != SessionCommit && now-old.learnedAt < store.settings.MinLearnInterval) {
+		sameClaim := old != nil && (entry.Kind != PrimaryClaim || old.Server == entry.Server && old.Born == entry.Born)
+		if sameClaim && (old.At >= entry.At || entry.Kind != SessionCommit && now-old.learnedAt < store.settings.MinLearnInterval) {
 			return nil
 		}
 	}
 	if entry.Kind == FeedCursor { // a repeated cursor without a change would be sent for nothing
-		if old := store.entries[entry.id()]; old != nil && old.Origin == entry.Origin && old.Count == entry.Count && old.Incarnation == entry.Incarnation && old.Position == entry.Position && old.Acked == entry.Acked {
+		if old := store.entries[entry.id()]; old != nil && old.From == entry.From && old.Count == entry.Count && old.Born == entry.Born && old.At == entry.At && old.Acked == entry.Acked {
 			return nil
 		}
 	}
@@ -131,7 +131,7 @@
 func (store *Store) dropAhead() {
 	dropped := false
 	for _, stored := range store.entries {
-		if stored.Kind <= ServerPosition && stored.Position > store.maxPosition+store.settings.MaxAhead {
+		if stored.Kind <= ServerPosition && stored.At > store.maxPosition+store.settings.MaxAhead {
 			store.remove(stored)
 			store.rejected++
 			dropped = true
@@ -169,20 +169,20 @@
 // isWellFormed reports whether an entry can be valid at all. Malformed entries are never stored.
 func (store *Store) isWellFormed(entry *Entry) bool {
 	switch {
-	case entry.Kind < SessionCommit || entry.Kind >= kindCount || entry.Origin.Name == "" || entry.Seq == 0 || entry.Age < 0:
+	case entry.Kind < SessionCommit || entry.Kind >= kindCount || entry.From.Name == "" || entry.Seq == 0 || entry.Age < 0:
 		return false
-	case entry.Origin == store.settings.Self && entry.Seq > store.lastSeq:
+	case entry.From == store.settings.Self && entry.Seq > store.lastSeq:
 		return false
-	case max(len(entry.Subject), len(entry.Qualifier), len(entry.Server), len(entry.Origin.Name)) > store.settings.MaxText:
+	case max(len(entry.A), len(entry.B), len(entry.Server), len(entry.From.Name)) > store.settings.MaxText:
 		return false
 	}
-	return entry.Kind != FeedCursor || entry.Count >= 1 && entry.Position >= entry.Acked && entry.Acked >= -1
+	return entry.Kind != FeedCursor || entry.Count >= 1 && entry.At >= entry.Acked && entry.Acked >= -1
 }
 
 // isAhead reports whether the entry's position is implausibly far in the future. Cursors are checked against their feed
 // instead.
 func (store *Store) isAhead(entry *Entry) bool {
-	return store.maxPosition > 0 && entry.Kind != FeedCursor && entry.Position > store.maxPosition+store.settings.MaxAhead
+	return store.maxPosition > 0 && entry.Kind != FeedCursor && entry.At > store.maxPosition+store.settings.MaxAhead
 }
 
 // hasExpired reports whether the entry's lifetime has passed.
@@ -201,16 +201,16 @@
 // advanceVector records an entry that arrived outside a run. If all earlier entries of its origin are covered, the
 // entry need not be fetched again.
 func (store *Store) advanceVector(entry *Entry) {
-	upTo, known := store.seenUpTo[entry.Origin]
-	if entry.Origin == store.settings.Self || entry.Seq != upTo+1 || !known && len(store.seenUpTo) >= store.settings.MaxOrigins {
+	upTo, known := store.seenUpTo[entry.From]
+	if entry.From == store.settings.Self || entry.Seq != upTo+1 || !known && len(store.seenUpTo) >= store.settings.MaxOrigins {
 		return
 	}
-	store.seenUpTo[entry.Origin] = entry.Seq
+	store.seenUpTo[entry.From] = entry.Seq
 	// Later entries that arrived before this one are now covered as well.
-	if log := store.logs[entry.Origin]; log != nil {
+	if log := store.logs[entry.From]; log != nil {
 		index, _ := slices.BinarySearchFunc(log.entries, entry.Seq+1, func(logged logEntry, seq uint64) int { return cmp.Compare(logged.seq, seq) })
-		for ; index < len(log.entries) && log.entries[index].seq == store.seenUpTo[entry.Origin]+1; index++ {
-			store.seenUpTo[entry.Origin]++
+		for ; index < len(log.entries) && log.entries[index].seq == store.seenUpTo[entry.From]+1; index++ {
+			store.seenUpTo[entry.From]++
 		}
 	}
 }
@@ -247,7 +247,7 @@
 			learnedAt = max(learnedAt, old.learnedAt)
 		}
 	}
-	if _, ok := store.logs[entry.Origin]; !ok && len(store.logs) >= store.settings.MaxOrigins && !store.evictOrigin() {
+	if _, ok := store.logs[entry.From]; !ok && len(store.logs) >= store.settings.MaxOrigins && !store.evictOrigin() {
 		store.rejected++
 		return nil
 	}
@@ -265,10 +265,10 @@
 	store.entries[key] = stored
 	heap.Push(entries, stored)
 	store.digests[entry.Kind] += stored.hash()
-	log := store.logs[entry.Origin]
+	log := store.logs[entry.From]
 	if log == nil {
 		log = &originLog{}
-		store.logs[entry.Origin] = log
+		store.logs[entry.From] = log
 	}
 	index, _ := slices.BinarySearchFunc(log.entries, entry.Seq, func(logged logEntry, seq uint64) int { return cmp.Compare(logged.seq, seq) })
 	log.entries = slices.Insert(log.entries, index, logEntry{entry.Seq, stored})
@@ -293,7 +293,7 @@
 	heap.Remove(&store.heaps[stored.Kind], stored.heapIndex)
 	stored.heapIndex = -1
 	store.digests[stored.Kind] -= stored.hash()
-	log := store.logs[stored.Origin]
+	log := store.logs[stored.From]
 	if log.removedCount++; log.removedCount > maxUncompacted && log.removedCount > len(log.entries)/2 {
 		log.compact()
 	}
--- a/policy/crdt/store_test.go
+++ b/policy/crdt/store_test.go
@@ -28,19 +28,19 @@
 
 // drawEntry draws an entry that a router might learn. It uses few names, so that many entries are joined.
 func drawEntry(t *rapid.T) Entry {
-	entry := Entry{Kind: Kind(rapid.IntRange(int(SessionCommit), int(LastKind)).Draw(t, "kind")), Subject: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "a"),
-		Qualifier: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "b")), Position: int64(rapid.IntRange(1, 40).Draw(t, "at"))}
+	entry := Entry{Kind: Kind(rapid.IntRange(int(SessionCommit), int(LastKind)).Draw(t, "kind")), A: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "a"),
+		B: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "b")), At: int64(rapid.IntRange(1, 40).Draw(t, "at"))}
 	switch entry.Kind {
 	case PrimaryClaim:
-		entry.Qualifier, entry.Server, entry.Incarnation = "", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), int64(rapid.IntRange(0, 2).Draw(t, "born"))
+		entry.B, entry.Server, entry.Born = "", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), int64(rapid.IntRange(0, 2).Draw(t, "born"))
 	case ServerPosition:
-		entry.Qualifier, entry.Incarnation = "", int64(rapid.IntRange(0, 2).Draw(t, "born"))
+		entry.B, entry.Born = "", int64(rapid.IntRange(0, 2).Draw(t, "born"))
 	case Usage:
-		entry.Position, entry.Count = 0, int64(rapid.IntRange(1, 40).Draw(t, "count"))
+		entry.At, entry.Count = 0, int64(rapid.IntRange(1, 40).Draw(t, "count"))
 	case PendingWrite, Hint, SheddingLevel:
-		entry.Position = 0
+		entry.At = 0
 	case FeedCursor: // few generations and histories, so that every field of the order decides in some cases
-		entry.Count, entry.Incarnation, entry.Acked = int64(rapid.IntRange(1, 3).Draw(t, "gen")), int64(rapid.IntRange(1, 2).Draw(t, "history"))<<32, entry.Position/2
+		entry.Count, entry.Born, entry.Acked = int64(rapid.IntRange(1, 3).Draw(t, "gen")), int64(rapid.IntRange(1, 2).Draw(t, "history"))<<32, entry.At/2
 	}
 	return entry
 }
@@ -50,7 +50,7 @@
 		if left.Digest(kind) != right.Digest(kind) {
 			differing := map[string]bool{}
 			for _, entry := range left.Difference(0, kind, right.All(0, kind), 3) {
-				differing[fmt.Sprintf("%s %s/%s at %d of %v", entry.Kind, entry.Subject, entry.Qualifier, entry.Position, entry.Origin)] = true
+				differing[fmt.Sprintf("%s %s/%s at %d of %v", entry.Kind, entry.A, entry.B, entry.At, entry.From)] = true
 			}
 			return fmt.Sprintf("%s: %v", kind, differing)
 		}
@@ -84,9 +84,9 @@
 			t.Fatal(difference)
 		}
 		for _, entry := range entries {
-			orderedPosition, orderedKnown := ordered.CommitPosition(entry.Subject, entry.Qualifier)
-			if shuffledPosition, shuffledKnown := shuffled.CommitPosition(entry.Subject, entry.Qualifier); entry.Kind == SessionCommit && (orderedPosition != shuffledPosition || orderedKnown != shuffledKnown || orderedPosition < entry.Position && ordered.evicted[SessionCommit] || orderedPosition < entry.Position && orderedKnown) {
-				t.Fatalf("session %s/%s at %d: %d %v, %d %v", entry.Subject, entry.Qualifier, entry.Position, orderedPosition, orderedKnown, shuffledPosition, shuffledKnown)
+			orderedPosition, orderedKnown := ordered.CommitPosition(entry.A, entry.B)
+			if shuffledPosition, shuffledKnown := shuffled.CommitPosition(entry.A, entry.B); entry.Kind == SessionCommit && (orderedPosition != shuffledPosition || orderedKnown != shuffledKnown || orderedPosition < entry.At && ordered.evicted[SessionCommit] || orderedPosition < entry.At && orderedKnown) {
+				t.Fatalf("session %s/%s at %d: %d %v, %d %v", entry.A, entry.B, entry.At, orderedPosition, orderedKnown, shuffledPosition, shuffledKnown)
 			}
 		}
 	})
@@ -122,7 +122,7 @@
 				entry := drawEntry(t)
 				stores[i].Learn(now, entry)
 				if entry.Kind == SessionCommit && i == 0 {
-					committed[entry.Subject+"/"+entry.Qualifier] = max(committed[entry.Subject+"/"+entry.Qualifier], entry.Position)
+					committed[entry.A+"/"+entry.B] = max(committed[entry.A+"/"+entry.B], entry.At)
 				}
 			case 4, 5:
 				for _, entry := range stores[i].TakePending(now, 300) {
@@ -181,11 +181,11 @@
 		store := newTestStore(t, "r", 5)
 		store.settings.MaxOrigins = 4
 		for i := range 300 {
-			entry := Entry{Kind: Kind(rapid.IntRange(0, 8).Draw(t, "kind")), Subject: rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "a"), Qualifier: fmt.Sprint(rapid.IntRange(0, 99).Draw(t, "b")),
-				Incarnation: rapid.Int64().Draw(t, "born"), Position: rapid.Int64().Draw(t, "at"), Count: rapid.Int64().Draw(t, "count"), Seq: rapid.Uint64().Draw(t, "seq"),
-				Age: rapid.Int64().Draw(t, "age"), Origin: Origin{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "from")), rapid.Uint64().Draw(t, "boot")}}
+			entry := Entry{Kind: Kind(rapid.IntRange(0, 8).Draw(t, "kind")), A: rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "a"), B: fmt.Sprint(rapid.IntRange(0, 99).Draw(t, "b")),
+				Born: rapid.Int64().Draw(t, "born"), At: rapid.Int64().Draw(t, "at"), Count: rapid.Int64().Draw(t, "count"), Seq: rapid.Uint64().Draw(t, "seq"),
+				Age: rapid.Int64().Draw(t, "age"), From: Origin{fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "from")), rapid.Uint64().Draw(t, "boot")}}
 			store.Merge(clock.Nanos(i), entry)
-			store.MergeRuns(clock.Nanos(i), []OriginRun{{Origin: entry.Origin, UpTo: entry.Seq, Entries: []Entry{entry}}})
+			store.MergeRuns(clock.Nanos(i), []OriginRun{{Origin: entry.From, UpTo: entry.Seq, Entries: []Entry{entry}}})
 			store.Expire(clock.Nanos(i))
 			logged := 0
 			for _, log := range store.logs {
@@ -202,16 +202,16 @@
 		}
 	})
 	store := newTestStore(t, "r", 0)
-	store.Merge(0, Entry{Kind: ServerPosition, Subject: "h", Position: 1e6 * second, Origin: Origin{"liar", 1}, Seq: 1})
+	store.Merge(0, Entry{Kind: ServerPosition, A: "h", At: 1e6 * second, From: Origin{"liar", 1}, Seq: 1})
 	applied := func() int64 { at, _, _ := store.AppliedPosition(0, "h", 0); return at }
 	if applied() == 0 {
 		t.Error("a router without a position of its own does not accept a received position")
 	}
-	store.Learn(0, Entry{Kind: ServerPosition, Subject: "h", Position: 5 * second})
+	store.Learn(0, Entry{Kind: ServerPosition, A: "h", At: 5 * second})
 	if applied() != 5*second || store.Rejected() != 1 {
 		t.Errorf("position %d after learning a position itself, %d rejected", applied(), store.Rejected())
 	}
-	if store.Merge(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: "s", Position: 100 * second, Origin: Origin{"liar", 1}, Seq: 2}) {
+	if store.Merge(0, Entry{Kind: SessionCommit, A: "1", B: "s", At: 100 * second, From: Origin{"liar", 1}, Seq: 2}) {
 		t.Error("a commit position in the future was accepted")
 	}
 }
@@ -220,8 +220,8 @@
 func TestLifetimes(t *testing.T) {
 	origin, receiver := newTestStore(t, "a", 0), newTestStore(t, "b", 0)
 	skew := 3600 * second
-	origin.Learn(0, Entry{Kind: PendingWrite, Subject: "ausleihe", Qualifier: "k"})
-	origin.Learn(0, Entry{Kind: Hint, Subject: "halle-a dark"})
+	origin.Learn(0, Entry{Kind: PendingWrite, A: "ausleihe", B: "k"})
+	origin.Learn(0, Entry{Kind: Hint, A: "halle-a dark"})
 	origin.Learn(0, NewSheddingLevel("1", 300, 77, 5))
 	origin.Learn(4*second, NewSheddingLevel("1", 310, 78, 6))
 	late := origin.Since(20*second, nil, 1000)
@@ -258,8 +258,8 @@
 // over all origins.
 func TestMergedClaimsAndUsage(t *testing.T) {
 	first, other := newTestStore(t, "a", 0), newTestStore(t, "b", 0)
-	first.Learn(0, Entry{Kind: PrimaryClaim, Subject: "1", Server: "x", Incarnation: 1, Position: 10})
-	other.Learn(0, Entry{Kind: PrimaryClaim, Subject: "1", Server: "y", Incarnation: 2, Position: 10})
+	first.Learn(0, Entry{Kind: PrimaryClaim, A: "1", Server: "x", Born: 1, At: 10})
+	other.Learn(0, Entry{Kind: PrimaryClaim, A: "1", Server: "y", Born: 2, At: 10})
 	first.MergeRuns(0, other.Since(0, nil, 1000))
 	other.MergeRuns(0, first.Since(0, other.VersionVector(), 1000))
 	for _, store := range []*Store{first, other} {
@@ -267,14 +267,14 @@
 			t.Errorf("%s %d %d", server, born, at)
 		}
 	}
-	if first.Learn(1, Entry{Kind: PrimaryClaim, Subject: "1", Server: "x", Incarnation: 3, Position: 11}); first.Digest(PrimaryClaim) == other.Digest(PrimaryClaim) {
+	if first.Learn(1, Entry{Kind: PrimaryClaim, A: "1", Server: "x", Born: 3, At: 11}); first.Digest(PrimaryClaim) == other.Digest(PrimaryClaim) {
 		t.Error("digests do not differ")
 	}
 	if difference := first.Difference(1, PrimaryClaim, other.All(1, PrimaryClaim), 5); len(difference) != 1 || difference[0].Server != "x" {
 		t.Errorf("%+v", difference)
 	}
-	first.Learn(0, Entry{Kind: Usage, Subject: "t", Qualifier: "c", Count: 500})
-	other.Learn(0, Entry{Kind: Usage, Subject: "t", Qualifier: "c", Count: 700})
+	first.Learn(0, Entry{Kind: Usage, A: "t", B: "c", Count: 500})
+	other.Learn(0, Entry{Kind: Usage, A: "t", B: "c", Count: 700})
 	if first.MergeRuns(2, other.Since(2, first.VersionVector(), 1000)); first.Usage("t", "c") != 1200 {
 		t.Errorf("usage %d", first.Usage("t", "c"))
 	}
@@ -285,7 +285,7 @@
 func TestGapIsFetched(t *testing.T) {
 	sender, receiver := newTestStore(t, "a", 0), newTestStore(t, "b", 0)
 	for i := range 6 {
-		sender.Learn(0, Entry{Kind: SessionCommit, Subject: "1", Qualifier: fmt.Sprint(i), Position: int64(i + 1)})
+		sender.Learn(0, Entry{Kind: SessionCommit, A: "1", B: fmt.Sprint(i), At: int64(i + 1)})
 	}
 	receiver.MergeRuns(0, sender.Since(0, VersionVector{sender.settings.Self: 3}, 1000))
 	if receiver.Size(SessionCommit) != 3 || receiver.VersionVector()[sender.settings.Self] != 0 {
@@ -294,8 +294,8 @@
 	if receiver.MergeRuns(0, sender.Since(0, receiver.VersionVector(), 1000)); receiver.Size(SessionCommit) != 6 || receiver.VersionVector()[sender.settings.Self] != 6 {
 		t.Errorf("%d sessions stored, covered up to %d", receiver.Size(SessionCommit), receiver.VersionVector()[sender.settings.Self])
 	}
-	for index, write := range []Entry{{Origin: Origin{"x", 1}, Age: 1 * second}, {Origin: Origin{"y", 1}, Age: 20 * second}, {Origin: Origin{"w", 1}, Age: 0}} {
-		write.Kind, write.Subject, write.Qualifier, write.Seq = PendingWrite, "c", "k", 1
+	for index, write := range []Entry{{From: Origin{"x", 1}, Age: 1 * second}, {From: Origin{"y", 1}, Age: 20 * second}, {From: Origin{"w", 1}, Age: 0}} {
+		write.Kind, write.A, write.B, write.Seq = PendingWrite, "c", "k", 1
 		if receiver.Merge(0, write); !receiver.MayHaveRun(28*second, "c", "k") || index == 2 && !receiver.MayHaveRun(29*second, "c", "k") {
 			t.Errorf("after entry %d the window ends early", index+1)
 		}
--- a/policy/crdt/sync.go
+++ b/policy/crdt/sync.go
@@ -21,7 +21,7 @@
 // The keys under which a version vector carries the ends of the span that remains to be fetched.
 var (
 	remainingAfterKey = Origin{}
-	remainingUpToKey  = Origin{Epoch: 1}
+	remainingUpToKey  = Origin{Boot: 1}
 )
 
 // OriginRun holds entries of one origin or, if Origin is zero, of several. If UpTo is greater than After, the run
@@ -58,7 +58,7 @@
 
 // Size returns the size of an entry in transit, in bytes.
 func (entry *Entry) Size() int {
-	return entryBytes + len(entry.Subject) + len(entry.Qualifier) + len(entry.Server) + len(entry.Origin.Name)
+	return entryBytes + len(entry.A) + len(entry.B) + len(entry.Server) + len(entry.From.Name)
 }
 
 // withAge returns the entry with its present age.
@@ -176,7 +176,7 @@
 func completeRuns(now clock.Nanos, missing []*storedEntry, claims []OriginRun) []OriginRun {
 	byOrigin := map[Origin][]*storedEntry{}
 	for _, stored := range missing {
-		byOrigin[stored.Origin] = append(byOrigin[stored.Origin], stored)
+		byOrigin[stored.From] = append(byOrigin[stored.From], stored)
 	}
 	var withoutGap, withGaps []OriginRun
 	for _, claim := range claims {
@@ -192,7 +192,7 @@
 	}
 	var others []*storedEntry
 	for _, stored := range missing {
-		if _, ok := byOrigin[stored.Origin]; ok {
+		if _, ok := byOrigin[stored.From]; ok {
 			others = append(others, stored)
 		}
 	}
@@ -235,7 +235,7 @@
 	for _, run := range runs {
 		valid := run.Origin.Name != "" && run.Origin != store.settings.Self && run.UpTo >= run.After
 		for _, entry := range run.Entries {
-			if run.Origin != (Origin{}) && (entry.Origin != run.Origin || entry.Seq <= run.After) {
+			if run.Origin != (Origin{}) && (entry.From != run.Origin || entry.Seq <= run.After) {
 				valid, covered = false, false
 				store.rejected++
 				continue
@@ -329,7 +329,7 @@
 		}
 	}
 	slices.SortFunc(differing, func(x, y Entry) int {
-		return cmp.Or(cmp.Compare(x.Subject, y.Subject), cmp.Compare(x.Qualifier, y.Qualifier), x.compareVersion(&y))
+		return cmp.Or(cmp.Compare(x.A, y.A), cmp.Compare(x.B, y.B), x.compareVersion(&y))
 	})
 	return differing[:min(maxEntries, len(differing))]
 }
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -139,7 +139,7 @@
 //nolint:gocognit,funlen // one linear scenario or table of cases
 func (state *modelState) request(routerIndex, subscriberIndex int, lost bool, brokenRule string) *modelState {
 	successor := state.afterEvent("subscriber %d sends a request to router %d, answer lost %v", subscriberIndex, routerIndex, lost)
-	subscriber, router, self := &successor.subscribers[subscriberIndex], &successor.routers[routerIndex], crdt.Origin{Name: fmt.Sprint("r", routerIndex), Epoch: 1}
+	subscriber, router, self := &successor.subscribers[subscriberIndex], &successor.routers[routerIndex], crdt.Origin{Name: fmt.Sprint("r", routerIndex), Boot: 1}
 	known := router.known[subscriberIndex]
 	request := Request{Connection: NewConnection, Known: known, IssuedHere: known.RaisedBy == self}
 	// The connection remembers the cursor of its last answer.
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -149,17 +149,20 @@
 type Decision struct {
 	Outcome      Outcome
 	RequiredRead ReadRequirement
-	Start        Position // BeginAtHead, ResumeAcked, Resume, Skip, Rewind: the answer contains the events after this position
-	Stale        Position // Rewind: the position that is given up, on a history that the lineage left before it
+	// BeginAtHead, ResumeAcked, Resume, Skip, Rewind: the answer contains the events after this position.
+	Start Position
+	// Rewind: the position that is given up, on a history that the lineage left before it.
+	Stale Position
 }
 
 // Request describes one request of a subscriber.
 type Request struct {
 	Connection ConnectionState
-	Client     Position // the cursor that it sent, or the last one it received on this connection; none if History is zero
-	Known      Cursor   // what all routers together know of the subscriber; the zero Cursor if nothing
-	IssuedHere bool     // whether this router issued Known
-	Evicted    bool     // whether cursors have been evicted
+	// The cursor that it sent, or the last one that it received on this connection; none if History is zero.
+	Client     Position
+	Known      Cursor // what all routers together know of the subscriber; the zero Cursor if nothing
+	IssuedHere bool   // whether this router issued Known
+	Evicted    bool   // whether cursors have been evicted
 }
 
 // Decide decides on a request. The caller calls it again after each read that the decision requires. mayReadAgain is
--- a/policy/cursor/registry.go
+++ b/policy/cursor/registry.go
@@ -16,7 +16,7 @@
 
 // Compare orders generations by number, then by the router that raised them.
 func (generation Generation) Compare(other Generation) int {
-	return cmp.Or(cmp.Compare(generation.Gen, other.Gen), cmp.Compare(generation.RaisedBy.Name, other.RaisedBy.Name), cmp.Compare(generation.RaisedBy.Epoch, other.RaisedBy.Epoch))
+	return cmp.Or(cmp.Compare(generation.Gen, other.Gen), cmp.Compare(generation.RaisedBy.Name, other.RaisedBy.Name), cmp.Compare(generation.RaisedBy.Boot, other.RaisedBy.Boot))
 }
 
 // Cursor is what is known of one subscriber of one feed. The zero Cursor means that nothing is known.
@@ -52,12 +52,12 @@
 
 // Entry returns the cursor as a replicated entry.
 func (cursor Cursor) Entry(feed, subscriber string) crdt.Entry {
-	return crdt.Entry{Kind: crdt.FeedCursor, Subject: feed, Qualifier: subscriber, Origin: cursor.RaisedBy, Count: cursor.Gen, Incarnation: int64(cursor.Number()), Position: cursor.At, Acked: cursor.Acked}
+	return crdt.Entry{Kind: crdt.FeedCursor, A: feed, B: subscriber, From: cursor.RaisedBy, Count: cursor.Gen, Born: int64(cursor.Number()), At: cursor.At, Acked: cursor.Acked}
 }
 
 // FromEntry returns the cursor of a replicated entry.
 func FromEntry(entry crdt.Entry) Cursor {
-	return Cursor{Generation{entry.Count, entry.Origin}, Position{HistoryFromNumber(uint64(entry.Incarnation)), entry.Position}, entry.Acked, entry.Age}
+	return Cursor{Generation{entry.Count, entry.From}, Position{HistoryFromNumber(uint64(entry.Born)), entry.At}, entry.Acked, entry.Age}
 }
 
 // Registry holds a limited number of cursors that this router issued. When it is full, the least recently used cursor
--- a/policy/cursor/replay_test.go
+++ b/policy/cursor/replay_test.go
@@ -31,7 +31,7 @@
 		settings.RingEvents, settings.BatchEvents = 12, 3
 		driver := replaytest.NewDriver(seed, digest)
 		feed, limiter := cursor.NewFeed(&settings), cursor.NewLimiter(&settings, driver.Now)
-		registry := cursor.NewRegistry(crdt.Origin{Name: "r-0", Epoch: 1}, 4)
+		registry := cursor.NewRegistry(crdt.Origin{Name: "r-0", Boot: 1}, 4)
 		position := func() cursor.Position {
 			era := uint32(1 + driver.IntN(2))
 			id := uint32(7 + driver.IntN(3))
--- a/policy/cursor/rules_test.go
+++ b/policy/cursor/rules_test.go
@@ -15,7 +15,7 @@
 
 func drawCursor(t *rapid.T) Cursor {
 	draw := func(name string, maxValue int) int64 { return int64(rapid.IntRange(0, maxValue).Draw(t, name)) }
-	return Cursor{Generation{draw("gen", 2), crdt.Origin{Name: fmt.Sprint("r", draw("by", 1)), Epoch: uint64(draw("boot", 1))}},
+	return Cursor{Generation{draw("gen", 2), crdt.Origin{Name: fmt.Sprint("r", draw("by", 1)), Boot: uint64(draw("boot", 1))}},
 		Position{History{uint32(draw("era", 2)), uint32(draw("id", 1))}, draw("at", 3)}, draw("acked", 3), draw("age", 3)}
 }
 
@@ -41,13 +41,13 @@
 		}
 		var merged [2]Cursor
 		for i, cursors := range [][]Cursor{{first, other}, {other, first, other}} {
-			store, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Epoch: 1}))
+			store, err := crdt.New(crdt.DefaultSettings(crdt.Origin{Name: "z", Boot: 1}))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for j, cursor := range cursors {
 				entry := cursor.Entry("f", "s")
-				entry.Acked, entry.Seq = min(entry.Acked, entry.Position), uint64(j+1)
+				entry.Acked, entry.Seq = min(entry.Acked, entry.At), uint64(j+1)
 				store.Merge(0, entry)
 			}
 			entry, _, _ := store.Cursor(0, "f", "s")
@@ -65,7 +65,7 @@
 // and reports evictions.
 func TestRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		registry, now := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, 4), clock.Nanos(0)
+		registry, now := NewRegistry(crdt.Origin{Name: "r", Boot: 1}, 4), clock.Nanos(0)
 		model, order := map[string]Cursor{}, []string{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now++
@@ -111,13 +111,13 @@
 		runtime.ReadMemStats(&after)
 		return int(after.HeapAlloc) - int(before.HeapAlloc)
 	}
-	registry := NewRegistry(crdt.Origin{Name: "r", Epoch: 1}, count)
+	registry := NewRegistry(crdt.Origin{Name: "r", Boot: 1}, count)
 	issuedBytes := allocated(func() {
 		for i := range count {
 			registry.Put(0, uint32(i%3), fmt.Sprintf("subscriber-%013d", i), Cursor{Generation{Gen: 1}, positionOf(1, 1, int64(i)), 0, 0})
 		}
 	})
-	settings := crdt.DefaultSettings(crdt.Origin{Name: "r", Epoch: 1})
+	settings := crdt.DefaultSettings(crdt.Origin{Name: "r", Boot: 1})
 	settings.MaxEntries[crdt.FeedCursor] = count
 	store, err := crdt.New(settings)
 	if err != nil {
--- a/policy/cursor/table.go
+++ b/policy/cursor/table.go
@@ -35,7 +35,7 @@
 	ClusterEvicted                          // the subscriber is unknown, and cursors have been evicted
 	ClusterBehind                           // less was delivered than the client has received
 	ClusterEqual                            // as much was delivered as the client has received
-	ClusterAhead                            // more was delivered: the last answer was lost, or a later request overtook this one
+	ClusterAhead                            // more was delivered: an answer was lost, or this request was overtaken
 	ClusterUnconfirmed                      // reported by another router and not confirmed
 	ClusterOtherHistory                     // on a history other than the client's
 )
@@ -46,7 +46,7 @@
 // The states of the endpoint's log.
 const (
 	EndpointUnread EndpointState = iota // no endpoint has answered yet
-	EndpointCovers                      // it contains the cursor's history, or knows where that ended, and reaches the cursor
+	EndpointCovers                      // it reaches the cursor and has its history, or knows where that ended
 	EndpointBehind                      // it does not reach the cursor
 	EndpointForked                      // it forked from the newest known lineage
 )
--- a/policy/trust/ledger.go
+++ b/policy/trust/ledger.go
@@ -138,7 +138,7 @@
 
 // compareValues compares the values of two entries of one key, and not their origins.
 func compareValues(e, f *crdt.Entry) int {
-	x, y := e.Position, f.Position
+	x, y := e.At, f.At
 	switch e.Kind {
 	case crdt.Usage:
 		x, y = e.Count, f.Count
@@ -152,8 +152,8 @@
 		return more
 	case x < y:
 		return less
-	case e.Kind == crdt.PrimaryClaim && (e.Server != f.Server || e.Incarnation != f.Incarnation):
-		if e.Incarnation > f.Incarnation || e.Incarnation == f.Incarnation && e.Server > f.Server {
+	case e.Kind == crdt.PrimaryClaim && (e.Server != f.Server || e.Born != f.Born):
+		if e.Born > f.Born || e.Born == f.Born && e.Server > f.Server {
 			return more
 		}
 		return less
--- a/policy/trust/trust.go
+++ b/policy/trust/trust.go
@@ -183,12 +183,12 @@
 }
 
 func keyOf(e *crdt.Entry) entryKey {
-	k := entryKey{kind: e.Kind, a: e.Subject, b: e.Qualifier}
+	k := entryKey{kind: e.Kind, a: e.A, b: e.B}
 	switch e.Kind {
 	case crdt.ServerPosition:
-		k.startedAt = e.Incarnation
+		k.startedAt = e.Born
 	case crdt.Usage, crdt.Hint:
-		k.from = e.Origin
+		k.from = e.From
 	}
 	return k
 }
--- a/policy/trust/trust_ledger_test.go
+++ b/policy/trust/trust_ledger_test.go
@@ -107,21 +107,21 @@
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 1e9).Draw(t, "passes")
 			e := crdt.Entry{Kind: rapid.SampledFrom([]crdt.Kind{crdt.SessionCommit, crdt.PrimaryClaim, crdt.ServerPosition, crdt.PendingWrite, crdt.Usage, crdt.Hint}).Draw(t, "kind"),
-				Subject: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "a"), Qualifier: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "b"), Position: rapid.Int64Range(1, 3).Draw(t, "at"),
-				Server: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), Origin: crdt.Origin{Name: "r", Epoch: 1}, Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
+				A: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "a"), B: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "b"), At: rapid.Int64Range(1, 3).Draw(t, "at"),
+				Server: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "server"), From: crdt.Origin{Name: "r", Boot: 1}, Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
 				Age: rapid.Int64Range(0, 1e11).Draw(t, "age")}
 			if e.Kind != crdt.PrimaryClaim {
 				e.Server = ""
 			}
-			e.Count = e.Position
+			e.Count = e.At
 			if e.Kind == crdt.Hint { // an origin's number names one word
-				e.Position, e.Count = 0, 0
+				e.At, e.Count = 0, 0
 			}
 			name := func(e crdt.Entry) string {
-				return fmt.Sprint(keyOf(&e), e.Position, e.Server, e.Seq*uint64(boolInt(e.Kind == crdt.Hint)))
+				return fmt.Sprint(keyOf(&e), e.At, e.Server, e.Seq*uint64(boolInt(e.Kind == crdt.Hint)))
 			}
 			if e.Kind == crdt.PendingWrite { // there is but one word of it
-				e.Position, e.Count = 1, 1
+				e.At, e.Count = 1, 1
 			}
 			w := words[name(e)]
 			if w == nil {
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	of := func(server string, at int64) crdt.Entry {
-		return crdt.Entry{Kind: crdt.PrimaryClaim, Subject: "1", Server: server, Position: at, Age: 5}
+		return crdt.Entry{Kind: crdt.PrimaryClaim, A: "1", Server: server, At: at, Age: 5}
 	}
 	for i, step := range []struct {
 		do   func()
