--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -105,7 +105,7 @@
 	s.at(s.index(&e), func(store *crdt.Store, now int64) {
 		if learned = store.Learn(now, e); learned {
 			e.Age = 0
-			e.From, e.Seq = store.Last()
+			e.From, e.Seq = store.LastLearned()
 		}
 	})
 	if learned && s.keeper != nil {
--- a/internal/peer/statewire.go
+++ b/internal/peer/statewire.go
@@ -70,8 +70,8 @@
 }
 
 func wireRun(shard int, r *crdt.OriginRun) run {
-	out := run{Shard: shard, Name: r.From.Name, Boot: r.From.Boot, After: r.After, Upto: r.Upto,
-		SpanAfter: r.Span.After, SpanUpto: r.Span.Upto, Evicted: uint16(r.Evicted)}
+	out := run{Shard: shard, Name: r.Origin.Name, Boot: r.Origin.Boot, After: r.After, Upto: r.UpTo,
+		SpanAfter: r.Span.After, SpanUpto: r.Span.UpTo, Evicted: uint16(r.Evicted)}
 	for i := range r.Entries {
 		out.Entries = append(out.Entries, wire(&r.Entries[i]))
 	}
@@ -79,8 +79,8 @@
 }
 
 func (r *run) run() crdt.OriginRun {
-	out := crdt.OriginRun{From: crdt.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, Upto: r.Upto,
-		Span: crdt.KeySpan{After: r.SpanAfter, Upto: r.SpanUpto}, Evicted: crdt.KindSet(r.Evicted)}
+	out := crdt.OriginRun{Origin: crdt.Origin{Name: r.Name, Boot: r.Boot}, After: r.After, UpTo: r.Upto,
+		Span: crdt.KeySpan{After: r.SpanAfter, UpTo: r.SpanUpto}, Evicted: crdt.KindSet(r.Evicted)}
 	for i := range r.Entries {
 		out.Entries = append(out.Entries, r.Entries[i].entry())
 	}
