--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -17,292 +17,289 @@
 )
 
 const (
-	// Of the clients' descriptors so many are for connections that are closing: the
-	// rejected that still read their error, and those evicted to make room.
-	leavingShare, minLeaving, maxLeaving = 8, 4, 32
+	// The number of client descriptors divided by closingDivisor, within the two limits, is set aside for connections
+	// that are closing: rejected clients that still read their error, and evicted clients.
+	closingDivisor, minClosing, maxClosing = 8, 4, 32
 
-	// An accept call that finds a waiting connection does not yield, and while
-	// the calls go on the network poller is not run. So after so many the acceptor
-	// sleeps for a moment: in a flood the requests in flight must make progress.
+	// An accept call that finds a waiting connection does not yield, and the network poller does not run during a
+	// series of such calls. The acceptor therefore sleeps briefly after each few calls, so that requests in flight
+	// make progress during a connection flood.
 	acceptsBetweenPauses = 4
 	acceptPause          = 20 * time.Microsecond
 
 	lingerInterval        = 2 * time.Millisecond
-	acceptorSweepInterval = 25 * time.Millisecond // evictions must not be delayed by it
-	memoryCheckSweeps     = 4                     // in sweeps: the memory in use is checked
+	acceptorSweepInterval = 25 * time.Millisecond // short, as evictions wait for the next sweep
+	memoryCheckSweeps     = 4                     // the memory in use is measured every so many sweeps
 	logInterval           = 5 * time.Second
-	// After the descriptors ran out, the client limit grows again after this time, by
-	// one with each sweep.
-	regrowAfter      = 3 * time.Second
-	retryAcceptAfter = 5 * time.Millisecond // pause while there is no descriptor for accept
+	// The time from running out of descriptors until the client limit grows again, by one with each sweep.
+	regrowDelay      = 3 * time.Second
+	acceptRetryDelay = 5 * time.Millisecond // pause after a failed accept and while no descriptor is free
 )
 
-// acceptor carries out the admission decisions: it accepts clients, rejects them
-// before it reads anything of theirs, and evicts some to make room for others.
+// acceptor carries out the admission decisions: it accepts clients, rejects clients before it reads any of their bytes,
+// and evicts clients to free capacity for others.
 type acceptor struct {
 	router        *Router
 	lingering     *lingeringCloses
 	spare         spareDescriptor
-	maxRetryAfter clock.Nanos // the longest Retry-After time; 0: none is sent
+	maxRetryAfter clock.Nanos // 0: no Retry-After time is sent
 
-	mu        sync.Mutex // guards the gate and the list; nothing blocks while it is held
-	admission *admission.Controller
-	clients   map[admission.ID]*client
-	nextID    admission.ID
-	reported  [admission.ReasonCount]uint64
-
-	shrunkAt time.Time // when descriptors last ran out; zero: they did not, or long ago
+	mu            sync.Mutex // guards the fields below; no code blocks while it is held
+	admission     *admission.Controller
+	clients       map[admission.ID]*client
+	nextID        admission.ID
+	loggedCounts  [admission.ReasonCount]uint64 // the rejections that have been logged
+	capacityCutAt time.Time                     // when the capacity was last lowered because descriptors ran out; zero: it is fully restored
 }
 
-func newAcceptor(r *Router, a *siteconfig.Admission) (*acceptor, error) {
-	d := &acceptor{router: r, clients: map[admission.ID]*client{}}
-	if b := &r.config.Settings.Balance; b.RetryAfterAllowed {
-		d.maxRetryAfter = b.MaxRetryAfter
+func newAcceptor(router *Router, settings *siteconfig.Admission) (*acceptor, error) {
+	acceptor := &acceptor{router: router, clients: map[admission.ID]*client{}}
+	if balanceSettings := &router.config.Settings.Balance; balanceSettings.RetryAfterAllowed {
+		acceptor.maxRetryAfter = balanceSettings.MaxRetryAfter
 	}
-	d.lingering = newLingeringCloses(d.leavingDescriptors(), r.descriptors)
+	acceptor.lingering = newLingeringCloses(acceptor.closingDescriptors(), router.descriptors)
 	var err error
-	if d.admission, err = admission.New(d.limits(a), r.config.Seed); err != nil {
+	if acceptor.admission, err = admission.New(acceptor.limits(settings), router.config.Seed); err != nil {
 		return nil, err
 	}
-	d.lingering.setDuration(time.Duration(a.LingerMS) * time.Millisecond)
-	return d, d.spare.take()
+	acceptor.lingering.setDuration(time.Duration(settings.LingerMS) * time.Millisecond)
+	return acceptor, acceptor.spare.take()
 }
 
-// leavingDescriptors is how many descriptors are for connections that are closing.
-func (d *acceptor) leavingDescriptors() int {
-	most, _ := d.router.descriptors.Clients()
-	return min(max(most/leavingShare, minLeaving), maxLeaving)
+// closingDescriptors returns the number of descriptors that are set aside for connections that are closing.
+func (acceptor *acceptor) closingDescriptors() int {
+	maxClients, _ := acceptor.router.descriptors.Clients()
+	return min(max(maxClients/closingDivisor, minClosing), maxClosing)
 }
 
-// capacity is how many clients may be connected.
-func (d *acceptor) capacity() int {
-	most, _ := d.router.descriptors.Clients()
-	return most - d.leavingDescriptors()
+// capacity returns the maximum number of connected clients.
+func (acceptor *acceptor) capacity() int {
+	maxClients, _ := acceptor.router.descriptors.Clients()
+	return maxClients - acceptor.closingDescriptors()
 }
 
-func (d *acceptor) limits(a *siteconfig.Admission) admission.Settings {
-	return a.Limits(d.capacity(), d.maxRetryAfter)
+func (acceptor *acceptor) limits(settings *siteconfig.Admission) admission.Settings {
+	return settings.Limits(acceptor.capacity(), acceptor.maxRetryAfter)
 }
 
-// shrink lowers the client limit, as the system grants fewer descriptors than
-// its limit promised.
-func (d *acceptor) shrink() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// shrink lowers the client limit after the operating system granted fewer descriptors than its limit allows.
+func (acceptor *acceptor) shrink() {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
 	now := time.Now()
-	if now.Sub(d.shrunkAt) < sweepInterval { // the evictions under way have to take effect first
+	if now.Sub(acceptor.capacityCutAt) < sweepInterval { // evictions in progress have to take effect first
 		return
 	}
-	d.shrunkAt = now
-	_, used := d.router.descriptors.Clients()
-	n := d.router.descriptors.LimitClients(used - minLeaving)
-	d.admission.SetCapacity(d.capacity())
-	slog.Warn("no descriptor left", "clients", used, "room", n)
+	acceptor.capacityCutAt = now
+	_, used := acceptor.router.descriptors.Clients()
+	limit := acceptor.router.descriptors.LimitClients(used - minClosing)
+	acceptor.admission.SetCapacity(acceptor.capacity())
+	slog.Warn("out of file descriptors; lowered the client limit", "clients", used, "room", limit)
 }
 
-// regrow checks whether descriptors are available again; the lock is held.
-func (d *acceptor) regrow(now time.Time) {
-	if d.shrunkAt.IsZero() || now.Sub(d.shrunkAt) < regrowAfter {
+// regrow raises the client limit step by step after descriptors ran out. The caller holds the lock.
+func (acceptor *acceptor) regrow(now time.Time) {
+	if acceptor.capacityCutAt.IsZero() || now.Sub(acceptor.capacityCutAt) < regrowDelay {
 		return
 	}
-	was, _ := d.router.descriptors.Clients()
-	if d.router.descriptors.LimitClients(was+1) == was { // all that the limit promised
-		d.shrunkAt = time.Time{}
+	before, _ := acceptor.router.descriptors.Clients()
+	if acceptor.router.descriptors.LimitClients(before+1) == before { // the limit is back at its maximum
+		acceptor.capacityCutAt = time.Time{}
 	}
-	d.admission.SetCapacity(d.capacity())
+	acceptor.admission.SetCapacity(acceptor.capacity())
 }
 
-// reload puts other limits in force.
-func (d *acceptor) reload(a *siteconfig.Admission) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.admission.UpdateSettings(d.limits(a)); err != nil {
+// reload applies new admission limits.
+func (acceptor *acceptor) reload(settings *siteconfig.Admission) error {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	if err := acceptor.admission.UpdateSettings(acceptor.limits(settings)); err != nil {
 		return err
 	}
-	d.lingering.setDuration(time.Duration(a.LingerMS) * time.Millisecond)
+	acceptor.lingering.setDuration(time.Duration(settings.LingerMS) * time.Millisecond)
 	return nil
 }
 
 // accept accepts clients until the listener closes.
-func (d *acceptor) accept(ln net.Listener) error {
-	defer d.spare.give()
-	for n := 1; ; n++ {
-		for !d.router.descriptors.Accept() { // connections that are closing hold the rest
-			if d.router.clients.endLingering() || !d.lingering.closeOldest() {
+func (acceptor *acceptor) accept(listener net.Listener) error {
+	defer acceptor.spare.give()
+	for accepts := 1; ; accepts++ {
+		for !acceptor.router.descriptors.Accept() { // the remaining descriptors belong to closing connections
+			if acceptor.router.clients.endLingering() || !acceptor.lingering.closeOldest() {
 				select {
-				case <-d.router.descriptors.Left():
-				case <-time.After(retryAcceptAfter):
+				case <-acceptor.router.descriptors.Left():
+				case <-time.After(acceptRetryDelay):
 				}
 			}
 		}
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
-			d.router.descriptors.Leave()
-			var ne net.Error
+			acceptor.router.descriptors.Leave()
+			var netError net.Error
 			switch {
 			case fdlimit.Exhausted(err):
-				d.acceptWithoutDescriptor(ln)
-			case errors.As(err, &ne) && !errors.Is(err, net.ErrClosed): // an aborted connection
-				slog.Warn("accept", "err", err)
-				time.Sleep(retryAcceptAfter)
+				acceptor.acceptWithoutDescriptor(listener)
+			case errors.As(err, &netError) && !errors.Is(err, net.ErrClosed): // the client aborted the connection
+				slog.Warn("accept failed", "err", err)
+				time.Sleep(acceptRetryDelay)
 			default:
 				return err
 			}
 			continue
 		}
-		d.admit(conn)
-		if n%acceptsBetweenPauses == 0 {
+		acceptor.admit(conn)
+		if accepts%acceptsBetweenPauses == 0 {
 			time.Sleep(acceptPause)
 		}
 	}
 }
 
-// admit lets admission decide about a connection, and carries the decision out.
-func (d *acceptor) admit(conn net.Conn) {
-	addr := remoteAddress(conn)
-	d.mu.Lock()
-	d.nextID++
-	id := d.nextID
-	v := d.admission.Arrive(id, addr, d.router.clock.now())
-	out := d.findEvicted(v.Evictions)
-	var c *client
-	if v.Admitted() {
-		c = newClient(d.router, conn)
-		c.admissionID = id
-		d.clients[id] = c
+// admit asks the admission controller about a new connection and carries out its verdict.
+func (acceptor *acceptor) admit(conn net.Conn) {
+	address := remoteAddress(conn)
+	acceptor.mu.Lock()
+	acceptor.nextID++
+	id := acceptor.nextID
+	verdict := acceptor.admission.Arrive(id, address, acceptor.router.clock.now())
+	evictions := acceptor.findEvicted(verdict.Evictions)
+	var newcomer *client
+	if verdict.Admitted() {
+		newcomer = newClient(acceptor.router, conn)
+		newcomer.admissionID = id
+		acceptor.clients[id] = newcomer
 	}
-	d.mu.Unlock()
-	d.evict(out)
-	if c == nil {
-		d.lingering.reject(conn, d.rejectionMessage(addr, v))
+	acceptor.mu.Unlock()
+	acceptor.evict(evictions)
+	if newcomer == nil {
+		acceptor.lingering.reject(conn, acceptor.rejectionMessage(address, verdict))
 		return
 	}
-	d.router.clients.add(c)
-	d.router.clients.serving.Go(c.run)
+	acceptor.router.clients.add(newcomer)
+	acceptor.router.clients.serving.Go(newcomer.run)
 }
 
-// sessionStarted passes a startup message's settings to admission.
-func (d *acceptor) sessionStarted(c *client) error {
-	who := admission.Identity{User: c.identity.User, Database: c.identity.Database, Application: c.identity.Application}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.verdict(c, d.admission.Identify(c.admissionID, who, d.router.clock.now()))
+// sessionStarted passes the identity in a startup message to the admission controller.
+func (acceptor *acceptor) sessionStarted(client *client) error {
+	identity := admission.Identity{User: client.identity.User, Database: client.identity.Database, Application: client.identity.Application}
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	return acceptor.verdict(client, acceptor.admission.Identify(client.admissionID, identity, acceptor.router.clock.now()))
 }
 
-// queryArrived tells admission that a client has sent a query, which may be rejected.
-func (d *acceptor) queryArrived(c *client) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.verdict(c, d.admission.Request(c.admissionID, d.router.clock.now()))
+// queryArrived reports a query to the admission controller, which may reject it.
+func (acceptor *acceptor) queryArrived(client *client) error {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	return acceptor.verdict(client, acceptor.admission.Request(client.admissionID, acceptor.router.clock.now()))
 }
 
-// verdict returns a rejection as the reader's error. A client that is being evicted
-// receives it too, as a message of its has been read by now.
-func (d *acceptor) verdict(c *client, v admission.Verdict) error {
-	if v.Reason == admission.None {
+// verdict returns a rejection as the reader's error. A client that is being evicted receives it too, because one of its
+// messages has already been read.
+func (acceptor *acceptor) verdict(client *client, verdict admission.Verdict) error {
+	if verdict.Reason == admission.None {
 		return nil
 	}
-	return d.rejectionFor(remoteAddress(c.conn), v)
+	return acceptor.rejectionFor(remoteAddress(client.conn), verdict)
 }
 
-func (d *acceptor) answered(c *client) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.admission.Answered(c.admissionID, d.router.clock.now())
+func (acceptor *acceptor) answered(client *client) {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	acceptor.admission.Answered(client.admissionID, acceptor.router.clock.now())
 }
 
-func (d *acceptor) clientClosed(c *client) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.admission.Closed(c.admissionID)
-	delete(d.clients, c.admissionID)
+func (acceptor *acceptor) clientClosed(client *client) {
+	acceptor.mu.Lock()
+	defer acceptor.mu.Unlock()
+	acceptor.admission.Closed(client.admissionID)
+	delete(acceptor.clients, client.admissionID)
 }
 
-// evicted is a client to be evicted, and the error that it receives.
+// evicted is a client to be evicted and the error that it receives; nil: the connection is closed without one.
 type evicted struct {
 	*client
 	rejection *rejection
 }
 
-// findEvicted finds the clients of a list; the lock is held.
-func (d *acceptor) findEvicted(list []admission.Eviction) []evicted {
+// findEvicted returns the clients of a list of evictions. The caller holds the lock.
+func (acceptor *acceptor) findEvicted(evictions []admission.Eviction) []evicted {
 	var found []evicted
-	for _, l := range list {
-		c := d.clients[l.ID]
-		if !invariant.Check(c != nil, "who is to be put out is here", "reason", l.Reason) {
+	for _, eviction := range evictions {
+		client := acceptor.clients[eviction.ID]
+		if !invariant.Check(client != nil, "an evicted client is connected", "reason", eviction.Reason) {
 			continue
 		}
-		o := evicted{client: c}
-		if l.Notify {
-			o.rejection = d.rejectionFor(remoteAddress(c.conn), admission.Verdict{Reason: l.Reason, RetryAfter: l.RetryAfter})
+		entry := evicted{client: client}
+		if eviction.Notify {
+			entry.rejection = acceptor.rejectionFor(remoteAddress(client.conn), admission.Verdict{Reason: eviction.Reason, RetryAfter: eviction.RetryAfter})
 		}
-		found = append(found, o)
+		found = append(found, entry)
 	}
 	return found
 }
 
-func (d *acceptor) evict(list []evicted) {
-	for _, o := range list {
-		o.evict(o.rejection)
+func (acceptor *acceptor) evict(list []evicted) {
+	for _, entry := range list {
+		entry.evict(entry.rejection)
 	}
 }
 
-// run sweeps and logs rejections until the context ends.
-func (d *acceptor) run(ctx context.Context) {
-	defer d.lingering.closeAll()
-	sweep, tick, tell := time.NewTicker(acceptorSweepInterval), time.NewTicker(lingerInterval), time.NewTicker(logInterval)
-	defer sweep.Stop()
-	defer tick.Stop()
-	defer tell.Stop()
-	used := 0.0
-	for n := 0; ; {
-		ticks := tick.C
-		if !d.lingering.any() {
-			ticks = nil
+// run sweeps, closes rejected connections and logs rejections until the context ends.
+func (acceptor *acceptor) run(ctx context.Context) {
+	defer acceptor.lingering.closeAll()
+	sweepTicker, lingerTicker, logTicker := time.NewTicker(acceptorSweepInterval), time.NewTicker(lingerInterval), time.NewTicker(logInterval)
+	defer sweepTicker.Stop()
+	defer lingerTicker.Stop()
+	defer logTicker.Stop()
+	memoryUsed := 0.0
+	for sweeps := 0; ; {
+		lingerTicks := lingerTicker.C
+		if !acceptor.lingering.any() {
+			lingerTicks = nil
 		}
 		select {
 		case <-ctx.Done():
-			d.logRejections()
+			acceptor.logRejections()
 			return
-		case <-d.lingering.notEmpty:
-		case now := <-ticks:
-			d.lingering.expire(now)
-		case <-sweep.C:
-			if n++; n%memoryCheckSweeps == 1 {
-				used = d.memoryUse()
+		case <-acceptor.lingering.notEmpty:
+		case now := <-lingerTicks:
+			acceptor.lingering.expire(now)
+		case <-sweepTicker.C:
+			if sweeps++; sweeps%memoryCheckSweeps == 1 {
+				memoryUsed = acceptor.memoryUse()
 			}
-			d.mu.Lock()
-			d.regrow(time.Now())
-			out := d.findEvicted(d.admission.Sweep(d.router.clock.now(), used))
-			d.mu.Unlock()
-			d.evict(out)
-		case <-tell.C:
-			d.logRejections()
+			acceptor.mu.Lock()
+			acceptor.regrow(time.Now())
+			evictions := acceptor.findEvicted(acceptor.admission.Sweep(acceptor.router.clock.now(), memoryUsed))
+			acceptor.mu.Unlock()
+			acceptor.evict(evictions)
+		case <-logTicker.C:
+			acceptor.logRejections()
 		}
 	}
 }
 
-// logRejections logs how many clients were rejected since it last did.
-func (d *acceptor) logRejections() {
-	d.mu.Lock()
-	counts, tight := d.admission.Counts(), d.admission.UnderPressure()
-	held, _ := d.admission.Size()
-	var line []any
-	for r, n := range counts {
-		if n > d.reported[r] {
-			line = append(line, slog.Uint64(admission.Reason(r).String(), n-d.reported[r]))
+// logRejections logs the number of rejections by reason since the previous call.
+func (acceptor *acceptor) logRejections() {
+	acceptor.mu.Lock()
+	counts, pressure := acceptor.admission.Counts(), acceptor.admission.UnderPressure()
+	connected, _ := acceptor.admission.Size()
+	var attributes []any
+	for reason, count := range counts {
+		if count > acceptor.loggedCounts[reason] {
+			attributes = append(attributes, slog.Uint64(admission.Reason(reason).String(), count-acceptor.loggedCounts[reason]))
 		}
 	}
-	d.reported = counts
-	d.mu.Unlock()
-	if len(line) > 0 {
-		slog.Info("turned away", append([]any{"held", held, "tight", tight}, line...)...)
+	acceptor.loggedCounts = counts
+	acceptor.mu.Unlock()
+	if len(attributes) > 0 {
+		slog.Info("clients rejected", append([]any{"held", connected, "tight", pressure}, attributes...)...)
 	}
 }
 
-// memoryUse returns the used share of the router's memory limit.
-func (d *acceptor) memoryUse() float64 {
-	s := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-	metrics.Read(s)
-	return float64(s[0].Value.Uint64()-s[1].Value.Uint64()) / float64(d.router.config.Limits.MemoryMB<<20)
+// memoryUse returns the fraction of the router's memory limit that is in use.
+func (acceptor *acceptor) memoryUse() float64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return float64(samples[0].Value.Uint64()-samples[1].Value.Uint64()) / float64(acceptor.router.config.Limits.MemoryMB<<20)
 }
--- a/internal/router/answers.go
+++ b/internal/router/answers.go
@@ -7,13 +7,14 @@
 	"lotushook/policy/clock"
 )
 
-// rejectionReason is why a request is rejected, where it is not the decision module that says so.
+// rejectionReason is the reason for a rejection that the decision module did not make.
 type rejectionReason struct{ text, hint string }
 
-// rejectedByShutdown is why a router that stops rejects what it has no time for.
+// rejectedByShutdown is the reason for rejecting requests that can't be completed before the shutdown ends.
 var rejectedByShutdown = &rejectionReason{text: "the router stops"}
 
-// rejectedAnswer is the answer that a repeat does no harm; retryAfter, where not 0, is when to come again.
+// rejectedAnswer returns the answer to a request that was not run, which the client may safely retry. A retryAfter
+// other than 0 is the time to wait before the retry.
 func rejectedAnswer(retryAfter clock.Nanos, reason *rejectionReason) []byte {
 	if reason == nil {
 		reason = &rejectionReason{text: "nothing ran"}
@@ -23,7 +24,8 @@
 	return pgwire.AppendReady(message)
 }
 
-// retryAfterField is a Retry-After as the field D tells it: complete milliseconds, and nothing where none is known.
+// retryAfterField returns the Retry-After time as the error field D has it: in whole milliseconds, rounded up, and empty
+// where none is known.
 func retryAfterField(retryAfter clock.Nanos) string {
 	if retryAfter <= 0 {
 		return ""
@@ -31,5 +33,5 @@
 	return strconv.FormatInt((retryAfter+clock.Millisecond-1)/clock.Millisecond, 10)
 }
 
-// failedAnswer is the answer that promises nothing.
+// failedAnswer returns the answer to a request that may or may not have run.
 func failedAnswer(cause string) []byte { return errorAnswer(pgwire.CodeFailed, cause) }
--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -6,22 +6,24 @@
 	"lotushook/policy/clock"
 )
 
-// promptRead is how long a read of bytes that were there takes at most; a longer one has waited for them.
-const promptRead = clock.Nanos(time.Millisecond)
+// maxPromptRead is the maximum duration of a read of bytes that were already available. A longer read had to wait for
+// them.
+const maxPromptRead = clock.Nanos(time.Millisecond)
 
-// arrivals bounds when the bytes that a reader holds were sent. A client's deadline counts from its sending, and a reader may
-// come late to what its client has sent: behind open requests, or in a pause after unusable queries.
+// arrivals estimates when the bytes in a reader's buffer were sent. A client counts its deadline from the time of
+// sending, and the reader may read a message late: it waits while too many requests are open, and pauses after
+// unusable queries.
 type arrivals struct {
-	by     clock.Nanos // all that was read by now had been sent at this time, or earlier: no more is left of its deadline
+	sentBy clock.Nanos // all bytes read so far were sent at this time or earlier; deadlines count from it
 	lastAt clock.Nanos // the end of the last read
 }
 
-// read notes one read. Bytes that did not have to be waited for may have come any time since the read before.
-func (a *arrivals) read(began, ended clock.Nanos) {
-	if a.lastAt == 0 || ended-began > promptRead {
-		a.by = ended
+// recordRead records one read. Bytes that were already available may have arrived at any time since the previous read.
+func (arrivals *arrivals) recordRead(startedAt, endedAt clock.Nanos) {
+	if arrivals.lastAt == 0 || endedAt-startedAt > maxPromptRead {
+		arrivals.sentBy = endedAt
 	} else {
-		a.by = a.lastAt
+		arrivals.sentBy = arrivals.lastAt
 	}
-	a.lastAt = ended
+	arrivals.lastAt = endedAt
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -13,142 +13,143 @@
 	"lotushook/policy/clock"
 )
 
-// retryTripShare: one part in so many of an idempotency window is reserved for a retry's way to the data server.
-const retryTripShare = 8
+// The idempotency window divided by retryTransitDivisor is reserved for a retry's transit to the data server.
+const retryTransitDivisor = 8
 
-// attempt makes one attempt; there is never another while it is open. It returns the final answer if that ends the request.
-func (r *request) attempt(action balance.Action) (answer []byte, ended bool) {
-	r.router.membership.logAttempt(r, action)
-	startedAt := r.router.clock.now()
-	deadlines := backend.Deadlines{Connect: r.router.clock.at(action.ConnectDeadline), Answer: r.router.clock.at(action.AttemptDeadline)}
+// attempt makes one attempt; a request never has two open attempts. It returns the final answer if the attempt ends the
+// request.
+func (request *request) attempt(action balance.Action) (answer []byte, ended bool) {
+	request.router.membership.logAttempt(request, action)
+	startedAt := request.router.clock.now()
+	deadlines := backend.Deadlines{Connect: request.router.clock.at(action.ConnectDeadline), Answer: request.router.clock.at(action.AttemptDeadline)}
 	if action.FreshnessDeadline > 0 {
-		deadlines.Fresh = r.router.clock.at(action.FreshnessDeadline)
+		deadlines.Fresh = request.router.clock.at(action.FreshnessDeadline)
 	}
-	started := r.router.pool.Start(action.Endpoint, deadlines, r.writeQuery, r.isStillWanted)
-	result := r.awaitAttempt(started, action)
-	waited := !r.checkAbandoned()
-	r.recordAttempt(action, startedAt, &result)
-	r.reportAttempt(action, startedAt, &result)
-	r.shareOutcome(action.Endpoint, &result)
-	r.end.Served = result.Outcome == balance.Succeeded
-	if r.end.Served && (waited || !r.clientLeft() || r.client.failedByClient) {
-		r.outcome = endServed
-		if r.result != nil {
-			r.result.value, r.result.served = result.Value, true
+	pending := request.router.pool.Start(action.Endpoint, deadlines, request.writeQuery, request.isStillWanted)
+	result := request.awaitAttempt(pending, action)
+	waited := !request.checkAbandoned()
+	request.recordAttempt(action, startedAt, &result)
+	request.reportAttempt(action, startedAt, &result)
+	request.shareOutcome(action.Endpoint, &result)
+	request.end.Served = result.Outcome == balance.Succeeded
+	if request.end.Served && (waited || !request.clientLeft() || request.client.failedByClient) {
+		request.outcome = endServed
+		if request.result != nil {
+			request.result.value, request.result.served = result.Value, true
 		}
 		return pgwire.AppendReady(result.Answer), true
 	}
 	if !waited {
-		return r.canceledAnswer(), true
+		return request.canceledAnswer(), true
 	}
 	return nil, false
 }
 
-// awaitAttempt waits for an attempt's end: its answer, its deadline, the module's cancel, or the client's leaving, which is
-// reported to the module at once.
-func (r *request) awaitAttempt(started *backend.Attempt, action balance.Action) backend.Result {
-	late := time.NewTimer(time.Until(r.router.clock.at(action.AttemptDeadline)))
-	defer late.Stop()
-	left, canceled := r.client.left, r.canceled
+// awaitAttempt waits for the end of an attempt: its answer, its deadline, the end of the shutdown, or a cancel by the
+// decision module. If the client disconnects or cancels meanwhile, it reports that to the module at once.
+func (request *request) awaitAttempt(pending *backend.Attempt, action balance.Action) backend.Result {
+	timeout := time.NewTimer(time.Until(request.router.clock.at(action.AttemptDeadline)))
+	defer timeout.Stop()
+	clientLeft, canceled := request.client.left, request.canceled
 	for {
 		select {
-		case result := <-started.Done():
+		case result := <-pending.Done():
 			return result
-		case <-late.C:
-			return started.Abort(balance.TimedOut)
-		case <-r.router.shutdown.over:
-			return started.Abort(balance.Canceled)
-		case <-left:
-			left = nil
-			r.checkAbandoned() // a cancel follows, where cancels are allowed
+		case <-timeout.C:
+			return pending.Abort(balance.TimedOut)
+		case <-request.router.shutdown.over:
+			return pending.Abort(balance.Canceled)
+		case <-clientLeft:
+			clientLeft = nil
+			request.checkAbandoned() // the module then cancels the attempt, where cancels are allowed
 		case <-canceled:
 			canceled = nil
-			r.checkAbandoned()
-		case next := <-r.actions:
+			request.checkAbandoned()
+		case next := <-request.actions:
 			isCancel := next.Kind == balance.CancelAttempt
-			if invariant.Check(isCancel, "no action but a cancel while an attempt is open", "kind", next.Kind) {
-				return started.Abort(balance.Canceled)
+			if invariant.Check(isCancel, "the only action during an open attempt is a cancel", "kind", next.Kind) {
+				return pending.Abort(balance.Canceled)
 			}
 		}
 	}
 }
 
-// reportAttempt tells the decision module how an attempt ended.
-func (r *request) reportAttempt(action balance.Action, startedAt clock.Nanos, result *backend.Result) {
+// reportAttempt reports the end of an attempt to the decision module.
+func (request *request) reportAttempt(action balance.Action, startedAt clock.Nanos, result *backend.Result) {
 	event := balance.Event{
 		Kind:     balance.AttemptEnded,
-		Attempt:  r.attempts,
+		Attempt:  request.attempts,
 		Endpoint: action.Endpoint,
 		Outcome:  result.Outcome,
 		Role:     result.Role,
 		Position: result.Position,
 		Final:    result.Outcome == balance.Succeeded,
 	}
-	r.attempts++
-	if mayRun(result.Outcome) && !r.mayHaveRun {
-		r.mayHaveRun, r.firstRunAt = true, startedAt
+	request.attempts++
+	if mayRun(result.Outcome) && !request.mayHaveRun {
+		request.mayHaveRun, request.firstRunAt = true, startedAt
 	}
-	r.report(event)
+	request.report(event)
 }
 
-// shareOutcome replicates what an attempt has shown to the peers.
-func (r *request) shareOutcome(endpoint balance.EndpointID, result *backend.Result) {
-	r.router.membership.learnFrom(r.Cluster, endpoint, result)
-	if !r.router.config.Settings.IsWrite(r.Class) {
+// shareOutcome replicates what an attempt revealed about its endpoint and group to the other members.
+func (request *request) shareOutcome(endpoint balance.EndpointID, result *backend.Result) {
+	request.router.membership.learnFrom(request.Cluster, endpoint, result)
+	if !request.router.config.Settings.IsWrite(request.Class) {
 		return
 	}
 	switch {
 	case result.Outcome == balance.Succeeded:
-		r.router.membership.committed(r, result.Position)
+		request.router.membership.committed(request, result.Position)
 	case mayRun(result.Outcome):
-		r.router.membership.mayHaveRun(r.Class, r.Key)
+		request.router.membership.mayHaveRun(request.Class, request.Key)
 	}
 }
 
-// recordAttempt counts an attempt that has ended, and keeps it for the attempt log.
-func (r *request) recordAttempt(action balance.Action, startedAt clock.Nanos, result *backend.Result) {
-	if r.router.metrics == nil && !r.router.accessLog.wanted() {
+// recordAttempt counts an attempt that has ended and stores it for the access log.
+func (request *request) recordAttempt(action balance.Action, startedAt clock.Nanos, result *backend.Result) {
+	if request.router.metrics == nil && !request.router.accessLog.wanted() {
 		return
 	}
-	host := r.router.directory.NameOf(action.Endpoint)
-	r.router.metrics.CountOutcome(host, result.Outcome)
+	host := request.router.directory.NameOf(action.Endpoint)
+	request.router.metrics.CountOutcome(host, result.Outcome)
 	if result.Outcome == balance.NotEligible {
-		if r.router.config.Settings.IsWrite(r.Class) {
-			r.router.metrics.Add(metrics.MissesNotPrimary)
+		if request.router.config.Settings.IsWrite(request.Class) {
+			request.router.metrics.Add(metrics.MissesNotPrimary)
 		} else {
-			r.router.metrics.Add(metrics.MissesBehind)
+			request.router.metrics.Add(metrics.MissesBehind)
 		}
 	}
-	if r.router.accessLog.wanted() {
-		r.trace = append(r.trace, tracedAttempt{host, action.Reason, result.Outcome, startedAt, r.router.clock.now()})
+	if request.router.accessLog.wanted() {
+		request.trace = append(request.trace, tracedAttempt{host, action.Reason, result.Outcome, startedAt, request.router.clock.now()})
 	}
 }
 
-// isStillWanted says whether the query may still be sent, right before its first byte is: it is called on any goroutine,
-// and does not block.
-func (r *request) isStillWanted() bool {
-	return !r.clientLeft() && !r.isCanceled() && !r.router.shutdown.isOver() && r.router.clock.now() < r.lastRetryAt()
+// isStillWanted reports whether the query may still be sent. The connection pool calls it right before it writes the
+// first byte, on any goroutine; it does not block.
+func (request *request) isStillWanted() bool {
+	return !request.clientLeft() && !request.isCanceled() && !request.router.shutdown.isOver() && request.router.clock.now() < request.lastRetryAt()
 }
 
-// lastRetryAt is the last time at which a query may be sent that may have run before. Servers drop duplicates for a window
-// that starts with the first attempt; the decision module respects it when it decides on a retry, and a dial may take longer
-// than what is left of it.
-func (r *request) lastRetryAt() clock.Nanos {
-	settings := r.router.config.Settings
-	class := settings.Class(r.Class)
-	if !r.mayHaveRun || settings.Balance.Classes[class].Idempotency != balance.IdempotentByKey {
+// lastRetryAt returns the latest time to send a query that may have run before. Servers drop duplicates during an
+// idempotency window that starts with the first attempt. The decision module respects the window when it decides on a
+// retry, but establishing a connection may take longer than the remainder of the window.
+func (request *request) lastRetryAt() clock.Nanos {
+	settings := request.router.config.Settings
+	class := settings.Class(request.Class)
+	if !request.mayHaveRun || settings.Balance.Classes[class].Idempotency != balance.IdempotentByKey {
 		return math.MaxInt64
 	}
 	window := settings.Balance.Classes[class].IdempotencyWindow
-	return r.firstRunAt + window - window/retryTripShare
+	return request.firstRunAt + window - window/retryTransitDivisor
 }
 
-// writeQuery writes the query in the form that data servers read, with the deadline that is left.
-func (r *request) writeQuery(w io.Writer) error {
-	return r.WriteQuery(w, time.Until(r.router.clock.at(r.deadline)))
+// writeQuery writes the query in the form that data servers read, with the remaining time until the deadline.
+func (request *request) writeQuery(writer io.Writer) error {
+	return request.WriteQuery(writer, time.Until(request.router.clock.at(request.deadline)))
 }
 
-// mayRun says whether an attempt's outcome leaves open that it ran.
+// mayRun reports whether a query may have run though its attempt ended with this outcome.
 func mayRun(outcome balance.Outcome) bool {
 	switch outcome {
 	case balance.Failed, balance.TimedOut, balance.ConnectionReset, balance.Canceled:
--- a/internal/router/cancelkeys.go
+++ b/internal/router/cancelkeys.go
@@ -11,11 +11,11 @@
 	"lotushook/policy/clock"
 )
 
-// cancelShards is in how many pieces the keys are kept: clients come and go on many goroutines.
+// cancelShards is the number of shards of the key map, as many goroutines add and remove clients concurrently.
 const cancelShards = 16
 
-// cancelKeys finds the client that a CancelRequest names. It holds one entry for each client that has been welcomed, and none
-// of those that have gone.
+// cancelKeys finds the client that a CancelRequest names. It has one entry for each client from its session's start to
+// its disconnection.
 type cancelKeys struct {
 	clients *sharded.Shards[map[uint32]*client]
 }
@@ -24,87 +24,89 @@
 	return &cancelKeys{sharded.New(cancelShards, func(int) map[uint32]*client { return map[uint32]*client{} })}
 }
 
-// at has a function look at the clients among whom a process is.
-func (x *cancelKeys) at(process uint32, do func(clients map[uint32]*client)) {
-	x.clients.At(int(process%cancelShards), func(m *map[uint32]*client) { do(*m) })
+// at calls a function, under the shard's lock, with the shard of clients that a process number belongs to.
+func (keys *cancelKeys) at(process uint32, do func(clients map[uint32]*client)) {
+	keys.clients.At(int(process%cancelShards), func(shard *map[uint32]*client) { do(*shard) })
 }
 
-// add gives a client a key of its own, which nobody can guess, and returns it.
-func (x *cancelKeys) add(c *client) pgwire.CancelKey {
+// add assigns a client a unique key that can't be guessed, and returns it.
+func (keys *cancelKeys) add(owner *client) pgwire.CancelKey {
 	for {
-		var b [8]byte
-		rand.Read(b[:])                                                                                                     // it never fails
-		c.cancelKey = pgwire.CancelKey{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])} // clients show it as a signed number
+		var random [8]byte
+		rand.Read(random[:]) // crypto/rand.Read never returns an error
+		// The process number is below 1<<31, as clients display it as a signed number.
+		owner.cancelKey = pgwire.CancelKey{Process: binary.BigEndian.Uint32(random[:]) >> 1, Secret: binary.BigEndian.Uint32(random[4:])}
 		added := false
-		x.at(c.cancelKey.Process, func(clients map[uint32]*client) {
-			if clients[c.cancelKey.Process] == nil && c.cancelKey.Process != 0 {
-				clients[c.cancelKey.Process], added = c, true
+		keys.at(owner.cancelKey.Process, func(clients map[uint32]*client) {
+			if clients[owner.cancelKey.Process] == nil && owner.cancelKey.Process != 0 {
+				clients[owner.cancelKey.Process], added = owner, true
 			}
 		})
 		if added {
-			return c.cancelKey
+			return owner.cancelKey
 		}
 	}
 }
 
-// remove forgets a client, if it has a key.
-func (x *cancelKeys) remove(c *client) {
-	x.at(c.cancelKey.Process, func(clients map[uint32]*client) {
-		if clients[c.cancelKey.Process] == c {
-			delete(clients, c.cancelKey.Process)
+// remove removes a client, if it has a key.
+func (keys *cancelKeys) remove(owner *client) {
+	keys.at(owner.cancelKey.Process, func(clients map[uint32]*client) {
+		if clients[owner.cancelKey.Process] == owner {
+			delete(clients, owner.cancelKey.Process)
 		}
 	})
 }
 
-// cancel calls off what the client of a key is waiting for. A key that nobody has is ignored: whoever sends it hears the
-// same either way, nothing.
-func (x *cancelKeys) cancel(key pgwire.CancelKey) {
-	var c *client
-	x.at(key.Process, func(clients map[uint32]*client) { c = clients[key.Process] })
-	if c == nil || subtle.ConstantTimeEq(int32(c.cancelKey.Secret), int32(key.Secret)) == 0 {
+// cancel cancels the request that the client with this key waits for. An unknown key is ignored; a CancelRequest gets
+// no response in either case.
+func (keys *cancelKeys) cancel(key pgwire.CancelKey) {
+	var owner *client
+	keys.at(key.Process, func(clients map[uint32]*client) { owner = clients[key.Process] })
+	if owner == nil || subtle.ConstantTimeEq(int32(owner.cancelKey.Secret), int32(key.Secret)) == 0 {
 		return
 	}
-	unread := c.hasUnread()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.cancelable) > 0 { // the one that is answered next; those behind it go on
-		c.cancelable[0].cancel()
+	unread := owner.hasUnread()
+	owner.mu.Lock()
+	defer owner.mu.Unlock()
+	if len(owner.cancelable) > 0 { // cancel the request that is answered next; the ones behind it continue
+		owner.cancelable[0].cancel()
 		return
 	}
-	c.earlyCancel = earlyCancel{at: c.router.clock.now(), unread: unread}
+	owner.earlyCancel = earlyCancel{at: owner.router.clock.now(), unread: unread}
 }
 
-// earlyCancelWindow is how long the bytes that lay unread when a CancelRequest came may take to be read: the reader may rest before it,
-// and be late by what a held up router may be.
+// earlyCancelWindow is the maximum time to read bytes that were unread when a CancelRequest arrived: the longest pause
+// after unusable queries, and the delay of a router that is short of CPU time.
 const earlyCancelWindow = clock.Nanos(maxUnusablePause) + 100*clock.Millisecond
 
-// earlyCancel is a CancelRequest that came on its own connection before the query that it names was taken: the two are read by
-// different goroutines, and a busy router may come to the later one first.
+// earlyCancel is a CancelRequest that was processed before the query that it names. The two arrive on different
+// connections and are read by different goroutines, so that a busy router may read the later one first.
 type earlyCancel struct {
-	at     clock.Nanos // when it came; 0: there was none
-	unread bool        // bytes of its client lay unread then
+	at     clock.Nanos // when it arrived; 0: there was none
+	unread bool        // whether the client's connection had unread bytes then
 }
 
-// names says whether the request names a query whose last bytes were read at a time. One that was sent afterwards is another one.
-func (e earlyCancel) names(readAt clock.Nanos) bool {
-	return e.at > 0 && (readAt <= e.at || e.unread && readAt <= e.at+earlyCancelWindow)
+// names reports whether the CancelRequest names the query whose last bytes were read at readAt, and not one that was
+// sent after it.
+func (cancel earlyCancel) names(readAt clock.Nanos) bool {
+	return cancel.at > 0 && (readAt <= cancel.at || cancel.unread && readAt <= cancel.at+earlyCancelWindow)
 }
 
-// hasUnread says whether bytes of the client lie unread in the system's buffer.
-func (c *client) hasUnread() bool {
-	if _, ok := c.conn.(syscall.Conn); !ok {
+// hasUnread reports whether the kernel's receive buffer has unread bytes from the client.
+func (client *client) hasUnread() bool {
+	if _, ok := client.conn.(syscall.Conn); !ok {
 		return false
 	}
-	return withDescriptor(c.conn, func(fd int) bool {
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return err == nil && n > 0
+	return withDescriptor(client.conn, func(fd int) bool {
+		var buffer [1]byte
+		count, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return err == nil && count > 0
 	})
 }
 
-// cancel calls the request off; its client's lock is held.
-func (r *request) cancel() {
-	if !r.isCanceled() {
-		close(r.canceled)
+// cancel cancels the request. The caller holds the client's lock.
+func (request *request) cancel() {
+	if !request.isCanceled() {
+		close(request.canceled)
 	}
 }
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -16,81 +16,81 @@
 
 const (
 	maxQueryBytes  = 1 << 20
-	maxAnswerBytes = backend.MaxMessageBytes + 64<<10 // the value, and the messages round it
-	maxPipelined   = 16                               // requests of one client at a time
+	maxAnswerBytes = backend.MaxMessageBytes + 64<<10 // the value and the messages around it
+	maxPipelined   = 16                               // concurrent requests per client
 )
 
-// client is one connection of a client: a goroutine that reads it, and a task for each request. Only the reader ends the
-// connection, whoever wants it ended: nobody else knows whether a request has been read.
+// client is one client connection: a goroutine that reads it, and one task per request. Other goroutines ask the reader
+// to close the connection, as only the reader knows whether a request has been read.
 type client struct {
 	router         *Router
 	conn           net.Conn
-	identity       contract.Identity // as its startup message says
+	identity       contract.Identity // from the startup message
 	cancelKey      pgwire.CancelKey
 	admissionID    admission.ID
-	left           chan struct{} // closed once the client has gone, or is to be
-	failedByClient bool          // with left closed: by an error of the client's, which still hears
+	left           chan struct{} // closed once the client has disconnected or is being disconnected
+	failedByClient bool          // set before left is closed: the client made an error and still receives messages
 	clientReader
 	clientWriter
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 	clientState
 }
 
 // clientReader belongs to the goroutine that reads the connection.
 type clientReader struct {
-	input         *ringbuffer.Buffer
-	arrived       arrivals                 // when what is in the input had come
-	skipUntilSync bool                     // after an error in an extended query
-	unusableInRow int                      // unusable queries in a row
-	feedSeat      *changefeed.Subscription // of one that has asked for a feed
+	input            *ringbuffer.Buffer
+	arrived          arrivals                 // when the bytes of the input were sent
+	skipUntilSync    bool                     // after an error in an extended query
+	unusableInRow    int                      // consecutive unusable queries
+	feedSubscription *changefeed.Subscription // nil: the client has not queried a change feed
 }
 
-// clientWriter belongs to whoever has the turn to answer, but for the channels.
+// clientWriter belongs to the task whose turn it is to write its answer; any goroutine may use the channels.
 type clientWriter struct {
 	output           *ringbuffer.Buffer
-	slots            chan struct{} // bounds what is pipelined
-	writeFailed      chan struct{} // closed once an answer could not be written: nobody hears the next ones
+	slots            chan struct{} // a semaphore that limits the pipelined requests
+	writeFailed      chan struct{} // closed once an answer could not be written: later answers can't be delivered
 	closeWriteFailed sync.Once
 }
 
-// clientState is what the reader, the tasks and the sweep share.
+// clientState is shared by the reader, the tasks and the sweep.
 type clientState struct {
-	openQueries  int           // read and not answered
-	cancelable   []*request    // of those, the ones that a CancelRequest can name, in their order
-	earlyCancel  earlyCancel   // for the next query, if it was sent before
-	lastAnswered chan struct{} // closed once the newest query has its answer
-	hasQueried   bool          // it has sent a complete query
-	pipelines    bool          // it has sent a query without waiting for the answer before it
+	openQueries  int           // read and not yet answered
+	cancelable   []*request    // the open requests that a CancelRequest can name, in the order of their queries
+	earlyCancel  earlyCancel   // a CancelRequest that may name the next query
+	lastAnswered chan struct{} // closed once the most recent query is answered
+	hasQueried   bool          // the client has sent a complete query
+	pipelines    bool          // the client has sent a query before the previous one was answered
 	idleSince    time.Time     // since when no query is open
 	partialSince time.Time     // since when a message is incomplete; zero: none is
 	wakeup
-	lingering      bool      // the reader is closing the connection: nobody wakes it any more
-	lingeringSince time.Time // since when it waits for the client's end; zero: it does not
+	lingering      bool      // the reader is closing the connection and must not be woken
+	lingeringSince time.Time // since when the reader waits for the client to close its side; zero: it does not
 }
 
-// wakeup is what the reader is woken for by a read deadline long past.
+// wakeup is the reason for waking the reader, by setting a read deadline in the past.
 type wakeup struct {
-	rejection *rejection // for the reader to send
-	overdue   bool       // a query, or the rest of a message, has not come in time
-	closing   bool       // it is to end the connection, if nothing is open or has come
-	displaced bool       // with closing: admission has given its place away
+	rejection *rejection // to be sent by the reader
+	overdue   bool       // a query or the rest of a message did not arrive in time
+	closing   bool       // close the connection unless a request is open or has arrived
+	displaced bool       // set with closing: admission has given the client's capacity to another one
 }
 
 var (
-	errDone           = errors.New("done") // ends a connection without anything being wrong
-	errAnswerNotTaken = errors.New("an answer was not taken")
-	errDraining       = errors.New("refused: the router stops")
+	errDone             = errors.New("done") // the regular end of a connection
+	errAnswerNotWritten = errors.New("an answer could not be written")
+	errDraining         = errors.New("refused: the router stops")
 )
 
-func newClient(r *Router, conn net.Conn) *client {
+func newClient(router *Router, conn net.Conn) *client {
 	answered := make(chan struct{})
 	close(answered)
 	return &client{
-		router:       r,
+		router:       router,
 		conn:         conn,
 		left:         make(chan struct{}),
-		clientReader: clientReader{input: ringbuffer.New(maxQueryBytes).Within(r.readQuota)},
+		clientReader: clientReader{input: ringbuffer.New(maxQueryBytes).Within(router.readQuota)},
 		clientWriter: clientWriter{
 			output:      ringbuffer.New(maxAnswerBytes),
 			slots:       make(chan struct{}, maxPipelined),
@@ -100,38 +100,38 @@
 	}
 }
 
-// run reads the connection until the client leaves, and waits for its requests.
-func (c *client) run() {
+// run reads the connection until it ends, and waits for the open requests.
+func (client *client) run() {
 	var tasks sync.WaitGroup
-	err := c.startSession()
+	err := client.startSession()
 	started := err == nil
 	for err == nil {
-		err = c.readMessage(&tasks)
+		err = client.readMessage(&tasks)
 	}
-	c.finish(&tasks, c.closeCause(err), started)
+	client.finish(&tasks, client.closeCause(err), started)
 }
 
-// finish ends the connection once all that was read has its answer.
-func (c *client) finish(tasks *sync.WaitGroup, cause error, started bool) {
+// finish closes the connection once all queries that were read are answered.
+func (client *client) finish(tasks *sync.WaitGroup, cause error, started bool) {
 	code, retryAfter := fatalCode(cause)
 	var unserved []byte
 	if started {
-		unserved = c.rejectUnserved(cause)
+		unserved = client.rejectUnserved(cause)
 	}
-	c.input.Free()
-	c.failedByClient = code != ""
-	if c.failedByClient { // what was taken is answered before it
-		c.awaitOpenRequests(c.router.timeouts.openRequests)
+	client.input.Free()
+	client.failedByClient = code != ""
+	if client.failedByClient { // open requests are answered before the error is sent
+		client.awaitOpenRequests(client.router.timeouts.openRequests)
 	}
-	close(c.left)
-	c.router.cancelKeys.remove(c)
+	close(client.left)
+	client.router.cancelKeys.remove(client)
 	tasks.Wait()
-	if c.failedByClient {
-		c.writeLast(pgwire.AppendError(unserved, "FATAL", code, cause.Error(), retryAfter))
+	if client.failedByClient {
+		client.writeLast(pgwire.AppendError(unserved, "FATAL", code, cause.Error(), retryAfter))
 	}
-	if c.failedByClient || c.pipelines && errors.Is(cause, errDone) {
-		c.lingeringClose()
+	if client.failedByClient || client.pipelines && errors.Is(cause, errDone) {
+		client.lingeringClose()
 	}
-	closeQuietly(c.conn)
-	c.router.removeClient(c)
+	closeQuietly(client.conn)
+	client.router.removeClient(client)
 }
--- a/internal/router/clientclose.go
+++ b/internal/router/clientclose.go
@@ -10,48 +10,49 @@
 	"lotushook/internal/ringbuffer"
 )
 
-// pastDeadline wakes the reader of a connection at once.
+// pastDeadline is a read deadline that wakes the reader of a connection at once.
 var pastDeadline = time.Unix(1, 0)
 
-// lingeringClose ends the sending and then reads and drops what still comes, up to the client's own end and within bounds
-// in time and bytes. Closed over unread bytes, the connection would be reset, and the reset can overtake what was written.
-// Nothing that is read here is served: its answer could not arrive any more.
+// lingeringClose closes the sending side of the connection, and then reads and discards input until the client closes
+// its side or a limit on time or bytes is reached. Closing a connection with unread bytes resets it, and the reset can
+// overtake the last messages that were written. Requests that are read here are not served, as their answers could not
+// be delivered.
 //
-// It is for who has got an error, as more may stand behind what caused it, and for who sends without waiting. Any other
-// client has all its answers by the time that more of it comes; what crosses its close stays unread, so that it may send
-// it elsewhere.
-func (c *client) lingeringClose() {
-	sender, ok := c.conn.(interface{ CloseWrite() error })
+// It is for clients that received a fatal error, as there may be more input behind the message that caused it, and for
+// clients that pipeline requests. Any other client has all its answers before it sends its next request; a request that
+// arrives during the close stays unread, so that the client may send it elsewhere.
+func (client *client) lingeringClose() {
+	sender, ok := client.conn.(interface{ CloseWrite() error })
 	if !ok || sender.CloseWrite() != nil {
 		return
 	}
-	if c.beginLingering(time.Now()) != nil {
+	if client.beginLingering(time.Now()) != nil {
 		return
 	}
-	for dropped := 0; dropped < c.input.Cap(); dropped += c.input.Discard(c.input.Len()) {
-		if c.input.Fill(c.conn) != nil {
+	for dropped := 0; dropped < client.input.Cap(); dropped += client.input.Discard(client.input.Len()) {
+		if client.input.Fill(client.conn) != nil {
 			return
 		}
 	}
 }
 
-func (c *client) beginLingering(now time.Time) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lingering, c.lingeringSince = true, now
-	return c.conn.SetReadDeadline(now.Add(c.router.timeouts.lingeringClose))
+func (client *client) beginLingering(now time.Time) error {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.lingering, client.lingeringSince = true, now
+	return client.conn.SetReadDeadline(now.Add(client.router.timeouts.lingeringClose))
 }
 
-// wakeReader has the reader look at once why it was woken. A connection that has no deadlines any more has ended, which
-// the reader sees by itself.
-func (c *client) wakeReader() {
-	if err := c.conn.SetReadDeadline(pastDeadline); err != nil {
+// wakeReader makes the reader check at once why it was woken. Setting the deadline fails only on a connection that is
+// closed, which the reader notices by itself.
+func (client *client) wakeReader() {
+	if err := client.conn.SetReadDeadline(pastDeadline); err != nil {
 		slog.Debug("client", "err", err)
 	}
 }
 
-// fatalCode is the code of the error that a client gets before its connection is closed, none where it closed or has gone;
-// and when to come again, as the field D tells it.
+// fatalCode returns the code of the error that a client gets before its connection is closed, and its field D, the
+// Retry-After time. The code is empty if the client closed the connection itself or is closed without an error.
 func fatalCode(err error) (code, retryAfter string) {
 	var tooLong *pgwire.TooLong
 	var rejected *rejection
@@ -70,58 +71,59 @@
 	return "", ""
 }
 
-// closeCause is why the reading ended: where admission has evicted the client, that.
-func (c *client) closeCause(err error) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.rejection == nil {
+// closeCause returns why the reader stopped. An eviction by the admission controller takes precedence over the timeout
+// or the regular end that it caused.
+func (client *client) closeCause(err error) error {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.rejection == nil {
 		return err
 	}
 	var rejected *rejection
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errDone) || errors.As(err, &rejected) {
-		return c.rejection
+		return client.rejection
 	}
 	return err
 }
 
-// rejectUnserved answers the queries that were read behind one that is rejected: the fatal error at the end is the answer
-// to one of them, the rest get theirs first.
-func (c *client) rejectUnserved(err error) (answers []byte) {
+// rejectUnserved returns rejections of the queries that were read after a query that is rejected. They precede the
+// fatal error at the end, which is the answer to one of the queries.
+func (client *client) rejectUnserved(err error) (answers []byte) {
 	var rejected *rejection
 	if !errors.As(err, &rejected) {
 		return nil
 	}
 	for {
-		message, err := pgwire.Next(c.input)
+		message, err := pgwire.Next(client.input)
 		if err != nil {
 			return answers
 		}
 		if message.Kind == pgwire.Query {
 			answers = append(answers, rejectedAnswer(rejected.retryAfter, &rejectionReason{text: rejected.text})...)
 		}
-		c.input.Discard(message.Size)
+		client.input.Discard(message.Size)
 	}
 }
 
-// evict ends the connection for admission: with a rejection, which the reader sends, or, where that is nil, by closing it,
-// since a query may be on its way.
-func (c *client) evict(rejected *rejection) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.lingering { // else its last message is sent, and its place is wanted now
-		c.rejection = rejected
-		c.displaced = rejected == nil
-		c.closing = c.closing || c.displaced
+// evict ends the connection for the admission controller. The reader sends the rejection; if that is nil, it closes the
+// connection without one, since a query may be in transit, which the client can then send elsewhere.
+func (client *client) evict(rejected *rejection) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if !client.lingering { // a lingering client has got its last message; waking its reader ends the lingering
+		client.rejection = rejected
+		client.displaced = rejected == nil
+		client.closing = client.closing || client.displaced
 	}
-	c.wakeReader()
+	client.wakeReader()
 }
 
-// awaitOpenRequests waits for the open requests, but not for long, and not for a client that has gone.
-func (c *client) awaitOpenRequests(timeout time.Duration) {
-	c.mu.Lock()
-	answered := c.lastAnswered
-	c.mu.Unlock()
-	if err := c.pause(timeout, answered); err != nil {
+// awaitOpenRequests waits for the open requests for at most the timeout, and only while the client is connected.
+func (client *client) awaitOpenRequests(timeout time.Duration) {
+	client.mu.Lock()
+	answered := client.lastAnswered
+	client.mu.Unlock()
+	if err := client.pause(timeout, answered); err != nil {
 		slog.Debug("client", "err", err)
 	}
 }
--- a/internal/router/clientidle.go
+++ b/internal/router/clientidle.go
@@ -2,99 +2,100 @@
 
 import "time"
 
-// clientTimeouts is how long clients may take.
+// clientTimeouts limits the time that clients may take.
 type clientTimeouts struct {
-	message        time.Duration // a message that is not complete by then is given up
-	write          time.Duration // an answer that is not taken by then ends the connection
-	idle           time.Duration // a client with nothing open is closed after this
-	evictable      time.Duration // in a crowd, one may be closed that idles so long
-	silent         time.Duration // or that is connected so long and has sent nothing
-	openRequests   time.Duration // open requests hold a fatal error up for so long
-	firstQuery     time.Duration // from a router that stops, a client that has not queried yet has so long to do so
-	finalAnswers   time.Duration // and at the very end all have so long to take their answers
-	lingeringClose time.Duration // after the last message the connection is read to its end for so long
+	message          time.Duration // for a complete message to arrive
+	write            time.Duration // for an answer to be written, before the connection is closed
+	idle             time.Duration // until a client without open requests is closed
+	evictableIdle    time.Duration // the idle time from which a client may be closed when descriptors are scarce
+	evictableSilence time.Duration // likewise, the connection time of a client that has not sent a query
+	openRequests     time.Duration // the maximum delay of a fatal error by open requests
+	firstQuery       time.Duration // for a new client to send its first query during a shutdown
+	finalAnswers     time.Duration // for clients to read their answers at the end of a shutdown
+	lingeringClose   time.Duration // for reading and discarding input after the last message was sent
 }
 
 var defaultTimeouts = clientTimeouts{
-	message:        2 * time.Second,
-	write:          5 * time.Second,
-	idle:           2250 * time.Millisecond,
-	evictable:      100 * time.Millisecond,
-	silent:         20 * time.Millisecond,
-	openRequests:   500 * time.Millisecond,
-	firstQuery:     500 * time.Millisecond,
-	finalAnswers:   100 * time.Millisecond,
-	lingeringClose: 250 * time.Millisecond,
+	message:          2 * time.Second,
+	write:            5 * time.Second,
+	idle:             2250 * time.Millisecond,
+	evictableIdle:    100 * time.Millisecond,
+	evictableSilence: 20 * time.Millisecond,
+	openRequests:     500 * time.Millisecond,
+	firstQuery:       500 * time.Millisecond,
+	finalAnswers:     100 * time.Millisecond,
+	lingeringClose:   250 * time.Millisecond,
 }
 
-// expire ends what takes too long: a client that has queried nothing, a message that does not come to its end, a
-// connection that idles; and one that is asked to go by a router that stops.
-func (c *client) expire(now time.Time, draining bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	timeouts := &c.router.timeouts
-	idle := now.Sub(c.idleSince)
-	isPartial := !c.partialSince.IsZero()
+// expire wakes the reader of a client that has exceeded a timeout: one without a query, one whose message is incomplete,
+// or an idle one. During a shutdown it also closes clients without open requests.
+func (client *client) expire(now time.Time, draining bool) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	timeouts := &client.router.timeouts
+	idle := now.Sub(client.idleSince)
+	isPartial := !client.partialSince.IsZero()
 	switch {
-	case c.lingering:
-	case !c.hasQueried && idle > timeouts.message, isPartial && now.Sub(c.partialSince) > timeouts.message:
-		c.overdue = true // the reader says so and ends
-		c.wakeReader()
-	case idle > timeouts.idle, draining && (c.hasQueried || idle > timeouts.firstQuery || c.router.shutdown.isOver()):
-		c.closeIfIdleLocked()
+	case client.lingering:
+	case !client.hasQueried && idle > timeouts.message, isPartial && now.Sub(client.partialSince) > timeouts.message:
+		client.overdue = true // the reader sends an error and closes the connection
+		client.wakeReader()
+	case idle > timeouts.idle, draining && (client.hasQueried || idle > timeouts.firstQuery || client.router.shutdown.isOver()):
+		client.closeIfIdleLocked()
 	}
 }
 
-// idleState is when the client was last answered, or connected if it never queried; idle is false while it waits, and
-// while a message of its is incomplete: its reader would not end it.
-func (c *client) idleState() (since time.Time, hasQueried, idle bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	idle = c.openQueries == 0 && !c.closing && !c.lingering && c.partialSince.IsZero()
-	return c.idleSince, c.hasQueried, idle
+// idleState returns when the client was last answered, or when it connected if it has not queried yet. idle is false
+// while a request is open or a message is incomplete, as the reader would not close the connection then.
+func (client *client) idleState() (since time.Time, hasQueried, idle bool) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	idle = client.openQueries == 0 && !client.closing && !client.lingering && client.partialSince.IsZero()
+	return client.idleSince, client.hasQueried, idle
 }
 
-// isClosing says whether the client's place will soon be free.
-func (c *client) isClosing() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.closing || c.rejection != nil || c.lingering
+// isClosing reports whether the connection is about to be closed.
+func (client *client) isClosing() bool {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.closing || client.rejection != nil || client.lingering
 }
 
-// lingeringState is since when the client's end is waited for; false where it is not, or not any more.
-func (c *client) lingeringState() (since time.Time, lingering bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lingeringSince, !c.lingeringSince.IsZero()
+// lingeringState returns since when the reader waits for the client to close its side; false if it does not wait.
+func (client *client) lingeringState() (since time.Time, lingering bool) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.lingeringSince, !client.lingeringSince.IsZero()
 }
 
-// endLingering closes a connection without waiting any longer for the client's end.
-func (c *client) endLingering() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lingeringSince = time.Time{}
-	c.wakeReader()
+// endLingering ends the wait for the client to close its side.
+func (client *client) endLingering() {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.lingeringSince = time.Time{}
+	client.wakeReader()
 }
 
-// partialState is since when a message is incomplete; false where none is, or a request is open.
-func (c *client) partialState() (since time.Time, partial bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	partial = c.openQueries == 0 && c.rejection == nil && !c.lingering && !c.partialSince.IsZero()
-	return c.partialSince, partial
+// partialState returns since when a message is incomplete; false if none is, if a request is open, or if the connection
+// is about to be closed.
+func (client *client) partialState() (since time.Time, partial bool) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	partial = client.openQueries == 0 && client.rejection == nil && !client.lingering && !client.partialSince.IsZero()
+	return client.partialSince, partial
 }
 
-// closeIfIdle has the reader close the connection, unless a request is open or has come.
-func (c *client) closeIfIdle() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.closeIfIdleLocked()
+// closeIfIdle makes the reader close the connection, unless a request is open or has arrived.
+func (client *client) closeIfIdle() {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.closeIfIdleLocked()
 }
 
 // closeIfIdleLocked is closeIfIdle with the lock held.
-func (c *client) closeIfIdleLocked() {
-	if c.openQueries == 0 && !c.closing && !c.lingering {
-		c.closing = true
-		c.wakeReader()
+func (client *client) closeIfIdleLocked() {
+	if client.openQueries == 0 && !client.closing && !client.lingering {
+		client.closing = true
+		client.wakeReader()
 	}
 }
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -14,74 +14,75 @@
 )
 
 const (
-	unusablePauseStep = 10 * time.Millisecond // after each unusable query in a row, reading rests so much longer
+	unusablePauseStep = 10 * time.Millisecond // the pause grows by this with each consecutive unusable query
 	maxUnusablePause  = 250 * time.Millisecond
 	onlySimpleQueries = "only simple queries are served"
 )
 
-// readMore waits for more bytes. From the first byte of a message on, the sweep watches how long the rest takes.
-func (c *client) readMore() error {
-	c.notePartial()
-	first := c.arrived.lastAt == 0
-	began := c.router.clock.now()
-	err := c.input.Fill(c.conn)
-	ended := c.router.clock.now()
-	c.arrived.read(began, ended)
-	c.boundByKernel(first, ended)
+// readMore waits for more bytes. From the first byte of a message on, the sweep limits the time until the last.
+func (client *client) readMore() error {
+	client.notePartial()
+	first := client.arrived.lastAt == 0
+	startedAt := client.router.clock.now()
+	err := client.input.Fill(client.conn)
+	endedAt := client.router.clock.now()
+	client.arrived.recordRead(startedAt, endedAt)
+	client.boundByKernel(first, endedAt)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	// Somebody wants an end of it. What has come by now was sent before the client could know, so it is read first. A
-	// client that sends on is read on; it comes to an end when it leaves a gap, a message is complete, or the buffer is
-	// full.
-	if c.input.Fill(availableReader{c.conn}) == nil {
+	// The reader was woken to close the connection. Bytes that have already arrived were sent before the client could
+	// know, and are read first. Reading continues while the client keeps sending, until no bytes are available, a
+	// message is complete, or the buffer is full.
+	if client.input.Fill(availableReader{client.conn}) == nil {
 		return nil
 	}
-	return c.handleWakeup(err)
+	return client.handleWakeup(err)
 }
 
-// notePartial notes since when a message is incomplete.
-func (c *client) notePartial() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// notePartial records since when a message is incomplete.
+func (client *client) notePartial() {
+	client.mu.Lock()
+	defer client.mu.Unlock()
 	switch {
-	case c.input.Len() == 0: // behind a startup message that came in parts
-		c.partialSince = time.Time{}
-	case c.partialSince.IsZero():
-		c.partialSince = time.Now()
+	case client.input.Len() == 0: // a startup message that arrived in parts is complete
+		client.partialSince = time.Time{}
+	case client.partialSince.IsZero():
+		client.partialSince = time.Now()
 	}
 }
 
-// handleWakeup is how the connection ends for whoever woke the reader, nil if it goes on. Nothing that was read is
-// unanswered when it is closed, and what comes after the last look stays unread, so that its client may send it elsewhere.
-func (c *client) handleWakeup(err error) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	partial := c.input.Len() > 0
+// handleWakeup returns the error that ends the connection for the reason the reader was woken, nil if the connection
+// continues. All requests that were read are answered before it is closed. A request that arrives after the last check
+// stays unread, so that the client may send it elsewhere.
+func (client *client) handleWakeup(err error) error {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	partial := client.input.Len() > 0
 	switch {
-	case c.rejection != nil || c.overdue:
+	case client.rejection != nil || client.overdue:
 		return err
-	case c.closing && c.openQueries == 0 && !partial:
-		if !c.pipelines { // or lingeringClose does it
-			closeQuietly(c.conn)
+	case client.closing && client.openQueries == 0 && !partial:
+		if !client.pipelines { // otherwise lingeringClose closes it
+			closeQuietly(client.conn)
 		}
 		return errDone
-	case c.displaced:
-		return c.router.acceptor.displacedRejection(c)
-	case c.closing && partial && c.router.shutdown.isOver():
+	case client.displaced:
+		return client.router.acceptor.displacedRejection(client)
+	case client.closing && partial && client.router.shutdown.isOver():
 		return errDraining
 	}
-	c.closing = false
-	return c.conn.SetReadDeadline(time.Time{})
+	client.closing = false
+	return client.conn.SetReadDeadline(time.Time{})
 }
 
-// startSession answers the first messages up to the welcome. A query may stand right behind the startup message: it stays
-// in the buffer.
-func (c *client) startSession() error {
+// startSession answers the messages up to and including the startup message. A query that follows the startup message
+// directly stays in the buffer.
+func (client *client) startSession() error {
 	for {
-		kind, size, err := pgwire.NextStart(c.input)
+		kind, size, err := pgwire.NextStart(client.input)
 		if errors.Is(err, pgwire.ErrShort) {
-			if err := c.readMore(); err != nil {
+			if err := client.readMore(); err != nil {
 				return err
 			}
 			continue
@@ -91,185 +92,184 @@
 		}
 		switch kind {
 		case pgwire.CancelRequest:
-			return c.cancelRequest(size)
+			return client.cancelRequest(size)
 		case pgwire.Startup:
-			return c.welcome(size)
+			return client.welcome(size)
 		}
-		c.input.Discard(size)
+		client.input.Discard(size)
 		if kind == pgwire.EncryptRequest {
-			if err := c.write([]byte{'N'}); err != nil {
+			if err := client.write([]byte{'N'}); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// cancelRequest carries a CancelRequest out; its connection has no other use, and is closed at once.
-func (c *client) cancelRequest(size int) error {
-	if key, ok := pgwire.CancelOf(c.input, size); ok {
-		c.router.cancelKeys.cancel(key)
+// cancelRequest carries out a CancelRequest. Its connection is closed at once, as the protocol has no other use for it.
+func (client *client) cancelRequest(size int) error {
+	if key, ok := pgwire.CancelOf(client.input, size); ok {
+		client.router.cancelKeys.cancel(key)
 	}
 	return errDone
 }
 
-// welcome answers the startup message.
-func (c *client) welcome(size int) error {
-	c.readIdentity(size)
-	c.input.Discard(size)
-	if c.router.acceptor != nil {
-		if err := c.router.acceptor.sessionStarted(c); err != nil {
+// welcome starts the session and answers the startup message.
+func (client *client) welcome(size int) error {
+	client.readIdentity(size)
+	client.input.Discard(size)
+	if client.router.acceptor != nil {
+		if err := client.router.acceptor.sessionStarted(client); err != nil {
 			return err
 		}
 	}
-	return c.write(pgwire.AppendWelcome(nil, c.router.cancelKeys.add(c)))
+	return client.write(pgwire.AppendWelcome(nil, client.router.cancelKeys.add(client)))
 }
 
-// readIdentity keeps what a startup message says, where anybody asks.
-func (c *client) readIdentity(size int) {
-	if c.router.acceptor == nil && c.router.loop.contracts == nil {
+// readIdentity stores the identity in a startup message if admission or contracts need it.
+func (client *client) readIdentity(size int) {
+	if client.router.acceptor == nil && client.router.loop.contracts == nil {
 		return
 	}
-	c.identity.Address = remoteAddress(c.conn)
-	pgwire.StartupParams(c.input, size, func(name, value string) {
+	client.identity.Address = remoteAddress(client.conn)
+	pgwire.StartupParams(client.input, size, func(name, value string) {
 		switch name {
 		case "user":
-			c.identity.User = value
+			client.identity.User = value
 		case "database":
-			c.identity.Database = value
+			client.identity.Database = value
 		case "application_name":
-			c.identity.Application = value
+			client.identity.Application = value
 		}
 	})
 }
 
-// readMessage takes one message.
-func (c *client) readMessage(tasks *sync.WaitGroup) error {
-	message, err := pgwire.Next(c.input)
+// readMessage handles the next message, or reads more bytes if none is complete.
+func (client *client) readMessage(tasks *sync.WaitGroup) error {
+	message, err := pgwire.Next(client.input)
 	if errors.Is(err, pgwire.ErrShort) {
-		c.input.Idle()
-		return c.readMore()
+		client.input.Idle()
+		return client.readMore()
 	}
 	if err != nil {
 		return err
 	}
-	if err := c.noteComplete(); err != nil {
+	if err := client.noteComplete(); err != nil {
 		return err
 	}
-	err = c.handleMessage(tasks, message)
-	c.input.Discard(message.Size)
-	c.input.Idle() // a large query is held once, as its text
+	err = client.handleMessage(tasks, message)
+	client.input.Discard(message.Size)
+	client.input.Idle() // so that a large query is in memory only once, as its text
 	return err
 }
 
-// noteComplete notes that a message is complete, though it may be overdue.
-func (c *client) noteComplete() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.partialSince = time.Time{}
-	if !c.overdue {
+// noteComplete records that a message is complete. One that was overdue is still handled.
+func (client *client) noteComplete() error {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.partialSince = time.Time{}
+	if !client.overdue {
 		return nil
 	}
-	c.overdue = false
-	return c.conn.SetReadDeadline(time.Time{})
+	client.overdue = false
+	return client.conn.SetReadDeadline(time.Time{})
 }
 
-func (c *client) handleMessage(tasks *sync.WaitGroup, message pgwire.Message) error {
+func (client *client) handleMessage(tasks *sync.WaitGroup, message pgwire.Message) error {
 	switch message.Kind {
 	case pgwire.Terminate:
 		return errDone
 	case pgwire.Sync:
-		c.skipUntilSync = false
-		return c.answerLocally(tasks, pgwire.AppendReady(nil))
+		client.skipUntilSync = false
+		return client.answerLocally(tasks, pgwire.AppendReady(nil))
 	case pgwire.Flush:
 		return nil
 	case pgwire.Parse, pgwire.Bind, pgwire.Describe, pgwire.Execute, pgwire.Close:
-		if c.skipUntilSync {
+		if client.skipUntilSync {
 			return nil
 		}
-		c.skipUntilSync = true
-		return c.answerLocally(tasks, pgwire.AppendError(nil, "ERROR", pgwire.CodeNotSupported, onlySimpleQueries, ""))
+		client.skipUntilSync = true
+		return client.answerLocally(tasks, pgwire.AppendError(nil, "ERROR", pgwire.CodeNotSupported, onlySimpleQueries, ""))
 	case pgwire.FunctionCall:
-		return c.answerLocally(tasks, errorAnswer(pgwire.CodeNotSupported, onlySimpleQueries))
+		return client.answerLocally(tasks, errorAnswer(pgwire.CodeNotSupported, onlySimpleQueries))
 	case pgwire.Query:
-		if c.skipUntilSync {
+		if client.skipUntilSync {
 			return nil
 		}
-		return c.handleQuery(tasks, message.Body)
+		return client.handleQuery(tasks, message.Body)
 	}
 	return fmt.Errorf("%w: unknown message %q", pgwire.ErrMalformed, message.Kind)
 }
 
-// handleQuery starts the task of one query.
-func (c *client) handleQuery(tasks *sync.WaitGroup, body []byte) error {
-	arrivedAt := c.arrived.by
+// handleQuery starts the task of a query.
+func (client *client) handleQuery(tasks *sync.WaitGroup, body []byte) error {
+	arrivedAt := client.arrived.sentBy
 	text, err := pgwire.QueryText(body)
 	if err != nil {
 		return err
 	}
 	if pgwire.Blank(text) {
-		return c.startTask(tasks, c.answerReadiness)
+		return client.startTask(tasks, client.answerReadiness)
 	}
 	parsed, err := pgwire.ParseRequest(text)
 	if err != nil {
-		return c.rejectUnusable(tasks, pgwire.CodeSyntax, err)
+		return client.rejectUnusable(tasks, pgwire.CodeSyntax, err)
 	}
-	if err := c.router.config.Settings.Usable(parsed.Class, parsed.Key); err != nil {
-		return c.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
+	if err := client.router.config.Settings.Usable(parsed.Class, parsed.Key); err != nil {
+		return client.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
 	}
-	if !c.router.directory.HasGroup(parsed.Cluster) {
+	if !client.router.directory.HasGroup(parsed.Cluster) {
 		err := fmt.Errorf("no data server of cluster %d is listed", parsed.Cluster)
-		return c.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
+		return client.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
 	}
-	c.unusableInRow = 0
-	if c.router.changefeed != nil && c.router.changefeed.feeds.Serves(parsed.Class) {
-		return c.handleFeedQuery(tasks, &parsed, arrivedAt)
+	client.unusableInRow = 0
+	if client.router.changefeed != nil && client.router.changefeed.feeds.Serves(parsed.Class) {
+		return client.handleFeedQuery(tasks, &parsed, arrivedAt)
 	}
-	r := newRequest(c, parsed, c.router.shutdown.limit(deadlineOf(&parsed, arrivedAt)))
-	return c.startAnswer(tasks, r, r.run)
+	r := newRequest(client, parsed, client.router.shutdown.limit(deadlineOf(&parsed, arrivedAt)))
+	return client.startAnswer(tasks, r, r.run)
 }
 
-// answerReadiness answers the front's question whether this router is ready, an empty query.
-func (c *client) answerReadiness() []byte {
-	<-c.router.start.over
+// answerReadiness answers an empty query, the readiness check of the load balancer, once this router is ready.
+func (client *client) answerReadiness() []byte {
+	<-client.router.start.over
 	return pgwire.AppendReady(pgwire.Append(nil, pgwire.EmptyQueryResponse, nil))
 }
 
-func (c *client) handleFeedQuery(tasks *sync.WaitGroup, parsed *pgwire.Request, arrivedAt clock.Nanos) error {
-	if c.feedSeat == nil {
-		c.feedSeat = &changefeed.Subscription{}
+func (client *client) handleFeedQuery(tasks *sync.WaitGroup, parsed *pgwire.Request, arrivedAt clock.Nanos) error {
+	if client.feedSubscription == nil {
+		client.feedSubscription = &changefeed.Subscription{}
 	}
-	subscription := c.feedSeat
-	return c.startTask(tasks, func() []byte {
-		return c.router.changefeed.answer(c, parsed, subscription, arrivedAt)
+	subscription := client.feedSubscription
+	return client.startTask(tasks, func() []byte {
+		return client.router.changefeed.answer(client, parsed, subscription, arrivedAt)
 	})
 }
 
-// deadlineOf is when a request that arrived at a time has to be answered: what its client waits, less the way there and
-// back.
+// deadlineOf returns the deadline of a request by its arrival: the time that its client waits, less the transit times.
 func deadlineOf(parsed *pgwire.Request, arrivedAt clock.Nanos) clock.Nanos {
 	return arrivedAt + int64(max(parsed.Wait-deadlineMargin, parsed.Wait/2))
 }
 
 // newRequest returns a request that a CancelRequest can name.
-func newRequest(c *client, parsed pgwire.Request, deadline clock.Nanos) *request {
+func newRequest(client *client, parsed pgwire.Request, deadline clock.Nanos) *request {
 	return &request{
 		Request:  parsed,
-		router:   c.router,
-		client:   c,
-		identity: c.identity,
+		router:   client.router,
+		client:   client,
+		identity: client.identity,
 		actions:  make(chan balance.Action, actionQueueSize),
 		canceled: make(chan struct{}),
 		deadline: deadline,
 	}
 }
 
-// rejectUnusable answers a query that can't be a request, and rests: a client that sends such queries as fast as it can
-// must not take the time of the others.
-func (c *client) rejectUnusable(tasks *sync.WaitGroup, code string, err error) error {
-	if err := c.answerLocally(tasks, errorAnswer(code, err.Error())); err != nil {
+// rejectUnusable answers a query that is not a valid request, and pauses: a client that sends such queries as fast as it
+// can must not take CPU time from other clients.
+func (client *client) rejectUnusable(tasks *sync.WaitGroup, code string, err error) error {
+	if err := client.answerLocally(tasks, errorAnswer(code, err.Error())); err != nil {
 		return err
 	}
-	c.unusableInRow++
-	pause := min(time.Duration(c.unusableInRow)*unusablePauseStep, maxUnusablePause)
-	return c.pause(pause, c.router.shutdown.over)
+	client.unusableInRow++
+	pause := min(time.Duration(client.unusableInRow)*unusablePauseStep, maxUnusablePause)
+	return client.pause(pause, client.router.shutdown.over)
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -7,112 +7,112 @@
 	"time"
 )
 
-// clientSet holds the clients that are connected. It is safe for concurrent use.
+// clientSet contains the connected clients. It is safe for concurrent use.
 type clientSet struct {
 	timeouts *clientTimeouts
-	ticked   func()         // called with each sweep
+	onSweep  func()         // called by each sweep
 	serving  sync.WaitGroup // the clients' goroutines
 
-	mu       sync.Mutex // guards what follows; a client's own lock is taken under it
+	mu       sync.Mutex // guards the fields below; a client's own lock may be acquired while it is held
 	all      map[*client]struct{}
 	draining bool // the router is shutting down
 }
 
-// add adds a client, and returns how many are connected.
-func (s *clientSet) add(c *client) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.all[c] = struct{}{}
-	return len(s.all)
+// add adds a client, and returns the number of connected clients.
+func (set *clientSet) add(client *client) int {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	set.all[client] = struct{}{}
+	return len(set.all)
 }
 
-func (s *clientSet) remove(c *client) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.all, c)
+func (set *clientSet) remove(client *client) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	delete(set.all, client)
 }
 
-func (s *clientSet) len() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.all)
+func (set *clientSet) len() int {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	return len(set.all)
 }
 
-func (s *clientSet) each(do func(*client)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.all {
-		do(c)
+func (set *clientSet) each(do func(*client)) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	for client := range set.all {
+		do(client)
 	}
 }
 
-func (s *clientSet) isDraining() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.draining
+func (set *clientSet) isDraining() bool {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	return set.draining
 }
 
-// drain closes the idle clients, and from now on each other one once it is answered. A client that has just connected and not
-// sent a query yet gets a moment, which the sweep limits: clients connect in order to query.
-func (s *clientSet) drain() {
-	s.mu.Lock()
-	s.draining = true
-	s.mu.Unlock()
-	s.expire(time.Now())
+// drain closes the idle clients, and from now on each other client once it is answered. A client that has just connected
+// gets some time for its first query, which the sweep limits.
+func (set *clientSet) drain() {
+	set.mu.Lock()
+	set.draining = true
+	set.mu.Unlock()
+	set.expire(time.Now())
 }
 
-// expire closes what has exceeded its time limit.
-func (s *clientSet) expire(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.all {
-		c.expire(now, s.draining)
+// expire ends the clients that have exceeded a timeout.
+func (set *clientSet) expire(now time.Time) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	for client := range set.all {
+		client.expire(now, set.draining)
 	}
 }
 
-// sweep closes the clients that have been idle or silent too long, and ends the wait for messages that stay
-// incomplete, until the context ends.
-func (s *clientSet) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
+// sweep calls expire periodically until the context ends.
+func (set *clientSet) sweep(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-tick.C:
-			s.ticked()
-			s.expire(now)
+		case now := <-ticker.C:
+			set.onSweep()
+			set.expire(now)
 		}
 	}
 }
 
-// oldest returns the client for which a condition has held longest; since returns its start, false if it does not hold.
-func (s *clientSet) oldest(since func(*client) (time.Time, bool)) *client {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// oldest returns the client for which a condition has been true for the longest time, nil if it is true for none. since
+// returns when the condition became true for a client; false if it is not.
+func (set *clientSet) oldest(since func(*client) (time.Time, bool)) *client {
+	set.mu.Lock()
+	defer set.mu.Unlock()
 	var oldest *client
-	var oldestAt time.Time
-	for c := range s.all {
-		if at, holds := since(c); holds && (oldest == nil || at.Before(oldestAt)) {
-			oldest, oldestAt = c, at
+	var oldestStart time.Time
+	for client := range set.all {
+		if startedAt, holds := since(client); holds && (oldest == nil || startedAt.Before(oldestStart)) {
+			oldest, oldestStart = client, startedAt
 		}
 	}
 	return oldest
 }
 
-// evictIdle closes a client to make room for another: of those without a query so far the one connected
-// longest, and otherwise the one idle longest, if any may be closed by now; minSilence is the age from
-// which one without a query may. It says whether one is closing.
-func (s *clientSet) evictIdle(now time.Time, minSilence time.Duration) bool {
+// evictIdle closes a client to free its descriptor: the oldest client that has sent no query for minSilence since it
+// connected, otherwise the client that has been idle longest, if it may be evicted. It reports whether any client is
+// being closed.
+func (set *clientSet) evictIdle(now time.Time, minSilence time.Duration) bool {
 	closing := false
-	silent := s.oldest(func(c *client) (time.Time, bool) {
-		since, hasQueried, idle := c.idleState()
-		closing = closing || !idle && c.isClosing()
+	silent := set.oldest(func(client *client) (time.Time, bool) {
+		since, hasQueried, idle := client.idleState()
+		closing = closing || !idle && client.isClosing()
 		return since, idle && !hasQueried && now.Sub(since) >= minSilence
 	})
-	idle := s.oldest(func(c *client) (time.Time, bool) {
-		since, hasQueried, idle := c.idleState()
-		return since, idle && hasQueried && now.Sub(since) >= s.timeouts.evictable
+	idle := set.oldest(func(client *client) (time.Time, bool) {
+		since, hasQueried, idle := client.idleState()
+		return since, idle && hasQueried && now.Sub(since) >= set.timeouts.evictableIdle
 	})
 	evicted := cmp.Or(silent, idle)
 	if evicted != nil {
@@ -121,21 +121,21 @@
 	return evicted != nil || closing
 }
 
-// endLingering ends the lingering close that has lasted longest, and says whether there was one.
-func (s *clientSet) endLingering() bool {
-	oldest := s.oldest((*client).lingeringState)
+// endLingering ends the lingering close that has lasted longest, and reports whether there was one.
+func (set *clientSet) endLingering() bool {
+	oldest := set.oldest((*client).lingeringState)
 	if oldest != nil {
 		oldest.endLingering()
 	}
 	return oldest != nil
 }
 
-// rejectPartial makes room where no client idles: the one whose message has been incomplete for longest is rejected, if
-// it could have come complete by now. Nothing of it has run.
-func (s *clientSet) rejectPartial(now time.Time) {
-	oldest := s.oldest(func(c *client) (time.Time, bool) {
-		since, partial := c.partialState()
-		return since, partial && now.Sub(since) >= s.timeouts.evictable
+// rejectPartial frees a descriptor when no client is idle: it rejects the client whose message has been incomplete for
+// longest, if there was enough time for the rest to arrive. Nothing of the message has run.
+func (set *clientSet) rejectPartial(now time.Time) {
+	oldest := set.oldest(func(client *client) (time.Time, bool) {
+		since, partial := client.partialState()
+		return since, partial && now.Sub(since) >= set.timeouts.evictableIdle
 	})
 	if oldest != nil {
 		oldest.evict(&rejection{text: "refused: all connections are in use, and the message did not come whole"})
--- a/internal/router/clientwriter.go
+++ b/internal/router/clientwriter.go
@@ -9,116 +9,118 @@
 	"lotushook/internal/pgwire"
 )
 
-// answerLocally answers without the decision module.
-func (c *client) answerLocally(tasks *sync.WaitGroup, answer []byte) error {
-	return c.startTask(tasks, func() []byte { return answer })
+// answerLocally sends an answer that does not need the decision module.
+func (client *client) answerLocally(tasks *sync.WaitGroup, answer []byte) error {
+	return client.startTask(tasks, func() []byte { return answer })
 }
 
-// startTask is startAnswer without a request that could be canceled.
-func (c *client) startTask(tasks *sync.WaitGroup, answer func() []byte) error {
-	return c.startAnswer(tasks, nil, answer)
+// startTask is startAnswer for a query that can't be canceled.
+func (client *client) startTask(tasks *sync.WaitGroup, answer func() []byte) error {
+	return client.startAnswer(tasks, nil, answer)
 }
 
-// startAnswer runs a task beside the reader and writes the answer that it returns when its turn has come, so that answers
-// keep the order of the queries. The request, if there is one, can be canceled meanwhile.
-func (c *client) startAnswer(tasks *sync.WaitGroup, r *request, answer func() []byte) error {
-	if err := c.takeSlot(); err != nil {
+// startAnswer runs a task concurrently with the reader and writes the answer that it returns. Each task waits for the
+// answer to the previous query, so that the answers keep the order of the queries. The request, unless nil, can be
+// canceled meanwhile.
+func (client *client) startAnswer(tasks *sync.WaitGroup, request *request, answer func() []byte) error {
+	if err := client.acquireSlot(); err != nil {
 		return err
 	}
-	before, mine, err := c.openQuery(r)
+	previous, current, err := client.openQuery(request)
 	if err != nil {
 		return err
 	}
 	tasks.Go(func() {
 		message := answer()
-		<-before
+		<-previous
 		if message != nil {
-			if err := c.write(message); err != nil {
+			if err := client.write(message); err != nil {
 				slog.Debug("client", "err", err)
 			}
 		}
-		if r != nil { // only now: a cancel that crosses the answer must not take the next request for this one
-			c.removeCancelable()
+		if request != nil { // not before the answer is written, or a CancelRequest that crosses the answer would cancel the next request
+			client.removeCancelable()
 		}
-		close(mine)
-		<-c.slots
-		c.closeQuery()
+		close(current)
+		<-client.slots
+		client.closeQuery()
 	})
 	return nil
 }
 
-// openQuery counts a query as open. It returns what is closed once the query before has its answer, and what is to be
-// closed once this one has. Admission may reject the query.
-func (c *client) openQuery(r *request) (before <-chan struct{}, mine chan struct{}, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.router.acceptor != nil {
-		if err := c.router.acceptor.queryArrived(c); err != nil {
+// openQuery counts a query as open, unless the admission controller rejects it. It returns the channel that is closed
+// once the previous query is answered, and the channel to be closed once this query is answered.
+func (client *client) openQuery(request *request) (previous <-chan struct{}, current chan struct{}, err error) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.router.acceptor != nil {
+		if err := client.router.acceptor.queryArrived(client); err != nil {
 			return nil, nil, err
 		}
 	}
-	c.pipelines = c.pipelines || c.openQueries > 0
-	c.openQueries++
-	c.hasQueried = true
-	if r != nil {
-		c.cancelable = append(c.cancelable, r)
-		if c.earlyCancel.names(c.arrived.lastAt) {
-			r.cancel()
+	client.pipelines = client.pipelines || client.openQueries > 0
+	client.openQueries++
+	client.hasQueried = true
+	if request != nil {
+		client.cancelable = append(client.cancelable, request)
+		if client.earlyCancel.names(client.arrived.lastAt) {
+			request.cancel()
 		}
 	}
-	c.earlyCancel = earlyCancel{}
-	before, mine = c.lastAnswered, make(chan struct{})
-	c.lastAnswered = mine
-	return before, mine, nil
+	client.earlyCancel = earlyCancel{}
+	previous, current = client.lastAnswered, make(chan struct{})
+	client.lastAnswered = current
+	return previous, current, nil
 }
 
-// closeQuery counts a query as answered. During a shutdown, a client that has nothing open is closed.
-func (c *client) closeQuery() {
-	c.mu.Lock()
-	c.openQueries--
-	c.idleSince = time.Now()
-	if c.openQueries == 0 && c.router.acceptor != nil {
-		c.router.acceptor.answered(c)
+// closeQuery counts a query as answered. During a shutdown it closes a client that has no more open queries.
+func (client *client) closeQuery() {
+	client.mu.Lock()
+	client.openQueries--
+	client.idleSince = time.Now()
+	if client.openQueries == 0 && client.router.acceptor != nil {
+		client.router.acceptor.answered(client)
 	}
-	c.mu.Unlock()
-	if c.router.clients.isDraining() {
-		c.closeIfIdle()
+	client.mu.Unlock()
+	if client.router.clients.isDraining() {
+		client.closeIfIdle()
 	}
 }
 
-// removeCancelable forgets the request that has its answer now: the first of the open ones, as answers keep their order.
-func (c *client) removeCancelable() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cancelable = slices.Delete(c.cancelable, 0, 1)
+// removeCancelable removes the request that was just answered: the first in the list, as answers keep the order of the
+// queries.
+func (client *client) removeCancelable() {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.cancelable = slices.Delete(client.cancelable, 0, 1)
 }
 
-// write sends bytes to the client; the caller has the turn to answer.
-func (c *client) write(message []byte) error {
-	if _, err := c.output.Write(message); err != nil {
+// write sends bytes to the client. The caller must be the task whose turn it is to answer.
+func (client *client) write(message []byte) error {
+	if _, err := client.output.Write(message); err != nil {
 		return err
 	}
-	if err := c.conn.SetWriteDeadline(time.Now().Add(c.router.timeouts.write)); err != nil {
+	if err := client.conn.SetWriteDeadline(time.Now().Add(client.router.timeouts.write)); err != nil {
 		return err
 	}
-	_, err := c.output.WriteTo(c.conn)
-	if err != nil { // a message that was cut off can't be continued
-		c.output.Discard(c.output.Len())
-		closeQuietly(c.conn)
-		c.closeWriteFailed.Do(func() { close(c.writeFailed) })
+	_, err := client.output.WriteTo(client.conn)
+	if err != nil { // the message may be truncated, so no other may follow
+		client.output.Discard(client.output.Len())
+		closeQuietly(client.conn)
+		client.closeWriteFailed.Do(func() { close(client.writeFailed) })
 	}
-	c.output.Idle()
+	client.output.Idle()
 	return err
 }
 
-// writeLast sends the last message of a connection, which is closed whether it arrives or not.
-func (c *client) writeLast(message []byte) {
-	if err := c.write(message); err != nil {
+// writeLast sends the last message of a connection, which is closed whether or not the write succeeds.
+func (client *client) writeLast(message []byte) {
+	if err := client.write(message); err != nil {
 		slog.Debug("client", "err", err)
 	}
 }
 
-// errorAnswer is an error after which the connection goes on.
+// errorAnswer returns an error after which the connection stays open.
 func errorAnswer(code, text string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, text, ""))
 }
--- a/internal/router/clock.go
+++ b/internal/router/clock.go
@@ -6,7 +6,7 @@
 	"lotushook/policy/clock"
 )
 
-// unixClock is Unix time at the start, moved on by the monotonic clock.
+// unixClock is the Unix time at the process's start plus the monotonic time since then.
 type unixClock struct {
 	start time.Time
 	unix  clock.Nanos
@@ -19,5 +19,5 @@
 
 func (c unixClock) now() clock.Nanos { return c.unix + int64(time.Since(c.start)) }
 
-// at is the time of a point of the clock, with its monotonic reading.
+// at converts a time of the clock to a time.Time with a monotonic reading.
 func (c unixClock) at(point clock.Nanos) time.Time { return c.start.Add(time.Duration(point - c.unix)) }
--- a/internal/router/disconnect.go
+++ b/internal/router/disconnect.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// lookEvery is how often a reader that can't read looks whether its client has hung up. A client that has gone gets nothing
-// sent any more from a tenth of a second on.
+// disconnectCheckInterval is how often a blocked reader checks whether its client has disconnected. No more requests of
+// a client are sent 100 ms after it has disconnected.
 const disconnectCheckInterval = 25 * time.Millisecond
 
-// The states of a connection as Linux counts them, in the first byte of TCP_INFO.
+// Linux TCP states, as in the first byte of TCP_INFO.
 const (
 	tcpClosed    = 7 // reset
-	tcpCloseWait = 8 // the other side has ended its sending
+	tcpCloseWait = 8 // the peer has closed its sending side
 )
 
-// hasDisconnected says whether the client has ended its connection, though what it sent before may not have been read. A system
-// that does not tell has it still there.
-func (c *client) hasDisconnected() bool {
-	if _, ok := c.conn.(syscall.Conn); !ok {
+// hasDisconnected reports whether the client has closed its connection, even if bytes that it sent before are unread. It
+// returns false if the state of the connection is not available.
+func (client *client) hasDisconnected() bool {
+	if _, ok := client.conn.(syscall.Conn); !ok {
 		return false
 	}
-	return withDescriptor(c.conn, func(fd int) bool {
-		var b [1]byte
-		switch n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err {
+	return withDescriptor(client.conn, func(fd int) bool {
+		var buffer [1]byte
+		switch count, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err {
 		case nil:
-			if n == 0 {
+			if count == 0 {
 				return true
 			}
 		case syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.ENOTCONN:
@@ -34,64 +34,65 @@
 		default:
 			return false
 		}
-		// The end is behind bytes that nobody has room for.
+		// There are unread bytes. The end of the stream may be behind them; the TCP state shows it.
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		state := info & 0xff
 		return err == nil && (state == tcpClosed || state == tcpCloseWait)
 	})
 }
 
-// takeSlot waits for room among what is pipelined, but not for a client that has hung up, nor behind an answer that was not
-// taken: what was read before that must not run any more.
-func (c *client) takeSlot() error {
+// acquireSlot waits until another request may be pipelined. It returns an error if the client has disconnected or an
+// answer could not be written: requests that were already read must not run then.
+func (client *client) acquireSlot() error {
 	select {
-	case c.slots <- struct{}{}:
+	case client.slots <- struct{}{}:
 	default:
-		if err := c.waitForSlot(); err != nil {
+		if err := client.waitForSlot(); err != nil {
 			return err
 		}
 	}
 	select {
-	case <-c.writeFailed:
-		return errAnswerNotTaken
+	case <-client.writeFailed:
+		return errAnswerNotWritten
 	default:
 		return nil
 	}
 }
 
-func (c *client) waitForSlot() error {
-	look := time.NewTicker(disconnectCheckInterval)
-	defer look.Stop()
+func (client *client) waitForSlot() error {
+	ticker := time.NewTicker(disconnectCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case c.slots <- struct{}{}:
+		case client.slots <- struct{}{}:
 			return nil
-		case <-c.writeFailed:
-			return errAnswerNotTaken
-		case <-look.C:
-			if c.hasDisconnected() {
+		case <-client.writeFailed:
+			return errAnswerNotWritten
+		case <-ticker.C:
+			if client.hasDisconnected() {
 				return io.EOF
 			}
 		}
 	}
 }
 
-// pause waits for some time, or for something sooner, but not for a client that has hung up, or did not take an answer.
-func (c *client) pause(most time.Duration, sooner <-chan struct{}) error {
-	late := time.NewTimer(most)
-	defer late.Stop()
-	look := time.NewTicker(disconnectCheckInterval)
-	defer look.Stop()
+// pause waits for a duration or until a channel is closed. It returns an error at once if the client disconnects or an
+// answer can't be written.
+func (client *client) pause(duration time.Duration, wake <-chan struct{}) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	ticker := time.NewTicker(disconnectCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-late.C:
+		case <-timer.C:
 			return nil
-		case <-sooner:
+		case <-wake:
 			return nil
-		case <-c.writeFailed:
-			return errAnswerNotTaken
-		case <-look.C:
-			if c.hasDisconnected() {
+		case <-client.writeFailed:
+			return errAnswerNotWritten
+		case <-ticker.C:
+			if client.hasDisconnected() {
 				return io.EOF
 			}
 		}
--- a/internal/router/drainlistener.go
+++ b/internal/router/drainlistener.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	maxDrainAccept  = 300 * time.Millisecond // the longest time to accept after stop
-	drainAcceptWait = 20 * time.Millisecond  // no connection within this time, twice in a row: none is waiting
-	drainEmptyWaits = 2
+	maxDrainAccept  = 300 * time.Millisecond // the maximum time to accept connections after stop
+	drainAcceptWait = 20 * time.Millisecond  // if no connection arrives within this time,
+	drainEmptyWaits = 2                      // so many times in a row, the accept queue is empty
 )
 
-// drainListener is a listener that, once stopped, still returns the connections that the kernel has
-// accepted: closing it at once would reset them, and their requests with them.
+// drainListener is a listener that, once stopped, still returns the connections in the kernel's accept queue. Closing
+// it at once would reset them, and their requests would be lost.
 type drainListener struct {
 	net.Listener
-	until atomic.Int64 // Unix time in ns; 0: not stopped
+	acceptUntil atomic.Int64 // the end of accepting as Unix time in ns; 0: not stopped
 }
 
 // deadlineSetter is implemented by listeners on sockets.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// SetDeadline calls the wrapped listener's, where it has one.
-func (l *drainListener) SetDeadline(t time.Time) error {
-	if tcp, ok := l.Listener.(deadlineSetter); ok {
-		return tcp.SetDeadline(t)
+// SetDeadline sets the deadline of the wrapped listener, if that supports deadlines.
+func (listener *drainListener) SetDeadline(deadline time.Time) error {
+	if tcp, ok := listener.Listener.(deadlineSetter); ok {
+		return tcp.SetDeadline(deadline)
 	}
 	return nil
 }
 
-// stop makes Accept return net.ErrClosed as soon as no connection is waiting.
-func (l *drainListener) stop() {
-	l.until.Store(time.Now().Add(maxDrainAccept).UnixNano())
-	_ = l.SetDeadline(pastDeadline)
+// stop makes Accept return net.ErrClosed once the accept queue is empty.
+func (listener *drainListener) stop() {
+	listener.acceptUntil.Store(time.Now().Add(maxDrainAccept).UnixNano())
+	_ = listener.SetDeadline(pastDeadline)
 }
 
-// Accept calls the wrapped listener's, until no connection is waiting.
-func (l *drainListener) Accept() (net.Conn, error) {
-	for waits := 0; ; {
-		until := l.until.Load()
-		if until != 0 {
-			if time.Now().UnixNano() > until {
+// Accept returns the next connection of the wrapped listener; after stop, net.ErrClosed once the accept queue is empty.
+func (listener *drainListener) Accept() (net.Conn, error) {
+	for emptyWaits := 0; ; {
+		acceptUntil := listener.acceptUntil.Load()
+		if acceptUntil != 0 {
+			if time.Now().UnixNano() > acceptUntil {
 				return nil, net.ErrClosed
 			}
-			_ = l.SetDeadline(time.Now().Add(drainAcceptWait))
+			_ = listener.SetDeadline(time.Now().Add(drainAcceptWait))
 		}
-		called := time.Now()
-		conn, err := l.Listener.Accept()
+		calledAt := time.Now()
+		conn, err := listener.Listener.Accept()
 		switch {
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return conn, err
-		case until != 0:
-			if time.Since(called) >= drainAcceptWait/2 { // or the deadline passed before it looked
-				waits++
+		case acceptUntil != 0:
+			if time.Since(calledAt) >= drainAcceptWait/2 { // otherwise the deadline passed before it polled the queue
+				emptyWaits++
 			}
-			if waits == drainEmptyWaits {
+			if emptyWaits == drainEmptyWaits {
 				return nil, net.ErrClosed
 			}
-		case l.until.Load() == 0: // the caller's own deadline
+		case listener.acceptUntil.Load() == 0: // the caller's own deadline
 			return nil, err
 		}
 	}
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -27,7 +27,7 @@
 			return err
 		}
 		slog.Warn("accept", "err", err)
-		time.Sleep(retryAcceptAfter)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
@@ -53,12 +53,12 @@
 	for !r.descriptors.Accept() {
 		lacking = true
 		now := time.Now()
-		if !r.clients.endLingering() && !r.clients.evictIdle(now, r.timeouts.silent) {
+		if !r.clients.endLingering() && !r.clients.evictIdle(now, r.timeouts.evictableSilence) {
 			r.clients.rejectPartial(now)
 		}
 		select {
 		case <-r.descriptors.Left():
-		case <-time.After(r.timeouts.silent / 4):
+		case <-time.After(r.timeouts.evictableSilence / 4):
 		}
 	}
 	return lacking
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -88,7 +88,7 @@
 	}
 	r.timeouts = defaultTimeouts
 	r.clients.timeouts = &r.timeouts
-	r.clients.ticked = func() { r.stalls.tick(r.clock.now()) }
+	r.clients.onSweep = func() { r.stalls.tick(r.clock.now()) }
 	r.clients.all = map[*client]struct{}{}
 	r.readQuota = ringbuffer.NewQuota(readQuota)
 	r.cancelKeys = newCancelKeys()
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -38,7 +38,7 @@
 }
 
 // endless is the patience of tests that are not about it.
-var endless = clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictable: time.Hour, silent: time.Hour, openRequests: time.Millisecond,
+var endless = clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour, evictableSilence: time.Hour, openRequests: time.Millisecond,
 	firstQuery: time.Hour, finalAnswers: time.Hour, lingeringClose: time.Millisecond}
 
 // stage is a running router with data servers s1 and s2 in group 1 and a silent
@@ -254,7 +254,7 @@
 // A flood of clients that say nothing makes room for one that asks, and leaves
 // the data servers' descriptors alone.
 func TestSilentFlood(t *testing.T) {
-	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictable: time.Hour})
+	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour})
 	const ask = ` Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		`
 	s.Play("send c0 startup |" + ask + `wait s1
@@ -274,7 +274,7 @@
 // In a crowd those that asked once and stay are closed long before descriptors
 // run out: what they hold is also missing to the clients' own machines.
 func TestCrowd(t *testing.T) {
-	s, r, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, silent: time.Hour})
+	s, r, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
 	for i := range r.config.Limits.Sockets/crowdedDescriptorShare + 1 {
 		s.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
@@ -298,7 +298,7 @@
 // Clients that asked once and stay make room for others at once when there is
 // no room: waiting out their idle time would shut the others out.
 func TestStayingFlood(t *testing.T) {
-	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, silent: time.Hour})
+	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
 		s.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -178,7 +178,7 @@
 // whoever wants the connection closed.
 func TestRequestCrossesClose(t *testing.T) {
 	p := endless
-	p.evictable = 0
+	p.evictableIdle = 0
 	for name, closes := range map[string]func(r *Router, stop func()){
 		"idle": func(r *Router, _ func()) {
 			r.clients.each(func(c *client) { c.expire(time.Now().Add(2*p.idle), false) })
@@ -274,7 +274,7 @@
 func TestHalfMessageShieldsNobody(t *testing.T) {
 	ln := newTurnstile(t)
 	p := endless
-	p.evictable = 0
+	p.evictableIdle = 0
 	s, r, _, _ := stageStopped(t, ln, p)
 	s.Play(`
 		send c0 startup | raw "Q\x00\x00"
@@ -304,7 +304,7 @@
 // A flood of clients that are turned away for an error and stay holds no place for long.
 func TestFloodOfErrors(t *testing.T) {
 	p := endless
-	p.silent, p.lingeringClose = time.Millisecond, time.Hour
+	p.evictableSilence, p.lingeringClose = time.Millisecond, time.Hour
 	for name, own := range map[string]*siteconfig.Config{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan time.Time)
@@ -325,7 +325,7 @@
 // A flood of clients that send half a message and stay makes room for one that asks: each hears that it is refused.
 func TestFloodOfHalfMessages(t *testing.T) {
 	p := endless
-	p.silent, p.evictable = time.Millisecond, time.Millisecond
+	p.evictableSilence, p.evictableIdle = time.Millisecond, time.Millisecond
 	ln := newTurnstile(t)
 	s, r, _, _ := stageStopped(t, ln, p)
 	const room = 20
--- a/internal/router/sparedescriptor.go
+++ b/internal/router/sparedescriptor.go
@@ -40,7 +40,7 @@
 	again := d.spare.take()
 	switch {
 	case err != nil: // another took it, or nobody waits any more
-		time.Sleep(retryAcceptAfter)
+		time.Sleep(acceptRetryDelay)
 	case again == nil: // there is room after all
 		if !d.router.descriptors.Accept() {
 			conn.Close()
@@ -55,7 +55,7 @@
 		conn.Close()
 		if err := d.spare.take(); err != nil {
 			slog.Warn("no spare descriptor", "err", err)
-			time.Sleep(retryAcceptAfter)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 // acceptWithoutWaiting is Accept that does not wait.
 func acceptWithoutWaiting(ln net.Listener) (net.Conn, error) {
 	if tcp, ok := ln.(deadlineSetter); ok {
-		_ = tcp.SetDeadline(time.Now().Add(retryAcceptAfter))
+		_ = tcp.SetDeadline(time.Now().Add(acceptRetryDelay))
 		defer func() { _ = tcp.SetDeadline(time.Time{}) }() // a closed listener says so at the next accept
 	}
 	return ln.Accept()
--- a/internal/router/unreadage.go
+++ b/internal/router/unreadage.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if age, ok := sinceLastReceived(c.conn); ok {
-		c.arrived.by = min(c.arrived.by, max(from, readAt-clock.Nanos(age)))
+		c.arrived.sentBy = min(c.arrived.sentBy, max(from, readAt-clock.Nanos(age)))
 	}
 }
 
