--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -49,7 +49,7 @@
 	clients       map[admission.ID]*client
 	nextID        admission.ID
 	loggedCounts  [admission.ReasonCount]uint64 // the rejections that have been logged
-	capacityCutAt time.Time                     // when the capacity was last lowered because descriptors ran out; zero: it is fully restored
+	capacityCutAt time.Time                     // when descriptors last ran out; zero: the capacity is restored
 }
 
 func newAcceptor(router *Router, settings *siteconfig.Admission) (*acceptor, error) {
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	acceptor.lingering.setDuration(time.Duration(settings.LingerMS) * time.Millisecond)
-	return acceptor, acceptor.spare.take()
+	return acceptor, acceptor.spare.open()
 }
 
 // closingDescriptors returns the number of descriptors that are set aside for connections that are closing.
@@ -122,7 +122,7 @@
 
 // accept accepts clients until the listener closes.
 func (acceptor *acceptor) accept(listener net.Listener) error {
-	defer acceptor.spare.give()
+	defer acceptor.spare.release()
 	for accepts := 1; ; accepts++ {
 		for !acceptor.router.descriptors.Accept() { // the remaining descriptors belong to closing connections
 			if acceptor.router.clients.endLingering() || !acceptor.lingering.closeOldest() {
--- a/internal/router/answers.go
+++ b/internal/router/answers.go
@@ -24,8 +24,8 @@
 	return pgwire.AppendReady(message)
 }
 
-// retryAfterField returns the Retry-After time as the error field D has it: in whole milliseconds, rounded up, and empty
-// where none is known.
+// retryAfterField returns the Retry-After time as the error field D has it: in whole milliseconds, rounded up, and
+// empty where none is known.
 func retryAfterField(retryAfter clock.Nanos) string {
 	if retryAfter <= 0 {
 		return ""
--- a/internal/router/clientidle.go
+++ b/internal/router/clientidle.go
@@ -27,8 +27,8 @@
 	lingeringClose:   250 * time.Millisecond,
 }
 
-// expire wakes the reader of a client that has exceeded a timeout: one without a query, one whose message is incomplete,
-// or an idle one. During a shutdown it also closes clients without open requests.
+// expire wakes the reader of a client that has exceeded a timeout: one without a query, one whose message is
+// incomplete, or an idle one. During a shutdown it also closes clients without open requests.
 func (client *client) expire(now time.Time, draining bool) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -27,7 +27,7 @@
 	err := client.input.Fill(client.conn)
 	endedAt := client.router.clock.now()
 	client.arrived.recordRead(startedAt, endedAt)
-	client.boundByKernel(first, endedAt)
+	client.boundArrivalByKernel(first, endedAt)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
@@ -263,8 +263,8 @@
 	}
 }
 
-// rejectUnusable answers a query that is not a valid request, and pauses: a client that sends such queries as fast as it
-// can must not take CPU time from other clients.
+// rejectUnusable answers a query that is not a valid request, and pauses: a client that sends such queries as fast as
+// it can must not take CPU time from other clients.
 func (client *client) rejectUnusable(tasks *sync.WaitGroup, code string, err error) error {
 	if err := client.answerLocally(tasks, errorAnswer(code, err.Error())); err != nil {
 		return err
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -52,8 +52,8 @@
 	return set.draining
 }
 
-// drain closes the idle clients, and from now on each other client once it is answered. A client that has just connected
-// gets some time for its first query, which the sweep limits.
+// drain closes the idle clients, and from now on each other client once it is answered. A client that has just
+// connected gets some time for its first query, which the sweep limits.
 func (set *clientSet) drain() {
 	set.mu.Lock()
 	set.draining = true
--- a/internal/router/clientwriter.go
+++ b/internal/router/clientwriter.go
@@ -38,7 +38,7 @@
 				slog.Debug("client", "err", err)
 			}
 		}
-		if request != nil { // not before the answer is written, or a CancelRequest that crosses the answer would cancel the next request
+		if request != nil { // after the answer: a CancelRequest that crosses it must not cancel the next request
 			client.removeCancelable()
 		}
 		close(current)
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -220,23 +220,23 @@
 func TestStallWatch(t *testing.T) {
 	const second = clock.Second
 	tick := clock.Nanos(sweepInterval)
-	var watch stallWatch
-	if _, stalled := watch.since(second); stalled {
+	var watch stallDetector
+	if _, stalled := watch.stalledSince(second); stalled {
 		t.Error("a stall before the first tick")
 	}
 	watch.tick(second)
 	watch.tick(second + tick)
-	if _, stalled := watch.since(second + tick + stallNoticed); stalled {
+	if _, stalled := watch.stalledSince(second + tick + minStall); stalled {
 		t.Error("a stall though the next tick is hardly late")
 	}
-	if from, stalled := watch.since(3 * second); !stalled || from != second+tick {
+	if from, stalled := watch.stalledSince(3 * second); !stalled || from != second+tick {
 		t.Errorf("read before the late tick: %v from %d", stalled, from)
 	}
 	watch.tick(3 * second)
-	if from, stalled := watch.since(3*second + 1); !stalled || from != second+tick {
+	if from, stalled := watch.stalledSince(3*second + 1); !stalled || from != second+tick {
 		t.Errorf("read behind the late tick: %v from %d", stalled, from)
 	}
-	if _, stalled := watch.since(3*second + stallSettled); stalled {
+	if _, stalled := watch.stalledSince(3*second + stallRecoveryTime); stalled {
 		t.Error("a stall is still counted once it is over")
 	}
 }
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -46,7 +46,7 @@
 	}
 	now := make(chan time.Time)
 	close(now)
-	r.shutdown.acceptOver = func() <-chan time.Time { return now }
+	r.shutdown.acceptEnd = func() <-chan time.Time { return now }
 	r.shutdown.timeoutEnd = func() <-chan time.Time { return nil }
 	r.shutdown.timeout, r.timeouts, r.start.timeout = time.Hour, p, hold
 	r.pool.SettleTime, r.pool.DuplicateWindow, r.pool.StallTimeout = 0, 0, time.Hour
--- a/internal/router/disconnect.go
+++ b/internal/router/disconnect.go
@@ -16,8 +16,8 @@
 	tcpCloseWait = 8 // the peer has closed its sending side
 )
 
-// hasDisconnected reports whether the client has closed its connection, even if bytes that it sent before are unread. It
-// returns false if the state of the connection is not available.
+// hasDisconnected reports whether the client has closed its connection, even if bytes that it sent before are unread.
+// It returns false if the state of the connection is not available.
 func (client *client) hasDisconnected() bool {
 	if _, ok := client.conn.(syscall.Conn); !ok {
 		return false
--- a/internal/router/eventloop.go
+++ b/internal/router/eventloop.go
@@ -14,52 +14,51 @@
 )
 
 const (
-	eventQueueSize   = 4096
-	maxLogLines      = 500                   // of the module's own log
-	queueInterval    = 10 * time.Millisecond // while requests wait in their queues
-	queryMemoryShare = 3                     // one part in so many of the memory may hold query text: buffers and answers need the rest
+	eventQueueSize     = 4096
+	maxLogLines        = 500                   // of the decision module's own log
+	queueInterval      = 10 * time.Millisecond // the time between steps while requests wait in the contracts' queues
+	queryMemoryDivisor = 3                     // 1/3 of the memory limit is for query text; buffers and answers need the rest
 )
 
-// loopEvent is one message to the event loop: an event for the decision module with the request that
-// it concerns, or the end of a request.
+// loopEvent is one message to the event loop: an event for the decision module with the request that it concerns, or
+// the end of a request.
 type loopEvent struct {
 	balance.Event
 	request        *request
-	mustSee        clock.Nanos // RequestIn: the position that the read must see
-	requestEnded   bool        // the request's task has ended; no event of it follows
-	reportedActive int         // ProbeDone: the number of active requests that the endpoint reports; -1: none reported
+	minPosition    clock.Nanos // RequestArrived: the minimum log position that the read requires; 0: none
+	requestEnded   bool        // the request's task has ended; no event of the request follows
+	reportedActive int         // ProbeEnded: the number of active requests that the endpoint reports; -1: none reported
 }
 
-// eventLoop is the one goroutine that owns the decision module. It drains the queued events
-// into one step and carries out the actions; it never waits for a socket.
+// eventLoop owns the decision module; its run method is the only goroutine that uses the module. It passes all queued
+// events to the module in one step and carries out the resulting actions. It never waits for a socket.
 type eventLoop struct {
 	balancer      *balance.Balancer
 	router        *Router
 	events        chan loopEvent
-	requests      map[string]*request // from RequestIn to the end of the task
-	queryBytes    int                 // total size of their queries
-	maxQueryBytes int                 // the most bytes that may be held
+	requests      map[string]*request // from RequestArrived to the end of the task
+	queryBytes    int                 // the total size of their queries
+	maxQueryBytes int                 // the maximum of queryBytes
 	timers        timers
 	batch         []balance.Event
 	endedRequests []*request // tasks that ended in this batch; still in requests
 	requestCount  int
 	logLines      int
-	contracts     *contractService // the teams' contracts; nil: there are none
+	contracts     *contractService // the teams' contracts; nil: none are configured
 	calls         chan func()
-	steppedAt     atomic.Int64 // the time of the last step whose actions were handed out
+	steppedAt     atomic.Int64 // the time of the last step whose actions were delivered
 }
 
-func newEventLoop(module *balance.Balancer, r *Router) *eventLoop {
-	return &eventLoop{balancer: module, router: r, events: make(chan loopEvent, eventQueueSize), requests: map[string]*request{},
-		maxQueryBytes: int(r.config.Limits.MemoryMB << 20 / queryMemoryShare), calls: make(chan func())}
+func newEventLoop(balancer *balance.Balancer, router *Router) *eventLoop {
+	return &eventLoop{balancer: balancer, router: router, events: make(chan loopEvent, eventQueueSize), requests: map[string]*request{},
+		maxQueryBytes: int(router.config.Limits.MemoryMB << 20 / queryMemoryDivisor), calls: make(chan func())}
 }
 
-// do runs a function on the event loop's goroutine and waits for it; it returns false if
-// the context ended first.
-func (o *eventLoop) do(ctx context.Context, f func()) bool {
+// do runs a function on the event loop's goroutine and waits for it. It returns false if the context ended first.
+func (loop *eventLoop) do(ctx context.Context, call func()) bool {
 	done := make(chan struct{})
 	select {
-	case o.calls <- func() { f(); close(done) }:
+	case loop.calls <- func() { call(); close(done) }:
 		<-done
 		return true
 	case <-ctx.Done():
@@ -67,232 +66,233 @@
 	}
 }
 
-func (o *eventLoop) run(ctx context.Context) {
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
+func (loop *eventLoop) run(ctx context.Context) {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
-		if len(o.timers) > 0 {
-			wake.Reset(time.Until(o.router.clock.at(o.timers[0].at)))
+		if len(loop.timers) > 0 {
+			timer.Reset(time.Until(loop.router.clock.at(loop.timers[0].at)))
 		} else {
-			wake.Reset(time.Hour)
+			timer.Reset(time.Hour)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-o.events:
-			o.handle(e)
-		case f := <-o.calls:
-			f()
-		case <-o.queueTimer():
-		case <-o.router.recovery.tickTimer():
-			o.router.recovery.tick()
-		case <-wake.C:
+		case event := <-loop.events:
+			loop.handle(event)
+		case call := <-loop.calls:
+			call()
+		case <-loop.queueTimer():
+		case <-loop.router.recovery.tickTimer():
+			loop.router.recovery.tick()
+		case <-timer.C:
 		}
-		for n := len(o.events); n > 0; n-- {
-			o.handle(<-o.events)
+		for queued := len(loop.events); queued > 0; queued-- {
+			loop.handle(<-loop.events)
 		}
-		o.step()
+		loop.step()
 	}
 }
 
-// handle puts an event into the batch, unless the decision module must not see it.
-func (o *eventLoop) handle(e loopEvent) {
-	if e.requestEnded {
-		if o.requests[e.request.ID] == e.request {
-			o.requestEnded(e.request)
+// handle adds an event to the next batch, unless the decision module must not receive it.
+func (loop *eventLoop) handle(event loopEvent) {
+	if event.requestEnded {
+		if loop.requests[event.request.ID] == event.request {
+			loop.requestEnded(event.request)
 		}
 		return
 	}
-	if o.contracts != nil {
-		o.contracts.observe(&e)
+	if loop.contracts != nil {
+		loop.contracts.observe(&event)
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case balance.RequestAbandoned:
-		if o.requests[e.Request] != e.request { // a second request under a live ID: the module knows only the first
+		if loop.requests[event.Request] != event.request { // a duplicate ID; the module knows only the first request
 			return
 		}
-		if o.contracts != nil && o.contracts.ledger.Abandon(e.Request) { // still queued: the module has not seen it yet
+		if loop.contracts != nil && loop.contracts.ledger.Abandon(event.Request) { // still queued: unknown to the module
 			return
 		}
 	case balance.AttemptEnded:
-		e.request.endsReported++
-		o.router.recovery.attemptEnded(e.request, e.Outcome)
+		event.request.endsReported++
+		loop.router.recovery.attemptEnded(event.request, event.Outcome)
 	case balance.RequestArrived:
-		o.router.metrics.Add(metrics.Requests)
-		if o.requests[e.Request] != nil {
-			o.router.metrics.Add(metrics.DuplicateID)
-			e.request.deliver(balance.Action{Kind: balance.FailRequest}) // the module ignores an ID that is live
+		loop.router.metrics.Add(metrics.Requests)
+		if loop.requests[event.Request] != nil {
+			loop.router.metrics.Add(metrics.DuplicateID)
+			event.request.deliver(balance.Action{Kind: balance.FailRequest}) // the module ignores a duplicate ID
 			return
 		}
-		if o.openRequests() >= o.router.config.Settings.Balance.MaxQueued || o.queryBytes+e.request.Size() > o.maxQueryBytes {
-			o.router.metrics.Add(metrics.TooManyInFlight)
-			e.request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: o.retryAfter(e.Class)})
+		if loop.openRequests() >= loop.router.config.Settings.Balance.MaxQueued || loop.queryBytes+event.request.Size() > loop.maxQueryBytes {
+			loop.router.metrics.Add(metrics.TooManyInFlight)
+			event.request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: loop.retryAfter(event.Class)})
 			return
 		}
-		hold := false
-		if o.contracts != nil {
-			var taken bool
-			if taken, hold = o.contracts.admit(&e, o.router.clock.now()); !taken {
+		queued := false
+		if loop.contracts != nil {
+			var accepted bool
+			if accepted, queued = loop.contracts.admit(&event, loop.router.clock.now()); !accepted {
 				return
 			}
 		}
-		o.requestCount++
-		e.request.takenAt.Store(o.router.clock.now())
-		o.requests[e.Request] = e.request
-		o.queryBytes += e.request.Size()
-		if hold {
-			e.request.queuedArrival = e
+		loop.requestCount++
+		event.request.receivedAt.Store(loop.router.clock.now())
+		loop.requests[event.Request] = event.request
+		loop.queryBytes += event.request.Size()
+		if queued {
+			event.request.queuedArrival = event
 		} else {
-			o.addToBatch(e)
+			loop.addToBatch(event)
 		}
 		return
 	}
-	o.batch = append(o.batch, e.Event)
+	loop.batch = append(loop.batch, event.Event)
 }
 
-// requestEnded frees what a request held: its client's next one may follow in the same batch. The request itself stays until the
-// module's step, which may still act for it.
-func (o *eventLoop) requestEnded(r *request) {
-	o.endedRequests = append(o.endedRequests, r)
-	o.queryBytes -= r.Size()
-	if o.contracts != nil {
-		o.contracts.requestEnded(r, o.router.clock.now())
+// requestEnded releases the resources of a request at once, since the next request of its client may be in the same
+// batch. The request stays in the map until after the module's next step, which may still return actions for it.
+func (loop *eventLoop) requestEnded(request *request) {
+	loop.endedRequests = append(loop.endedRequests, request)
+	loop.queryBytes -= request.Size()
+	if loop.contracts != nil {
+		loop.contracts.requestEnded(request, loop.router.clock.now())
 	}
 }
 
-// openRequests is the number of requests whose tasks have not ended.
-func (o *eventLoop) openRequests() int { return len(o.requests) - len(o.endedRequests) }
+// openRequests returns the number of requests whose tasks have not ended.
+func (loop *eventLoop) openRequests() int { return len(loop.requests) - len(loop.endedRequests) }
 
-// addToBatch puts a request into the batch.
-func (o *eventLoop) addToBatch(e loopEvent) {
-	if e.mustSee > 0 {
-		e.CommitAge = max(1, o.router.clock.now()-e.mustSee)
+// addToBatch adds a request's arrival to the next batch.
+func (loop *eventLoop) addToBatch(event loopEvent) {
+	if event.minPosition > 0 {
+		event.CommitAge = max(1, loop.router.clock.now()-event.minPosition)
 	}
-	o.batch = append(o.batch, e.Event)
+	loop.batch = append(loop.batch, event.Event)
 }
 
-// retryAfter returns the Retry-After time of a request that the router itself rejects.
-func (o *eventLoop) retryAfter(class int) clock.Nanos {
-	set := &o.router.config.Settings.Balance
-	if !set.RetryAfterAllowed || class < 0 {
+// retryAfter returns the Retry-After time for a request that the router rejects without asking the module.
+func (loop *eventLoop) retryAfter(class int) clock.Nanos {
+	settings := &loop.router.config.Settings.Balance
+	if !settings.RetryAfterAllowed || class < 0 {
 		return 0
 	}
-	return min(set.Classes[class].LatencyObjective, set.MaxRetryAfter)
+	return min(settings.Classes[class].LatencyObjective, settings.MaxRetryAfter)
 }
 
-// queueTimer wakes the event loop while requests wait in the contracts' queues.
-func (o *eventLoop) queueTimer() <-chan time.Time {
-	if o.contracts == nil || o.contracts.ledger.QueuedCount() == 0 {
+// queueTimer returns a timer that wakes the event loop while requests wait in the contracts' queues; otherwise nil.
+func (loop *eventLoop) queueTimer() <-chan time.Time {
+	if loop.contracts == nil || loop.contracts.ledger.QueuedCount() == 0 {
 		return nil
 	}
 	return time.After(queueInterval)
 }
 
-func (o *eventLoop) step() {
-	now := o.router.clock.now()
-	if m := o.router.membership; m != nil {
-		if e, ok := m.quotaChange(now); ok {
-			o.batch = append(o.batch, e)
-			if o.contracts != nil {
-				o.contracts.ledger.SetMinLoadShare(e.Share)
+func (loop *eventLoop) step() {
+	now := loop.router.clock.now()
+	if members := loop.router.membership; members != nil {
+		if event, ok := members.quotaChange(now); ok {
+			loop.batch = append(loop.batch, event)
+			if loop.contracts != nil {
+				loop.contracts.ledger.SetMinLoadShare(event.Share)
 			}
 		}
 	}
-	if o.contracts != nil {
-		o.contracts.releaseQueued(now)
+	if loop.contracts != nil {
+		loop.contracts.releaseQueued(now)
 	}
-	for len(o.timers) > 0 && o.timers[0].at <= now {
-		t := heap.Pop(&o.timers).(timer)
-		o.batch = append(o.batch, balance.Event{Kind: balance.TimerFired, TimerID: t.tag})
+	for len(loop.timers) > 0 && loop.timers[0].at <= now {
+		expired := heap.Pop(&loop.timers).(timer)
+		loop.batch = append(loop.batch, balance.Event{Kind: balance.TimerFired, TimerID: expired.id})
 	}
-	if len(o.batch) == 0 && len(o.endedRequests) == 0 {
+	if len(loop.batch) == 0 && len(loop.endedRequests) == 0 {
 		return
 	}
-	if o.contracts != nil {
-		o.contracts.order(o.batch, o.requests)
+	if loop.contracts != nil {
+		loop.contracts.order(loop.batch, loop.requests)
 	}
-	acts := o.balancer.Step(now, o.batch)
-	clear(o.batch)
-	o.batch = o.batch[:0] // events that were skipped go into the next batch at once
-	for _, a := range acts {
-		o.carryOut(a)
+	actions := loop.balancer.Step(now, loop.batch)
+	clear(loop.batch)
+	loop.batch = loop.batch[:0] // carryOut and removeEnded add events to the next batch
+	for _, action := range actions {
+		loop.carryOut(action)
 	}
-	o.steppedAt.Store(now)
-	o.removeEnded()
+	loop.steppedAt.Store(now)
+	loop.removeEnded()
 }
 
-// owesDecision says whether the decision module had a request in a step at its deadline or later, and handed nothing out for it by now. An
-// event loop that has not run since then owes nothing yet: on a machine that does not let it run, that is no fault of the module's.
-func (o *eventLoop) owesDecision(r *request, steppedAt clock.Nanos) bool {
-	taken := r.takenAt.Load()
-	return taken != 0 && taken <= steppedAt && steppedAt >= r.deadline
+// isDecisionOverdue reports whether the decision module has processed a step at or after a request's deadline, while it
+// knew the request. The module should have returned a final answer by then. If the event loop got no CPU time since the
+// deadline, the module is not at fault.
+func (loop *eventLoop) isDecisionOverdue(request *request, steppedAt clock.Nanos) bool {
+	receivedAt := request.receivedAt.Load()
+	return receivedAt != 0 && receivedAt <= steppedAt && steppedAt >= request.deadline
 }
 
-// reportNotSent tells the module that an attempt was not made: the one outcome that it does not count against the endpoint, and
-// after which it ends the request at once. Refused or Busy would make it treat the endpoint as gone, or as full.
-func (o *eventLoop) reportNotSent(r *request, a *balance.Action) {
-	o.batch = append(o.batch, balance.Event{Kind: balance.AttemptEnded, Request: r.ID, Attempt: r.endsReported, Endpoint: a.Endpoint, Outcome: balance.NotSent})
-	r.attemptsSent, r.endsReported = r.attemptsSent+1, r.endsReported+1
+// reportNotSent reports to the module that an attempt was not made. NotSent is the only outcome that the module does
+// not count against the endpoint, and it ends the request at once. ConnectionRefused or Busy would make the module
+// treat the endpoint as stopped or as overloaded.
+func (loop *eventLoop) reportNotSent(request *request, action *balance.Action) {
+	loop.batch = append(loop.batch, balance.Event{Kind: balance.AttemptEnded, Request: request.ID, Attempt: request.endsReported, Endpoint: action.Endpoint, Outcome: balance.NotSent})
+	request.attemptsSent, request.endsReported = request.attemptsSent+1, request.endsReported+1
 }
 
-// removeEnded drops the requests whose tasks have ended. A send action that arrived after the
-// task's end was not carried out: the module must be notified, or it would count the
-// attempt as pending forever.
-func (o *eventLoop) removeEnded() {
-	for _, r := range o.endedRequests {
-		delete(o.requests, r.ID)
-		if r.endsReported < r.attemptsSent {
-			o.batch = append(o.batch, balance.Event{Kind: balance.AttemptEnded, Request: r.ID, Attempt: r.endsReported,
-				Endpoint: r.lastEndpoint, Outcome: balance.NotSent})
-			if o.contracts != nil {
-				o.contracts.attemptEnded(r.lastEndpoint)
+// removeEnded removes the requests whose tasks have ended. A send action that was delivered after the end of the task
+// was not carried out; the module must be notified, or it would count the attempt as open forever.
+func (loop *eventLoop) removeEnded() {
+	for _, request := range loop.endedRequests {
+		delete(loop.requests, request.ID)
+		if request.endsReported < request.attemptsSent {
+			loop.batch = append(loop.batch, balance.Event{Kind: balance.AttemptEnded, Request: request.ID, Attempt: request.endsReported,
+				Endpoint: request.lastEndpoint, Outcome: balance.NotSent})
+			if loop.contracts != nil {
+				loop.contracts.attemptEnded(request.lastEndpoint)
 			}
 		}
 	}
-	clear(o.endedRequests)
-	o.endedRequests = o.endedRequests[:0]
-	if len(o.batch) > 0 {
-		o.step()
+	clear(loop.endedRequests)
+	loop.endedRequests = loop.endedRequests[:0]
+	if len(loop.batch) > 0 {
+		loop.step()
 	}
 }
 
 // carryOut executes one action.
-func (o *eventLoop) carryOut(a balance.Action) {
-	o.router.metrics.CountAction(&a)
-	switch a.Kind {
+func (loop *eventLoop) carryOut(action balance.Action) {
+	loop.router.metrics.CountAction(&action)
+	switch action.Kind {
 	case balance.SendAttempt, balance.RejectRequest, balance.FailRequest, balance.CancelAttempt:
-		r := o.requests[a.Request]
-		if invariant.Check(r != nil, "the module acts for a request that is here", "kind", a.Kind) {
-			if a.Kind == balance.SendAttempt {
-				invariant.Check(r.attemptsSent == r.endsReported, "one attempt of a request at a time")
-				if !o.router.recovery.allowSend(r, &a) {
-					o.reportNotSent(r, &a)
+		request := loop.requests[action.Request]
+		if invariant.Check(request != nil, "an action of the module names an open request", "kind", action.Kind) {
+			if action.Kind == balance.SendAttempt {
+				invariant.Check(request.attemptsSent == request.endsReported, "a request has one open attempt at a time")
+				if !loop.router.recovery.allowSend(request, &action) {
+					loop.reportNotSent(request, &action)
 					return
 				}
-				if r.attemptsSent == 0 {
-					o.router.metrics.Add(metrics.FirstAttempts)
+				if request.attemptsSent == 0 {
+					loop.router.metrics.Add(metrics.FirstAttempts)
 				} else {
-					o.router.metrics.Add(metrics.Retries)
+					loop.router.metrics.Add(metrics.Retries)
 				}
-				r.attemptsSent, r.lastEndpoint = r.attemptsSent+1, a.Endpoint
-				if o.contracts != nil {
-					o.contracts.openAttempts[a.Endpoint]++
+				request.attemptsSent, request.lastEndpoint = request.attemptsSent+1, action.Endpoint
+				if loop.contracts != nil {
+					loop.contracts.openAttempts[action.Endpoint]++
 				}
 			}
-			r.deliver(a)
+			request.deliver(action)
 		}
 	case balance.SetTimer:
-		heap.Push(&o.timers, timer{a.TimerAt, a.TimerID})
+		heap.Push(&loop.timers, timer{action.TimerAt, action.TimerID})
 	case balance.SendProbe:
-		o.router.metrics.Add(metrics.Probes)
-		go o.router.findPosition(a.Endpoint)
-	case balance.WatchEndpoints: // discovery is always followed
+		loop.router.metrics.Add(metrics.Probes)
+		go loop.router.findPosition(action.Endpoint)
+	case balance.WatchEndpoints: // the endpoint list is always watched
 	case balance.WriteLog:
-		if a.Reason == balance.ReasonEjected {
-			o.router.membership.suspected(a.Endpoint)
+		if action.Reason == balance.ReasonEjected {
+			loop.router.membership.suspected(action.Endpoint)
 		}
-		if o.logLines++; o.logLines <= maxLogLines {
-			slog.Info("module", "says", a.Message)
+		if loop.logLines++; loop.logLines <= maxLogLines {
+			slog.Info("module", "says", action.Message)
 		}
 	}
 }
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -131,9 +131,9 @@
 	o := &eventLoop{}
 	r := &request{deadline: 100}
 	for _, c := range []struct {
-		name             string
-		takenAt, stepped int64
-		owes             bool
+		name                string
+		receivedAt, stepped int64
+		owes                bool
 	}{
 		{"it has not come to the module", 0, 200, false},
 		{"the event loop has not run since the deadline", 10, 99, false},
@@ -141,8 +141,8 @@
 		{"a step at the deadline", 10, 100, true},
 		{"a step behind it", 120, 130, true},
 	} {
-		r.takenAt.Store(c.takenAt)
-		if owes := o.owesDecision(r, c.stepped); owes != c.owes {
+		r.receivedAt.Store(c.receivedAt)
+		if owes := o.isDecisionOverdue(r, c.stepped); owes != c.owes {
 			t.Errorf("%s: %v", c.name, owes)
 		}
 	}
--- a/internal/router/lingeringclose.go
+++ b/internal/router/lingeringclose.go
@@ -10,13 +10,12 @@
 	"lotushook/internal/fdlimit"
 )
 
-// lingeringCloses holds refused connections for the moment that their clients need to
-// read why: closed at once, with bytes of theirs unread, a connection is reset,
-// and the reset can overtake the word. It holds a bounded number; where there is
-// no room the longest there goes.
+// lingeringCloses keeps rejected connections open for a short time, so that the clients can read the error. Closing a
+// connection with unread bytes at once resets it, and the reset can overtake the error. The number of connections is
+// bounded; beyond it the oldest is closed.
 type lingeringCloses struct {
 	budget   *fdlimit.Budget
-	notEmpty chan struct{} // signals that there is one
+	notEmpty chan struct{} // receives a value when the first connection is added
 
 	mu       sync.Mutex
 	ring     []lingeringConn
@@ -26,111 +25,111 @@
 }
 
 type lingeringConn struct {
-	conn  net.Conn
-	until time.Time
+	conn    net.Conn
+	closeAt time.Time
 }
 
-// drained is what is read and dropped of a refused client at a time.
-const drainBytes = 4 << 10
+// discardBytes is the number of bytes of a rejected client to read and discard per call.
+const discardBytes = 4 << 10
 
-func newLingeringCloses(most int, b *fdlimit.Budget) *lingeringCloses {
-	return &lingeringCloses{budget: b, notEmpty: make(chan struct{}, 1), ring: make([]lingeringConn, most)}
+func newLingeringCloses(capacity int, budget *fdlimit.Budget) *lingeringCloses {
+	return &lingeringCloses{budget: budget, notEmpty: make(chan struct{}, 1), ring: make([]lingeringConn, capacity)}
 }
 
-// setDuration is how long one may stay.
-func (l *lingeringCloses) setDuration(d time.Duration) {
-	l.mu.Lock()
-	l.duration = d
-	l.mu.Unlock()
+// setDuration sets how long a connection stays open.
+func (closes *lingeringCloses) setDuration(duration time.Duration) {
+	closes.mu.Lock()
+	closes.duration = duration
+	closes.mu.Unlock()
 }
 
-// reject says a word on a connection that nothing was read from, and closes it
-// soon. The word is short: a new connection's send buffer has room for it.
-func (l *lingeringCloses) reject(conn net.Conn, word []byte) {
-	if rejectAndShutdown(conn, word) {
-		l.closeNow(conn)
+// reject sends an error on a connection from which nothing was read, and closes it later. The message must be short
+// enough to fit into the send buffer of a new connection.
+func (closes *lingeringCloses) reject(conn net.Conn, message []byte) {
+	if rejectAndShutdown(conn, message) {
+		closes.closeNow(conn)
 		return
 	}
 	now := time.Now()
-	l.mu.Lock()
-	var old net.Conn
-	if l.len == len(l.ring) {
-		old = l.pop()
+	closes.mu.Lock()
+	var oldest net.Conn
+	if closes.len == len(closes.ring) {
+		oldest = closes.pop()
 	}
-	l.ring[(l.first+l.len)%len(l.ring)] = lingeringConn{conn, now.Add(l.duration)}
-	l.len++
-	alone := l.len == 1
-	l.mu.Unlock()
-	if old != nil {
-		discardInput(old)
-		l.closeNow(old)
+	closes.ring[(closes.first+closes.len)%len(closes.ring)] = lingeringConn{conn, now.Add(closes.duration)}
+	closes.len++
+	wasEmpty := closes.len == 1
+	closes.mu.Unlock()
+	if oldest != nil {
+		discardInput(oldest)
+		closes.closeNow(oldest)
 	}
-	if alone {
+	if wasEmpty {
 		select {
-		case l.notEmpty <- struct{}{}:
+		case closes.notEmpty <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// pop takes the oldest out; the lock is held.
-func (l *lingeringCloses) pop() net.Conn {
-	c := l.ring[l.first].conn
-	l.ring[l.first] = lingeringConn{}
-	l.first = (l.first + 1) % len(l.ring)
-	l.len--
-	return c
+// pop removes and returns the oldest connection. The caller holds the lock.
+func (closes *lingeringCloses) pop() net.Conn {
+	conn := closes.ring[closes.first].conn
+	closes.ring[closes.first] = lingeringConn{}
+	closes.first = (closes.first + 1) % len(closes.ring)
+	closes.len--
+	return conn
 }
 
-func (l *lingeringCloses) any() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.len > 0
+func (closes *lingeringCloses) any() bool {
+	closes.mu.Lock()
+	defer closes.mu.Unlock()
+	return closes.len > 0
 }
 
-// closeOldest ends the wait for one, if there is one.
-func (l *lingeringCloses) closeOldest() bool {
-	l.mu.Lock()
-	if l.len == 0 {
-		l.mu.Unlock()
+// closeOldest closes the oldest connection, and reports whether there was one.
+func (closes *lingeringCloses) closeOldest() bool {
+	closes.mu.Lock()
+	if closes.len == 0 {
+		closes.mu.Unlock()
 		return false
 	}
-	c := l.pop()
-	l.mu.Unlock()
-	discardInput(c)
-	l.closeNow(c)
+	conn := closes.pop()
+	closes.mu.Unlock()
+	discardInput(conn)
+	closes.closeNow(conn)
 	return true
 }
 
-// expire closes those whose time is over, and those that have gone themselves.
-func (l *lingeringCloses) expire(now time.Time) {
+// expire closes the connections whose time is over, and the oldest ones as long as their clients have closed them.
+func (closes *lingeringCloses) expire(now time.Time) {
 	for {
-		l.mu.Lock()
-		if l.len == 0 || (!now.After(l.ring[l.first].until) && !discardInput(l.ring[l.first].conn)) {
-			l.mu.Unlock()
+		closes.mu.Lock()
+		if closes.len == 0 || (!now.After(closes.ring[closes.first].closeAt) && !discardInput(closes.ring[closes.first].conn)) {
+			closes.mu.Unlock()
 			return
 		}
-		c := l.pop()
-		l.mu.Unlock()
-		l.closeNow(c)
+		conn := closes.pop()
+		closes.mu.Unlock()
+		closes.closeNow(conn)
 	}
 }
 
-func (l *lingeringCloses) closeAll() {
-	for l.closeOldest() {
+func (closes *lingeringCloses) closeAll() {
+	for closes.closeOldest() {
 	}
 }
 
-func (l *lingeringCloses) closeNow(conn net.Conn) {
+func (closes *lingeringCloses) closeNow(conn net.Conn) {
 	conn.Close()
-	l.budget.Leave()
+	closes.budget.Leave()
 }
 
-// rejectAndShutdown says a word, ends the sending, and drops what has come, all without
-// waiting. It says whether the other side has ended, too.
-func rejectAndShutdown(conn net.Conn, word []byte) (gone bool) {
+// rejectAndShutdown sends a message, shuts down the sending side, and discards available input, all without blocking.
+// It reports whether the peer has closed the connection.
+func rejectAndShutdown(conn net.Conn, message []byte) (gone bool) {
 	return withDescriptor(conn, func(fd int) bool {
-		if err := syscall.Sendto(fd, word, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, nil); err != nil {
+		if err := syscall.Sendto(fd, message, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, nil); err != nil {
 			return true
 		}
 		_ = syscall.Shutdown(fd, syscall.SHUT_WR)
@@ -138,46 +137,45 @@
 	})
 }
 
-// discardInput drops what has come, without waiting, and says whether the other side has
-// ended.
+// discardInput discards available input without blocking, and reports whether the peer has closed the connection.
 func discardInput(conn net.Conn) (gone bool) { return withDescriptor(conn, discardAvailable) }
 
 func discardAvailable(fd int) (gone bool) {
-	var b [drainBytes]byte
-	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_DONTWAIT)
-	return n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
+	var buffer [discardBytes]byte
+	count, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_DONTWAIT)
+	return count == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 }
 
-// availableReader reads what this machine has of a connection by now, without waiting.
-// Only who reads the connection may use it.
+// availableReader reads the bytes that the kernel has received on a connection, without blocking. Only the goroutine
+// that reads the connection may use it.
 type availableReader struct{ net.Conn }
 
 // Read implements io.Reader.
-func (p availableReader) Read(b []byte) (n int, err error) {
-	gone := withDescriptor(p.Conn, func(fd int) bool {
+func (reader availableReader) Read(buffer []byte) (count int, err error) {
+	gone := withDescriptor(reader.Conn, func(fd int) bool {
 		for {
-			if n, err = syscall.Read(fd, b); err != syscall.EINTR {
-				return n == 0 && err == nil
+			if count, err = syscall.Read(fd, buffer); err != syscall.EINTR {
+				return count == 0 && err == nil
 			}
 		}
 	})
 	if gone {
 		err = io.EOF
 	}
-	return max(n, 0), err
+	return max(count, 0), err
 }
 
-// withDescriptor does something with a connection's descriptor; a connection that has none
-// any more has ended.
+// withDescriptor calls a function with a connection's descriptor and returns its result; true if the connection no
+// longer has a descriptor.
 func withDescriptor(conn net.Conn, do func(fd int) bool) (gone bool) {
-	sc, ok := conn.(syscall.Conn)
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	rc, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	err = rc.Control(func(fd uintptr) { gone = do(int(fd)) })
+	err = rawConn.Control(func(fd uintptr) { gone = do(int(fd)) })
 	return gone || err != nil
 }
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -81,8 +81,8 @@
 		one := &request{Request: written, router: idle, client: &client{left: make(chan struct{})}, actions: make(chan balance.Action, actionQueueSize)}
 		one.Class, one.deadline = c.class, idle.clock.now()+int64(time.Minute)
 		go one.run()
-		if e := <-idle.loop.events; e.Kind != balance.RequestArrived || e.mustSee != c.after {
-			t.Errorf("%s: a read comes in after %d", c.class, e.mustSee)
+		if e := <-idle.loop.events; e.Kind != balance.RequestArrived || e.minPosition != c.after {
+			t.Errorf("%s: a read comes in after %d", c.class, e.minPosition)
 		}
 		one.deliver(balance.Action{Kind: balance.FailRequest})
 		if e := <-idle.loop.events; !e.requestEnded {
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -10,76 +10,79 @@
 	"lotushook/policy/clock"
 )
 
-// acceptAll takes clients in until the listener closes, as far as descriptors go.
-func (r *Router) acceptAll(listener net.Listener) error {
-	lackingAt := clock.Nanos(0) // when descriptors were last lacking; 0: they were not
+// acceptAll accepts all clients until the listener closes. While no descriptor is free, clients wait to be accepted.
+func (router *Router) acceptAll(listener net.Listener) error {
+	exhaustedAt := clock.Nanos(0) // when no descriptor was last free; 0: never
 	for {
-		if r.awaitDescriptor() {
-			lackingAt = r.clock.now()
+		if router.awaitDescriptor() {
+			exhaustedAt = router.clock.now()
 		}
 		conn, err := listener.Accept()
 		if err == nil {
-			r.acceptClient(conn, lackingAt)
+			router.acceptClient(conn, exhaustedAt)
 			continue
 		}
-		r.descriptors.Leave()
+		router.descriptors.Leave()
 		if !isTemporary(err) {
 			return err
 		}
-		slog.Warn("accept", "err", err)
+		slog.Warn("accept failed", "err", err)
 		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// acceptClient starts a client's goroutine, unless the client has waited too long in a crowd.
-func (r *Router) acceptClient(conn net.Conn, lackingAt clock.Nanos) {
-	if r.hasWaitedTooLong(conn, lackingAt) {
-		r.metrics.Add(metrics.ShutUnread)
+// acceptClient starts a client's goroutine, unless the client waited too long to be accepted.
+func (router *Router) acceptClient(conn net.Conn, exhaustedAt clock.Nanos) {
+	if router.hasWaitedTooLong(conn, exhaustedAt) {
+		router.metrics.Add(metrics.ShutUnread)
 		closeQuietly(conn)
-		r.descriptors.Leave()
+		router.descriptors.Leave()
 		return
 	}
-	r.serveClient(conn)
+	router.serveClient(conn)
 }
 
-// isTemporary says whether an accept failed for want of descriptors, or as a connection was aborted.
+// isTemporary reports whether an accept failed because no descriptor was free or because the client aborted the
+// connection.
 func isTemporary(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && !errors.Is(err, net.ErrClosed)
 }
 
-// awaitDescriptor returns once there is a descriptor for one more client, making room where it can. It says whether there was none.
-func (r *Router) awaitDescriptor() (lacking bool) {
-	for !r.descriptors.Accept() {
-		lacking = true
+// awaitDescriptor returns once a descriptor for one more client is free, and closes other connections if necessary. It
+// reports whether no descriptor was free at the time of the call.
+func (router *Router) awaitDescriptor() (exhausted bool) {
+	for !router.descriptors.Accept() {
+		exhausted = true
 		now := time.Now()
-		if !r.clients.endLingering() && !r.clients.evictIdle(now, r.timeouts.evictableSilence) {
-			r.clients.rejectPartial(now)
+		if !router.clients.endLingering() && !router.clients.evictIdle(now, router.timeouts.evictableSilence) {
+			router.clients.rejectPartial(now)
 		}
 		select {
-		case <-r.descriptors.Left():
-		case <-time.After(r.timeouts.evictableSilence / 4):
+		case <-router.descriptors.Left():
+		case <-time.After(router.timeouts.evictableSilence / 4):
 		}
 	}
-	return lacking
+	return exhausted
 }
 
-// serveClient starts a client's goroutine. In a crowd two idle clients go for each that comes, so that it gets smaller.
-func (r *Router) serveClient(conn net.Conn) {
-	c := newClient(r, conn)
-	if r.clients.add(c) > r.config.Limits.Sockets/crowdedDescriptorShare {
+// serveClient starts a client's goroutine. When many clients are connected, it closes two idle clients for each new
+// one, so that their number decreases.
+func (router *Router) serveClient(conn net.Conn) {
+	client := newClient(router, conn)
+	if router.clients.add(client) > router.config.Limits.Sockets/crowdedDescriptorDivisor {
 		for range 2 {
-			r.clients.evictIdle(time.Now(), r.timeouts.message/4)
+			router.clients.evictIdle(time.Now(), router.timeouts.message/4)
 		}
 	}
-	r.clients.serving.Go(c.run)
+	router.clients.serving.Go(client.run)
 }
 
-// removeClient forgets a client whose connection is closed.
-func (r *Router) removeClient(c *client) {
-	r.clients.remove(c)
-	if r.acceptor != nil {
-		r.acceptor.clientClosed(c)
+// removeClient removes a client whose connection is closed.
+func (router *Router) removeClient(client *client) {
+	router.clients.remove(client)
+	if router.acceptor != nil {
+		router.acceptor.clientClosed(client)
 	}
-	r.descriptors.Leave()
+	router.descriptors.Leave()
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -9,42 +9,43 @@
 	"lotushook/policy/recovery"
 )
 
-// findPosition tells the module the position of an endpoint: the one a peer has just replicated, or a probe's.
-func (r *Router) findPosition(node balance.EndpointID) {
-	if at := r.membership.position(node); at > 0 {
-		r.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: balance.NotSent, Position: at}, reportedActive: -1}
+// findPosition reports the position of an endpoint to the module: the position that a peer has recently replicated, if
+// any, otherwise the result of a probe.
+func (router *Router) findPosition(endpoint balance.EndpointID) {
+	if position := router.membership.position(endpoint); position > 0 {
+		router.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: endpoint, Outcome: balance.NotSent, Position: position}, reportedActive: -1}
 		return
 	}
-	r.probe(node)
+	router.probe(endpoint)
 }
 
-// probe fetches an endpoint's report and passes it to the module.
-func (r *Router) probe(node balance.EndpointID) {
-	wait, ok := r.recovery.allow(recovery.Probe, time.Second)
+// probe requests an endpoint's status report and passes it to the module.
+func (router *Router) probe(endpoint balance.EndpointID) {
+	wait, ok := router.recovery.allow(recovery.Probe, time.Second)
 	if !ok {
-		r.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: balance.NotSent}, reportedActive: -1}
+		router.loop.events <- loopEvent{Event: balance.Event{Kind: balance.ProbeEnded, Endpoint: endpoint, Outcome: balance.NotSent}, reportedActive: -1}
 		return
 	}
 	if wait > 0 {
 		time.Sleep(wait)
 	}
-	res, rep := r.pool.Probe(node, r.config.Settings.ConnectTimeout)
-	e, held := balance.Event{Kind: balance.ProbeEnded, Endpoint: node, Outcome: res.Outcome}, -1
-	if res.Outcome == balance.Succeeded {
-		r.metrics.Add(metrics.ProbesAnswered)
-		e.Position = rep.Position * 1e6
-		if rep.HasRole {
-			e.Role = balance.Replica
-			if rep.Primary {
-				e.Role = balance.Primary
+	result, report := router.pool.Probe(endpoint, router.config.Settings.ConnectTimeout)
+	event, reportedActive := balance.Event{Kind: balance.ProbeEnded, Endpoint: endpoint, Outcome: result.Outcome}, -1
+	if result.Outcome == balance.Succeeded {
+		router.metrics.Add(metrics.ProbesAnswered)
+		event.Position = report.Position * 1e6
+		if report.HasRole {
+			event.Role = balance.Replica
+			if report.Primary {
+				event.Role = balance.Primary
 			}
 		}
-		e.HasLoad, e.Waiting, e.Active = rep.HasLoad, rep.Waiting, rep.Active
-		if rep.HasHeld {
-			held = rep.Active
+		event.HasLoad, event.Waiting, event.Active = report.HasLoad, report.Waiting, report.Active
+		if report.HasHeld {
+			reportedActive = report.Active
 		}
 	} else {
-		slog.Debug("probe", "node", node, "outcome", res.Outcome, "err", res.Err)
+		slog.Debug("probe", "node", endpoint, "outcome", result.Outcome, "err", result.Err)
 	}
-	r.loop.events <- loopEvent{Event: e, reportedActive: held}
+	router.loop.events <- loopEvent{Event: event, reportedActive: reportedActive}
 }
--- a/internal/router/rejection.go
+++ b/internal/router/rejection.go
@@ -10,57 +10,57 @@
 	"lotushook/policy/clock"
 )
 
-// rejection is why a client is not served: it may come again after wait.
+// rejection is the error that a rejected client receives.
 type rejection struct {
 	text       string
-	retryAfter clock.Nanos // 0: not told
+	retryAfter clock.Nanos // 0: none is sent
 }
 
 // Error implements the error interface.
-func (t *rejection) Error() string { return t.text }
+func (rejection *rejection) Error() string { return rejection.text }
 
-// rejectionFor words a verdict.
-func (d *acceptor) rejectionFor(addr netip.Addr, v admission.Verdict) *rejection {
-	return &rejection{text: "refused: " + rejectionText(addr, v), retryAfter: min(v.RetryAfter, d.maxRetryAfter)}
+// rejectionFor returns the rejection for an admission verdict.
+func (acceptor *acceptor) rejectionFor(address netip.Addr, verdict admission.Verdict) *rejection {
+	return &rejection{text: "refused: " + rejectionText(address, verdict), retryAfter: min(verdict.RetryAfter, acceptor.maxRetryAfter)}
 }
 
-// rejectionMessage is a verdict as a client hears it.
-func (d *acceptor) rejectionMessage(addr netip.Addr, v admission.Verdict) []byte {
-	t := d.rejectionFor(addr, v)
-	return pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, t.text, retryAfterField(t.retryAfter))
+// rejectionMessage returns an admission verdict as an error message of the protocol.
+func (acceptor *acceptor) rejectionMessage(address netip.Addr, verdict admission.Verdict) []byte {
+	rejected := acceptor.rejectionFor(address, verdict)
+	return pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, rejected.text, retryAfterField(rejected.retryAfter))
 }
 
-// rejectionText names the limit that was met, as the settings do.
-func rejectionText(addr netip.Addr, v admission.Verdict) string {
-	a := addr.Unmap()
-	switch v.Reason {
+// rejectionText describes the limit that was reached, with the name of its setting.
+func rejectionText(address netip.Addr, verdict admission.Verdict) string {
+	unmapped := address.Unmap()
+	switch verdict.Reason {
 	case admission.AddressFull:
-		return fmt.Sprintf("address %s holds its %d connections (admission.per_address)", a, v.Limit)
+		return fmt.Sprintf("address %s holds its %d connections (admission.per_address)", unmapped, verdict.Limit)
 	case admission.AddressRate:
-		return fmt.Sprintf("address %s has opened its %d connections of a second (admission.new_per_s)", a, v.Limit)
+		return fmt.Sprintf("address %s has opened its %d connections of a second (admission.new_per_s)", unmapped, verdict.Limit)
 	case admission.PrefixFull:
-		return fmt.Sprintf("the network of %s holds its %d connections (admission.per_prefix)", a, v.Limit)
+		return fmt.Sprintf("the network of %s holds its %d connections (admission.per_prefix)", unmapped, verdict.Limit)
 	case admission.PrefixRate:
-		return fmt.Sprintf("the network of %s has opened its %d connections of a second (admission.new_per_s_prefix)", a, v.Limit)
+		return fmt.Sprintf("the network of %s has opened its %d connections of a second (admission.new_per_s_prefix)", unmapped, verdict.Limit)
 	case admission.TotalRate:
-		return fmt.Sprintf("%d connections of a second were opened (admission.new_per_s_total)", v.Limit)
+		return fmt.Sprintf("%d connections of a second were opened (admission.new_per_s_total)", verdict.Limit)
 	case admission.AtCapacity:
-		return fmt.Sprintf("all %d connections are in use", v.Limit)
+		return fmt.Sprintf("all %d connections are in use", verdict.Limit)
 	case admission.Reserved:
-		return fmt.Sprintf("all connections but the %d reserved are in use (admission.reserve)", v.Limit)
+		return fmt.Sprintf("all connections but the %d reserved are in use (admission.reserve)", verdict.Limit)
 	case admission.Displaced:
 		return "closed before the first query to make room for another client"
 	case admission.Silent:
 		return "no query came in time while connections are short (admission.silence_ms)"
 	case admission.OverCap:
-		return fmt.Sprintf("a limit for %s was lowered (admission)", a)
+		return fmt.Sprintf("a limit for %s was lowered (admission)", unmapped)
 	case admission.OutOfDescriptors:
 		return "no file descriptor is left"
 	}
-	return v.Reason.String()
+	return verdict.Reason.String()
 }
 
-// remoteAddress is where a connection comes from; the zero address where it can't be told.
+// remoteAddress returns the peer address of a connection, the zero address if it is not known.
 func remoteAddress(conn net.Conn) netip.Addr {
 	if tcp, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr()
@@ -68,7 +68,7 @@
 	return netip.Addr{}
 }
 
-// displacedRejection is what one hears that was told to close with half a message read.
-func (d *acceptor) displacedRejection(c *client) error {
-	return d.rejectionFor(remoteAddress(c.conn), admission.Verdict{Reason: admission.Displaced})
+// displacedRejection returns the rejection for an evicted client of which a partial message was read.
+func (acceptor *acceptor) displacedRejection(client *client) error {
+	return acceptor.rejectionFor(remoteAddress(client.conn), admission.Verdict{Reason: admission.Displaced})
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -15,232 +15,233 @@
 )
 
 const (
-	deadlineMargin  = 20 * time.Millisecond // of a client's wait: the way here, and the way back
-	decisionTimeout = 15 * time.Millisecond // past the deadline a decision is not waited for longer
-	actionQueueSize = 8                     // one attempt and one final answer at a time, and what they cross
+	deadlineMargin  = 20 * time.Millisecond // the part of a client's wait that covers the transit in both directions
+	decisionTimeout = 15 * time.Millisecond // the maximum wait for a decision after the deadline
+	actionQueueSize = 8                     // one attempt and one final answer at a time, and cancels that cross them
 )
 
-// request is one client's request; its task is run.
+// request is a client's request. Its task is the method run.
 type request struct {
 	pgwire.Request
 	router    *Router
 	client    *client
-	identity  contract.Identity // of its client, where teams have contracts
+	identity  contract.Identity // of its client, if teams have contracts
 	deadline  clock.Nanos
 	arrivedAt clock.Nanos
 	actions   chan balance.Action // from the event loop
-	canceled  chan struct{}       // closed once, with the client's lock held, by a CancelRequest; nil: none can name it
-	result    *internalResult     // what it ended with, where the router itself asked; nil: a client did
+	canceled  chan struct{}       // closed by a CancelRequest, under the client's lock; nil: can't be canceled
+	result    *internalResult     // the result of a request that the router itself made; nil: a client made it
 	requestTask
 	requestDecisions
 }
 
-// requestTask belongs to the request's task; the event loop reads end and sessionWroteAt when it is told of them.
+// requestTask belongs to the request's task. The event loop reads end and sessionWroteAt after the task has sent it the
+// event that they belong to.
 type requestTask struct {
-	attempts         int                // so far
-	mayHaveRun       bool               // an attempt may have run
-	firstRunAt       clock.Nanos        // the first that may have run can't have begun before; 0: none may have
-	abandoned        bool               // the decision module was told that nobody waits any more
-	sessionWroteAt   clock.Nanos        // when any router saw its session write last, by the log; 0: not known, or not shared
-	positionEvidence positionProvenance // what a session's read must see, and why; empty where no attempts are logged
-	trace            []tracedAttempt    // its attempts, where the access log may want them
+	attempts         int                // the number of ended attempts
+	mayHaveRun       bool               // the query may have run
+	firstRunAt       clock.Nanos        // the start of the first attempt that may have run the query; 0: there is none
+	abandoned        bool               // the decision module was notified that the client no longer waits
+	sessionWroteAt   clock.Nanos        // the log position of the session's last write at any router; 0: unknown
+	positionEvidence positionProvenance // why a session's read requires its position; empty if attempts are not logged
+	trace            []tracedAttempt    // the attempts, if the access log may need them
 	end              contract.Outcome
 	outcome          requestOutcome
 	reason           balance.Reason // of a rejection or a failure
 }
 
-// requestDecisions belongs to the event loop; its task reads takenAt.
+// requestDecisions belongs to the event loop; the request's task reads receivedAt.
 type requestDecisions struct {
-	takenAt         atomic.Int64 // when it came to the decision module; 0: it did not
+	receivedAt      atomic.Int64 // when the event loop accepted the request; 0: it did not
 	sheddingVerdict shedding.Verdict
-	rejectionReason *rejectionReason // read by the task once it has the rejection; nil: the decision module's
+	rejectionReason *rejectionReason // read by the task after the rejection; nil: the module rejected the request
 	contractReason  contract.Reason
 	contractRequest contract.Request
-	lowPriority     bool      // others are placed before it
-	queuedArrival   loopEvent // its arrival, while it waits for its turn
-	attemptsSent    int       // handed to the task
-	endsReported    int       // of these, ends that came back
+	lowPriority     bool      // ordered after requests that are within their contracts
+	queuedArrival   loopEvent // the arrival event, while the request waits in its contract's queue
+	attemptsSent    int       // the send actions delivered to the task
+	endsReported    int       // the number of these attempts whose end the task has reported
 	lastEndpoint    balance.EndpointID
-	recoveryAttempt recovery.Attempt // the last one that recovery was asked for, and when
-	recoveryAskedAt clock.Nanos
+	recoveryAttempt recovery.Attempt // the last attempt that the recovery gate was asked about
+	recoveryAskedAt clock.Nanos      // when it was asked
 }
 
-// internalResult is how a request ended that the router itself made.
+// internalResult is the result of a request that the router itself made.
 type internalResult struct {
 	value      []byte
 	served     bool
-	retryAfter clock.Nanos // of a rejection; 0: not told
+	retryAfter clock.Nanos // of a rejection; 0: none is known
 }
 
-// deliver gives the task an action; the event loop must never wait for it.
-func (r *request) deliver(action balance.Action) {
+// deliver passes an action to the task. It must not block the event loop.
+func (request *request) deliver(action balance.Action) {
 	select {
-	case r.actions <- action:
+	case request.actions <- action:
 	default:
-		invariant.Check(false, "a request's action queue has room", "kind", action.Kind)
+		invariant.Check(false, "a request's action queue is not full", "kind", action.Kind)
 	}
 }
 
-// report tells the decision module an event of this request.
-func (r *request) report(event balance.Event) {
-	event.Request = r.ID
-	r.router.loop.events <- loopEvent{Event: event, request: r}
+// report passes an event of this request to the decision module.
+func (request *request) report(event balance.Event) {
+	event.Request = request.ID
+	request.router.loop.events <- loopEvent{Event: event, request: request}
 }
 
-// run is the life of the request, from its arrival to its one final answer, which it returns; nil when the client has left.
-func (r *request) run() []byte {
-	r.arrivedAt = r.router.clock.now()
-	defer r.reportEnd()
-	r.router.loop.events <- r.arrival()
-	r.outcome, r.reason = endAbandoned, balance.ReasonNormal
-	answer := r.serve()
-	switch r.outcome {
+// run processes the request from its arrival to the final answer, which it returns; nil if the client has disconnected.
+func (request *request) run() []byte {
+	request.arrivedAt = request.router.clock.now()
+	defer request.reportEnd()
+	request.router.loop.events <- request.arrival()
+	request.outcome, request.reason = endAbandoned, balance.ReasonNormal
+	answer := request.serve()
+	switch request.outcome {
 	case endServed:
-		r.router.metrics.Add(metrics.Served)
+		request.router.metrics.Add(metrics.Served)
 	case endAbandoned:
-		r.router.metrics.Add(metrics.ClientLeft)
+		request.router.metrics.Add(metrics.ClientLeft)
 	}
-	r.router.accessLog.write(r)
+	request.router.accessLog.write(request)
 	return answer
 }
 
-// arrival is the event that tells the decision module of the request.
-func (r *request) arrival() loopEvent {
-	settings := r.router.config.Settings
-	if settings.IsSession(r.Class) {
-		r.seeOtherRouters()
+// arrival returns the event that reports the request to the decision module.
+func (request *request) arrival() loopEvent {
+	settings := request.router.config.Settings
+	if settings.IsSession(request.Class) {
+		request.raiseMinPosition()
 	}
-	event := loopEvent{request: r, Event: balance.Event{
+	event := loopEvent{request: request, Event: balance.Event{
 		Kind:     balance.RequestArrived,
-		Request:  r.ID,
-		Class:    settings.Class(r.Class),
+		Request:  request.ID,
+		Class:    settings.Class(request.Class),
 		Tenant:   -1,
-		Session:  r.Session,
-		Deadline: r.deadline,
-		Group:    r.Cluster,
+		Session:  request.Session,
+		Deadline: request.deadline,
+		Group:    request.Cluster,
 	}}
-	if r.HasPos {
-		event.mustSee = max(1, r.After*clock.Millisecond)
+	if request.HasPos {
+		event.minPosition = max(1, request.After*clock.Millisecond)
 	}
-	if event.mustSee >= r.positionEvidence.at+clock.Millisecond { // the client knows of a later one
-		r.positionEvidence = positionProvenance{at: event.mustSee}
+	if event.minPosition >= request.positionEvidence.at+clock.Millisecond { // the client requires a later position
+		request.positionEvidence = positionProvenance{at: event.minPosition}
 	}
 	return event
 }
 
-// seeOtherRouters has a session's read see its session's last write also where that was another router's, whose position
-// the client did not bring.
-func (r *request) seeOtherRouters() {
-	position := r.router.membership.commit(r.Cluster, r.Session)
+// raiseMinPosition raises the position that a session's read requires to that of the session's last write, also if
+// another router served the write and the client did not send its position.
+func (request *request) raiseMinPosition() {
+	position := request.router.membership.commit(request.Cluster, request.Session)
 	if position <= 0 {
 		return
 	}
-	r.See((position + clock.Millisecond - 1) / clock.Millisecond)
-	r.sessionWroteAt = position
-	r.positionEvidence = r.router.membership.provenanceOf(r.Cluster, r.Session, position)
+	request.See((position + clock.Millisecond - 1) / clock.Millisecond)
+	request.sessionWroteAt = position
+	request.positionEvidence = request.router.membership.provenanceOf(request.Cluster, request.Session, position)
 }
 
-// reportEnd tells the event loop that the task has ended.
-func (r *request) reportEnd() {
-	r.end.MayHaveRun = r.mayHaveRun && !r.end.Served
-	r.end.Elapsed = r.router.clock.now() - r.arrivedAt
-	r.router.loop.events <- loopEvent{request: r, requestEnded: true}
+// reportEnd notifies the event loop that the task has ended.
+func (request *request) reportEnd() {
+	request.end.MayHaveRun = request.mayHaveRun && !request.end.Served
+	request.end.Elapsed = request.router.clock.now() - request.arrivedAt
+	request.router.loop.events <- loopEvent{request: request, requestEnded: true}
 }
 
-// serve carries out what the decision module says, up to the final answer.
-func (r *request) serve() []byte {
-	overdue := time.NewTimer(time.Until(r.router.clock.at(r.deadline).Add(decisionTimeout)))
+// serve carries out the decision module's actions until the final answer.
+func (request *request) serve() []byte {
+	overdue := time.NewTimer(time.Until(request.router.clock.at(request.deadline).Add(decisionTimeout)))
 	defer overdue.Stop()
 	for {
-		action, decided := r.awaitDecision(overdue.C)
+		action, decided := request.awaitDecision(overdue.C)
 		if !decided {
-			return r.answerUndecided()
+			return request.answerUndecided()
 		}
-		if answer, ended := r.interrupt(action); ended {
+		if answer, ended := request.interrupt(action); ended {
 			return answer
 		}
 		switch action.Kind {
 		case balance.RejectRequest:
-			return r.reject(action)
+			return request.reject(action)
 		case balance.FailRequest:
-			r.outcome, r.reason = endFailed, action.Reason
+			request.outcome, request.reason = endFailed, action.Reason
 			return failedAnswer("failed")
 		case balance.SendAttempt:
-			if answer, ended := r.attempt(action); ended {
+			if answer, ended := request.attempt(action); ended {
 				return answer
 			}
-		default: // a cancel that crossed the attempt's own end
+		default: // a cancel that crossed the end of its attempt
 		}
 	}
 }
 
-// awaitDecision waits for the next action, or for what ends the request without one: the zero action then. It says false
-// if the decision module is silent past the request's deadline.
-func (r *request) awaitDecision(overdue <-chan time.Time) (action balance.Action, decided bool) {
+// awaitDecision waits for the next action. It returns the zero action if the request ends without one: the client has
+// disconnected or canceled it, or the shutdown is over. It returns false if there is no decision by the deadline.
+func (request *request) awaitDecision(overdue <-chan time.Time) (action balance.Action, decided bool) {
 	select {
-	case action = <-r.actions:
-	case <-r.client.left:
-	case <-r.canceled:
-	case <-r.router.shutdown.over:
+	case action = <-request.actions:
+	case <-request.client.left:
+	case <-request.canceled:
+	case <-request.router.shutdown.over:
 	case <-overdue:
-		steppedAt := r.router.loop.steppedAt.Load() // before the look: what that step decided is there
+		steppedAt := request.router.loop.steppedAt.Load() // before polling, so that that step's actions are there
 		select {
-		case action = <-r.actions: // both at once: the module was not silent
+		case action = <-request.actions: // the decision arrived at the same time
 		default:
-			invariant.Check(!r.router.loop.owesDecision(r, steppedAt), "the module ends each request by its deadline")
+			invariant.Check(!request.router.loop.isDecisionOverdue(request, steppedAt), "the module answers each request by its deadline")
 			return action, false
 		}
 	}
 	return action, true
 }
 
-// answerUndecided is the answer where the decision module was silent, or not let run.
-func (r *request) answerUndecided() []byte {
-	r.report(balance.Event{Kind: balance.RequestAbandoned})
-	r.router.metrics.Add(metrics.Unanswered)
-	r.outcome = endFailed
+// answerUndecided returns the answer to a request that was not decided in time.
+func (request *request) answerUndecided() []byte {
+	request.report(balance.Event{Kind: balance.RequestAbandoned})
+	request.router.metrics.Add(metrics.Unanswered)
+	request.outcome = endFailed
 	return failedAnswer("no answer in time")
 }
 
-// interrupt ends a request that nobody waits for any more, or for which a router that stops has no time, whatever action
-// came in the same moment; but a cancel that crosses the final answer changes nothing.
-func (r *request) interrupt(action balance.Action) (answer []byte, ended bool) {
+// interrupt ends a request that is abandoned, or whose time is over in a shutdown, instead of carrying out the action
+// that arrived. A cancel that crosses the final answer has no effect.
+func (request *request) interrupt(action balance.Action) (answer []byte, ended bool) {
 	final := action.Kind == balance.RejectRequest || action.Kind == balance.FailRequest
-	if r.checkAbandoned() && (!final || r.clientLeft()) {
-		return r.canceledAnswer(), true
+	if request.checkAbandoned() && (!final || request.clientLeft()) {
+		return request.canceledAnswer(), true
 	}
-	if final || !r.router.shutdown.isOver() {
+	if final || !request.router.shutdown.isOver() {
 		return nil, false
 	}
-	r.report(balance.Event{Kind: balance.RequestAbandoned})
-	if r.mayHaveRun {
-		r.outcome = endFailed
+	request.report(balance.Event{Kind: balance.RequestAbandoned})
+	if request.mayHaveRun {
+		request.outcome = endFailed
 		return failedAnswer(rejectedByShutdown.text), true
 	}
-	r.outcome = endRejected
+	request.outcome = endRejected
 	return rejectedAnswer(0, rejectedByShutdown), true
 }
 
-// reject is the answer to a request that the decision module, or a contract, rejects.
-func (r *request) reject(action balance.Action) []byte {
-	r.outcome, r.reason = endRejected, action.Reason
+// reject returns the answer to a request that the decision module, a contract or load shedding rejects.
+func (request *request) reject(action balance.Action) []byte {
+	request.outcome, request.reason = endRejected, action.Reason
 	retryAfter := action.RetryAfter
-	if r.router.recovery != nil {
-		retryAfter = r.router.recovery.retryAfter(r, retryAfter)
+	if request.router.recovery != nil {
+		retryAfter = request.router.recovery.retryAfter(request, retryAfter)
 	}
-	if r.result != nil {
-		r.result.retryAfter = retryAfter
+	if request.result != nil {
+		request.result.retryAfter = retryAfter
 	}
-	return rejectedAnswer(retryAfter, r.rejectionReason)
+	return rejectedAnswer(retryAfter, request.rejectionReason)
 }
 
-// clientLeft says whether the client has gone, or is only being closed for an error of its own.
-func (r *request) clientLeft() bool { return isClosed(r.client.left) }
+// clientLeft reports whether the client has disconnected or is being disconnected, possibly because of its own error.
+func (request *request) clientLeft() bool { return isClosed(request.client.left) }
 
-// isCanceled says whether a CancelRequest has named the request.
-func (r *request) isCanceled() bool { return isClosed(r.canceled) }
+// isCanceled reports whether a CancelRequest has canceled the request.
+func (request *request) isCanceled() bool { return isClosed(request.canceled) }
 
-// isClosed says whether a channel that carries nothing is closed.
+// isClosed reports whether a channel on which nothing is sent is closed.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
@@ -250,22 +251,22 @@
 	}
 }
 
-// checkAbandoned says whether nobody waits for the answer any more, and tells the decision module once.
-func (r *request) checkAbandoned() bool {
-	if !r.abandoned && (r.clientLeft() || r.isCanceled()) {
-		r.abandoned, r.end.Abandoned = true, true
-		r.report(balance.Event{Kind: balance.RequestAbandoned})
+// checkAbandoned reports whether the client no longer waits for the answer, and notifies the decision module once.
+func (request *request) checkAbandoned() bool {
+	if !request.abandoned && (request.clientLeft() || request.isCanceled()) {
+		request.abandoned, request.end.Abandoned = true, true
+		request.report(balance.Event{Kind: balance.RequestAbandoned})
 	}
-	return r.abandoned
+	return request.abandoned
 }
 
-// canceledAnswer is the answer once the client has left: none, unless it is only being closed for an error of its own; or
-// once it has canceled the request.
-func (r *request) canceledAnswer() []byte {
+// canceledAnswer returns the answer to an abandoned request: an error if the client has canceled it or is being closed
+// because of its own error, otherwise none, as the client has disconnected.
+func (request *request) canceledAnswer() []byte {
 	switch {
-	case !r.clientLeft():
+	case !request.clientLeft():
 		return errorAnswer(pgwire.CodeQueryCanceled, "canceled on the client's request")
-	case r.client.failedByClient:
+	case request.client.failedByClient:
 		return failedAnswer("called off by an error on the connection")
 	}
 	return nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router carries out what the decision module decides: it takes clients' requests, asks the module what to do
-// with each, and does that on sockets.
+// Package router serves clients' requests: it reads them, asks the decision module what to do with each, and carries
+// out the decisions on network connections.
 package router
 
 import (
@@ -19,15 +19,15 @@
 )
 
 const (
-	sweepInterval          = 100 * time.Millisecond
-	stallTimeout           = 50 * time.Millisecond // complete answers come within a millisecond
-	settleTime             = 5 * time.Millisecond  // some round trips
-	duplicateWindow        = 10 * time.Millisecond // a round trip, and what either side may be late
-	crowdedDescriptorShare = 5                     // beyond one part in so many of the descriptors, idle clients are closed early
-	readMemoryShare        = 4                     // one part in so many of the memory is for incomplete messages
+	sweepInterval            = 100 * time.Millisecond
+	stallTimeout             = 50 * time.Millisecond // the rest of an answer normally arrives within a millisecond
+	settleTime               = 5 * time.Millisecond  // several round trips
+	duplicateWindow          = 10 * time.Millisecond // a round trip and the scheduling delay of either side
+	crowdedDescriptorDivisor = 5                     // above 1/5 of the descriptors, idle clients are closed early
+	readMemoryDivisor        = 4                     // 1/4 of the memory limit is for incomplete messages, on either side
 )
 
-// Router is one router instance.
+// Router is a router process.
 type Router struct {
 	config      *platformconfig.Config
 	directory   *discovery.Directory
@@ -43,41 +43,41 @@
 	optionalServices
 }
 
-// clientSide is what clients' connections share.
+// clientSide is the state that the client connections share.
 type clientSide struct {
 	clients    clientSet
 	timeouts   clientTimeouts
 	readQuota  *ringbuffer.Quota // for incomplete messages of clients
-	stalls     stallWatch
-	cancelKeys *cancelKeys // of the clients that are connected
+	stalls     stallDetector
+	cancelKeys *cancelKeys // of the connected clients
 }
 
-// observability is what the router tells of itself.
+// observability contains the metrics and logs.
 type observability struct {
 	metrics     *metrics.Metrics // nil: nothing is counted
-	logSettings *siteconfig.Log  // what the totals follow; nil: there are none
+	logSettings *siteconfig.Log  // the settings for logging the totals; nil: totals are not logged
 	accessLog   accessLog
 }
 
-// optionalServices are switched on by the installation's own settings; a nil one does nothing.
+// optionalServices are enabled by the site configuration; a nil service is disabled.
 type optionalServices struct {
-	membership *membershipService // of the installation's routers
-	changefeed *changefeedService // answers subscribers
-	acceptor   *acceptor          // decides which clients are admitted; without, all are, as far as descriptors go
-	recovery   *recoveryGate      // bounds what is done while routers come back
+	membership *membershipService // gossip with the other routers of the cluster
+	changefeed *changefeedService // answers subscribers of change feeds
+	acceptor   *acceptor          // decides which clients are admitted; nil: all are, while descriptors are free
+	recovery   *recoveryGate      // limits load on data servers and discovery while routers restart
 }
 
-// New returns a router that starts from the list in its configuration, with the services that the installation's own
-// settings switch on.
-func New(config *platformconfig.Config, own *siteconfig.Config) (*Router, error) {
+// New returns a router that starts with the endpoint list in its configuration and with the services that the site
+// configuration enables.
+func New(config *platformconfig.Config, site *siteconfig.Config) (*Router, error) {
 	settings := config.Settings.Balance
-	settings.LateRejectionCharged = true // on sockets it is
+	settings.LateRejectionCharged = true // this cost applies on network connections
 	balancer, err := balance.New(settings, config.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	readQuota := config.Limits.MemoryMB << 20 / readMemoryShare // on either side
-	r := &Router{
+	readQuota := config.Limits.MemoryMB << 20 / readMemoryDivisor
+	router := &Router{
 		config:      config,
 		directory:   discovery.NewDirectory(),
 		watcher:     discovery.NewWatcher(config.Discovery, sharedDiscoveryRouters(config), config.Settings.DrainGrace),
@@ -86,17 +86,17 @@
 		start:       newStartHold(config),
 		shutdown:    newShutdownControl(config.Settings.Balance.Classes),
 	}
-	r.timeouts = defaultTimeouts
-	r.clients.timeouts = &r.timeouts
-	r.clients.onSweep = func() { r.stalls.tick(r.clock.now()) }
-	r.clients.all = map[*client]struct{}{}
-	r.readQuota = ringbuffer.NewQuota(readQuota)
-	r.cancelKeys = newCancelKeys()
-	r.observe(own.Log)
-	r.pool = backend.NewPool(backend.Options{
-		Directory:       r.directory,
-		Descriptors:     r.descriptors,
-		Metrics:         r.metrics,
+	router.timeouts = defaultTimeouts
+	router.clients.timeouts = &router.timeouts
+	router.clients.onSweep = func() { router.stalls.tick(router.clock.now()) }
+	router.clients.all = map[*client]struct{}{}
+	router.readQuota = ringbuffer.NewQuota(readQuota)
+	router.cancelKeys = newCancelKeys()
+	router.observe(site.Log)
+	router.pool = backend.NewPool(backend.Options{
+		Directory:       router.directory,
+		Descriptors:     router.descriptors,
+		Metrics:         router.metrics,
 		ConnectTimeout:  config.Settings.ConnectTimeout,
 		IdleClose:       config.Settings.IdleTimeout,
 		ReadQuota:       ringbuffer.NewQuota(readQuota),
@@ -104,62 +104,62 @@
 		SettleTime:      settleTime,
 		DuplicateWindow: duplicateWindow,
 	})
-	r.loop = newEventLoop(balancer, r)
-	if err := r.addServices(own); err != nil {
+	router.loop = newEventLoop(balancer, router)
+	if err := router.addServices(site); err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	return r, nil
+	return router, nil
 }
 
-// observe switches on what the log settings ask for.
-func (r *Router) observe(settings *siteconfig.Log) {
-	r.logSettings = settings
+// observe enables the metrics and logs that the settings ask for.
+func (router *Router) observe(settings *siteconfig.Log) {
+	router.logSettings = settings
 	if settings != nil && settings.TotalsMS > 0 {
-		r.metrics = metrics.New()
+		router.metrics = metrics.New()
 	}
-	r.accessLog.settings.Store(settings)
-	r.watcher.Metrics = r.metrics
+	router.accessLog.settings.Store(settings)
+	router.watcher.Metrics = router.metrics
 }
 
-// addServices switches on what the installation's own settings ask for.
-func (r *Router) addServices(own *siteconfig.Config) error {
+// addServices creates the optional services that the site configuration enables.
+func (router *Router) addServices(site *siteconfig.Config) error {
 	var err error
-	if own.Admission != nil {
-		if r.acceptor, err = newAcceptor(r, own.Admission); err != nil {
+	if site.Admission != nil {
+		if router.acceptor, err = newAcceptor(router, site.Admission); err != nil {
 			return err
 		}
-		r.pool.OutOfDescriptors = r.acceptor.shrink
+		router.pool.OutOfDescriptors = router.acceptor.shrink
 	}
-	if own.Contracts != nil {
-		if r.loop.contracts, err = newContractService(r, own); err != nil {
+	if site.Contracts != nil {
+		if router.loop.contracts, err = newContractService(router, site); err != nil {
 			return err
 		}
 	}
-	if own.Members != nil {
-		if r.membership, err = newMembershipService(r, own.Members); err != nil {
+	if site.Members != nil {
+		if router.membership, err = newMembershipService(router, site.Members); err != nil {
 			return err
 		}
 	}
-	if own.Feeds != nil {
-		if r.changefeed, err = newChangefeedService(r, own.Feeds); err != nil {
+	if site.Feeds != nil {
+		if router.changefeed, err = newChangefeedService(router, site.Feeds); err != nil {
 			return err
 		}
 	}
-	if own.Recovery != nil {
-		if r.recovery, err = newRecoveryGate(r, own.Recovery); err != nil {
+	if site.Recovery != nil {
+		if router.recovery, err = newRecoveryGate(router, site.Recovery); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Run serves clients until the context ends, and then finishes what it took.
-func (r *Router) Run(ctx context.Context) error {
-	// Keep-alive notices nothing here, and setting it takes four calls of each accept.
+// Run serves clients until the context ends, and then shuts down gracefully.
+func (router *Router) Run(ctx context.Context) error {
+	// Keep-alive probes would detect nothing that the timeouts don't, and would add four system calls to each accept.
 	config := net.ListenConfig{KeepAlive: -1}
-	listener, err := config.Listen(ctx, "tcp", r.config.Listen)
+	listener, err := config.Listen(ctx, "tcp", router.config.Listen)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	return r.Serve(ctx, listener)
+	return router.Serve(ctx, listener)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -90,7 +90,7 @@
 		hosts[i] = s.Expand(h)
 	}
 	r := newOwnRouter(t, own, nettest.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
-	r.shutdown.acceptOver = func() <-chan time.Time { return accepted }
+	r.shutdown.acceptEnd = func() <-chan time.Time { return accepted }
 	r.shutdown.timeoutEnd = func() <-chan time.Time { return finish }
 	r.shutdown.timeout = time.Hour
 	r.timeouts, r.start.timeout = p, hold
@@ -246,7 +246,7 @@
 		expect c3 welcome | FATAL 08P01 | EOF
 		expect c4 FATAL 08P01 | EOF
 		expect c5 welcome | I | Z | EOF`)
-	if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
+	if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryDivisor {
 		t.Errorf("%d bytes left for reading", left)
 	}
 }
@@ -275,7 +275,7 @@
 // run out: what they hold is also missing to the clients' own machines.
 func TestCrowd(t *testing.T) {
 	s, r, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
-	for i := range r.config.Limits.Sockets/crowdedDescriptorShare + 1 {
+	for i := range r.config.Limits.Sockets/crowdedDescriptorDivisor + 1 {
 		s.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
@@ -335,7 +335,7 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "{value}" | C | S rank=copy | Z
 		expect c1 welcome | T | D "{value}" | C | Z`)
-	if left := r.pool.ReadQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
+	if left := r.pool.ReadQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryDivisor {
 		t.Errorf("%d bytes left for answers", left)
 	}
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -12,19 +12,19 @@
 	"lotushook/internal/invariant"
 )
 
-// Serve is Run on a listener that it closes.
-func (r *Router) Serve(ctx context.Context, listener net.Listener) error {
+// Serve is Run with an existing listener, which it closes.
+func (router *Router) Serve(ctx context.Context, listener net.Listener) error {
 	drainable := &drainListener{Listener: listener}
-	inner, stop := context.WithCancel(context.Background())
-	defer stop()
+	serviceContext, stopServices := context.WithCancel(context.Background())
+	defer stopServices()
 	var running sync.WaitGroup
-	if err := r.startServices(inner, &running); err != nil {
+	if err := router.startServices(serviceContext, &running); err != nil {
 		closeQuietly(drainable)
 		return fmt.Errorf("router: %w", err)
 	}
-	slog.Info("serving", "name", r.config.Name, "listen", drainable.Addr().String())
+	slog.Info("serving", "name", router.config.Name, "listen", drainable.Addr().String())
 	accepted := make(chan error, 1)
-	go func() { accepted <- r.accept(drainable) }()
+	go func() { accepted <- router.accept(drainable) }()
 
 	var err error
 	select {
@@ -32,98 +32,99 @@
 		closeQuietly(drainable)
 		err = fmt.Errorf("router: accept: %w", err)
 	case <-ctx.Done():
-		r.drainAccepts(inner, &running, drainable, accepted)
+		router.drainAccepts(serviceContext, &running, drainable, accepted)
 	}
-	r.clients.drain()
-	r.clients.serving.Wait()
-	if r.changefeed != nil {
-		r.changefeed.feeds.Close()
+	router.clients.drain()
+	router.clients.serving.Wait()
+	if router.changefeed != nil {
+		router.changefeed.feeds.Close()
 	}
-	stop()
+	stopServices()
 	running.Wait()
-	r.logEnd()
+	router.logEnd()
 	return err
 }
 
 // startServices starts the goroutines that run until the context ends.
-func (r *Router) startServices(ctx context.Context, running *sync.WaitGroup) error {
-	if r.membership != nil {
-		if err := r.membership.listen(); err != nil {
+func (router *Router) startServices(ctx context.Context, running *sync.WaitGroup) error {
+	if router.membership != nil {
+		if err := router.membership.listen(); err != nil {
 			return err
 		}
-		r.membership.restore(ctx, running)
-		running.Go(func() { r.membership.run(ctx) })
+		router.membership.restore(ctx, running)
+		running.Go(func() { router.membership.run(ctx) })
 	}
-	if r.config.Known != nil {
-		r.loop.events <- loopEvent{Event: r.directory.Apply(r.config.Known)}
-		r.recovery.listReceived()
+	if router.config.Known != nil {
+		router.loop.events <- loopEvent{Event: router.directory.Apply(router.config.Known)}
+		router.recovery.listReceived()
 	}
 	listed := make(chan struct{})
 	running.Go(func() {
-		r.start.wait(ctx, listed)
-		r.loop.run(ctx)
+		router.start.wait(ctx, listed)
+		router.loop.run(ctx)
 	})
-	running.Go(func() { r.watchEndpoints(ctx, listed) })
-	running.Go(func() { r.pool.Run(ctx) })
-	running.Go(func() { r.clients.sweep(ctx) })
-	if r.acceptor != nil {
-		running.Go(func() { r.acceptor.run(ctx) })
+	running.Go(func() { router.watchEndpoints(ctx, listed) })
+	running.Go(func() { router.pool.Run(ctx) })
+	running.Go(func() { router.clients.sweep(ctx) })
+	if router.acceptor != nil {
+		running.Go(func() { router.acceptor.run(ctx) })
 	}
-	if r.loop.contracts != nil {
-		running.Go(func() { r.loop.contracts.run(ctx) })
+	if router.loop.contracts != nil {
+		running.Go(func() { router.loop.contracts.run(ctx) })
 	}
-	if r.metrics != nil {
-		interval := time.Duration(r.logSettings.TotalsMS) * time.Millisecond
-		running.Go(func() { r.writeTotalsEvery(ctx, interval) })
+	if router.metrics != nil {
+		interval := time.Duration(router.logSettings.TotalsMS) * time.Millisecond
+		running.Go(func() { router.writeTotalsEvery(ctx, interval) })
 	}
 	return nil
 }
 
-// watchEndpoints hands each list of discovery to the event loop until the context ends, and closes listed at the first.
-func (r *Router) watchEndpoints(ctx context.Context, listed chan struct{}) {
-	first := sync.OnceFunc(func() { close(listed) })
-	r.watcher.Run(ctx, func(list *discovery.List) error {
-		event, err := r.directory.Update(list)
+// watchEndpoints passes each endpoint list from discovery to the event loop until the context ends. It closes listed
+// after the first list.
+func (router *Router) watchEndpoints(ctx context.Context, listed chan struct{}) {
+	closeListed := sync.OnceFunc(func() { close(listed) })
+	router.watcher.Run(ctx, func(list *discovery.List) error {
+		event, err := router.directory.Update(list)
 		if err != nil {
 			return err
 		}
-		r.loop.events <- loopEvent{Event: event}
-		r.recovery.listReceived()
-		first()
+		router.loop.events <- loopEvent{Event: event}
+		router.recovery.listReceived()
+		closeListed()
 		return nil
 	})
 }
 
-// accept takes clients in until the listener closes.
-func (r *Router) accept(listener net.Listener) error {
-	if r.acceptor != nil {
-		return r.acceptor.accept(listener)
+// accept accepts clients until the listener closes.
+func (router *Router) accept(listener net.Listener) error {
+	if router.acceptor != nil {
+		return router.acceptor.accept(listener)
 	}
-	return r.acceptAll(listener)
+	return router.acceptAll(listener)
 }
 
-// drainAccepts begins the shutdown and returns once no new clients are taken.
-func (r *Router) drainAccepts(ctx context.Context, running *sync.WaitGroup, listener *drainListener, accepted <-chan error) {
+// drainAccepts begins the shutdown and returns once no more clients are accepted.
+func (router *Router) drainAccepts(ctx context.Context, running *sync.WaitGroup, listener *drainListener, accepted <-chan error) {
 	slog.Info("stopping")
-	if r.membership != nil {
-		r.membership.leave()
+	if router.membership != nil {
+		router.membership.leave()
 	}
-	timeoutEnd := r.shutdown.timeoutEnd()
-	r.shutdown.begin(r.clock.now())
-	running.Go(func() { r.endShutdown(ctx, timeoutEnd) })
-	<-r.shutdown.acceptOver()
+	timeoutEnd := router.shutdown.timeoutEnd()
+	router.shutdown.begin(router.clock.now())
+	running.Go(func() { router.endShutdown(ctx, timeoutEnd) })
+	<-router.shutdown.acceptEnd()
 	listener.stop()
-	r.clients.drain()
-	<-accepted //nolint:errcheck // the listener was told to stop
+	router.clients.drain()
+	<-accepted //nolint:errcheck // the error is net.ErrClosed, because the listener was stopped
 	closeQuietly(listener)
 }
 
-// logEnd writes what is left to tell.
-func (r *Router) logEnd() {
-	if r.membership != nil && r.membership.attemptLog != nil {
-		r.membership.attemptLog.close()
+// logEnd writes the final log lines.
+func (router *Router) logEnd() {
+	if router.membership != nil && router.membership.attemptLog != nil {
+		router.membership.attemptLog.close()
 	}
-	r.writeTotals()
-	r.accessLog.logOmitted()
-	slog.Info("stopped", "requests", r.loop.requestCount, "broken_invariants", invariant.Counts())
+	router.writeTotals()
+	router.accessLog.logOmitted()
+	slog.Info("stopped", "requests", router.loop.requestCount, "broken_invariants", invariant.Counts())
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// acceptAfterTerm is how long a router still accepts clients after SIGTERM: the load balancer before it goes on sending them
-	// for a while.
+	// acceptAfterTerm is how long a router accepts clients after SIGTERM, since the load balancer continues to send new
+	// connections for a while.
 	acceptAfterTerm = 500 * time.Millisecond
-	// A router may be killed some time after SIGTERM. All that is open is ended this much earlier,
-	// so that every request gets its answer.
+	// A router may be killed some time after SIGTERM. Open requests are ended answerMargin earlier, so that each gets
+	// an answer.
 	answerMargin       = 300 * time.Millisecond
-	killAfterDeadline  = 700 * time.Millisecond // it may be killed this long after the longest deadline
-	maxAwaitedDeadline = 3 * time.Second        // the longest deadline counts as at most this
+	killAfterDeadline  = 700 * time.Millisecond // the router may be killed this long after the longest request deadline
+	maxAwaitedDeadline = 3 * time.Second        // longer deadlines count as this
 )
 
-// shutdownControl times the graceful shutdown. Its functions are replaced by tests before the router serves.
+// shutdownControl contains the timing of the graceful shutdown. Tests replace its functions before the router serves.
 type shutdownControl struct {
-	timeout    time.Duration           // for all that is open
-	acceptOver func() <-chan time.Time // when no new clients are accepted any more
-	timeoutEnd func() <-chan time.Time // when timeout is over
-	over       chan struct{}           // closed then
-	deadline   atomic.Int64            // that moment on the clock, a little earlier; 0: no shutdown
+	timeout    time.Duration           // from SIGTERM to the end of the open requests
+	acceptEnd  func() <-chan time.Time // returns the channel that signals when to stop accepting clients
+	timeoutEnd func() <-chan time.Time // returns the channel that signals the end of timeout
+	over       chan struct{}           // closed at the end of timeout
+	deadline   atomic.Int64            // for answering requests, slightly before the end of timeout; 0: no shutdown
 }
 
 func newShutdownControl(classes []balance.Class) *shutdownControl {
-	s := &shutdownControl{timeout: shutdownTimeout(classes), over: make(chan struct{})}
-	s.acceptOver = func() <-chan time.Time { return time.After(acceptAfterTerm) }
-	s.timeoutEnd = func() <-chan time.Time { return time.After(s.timeout) }
-	return s
+	control := &shutdownControl{timeout: shutdownTimeout(classes), over: make(chan struct{})}
+	control.acceptEnd = func() <-chan time.Time { return time.After(acceptAfterTerm) }
+	control.timeoutEnd = func() <-chan time.Time { return time.After(control.timeout) }
+	return control
 }
 
-// shutdownTimeout is how long after SIGTERM a router may take for all that is open.
+// shutdownTimeout returns the time from SIGTERM by which all open requests must have ended.
 func shutdownTimeout(classes []balance.Class) time.Duration {
 	var longest time.Duration
 	for i := range classes {
@@ -46,45 +46,45 @@
 	return min(longest, maxAwaitedDeadline) + killAfterDeadline - answerMargin
 }
 
-// begin sets the deadline of all that is open.
-func (s *shutdownControl) begin(now clock.Nanos) {
-	s.deadline.Store(now + int64(s.timeout-deadlineMargin))
+// begin sets the deadline for answering open requests.
+func (control *shutdownControl) begin(now clock.Nanos) {
+	control.deadline.Store(now + int64(control.timeout-deadlineMargin))
 }
 
-// limit is a request's deadline, or the moment by which a router that shuts down must have its answer.
-func (s *shutdownControl) limit(deadline clock.Nanos) clock.Nanos {
-	if last := s.deadline.Load(); last != 0 {
-		return min(deadline, last)
+// limit returns a request's deadline, or that of the shutdown if it is earlier.
+func (control *shutdownControl) limit(deadline clock.Nanos) clock.Nanos {
+	if shutdownDeadline := control.deadline.Load(); shutdownDeadline != 0 {
+		return min(deadline, shutdownDeadline)
 	}
 	return deadline
 }
 
-// isOver says whether the time for all that is open has ended.
-func (s *shutdownControl) isOver() bool {
+// isOver reports whether the shutdown timeout has ended.
+func (control *shutdownControl) isOver() bool {
 	select {
-	case <-s.over:
+	case <-control.over:
 		return true
 	default:
 		return false
 	}
 }
 
-// endShutdown ends what is still open when its time has come: requests get their answers, what can be read of others is
-// rejected, and soon after all connections are closed. It gives up when the context ends.
-func (r *Router) endShutdown(ctx context.Context, timeoutEnd <-chan time.Time) {
+// endShutdown ends the open requests after the shutdown timeout: they are answered, further queries that were received
+// are rejected, and all connections are closed shortly after. It returns early if the context ends.
+func (router *Router) endShutdown(ctx context.Context, timeoutEnd <-chan time.Time) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-timeoutEnd:
 	}
-	close(r.shutdown.over)
-	r.clients.each((*client).closeIfIdle)
+	close(router.shutdown.over)
+	router.clients.each((*client).closeIfIdle)
 	select {
 	case <-ctx.Done():
-	case <-time.After(r.timeouts.finalAnswers):
-		r.clients.each(func(c *client) { closeQuietly(c.conn) })
+	case <-time.After(router.timeouts.finalAnswers):
+		router.clients.each(func(client *client) { closeQuietly(client.conn) })
 	}
 }
 
-// closeQuietly closes what no goroutine uses any more: an error only means that it was closed already.
+// closeQuietly closes a resource and ignores the error, which only means that it was already closed.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
--- a/internal/router/sparedescriptor.go
+++ b/internal/router/sparedescriptor.go
@@ -7,64 +7,66 @@
 	"time"
 )
 
-// spareDescriptor is a descriptor that is held to be given up when there is none left.
+// spareDescriptor is an open descriptor that is closed when the process runs out of descriptors, so that one more
+// client can be accepted and rejected.
 type spareDescriptor struct{ file *os.File }
 
-func (s *spareDescriptor) take() error {
-	if s.file != nil {
+func (spare *spareDescriptor) open() error {
+	if spare.file != nil {
 		return nil
 	}
 	var err error
-	s.file, err = os.Open(os.DevNull)
+	spare.file, err = os.Open(os.DevNull)
 	return err
 }
 
-func (s *spareDescriptor) give() {
-	if s.file != nil {
-		s.file.Close()
-		s.file = nil
+func (spare *spareDescriptor) release() {
+	if spare.file != nil {
+		spare.file.Close()
+		spare.file = nil
 	}
 }
 
-// acceptWithoutDescriptor is what is done when the system has no descriptor left, though the count
-// said otherwise: the spare one is given up to take a client, say so, and close.
-func (d *acceptor) acceptWithoutDescriptor(ln net.Listener) {
-	d.shrink()
-	d.mu.Lock()
-	out := d.findEvicted(d.admission.EvictOne(d.router.clock.now()))
-	d.mu.Unlock()
-	d.evict(out)
-	d.lingering.closeOldest()
-	d.spare.give()
-	conn, err := acceptWithoutWaiting(ln)
-	again := d.spare.take()
+// acceptWithoutDescriptor handles an accept that failed because the system had no descriptor, though the budget had
+// one. It releases the spare descriptor, accepts a client and, if descriptors are still exhausted, rejects it.
+func (acceptor *acceptor) acceptWithoutDescriptor(listener net.Listener) {
+	acceptor.shrink()
+	acceptor.mu.Lock()
+	evictions := acceptor.findEvicted(acceptor.admission.EvictOne(acceptor.router.clock.now()))
+	acceptor.mu.Unlock()
+	acceptor.evict(evictions)
+	acceptor.lingering.closeOldest()
+	acceptor.spare.release()
+	conn, err := acceptWithoutWaiting(listener)
+	reopenErr := acceptor.spare.open()
 	switch {
-	case err != nil: // another took it, or nobody waits any more
+	case err != nil: // the descriptor was used elsewhere, or no client is waiting
 		time.Sleep(acceptRetryDelay)
-	case again == nil: // there is room after all
-		if !d.router.descriptors.Accept() {
+	case reopenErr == nil: // another descriptor has become free
+		if !acceptor.router.descriptors.Accept() {
 			conn.Close()
 			return
 		}
-		d.admit(conn)
+		acceptor.admit(conn)
 	default:
-		d.mu.Lock()
-		v := d.admission.OutOfDescriptors()
-		d.mu.Unlock()
-		rejectAndShutdown(conn, d.rejectionMessage(remoteAddress(conn), v))
+		acceptor.mu.Lock()
+		verdict := acceptor.admission.OutOfDescriptors()
+		acceptor.mu.Unlock()
+		rejectAndShutdown(conn, acceptor.rejectionMessage(remoteAddress(conn), verdict))
 		conn.Close()
-		if err := d.spare.take(); err != nil {
-			slog.Warn("no spare descriptor", "err", err)
+		if err := acceptor.spare.open(); err != nil {
+			slog.Warn("could not reopen the spare descriptor", "err", err)
 			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// acceptWithoutWaiting is Accept that does not wait.
-func acceptWithoutWaiting(ln net.Listener) (net.Conn, error) {
-	if tcp, ok := ln.(deadlineSetter); ok {
-		_ = tcp.SetDeadline(time.Now().Add(acceptRetryDelay))
-		defer func() { _ = tcp.SetDeadline(time.Time{}) }() // a closed listener says so at the next accept
+// acceptWithoutWaiting accepts a connection that is already waiting.
+func acceptWithoutWaiting(listener net.Listener) (net.Conn, error) {
+	if listenerWithDeadline, ok := listener.(deadlineSetter); ok {
+		_ = listenerWithDeadline.SetDeadline(time.Now().Add(acceptRetryDelay))
+		// The error of a closed listener may be ignored, as its next Accept returns it.
+		defer func() { _ = listenerWithDeadline.SetDeadline(time.Time{}) }()
 	}
-	return ln.Accept()
+	return listener.Accept()
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -3,8 +3,8 @@
 import "lotushook/policy/clock"
 
 type timer struct {
-	at  clock.Nanos
-	tag int64
+	at clock.Nanos
+	id int64
 }
 
 type timers []timer
@@ -19,12 +19,12 @@
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
-func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+func (t *timers) Push(value any) { *t = append(*t, value.(timer)) }
 
 // Pop implements heap.Interface.
 func (t *timers) Pop() any {
-	old := *t
-	x := old[len(old)-1]
-	*t = old[:len(old)-1]
-	return x
+	queue := *t
+	value := queue[len(queue)-1]
+	*t = queue[:len(queue)-1]
+	return value
 }
--- a/internal/router/unreadage.go
+++ b/internal/router/unreadage.go
@@ -14,47 +14,50 @@
 )
 
 const (
-	// Bytes that may have lain so long while the process was held up are worth a question to the kernel. What a deadline may exceed by is
-	// 150 ms (S4).
-	stallNoticed = 150 * clock.Millisecond
-	// After a stall its readers come to what lay unread within this time.
-	stallSettled = 50 * clock.Millisecond
+	// minStall is the minimum delay of a tick that counts as a stall: a deadline passed to a data server may exceed
+	// the client's remaining time by at most 150 ms (S4). After a stall the kernel is asked how old received bytes are.
+	minStall = 150 * clock.Millisecond
+	// stallRecoveryTime is the time after a stall within which the readers have read all bytes that arrived during it.
+	stallRecoveryTime = 50 * clock.Millisecond
 )
 
-// answerLateness is how long after its time an answer may come: it earns nothing then, and later the request is lost.
-const answerLateness = 500 * clock.Millisecond
+// maxAnswerLateness is the maximum delay of an answer after its deadline. An answer that is late but within it has no
+// value; beyond it the request counts as lost.
+const maxAnswerLateness = 500 * clock.Millisecond
 
-// crowdedFor is how long after descriptors were lacking connections may still wait to be accepted.
-const crowdedFor = 2 * clock.Second
+// acceptBacklogTime is how long connections may remain in the accept queue after descriptors ran out.
+const acceptBacklogTime = 2 * clock.Second
 
-// hasWaitedTooLong says whether a connection that was accepted now is to be shut unread: it has waited, while descriptors were lacking,
-// until its request can't be answered any more. In a crowd new connections may be shut so, and nobody waits for this one.
-func (r *Router) hasWaitedTooLong(conn net.Conn, lackingAt clock.Nanos) bool {
-	if lackingAt == 0 || r.clock.now()-lackingAt > crowdedFor {
+// hasWaitedTooLong reports whether a connection that was just accepted should be closed unread: it was in the accept
+// queue, because descriptors ran out, until its request could no longer be answered in time. New connections may be
+// closed unread while descriptors are exhausted, and this client no longer waits for an answer.
+func (router *Router) hasWaitedTooLong(conn net.Conn, exhaustedAt clock.Nanos) bool {
+	if exhaustedAt == 0 || router.clock.now()-exhaustedAt > acceptBacklogTime {
 		return false
 	}
 	age, ok := sinceLastReceived(conn)
-	if !ok || clock.Nanos(age) <= answerLateness {
+	if !ok || clock.Nanos(age) <= maxAnswerLateness {
 		return false
 	}
 	wait, ok := peekWait(conn)
-	return ok && clock.Nanos(age-wait) > answerLateness
+	return ok && clock.Nanos(age-wait) > maxAnswerLateness
 }
 
-// peekWait looks, without reading, how long the client of a new connection waits for its first request; false where none has come yet.
+// peekWait returns how long the client of a new connection waits for the answer to its first request, without consuming
+// the request; false if no complete request has arrived.
 func peekWait(conn net.Conn) (wait time.Duration, ok bool) {
 	const maxPeeked = 2 << 10 // a startup message and the comment of a query
-	bytes := make([]byte, maxPeeked)
-	n := 0
+	peeked := make([]byte, maxPeeked)
+	count := 0
 	withDescriptor(conn, func(fd int) bool {
 		var err error
-		if n, _, err = syscall.Recvfrom(fd, bytes, syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != nil {
-			n = 0
+		if count, _, err = syscall.Recvfrom(fd, peeked, syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != nil {
+			count = 0
 		}
 		return false
 	})
 	input := ringbuffer.New(maxPeeked)
-	if _, err := input.Write(bytes[:max(n, 0)]); err != nil {
+	if _, err := input.Write(peeked[:max(count, 0)]); err != nil {
 		return 0, false
 	}
 	kind, size, err := pgwire.NextStart(input)
@@ -74,46 +77,48 @@
 	return request.Wait, err == nil
 }
 
-// stallWatch notices that the whole process was held up: its tick comes late. It is safe for concurrent use.
-type stallWatch struct {
+// stallDetector detects stalls of the whole process by late ticks. It is safe for concurrent use.
+type stallDetector struct {
 	lastTick           atomic.Int64
 	stallFrom, stallTo atomic.Int64 // the last stall; 0: there was none
 }
 
-// tick is called about every sweepInterval.
-func (w *stallWatch) tick(now clock.Nanos) {
-	last := w.lastTick.Swap(now)
-	if last != 0 && now-last > stallNoticed {
-		w.stallFrom.Store(last)
-		w.stallTo.Store(now)
+// tick must be called every sweepInterval.
+func (detector *stallDetector) tick(now clock.Nanos) {
+	last := detector.lastTick.Swap(now)
+	if last != 0 && now-last > minStall {
+		detector.stallFrom.Store(last)
+		detector.stallTo.Store(now)
 	}
 }
 
-// since returns since when what was read at a time may have lain unread; false where the process was not held up.
-func (w *stallWatch) since(readAt clock.Nanos) (from clock.Nanos, stalled bool) {
-	if last := w.lastTick.Load(); last != 0 && readAt-last > stallNoticed {
+// stalledSince returns the start of the stall during which bytes that were read at readAt may have arrived; false if
+// there was no stall.
+func (detector *stallDetector) stalledSince(readAt clock.Nanos) (from clock.Nanos, stalled bool) {
+	if last := detector.lastTick.Load(); last != 0 && readAt-last > minStall {
 		return last, true
 	}
-	if to := w.stallTo.Load(); to != 0 && readAt-to < stallSettled {
-		return w.stallFrom.Load(), true
+	if to := detector.stallTo.Load(); to != 0 && readAt-to < stallRecoveryTime {
+		return detector.stallFrom.Load(), true
 	}
 	return 0, false
 }
 
-// boundByKernel asks the kernel when the last bytes came, where they may have lain unread: on a connection that had waited to be
-// accepted, and while the process was held up. The clock at hand does not tell, since nothing of this process ran.
-func (c *client) boundByKernel(first bool, readAt clock.Nanos) {
-	from, stalled := c.router.stalls.since(readAt)
+// boundArrivalByKernel lowers the time by which the client's bytes were sent to the kernel's time of receipt, if they
+// may have been unread for long: on a connection that waited to be accepted, and after a stall. The process itself did
+// not run then and has no record of their arrival.
+func (client *client) boundArrivalByKernel(first bool, readAt clock.Nanos) {
+	stalledSince, stalled := client.router.stalls.stalledSince(readAt)
 	if !first && !stalled {
 		return
 	}
-	if age, ok := sinceLastReceived(c.conn); ok {
-		c.arrived.sentBy = min(c.arrived.sentBy, max(from, readAt-clock.Nanos(age)))
+	if age, ok := sinceLastReceived(client.conn); ok {
+		client.arrived.sentBy = min(client.arrived.sentBy, max(stalledSince, readAt-clock.Nanos(age)))
 	}
 }
 
-// sinceLastReceived is how long ago the kernel received the last bytes of a connection, to a few milliseconds. A system that does not
-// tell has them from now.
+// sinceLastReceived returns how long ago the kernel received the last bytes of a connection, accurate to a few
+// milliseconds; false if the kernel does not provide it.
 func sinceLastReceived(conn net.Conn) (age time.Duration, ok bool) {
 	socket, isSocket := conn.(syscall.Conn)
 	if !isSocket {
