--- a/internal/router/acceptor_test.go
+++ b/internal/router/acceptor_test.go
@@ -14,36 +14,36 @@
 	"lotushook/internal/siteconfig"
 )
 
-// admitting is a setup with this admission.
-func admitting(t *testing.T, text string) *siteconfig.Config {
+// admissionConfig returns a site configuration with these admission settings.
+func admissionConfig(t *testing.T, settings string) *siteconfig.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
-	if err := os.WriteFile(path, []byte(`{"admission":`+text+`}`), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(`{"admission":`+settings+`}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := siteconfig.Load(path)
+	config, err := siteconfig.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return own
+	return config
 }
 
-// doorStage is a running router that admits clients; those named a and b have
-// addresses of one prefix, k those of a reserve.
-func doorStage(t *testing.T, text string) (*nettest.Stage, *Router) {
+// startAdmissionRouter starts a router with admission settings. Clients a and b have addresses with the same prefix,
+// client k has the address of a reserve.
+func startAdmissionRouter(t *testing.T, settings string) (*nettest.Stage, *Router) {
 	t.Helper()
-	now := make(chan time.Time)
-	close(now)
-	s, r, _, _ := stageOwn(t, admitting(t, text), now, endless)
-	s.From("a", "127.2.0.1")
-	s.From("b", "127.2.0.2")
-	s.From("k", "127.9.0.1")
-	s.Dial("", s.Expand("{router}"))
-	return s, r
+	acceptEnd := make(chan time.Time)
+	close(acceptEnd)
+	stage, router, _, _ := startRouterWithConfig(t, admissionConfig(t, settings), acceptEnd, noTimeouts)
+	stage.From("a", "127.2.0.1")
+	stage.From("b", "127.2.0.2")
+	stage.From("k", "127.9.0.1")
+	stage.Dial("", stage.Expand("{router}"))
+	return stage, router
 }
 
-// meet is a scenario in which a client makes the router connect to s1.
-const meet = `
+// firstReadScenario is a scenario in which the read of a client makes the router connect to s1.
+const firstReadScenario = `
 	send %[1]s startup | Q "/* id=%[1]s0,c=read,d=20000,cluster=1 */ A"
 	wait s1
 	expect s1 startup
@@ -53,11 +53,11 @@
 	expect %[1]s welcome | T | D "v" | C | Z
 	`
 
-// An address over its cap hears why before anything of it is read, and when to
-// come again; another address gets in.
-func TestDoorCaps(t *testing.T) {
-	s, r := doorStage(t, `{"per_address":2,"per_prefix":3,"come_back_ms":200}`)
-	s.Play(`
+// A client whose address is over its limit is rejected with a Retry-After time before the router reads anything from
+// it. Clients from other addresses are accepted.
+func TestAdmissionCaps(t *testing.T) {
+	stage, router := startAdmissionRouter(t, `{"per_address":2,"per_prefix":3,"come_back_ms":200}`)
+	stage.Play(`
 		send a1 startup
 		send a2 startup
 		expect a1 welcome
@@ -72,66 +72,67 @@
 		expect a1 I | Z
 		close a2
 		close b2`)
-	waitHeld(t, r, 3)
-	s.Play(`
+	waitForConnections(t, router, 3)
+	stage.Play(`
 		send a4 startup
 		expect a4 welcome`)
 }
 
-// waitHeld waits until the gate holds so many.
-func waitHeld(t *testing.T, r *Router, want int) {
+// waitForConnections waits until the admission controller counts this number of connections.
+func waitForConnections(t *testing.T, router *Router, want int) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		r.acceptor.mu.Lock()
-		held, _ := r.acceptor.admission.Size()
-		r.acceptor.mu.Unlock()
-		if held == want {
+	for timeout := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+		router.acceptor.mu.Lock()
+		connections, _ := router.acceptor.admission.Size()
+		router.acceptor.mu.Unlock()
+		if connections == want {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%d are held, %d wanted", held, want)
+		if time.Now().After(timeout) {
+			t.Fatalf("%d connections are counted, want %d", connections, want)
 		}
 	}
 }
 
-// waitIdle waits until so many clients that have queried are idle: a client has its answer a moment before the router counts it as
-// idle, so that without this wait two clients that are answered in turn can become idle in the other order.
-func waitIdle(t *testing.T, r *Router, want int) {
+// waitForIdleClients waits until this number of clients that have queried are idle. A client receives its answer
+// shortly before the router counts it as idle, so without this wait two clients that are answered in turn can become
+// idle in the reverse order.
+func waitForIdleClients(t *testing.T, router *Router, want int) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+	for timeout := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		count := 0
-		r.clients.mu.Lock()
-		for c := range r.clients.all {
-			if _, hasQueried, idle := c.idleState(); hasQueried && idle {
+		router.clients.mu.Lock()
+		for client := range router.clients.all {
+			if _, hasQueried, idle := client.idleState(); hasQueried && idle {
 				count++
 			}
 		}
-		r.clients.mu.Unlock()
+		router.clients.mu.Unlock()
 		if count == want {
 			return
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%d clients are idle, %d wanted", count, want)
+		if time.Now().After(timeout) {
+			t.Fatalf("%d clients are idle, want %d", count, want)
 		}
 	}
 }
 
-// A member of a reserve gets in at once though its room is lent. Of those that
-// must go one that asked before just ends, so that the query that crosses the
-// close is sent elsewhere; one that never asked hears why.
+// A client of a reserve is accepted at once though the reserve's capacity is lent to other clients. An evicted client
+// that has queried is closed without an error, so that it sends a query that crosses the close elsewhere. An evicted
+// client that has not queried receives an error.
 func TestDoorReserve(t *testing.T) {
-	s, r := doorStage(t, `{"spare_ms":3600000,"green_ms":3600000,"crowd_share":0,
+	stage, router := startAdmissionRouter(t, `{"spare_ms":3600000,"green_ms":3600000,"crowd_share":0,
 		"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":3}]}`)
-	whole := r.acceptor.capacity()
-	s.Play(fmt.Sprintf(meet, "a1"))
-	s.Play(`send a2 startup
+	capacity := router.acceptor.capacity()
+	stage.Play(fmt.Sprintf(firstReadScenario, "a1"))
+	stage.Play(`send a2 startup
 		expect a2 welcome`)
-	waitIdle(t, r, 1)
-	for i := range whole - 2 {
-		s.Play(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
-		waitIdle(t, r, i+2)
+	waitForIdleClients(t, router, 1)
+	for i := range capacity - 2 {
+		stage.Play(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
+		waitForIdleClients(t, router, i+2)
 	}
-	s.Play(`
+	stage.Play(`
 		expect c1 FATAL 53300 # | EOF
 		send k1 startup | Q ""
 		expect k1 welcome | I | Z
@@ -139,132 +140,132 @@
 		send k2 startup
 		expect k2 welcome
 		send b0 Q ""`)
-	s.Play("expect b0 EOF\nsend k3 startup\nexpect k3 welcome\nexpect b1 EOF")
-	s.Play(`expect k4 FATAL 53300 # | EOF
+	stage.Play("expect b0 EOF\nsend k3 startup\nexpect k3 welcome\nexpect b1 EOF")
+	stage.Play(`expect k4 FATAL 53300 # | EOF
 		send b2 Q ""
 		expect b2 I | Z`)
 }
 
-// Lent room is not filled with those that wait: the query that would is refused,
-// and nothing of it has run.
+// Lent capacity is not used for requests in flight: a query that would do so is rejected, and nothing of it has run.
 func TestDoorLentBusy(t *testing.T) {
-	const most, room = 593, 2 // of a router with 1,024 descriptors
-	s, r := doorStage(t, fmt.Sprintf(`{"crowd_share":0,"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":%d}]}`, most-room))
-	if n := r.acceptor.capacity(); n != most {
-		t.Fatalf("there is room for %d", n)
+	const capacity, shared = 593, 2 // of a router with 1,024 descriptors
+	stage, router := startAdmissionRouter(t, fmt.Sprintf(`{"crowd_share":0,"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":%d}]}`, capacity-shared))
+	if actual := router.acceptor.capacity(); actual != capacity {
+		t.Fatalf("the capacity is %d", actual)
 	}
-	for i := range room + 1 {
-		s.Play(fmt.Sprintf("send a%d startup\nexpect a%[1]d welcome", i))
+	for i := range shared + 1 {
+		stage.Play(fmt.Sprintf("send a%d startup\nexpect a%[1]d welcome", i))
 	}
-	for i := range room {
-		s.Play(fmt.Sprintf(`send a%d Q "/* id=%[1]d,c=read,d=20000,cluster=1 */ A"
+	for i := range shared {
+		stage.Play(fmt.Sprintf(`send a%d Q "/* id=%[1]d,c=read,d=20000,cluster=1 */ A"
 			wait s1 as x%[1]d
 			expect x%[1]d startup
 			send x%[1]d welcome
 			expect x%[1]d Q "/* id=%[1]d,c=read,d=#,cluster=1 */ A"`, i))
 	}
-	s.Play(fmt.Sprintf(`send a%d Q "/* id=x,c=read,d=20000,cluster=1 */ A"
+	stage.Play(fmt.Sprintf(`send a%d Q "/* id=x,c=read,d=20000,cluster=1 */ A"
 		expect a%[1]d FATAL 53300 # | EOF
 		send x0 T | D "v" | C | S rank=copy | Z
-		expect a0 T | D "v" | C | Z`, room))
+		expect a0 T | D "v" | C | Z`, shared))
 }
 
-// Hundreds of addresses of one prefix together get what the prefix may have.
-func TestDoorPrefixFlood(t *testing.T) {
-	s, r := doorStage(t, `{"per_address":2,"per_prefix":5,"green_ms":3600000}`)
+// Hundreds of addresses with the same prefix together can't exceed the limit of the prefix.
+func TestAdmissionPrefixFlood(t *testing.T) {
+	stage, router := startAdmissionRouter(t, `{"per_address":2,"per_prefix":5,"green_ms":3600000}`)
 	for i := range 200 {
 		name := fmt.Sprintf("f%d.", i)
-		s.From(name, fmt.Sprintf("127.3.0.%d", i+1))
+		stage.From(name, fmt.Sprintf("127.3.0.%d", i+1))
 		if i < 5 {
-			s.Play("send " + name + " startup\nexpect " + name + " welcome")
+			stage.Play("send " + name + " startup\nexpect " + name + " welcome")
 		} else {
-			s.Play("expect " + name + " FATAL 53300 # | EOF")
+			stage.Play("expect " + name + " FATAL 53300 # | EOF")
 		}
 	}
-	s.Play(`send k1 startup | Q ""
+	stage.Play(`send k1 startup | Q ""
 		expect k1 welcome | I | Z`)
-	waitHeld(t, r, 6)
+	waitForConnections(t, router, 6)
 }
 
-// A reload that lowers a cap under what is held closes what idles, and lets what
-// is open end; what can't be in force changes nothing.
-func TestDoorReload(t *testing.T) {
-	s, r := doorStage(t, `{"per_address":4,"spare_ms":0}`)
-	s.Play(fmt.Sprintf(meet, "a1"))
-	s.Play(`send a2 startup
+// A reload that lowers a limit below the number of connections closes the idle clients and lets open requests finish.
+// Invalid settings change nothing.
+func TestAdmissionReload(t *testing.T) {
+	stage, router := startAdmissionRouter(t, `{"per_address":4,"spare_ms":0}`)
+	stage.Play(fmt.Sprintf(firstReadScenario, "a1"))
+	stage.Play(`send a2 startup
 		expect a2 welcome
 		send a3 startup | Q "/* id=03,c=read,d=20000,cluster=1 */ A"
 		expect a3 welcome
 		expect s1 Q "/* id=03,c=read,d=#,cluster=1 */ A"`)
-	if err := r.Reload(r.config, &siteconfig.Config{}); err == nil {
-		t.Error("admission was switched off in service")
+	if err := router.Reload(router.config, &siteconfig.Config{}); err == nil {
+		t.Error("a reload disabled admission")
 	}
-	if err := r.Reload(r.config, admitting(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
-		t.Error("a reserve beyond the whole was taken")
+	if err := router.Reload(router.config, admissionConfig(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
+		t.Error("a reserve above the total capacity was accepted")
 	}
-	s.Play(`send a1 Q ""
+	stage.Play(`send a1 Q ""
 		expect a1 I | Z`)
-	if err := r.Reload(r.config, admitting(t, `{"per_address":1,"spare_ms":0}`)); err != nil {
+	if err := router.Reload(router.config, admissionConfig(t, `{"per_address":1,"spare_ms":0}`)); err != nil {
 		t.Fatal(err)
 	}
-	s.Play(`expect a1 EOF
+	stage.Play(`expect a1 EOF
 		expect a4 FATAL 53300 # | EOF
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect a3 T | D "v" | C | Z | EOF`)
 }
 
-// In a flood a router that is told to stop still answers what it has, and ends.
-func TestDoorStopInFlood(t *testing.T) {
-	accepted := make(chan time.Time)
-	p := endless
-	p.firstQuery = time.Millisecond // the flood asks nothing
-	s, r, stop, done := stageOwn(t, admitting(t, `{"per_address":20}`), accepted, p)
-	accept := sync.OnceFunc(func() { close(accepted) })
-	t.Cleanup(accept)
-	s.From("a", "127.2.0.1")
-	s.Dial("", s.Expand("{router}"))
-	s.Play(`
+// A router that shuts down during a flood of connections answers its open requests and ends.
+func TestShutdownDuringConnectionFlood(t *testing.T) {
+	acceptEnd := make(chan time.Time)
+	timeouts := noTimeouts
+	timeouts.firstQuery = time.Millisecond // the flooding clients send no query
+	stage, router, shutDown, done := startRouterWithConfig(t, admissionConfig(t, `{"per_address":20}`), acceptEnd, timeouts)
+	stopAccepting := sync.OnceFunc(func() { close(acceptEnd) })
+	t.Cleanup(stopAccepting)
+	stage.From("a", "127.2.0.1")
+	stage.Dial("", stage.Expand("{router}"))
+	stage.Play(`
 		send a1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
 	var flood sync.WaitGroup
-	var ended atomic.Bool
-	var told atomic.Int64
+	var floodOver atomic.Bool
+	var rejected atomic.Int64
 	for range 50 {
 		flood.Go(func() {
-			b := make([]byte, 64)
-			for !ended.Load() {
-				conn, err := net.Dial("tcp", s.Expand("{router}"))
+			buffer := make([]byte, 64)
+			for !floodOver.Load() {
+				conn, err := net.Dial("tcp", stage.Expand("{router}"))
 				if err != nil {
-					return // it listens no more
+					return // the listener is closed
 				}
 				conn.SetReadDeadline(time.Now().Add(time.Second))
-				if n, _ := conn.Read(b); n > 0 && b[0] == 'E' {
-					told.Add(1)
+				if count, _ := conn.Read(buffer); count > 0 && buffer[0] == 'E' {
+					rejected.Add(1)
 				}
 				conn.Close()
 			}
 		})
 	}
-	for end := time.Now().Add(20 * time.Second); told.Load() < 200; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("only %d of the flood heard why", told.Load())
+	for timeout := time.Now().Add(20 * time.Second); rejected.Load() < 200; time.Sleep(time.Millisecond) {
+		if time.Now().After(timeout) {
+			t.Fatalf("only %d of the flooding clients received an error", rejected.Load())
 		}
 	}
-	stop()
-	accept()
-	s.Play(`
+	shutDown()
+	stopAccepting()
+	stage.Play(`
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect a1 welcome | T | D "v" | C | Z | EOF`)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	ended.Store(true)
+	floodOver.Store(true)
 	flood.Wait()
-	if _, clients := r.descriptors.Clients(); clients != 0 {
+	if _, clients := router.descriptors.Clients(); clients != 0 {
 		t.Errorf("%d clients' descriptors are still counted", clients)
 	}
-	until(t, "no data server's descriptor is counted", func() bool { return r.descriptors.Used() == 0 }) // a probe may be out
+	// A probe may still be in flight.
+	waitUntil(t, "no data server's descriptor is counted", func() bool { return router.descriptors.Used() == 0 })
 }
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -225,8 +225,8 @@
 	if client.router.changefeed != nil && client.router.changefeed.feeds.Serves(parsed.Class) {
 		return client.handleFeedQuery(tasks, &parsed, arrivedAt)
 	}
-	r := newRequest(client, parsed, client.router.shutdown.limit(deadlineOf(&parsed, arrivedAt)))
-	return client.startAnswer(tasks, r, r.run)
+	request := newRequest(client, parsed, client.router.shutdown.limit(deadlineOf(&parsed, arrivedAt)))
+	return client.startAnswer(tasks, request, request.run)
 }
 
 // answerReadiness answers an empty query, the readiness check of the load balancer, once this router is ready.
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -17,7 +17,7 @@
 func teams(t *testing.T, open string) *siteconfig.Config {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "a.sock")
-	own := admitting(t, `{}, "accounts":{"every_s":1,"socket":"`+socket+`"}, "contracts":{"trust_comment":true,"teams":[
+	own := admissionConfig(t, `{}, "accounts":{"every_s":1,"socket":"`+socket+`"}, "contracts":{"trust_comment":true,"teams":[
 		{"name":"counters","worth":2,"users":["worker"],"classes":{"read":{"per_s":100,"burst":100}},"open":`+open+`},
 		{"name":"lending","worth":1,"applications":["app"],"classes":{"write":{"per_s":100,"burst":100}}}]}`)
 	own.Admission = nil
@@ -30,7 +30,7 @@
 	now := make(chan time.Time)
 	close(now)
 	own := teams(t, "1")
-	s, r, _, _ := stageOwn(t, own, now, endless)
+	s, r, _, _ := startRouterWithConfig(t, own, now, noTimeouts)
 	s.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
@@ -88,7 +88,7 @@
 func TestEndFreesAPlaceInItsBatch(t *testing.T) {
 	now := make(chan time.Time)
 	close(now)
-	s, r, _, _ := stageOwn(t, teams(t, "1"), now, endless)
+	s, r, _, _ := startRouterWithConfig(t, teams(t, "1"), now, noTimeouts)
 	s.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
@@ -120,12 +120,12 @@
 func TestLanes(t *testing.T) {
 	now := make(chan time.Time)
 	close(now)
-	own := admitting(t, `{}, "accounts":{"every_s":0,"socket":"`+filepath.Join(t.TempDir(), "a.sock")+`"}, "contracts":{"trust_comment":true,
+	own := admissionConfig(t, `{}, "accounts":{"every_s":0,"socket":"`+filepath.Join(t.TempDir(), "a.sock")+`"}, "contracts":{"trust_comment":true,
 		"lanes":{"lanes":[{"name":"premium"},{"name":"background"}],"look_ms":3600000,"fresh_ms":7200000,"alone_ms":7200000,"epoch_ms":604800000,"least":0},
 		"teams":[{"name":"desk","worth":1,"users":["worker"],"lane":"premium","classes":{"read":{"per_s":1000,"burst":1000}}},
 		{"name":"rest","worth":1,"classes":{"read":{"per_s":1000,"burst":1000}}}]}`)
 	own.Admission = nil
-	s, r, _, _ := stageOwn(t, own, now, endless)
+	s, r, _, _ := startRouterWithConfig(t, own, now, noTimeouts)
 	level := func(set func(l *sheddingService)) {
 		t.Helper()
 		if !r.loop.do(t.Context(), func() { set(r.loop.contracts.shedding) }) {
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -19,32 +19,32 @@
 	"lotushook/policy/clock"
 )
 
-// deadlineSlack is by how much the deadline that a data server hears may exceed what its client has left.
-const deadlineSlack = 150 * time.Millisecond
+// deadlineTolerance is how much the deadline that a data server receives may exceed the client's remaining time.
+const deadlineTolerance = 150 * time.Millisecond
 
-// testWait is how long the clients of these tests wait for an answer.
+// testWait is how long the clients in these tests wait for an answer.
 const testWait = 20 * time.Second
 
 var deadlineField = regexp.MustCompile(`,d=(\d+),`)
 
-// heardQuery is a query as a data server got it.
-type heardQuery struct {
+// receivedQuery is a query as a data server received it.
+type receivedQuery struct {
 	at       time.Time
 	deadline time.Duration
 	text     string
 }
 
-// slowServers are data servers that take their time to welcome and to answer.
+// slowServers are data servers that delay the welcome message and the answers.
 type slowServers struct {
-	hosts []string // as the list names them
-	heard chan heardQuery
+	hosts    []string // as in the endpoint list
+	received chan receivedQuery
 }
 
-// startSlowServers starts two; welcome and answer are waited for before each is sent, and code, where not empty, is the error
-// that the first query gets.
+// startSlowServers starts two data servers. welcome and answer are the delays of these messages; code, if not empty, is
+// the error code of the answer to the first query.
 func startSlowServers(t *testing.T, welcome, answer time.Duration, code string) *slowServers {
 	t.Helper()
-	servers := &slowServers{heard: make(chan heardQuery, 64)}
+	servers := &slowServers{received: make(chan receivedQuery, 64)}
 	failures := make(chan string, 1)
 	if code != "" {
 		failures <- code
@@ -69,51 +69,51 @@
 	return servers
 }
 
-func (s *slowServers) serve(conn net.Conn, welcome, answer time.Duration, failures chan string) {
+func (servers *slowServers) serve(conn net.Conn, welcome, answer time.Duration, failures chan string) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
-	if _, err := readBody(in); err != nil { // the startup message
+	reader := bufio.NewReader(conn)
+	if _, err := readBody(reader); err != nil { // the startup message
 		return
 	}
 	time.Sleep(welcome)
-	_, _ = conn.Write(pgwire.AppendWelcome(nil, pgwire.CancelKey{})) // what follows shows it
+	_, _ = conn.Write(pgwire.AppendWelcome(nil, pgwire.CancelKey{})) // the next read shows an error
 	for {
-		if _, err := in.ReadByte(); err != nil { // the message's kind
+		if _, err := reader.ReadByte(); err != nil { // the message type
 			return
 		}
-		body, err := readBody(in)
+		body, err := readBody(reader)
 		if err != nil {
 			return
 		}
 		text := string(body)
-		query := heardQuery{at: time.Now(), text: text}
-		if found := deadlineField.FindStringSubmatch(text); found != nil {
-			ms, _ := strconv.Atoi(found[1])
-			query.deadline = time.Duration(ms) * time.Millisecond
+		query := receivedQuery{at: time.Now(), text: text}
+		if match := deadlineField.FindStringSubmatch(text); match != nil {
+			milliseconds, _ := strconv.Atoi(match[1])
+			query.deadline = time.Duration(milliseconds) * time.Millisecond
 		}
-		s.heard <- query
+		servers.received <- query
 		time.Sleep(answer)
 		select {
 		case code := <-failures:
-			_, _ = conn.Write(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, "later", ""))) // what follows shows it
+			_, _ = conn.Write(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, "later", ""))) // the next read shows an error
 		default:
-			_, _ = conn.Write(pgwire.AppendReady(pgwire.AppendRow(nil, "v", "1"))) // what follows shows it
+			_, _ = conn.Write(pgwire.AppendReady(pgwire.AppendRow(nil, "v", "1"))) // the next read shows an error
 		}
 	}
 }
 
-// readBody reads a message's length and what follows it.
-func readBody(in io.Reader) ([]byte, error) {
+// readBody reads a message's length and body.
+func readBody(reader io.Reader) ([]byte, error) {
 	var length [4]byte
-	if _, err := io.ReadFull(in, length[:]); err != nil {
+	if _, err := io.ReadFull(reader, length[:]); err != nil {
 		return nil, err
 	}
 	body := make([]byte, binary.BigEndian.Uint32(length[:])-4)
-	_, err := io.ReadFull(in, body)
+	_, err := io.ReadFull(reader, body)
 	return body, err
 }
 
-// deadlineClient sends queries and waits for the last answer.
+// deadlineClient connects, sends messages and waits until this number of answers has arrived.
 func deadlineClient(t *testing.T, address string, messages []byte, answers int) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -125,14 +125,14 @@
 	if _, err := conn.Write(append(pgwire.AppendStartup(nil, "u", "d"), messages...)); err != nil {
 		t.Fatal(err)
 	}
-	in := bufio.NewReader(conn)
-	for ready := 0; ready <= answers; { // the welcome ends with one, too
-		kind, err := in.ReadByte()
+	reader := bufio.NewReader(conn)
+	for ready := 0; ready <= answers; { // the welcome also ends with a ReadyForQuery
+		kind, err := reader.ReadByte()
 		if err == nil {
-			_, err = readBody(in)
+			_, err = readBody(reader)
 		}
 		if err != nil {
-			t.Fatalf("after %d answers: %v", ready, err)
+			t.Fatalf("after %d ReadyForQuery messages: %v", ready, err)
 		}
 		if kind == pgwire.ReadyForQuery {
 			ready++
@@ -144,11 +144,12 @@
 	return pgwire.AppendQuery(nil, fmt.Sprintf("/* id=q%d,c=read,d=%d,cluster=1 */ A", id, testWait.Milliseconds()))
 }
 
-// A connection whose request lay unread while it waited to be accepted has that time less.
+// The time that a connection spends in the accept queue counts against the deadline of its first request.
 //
-// What happened: in a crowd connections wait to be accepted until descriptors come free. In the soak of restarts (seeds 2 and 4) the
-// router read requests of such connections up to 0.4 s after they were written, took that for their arrival, and told data
-// servers up to 120 ms for requests whose clients had given up 320 ms before. The access log's came_ms showed it against the client's.
+// While descriptors are exhausted, connections wait to be accepted. In the soak test of restarts (seeds 2 and 4) the
+// router read the requests of such connections up to 0.4 s after they were sent, took the time of the read for their
+// arrival, and passed deadlines of up to 120 ms to data servers for requests whose clients had given up 320 ms before.
+// A comparison of came_ms in the access log with the clients' own times showed it.
 func TestDeadlineOfUnacceptedConnection(t *testing.T) {
 	const unaccepted = 500 * time.Millisecond
 	servers := startSlowServers(t, 0, 0, "")
@@ -168,28 +169,28 @@
 	time.Sleep(unaccepted)
 	accepted := make(chan time.Time)
 	close(accepted)
-	stageOn(t, listener, 0, &siteconfig.Config{}, accepted, nil, endless, servers.hosts...)
-	query := <-servers.heard
-	if left := testWait - query.at.Sub(sent); query.deadline > left+deadlineSlack {
+	startRouterOn(t, listener, 0, &siteconfig.Config{}, accepted, nil, noTimeouts, servers.hosts...)
+	query := <-servers.received
+	if left := testWait - query.at.Sub(sent); query.deadline > left+deadlineTolerance {
 		t.Errorf("a deadline of %v was passed on with %v left", query.deadline, left)
 	}
 }
 
-// In a crowd, what has waited to be accepted for so long that its answer could come half a second after its time is shut unread, and
-// what can still be answered is not.
+// While descriptors are exhausted, a connection that waits to be accepted until its request is more than half a second
+// past its deadline is closed unread. A connection whose request can still be answered is served.
 //
-// What happened: in the soak of restarts (seed 112, a crowd) two requests with 158 and 359 ms left waited 0.78 and 1.02 s to be accepted and were
-// then answered, 0.62 and 0.66 s after their time and the half second beyond it, with a failure.
-func TestCrowdShutsWhatWaitedTooLong(t *testing.T) {
+// In the soak test of restarts (seed 112) two requests with 158 and 359 ms until their deadlines waited 0.78 and 1.02 s
+// to be accepted, and were then answered with an error, 0.62 and 0.66 s after their deadlines.
+func TestExpiredConnectionIsClosedUnread(t *testing.T) {
 	const waited = 700 * time.Millisecond
 	servers := startSlowServers(t, 0, 0, "")
-	_, r := stageSet(t, 0, endless, strings.Clone, servers.hosts...)
-	taken := 0
-	for r.descriptors.Accept() { // by others, who don't go
-		taken++
+	_, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, servers.hosts...)
+	reserved := 0
+	for router.descriptors.Accept() { // by connections that are not closed
+		reserved++
 	}
 	dial := func(wait time.Duration) net.Conn {
-		conn, err := net.Dial("tcp", r.config.Listen)
+		conn, err := net.Dial("tcp", router.config.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -201,48 +202,49 @@
 		conn.SetReadDeadline(time.Now().Add(testWait))
 		return conn
 	}
-	dial(testWait) // the acceptor had a place for it before the others came
+	dial(testWait) // the acceptor had already reserved a descriptor for it
 	late, inTime := dial(100*time.Millisecond), dial(testWait)
 	time.Sleep(waited)
-	for range taken {
-		r.descriptors.Leave()
+	for range reserved {
+		router.descriptors.Leave()
 	}
-	var b [1]byte
-	if _, err := late.Read(b[:]); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a request of 100 ms that waited %v in a crowd is answered: %v", waited, err)
+	var buffer [1]byte
+	if _, err := late.Read(buffer[:]); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("a request with a wait of 100 ms that was accepted after %v is answered: %v", waited, err)
 	}
-	if _, err := inTime.Read(b[:]); err != nil {
-		t.Errorf("one that still has time is shut: %v", err)
+	if _, err := inTime.Read(buffer[:]); err != nil {
+		t.Errorf("a connection whose request has time left is closed: %v", err)
 	}
 }
 
-// Bytes that came while the process was held up are asked for where the process's own tick shows it: late, or not come yet.
+// A stall is detected both after the late tick and before it, while the tick is overdue.
 func TestStallWatch(t *testing.T) {
 	const second = clock.Second
 	tick := clock.Nanos(sweepInterval)
-	var watch stallDetector
-	if _, stalled := watch.stalledSince(second); stalled {
-		t.Error("a stall before the first tick")
+	var detector stallDetector
+	if _, stalled := detector.stalledSince(second); stalled {
+		t.Error("a stall is reported before the first tick")
 	}
-	watch.tick(second)
-	watch.tick(second + tick)
-	if _, stalled := watch.stalledSince(second + tick + minStall); stalled {
-		t.Error("a stall though the next tick is hardly late")
+	detector.tick(second)
+	detector.tick(second + tick)
+	if _, stalled := detector.stalledSince(second + tick + minStall); stalled {
+		t.Error("a stall is reported though the next tick is hardly late")
 	}
-	if from, stalled := watch.stalledSince(3 * second); !stalled || from != second+tick {
+	if from, stalled := detector.stalledSince(3 * second); !stalled || from != second+tick {
 		t.Errorf("read before the late tick: %v from %d", stalled, from)
 	}
-	watch.tick(3 * second)
-	if from, stalled := watch.stalledSince(3*second + 1); !stalled || from != second+tick {
-		t.Errorf("read behind the late tick: %v from %d", stalled, from)
+	detector.tick(3 * second)
+	if from, stalled := detector.stalledSince(3*second + 1); !stalled || from != second+tick {
+		t.Errorf("read after the late tick: %v from %d", stalled, from)
 	}
-	if _, stalled := watch.stalledSince(3*second + stallRecoveryTime); stalled {
-		t.Error("a stall is still counted once it is over")
+	if _, stalled := detector.stalledSince(3*second + stallRecoveryTime); stalled {
+		t.Error("a stall is reported after its end")
 	}
 }
 
-// The deadline that a data server hears is at most what the client has left, counted from the client's sending, wherever the
-// request has spent its time: behind a dial, in an attempt that failed, or unread behind other messages of its client.
+// The deadline that a data server receives is at most the client's remaining time, counted from when the client sent
+// the request. That includes time spent establishing a connection, in a failed attempt, or unread behind other
+// messages.
 func TestDeadlinePassedOn(t *testing.T) {
 	pipelinedQueries := func() []byte {
 		var messages []byte
@@ -258,30 +260,30 @@
 		}
 		return append(messages, timedQuery(0)...)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name            string
 		welcome, answer time.Duration
 		code            string
 		messages        []byte
 		answers         int
-		late            time.Duration // what the last query has spent at least before it is sent
+		minDelay        time.Duration // the minimum delay of the last query before it is forwarded
 	}{
-		{"behind a dial", 400 * time.Millisecond, 0, "", timedQuery(0), 1, 400 * time.Millisecond},
+		{"while a connection is established", 400 * time.Millisecond, 0, "", timedQuery(0), 1, 400 * time.Millisecond},
 		{"in a retry", 0, 400 * time.Millisecond, pgwire.CodeFailed, timedQuery(0), 1, 400 * time.Millisecond},
 		{"unread behind open requests", 0, 400 * time.Millisecond, "", pipelinedQueries(), maxPipelined + 2, 400 * time.Millisecond},
 		{"unread behind unusable queries", 0, 0, "", unusableQueries(), 31, time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			servers := startSlowServers(t, c.welcome, c.answer, c.code)
-			_, r := stageSet(t, 0, endless, strings.Clone, servers.hosts...)
+		t.Run(test.name, func(t *testing.T) {
+			servers := startSlowServers(t, test.welcome, test.answer, test.code)
+			_, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, servers.hosts...)
 			sent := time.Now()
-			deadlineClient(t, r.config.Listen, c.messages, c.answers)
-			var last heardQuery
+			deadlineClient(t, router.config.Listen, test.messages, test.answers)
+			var last receivedQuery
 			for more := true; more; {
 				select {
-				case query := <-servers.heard:
+				case query := <-servers.received:
 					left := testWait - query.at.Sub(sent)
-					if query.deadline > left+deadlineSlack {
+					if query.deadline > left+deadlineTolerance {
 						t.Errorf("%.20q: a deadline of %v was passed on with %v left", query.text, query.deadline, left)
 					}
 					last = query
@@ -289,8 +291,8 @@
 					more = false
 				}
 			}
-			if spent := last.at.Sub(sent); spent < c.late {
-				t.Fatalf("the last query was sent after %v: the case does not delay it", spent)
+			if spent := last.at.Sub(sent); spent < test.minDelay {
+				t.Fatalf("the last query was forwarded after %v: the case does not delay it", spent)
 			}
 		})
 	}
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -20,60 +20,60 @@
 	"lotushook/policy/clock"
 )
 
-// noCancel is a deployment where an attempt that is out can't be called off.
-func noCancel(settings string) string {
+// withoutCancel changes settings so that attempts in flight can't be canceled.
+func withoutCancel(settings string) string {
 	return strings.Replace(settings, `"cancel":true`, `"cancel":false`, 1)
 }
 
-// stageSet is stageHeld with other settings.
-func stageSet(t *testing.T, hold time.Duration, p clientTimeouts, set func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
+// startRouterWithSettings is startRouterWithHold with changed platform settings.
+func startRouterWithSettings(t *testing.T, hold time.Duration, timeouts clientTimeouts, changeSettings func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := nettest.New(t, "s1", "s2", "agent")
-	for i, h := range hosts {
-		hosts[i] = s.Expand(h)
+	stage := nettest.New(t, "s1", "s2", "agent")
+	for i, host := range hosts {
+		hosts[i] = stage.Expand(host)
 	}
-	conf, err := platformconfig.Check(nettest.File(t, set(nettest.Config(ln.Addr().String(), s.Addr("agent"), nettest.List(1, hosts...)))))
+	config, err := platformconfig.Check(nettest.File(t, changeSettings(nettest.Config(listener.Addr().String(), stage.Addr("agent"), nettest.List(1, hosts...)))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, &siteconfig.Config{})
+	router, err := New(config, &siteconfig.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := make(chan time.Time)
-	close(now)
-	r.shutdown.acceptEnd = func() <-chan time.Time { return now }
-	r.shutdown.timeoutEnd = func() <-chan time.Time { return nil }
-	r.shutdown.timeout, r.timeouts, r.start.timeout = time.Hour, p, hold
-	r.pool.SettleTime, r.pool.DuplicateWindow, r.pool.StallTimeout = 0, 0, time.Hour
-	ctx, stop := context.WithCancel(context.Background())
+	acceptEnd := make(chan time.Time)
+	close(acceptEnd)
+	router.shutdown.acceptEnd = func() <-chan time.Time { return acceptEnd }
+	router.shutdown.timeoutEnd = func() <-chan time.Time { return nil }
+	router.shutdown.timeout, router.timeouts, router.start.timeout = time.Hour, timeouts, hold
+	router.pool.SettleTime, router.pool.DuplicateWindow, router.pool.StallTimeout = 0, 0, time.Hour
+	ctx, shutDown := context.WithCancel(context.Background())
 	done, broken := make(chan error, 1), len(invariant.Counts())
-	go func() { done <- r.Serve(ctx, ln) }()
+	go func() { done <- router.Serve(ctx, listener) }()
 	t.Cleanup(func() {
-		s.Close()
-		stop()
-		<-done //nolint:errcheck // the test has seen what it wants
-		if n := len(invariant.Counts()); n > broken {
+		stage.Close()
+		shutDown()
+		<-done //nolint:errcheck // the tests check the error themselves
+		if count := len(invariant.Counts()); count > broken {
 			t.Errorf("invariants broken: %v", invariant.Counts())
 		}
 	})
-	s.Dial("c", ln.Addr().String())
-	return s, r
+	stage.Dial("c", listener.Addr().String())
+	return stage, router
 }
 
-// someone says whether some client that is here is as asked.
-func someone(r *Router, is func(c *client) bool) (found bool) {
-	r.clients.each(func(c *client) { found = found || is(c) })
+// anyClient reports whether a condition is true for any connected client.
+func anyClient(router *Router, condition func(client *client) bool) (found bool) {
+	router.clients.each(func(client *client) { found = found || condition(client) })
 	return found
 }
 
-func hasLeft(c *client) bool {
+func left(client *client) bool {
 	select {
-	case <-c.left:
+	case <-client.left:
 		return true
 	default:
 		return false
@@ -81,339 +81,342 @@
 }
 
 const (
-	read01  = `Q "/* id=01,c=read,d=20000,cluster=1 */ A"`
-	read02  = `Q "/* id=02,c=read,d=20000,cluster=1 */ B"`
-	write01 = `Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ A"`
-	seen01  = `Q "/* id=01,c=read,d=#,cluster=1 */ A"`
-	seen02  = `Q "/* id=02,c=read,d=#,cluster=1 */ B"`
-	wrote01 = `Q "/* id=01,c=write,d=#,k=ab,cluster=1 */ A"`
-	value   = ` T | D "v" | C | S rank=copy | Z`
+	readQuery1      = `Q "/* id=01,c=read,d=20000,cluster=1 */ A"`
+	readQuery2      = `Q "/* id=02,c=read,d=20000,cluster=1 */ B"`
+	writeQuery1     = `Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ A"`
+	forwardedRead1  = `Q "/* id=01,c=read,d=#,cluster=1 */ A"`
+	forwardedRead2  = `Q "/* id=02,c=read,d=#,cluster=1 */ B"`
+	forwardedWrite1 = `Q "/* id=01,c=write,d=#,k=ab,cluster=1 */ A"`
+	value           = ` T | D "v" | C | S rank=copy | Z`
 )
 
-// A client that goes while a connection comes up for its request has nothing sent, also where attempts that are out can't be
-// called off. The connection is the next one's.
+// If a client disconnects while a connection to a data server is established for its request, the request is not sent,
+// even if attempts can't be canceled. The connection is used for the next request.
 func TestClientLeavesDuringDial(t *testing.T) {
-	s, r := stageSet(t, 0, endless, noCancel, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + read01 + `
+	stage, router := startRouterWithSettings(t, 0, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING")
+	stage.Play("send c1 startup | " + readQuery1 + `
 		wait s1
 		expect s1 startup
 		close c1`)
-	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) })
-	s.Play("send s1 welcome")
-	until(t, "its request has ended", func() bool { return !someone(r, hasLeft) })
-	s.Play("send c2 startup | " + read02 + `
-		expect s1 ` + seen02 + `
+	waitUntil(t, "the disconnect is detected", func() bool { return anyClient(router, left) })
+	stage.Play("send s1 welcome")
+	waitUntil(t, "the request has ended", func() bool { return !anyClient(router, left) })
+	stage.Play("send c2 startup | " + readQuery2 + `
+		expect s1 ` + forwardedRead2 + `
 		send s1` + value + `
 		expect c2 welcome | T | D "v" | C | Z`)
 }
 
-// A client that goes while its request is out, where attempts can't be called off, gets no further one when that breaks.
+// If a client disconnects during an attempt that can't be canceled, and the attempt fails, the request is not retried.
 func TestClientLeavesBeforeRepeat(t *testing.T) {
-	s, r := stageSet(t, 0, endless, noCancel, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + write01 + `
+	stage, router := startRouterWithSettings(t, 0, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING")
+	stage.Play("send c1 startup | " + writeQuery1 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
-		expect s1 ` + wrote01 + `
+		expect s1 ` + forwardedWrite1 + `
 		close c1`)
-	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) })
-	s.Play("close s1")
-	until(t, "its request has ended", func() bool { return !someone(r, hasLeft) })
-	if s.HasConnection("s1") {
-		t.Error("a request whose client had gone was repeated")
+	waitUntil(t, "the disconnect is detected", func() bool { return anyClient(router, left) })
+	stage.Play("close s1")
+	waitUntil(t, "the request has ended", func() bool { return !anyClient(router, left) })
+	if stage.HasConnection("s1") {
+		t.Error("a request of a disconnected client was retried")
 	}
 }
 
-// The module's word to send and the client's leaving are there in the same moment: it is not sent, whichever is drawn.
+// If a send action arrives at the same time as the client's disconnect or cancel, the request is not sent, whichever of
+// the two select chooses.
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
-		r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
-		e := r.directory.Apply(r.config.Known)
+		router := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its event loop does not run
+		update := router.directory.Apply(router.config.Known)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
 			if err != nil {
 				t.Fatal(err)
 			}
-			now := r.clock.now()
-			one := &request{Request: parsed, router: r, client: &client{left: make(chan struct{})}, canceled: make(chan struct{}),
+			now := router.clock.now()
+			pending := &request{Request: parsed, router: router, client: &client{left: make(chan struct{})}, canceled: make(chan struct{}),
 				actions: make(chan balance.Action, actionQueueSize), deadline: now + int64(time.Hour)}
-			one.deliver(balance.Action{Kind: balance.SendAttempt, Endpoint: e.Endpoints[0].ID, ConnectDeadline: now + int64(time.Hour), AttemptDeadline: now + int64(time.Hour)})
+			pending.deliver(balance.Action{Kind: balance.SendAttempt, Endpoint: update.Endpoints[0].ID, ConnectDeadline: now + int64(time.Hour), AttemptDeadline: now + int64(time.Hour)})
 			if canceled {
-				one.cancel()
+				pending.cancel()
 			} else {
-				close(one.client.left)
+				close(pending.client.left)
 			}
-			answer := one.run()
+			answer := pending.run()
 			if strings.Contains(string(answer), pgwire.CodeQueryCanceled) != canceled {
 				t.Errorf("answer %q", answer)
 			}
 			for _, want := range []balance.EventKind{balance.RequestArrived, balance.RequestAbandoned, 0} {
-				if e := <-r.loop.events; e.Kind != want {
-					t.Fatalf("event %d, want %d", e.Kind, want)
+				if event := <-router.loop.events; event.Kind != want {
+					t.Fatalf("event %d, want %d", event.Kind, want)
 				}
 			}
 		}
 	}
 }
 
-// A client's end is seen though its reader can take no more: every slot is taken, and what it sent on is read or not.
+// A client's disconnect is detected while its reader is blocked because the maximum number of requests is open, whether
+// or not there is unread input.
 func TestCloseBehindPipelinedRequests(t *testing.T) {
-	for _, n := range []int{maxPipelined + 1, maxPipelined * 30} {
-		s, r := stageSet(t, time.Hour, endless, noCancel, "h-1 {s1} 1 SERVING") // nothing is decided before the agent answers
-		var all []string
-		for i := range n {
-			all = append(all, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
+	for _, count := range []int{maxPipelined + 1, maxPipelined * 30} {
+		stage, router := startRouterWithSettings(t, time.Hour, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING") // without decisions for an hour
+		var queries []string
+		for i := range count {
+			queries = append(queries, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 		}
-		s.Play("send c1 startup | " + strings.Join(all, " | "))
-		until(t, "no slot is free", func() bool { return someone(r, func(c *client) bool { return len(c.slots) == maxPipelined }) })
-		closed := time.Now()
-		s.Play("close c1")
-		until(t, "its leaving is seen", func() bool { return !someone(r, func(c *client) bool { return !hasLeft(c) }) })
-		if took := time.Since(closed); took > 10*time.Second { // the requests' own end would come at 20 s
-			t.Errorf("%d requests: its leaving was seen after %v", n, took)
+		stage.Play("send c1 startup | " + strings.Join(queries, " | "))
+		waitUntil(t, "no slot is free", func() bool { return anyClient(router, func(c *client) bool { return len(c.slots) == maxPipelined }) })
+		closedAt := time.Now()
+		stage.Play("close c1")
+		waitUntil(t, "the disconnect is detected", func() bool { return !anyClient(router, func(c *client) bool { return !left(c) }) })
+		if elapsed := time.Since(closedAt); elapsed > 10*time.Second { // the requests' deadline is at 20 s
+			t.Errorf("%d requests: the disconnect was detected after %v", count, elapsed)
 		}
-		until(t, "nobody is here", func() bool { return !someone(r, func(*client) bool { return true }) })
-		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-		s.Play(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
+		waitUntil(t, "no client is connected", func() bool { return !anyClient(router, func(*client) bool { return true }) })
+		stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
+		stage.Play(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
 			wait s1
 			expect s1 startup
 			send s1 welcome
 			expect s1 Q "/* id=b,c=read,d=#,cluster=1 */ B"
 			send s1` + value + `
 			expect c2 welcome | T | D "v" | C | Z`)
-		if s.HasConnection("s1") {
-			t.Errorf("%d requests: one of a client that had gone was sent", n)
+		if stage.HasConnection("s1") {
+			t.Errorf("%d requests: a request of a disconnected client was sent", count)
 		}
 	}
 }
 
-// A client that breaks the protocol and goes is not waited for as one that only broke it: its requests are called off.
+// The requests of a client that violates the protocol and then disconnects are canceled at once. They are not awaited
+// as for a client that only violates the protocol.
 func TestCloseBehindBrokenMessage(t *testing.T) {
-	p := endless
-	p.openRequests = time.Hour
-	s, r := stageSet(t, time.Hour, p, noCancel, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + read01 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
+	timeouts := noTimeouts
+	timeouts.openRequests = time.Hour
+	stage, router := startRouterWithSettings(t, time.Hour, timeouts, withoutCancel, "h-1 {s1} 1 SERVING")
+	stage.Play("send c1 startup | " + readQuery1 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
 		close c1`)
-	until(t, "its request has come", func() bool { return len(r.loop.events) > 1 })
-	until(t, "its leaving is seen", func() bool { return !someone(r, func(c *client) bool { return !hasLeft(c) }) })
-	until(t, "its request has ended", func() bool { return !someone(r, func(*client) bool { return true }) })
+	waitUntil(t, "the request has arrived", func() bool { return len(router.loop.events) > 1 })
+	waitUntil(t, "the disconnect is detected", func() bool { return !anyClient(router, func(c *client) bool { return !left(c) }) })
+	waitUntil(t, "the request has ended", func() bool { return !anyClient(router, func(*client) bool { return true }) })
 }
 
-// A client's pause after an unusable query ends with the client.
+// The pause after an unusable query ends when the client disconnects.
 func TestCloseDuringRest(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	for _, unread := range []string{"", "x"} {
 		for _, reset := range []bool{false, true} {
-			conn, err := net.Dial("tcp", ln.Addr().String())
+			conn, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			there, err := ln.Accept()
+			accepted, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := &client{conn: there}
-			if c.hasDisconnected() {
-				t.Error("one that is here has hung up")
+			client := &client{conn: accepted}
+			if client.hasDisconnected() {
+				t.Error("a connected client counts as disconnected")
 			}
 			if _, err := conn.Write([]byte(unread)); err != nil {
 				t.Fatal(err)
 			}
-			if c.hasDisconnected() {
-				t.Error("one that has sent something has hung up")
+			if client.hasDisconnected() {
+				t.Error("a connected client with unread input counts as disconnected")
 			}
 			if reset {
 				conn.(*net.TCPConn).SetLinger(0)
 			}
 			conn.Close()
-			if err := c.pause(time.Hour, nil); err == nil {
-				t.Errorf("unread %q, reset %v: the rest was not cut short", unread, reset)
+			if err := client.pause(time.Hour, nil); err == nil {
+				t.Errorf("unread %q, reset %v: the pause did not end early", unread, reset)
 			}
-			there.Close()
+			accepted.Close()
 		}
 	}
 }
 
-// A client's end is seen while an answer is written to it that it does not take: the requests behind that are called off.
+// A client's disconnect is detected while an answer to it blocks in a write. Its later requests are canceled.
 func TestCloseDuringAnswer(t *testing.T) {
-	s, r := stageSet(t, 0, endless, noCancel, "h-1 {s1} 1 SERVING")
-	const large = 12 // of 1,000 KB: more than sockets hold
-	s.Set("large", strings.Repeat("v", 1000<<10))
-	var all []string
+	stage, router := startRouterWithSettings(t, 0, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING")
+	const large = 12 // answers of 1,000 KB: more than the socket buffers hold
+	stage.Set("large", strings.Repeat("v", 1000<<10))
+	var queries []string
 	for i := range large {
-		all = append(all, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
+		queries = append(queries, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 	}
-	s.Play("send c1 startup | " + all[0] + `
+	stage.Play("send c1 startup | " + queries[0] + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=1,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "{large}" | C | S rank=copy | Z`)
 	for i := 1; i < large; i++ {
-		until(t, "the answer before was read", func() bool { return r.pool.Idle() == 1 })
-		s.Play("send c1 " + all[i])
-		s.Play(fmt.Sprintf("expect s1 Q \"/* id=%d,c=read,d=#,cluster=1 */ A\"", i+1))
-		s.Play(`send s1 T | D "{large}" | C | S rank=copy | Z`)
+		waitUntil(t, "the previous answer was read", func() bool { return router.pool.Idle() == 1 })
+		stage.Play("send c1 " + queries[i])
+		stage.Play(fmt.Sprintf("expect s1 Q \"/* id=%d,c=read,d=#,cluster=1 */ A\"", i+1))
+		stage.Play(`send s1 T | D "{large}" | C | S rank=copy | Z`)
 	}
-	until(t, "the last answer was read", func() bool { return r.pool.Idle() == 1 })
-	// One more, whose attempt breaks after the client has gone.
-	s.Play("send c1 " + read02 + `
-		expect s1 ` + seen02 + `
+	waitUntil(t, "the last answer was read", func() bool { return router.pool.Idle() == 1 })
+	// One more request, whose attempt fails after the client has disconnected.
+	stage.Play("send c1 " + readQuery2 + `
+		expect s1 ` + forwardedRead2 + `
 		close c1`)
-	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) || !someone(r, func(*client) bool { return true }) })
-	s.Play("close s1")
-	until(t, "its requests have ended", func() bool { return !someone(r, func(*client) bool { return true }) })
-	if s.HasConnection("s1") {
-		t.Error("a request whose client had gone was repeated")
+	waitUntil(t, "the disconnect is detected", func() bool { return anyClient(router, left) || !anyClient(router, func(*client) bool { return true }) })
+	stage.Play("close s1")
+	waitUntil(t, "the requests have ended", func() bool { return !anyClient(router, func(*client) bool { return true }) })
+	if stage.HasConnection("s1") {
+		t.Error("a request of a disconnected client was retried")
 	}
 }
 
-// keyOf is the key that the only client got with its welcome.
-func keyOf(t *testing.T, r *Router) (key pgwire.CancelKey) {
+// onlyCancelKey returns the cancel key of the only client.
+func onlyCancelKey(t *testing.T, router *Router) (key pgwire.CancelKey) {
 	t.Helper()
-	until(t, "the client has its key", func() bool {
-		n := 0
-		r.cancelKeys.clients.Each(func(_ int, m *map[uint32]*client) {
-			for _, c := range *m {
-				key, n = c.cancelKey, n+1
+	waitUntil(t, "the client has its key", func() bool {
+		count := 0
+		router.cancelKeys.clients.Each(func(_ int, shard *map[uint32]*client) {
+			for _, client := range *shard {
+				key, count = client.cancelKey, count+1
 			}
 		})
-		return n == 1
+		return count == 1
 	})
 	return key
 }
 
-// cancelRequest is the message as a raw step of a scenario.
+// cancelRequest returns a CancelRequest as a raw step of a scenario.
 func cancelRequest(key pgwire.CancelKey) string {
-	b := []byte{0, 0, 0, 16, 4, 210, 22, 46}
-	b = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, key.Process), key.Secret)
-	return fmt.Sprintf("raw %q", b)
+	message := []byte{0, 0, 0, 16, 4, 210, 22, 46}
+	message = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(message, key.Process), key.Secret)
+	return fmt.Sprintf("raw %q", message)
 }
 
-// A CancelRequest ends the request that its key's client waits for, and nothing else.
+// A CancelRequest cancels the request that the client with its key waits for, and no other.
 //
-//nolint:funlen // one history or table of cases, told in order
+//nolint:funlen // one table of cases
 func TestCancelRequest(t *testing.T) {
 	const (
 		begin = `
-			send c1 startup | ` + read01 + `
+			send c1 startup | ` + readQuery1 + `
 			wait s1
 			expect s1 startup
 			send s1 welcome
-			expect s1 ` + seen01
+			expect s1 ` + forwardedRead1
 		ask = `
 			send x {cancel}
 			expect x EOF`
 		next = `
-			send c1 ` + read02 + `
+			send c1 ` + readQuery2 + `
 			wait s1
 			expect s1 startup
 			send s1 welcome
-			expect s1 ` + seen02 + `
+			expect s1 ` + forwardedRead2 + `
 			send s1` + value + `
 			expect c1 T | D "v" | C | Z`
 	)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		set    func(string) string
-		wrong  pgwire.CancelKey // added to the key
+		wrong  pgwire.CancelKey // is added to the key
 		before string
 		after  string
 	}{
-		{"one that is out is called off, and the next one is served", strings.Clone, pgwire.CancelKey{}, begin,
+		{"a request in flight is canceled, and the next one is served", strings.Clone, pgwire.CancelKey{}, begin,
 			"expect s1 EOF\nexpect c1 welcome | E 57014 | Z" + next},
-		{"one whose connection comes up is called off", strings.Clone, pgwire.CancelKey{},
-			"send c1 startup | " + read01 + "\nwait s1\nexpect s1 startup", "expect s1 EOF\nexpect c1 welcome | E 57014 | Z" + next},
+		{"a request whose connection is being established is canceled", strings.Clone, pgwire.CancelKey{},
+			"send c1 startup | " + readQuery1 + "\nwait s1\nexpect s1 startup", "expect s1 EOF\nexpect c1 welcome | E 57014 | Z" + next},
 		{"a wrong secret is ignored", strings.Clone, pgwire.CancelKey{Secret: 1}, begin, "send s1" + value + "\nexpect c1 welcome | T | D \"v\" | C | Z"},
 		{"an unknown process is ignored", strings.Clone, pgwire.CancelKey{Process: 1}, begin, "send s1" + value + "\nexpect c1 welcome | T | D \"v\" | C | Z"},
-		{"one that is answered is not touched, nor is the next", strings.Clone, pgwire.CancelKey{},
-			begin + "\nsend s1" + value + "\nexpect c1 welcome | T | D \"v\" | C | Z", "send c1 " + read02 + "\nexpect s1 " + seen02 + "\nsend s1" + value + "\nexpect c1 T | D \"v\" | C | Z"},
-		{"only the first of those that are pipelined is called off", strings.Clone, pgwire.CancelKey{}, begin + `
-			send c1 ` + read02 + `
+		{"neither a request that is answered nor the next one is canceled", strings.Clone, pgwire.CancelKey{},
+			begin + "\nsend s1" + value + "\nexpect c1 welcome | T | D \"v\" | C | Z", "send c1 " + readQuery2 + "\nexpect s1 " + forwardedRead2 + "\nsend s1" + value + "\nexpect c1 T | D \"v\" | C | Z"},
+		{"only the first of the pipelined requests is canceled", strings.Clone, pgwire.CancelKey{}, begin + `
+			send c1 ` + readQuery2 + `
 			wait s1 as y
 			expect y startup
 			send y welcome
-			expect y ` + seen02, "expect s1 EOF\nsend y" + value + "\nexpect c1 welcome | E 57014 | Z | T | D \"v\" | C | Z"},
-		{"where attempts can't be called off, an answer that comes is given", noCancel, pgwire.CancelKey{}, begin,
+			expect y ` + forwardedRead2, "expect s1 EOF\nsend y" + value + "\nexpect c1 welcome | E 57014 | Z | T | D \"v\" | C | Z"},
+		{"if attempts can't be canceled, the answer is delivered", withoutCancel, pgwire.CancelKey{}, begin,
 			"send s1" + value + "\nexpect c1 welcome | T | D \"v\" | C | Z"},
-		{"where attempts can't be called off, one that breaks is not repeated", noCancel, pgwire.CancelKey{}, begin,
+		{"if attempts can't be canceled, a failed one is not retried", withoutCancel, pgwire.CancelKey{}, begin,
 			"close s1\nexpect c1 welcome | E 57014 | Z" + next},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s, r := stageSet(t, 0, endless, c.set, "h-1 {s1} 1 SERVING")
-			s.Play(c.before)
-			key := keyOf(t, r)
-			key.Process += c.wrong.Process
-			key.Secret += c.wrong.Secret
-			s.Set("cancel", cancelRequest(key))
-			s.Dial("", r.config.Listen)
-			s.Play(ask)
-			s.Play(c.after)
-			until(t, "its connection counts no more", func() bool {
-				n := 0
-				r.clients.each(func(*client) { n++ })
-				return n == 1
+		t.Run(test.name, func(t *testing.T) {
+			stage, router := startRouterWithSettings(t, 0, noTimeouts, test.set, "h-1 {s1} 1 SERVING")
+			stage.Play(test.before)
+			key := onlyCancelKey(t, router)
+			key.Process += test.wrong.Process
+			key.Secret += test.wrong.Secret
+			stage.Set("cancel", cancelRequest(key))
+			stage.Dial("", router.config.Listen)
+			stage.Play(ask)
+			stage.Play(test.after)
+			waitUntil(t, "the canceling connection is removed", func() bool {
+				count := 0
+				router.clients.each(func(*client) { count++ })
+				return count == 1
 			})
 		})
 	}
 }
 
-// A CancelRequest is read by another goroutine than its client's query, and a busy router may come to it first: a query that lay unread
-// then is called off all the same, one that was sent later is not.
+// A CancelRequest cancels a query that was still unread when it arrived, but not a query that was sent later. The two
+// messages are read by different goroutines, and a busy router may read the CancelRequest first.
 //
-// What happened: in the soak of restarts (seeds 1, 3, 4 and 5) a client wrote a query and canceled it within the millisecond; the access log
-// had the query's arrival behind the cancel, which had found nothing open and was forgotten, and attempts began up to 227 ms after
-// it. Here the reader rests after unusable queries, so that the order is the same each time.
+// In the soak test of restarts (seeds 1, 3, 4 and 5) a client sent a query and canceled it within a millisecond. The
+// router processed the cancel first, found no open request and dropped it, and started attempts up to 227 ms later. In
+// this test the reader pauses after unusable queries, so that the order is always the same.
 func TestCancelOfUnreadQuery(t *testing.T) {
-	s, r := stageSet(t, 0, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-	s.Dial("", r.config.Listen)
-	s.Play("send c1 startup\nexpect c1 welcome")
+	stage, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
+	stage.Dial("", router.config.Listen)
+	stage.Play("send c1 startup\nexpect c1 welcome")
 	for range 10 { // the pause grows to a tenth of a second
-		s.Play("send c1 Q \"SELECT 1\"\nexpect c1 E 42601 | Z")
+		stage.Play("send c1 Q \"SELECT 1\"\nexpect c1 E 42601 | Z")
 	}
-	s.Set("cancel", cancelRequest(keyOf(t, r)))
-	s.Play("send c1 " + read01 + "\nsend x {cancel}\nexpect x EOF\nexpect c1 E 57014 | Z")
-	if s.HasConnection("s1") {
-		t.Error("a request that was canceled before it was read was forwarded")
+	stage.Set("cancel", cancelRequest(onlyCancelKey(t, router)))
+	stage.Play("send c1 " + readQuery1 + "\nsend x {cancel}\nexpect x EOF\nexpect c1 E 57014 | Z")
+	if stage.HasConnection("s1") {
+		t.Error("a request that was canceled before it was read was sent")
 	}
-	s.Play("send c1 " + read02 + `
+	stage.Play("send c1 " + readQuery2 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
-		expect s1 ` + seen02 + `
+		expect s1 ` + forwardedRead2 + `
 		send s1` + value + `
 		expect c1 T | D "v" | C | Z`)
 }
 
-// A request that nothing was decided on yet is called off at once, and is never sent.
+// A request that is canceled before the first decision about it is answered at once, and never sent.
 func TestCancelBeforeDecision(t *testing.T) {
-	s, r := stageSet(t, time.Hour, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-	s.Dial("", r.config.Listen)
-	s.Play("send c1 startup | " + read01)
-	until(t, "the request has come", func() bool { return len(r.loop.events) > 1 })
-	s.Set("cancel", cancelRequest(keyOf(t, r)))
-	s.Play("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
-	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-	s.Play("send c1 " + read02 + `
+	stage, router := startRouterWithSettings(t, time.Hour, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
+	stage.Dial("", router.config.Listen)
+	stage.Play("send c1 startup | " + readQuery1)
+	waitUntil(t, "the request has arrived", func() bool { return len(router.loop.events) > 1 })
+	stage.Set("cancel", cancelRequest(onlyCancelKey(t, router)))
+	stage.Play("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
+	stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
+	stage.Play("send c1 " + readQuery2 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
-		expect s1 ` + seen02 + `
+		expect s1 ` + forwardedRead2 + `
 		send s1` + value + `
 		expect c1 T | D "v" | C | Z`)
 }
 
-// Each client gets a key of its own with its welcome, and it is forgotten with its client.
+// Each client gets a unique cancel key with its welcome message. The key is removed when the client disconnects.
 func TestCancelKeys(t *testing.T) {
-	s, r := stageSet(t, 0, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-	told := map[pgwire.CancelKey]bool{}
+	stage, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
+	sent := map[pgwire.CancelKey]bool{}
 	var conns []net.Conn
 	for range 20 {
-		conn, err := net.Dial("tcp", r.config.Listen)
+		conn, err := net.Dial("tcp", router.config.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -422,131 +425,132 @@
 		if _, err := conn.Write(pgwire.AppendStartup(nil, "worker", "catalog")); err != nil {
 			t.Fatal(err)
 		}
-		in := ringbuffer.New(1 << 10)
+		input := ringbuffer.New(1 << 10)
 		for ready := false; !ready; {
-			m, err := pgwire.Next(in)
+			message, err := pgwire.Next(input)
 			if err != nil {
-				if err := in.Fill(conn); err != nil {
+				if err := input.Fill(conn); err != nil {
 					t.Fatal(err)
 				}
 				continue
 			}
-			if m.Kind == pgwire.BackendKeyData {
-				told[pgwire.CancelKey{Process: binary.BigEndian.Uint32(m.Body), Secret: binary.BigEndian.Uint32(m.Body[4:])}] = true
+			if message.Kind == pgwire.BackendKeyData {
+				sent[pgwire.CancelKey{Process: binary.BigEndian.Uint32(message.Body), Secret: binary.BigEndian.Uint32(message.Body[4:])}] = true
 			}
-			ready = m.Kind == pgwire.ReadyForQuery
-			in.Discard(m.Size)
+			ready = message.Kind == pgwire.ReadyForQuery
+			input.Discard(message.Size)
 		}
 	}
-	held := func() (n int) {
-		r.cancelKeys.clients.Each(func(_ int, m *map[uint32]*client) {
-			for _, c := range *m {
-				if !told[c.cancelKey] {
-					t.Errorf("key %v was not told", c.cancelKey)
+	stored := func() (count int) {
+		router.cancelKeys.clients.Each(func(_ int, shard *map[uint32]*client) {
+			for _, client := range *shard {
+				if !sent[client.cancelKey] {
+					t.Errorf("key %v was not sent to a client", client.cancelKey)
 				}
-				n++
+				count++
 			}
 		})
-		return n
+		return count
 	}
-	if len(told) != 20 || held() != 20 || told[pgwire.CancelKey{}] {
-		t.Errorf("%d keys told, %d held", len(told), held())
+	if len(sent) != 20 || stored() != 20 || sent[pgwire.CancelKey{}] {
+		t.Errorf("%d keys sent, %d stored", len(sent), stored())
 	}
-	for i, bad := range []string{`raw "\x00\x00\x00\x0c\x04\xd2\x16\x2e\x00\x00\x00\x01"`, `raw "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"`} {
-		s.Play(fmt.Sprintf("send c%[1]d %[2]s\nexpect c%[1]d EOF", i, bad))
+	for i, invalid := range []string{`raw "\x00\x00\x00\x0c\x04\xd2\x16\x2e\x00\x00\x00\x01"`, `raw "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"`} {
+		stage.Play(fmt.Sprintf("send c%[1]d %[2]s\nexpect c%[1]d EOF", i, invalid))
 	}
 	for _, conn := range conns {
 		conn.Close()
 	}
-	until(t, "no key is held", func() bool { return held() == 0 })
+	waitUntil(t, "no key is stored", func() bool { return stored() == 0 })
 }
 
-// What is repeated arrives within the window in which repeats are dropped, counted from when the first attempt can have
-// begun: a dial that outlasts it ends the request, and nothing is sent.
+// A retry of a write is sent only within the idempotency window, which starts with the first attempt. If establishing a
+// connection takes longer, the request fails and nothing is sent.
 func TestRepeatAfterItsWindow(t *testing.T) {
-	const window = 2 * time.Second // the first attempt on loopback, however slow the machine, is far under it
-	short := func(settings string) string {
+	const window = 2 * time.Second // the first attempt on loopback takes far less, even on a slow machine
+	shortWindow := func(settings string) string {
 		return strings.Replace(settings, `"name":"write","objective":5000000000,"window":5000000000`,
 			fmt.Sprintf(`"name":"write","objective":5000000000,"window":%d`, window.Nanoseconds()), 1)
 	}
-	s, _ := stageSet(t, 0, endless, short, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + write01 + `
+	stage, _ := startRouterWithSettings(t, 0, noTimeouts, shortWindow, "h-1 {s1} 1 SERVING")
+	stage.Play("send c1 startup | " + writeQuery1 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
-		expect s1 ` + wrote01 + `
+		expect s1 ` + forwardedWrite1 + `
 		close s1
 		wait s1
 		expect s1 startup`)
-	time.Sleep(window) // counted from the first attempt it is over earlier
-	s.Play(`
+	time.Sleep(window) // the window started earlier, with the first attempt
+	stage.Play(`
 		send s1 welcome
 		expect c1 welcome | E 58000 | Z
-		send c1 ` + read02 + `
-		expect s1 ` + seen02 + `
+		send c1 ` + readQuery2 + `
+		expect s1 ` + forwardedRead2 + `
 		send s1` + value + `
 		expect c1 T | D "v" | C | Z`)
 }
 
-// The last moment of a repeat, by the class's effect and window and by nothing else.
+// lastRetryAt depends only on the class's idempotency and window, and on whether an attempt may have run.
 func TestLastRepeat(t *testing.T) {
-	r := newRouter(t, nettest.List(1))
-	for _, c := range []struct {
-		class string
-		ran   bool
-		want  clock.Nanos
+	router := newRouter(t, nettest.List(1))
+	for _, test := range []struct {
+		class      string
+		mayHaveRun bool
+		want       clock.Nanos
 	}{
 		{"write", true, 1000e9 + 5e9 - 5e9/8},
-		{"write", false, 1<<63 - 1}, // nothing ran: there is nothing to drop
-		{"read", true, 1<<63 - 1},   // may run as often as it likes
+		{"write", false, 1<<63 - 1}, // nothing ran, so that there is no duplicate
+		{"read", true, 1<<63 - 1},   // may run any number of times
 	} {
-		one := &request{router: r, requestTask: requestTask{mayHaveRun: c.ran, firstRunAt: 1000e9}}
-		one.Class = c.class
-		if got := one.lastRetryAt(); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+		retried := &request{router: router, requestTask: requestTask{mayHaveRun: test.mayHaveRun, firstRunAt: 1000e9}}
+		retried.Class = test.class
+		if got := retried.lastRetryAt(); got != test.want {
+			t.Errorf("%+v: %d", test, got)
 		}
 	}
 }
 
-// A drain crosses a write that is out: its answer still counts, a repeat goes elsewhere, and so does the next one.
+// If an endpoint begins to drain during a write, its answer still counts. A retry of the write and the next write are
+// sent to another endpoint.
 func TestDrainCrossesWrite(t *testing.T) {
 	for _, broken := range []bool{false, true} {
-		s, r := stageSet(t, 0, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-		s.Play("send c1 startup | " + write01 + `
+		stage, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
+		stage.Play("send c1 startup | " + writeQuery1 + `
 			wait s1
 			expect s1 startup
 			send s1 welcome
-			expect s1 ` + wrote01)
-		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-		known := r.config.Known.Hosts[0].Name
-		until(t, "the drain is known", func() bool {
-			_, ready := r.directory.Address(nodeOf(known))
+			expect s1 ` + forwardedWrite1)
+		stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+		known := router.config.Known.Hosts[0].Name
+		waitUntil(t, "the drain is known", func() bool {
+			_, ready := router.directory.Address(endpointIDOf(known))
 			return !ready
 		})
-		const go2 = `
+		const forwardToS2 = `
 			wait s2
 			expect s2 startup
 			send s2 welcome
 			expect s2 `
-		const took = `
+		const answerFromS2 = `
 			send s2 T | D "w" | C | S rank=source | Z
 			expect c1 `
 		if broken {
-			s.Play("close s1" + go2 + wrote01 + took + `welcome | T | D "w" | C | Z`)
+			stage.Play("close s1" + forwardToS2 + forwardedWrite1 + answerFromS2 + `welcome | T | D "w" | C | Z`)
 		} else {
-			s.Play(`send s1 T | D "v" | C | S rank=source | Z
+			stage.Play(`send s1 T | D "v" | C | S rank=source | Z
 				expect c1 welcome | T | D "v" | C | Z
-				send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ B"` + go2 + `Q "/* id=02,c=write,d=#,k=ac,cluster=1 */ B"` + took + `T | D "w" | C | Z`)
+				send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ B"` + forwardToS2 + `Q "/* id=02,c=write,d=#,k=ac,cluster=1 */ B"` + answerFromS2 + `T | D "w" | C | Z`)
 		}
-		if s.HasConnection("s1") {
-			t.Error("a draining server got a connection")
+		if stage.HasConnection("s1") {
+			t.Error("a connection to a draining server was established")
 		}
 	}
 }
 
-// nodeOf is the number of a host, where no two share a hash.
-func nodeOf(host string) balance.EndpointID {
-	h := fnv.New32a()
-	h.Write([]byte(host))
-	return balance.EndpointID(h.Sum32())
+// endpointIDOf returns the ID of a host if no two hosts have the same hash.
+func endpointIDOf(host string) balance.EndpointID {
+	hash := fnv.New32a()
+	hash.Write([]byte(host))
+	return balance.EndpointID(hash.Sum32())
 }
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -12,138 +12,138 @@
 	"lotushook/policy/balance"
 )
 
-// held puts a request before the owner, which no other goroutine runs.
-func held(t *testing.T, o *eventLoop, id, statement string) *request {
+// submitRequest reports the arrival of a request to an event loop that no other goroutine runs.
+func submitRequest(t *testing.T, loop *eventLoop, id, statement string) *request {
 	t.Helper()
 	parsed, err := pgwire.ParseRequest("/* id=" + id + ",c=read,d=20000,cluster=1 */ " + statement)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &request{Request: parsed, router: o.router, actions: make(chan balance.Action, actionQueueSize)}
-	now := o.router.clock.now()
-	o.handle(loopEvent{request: r, Event: balance.Event{Kind: balance.RequestArrived, Request: id, Tenant: -1, Group: 1, Deadline: now + 20e9}})
-	return r
+	arrived := &request{Request: parsed, router: loop.router, actions: make(chan balance.Action, actionQueueSize)}
+	now := loop.router.clock.now()
+	loop.handle(loopEvent{request: arrived, Event: balance.Event{Kind: balance.RequestArrived, Request: id, Tenant: -1, Group: 1, Deadline: now + 20e9}})
+	return arrived
 }
 
-func kinds(r *request) (out []balance.ActionKind) {
-	for len(r.actions) > 0 {
-		out = append(out, (<-r.actions).Kind)
+func actionKinds(request *request) (kinds []balance.ActionKind) {
+	for len(request.actions) > 0 {
+		kinds = append(kinds, (<-request.actions).Kind)
 	}
-	return out
+	return kinds
 }
 
-func expectActs(t *testing.T, r *request, want ...balance.ActionKind) {
+func expectActions(t *testing.T, request *request, want ...balance.ActionKind) {
 	t.Helper()
-	if diff := cmp.Diff(want, kinds(r)); diff != "" {
-		t.Errorf("request %s: (-want +got)\n%s", r.ID, diff)
+	if diff := cmp.Diff(want, actionKinds(request)); diff != "" {
+		t.Errorf("request %s: (-want +got)\n%s", request.ID, diff)
 	}
 }
 
-// newTestOwner has one listed node, which nobody dials.
-func newTestOwner(t *testing.T) *eventLoop {
+// newTestEventLoop returns an event loop with one endpoint, which is never connected to.
+func newTestEventLoop(t *testing.T) *eventLoop {
 	t.Helper()
-	r := newRouter(t, `{"seq":1,"whole":true,"hosts":[{"host":"h-1","dial":"127.0.0.1:1","block":1,"health":"SERVING"}]}`)
-	r.loop.handle(loopEvent{Event: r.directory.Apply(r.config.Known)})
-	return r.loop
+	router := newRouter(t, `{"seq":1,"whole":true,"hosts":[{"host":"h-1","dial":"127.0.0.1:1","block":1,"health":"SERVING"}]}`)
+	router.loop.handle(loopEvent{Event: router.directory.Apply(router.config.Known)})
+	return router.loop
 }
 
-// A send that crosses the end of its request's task was never made. The module
-// must hear of it, or the node would have one more pending for good, and the id
-// must be free again.
-func TestSendCrossesTheEnd(t *testing.T) {
-	o := newTestOwner(t)
-	for range 20 { // more than the node's limit: leaked attempts would close it
-		r := held(t, o, "01", "A")
-		o.step()
-		expectActs(t, r, balance.SendAttempt)
-		o.handle(loopEvent{request: r, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}})
-		o.handle(loopEvent{request: r, requestEnded: true})
-		o.step()
-		if len(o.requests) != 0 || o.queryBytes != 0 {
-			t.Fatalf("%d requests, %d bytes held", len(o.requests), o.queryBytes)
+// A send action that crosses the end of its request's task is not carried out. The module must be notified, or it would
+// count an open attempt for the endpoint forever, and the request's ID must become available again.
+func TestSendAfterRequestEnd(t *testing.T) {
+	loop := newTestEventLoop(t)
+	for range 20 { // more than the endpoint's limit: leaked attempts would exhaust it
+		request := submitRequest(t, loop, "01", "A")
+		loop.step()
+		expectActions(t, request, balance.SendAttempt)
+		loop.handle(loopEvent{request: request, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}})
+		loop.handle(loopEvent{request: request, requestEnded: true})
+		loop.step()
+		if len(loop.requests) != 0 || loop.queryBytes != 0 {
+			t.Fatalf("%d requests and %d bytes left", len(loop.requests), loop.queryBytes)
 		}
 	}
-	r := held(t, o, "02", "A")
-	o.step()
-	expectActs(t, r, balance.SendAttempt)
+	request := submitRequest(t, loop, "02", "A")
+	loop.step()
+	expectActions(t, request, balance.SendAttempt)
 }
 
-// What is beyond the settings' bound, or would not fit the memory, is refused at once.
+// Requests beyond the configured maximum, or beyond the memory for queries, are rejected at once.
 func TestBounds(t *testing.T) {
-	o := newTestOwner(t)
-	o.maxQueryBytes = 200
-	big := held(t, o, "00", strings.Repeat("x", 200))
-	expectActs(t, big, balance.RejectRequest)
-	first := held(t, o, "01", "A")
-	twin := held(t, o, "01", "A")
-	expectActs(t, twin, balance.FailRequest)                                                                // the module ignores a live id
-	o.handle(loopEvent{request: twin, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}}) // its leaving is not the first one's
-	o.handle(loopEvent{request: twin, requestEnded: true})
-	o.step()
-	expectActs(t, first, balance.SendAttempt)
-	o.router.config.Settings.Balance.MaxQueued = 1
-	expectActs(t, held(t, o, "02", "A"), balance.RejectRequest)
-	if o.requests["01"] != first || len(o.requests) != 1 {
-		t.Errorf("%d requests held", len(o.requests))
+	loop := newTestEventLoop(t)
+	loop.maxQueryBytes = 200
+	large := submitRequest(t, loop, "00", strings.Repeat("x", 200))
+	expectActions(t, large, balance.RejectRequest)
+	original := submitRequest(t, loop, "01", "A")
+	duplicate := submitRequest(t, loop, "01", "A")
+	expectActions(t, duplicate, balance.FailRequest)                                                                // the module ignores a duplicate ID
+	loop.handle(loopEvent{request: duplicate, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}}) // not of the original
+	loop.handle(loopEvent{request: duplicate, requestEnded: true})
+	loop.step()
+	expectActions(t, original, balance.SendAttempt)
+	loop.router.config.Settings.Balance.MaxQueued = 1
+	expectActions(t, submitRequest(t, loop, "02", "A"), balance.RejectRequest)
+	if loop.requests["01"] != original || len(loop.requests) != 1 {
+		t.Errorf("%d requests left", len(loop.requests))
 	}
 }
 
-// A module that stays silent must not leave a request without its answer.
-func TestSilentModule(t *testing.T) {
-	o := newTestOwner(t)
-	r := held(t, o, "01", "A")
-	r.client, r.deadline = &client{left: make(chan struct{})}, o.router.clock.now()
-	o.steppedAt.Store(r.deadline) // it had the request in a step at its deadline, and said nothing
-	defer func() {                // a debug build stops here
-		if p := recover(); (p != nil) != invariant.Debug {
-			t.Errorf("panic %v, in a debug build: %v", p, invariant.Debug)
+// A request is answered even if the decision module returns no action for it.
+func TestUndecidedRequestIsAnswered(t *testing.T) {
+	loop := newTestEventLoop(t)
+	request := submitRequest(t, loop, "01", "A")
+	request.client, request.deadline = &client{left: make(chan struct{})}, loop.router.clock.now()
+	loop.steppedAt.Store(request.deadline) // a step at the deadline returned no action
+	defer func() {                         // a debug build panics on a broken invariant
+		if panicked := recover(); (panicked != nil) != invariant.Debug {
+			t.Errorf("panic %v, debug build: %v", panicked, invariant.Debug)
 		}
 	}()
-	if answer := r.run(); !strings.Contains(string(answer), pgwire.CodeFailed) {
+	if answer := request.run(); !strings.Contains(string(answer), pgwire.CodeFailed) {
 		t.Errorf("answer %q", answer)
 	}
 }
 
-// A request whose deadline passes while the event loop is not let run is answered by its task, and no invariant is broken: the module could
-// not decide. Debug builds stopped there, which failed TestFeeds on machines with more to do than they can (one play of forty).
-func TestLateEventLoopIsNoFault(t *testing.T) {
-	s, r, _, _ := stageWith(t, endless)
-	s.Play(`
+// A request whose deadline passes while the event loop gets no CPU time is answered by its task. That breaks no
+// invariant, as the module could not decide. Debug builds panicked there, which made TestFeeds fail on overloaded
+// machines (one run in forty).
+func TestStalledEventLoopBreaksNoInvariant(t *testing.T) {
+	stage, router, _, _ := startRouterWithTimeouts(t, noTimeouts)
+	stage.Play(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z`)
-	held, over := make(chan struct{}), make(chan struct{})
-	release := sync.OnceFunc(func() { close(over) })
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	release := sync.OnceFunc(func() { close(unblock) })
 	defer release()
-	go r.loop.do(t.Context(), func() { close(held); <-over })
-	<-held
+	go router.loop.do(t.Context(), func() { close(blocked); <-unblock })
+	<-blocked
 	broken := len(invariant.Counts())
-	s.Play(`
+	stage.Play(`
 		send c1 Q "/* id=01,c=read,d=100,cluster=1 */ A"
 		expect c1 E 58000 | Z`)
 	release()
-	if n := len(invariant.Counts()); n > broken {
-		t.Errorf("broken: %v", invariant.Counts())
+	if count := len(invariant.Counts()); count > broken {
+		t.Errorf("broken invariants: %v", invariant.Counts())
 	}
 }
 
-// A module that had a request in a step at its deadline and handed nothing out for it has broken its contract.
-func TestSilentModuleIsFound(t *testing.T) {
-	o := &eventLoop{}
-	r := &request{deadline: 100}
-	for _, c := range []struct {
-		name                string
-		receivedAt, stepped int64
-		owes                bool
+// A decision is overdue if a step at or after the deadline had the request and returned no action for it.
+func TestDecisionOverdue(t *testing.T) {
+	loop := &eventLoop{}
+	request := &request{deadline: 100}
+	for _, test := range []struct {
+		name                  string
+		receivedAt, steppedAt int64
+		overdue               bool
 	}{
-		{"it has not come to the module", 0, 200, false},
+		{"the module has not received the request", 0, 200, false},
 		{"the event loop has not run since the deadline", 10, 99, false},
-		{"it came after that step had begun", 150, 140, false},
+		{"the request arrived after that step had begun", 150, 140, false},
 		{"a step at the deadline", 10, 100, true},
-		{"a step behind it", 120, 130, true},
+		{"a step after the deadline", 120, 130, true},
 	} {
-		r.receivedAt.Store(c.receivedAt)
-		if owes := o.isDecisionOverdue(r, c.stepped); owes != c.owes {
-			t.Errorf("%s: %v", c.name, owes)
+		request.receivedAt.Store(test.receivedAt)
+		if overdue := loop.isDecisionOverdue(request, test.steppedAt); overdue != test.overdue {
+			t.Errorf("%s: %v", test.name, overdue)
 		}
 	}
 }
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.timeouts, r.start.timeout = endless, 0
+	r.timeouts, r.start.timeout = noTimeouts, 0
 	old := r.directory.Apply(conf.Known).Endpoints[0].ID
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -55,7 +55,7 @@
 	}
 	r.descriptors.Hangup()
 	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-	until(t, "the list is heard", func() bool {
+	waitUntil(t, "the list is heard", func() bool {
 		_, ready := r.directory.Address(old)
 		return !ready
 	})
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -56,7 +56,7 @@
 	}
 	now := make(chan time.Time)
 	close(now)
-	s, r, _, _ := stageOwn(t, own, now, endless)
+	s, r, _, _ := startRouterWithConfig(t, own, now, noTimeouts)
 	s.Play(`
 		send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT INTO objects (oid, body) VALUES ('visitor-7', 'v')"
 		wait s1
@@ -72,7 +72,7 @@
 	if at := r.membership.commit(1, written.Session); at != 1767225600000e6 {
 		t.Fatalf("the commit of session %q is %d", written.Session, at)
 	}
-	idle := newOwnRouter(t, own, nettest.List(1)) // its owner does not run: events can be read
+	idle := newRouterWithConfig(t, own, nettest.List(1)) // its owner does not run: events can be read
 	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: written.Session, At: 1767225600000e6})
 	for _, c := range []struct {
 		class string
@@ -106,7 +106,7 @@
 		return own
 	}
 	good := load(`{"classes":{"write":"one"}}`)
-	r := newOwnRouter(t, good, nettest.List(1))
+	r := newRouterWithConfig(t, good, nettest.List(1))
 	for _, class := range []string{"own", "nothing"} {
 		_, err := New(r.config, load(fmt.Sprintf(`{"classes":{%q:"one"}}`, class)))
 		if e := operr.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Hint(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -46,7 +46,7 @@
 	now := make(chan time.Time)
 	close(now)
 	own := &siteconfig.Config{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
-	s, _, stop, done := stageOwn(t, own, now, endless)
+	s, _, stop, done := startRouterWithConfig(t, own, now, noTimeouts)
 	s.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
@@ -90,7 +90,7 @@
 // Lines beyond the rate are left out and counted.
 func TestWaysAreBounded(t *testing.T) {
 	w := logged(t)
-	r := newOwnRouter(t, &siteconfig.Config{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	r := newRouterWithConfig(t, &siteconfig.Config{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
 	one := &request{router: r, arrivedAt: r.clock.now(), requestTask: requestTask{outcome: endServed}}
 	for range 1000 {
 		r.accessLog.write(one)
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	start := func() (*membershipService, func()) {
-		m := newOwnRouter(t, own, nettest.List(1)).membership
+		m := newRouterWithConfig(t, own, nettest.List(1)).membership
 		ctx, cancel := context.WithCancel(context.Background())
 		var parts sync.WaitGroup
 		m.restore(ctx, &parts)
@@ -45,7 +45,7 @@
 	steady := crdt.Origin{Name: "n1", Boot: 3}
 	m.persisted.Put(primary, steady)
 	boot := m.detectorSettings.Epoch
-	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
+	waitUntil(t, "all is on the disk: a stop waits for it for a second only", func() bool {
 		r := m.persisted.report().(persistedReport)
 		return r.Waiting == 0 && r.Counts.Batches > 0
 	})
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s, r, _, _ := stageOwn(t, own, now, endless)
+			s, r, _, _ := startRouterWithConfig(t, own, now, noTimeouts)
 			if own.Recovery.RampingMS == 1 {
 				for r.recovery.report().Stage != "serving" {
 					time.Sleep(time.Millisecond)
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -14,164 +14,166 @@
 	"lotushook/internal/siteconfig"
 )
 
-// turnstile is a listener that stops, when told to, who passes one of these places, until it is let go.
-type turnstile struct {
+// pausingListener is a listener that can pause the goroutine that next reaches a given point of using a connection.
+type pausingListener struct {
 	*net.TCPListener
-	mu      sync.Mutex
-	place   string
-	reached chan struct{} // somebody stands there
-	leave   chan struct{}
-	woken   chan struct{} // the listener was told to stop
-	wake    sync.Once
-	broken  bool // what is written to a connection fails
+	mu       sync.Mutex
+	point    string        // the point; empty: none
+	reached  chan struct{} // closed once a goroutine has reached the point
+	resumed  chan struct{} // closed to resume it
+	stopped  chan struct{} // closed once the router has stopped the listener
+	stopOnce sync.Once
+	failing  bool // writes to connections fail
 }
 
 const (
-	atAccept = "accept" // before a connection is taken
-	atRead   = "read"   // before a connection's socket is read; there is something to read once it goes on
-	atBytes  = "bytes"  // with what was read of a connection
-	atWrite  = "write"  // with half of what is to be written to a connection written
-	atClose  = "close"  // before a connection is closed, or its sending ended; there is something to read once it goes on
+	beforeAccept = "accept" // before a connection is accepted
+	beforeRead   = "read"   // before a connection is read; it resumes when there is input
+	afterRead    = "bytes"  // after a connection was read
+	duringWrite  = "write"  // after the first half of a write
+	beforeClose  = "close"  // before a connection or its sending side is closed; it resumes when there is input
 )
 
-func newTurnstile(t *testing.T) *turnstile {
+func newPausingListener(t *testing.T) *pausingListener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &turnstile{TCPListener: ln.(*net.TCPListener), woken: make(chan struct{})}
-	t.Cleanup(g.open)
-	return g
+	listener := &pausingListener{TCPListener: inner.(*net.TCPListener), stopped: make(chan struct{})}
+	t.Cleanup(listener.resume)
+	return listener
 }
 
-// shut stops the next who comes to a place; whoever was stopped before goes on.
-func (g *turnstile) shut(place string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.leave != nil {
-		close(g.leave)
+// pauseAt pauses the next goroutine that reaches a point. A goroutine that is already paused resumes.
+func (listener *pausingListener) pauseAt(point string) {
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	if listener.resumed != nil {
+		close(listener.resumed)
 	}
-	g.place, g.reached, g.leave = place, make(chan struct{}), make(chan struct{})
+	listener.point, listener.reached, listener.resumed = point, make(chan struct{}), make(chan struct{})
 }
 
-// open lets go who was stopped.
-func (g *turnstile) open() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.leave != nil {
-		close(g.leave)
+// resume resumes the paused goroutine.
+func (listener *pausingListener) resume() {
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	if listener.resumed != nil {
+		close(listener.resumed)
 	}
-	g.place, g.leave = "", nil
+	listener.point, listener.resumed = "", nil
 }
 
-// breakWrites lets what is written to a connection fail from now on, or not.
-func (g *turnstile) breakWrites(broken bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.broken = broken
+// failWrites sets whether writes to connections fail.
+func (listener *pausingListener) failWrites(failing bool) {
+	listener.mu.Lock()
+	defer listener.mu.Unlock()
+	listener.failing = failing
 }
 
-func (g *turnstile) pass(place string) (stopped bool) {
-	g.mu.Lock()
-	if g.place != place {
-		g.mu.Unlock()
+// reach is called at each point; it pauses the goroutine there if that was requested, and reports whether it did.
+func (listener *pausingListener) reach(point string) (paused bool) {
+	listener.mu.Lock()
+	if listener.point != point {
+		listener.mu.Unlock()
 		return false
 	}
-	reached, leave := g.reached, g.leave
-	g.place = ""
-	g.mu.Unlock()
+	reached, resumed := listener.reached, listener.resumed
+	listener.point = ""
+	listener.mu.Unlock()
 	close(reached)
-	<-leave
+	<-resumed
 	return true
 }
 
-func (g *turnstile) Accept() (net.Conn, error) {
-	g.pass(atAccept)
-	conn, err := g.AcceptTCP()
+func (listener *pausingListener) Accept() (net.Conn, error) {
+	listener.reach(beforeAccept)
+	conn, err := listener.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &stopped{conn, g}, nil
+	return &pausingConn{conn, listener}, nil
 }
 
-func (g *turnstile) SetDeadline(at time.Time) error {
-	if at.Equal(pastDeadline) {
-		defer g.wake.Do(func() { close(g.woken) })
+func (listener *pausingListener) SetDeadline(deadline time.Time) error {
+	if deadline.Equal(pastDeadline) {
+		defer listener.stopOnce.Do(func() { close(listener.stopped) })
 	}
-	return g.TCPListener.SetDeadline(at)
+	return listener.TCPListener.SetDeadline(deadline)
 }
 
-type stopped struct {
+type pausingConn struct {
 	*net.TCPConn
-	gate *turnstile
+	listener *pausingListener
 }
 
-func (c *stopped) Read(p []byte) (int, error) {
-	c.passReadable(atRead)
-	n, err := c.TCPConn.Read(p)
-	if n > 0 {
-		c.gate.pass(atBytes)
+func (conn *pausingConn) Read(buffer []byte) (int, error) {
+	conn.reachWithInput(beforeRead)
+	count, err := conn.TCPConn.Read(buffer)
+	if count > 0 {
+		conn.listener.reach(afterRead)
 	}
-	return n, err
+	return count, err
 }
 
-// passReadable goes on from a place once there is something to read.
-func (c *stopped) passReadable(place string) {
-	if c.gate.pass(place) {
-		for end := time.Now().Add(30 * time.Second); time.Now().Before(end) && !c.readable(); {
+// reachWithInput is pass, but after a pause it also waits until there is input.
+func (conn *pausingConn) reachWithInput(point string) {
+	if conn.listener.reach(point) {
+		for timeout := time.Now().Add(30 * time.Second); time.Now().Before(timeout) && !conn.hasInput(); {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-func (c *stopped) Write(p []byte) (int, error) {
-	c.gate.mu.Lock()
-	broken := c.gate.broken
-	c.gate.mu.Unlock()
-	if broken {
+func (conn *pausingConn) Write(bytes []byte) (int, error) {
+	conn.listener.mu.Lock()
+	failing := conn.listener.failing
+	conn.listener.mu.Unlock()
+	if failing {
 		return 0, os.ErrDeadlineExceeded
 	}
-	n, err := c.TCPConn.Write(p[:len(p)/2])
+	first, err := conn.TCPConn.Write(bytes[:len(bytes)/2])
 	if err != nil {
-		return n, err
+		return first, err
 	}
-	c.gate.pass(atWrite)
-	m, err := c.TCPConn.Write(p[n:])
-	return n + m, err
+	conn.listener.reach(duringWrite)
+	second, err := conn.TCPConn.Write(bytes[first:])
+	return first + second, err
 }
 
-func (c *stopped) CloseWrite() error {
-	c.passReadable(atClose)
-	return c.TCPConn.CloseWrite()
+func (conn *pausingConn) CloseWrite() error {
+	conn.reachWithInput(beforeClose)
+	return conn.TCPConn.CloseWrite()
 }
 
-func (c *stopped) Close() error {
-	c.passReadable(atClose)
-	return c.TCPConn.Close()
+func (conn *pausingConn) Close() error {
+	conn.reachWithInput(beforeClose)
+	return conn.TCPConn.Close()
 }
 
-func (c *stopped) readable() bool {
-	return withDescriptor(c, func(fd int) bool {
-		n, _, _ := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return n > 0
+func (conn *pausingConn) hasInput() bool {
+	return withDescriptor(conn, func(fd int) bool {
+		count, _, _ := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return count > 0
 	})
 }
 
-// until waits for a state that must come.
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil waits for a condition that must become true.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+	for timeout := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(timeout) {
+			t.Fatal("timeout while waiting until " + what)
 		}
 	}
 }
 
-// A router that is told to stop answers whatever it has read or can read by the time it closes a connection, and then closes
-// it. Each row is a state that a connection may be in; with and without admission.
+// A router that shuts down answers all requests that it has read, or can read when it closes a connection, and then
+// closes the connection. The table has the states that a connection may be in; each is tested with and without
+// admission.
 //
-//nolint:funlen // one history or table of cases, told in order
+//nolint:funlen // one table of cases
 func TestPlannedRestart(t *testing.T) {
 	const (
 		idle = `
@@ -185,50 +187,50 @@
 			send s1 welcome
 			expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`
 	)
-	later := strings.Repeat(` | Q ""`, maxPipelined+4)
-	for _, c := range []struct {
+	emptyQueries := strings.Repeat(` | Q ""`, maxPipelined+4)
+	for _, test := range []struct {
 		guards  string
 		before  string // while the router runs
-		at      string // who comes to this place then is stopped
-		sent    string // and this is sent
-		stopped string // once the idle clients have been closed
-		over    string // once the time for all that is open is over; nothing: the router ends before
+		at      string // the point at which the client's goroutine is then paused
+		sent    string // is sent while it is paused
+		stopped string // after the idle clients have been closed
+		over    string // after the shutdown timeout; empty: the router ends before
 	}{
 		{guards: "idle: closed", before: idle, stopped: `expect c1 EOF`},
-		{guards: "a request is read and not taken yet: answered", before: idle, at: atBytes, sent: `send c1 Q ""`,
+		{guards: "a request is read and not yet handled: answered", before: idle, at: afterRead, sent: `send c1 Q ""`,
 			stopped: `expect c1 I | Z | EOF`},
-		{guards: "a request can be read: answered", before: idle, at: atRead, sent: `send c1 Q "" | Q ""`,
+		{guards: "a request can be read: answered", before: idle, at: beforeRead, sent: `send c1 Q "" | Q ""`,
 			stopped: `expect c1 I | Z | I | Z | EOF`},
-		{guards: "half a request is here: the rest is waited for", before: idle + `
+		{guards: "a partial request is read: the rest is awaited", before: idle + `
 			send c1 raw "Q\x00\x00"`, stopped: `
 			send c1 raw "\x00\x05\x00"
 			expect c1 I | Z | EOF`},
-		{guards: "half a request can be read: the rest is waited for", before: idle, at: atRead, sent: `send c1 raw "Q\x00\x00"`,
+		{guards: "a partial request can be read: the rest is awaited", before: idle, at: beforeRead, sent: `send c1 raw "Q\x00\x00"`,
 			stopped: `
 			send c1 raw "\x00\x05\x00"
 			expect c1 I | Z | EOF`},
-		{guards: "half a request and no more: it is refused in the end", before: idle + `
+		{guards: "the rest of a request does not arrive: rejected at the end", before: idle + `
 			send c1 raw "Q\x00\x00"`, over: `expect c1 FATAL 57P03 | EOF`},
-		{guards: "an attempt is out: its answer", before: open, stopped: `
+		{guards: "an attempt is in flight: its answer", before: open, stopped: `
 			send s1 T | D "v" | C | S rank=copy | Z
 			expect c1 welcome | T | D "v" | C | Z | EOF`},
-		{guards: "an attempt is out and gets none: failed in the end, as it may have run", before: open,
+		{guards: "an attempt is in flight and gets no answer: failed at the end, as it may have run", before: open,
 			over: `
 			expect c1 welcome | E 58000 | Z | EOF
 			expect s1 EOF`},
-		{guards: "a connection to a data server is being made: its answer", before: dialing, stopped: `
+		{guards: "a connection to a data server is being established: its answer", before: dialing, stopped: `
 			send s1 welcome
 			expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 			send s1 T | D "v" | C | S rank=copy | Z
 			expect c1 welcome | T | D "v" | C | Z | EOF`},
-		{guards: "a connection to a data server is being made, and never is: refused in the end, as nothing ran", before: dialing,
+		{guards: "a connection to a data server is never established: rejected at the end, as nothing ran", before: dialing,
 			over: `
 			expect c1 welcome | E 53300 | Z | EOF
 			expect s1 EOF`},
-		{guards: "its answer is half written: all of it arrives", before: open, at: atWrite, sent: `
+		{guards: "its answer is partially written: all of it arrives", before: open, at: duringWrite, sent: `
 			send s1 T | D "v" | C | S rank=copy | Z`, stopped: `
 			expect c1 T | D "v" | C | Z | EOF`},
-		{guards: "the module holds it: served once there is a server", before: `
+		{guards: "the module queues it: served once there is an endpoint", before: `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=2 */ A"
 			expect c1 welcome
 			wait agent
@@ -240,176 +242,176 @@
 			expect s2 Q "/* id=01,c=read,d=#,cluster=2 */ A"
 			send s2 T | D "v" | C | S rank=copy | Z
 			expect c1 T | D "v" | C | Z | EOF`},
-		{guards: "the module holds it: refused in the end, as nothing ran", before: `
+		{guards: "the module queues it: rejected at the end, as nothing ran", before: `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=2 */ A"`,
 			over: `expect c1 welcome | E 53300 | Z | EOF`},
-		{guards: "more requests are queued than are taken at a time: each gets its answer", before: open + `
-			send c1 raw ""` + later, stopped: `
+		{guards: "more requests are sent than may be pipelined: each gets its answer", before: open + `
+			send c1 raw ""` + emptyQueries, stopped: `
 			send s1 T | D "v" | C | S rank=copy | Z
 			expect c1 welcome | T | D "v" | C | Z` + strings.Repeat(` | I | Z`, maxPipelined+4) + ` | EOF`},
-		{guards: "requests are queued behind one without an end: each gets its answer in the end", before: open + `
-			send c1 raw ""` + later + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A"`, over: `
+		{guards: "requests are sent after one that does not end: each gets its answer at the end", before: open + `
+			send c1 raw ""` + emptyQueries + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A"`, over: `
 			expect c1 welcome | E 58000 | Z` + strings.Repeat(` | I | Z`, maxPipelined+4) + ` | E 53300 | Z | EOF`},
-		{guards: "connected, nothing said: its first request is waited for", before: `send c1 raw ""`, stopped: `
+		{guards: "connected, nothing sent: the first request is awaited", before: `send c1 raw ""`, stopped: `
 			send c1 startup | Q ""
 			expect c1 welcome | I | Z | EOF`},
-		{guards: "connected, nothing said: closed in the end", before: `send c1 raw ""`, over: `expect c1 EOF`},
-		{guards: "only the startup is read: the first request is waited for", before: `
+		{guards: "connected, nothing sent: closed at the end", before: `send c1 raw ""`, over: `expect c1 EOF`},
+		{guards: "only the startup message is read: the first request is awaited", before: `
 			send c1 startup
 			expect c1 welcome`, stopped: `
 			send c1 Q ""
 			expect c1 I | Z | EOF`},
-		{guards: "TLS was asked for: the first request is waited for", before: `
+		{guards: "TLS was requested: the first request is awaited", before: `
 			send c1 ssl
 			expect c1 raw "N"`, stopped: `
 			send c1 startup | Q ""
 			expect c1 welcome | I | Z | EOF`},
 		{guards: "a cancel request: closed", before: `send c1 raw "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x02"`,
 			stopped: `expect c1 EOF`},
-		{guards: "the machine has accepted it, the router not: taken and answered", at: atAccept,
+		{guards: "the connection is in the accept queue: accepted and answered", at: beforeAccept,
 			sent: `send c1 startup | Q ""`, stopped: `
 			expect c1 welcome | I | Z | EOF`},
 	} {
-		for name, own := range map[string]*siteconfig.Config{"plain": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
-			t.Run(c.guards+", "+name, func(t *testing.T) {
-				ln, accepted, finish := newTurnstile(t), make(chan time.Time), make(chan time.Time)
-				if c.at == atAccept {
-					ln.shut(c.at)
+		for name, config := range map[string]*siteconfig.Config{"plain": {}, "admission": admissionConfig(t, `{"shared":["0.0.0.0/0"]}`)} {
+			t.Run(test.guards+", "+name, func(t *testing.T) {
+				listener, acceptEnd, timeoutEnd := newPausingListener(t), make(chan time.Time), make(chan time.Time)
+				if test.at == beforeAccept {
+					listener.pauseAt(test.at)
 				}
-				end := sync.OnceFunc(func() { close(finish) })
-				s, r, stop, done := stageOn(t, ln, 0, own, accepted, finish, endless, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
-				t.Cleanup(sync.OnceFunc(func() { close(accepted) }))
-				t.Cleanup(end)
-				s.Set("list", nettest.HTTP("agent", nettest.List(2, s.Expand("h-1 {s1} 1 SERVING"), s.Expand("h-2 {s2} 2 SERVING"))))
-				s.Play(c.before)
-				switch c.at {
-				case atAccept:
-					s.Play(c.sent)
-					<-ln.reached
-				case atWrite:
-					s.Play(`expect c1 welcome`)
-					ln.shut(atWrite)
-					s.Play(c.sent)
-					<-ln.reached
-				case atBytes:
-					ln.shut(atBytes)
-					s.Play(c.sent)
-					<-ln.reached
-				case atRead: // only from the place before it does a reader certainly come to this one
-					ln.shut(atBytes)
-					s.Play(`send c1 Q ""`)
-					<-ln.reached
-					ln.shut(atRead)
-					s.Play(`expect c1 I | Z`)
-					<-ln.reached
-					s.Play(c.sent)
+				endTimeout := sync.OnceFunc(func() { close(timeoutEnd) })
+				stage, router, shutDown, done := startRouterOn(t, listener, 0, config, acceptEnd, timeoutEnd, noTimeouts, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
+				t.Cleanup(sync.OnceFunc(func() { close(acceptEnd) }))
+				t.Cleanup(endTimeout)
+				stage.Set("list", nettest.HTTP("agent", nettest.List(2, stage.Expand("h-1 {s1} 1 SERVING"), stage.Expand("h-2 {s2} 2 SERVING"))))
+				stage.Play(test.before)
+				switch test.at {
+				case beforeAccept:
+					stage.Play(test.sent)
+					<-listener.reached
+				case duringWrite:
+					stage.Play(`expect c1 welcome`)
+					listener.pauseAt(duringWrite)
+					stage.Play(test.sent)
+					<-listener.reached
+				case afterRead:
+					listener.pauseAt(afterRead)
+					stage.Play(test.sent)
+					<-listener.reached
+				case beforeRead: // a reader that is paused after a read certainly reaches the next read
+					listener.pauseAt(afterRead)
+					stage.Play(`send c1 Q ""`)
+					<-listener.reached
+					listener.pauseAt(beforeRead)
+					stage.Play(`expect c1 I | Z`)
+					<-listener.reached
+					stage.Play(test.sent)
 				}
-				stop()
-				accepted <- time.Time{}
-				<-ln.woken
-				until(t, "the idle clients are closed", r.clients.isDraining)
-				ln.open()
-				s.Play(c.stopped)
-				if c.over != "" {
-					end()
-					s.Play(c.over)
+				shutDown()
+				acceptEnd <- time.Time{}
+				<-listener.stopped
+				waitUntil(t, "the idle clients are closed", router.clients.isDraining)
+				listener.resume()
+				stage.Play(test.stopped)
+				if test.over != "" {
+					endTimeout()
+					stage.Play(test.over)
 				}
 				if err := <-done; err != nil {
 					t.Error(err)
 				}
-				if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryDivisor {
-					t.Errorf("%d bytes left for reading", left)
+				if remaining := router.readQuota.Left(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
+					t.Errorf("%d bytes of the read quota are left", remaining)
 				}
 			})
 		}
 	}
 }
 
-// Whatever clients do, a router that was told to stop ends once its time is over: one that sends on without a pause gets an
-// answer to each query that was read up to the end, one that never reads its answers is not waited for.
+// A router that shuts down ends after its timeout whatever clients do. A client that sends without a pause gets an
+// answer to each query that was read; a client that never reads its answers is not awaited.
 func TestStopsForAll(t *testing.T) {
-	accepted, finish := make(chan time.Time), make(chan time.Time)
-	accept, end := sync.OnceFunc(func() { close(accepted) }), sync.OnceFunc(func() { close(finish) })
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	acceptEnd, timeoutEnd := make(chan time.Time), make(chan time.Time)
+	stopAccepting, endTimeout := sync.OnceFunc(func() { close(acceptEnd) }), sync.OnceFunc(func() { close(timeoutEnd) })
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := endless
-	p.finalAnswers = time.Millisecond
-	s, r, stop, done := stageOn(t, ln, 0, &siteconfig.Config{}, accepted, finish, p)
-	s.Play(`
+	timeouts := noTimeouts
+	timeouts.finalAnswers = time.Millisecond
+	stage, router, shutDown, done := startRouterOn(t, listener, 0, &siteconfig.Config{}, acceptEnd, timeoutEnd, timeouts)
+	stage.Play(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c2 startup | Q ""
 		expect c2 welcome | I | Z`)
 	var floods sync.WaitGroup
-	t.Cleanup(func() { s.Close(); accept(); end(); floods.Wait() })
+	t.Cleanup(func() { stage.Close(); stopAccepting(); endTimeout(); floods.Wait() })
 	var sent [2]atomic.Int64
 	flood := strings.Repeat(` | Q ""`, 1000)
 	floods.Go(func() {
-		for s.Try(`send c1 raw ""`+flood) == nil {
+		for stage.Try(`send c1 raw ""`+flood) == nil {
 			sent[0].Add(1)
 		}
 	})
-	floods.Go(func() { // and this one reads
-		for s.Try(`send c2 Q ""`) == nil && s.Try(`expect c2 I | Z`) == nil {
+	floods.Go(func() { // this client reads its answers
+		for stage.Try(`send c2 Q ""`) == nil && stage.Try(`expect c2 I | Z`) == nil {
 			sent[1].Add(1)
 		}
 	})
-	until(t, "both send", func() bool { return sent[0].Load() > 0 && sent[1].Load() > 10 })
-	stop()
-	accept()
-	until(t, "the idle clients are closed", r.clients.isDraining)
-	end()
+	waitUntil(t, "both clients send", func() bool { return sent[0].Load() > 0 && sent[1].Load() > 10 })
+	shutDown()
+	stopAccepting()
+	waitUntil(t, "the idle clients are closed", router.clients.isDraining)
+	endTimeout()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// A limit of the running router closes no connection under a request that has been read, or can be: one that idles, and one
-// that has to go for another.
+// While the router runs, neither the idle timeout nor an eviction closes a connection that has a request that was read
+// or can be read.
 func TestClosesBetweenRequests(t *testing.T) {
-	accepted := make(chan time.Time)
-	close(accepted)
-	p := endless
-	p.idle = time.Millisecond
-	ln := newTurnstile(t)
-	s, r, _, _ := stageOn(t, ln, 0, &siteconfig.Config{}, accepted, nil, p)
-	asked := func() bool {
+	acceptEnd := make(chan time.Time)
+	close(acceptEnd)
+	timeouts := noTimeouts
+	timeouts.idle = time.Millisecond
+	listener := newPausingListener(t)
+	stage, router, _, _ := startRouterOn(t, listener, 0, &siteconfig.Config{}, acceptEnd, nil, timeouts)
+	closeRequested := func() bool {
 		found := false
-		r.clients.each(func(c *client) {
-			found = found || c.leaves()
+		router.clients.each(func(client *client) {
+			found = found || client.willClose()
 		})
 		return found
 	}
-	ln.shut(atBytes)
-	s.Play(`send c1 startup | Q ""`)
-	<-ln.reached
-	until(t, "who idles is asked to go", asked)
-	ln.open()
-	s.Play(`expect c1 welcome | I | Z | EOF`)
+	listener.pauseAt(afterRead)
+	stage.Play(`send c1 startup | Q ""`)
+	<-listener.reached
+	waitUntil(t, "the idle client is asked to close", closeRequested)
+	listener.resume()
+	stage.Play(`expect c1 welcome | I | Z | EOF`)
 
-	ln = newTurnstile(t)
-	s, r, _, _ = stageOn(t, ln, 0, admitting(t, `{"per_address":2}`), accepted, nil, endless)
-	s.Play(`
+	listener = newPausingListener(t)
+	stage, router, _, _ = startRouterOn(t, listener, 0, admissionConfig(t, `{"per_address":2}`), acceptEnd, nil, noTimeouts)
+	stage.Play(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c2 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1`)
-	ln.shut(atBytes)
-	s.Play(`send c1 Q "" | Q ""`)
-	<-ln.reached
-	if err := r.acceptor.reload(admitting(t, `{"per_address":1}`).Admission); err != nil {
+	listener.pauseAt(afterRead)
+	stage.Play(`send c1 Q "" | Q ""`)
+	<-listener.reached
+	if err := router.acceptor.reload(admissionConfig(t, `{"per_address":1}`).Admission); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "who idles over a lowered cap is put out", asked)
-	ln.open()
-	s.Play(`expect c1 E 53300 | Z | FATAL 53300 | EOF`)
+	waitUntil(t, "the idle client above the lowered limit is evicted", closeRequested)
+	listener.resume()
+	stage.Play(`expect c1 E 53300 | Z | FATAL 53300 | EOF`)
 }
 
-// leaves says whether the client's reader is to end the connection.
-func (c *client) leaves() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.closing || c.rejection != nil
+// willClose reports whether the client's reader was asked to close the connection.
+func (client *client) willClose() bool {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.closing || client.rejection != nil
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -15,115 +15,118 @@
 	"lotushook/internal/siteconfig"
 )
 
-// newRouter is a router that starts from a list; where it listens and its agent
-// are only told where it is to run.
+// newRouter returns a router with an initial endpoint list. It must not run, as its addresses are invalid.
 func newRouter(t *testing.T, known string) *Router {
 	t.Helper()
-	return newOwnRouter(t, &siteconfig.Config{}, known)
+	return newRouterWithConfig(t, &siteconfig.Config{}, known)
 }
 
-// newOwnRouter is newRouter with parts switched on.
-func newOwnRouter(t *testing.T, own *siteconfig.Config, known string, addresses ...string) *Router {
+// newRouterWithConfig is newRouter with a site configuration and, optionally, the router's own address and that of the
+// discovery agent.
+func newRouterWithConfig(t *testing.T, site *siteconfig.Config, known string, addresses ...string) *Router {
 	t.Helper()
 	addresses = append(addresses, "127.0.0.1:1", "127.0.0.1:1")
-	conf, err := platformconfig.Check(nettest.File(t, nettest.Config(addresses[0], addresses[1], known)))
+	config, err := platformconfig.Check(nettest.File(t, nettest.Config(addresses[0], addresses[1], known)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, own)
+	router, err := New(config, site)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return router
 }
 
-// endless is the patience of tests that are not about it.
-var endless = clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour, evictableSilence: time.Hour, openRequests: time.Millisecond,
+// noTimeouts is for tests that do not depend on timeouts.
+var noTimeouts = clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour, evictableSilence: time.Hour, openRequests: time.Millisecond,
 	firstQuery: time.Hour, finalAnswers: time.Hour, lingeringClose: time.Millisecond}
 
-// stage is a running router with data servers s1 and s2 in group 1 and a silent
-// agent; clients are named c.
-func stage(t *testing.T, hosts ...string) (*nettest.Stage, context.CancelFunc, <-chan error) {
+// startRouter starts a router with data servers s1 and s2 in group 1 and a discovery agent that does not answer.
+// Clients have names that begin with c.
+func startRouter(t *testing.T, hosts ...string) (*nettest.Stage, context.CancelFunc, <-chan error) {
 	t.Helper()
-	s, _, stop, done := stageWith(t, endless, hosts...)
-	return s, stop, done
+	stage, _, shutDown, done := startRouterWithTimeouts(t, noTimeouts, hosts...)
+	return stage, shutDown, done
 }
 
-// stageWith is stage with a router of some patience.
-func stageWith(t *testing.T, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+// startRouterWithTimeouts is startRouter with client timeouts.
+func startRouterWithTimeouts(t *testing.T, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	now := make(chan time.Time)
-	close(now)
-	return stageUntil(t, now, p, hosts...)
+	acceptEnd := make(chan time.Time)
+	close(acceptEnd)
+	return startRouterWithAcceptEnd(t, acceptEnd, timeouts, hosts...)
 }
 
-// stageUntil is stageWith a router that, told to stop, takes clients until accepted.
-func stageUntil(t *testing.T, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+// startRouterWithAcceptEnd is startRouterWithTimeouts with a router that accepts clients during a shutdown until
+// acceptEnd is closed.
+func startRouterWithAcceptEnd(t *testing.T, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	return stageOwn(t, &siteconfig.Config{}, accepted, p, hosts...)
+	return startRouterWithConfig(t, &siteconfig.Config{}, acceptEnd, timeouts, hosts...)
 }
 
-// stageOwn is stageUntil with parts switched on.
-func stageOwn(t *testing.T, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+// startRouterWithConfig is startRouterWithAcceptEnd with a site configuration.
+func startRouterWithConfig(t *testing.T, site *siteconfig.Config, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	return stageHeld(t, 0, own, accepted, p, hosts...)
+	return startRouterWithHold(t, 0, site, acceptEnd, timeouts, hosts...)
 }
 
-// stageHeld is stageOwn with a router that sends nothing at its start until the agent has answered, or some time is over.
-func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+// startRouterWithHold is startRouterWithConfig with a router that sends no requests until the discovery agent has
+// answered or the hold time is over.
+func startRouterWithHold(t *testing.T, hold time.Duration, site *siteconfig.Config, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return stageOn(t, ln, hold, own, accepted, nil, p, hosts...)
+	return startRouterOn(t, listener, hold, site, acceptEnd, nil, timeouts, hosts...)
 }
 
-// stageOn is stageOwn on a listener, of a router that has until finish for what is open.
-func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Config, accepted, finish <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+// startRouterOn is startRouterWithHold on a listener, with a router that ends open requests in a shutdown when
+// timeoutEnd is closed.
+func startRouterOn(t *testing.T, listener net.Listener, hold time.Duration, site *siteconfig.Config, acceptEnd, timeoutEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
-	s := nettest.New(t, "s1", "s2", "agent")
+	stage := nettest.New(t, "s1", "s2", "agent")
 	if len(hosts) == 0 {
-		hosts = []string{"h-1 " + s.Addr("s1") + " 1 SERVING"}
+		hosts = []string{"h-1 " + stage.Addr("s1") + " 1 SERVING"}
 	}
-	for i, h := range hosts {
-		hosts[i] = s.Expand(h)
+	for i, host := range hosts {
+		hosts[i] = stage.Expand(host)
 	}
-	r := newOwnRouter(t, own, nettest.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
-	r.shutdown.acceptEnd = func() <-chan time.Time { return accepted }
-	r.shutdown.timeoutEnd = func() <-chan time.Time { return finish }
-	r.shutdown.timeout = time.Hour
-	r.timeouts, r.start.timeout = p, hold
-	r.pool.SettleTime, r.pool.DuplicateWindow = 0, 0 // or it would depend on the machine which connection is taken
-	r.pool.StallTimeout = time.Minute                // or whether an answer is whole
-	ctx, stop := context.WithCancel(context.Background())
+	router := newRouterWithConfig(t, site, nettest.List(1, hosts...), listener.Addr().String(), stage.Addr("agent"))
+	router.shutdown.acceptEnd = func() <-chan time.Time { return acceptEnd }
+	router.shutdown.timeoutEnd = func() <-chan time.Time { return timeoutEnd }
+	router.shutdown.timeout = time.Hour
+	router.timeouts, router.start.timeout = timeouts, hold
+	router.pool.SettleTime, router.pool.DuplicateWindow = 0, 0 // or the choice of a connection would depend on timing
+	router.pool.StallTimeout = time.Minute                     // or answers on a slow machine would be cut off
+	ctx, shutDown := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- r.Serve(ctx, ln); close(done) }()
+	go func() { done <- router.Serve(ctx, listener); close(done) }()
 	broken := len(invariant.Counts())
 	t.Cleanup(func() {
-		s.Close()
-		stop()
-		<-done //nolint:errcheck // the test has seen what it wants
-		if n := len(invariant.Counts()); n > broken {
+		stage.Close()
+		shutDown()
+		<-done //nolint:errcheck // the tests check the error themselves
+		if count := len(invariant.Counts()); count > broken {
 			t.Errorf("invariants broken: %v", invariant.Counts())
 		}
 	})
-	s.Dial("c", ln.Addr().String())
-	s.Set("router", ln.Addr().String())
-	return s, r, stop, done
+	stage.Dial("c", listener.Addr().String())
+	stage.Set("router", listener.Addr().String())
+	return stage, router, shutDown, done
 }
 
-// Each scenario plays against a router with one data server, s1.
+// Each scenario runs against a router with one data server, s1.
 //
-//nolint:funlen // one history or table of cases, told in order
+//nolint:funlen // one table of cases
 func TestConversations(t *testing.T) {
-	for _, c := range []struct{ guards, text string }{
-		{"a query right behind the startup message is kept, and an empty one answered without a data server", `
+	for _, test := range []struct{ guards, text string }{
+		{"a query that follows the startup message directly is read, and an empty one answered without a data server", `
 			send c1 startup | Q ""
 			expect c1 welcome | I | Z
 			send c1 Q " ; "
 			expect c1 I | Z`},
-		{"statement, id and k pass unchanged and d is rewritten; values pass as bytes; the connection is used again", `
+		{"statement, id and k are forwarded unchanged and d is rewritten; values pass as bytes; the connection is reused", `
 			send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT INTO objects (oid, body) VALUES ('x', '\\x9f') RETURNING body"
 			wait s1
 			expect s1 startup
@@ -149,7 +152,7 @@
 			send y T | D "b" | C | S rank=copy | Z
 			send x T | D "a" | C | S rank=copy | Z
 			expect c1 welcome | T | D "a" | C | Z | I | Z | T | D "b" | C | Z`},
-		{"a duplicate of a live id gets an answer of its own: the module ignores it", `
+		{"a duplicate of an open request's id gets its own answer: the module ignores it", `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			wait s1
 			expect s1 startup
@@ -159,7 +162,7 @@
 			expect c2 welcome | E 58000 | Z
 			send s1 T | D "a" | C | S rank=copy | Z
 			expect c1 welcome | T | D "a" | C | Z`},
-		{"when a client leaves, the attempt's connection is closed", `
+		{"when a client disconnects, the attempt's connection is closed", `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			wait s1
 			expect s1 startup
@@ -167,10 +170,10 @@
 			expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 			close c1
 			expect s1 EOF`},
-		{"an unknown class or cluster, or a keyed class without a key, is an error: trying again is of no use", `
+		{"an unknown class or cluster, or a keyed class without a key, is an error that does not invite a retry", `
 			send c1 startup | Q "/* id=01,c=odd,d=20000,cluster=1 */ A" | Q "/* id=01,c=write,d=20000,cluster=1 */ A" | Q "/* id=01,c=read,d=20000,cluster=9 */ A"
 			expect c1 welcome | E 22023 | Z | E 22023 | Z | E 22023 | Z`},
-		{"what an open request's client sends broken ends it with answers to both: none is lost", `
+		{"a malformed message behind an open request ends the connection after answers to both", `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			wait s1
 			expect s1 startup
@@ -179,18 +182,18 @@
 			send c1 raw "Q\x00\x00\x00\x01"
 			expect c1 welcome | E 58000 | Z | FATAL 08P01 | EOF
 			expect s1 EOF`},
-		{"a query said to be 3 GB, of a negative length or 60 MB is turned away on its length", `
+		{"a query of 3 GB, which is a negative length, or of 60 MB is rejected by its length field", `
 			send c1 startup | raw "Q\xc0\x00\x00\x00SEL"
 			expect c1 welcome | FATAL 08P01 | EOF
 			send c2 startup | raw "Q\x03\x93\x87\x00SEL"
 			expect c2 welcome | FATAL 54000 | EOF`},
-		{"a bad comment is an error of its own and the connection goes on", `
+		{"an invalid comment is an error after which the connection stays open", `
 			send c1 startup | Q "SELECT 1" | Q "/* id=1 */ A" | Q "/* id=1,c=read,d=x */ A" | Q "/* id=1,c=read,d=1 A" | Q ""
 			expect c1 welcome | E 42601 | Z | E 42601 | Z | E 42601 | Z | E 42601 | Z | I | Z`},
-		{"extended queries get 0A000 and the next Sync sets things right", `
+		{"extended queries get 0A000 until the next Sync", `
 			send c1 startup | P "x" | B "x" | S | Q ""
 			expect c1 welcome | E 0A000 | Z | I | Z`},
-		{"a request for TLS gets N, and the startup may follow", `
+		{"a TLS request gets N, and the startup message may follow", `
 			send c1 ssl
 			expect c1 raw "N"
 			send c1 startup
@@ -198,19 +201,19 @@
 		{"an unknown message is fatal", `
 			send c1 startup | y "x"
 			expect c1 welcome | FATAL 08P01 | EOF`},
-		{"a length that can't be is fatal", `
+		{"an invalid length is fatal", `
 			send c1 startup | raw "Q\x00\x00\x00\x01"
 			expect c1 welcome | FATAL 08P01 | EOF`},
-		{"a startup of another protocol is fatal", `
+		{"a startup message of another protocol version is fatal", `
 			send c1 raw "\x00\x00\x00\x08\x00\x02\x00\x00"
 			expect c1 FATAL 08P01 | EOF`},
-		{"a startup without an end of its parameters is fatal", `
+		{"a startup message without a terminator of its parameters is fatal", `
 			send c1 raw "\x00\x00\x00\x0a\x00\x03\x00\x00us"
 			expect c1 FATAL 08P01 | EOF`},
 		{"Terminate ends the connection", `
 			send c1 startup | X
 			expect c1 welcome | EOF`},
-		{"a write that reached its server and broke may have run: one key, one more try, in the same group", `
+		{"a write that was sent and failed may have run: it is retried with the same key in the same group", `
 			send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ A"
 			wait s1
 			expect s1 startup
@@ -224,18 +227,18 @@
 			send s1 T | D "v" | C | S rank=source | Z
 			expect c1 welcome | T | D "v" | C | Z`},
 	} {
-		t.Run(c.guards, func(t *testing.T) {
-			s, _, _ := stage(t)
-			s.Play(c.text)
+		t.Run(test.guards, func(t *testing.T) {
+			stage, _, _ := startRouter(t)
+			stage.Play(test.text)
 		})
 	}
 }
 
-// Nobody may hold a connection without using it: not one that says nothing or
-// half a message, and not one that asked once and stays.
-func TestTimeLimits(t *testing.T) {
-	s, r, _, _ := stageWith(t, defaultTimeouts)
-	s.Play(`
+// Clients that send nothing or a partial message are closed with an error after a timeout. Clients that are idle after
+// a query are closed without an error.
+func TestClientTimeouts(t *testing.T) {
+	stage, router, _, _ := startRouterWithTimeouts(t, defaultTimeouts)
+	stage.Play(`
 		send c1 raw ""
 		send c2 startup
 		send c3 startup | raw "Q\x00\x00\x01\x00SEL"
@@ -246,73 +249,73 @@
 		expect c3 welcome | FATAL 08P01 | EOF
 		expect c4 FATAL 08P01 | EOF
 		expect c5 welcome | I | Z | EOF`)
-	if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryDivisor {
-		t.Errorf("%d bytes left for reading", left)
+	if remaining := router.readQuota.Left(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
+		t.Errorf("%d bytes of the read quota are left", remaining)
 	}
 }
 
-// A flood of clients that say nothing makes room for one that asks, and leaves
-// the data servers' descriptors alone.
+// Among a flood of clients that send nothing, some are evicted for a client that sends a query. The flood does not use
+// the descriptors that are reserved for data servers.
 func TestSilentFlood(t *testing.T) {
-	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour})
+	stage, _, _, _ := startRouterWithTimeouts(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour})
 	const ask = ` Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		`
-	s.Play("send c0 startup |" + ask + `wait s1
+	stage.Play("send c0 startup |" + ask + `wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "a" | C | S rank=copy | Z`)
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
-		s.Play(fmt.Sprintf(`send c%d raw ""`, i+1))
+		stage.Play(fmt.Sprintf(`send c%d raw ""`, i+1))
 	}
-	s.Play("send c701 startup |" + ask + `
+	stage.Play("send c701 startup |" + ask + `
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "a" | C | S rank=copy | Z
 		expect c701 welcome | T | D "a" | C | Z`)
 }
 
-// In a crowd those that asked once and stay are closed long before descriptors
-// run out: what they hold is also missing to the clients' own machines.
+// When many clients are connected, idle clients are closed long before the router runs out of descriptors, since the
+// connections also use descriptors on the clients' machines.
 func TestCrowd(t *testing.T) {
-	s, r, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
-	for i := range r.config.Limits.Sockets/crowdedDescriptorDivisor + 1 {
-		s.Play(fmt.Sprintf(`
+	stage, router, _, _ := startRouterWithTimeouts(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
+	for i := range router.config.Limits.Sockets/crowdedDescriptorDivisor + 1 {
+		stage.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
-		until(t, "it idles, and after the one before", func() bool {
+		waitUntil(t, "it is idle, and has been idle for less time than the previous one", func() bool {
 			open := false
-			r.clients.each(func(c *client) {
-				_, _, idle := c.idleState()
-				open = open || !idle && !c.leaves()
+			router.clients.each(func(client *client) {
+				_, _, idle := client.idleState()
+				open = open || !idle && !client.willClose()
 			})
 			return !open
 		})
 	}
-	s.Play(`
+	stage.Play(`
 		expect c0 EOF
 		expect c1 EOF
 		send c2 Q ""
 		expect c2 I | Z`)
 }
 
-// Clients that asked once and stay make room for others at once when there is
-// no room: waiting out their idle time would shut the others out.
+// When no descriptor is free, idle clients are evicted for new ones at once. If their idle timeouts were awaited, the
+// new clients would be locked out.
 func TestStayingFlood(t *testing.T) {
-	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
+	stage, _, _, _ := startRouterWithTimeouts(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
-		s.Play(fmt.Sprintf(`
+		stage.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
 }
 
-// The largest value, 64 KiB, passes in both directions: written as hex in the
-// query, and as bytes in the answer.
+// A value of the guaranteed maximum size, 64 KiB, passes in both directions: as hexadecimal text in the query, and as
+// bytes in the answer.
 func TestLargestValue(t *testing.T) {
-	s, _, _ := stage(t)
-	s.Set("hex", strings.Repeat("9f", 64<<10))
-	s.Set("value", strings.Repeat("v", 64<<10))
-	s.Play(`
+	stage, _, _ := startRouter(t)
+	stage.Set("hex", strings.Repeat("9f", 64<<10))
+	stage.Set("value", strings.Repeat("v", 64<<10))
+	stage.Play(`
 		send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT '{hex}'"
 		wait s1
 		expect s1 startup
@@ -322,12 +325,12 @@
 		expect c1 welcome | T | D "{value}" | C | Z`)
 }
 
-// A value far beyond the 64 KiB that are promised passes whole: a router that
-// turns one away would have every member of its group make it in vain.
+// A value far above the guaranteed 64 KiB passes. If the router rejected such an answer, it would make each endpoint of
+// the group compute it in vain.
 func TestLargerValue(t *testing.T) {
-	s, r, _, _ := stageWith(t, endless)
-	s.Set("value", strings.Repeat("v", 500<<10))
-	s.Play(`
+	stage, router, _, _ := startRouterWithTimeouts(t, noTimeouts)
+	stage.Set("value", strings.Repeat("v", 500<<10))
+	stage.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -335,19 +338,20 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "{value}" | C | S rank=copy | Z
 		expect c1 welcome | T | D "{value}" | C | Z`)
-	if left := r.pool.ReadQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryDivisor {
-		t.Errorf("%d bytes left for answers", left)
+	if remaining := router.pool.ReadQuota.Left(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
+		t.Errorf("%d bytes of the answers' read quota are left", remaining)
 	}
 }
 
-// What the first member turns away untouched goes to the next one: a miss, and a
-// data server's 53300, which is never the answer, as only the module refuses.
-func TestMovesOn(t *testing.T) {
-	for _, turned := range []string{"E 25006 | S rank=copy", "E 53300 | S rank=source"} {
-		t.Run(turned, func(t *testing.T) {
-			s, _, _ := stage(t, "h-1 {s1} 1 SERVING", "h-2 {s2} 1 SERVING")
-			s.Set("turned", turned)
-			s.Play(`
+// A request that the first endpoint rejects without running it is sent to the next one: after a 25006 of an endpoint
+// that is not the primary, and after a 53300. The client never receives a data server's 53300; only the router rejects
+// requests.
+func TestRetryOnNextEndpoint(t *testing.T) {
+	for _, rejection := range []string{"E 25006 | S rank=copy", "E 53300 | S rank=source"} {
+		t.Run(rejection, func(t *testing.T) {
+			stage, _, _ := startRouter(t, "h-1 {s1} 1 SERVING", "h-2 {s2} 1 SERVING")
+			stage.Set("turned", rejection)
+			stage.Play(`
 				send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ A"
 				wait s2
 				expect s2 startup
@@ -364,11 +368,11 @@
 	}
 }
 
-// A node that discovery says drains gets nothing new, from the list on; the
-// idle connection to it is closed.
-func TestDrain(t *testing.T) {
-	s, _, _ := stage(t, "h-1 {s1} 1 SERVING")
-	s.Play(`
+// After an endpoint list marks an endpoint as draining, it gets no new requests, and the idle connection to it is
+// closed.
+func TestDrainedEndpoint(t *testing.T) {
+	stage, _, _ := startRouter(t, "h-1 {s1} 1 SERVING")
+	stage.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -376,8 +380,8 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z`)
-	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-	s.Play(`
+	stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	stage.Play(`
 		expect s1 EOF
 		send c1 Q "/* id=02,c=read,d=20000,cluster=1 */ A"
 		wait s2
@@ -388,65 +392,65 @@
 		expect c1 T | D "v" | C | Z`)
 }
 
-// What a router's own agent has counts as told from the first moment of its process: no request goes to a server that only
-// the kept list has, and the front does not take the router in before. A silent agent does not keep it from serving.
+// A router uses the agent's endpoint list from its start: it sends no request to a server that only the persisted list
+// has, and is not ready for the load balancer before it has the agent's list. If the agent does not answer, the router
+// serves after the hold time.
 func TestFirstMoment(t *testing.T) {
 	const ask = `
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		send c2 startup | Q ""`
 	for _, hold := range []time.Duration{time.Hour, time.Millisecond} {
 		t.Run(hold.String(), func(t *testing.T) {
-			now := make(chan time.Time)
-			close(now)
-			s, r, _, _ := stageHeld(t, hold, &siteconfig.Config{}, now, endless, "h-1 {s1} 1 SERVING")
-			s.Play(ask)
+			acceptEnd := make(chan time.Time)
+			close(acceptEnd)
+			stage, router, _, _ := startRouterWithHold(t, hold, &siteconfig.Config{}, acceptEnd, noTimeouts, "h-1 {s1} 1 SERVING")
+			stage.Play(ask)
 			if hold == time.Hour {
-				for late := time.Now().Add(20 * time.Second); len(r.loop.events) < 2 && time.Now().Before(late); {
-					time.Sleep(time.Millisecond) // the kept list and the request
+				for timeout := time.Now().Add(20 * time.Second); len(router.loop.events) < 2 && time.Now().Before(timeout); {
+					time.Sleep(time.Millisecond) // the persisted list and the request
 				}
 				select {
-				case <-r.start.over:
+				case <-router.start.over:
 					t.Error("ready before the agent has answered")
 				default:
 				}
-				s.Set("serves", "s2")
-				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+				stage.Set("serves", "s2")
+				stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 			} else {
-				s.Set("serves", "s1")
+				stage.Set("serves", "s1")
 			}
-			s.Play(`expect c2 welcome | I | Z
+			stage.Play(`expect c2 welcome | I | Z
 				wait {serves}
 				expect {serves} startup
 				send {serves} welcome
 				expect {serves} Q "/* id=01,c=read,d=#,cluster=1 */ A"
 				send {serves} T | D "a" | C | S rank=copy | Z
 				expect c1 welcome | T | D "a" | C | Z`)
-			if hold == time.Hour && s.HasConnection("s1") {
-				t.Error("a draining server got a connection")
+			if hold == time.Hour && stage.HasConnection("s1") {
+				t.Error("a connection to a draining server was established")
 			}
 		})
 	}
-	r := newRouter(t, "null")
-	if r.start.timeout != maxStartHold {
-		t.Errorf("long deadlines: %v", r.start.timeout)
+	router := newRouter(t, "null")
+	if router.start.timeout != maxStartHold {
+		t.Errorf("long deadlines: %v", router.start.timeout)
 	}
-	b := &r.config.Settings.Balance
-	if b.Classes[1].Deadline = int64(400 * time.Millisecond); startHoldTimeout(r.config) != 100*time.Millisecond {
-		t.Errorf("a short deadline: %v", startHoldTimeout(r.config))
+	balanceSettings := &router.config.Settings.Balance
+	if balanceSettings.Classes[1].Deadline = int64(400 * time.Millisecond); startHoldTimeout(router.config) != 100*time.Millisecond {
+		t.Errorf("a short deadline: %v", startHoldTimeout(router.config))
 	}
-	if b.WatchRequired = true; startHoldTimeout(r.config) != 0 {
-		t.Errorf("a shared service: %v", startHoldTimeout(r.config))
+	if balanceSettings.WatchRequired = true; startHoldTimeout(router.config) != 0 {
+		t.Errorf("a shared service: %v", startHoldTimeout(router.config))
 	}
 }
 
-// Told to stop, a router still takes new clients for a while, finishes what it
-// has, and closes the idle clients.
-func TestStop(t *testing.T) {
-	accepted := make(chan time.Time)
-	s, _, stop, done := stageUntil(t, accepted, endless)
-	accept := sync.OnceFunc(func() { close(accepted) })
-	t.Cleanup(accept)
-	s.Play(`
+// A router that shuts down still accepts new clients for a while, finishes open requests, and closes idle clients.
+func TestGracefulShutdown(t *testing.T) {
+	acceptEnd := make(chan time.Time)
+	stage, _, shutDown, done := startRouterWithAcceptEnd(t, acceptEnd, noTimeouts)
+	stopAccepting := sync.OnceFunc(func() { close(acceptEnd) })
+	t.Cleanup(stopAccepting)
+	stage.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		send c2 startup
 		expect c2 welcome
@@ -454,14 +458,14 @@
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
-	stop()
-	s.Play(`
+	shutDown()
+	stage.Play(`
 		send c3 startup | Q ""
 		expect c3 welcome | I | Z
 		send c2 Q ""
 		expect c2 I | Z`)
-	accept()
-	s.Play(`
+	stopAccepting()
+	stage.Play(`
 		expect c2 EOF
 		expect c3 EOF
 		send s1 T | D "v" | C | S rank=copy | Z
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -17,26 +17,26 @@
 	"lotushook/internal/siteconfig"
 )
 
-// stageStopped is a running router on a turnstile, with data servers s1 and s2 of which s2 drains; told to stop, it takes no new
-// clients, and has all time for what is open.
-func stageStopped(t *testing.T, ln *turnstile, p clientTimeouts) (s *nettest.Stage, r *Router, stop func(), done <-chan error) {
+// startRouterOnListener starts a router on a pausing listener, with data servers s1 and s2, of which s2 is draining. In
+// a shutdown it accepts no new clients and has no timeout.
+func startRouterOnListener(t *testing.T, listener *pausingListener, timeouts clientTimeouts) (stage *nettest.Stage, router *Router, shutDown func(), done <-chan error) {
 	t.Helper()
-	accepted := make(chan time.Time)
-	close(accepted)
-	return stageOn(t, ln, 0, &siteconfig.Config{}, accepted, nil, p, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
+	acceptEnd := make(chan time.Time)
+	close(acceptEnd)
+	return startRouterOn(t, listener, 0, &siteconfig.Config{}, acceptEnd, nil, timeouts, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
 }
 
-// slowClient is a connection whose machine takes little before it is read.
-func slowClient(t *testing.T, addr string) net.Conn {
+// slowClient returns a client connection with a small receive buffer.
+func slowClient(t *testing.T, address string) net.Conn {
 	t.Helper()
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
+	dialer := net.Dialer{Control: func(_, _ string, rawConn syscall.RawConn) error {
 		var err error
-		if e := c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) }); e != nil {
-			return e
+		if controlErr := rawConn.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) }); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
-	conn, err := d.Dial("tcp", addr)
+	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,15 +45,15 @@
 	return conn
 }
 
-func say(t *testing.T, conn net.Conn, p []byte) {
+func mustWrite(t *testing.T, conn net.Conn, bytes []byte) {
 	t.Helper()
-	if _, err := conn.Write(p); err != nil {
+	if _, err := conn.Write(bytes); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// hearAll reads a connection to its end, which has to be an orderly one.
-func hearAll(t *testing.T, conn net.Conn) string {
+// readToEnd reads a connection to its end, which must not be a reset.
+func readToEnd(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	got, err := io.ReadAll(conn)
 	if err != nil {
@@ -62,168 +62,168 @@
 	return string(got)
 }
 
-// unread says whether some client's socket holds bytes that the router has not read.
-func unread(r *Router) bool {
+// hasUnreadInput reports whether any client connection has bytes that the router has not read.
+func hasUnreadInput(router *Router) bool {
 	found := false
-	r.clients.each(func(c *client) { found = found || c.conn.(*stopped).readable() })
+	router.clients.each(func(client *client) { found = found || client.conn.(*pausingConn).hasInput() })
 	return found
 }
 
-// connected is how many clients the router has.
-func connected(r *Router) int {
-	n := 0
-	r.clients.each(func(*client) { n++ })
-	return n
+// clientCount returns the number of connected clients.
+func clientCount(router *Router) int {
+	count := 0
+	router.clients.each(func(*client) { count++ })
+	return count
 }
 
-// A bad client hears its error, and what it had asked before, though more of it stands unread behind the error: the connection
-// comes to an orderly end.
+// A client with a protocol error receives the answers to its earlier queries and the error, though there is unread
+// input behind the malformed message: the connection is not reset.
 func TestErrorBeforeUnreadBytes(t *testing.T) {
-	ln := newTurnstile(t)
-	p := endless
-	p.lingeringClose = time.Hour
-	_, r, _, _ := stageStopped(t, ln, p)
-	ln.shut(atBytes)
-	conn := slowClient(t, ln.Addr().String())
-	all := pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "")
-	say(t, conn, append(pgwire.Append(all, 'y', nil), make([]byte, 64<<10)...))
-	<-ln.reached
-	until(t, "more than is read at a time has come", func() bool { return unread(r) })
-	ln.open()
-	if got := hearAll(t, conn); strings.Count(got, "Z\x00\x00\x00\x05I") != 2 || !strings.Contains(got, "SFATAL\x00") {
-		t.Errorf("heard %q", got)
+	listener := newPausingListener(t)
+	timeouts := noTimeouts
+	timeouts.lingeringClose = time.Hour
+	_, router, _, _ := startRouterOnListener(t, listener, timeouts)
+	listener.pauseAt(afterRead)
+	conn := slowClient(t, listener.Addr().String())
+	messages := pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "")
+	mustWrite(t, conn, append(pgwire.Append(messages, 'y', nil), make([]byte, 64<<10)...))
+	<-listener.reached
+	waitUntil(t, "there is more input than one read returns", func() bool { return hasUnreadInput(router) })
+	listener.resume()
+	if got := readToEnd(t, conn); strings.Count(got, "Z\x00\x00\x00\x05I") != 2 || !strings.Contains(got, "SFATAL\x00") {
+		t.Errorf("received %q", got)
 	}
 	conn.Close()
-	until(t, "its end is seen", func() bool { return connected(r) == 0 })
+	waitUntil(t, "its disconnect is detected", func() bool { return clientCount(router) == 0 })
 }
 
-// Neither who sends on without an end nor who rests after an error holds the connection: the one is bounded in bytes, the other in
-// time.
+// The lingering close after an error is limited in bytes for a client that keeps sending, and in time for a client that
+// stays connected.
 func TestLingerBounds(t *testing.T) {
-	bad := pgwire.Append(pgwire.AppendStartup(nil, "worker", "catalog"), 'y', nil)
-	p := endless
-	p.lingeringClose = time.Hour
-	ln := newTurnstile(t)
-	stageStopped(t, ln, p)
-	conn := slowClient(t, ln.Addr().String())
-	say(t, conn, bad)
-	for more := make([]byte, 64<<10); ; {
-		if _, err := conn.Write(more); err != nil {
+	malformed := pgwire.Append(pgwire.AppendStartup(nil, "worker", "catalog"), 'y', nil)
+	timeouts := noTimeouts
+	timeouts.lingeringClose = time.Hour
+	listener := newPausingListener(t)
+	startRouterOnListener(t, listener, timeouts)
+	conn := slowClient(t, listener.Addr().String())
+	mustWrite(t, conn, malformed)
+	for chunk := make([]byte, 64<<10); ; {
+		if _, err := conn.Write(chunk); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("it may send for ever")
+				t.Error("the client may send without limit")
 			}
 			break
 		}
 	}
 
-	p.lingeringClose = time.Millisecond
-	ln = newTurnstile(t)
-	_, r, _, _ := stageStopped(t, ln, p)
-	conn = slowClient(t, ln.Addr().String())
-	say(t, conn, bad)
-	if got := hearAll(t, conn); !strings.Contains(got, "SFATAL\x00") {
-		t.Errorf("heard %q", got)
+	timeouts.lingeringClose = time.Millisecond
+	listener = newPausingListener(t)
+	_, router, _, _ := startRouterOnListener(t, listener, timeouts)
+	conn = slowClient(t, listener.Addr().String())
+	mustWrite(t, conn, malformed)
+	if got := readToEnd(t, conn); !strings.Contains(got, "SFATAL\x00") {
+		t.Errorf("received %q", got)
 	}
-	until(t, "who rests is closed", func() bool { return connected(r) == 0 })
+	waitUntil(t, "the idle client is closed", func() bool { return clientCount(router) == 0 })
 }
 
-// The last answer to a client that sends without waiting is still on its way when the router closes the connection and more comes
-// in that very moment: the answer arrives whole, and what came is not sent on.
+// The last answer to a client that pipelines requests is in transit when the router closes the connection, and another
+// request arrives at that moment. The answer arrives completely, and the request is not forwarded.
 func TestAnswerInFlightAtClose(t *testing.T) {
-	ln := newTurnstile(t)
-	p := endless
-	p.lingeringClose = time.Hour
-	s, r, stop, done := stageStopped(t, ln, p)
+	listener := newPausingListener(t)
+	timeouts := noTimeouts
+	timeouts.lingeringClose = time.Hour
+	stage, router, shutDown, done := startRouterOnListener(t, listener, timeouts)
 	value := strings.Repeat("v", 60<<10)
-	s.Set("value", value)
-	conn := slowClient(t, ln.Addr().String())
-	ask := pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "/* id=01,c=read,d=20000,cluster=1 */ A")
-	say(t, conn, pgwire.AppendQuery(ask, ""))
-	s.Play(`
+	stage.Set("value", value)
+	conn := slowClient(t, listener.Addr().String())
+	query := pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "/* id=01,c=read,d=20000,cluster=1 */ A")
+	mustWrite(t, conn, pgwire.AppendQuery(query, ""))
+	stage.Play(`
 		wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
-	open := func() int {
-		n := 0
-		r.clients.each(func(c *client) {
-			c.mu.Lock()
-			n += c.openQueries
-			c.mu.Unlock()
+	openQueries := func() int {
+		count := 0
+		router.clients.each(func(client *client) {
+			client.mu.Lock()
+			count += client.openQueries
+			client.mu.Unlock()
 		})
-		return n
+		return count
 	}
-	until(t, "both are taken", func() bool { return open() == 2 })
-	s.Play(`send s1 T | D "{value}" | C | S rank=copy | Z`)
-	until(t, "both are answered", func() bool { return open() == 0 })
-	ln.shut(atClose)
-	stop()
-	<-ln.reached
-	say(t, conn, pgwire.AppendQuery(nil, "/* id=02,c=read,d=20000,cluster=1 */ A"))
-	ln.open()
-	if got := hearAll(t, conn); !strings.Contains(got, value) || !strings.HasSuffix(got, "I\x00\x00\x00\x04Z\x00\x00\x00\x05I") {
-		t.Errorf("heard %d bytes, at the end %q", len(got), got[max(0, len(got)-20):])
+	waitUntil(t, "both requests are open", func() bool { return openQueries() == 2 })
+	stage.Play(`send s1 T | D "{value}" | C | S rank=copy | Z`)
+	waitUntil(t, "both requests are answered", func() bool { return openQueries() == 0 })
+	listener.pauseAt(beforeClose)
+	shutDown()
+	<-listener.reached
+	mustWrite(t, conn, pgwire.AppendQuery(nil, "/* id=02,c=read,d=20000,cluster=1 */ A"))
+	listener.resume()
+	if got := readToEnd(t, conn); !strings.Contains(got, value) || !strings.HasSuffix(got, "I\x00\x00\x00\x04Z\x00\x00\x00\x05I") {
+		t.Errorf("received %d bytes that end with %q", len(got), got[max(0, len(got)-20):])
 	}
 	conn.Close()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s.Play(`expect s1 EOF`)
-	if s.HasConnection("s1") {
-		t.Error("the request that crossed the close was sent on")
+	stage.Play(`expect s1 EOF`)
+	if stage.HasConnection("s1") {
+		t.Error("the request that crossed the close was forwarded")
 	}
 }
 
-// A request that comes in the moment of a close is not sent on and gets no answer, so that its client may send it elsewhere:
-// whoever wants the connection closed.
+// A request that arrives while the connection is being closed is not forwarded and gets no answer, so that its client
+// may send it elsewhere. That applies to each reason for the close.
 func TestRequestCrossesClose(t *testing.T) {
-	p := endless
-	p.evictableIdle = 0
-	for name, closes := range map[string]func(r *Router, stop func()){
-		"idle": func(r *Router, _ func()) {
-			r.clients.each(func(c *client) { c.expire(time.Now().Add(2*p.idle), false) })
+	timeouts := noTimeouts
+	timeouts.evictableIdle = 0
+	for name, closes := range map[string]func(router *Router, shutDown func()){
+		"idle": func(router *Router, _ func()) {
+			router.clients.each(func(client *client) { client.expire(time.Now().Add(2*timeouts.idle), false) })
 		},
-		"evicted": func(r *Router, _ func()) { r.clients.evictIdle(time.Now().Add(time.Minute), 0) },
-		"stopped": func(_ *Router, stop func()) { stop() },
+		"evicted": func(router *Router, _ func()) { router.clients.evictIdle(time.Now().Add(time.Minute), 0) },
+		"stopped": func(_ *Router, shutDown func()) { shutDown() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			ln := newTurnstile(t)
-			s, r, stop, _ := stageStopped(t, ln, p)
-			ln.shut(atClose)
-			s.Play(`
+			listener := newPausingListener(t)
+			stage, router, shutDown, _ := startRouterOnListener(t, listener, timeouts)
+			listener.pauseAt(beforeClose)
+			stage.Play(`
 				send c1 startup | Q ""
 				expect c1 welcome | I | Z`)
-			until(t, "it idles", func() bool {
+			waitUntil(t, "the client is idle", func() bool {
 				idle := false
-				r.clients.each(func(c *client) {
-					c.mu.Lock()
-					idle = idle || c.openQueries == 0
-					c.mu.Unlock()
+				router.clients.each(func(client *client) {
+					client.mu.Lock()
+					idle = idle || client.openQueries == 0
+					client.mu.Unlock()
 				})
 				return idle
 			})
-			closes(r, stop)
-			<-ln.reached
-			s.Play(`send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"`)
-			ln.open()
-			s.Play(`expect c1 EOF`)
-			until(t, "it is gone", func() bool { return connected(r) == 0 })
-			if s.HasConnection("s1") {
-				t.Error("it was sent on")
+			closes(router, shutDown)
+			<-listener.reached
+			stage.Play(`send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"`)
+			listener.resume()
+			stage.Play(`expect c1 EOF`)
+			waitUntil(t, "the client is removed", func() bool { return clientCount(router) == 0 })
+			if stage.HasConnection("s1") {
+				t.Error("the request was forwarded")
 			}
 		})
 	}
 }
 
-// Small writes are not held back: what is said right before a close is on its way by then.
+// TCP_NODELAY is set, so that small writes right before a close are sent at once.
 func TestNoDelay(t *testing.T) {
-	ln := newTurnstile(t)
-	s, r, _, _ := stageStopped(t, ln, endless)
-	s.Play(`
+	listener := newPausingListener(t)
+	stage, router, _, _ := startRouterOnListener(t, listener, noTimeouts)
+	stage.Play(`
 		send c1 startup
 		expect c1 welcome`)
-	r.clients.each(func(c *client) {
-		withDescriptor(c.conn, func(fd int) bool {
+	router.clients.each(func(client *client) {
+		withDescriptor(client.conn, func(fd int) bool {
 			if on, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 				t.Errorf("TCP_NODELAY: %d, %v", on, err)
 			}
@@ -232,12 +232,12 @@
 	})
 }
 
-// Once an answer could not be written the connection is cut, and none of what was read of it before is sent on any more: no answer
-// could arrive.
+// Once an answer could not be written, the connection is closed, and none of the queries that were already read is
+// forwarded, as their answers could not be delivered.
 func TestNothingIsSentAfterACut(t *testing.T) {
-	ln := newTurnstile(t)
-	s, r, _, _ := stageStopped(t, ln, endless)
-	s.Play(`
+	listener := newPausingListener(t)
+	stage, router, _, _ := startRouterOnListener(t, listener, noTimeouts)
+	stage.Play(`
 		send c1 startup
 		expect c1 welcome
 		send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"
@@ -246,126 +246,126 @@
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
 	var queued strings.Builder
-	for i := range maxPipelined - 1 { // held by the module: cluster 2 has no server that serves
+	for i := range maxPipelined - 1 { // queued by the module, as cluster 2 has no serving endpoint
 		fmt.Fprintf(&queued, ` | Q "/* id=h%d,c=read,d=20000,cluster=2 */ A"`, i)
 	}
-	s.Play(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
-	until(t, "no more is taken at a time", func() bool {
+	stage.Play(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
+	waitUntil(t, "the maximum number of requests is pipelined", func() bool {
 		full := false
-		r.clients.each(func(c *client) { full = full || len(c.slots) == maxPipelined })
+		router.clients.each(func(client *client) { full = full || len(client.slots) == maxPipelined })
 		return full
 	})
-	ln.breakWrites(true)
-	s.Play(`send s1 T | D "v" | C | S rank=copy | Z`)
-	until(t, "the connection ends", func() bool { return connected(r) == 0 })
-	ln.breakWrites(false)
-	s.Play(`
+	listener.failWrites(true)
+	stage.Play(`send s1 T | D "v" | C | S rank=copy | Z`)
+	waitUntil(t, "the connection ends", func() bool { return clientCount(router) == 0 })
+	listener.failWrites(false)
+	stage.Play(`
 		send c2 startup | Q "/* id=04,c=read,d=20000,cluster=1 */ A"
 		expect s1 Q "/* id=04,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c2 welcome | T | D "v" | C | Z`)
-	if s.HasConnection("s1") {
-		t.Error("something was sent on")
+	if stage.HasConnection("s1") {
+		t.Error("a query of the closed connection was forwarded")
 	}
 }
 
-// A client with half a message here is not one that idles: as the oldest that has not asked it would be chosen again and again to
-// make room, would stay, and shield all others from having to go.
+// A client with a partial message does not count as idle. Otherwise it would be chosen for each eviction, as the oldest
+// client without a query, would not be closed, and would prevent the eviction of all other clients.
 func TestHalfMessageShieldsNobody(t *testing.T) {
-	ln := newTurnstile(t)
-	p := endless
-	p.evictableIdle = 0
-	s, r, _, _ := stageStopped(t, ln, p)
-	s.Play(`
+	listener := newPausingListener(t)
+	timeouts := noTimeouts
+	timeouts.evictableIdle = 0
+	stage, router, _, _ := startRouterOnListener(t, listener, timeouts)
+	stage.Play(`
 		send c0 startup | raw "Q\x00\x00"
 		expect c0 welcome
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z`)
-	until(t, "one holds half a message, the other idles", func() bool {
-		half, idle := 0, 0
-		r.clients.each(func(c *client) {
-			if _, is := c.partialState(); is {
-				half++
-			} else if _, asked, ok := c.idleState(); ok && asked {
+	waitUntil(t, "one client has sent a partial message and the other is idle", func() bool {
+		partial, idle := 0, 0
+		router.clients.each(func(client *client) {
+			if _, isPartial := client.partialState(); isPartial {
+				partial++
+			} else if _, hasQueried, isIdle := client.idleState(); isIdle && hasQueried {
 				idle++
 			}
 		})
-		return half == 1 && idle == 1
+		return partial == 1 && idle == 1
 	})
-	if !r.clients.evictIdle(time.Now().Add(time.Minute), 0) {
-		t.Error("nobody goes")
+	if !router.clients.evictIdle(time.Now().Add(time.Minute), 0) {
+		t.Error("no client is evicted")
 	}
-	s.Play(`
+	stage.Play(`
 		expect c1 EOF
 		send c0 raw "\x00\x05\x00"
 		expect c0 I | Z`)
 }
 
-// A flood of clients that are turned away for an error and stay holds no place for long.
-func TestFloodOfErrors(t *testing.T) {
-	p := endless
-	p.evictableSilence, p.lingeringClose = time.Millisecond, time.Hour
-	for name, own := range map[string]*siteconfig.Config{"": {}, "admission": admitting(t, `{"shared":["0.0.0.0/0"]}`)} {
+// A flood of clients that stay connected after a protocol error does not use up the descriptors.
+func TestErrorFlood(t *testing.T) {
+	timeouts := noTimeouts
+	timeouts.evictableSilence, timeouts.lingeringClose = time.Millisecond, time.Hour
+	for name, config := range map[string]*siteconfig.Config{"": {}, "admission": admissionConfig(t, `{"shared":["0.0.0.0/0"]}`)} {
 		t.Run(name, func(t *testing.T) {
-			accepted := make(chan time.Time)
-			close(accepted)
-			s, r, _, _ := stageOn(t, newTurnstile(t), 0, own, accepted, nil, p)
-			const room = 20
-			r.descriptors.LimitClients(room)
-			for i := range 2 * room {
-				s.Play(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
+			acceptEnd := make(chan time.Time)
+			close(acceptEnd)
+			stage, router, _, _ := startRouterOn(t, newPausingListener(t), 0, config, acceptEnd, nil, timeouts)
+			const limit = 20
+			router.descriptors.LimitClients(limit)
+			for i := range 2 * limit {
+				stage.Play(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
 			}
-			s.Play(`
+			stage.Play(`
 				send c0 startup | Q ""
 				expect c0 welcome | I | Z`)
 		})
 	}
 }
 
-// A flood of clients that send half a message and stay makes room for one that asks: each hears that it is refused.
+// Among a flood of clients that send a partial message, some are evicted with an error for a client that sends a query.
 func TestFloodOfHalfMessages(t *testing.T) {
-	p := endless
-	p.evictableSilence, p.evictableIdle = time.Millisecond, time.Millisecond
-	ln := newTurnstile(t)
-	s, r, _, _ := stageStopped(t, ln, p)
-	const room = 20
-	r.descriptors.LimitClients(room)
-	for i := range 2 * room {
-		s.Play(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
-		until(t, "the first is the oldest", func() bool {
-			half := i > 0
-			r.clients.each(func(c *client) {
-				_, is := c.partialState()
-				half = half || is
+	timeouts := noTimeouts
+	timeouts.evictableSilence, timeouts.evictableIdle = time.Millisecond, time.Millisecond
+	listener := newPausingListener(t)
+	stage, router, _, _ := startRouterOnListener(t, listener, timeouts)
+	const limit = 20
+	router.descriptors.LimitClients(limit)
+	for i := range 2 * limit {
+		stage.Play(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
+		waitUntil(t, "the first client is the oldest", func() bool {
+			partial := i > 0
+			router.clients.each(func(client *client) {
+				_, isPartial := client.partialState()
+				partial = partial || isPartial
 			})
-			return half
+			return partial
 		})
 	}
-	s.Play(`
+	stage.Play(`
 		send c0 startup | Q ""
 		expect c0 welcome | I | Z
 		expect c1 welcome | FATAL 53300 | EOF`)
 }
 
-// Told to stop before its agent has answered for the first time, a router still answers what it has read: by a server once there
-// is a list, with a refusal when its time is over.
+// A router that shuts down before the first answer of its agent still answers the requests that it has read: it
+// forwards them once there is a list, or rejects them after the shutdown timeout.
 func TestStopBeforeFirstList(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		t.Run(fmt.Sprint(answers), func(t *testing.T) {
-			accepted, finish := make(chan time.Time), make(chan time.Time)
-			close(accepted)
-			end := sync.OnceFunc(func() { close(finish) })
-			t.Cleanup(end)
-			s, r, stop, done := stageOn(t, newTurnstile(t), time.Hour, &siteconfig.Config{}, accepted, finish, endless, "h-1 {s1} 1 SERVING")
-			s.Play(`
+			acceptEnd, timeoutEnd := make(chan time.Time), make(chan time.Time)
+			close(acceptEnd)
+			endTimeout := sync.OnceFunc(func() { close(timeoutEnd) })
+			t.Cleanup(endTimeout)
+			stage, router, shutDown, done := startRouterOn(t, newPausingListener(t), time.Hour, &siteconfig.Config{}, acceptEnd, timeoutEnd, noTimeouts, "h-1 {s1} 1 SERVING")
+			stage.Play(`
 				send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 				expect c1 welcome`)
-			until(t, "the kept list and the request wait", func() bool { return len(r.loop.events) == 2 })
-			stop()
-			until(t, "it stops", r.clients.isDraining)
+			waitUntil(t, "the persisted list and the request are queued", func() bool { return len(router.loop.events) == 2 })
+			shutDown()
+			waitUntil(t, "the shutdown has begun", router.clients.isDraining)
 			if answers {
-				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-				s.Play(`
+				stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
+				stage.Play(`
 					wait s1
 					expect s1 startup
 					send s1 welcome
@@ -373,8 +373,8 @@
 					send s1 T | D "v" | C | S rank=copy | Z
 					expect c1 T | D "v" | C | Z | EOF`)
 			} else {
-				end()
-				s.Play(`expect c1 E 53300 | Z | EOF`)
+				endTimeout()
+				stage.Play(`expect c1 E 53300 | Z | EOF`)
 			}
 			if err := <-done; err != nil {
 				t.Error(err)
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -91,7 +91,7 @@
 		for _, e := range storedEntries() {
 			k.Put(e, e.From)
 		}
-		until(t, "all is on the disk", func() bool {
+		waitUntil(t, "all is on the disk", func() bool {
 			r := k.report().(persistedReport)
 			return r.Waiting == 0 && r.Counts.Batches > 0
 		})
