--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -140,7 +140,7 @@
 			case fdlimit.Exhausted(err):
 				acceptor.acceptWithoutDescriptor(listener)
 			case errors.As(err, &netError) && !errors.Is(err, net.ErrClosed): // the client aborted the connection
-				slog.Warn("accept failed", "err", err)
+				slog.Warn("accept", "err", err)
 				time.Sleep(acceptRetryDelay)
 			default:
 				return err
--- a/internal/router/acceptor_test.go
+++ b/internal/router/acceptor_test.go
@@ -146,7 +146,8 @@
 		expect b2 I | Z`)
 }
 
-// Lent capacity is not used for requests in flight: a query that would do so is rejected, and nothing of it has run.
+// Clients with open requests must not use up lent capacity: a query that would exceed the limit is rejected, and
+// nothing of it has run.
 func TestDoorLentBusy(t *testing.T) {
 	const capacity, shared = 593, 2 // of a router with 1,024 descriptors
 	stage, router := startAdmissionRouter(t, fmt.Sprintf(`{"crowd_share":0,"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":%d}]}`, capacity-shared))
--- a/internal/router/disconnect.go
+++ b/internal/router/disconnect.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// disconnectCheckInterval is how often a blocked reader checks whether its client has disconnected. No more requests of
-// a client are sent 100 ms after it has disconnected.
+// disconnectCheckInterval is how often a blocked reader checks whether its client has disconnected. From 100 ms after
+// its disconnect on, no request of a client may be sent.
 const disconnectCheckInterval = 25 * time.Millisecond
 
 // Linux TCP states, as in the first byte of TCP_INFO.
--- a/internal/router/lingeringclose.go
+++ b/internal/router/lingeringclose.go
@@ -101,7 +101,7 @@
 	return true
 }
 
-// expire closes the connections whose time is over, and the oldest ones as long as their clients have closed them.
+// expire closes the connections whose time is over, and the oldest one for as long as its client has closed it too.
 func (closes *lingeringCloses) expire(now time.Time) {
 	for {
 		closes.mu.Lock()
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -26,7 +26,7 @@
 		if !isTemporary(err) {
 			return err
 		}
-		slog.Warn("accept failed", "err", err)
+		slog.Warn("accept", "err", err)
 		time.Sleep(acceptRetryDelay)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -35,8 +35,8 @@
 	requestDecisions
 }
 
-// requestTask belongs to the request's task. The event loop reads end and sessionWroteAt after the task has sent it the
-// event that they belong to.
+// requestTask belongs to the request's task. The event loop reads end and sessionWroteAt only after it has received the
+// events that report them.
 type requestTask struct {
 	attempts         int                // the number of ended attempts
 	mayHaveRun       bool               // the query may have run
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -117,7 +117,7 @@
 	return count, err
 }
 
-// reachWithInput is pass, but after a pause it also waits until there is input.
+// reachWithInput is reach, but after a pause it also waits until there is input.
 func (conn *pausingConn) reachWithInput(point string) {
 	if conn.listener.reach(point) {
 		for timeout := time.Now().Add(30 * time.Second); time.Now().Before(timeout) && !conn.hasInput(); {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -24,7 +24,7 @@
 	settleTime               = 5 * time.Millisecond  // several round trips
 	duplicateWindow          = 10 * time.Millisecond // a round trip and the scheduling delay of either side
 	crowdedDescriptorDivisor = 5                     // above 1/5 of the descriptors, idle clients are closed early
-	readMemoryDivisor        = 4                     // 1/4 of the memory limit is for incomplete messages, on either side
+	readMemoryDivisor        = 4                     // 1/4 of the memory limit each for incomplete messages of clients and servers
 )
 
 // Router is a router process.
--- a/internal/router/unreadage.go
+++ b/internal/router/unreadage.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// minStall is the minimum delay of a tick that counts as a stall: a deadline passed to a data server may exceed
-	// the client's remaining time by at most 150 ms (S4). After a stall the kernel is asked how old received bytes are.
+	// minStall is the minimum delay of a tick that counts as a stall: a deadline passed to a data server may exceed the
+	// client's remaining time by at most 150 ms (requirement S4). After a stall the kernel is asked how old received
+	// bytes are.
 	minStall = 150 * clock.Millisecond
 	// stallRecoveryTime is the time after a stall within which the readers have read all bytes that arrived during it.
 	stallRecoveryTime = 50 * clock.Millisecond
