--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -11,144 +11,146 @@
 	"lotushook/policy/balance"
 )
 
-// maxClockAhead is what a commit's position, which is rounded up, may be in the future.
+// maxClockAhead is how far in the future a reported commit position may be: data servers round it up.
 const maxClockAhead = 2 * time.Millisecond
 
-// rowHashSeed is for the rows' hashes: a row itself may be large, and would stay with each idle connection.
+// rowHashSeed seeds the hashes of answers. Each connection remembers the hash of its previous answer instead of the
+// answer, which may be large.
 var rowHashSeed = maphash.MakeSeed()
 
-// answer is what has come of one answer. Each message must be the next that a data server may send.
-type answer struct {
-	attempt  *Attempt // nil: the connection is idle
-	messages []byte   // to pass on; nil: none has come
+// partialAnswer collects the messages of one answer and checks that each may come at its place.
+type partialAnswer struct {
+	attempt  *Attempt // nil while the connection is idle
+	messages []byte   // to forward to the client; nil before the first
 	rows     int
 	value    []byte
 	result   Result
 	complete bool
 }
 
-// readAnswer reads messages up to the end of an attempt. Without an attempt it waits for one, or for the connection's end.
-// keep says whether the connection is in a known state.
-func (c *serverConn) readAnswer() (attempt *Attempt, result Result, keep bool) {
-	var a answer
-	for received := 0; !a.complete; {
-		message, err := c.nextReply(a.messages != nil || a.result.Outcome != 0)
+// readAnswer reads the messages of one answer, up to ReadyForQuery. On an idle connection it blocks until an attempt
+// starts or the connection ends. keep reports whether the connection is in a known state and may be reused.
+func (conn *serverConn) readAnswer() (attempt *Attempt, result Result, keep bool) {
+	var answer partialAnswer
+	for received := 0; !answer.complete; {
+		message, err := conn.nextReply(answer.messages != nil || answer.result.Outcome != 0)
 		if err == nil {
 			if received += message.Size; received > maxAnswerBytes {
 				err = errTooLong
 			}
 		}
 		if err == nil {
-			a.attempt = c.currentAttempt()
-			err = c.addMessage(&a, message)
+			answer.attempt = conn.currentAttempt()
+			err = conn.addMessage(&answer, message)
 		}
 		if err != nil {
-			return c.currentAttempt(), a.fail(err), false
+			return conn.currentAttempt(), answer.fail(err), false
 		}
-		c.in.Discard(message.Size)
+		conn.in.Discard(message.Size)
 	}
-	return a.attempt, a.result, c.in.Len() == 0
+	return answer.attempt, answer.result, conn.in.Len() == 0
 }
 
-// fail is the result of an answer that broke off: what was complete before counts, unless what followed is malformed.
-func (a *answer) fail(err error) Result {
+// fail returns the result of an answer that ended with an error. An outcome that was complete before the error stands,
+// unless the bytes after it are malformed.
+func (answer *partialAnswer) fail(err error) Result {
 	var tooLong *pgwire.TooLong
-	if a.result.Outcome == 0 || errors.Is(err, pgwire.ErrMalformed) || errors.As(err, &tooLong) {
+	if answer.result.Outcome == 0 || errors.Is(err, pgwire.ErrMalformed) || errors.As(err, &tooLong) {
 		return Result{Outcome: balance.ConnectionReset, Err: err}
 	}
-	a.result.Err = err
-	return a.result
+	answer.result.Err = err
+	return answer.result
 }
 
-// addMessage takes in the next message of an answer.
-func (c *serverConn) addMessage(a *answer, message pgwire.Message) error {
+// addMessage adds the next message to an answer, or returns an error if it may not come at this point.
+func (conn *serverConn) addMessage(answer *partialAnswer, message pgwire.Message) error {
 	switch message.Kind {
 	case pgwire.ParameterStatus:
-		return a.result.addParameter(message.Body, time.Now())
+		return answer.result.addParameter(message.Body, time.Now())
 	case pgwire.NoticeResponse, pgwire.NotificationMessage:
 		return nil
 	case pgwire.RowDescription:
-		return a.addDescription(message)
+		return answer.addDescription(message)
 	case pgwire.DataRow:
-		return a.addRow(message)
+		return answer.addRow(message)
 	case pgwire.CommandComplete:
-		return c.addComplete(a, message)
+		return conn.addComplete(answer, message)
 	case pgwire.ErrorResponse:
-		return a.addError(message)
+		return answer.addError(message)
 	case pgwire.ReadyForQuery:
-		return a.addReady(message)
+		return answer.addReady(message)
 	}
-	return fmt.Errorf("%w: %q in an answer", pgwire.ErrMalformed, message.Kind)
+	return fmt.Errorf("%w: unexpected message %q in an answer", pgwire.ErrMalformed, message.Kind)
 }
 
-func (a *answer) addDescription(message pgwire.Message) error {
+func (answer *partialAnswer) addDescription(message pgwire.Message) error {
 	err := pgwire.OneColumn(message.Body)
-	if a.attempt == nil || err != nil || a.messages != nil || a.result.Outcome != 0 {
+	if answer.attempt == nil || err != nil || answer.messages != nil || answer.result.Outcome != 0 {
 		return fmt.Errorf("%w: row description: %w", pgwire.ErrMalformed, err)
 	}
-	a.messages = pgwire.Append(a.messages, message.Kind, message.Body)
+	answer.messages = pgwire.Append(answer.messages, message.Kind, message.Body)
 	return nil
 }
 
-func (a *answer) addRow(message pgwire.Message) error {
+func (answer *partialAnswer) addRow(message pgwire.Message) error {
 	value, err := pgwire.Column(message.Body)
-	if a.attempt == nil || err != nil || a.messages == nil || a.rows > 0 {
+	if answer.attempt == nil || err != nil || answer.messages == nil || answer.rows > 0 {
 		return fmt.Errorf("%w: data row: %w", pgwire.ErrMalformed, err)
 	}
-	a.rows++
-	a.messages = pgwire.Append(a.messages, message.Kind, message.Body)
-	a.value = a.messages[len(a.messages)-len(value):]
+	answer.rows++
+	answer.messages = pgwire.Append(answer.messages, message.Kind, message.Body)
+	answer.value = answer.messages[len(answer.messages)-len(value):]
 	return nil
 }
 
-func (c *serverConn) addComplete(a *answer, message pgwire.Message) error {
+func (conn *serverConn) addComplete(answer *partialAnswer, message pgwire.Message) error {
 	err := pgwire.OneRow(message.Body)
-	if a.attempt == nil || a.rows != 1 || a.result.Outcome != 0 || err != nil {
-		return fmt.Errorf("%w: end of a command with %d rows: %w", pgwire.ErrMalformed, a.rows, err)
+	if answer.attempt == nil || answer.rows != 1 || answer.result.Outcome != 0 || err != nil {
+		return fmt.Errorf("%w: CommandComplete after %d rows: %w", pgwire.ErrMalformed, answer.rows, err)
 	}
-	hash := maphash.Bytes(rowHashSeed, a.messages)
-	if hash == c.previousRow && c.sinceSent() < c.pool.DuplicateWindow {
-		return fmt.Errorf("%w: a second copy of the answer before", pgwire.ErrMalformed)
+	hash := maphash.Bytes(rowHashSeed, answer.messages)
+	if hash == conn.previousRow && conn.sinceSent() < conn.pool.DuplicateWindow {
+		return fmt.Errorf("%w: duplicate of the previous answer", pgwire.ErrMalformed)
 	}
-	c.previousRow = hash
-	a.result.Outcome = balance.Succeeded
-	a.result.Answer = pgwire.Append(a.messages, message.Kind, message.Body)
-	a.result.Value = a.value
+	conn.previousRow = hash
+	answer.result.Outcome = balance.Succeeded
+	answer.result.Answer = pgwire.Append(answer.messages, message.Kind, message.Body)
+	answer.result.Value = answer.value
 	return nil
 }
 
-func (a *answer) addError(message pgwire.Message) error {
+func (answer *partialAnswer) addError(message pgwire.Message) error {
 	code, err := pgwire.ErrorCode(message.Body)
-	if a.attempt == nil || err != nil || a.result.Outcome != 0 {
-		return fmt.Errorf("%w: error %s out of place", pgwire.ErrMalformed, code)
+	if answer.attempt == nil || err != nil || answer.result.Outcome != 0 {
+		return fmt.Errorf("%w: unexpected error response %s", pgwire.ErrMalformed, code)
 	}
-	a.result.Outcome, a.result.ServerErrorCode = outcomeOf(code), code
+	answer.result.Outcome, answer.result.ServerErrorCode = outcomeOf(code), code
 	return nil
 }
 
-func (a *answer) addReady(message pgwire.Message) error {
+func (answer *partialAnswer) addReady(message pgwire.Message) error {
 	const idle = "I"
-	if a.attempt == nil || a.result.Outcome == 0 || string(message.Body) != idle {
-		return fmt.Errorf("%w: ready out of place", pgwire.ErrMalformed)
+	if answer.attempt == nil || answer.result.Outcome == 0 || string(message.Body) != idle {
+		return fmt.Errorf("%w: unexpected ReadyForQuery", pgwire.ErrMalformed)
 	}
-	a.complete = true
+	answer.complete = true
 	return nil
 }
 
-// sinceSent is how long ago the attempt's query went out.
-func (c *serverConn) sinceSent() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Since(c.sentAt)
+// sinceSent returns the time since the current attempt's query was sent.
+func (conn *serverConn) sinceSent() time.Duration {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return time.Since(conn.sentAt)
 }
 
-func (c *serverConn) currentAttempt() *Attempt {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.current
+func (conn *serverConn) currentAttempt() *Attempt {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return conn.current
 }
 
-// outcomeOf says what an error code tells of an attempt.
+// outcomeOf maps the error code of a data server to the outcome of an attempt.
 func outcomeOf(code string) balance.Outcome {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeTooFarBehind:
@@ -159,38 +161,39 @@
 	return balance.Failed
 }
 
-// addParameter takes in what a data server reports of its role and position. What can't be one spoils the answer.
-func (r *Result) addParameter(body []byte, now time.Time) error {
+// addParameter records the role or position that a data server reports. An invalid value makes the whole answer
+// malformed.
+func (result *Result) addParameter(body []byte, now time.Time) error {
 	name, text, err := pgwire.Parameter(body)
 	if err != nil {
 		return err
 	}
 	switch name {
 	case "rank":
-		return r.setRole(text)
+		return result.setRole(text)
 	case "as_of":
-		return r.setPosition(text, now)
+		return result.setPosition(text, now)
 	}
 	return nil
 }
 
-func (r *Result) setRole(text string) error {
+func (result *Result) setRole(text string) error {
 	switch text {
 	case "source":
-		r.Role = balance.Primary
+		result.Role = balance.Primary
 	case "copy":
-		r.Role = balance.Replica
+		result.Role = balance.Replica
 	default:
 		return fmt.Errorf("%w: rank %.20q", pgwire.ErrMalformed, text)
 	}
 	return nil
 }
 
-func (r *Result) setPosition(text string, now time.Time) error {
+func (result *Result) setPosition(text string, now time.Time) error {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 0 || ms > now.Add(maxClockAhead).UnixMilli() {
 		return fmt.Errorf("%w: position %.20q", pgwire.ErrMalformed, text)
 	}
-	r.Position = ms * int64(time.Millisecond)
+	result.Position = ms * int64(time.Millisecond)
 	return nil
 }
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -10,25 +10,26 @@
 	"lotushook/policy/clock"
 )
 
-// outcomeNotSent is the outcome where the router itself could not send: nothing ran, and the endpoint is not to blame.
+// outcomeNotSent is the outcome when the router itself did not send the query: it did not run, and the endpoint is not
+// to blame.
 const outcomeNotSent = balance.NotSent
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome         balance.Outcome
 	Role            balance.Role
 	Position        clock.Nanos // Unix time; 0: not reported
-	Answer          []byte      // when it succeeded: the messages to pass on, up to CommandComplete
-	Value           []byte      // when it succeeded: the one column
-	ServerErrorCode string      // of a data server's error
-	Err             error       // why there is no answer
+	Answer          []byte      // on success: the messages to forward, up to CommandComplete
+	Value           []byte      // on success: the value of the only column
+	ServerErrorCode string      // the error code that the data server sent, if any
+	Err             error       // the reason that there is no complete answer
 }
 
-// Deadlines bound an attempt.
+// Deadlines are the times that limit an attempt.
 type Deadlines struct {
-	Connect time.Time // a connection that is not there by then has failed
-	Answer  time.Time // the attempt is given up
-	Fresh   time.Time // after it the endpoint may be too far behind for the query, which is not sent any more; zero: it never is
+	Connect time.Time // the connection must be established by then
+	Answer  time.Time // the caller aborts the attempt then
+	Fresh   time.Time // later the endpoint may be too far behind, and the query is not sent; zero: no limit
 }
 
 // Attempt is one query sent to an endpoint. It yields exactly one Result.
@@ -36,7 +37,7 @@
 	endpoint    balance.EndpointID
 	deadlines   Deadlines
 	writeQuery  func(io.Writer) error // writes the query in its final form
-	stillWanted func() bool           // called right before its first byte is sent; nil: it always is
+	stillWanted func() bool           // called right before the first byte is sent; nil: the query is always wanted
 	dialContext context.Context
 	cancel      context.CancelFunc
 	done        chan Result
@@ -46,73 +47,74 @@
 	conn  *serverConn
 }
 
-// Start begins an attempt on the most recently used idle connection, or on a new one, which must be up by the connect
-// deadline. It does not wait for that. The caller aborts the attempt at its deadline, if no result has come. A dial takes
-// time: whether the query is still wanted is checked once, right before its first byte is sent, and the check must not
-// block; if it is not wanted, nothing ran and the endpoint is not to blame. So is whether the endpoint is fresh enough.
-func (p *Pool) Start(endpoint balance.EndpointID, deadlines Deadlines, writeQuery func(io.Writer) error, stillWanted func() bool) *Attempt {
-	a := &Attempt{
+// Start begins an attempt on the most recently used idle connection, or on a new one, which must be established by the
+// connect deadline. It returns without waiting for either. If there is no result by the answer deadline, the caller
+// must abort the attempt. As a dial takes time, three checks are made once, right before the first byte of the query is
+// sent: that stillWanted, which must not block, returns true, that the endpoint may still get queries, and that its
+// known position is still fresh enough. If a check fails, the query has not run and the endpoint is not to blame.
+func (pool *Pool) Start(endpoint balance.EndpointID, deadlines Deadlines, writeQuery func(io.Writer) error, stillWanted func() bool) *Attempt {
+	attempt := &Attempt{
 		endpoint:    endpoint,
 		deadlines:   deadlines,
 		writeQuery:  writeQuery,
 		stillWanted: stillWanted,
 		done:        make(chan Result, 1),
 	}
-	a.dialContext, a.cancel = context.WithCancel(context.Background())
-	p.assign(a)
-	return a
+	attempt.dialContext, attempt.cancel = context.WithCancel(context.Background())
+	pool.assign(attempt)
+	return attempt
 }
 
-// assign finds a connection for the attempt.
-func (p *Pool) assign(a *Attempt) {
-	dial, ready := p.Directory.Address(a.endpoint)
+// assign sends the attempt on an idle connection to its endpoint, or dials a new one.
+func (pool *Pool) assign(attempt *Attempt) {
+	address, ready := pool.Directory.Address(attempt.endpoint)
 	if !ready {
-		a.finish(Result{Outcome: balance.Busy})
-	} else if c := p.takeIdle(a.endpoint, dial, time.Now()); c != nil {
-		c.send(a)
+		attempt.finish(Result{Outcome: balance.Busy})
+	} else if conn := pool.takeIdle(attempt.endpoint, address, time.Now()); conn != nil {
+		conn.send(attempt)
 	} else {
-		p.dialFor(a, dial)
+		pool.dialFor(attempt, address)
 	}
 }
 
 // Done returns the channel that carries the result.
-func (a *Attempt) Done() <-chan Result { return a.done }
+func (attempt *Attempt) Done() <-chan Result { return attempt.done }
 
-// Abort ends the attempt: when it returns, the connection is closed and
-// nothing more will be written for it. The result is the given outcome, unless
-// another one came first. A query that never got a connection did not
-// run: the endpoint did not accept it in time, or was not involved in the abort.
-func (a *Attempt) Abort(o balance.Outcome) Result {
-	a.mu.Lock()
-	c := a.conn
-	if !a.ended {
-		a.ended = true
+// Abort ends the attempt. When it returns, the connection is closed and nothing more will be written for the attempt.
+// The result is the given outcome, unless the attempt already has one. A query that was never bound to a connection did
+// not run: if it timed out, the endpoint did not accept a connection in time, and if it was canceled, the endpoint was
+// not involved.
+func (attempt *Attempt) Abort(outcome balance.Outcome) Result {
+	attempt.mu.Lock()
+	conn := attempt.conn
+	if !attempt.ended {
+		attempt.ended = true
 		switch {
-		case c != nil:
-		case o == balance.TimedOut:
-			o = balance.ConnectionRefused
-		case o == balance.Canceled:
-			o = outcomeNotSent
+		case conn != nil:
+		case outcome == balance.TimedOut:
+			outcome = balance.ConnectionRefused
+		case outcome == balance.Canceled:
+			outcome = outcomeNotSent
 		}
-		a.done <- Result{Outcome: o}
+		attempt.done <- Result{Outcome: outcome}
 	}
-	a.mu.Unlock()
-	a.cancel()
-	res := <-a.done
-	if c != nil && res.Outcome == o {
-		c.close()
+	attempt.mu.Unlock()
+	attempt.cancel()
+	result := <-attempt.done
+	if conn != nil && result.Outcome == outcome {
+		conn.close()
 	}
-	return res
+	return result
 }
 
-// finish delivers the result; any later one is dropped.
-func (a *Attempt) finish(r Result) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.ended {
+// finish delivers the result. Only the first call counts.
+func (attempt *Attempt) finish(result Result) {
+	attempt.mu.Lock()
+	defer attempt.mu.Unlock()
+	if attempt.ended {
 		return
 	}
-	a.ended = true
-	a.cancel()
-	a.done <- r
+	attempt.ended = true
+	attempt.cancel()
+	attempt.done <- result
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -15,341 +15,344 @@
 	"lotushook/policy/balance"
 )
 
-// directory knows one node, number 1.
+// directory knows only the endpoint with ID 1.
 type directory struct {
-	mu     sync.Mutex
-	dial   string
-	drains bool
+	mu       sync.Mutex
+	address  string
+	draining bool
 }
 
-func (d *directory) Address(node balance.EndpointID) (string, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.dial, node == 1 && !d.drains
+func (dir *directory) Address(endpoint balance.EndpointID) (string, bool) {
+	dir.mu.Lock()
+	defer dir.mu.Unlock()
+	return dir.address, endpoint == 1 && !dir.draining
 }
 
-func (d *directory) drain() {
-	d.mu.Lock()
-	d.drains = true
-	d.mu.Unlock()
+func (dir *directory) drain() {
+	dir.mu.Lock()
+	dir.draining = true
+	dir.mu.Unlock()
 }
 
-func stage(t *testing.T, sockets int) (*nettest.Stage, *Pool, *directory) {
+// newTestPool returns a pool for one scripted data server, s, with the given limit of sockets.
+func newTestPool(t *testing.T, sockets int) (*nettest.Stage, *Pool, *directory) {
 	t.Helper()
-	s := nettest.New(t, "s")
-	d := &directory{dial: s.Addr("s")}
-	p := NewPool(Options{Directory: d, Descriptors: fdlimit.New(sockets), ConnectTimeout: 20 * time.Second, StallTimeout: 20 * time.Second, IdleClose: time.Hour})
-	t.Cleanup(p.closeAll)
-	return s, p, d
+	network := nettest.New(t, "s")
+	dir := &directory{address: network.Addr("s")}
+	pool := NewPool(Options{Directory: dir, Descriptors: fdlimit.New(sockets), ConnectTimeout: 20 * time.Second, StallTimeout: 20 * time.Second, IdleClose: time.Hour})
+	t.Cleanup(pool.closeAll)
+	return network, pool, dir
 }
 
-func word(w io.Writer) error {
+func writeQueryA(w io.Writer) error {
 	_, err := w.Write(pgwire.AppendQuery(nil, "A"))
 	return err
 }
 
-func (p *Pool) try() *Attempt {
-	end := time.Now().Add(20 * time.Second)
-	return p.Start(1, Deadlines{Connect: end, Answer: end}, word, nil)
+// try starts an attempt that sends the query "A" within 20 seconds.
+func (pool *Pool) try() *Attempt {
+	deadline := time.Now().Add(20 * time.Second)
+	return pool.Start(1, Deadlines{Connect: deadline, Answer: deadline}, writeQueryA, nil)
 }
 
-const greeted = `
+// handshakeAndQuery accepts a connection, completes the handshake and reads the first query.
+const handshakeAndQuery = `
 	wait s
 	expect s startup
 	send s welcome
 	expect s Q "A"
 	`
 
-// What comes back decides the outcome, and whether the connection is kept.
+// The messages that a data server sends determine the outcome and whether the connection returns to the pool.
 func TestOutcomes(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		text string
 		want Result
-		kept int
+		idle int
 	}{
-		{greeted + `send s T | D "v" | C | S rank=source | S as_of=1767225600123 | Z`,
+		{handshakeAndQuery + `send s T | D "v" | C | S rank=source | S as_of=1767225600123 | Z`,
 			Result{Outcome: balance.Succeeded, Role: balance.Primary, Position: 1767225600123e6, Value: []byte("v")}, 1},
-		{greeted + `send s T | D "" | C | S rank=copy | S other=x | N "" | Z`,
+		{handshakeAndQuery + `send s T | D "" | C | S rank=copy | S other=x | N "" | Z`,
 			Result{Outcome: balance.Succeeded, Role: balance.Replica, Value: []byte{}}, 1},
-		{greeted + `send s E 25006 | S rank=copy | Z`, Result{Outcome: balance.NotEligible, Role: balance.Replica, ServerErrorCode: "25006"}, 1},
-		{greeted + `send s E 72000 | S rank=copy | S as_of=5 | Z`,
+		{handshakeAndQuery + `send s E 25006 | S rank=copy | Z`, Result{Outcome: balance.NotEligible, Role: balance.Replica, ServerErrorCode: "25006"}, 1},
+		{handshakeAndQuery + `send s E 72000 | S rank=copy | S as_of=5 | Z`,
 			Result{Outcome: balance.NotEligible, Role: balance.Replica, Position: 5e6, ServerErrorCode: "72000"}, 1},
-		{greeted + `send s E 53300 | Z`, Result{Outcome: balance.Busy, ServerErrorCode: "53300"}, 1},
-		{greeted + `send s E XX000 | Z`, Result{Outcome: balance.Failed, ServerErrorCode: "XX000"}, 1},
-		{greeted + `send s E 57P03 | Z`, Result{Outcome: balance.Failed, ServerErrorCode: "57P03"}, 1},
-		// A fatal error counts though the connection ends behind it.
-		{greeted + "send s FATAL 53300\nclose s", Result{Outcome: balance.Busy, ServerErrorCode: "53300"}, 0},
-		// All of the value came: the rest can't take it back.
-		{greeted + "send s T | D \"v\" | C\nclose s", Result{Outcome: balance.Succeeded, Value: []byte("v")}, 0},
-		{greeted + "send s T | D \"v\"\nclose s", Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + "close s", Result{Outcome: balance.ConnectionReset}, 0},
-		// Malformed answers are resets.
-		{greeted + `send s Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C | E XX000 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		// An error inside an answer is not healed by the command's end.
-		{greeted + `send s T | D "v" | E XX000 | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s raw "T\x00\x00\x00\x01"`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s raw "D\x00\x1f\x00\x00"`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s w "x"`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s raw "T\x00\x00\x00\x08\x00\x01b\x00" | D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C "INSERT 0 2\x00" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C "\x00" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C "SELECT 1" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C | Z "E"`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s E 2500 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s E xx000 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C | S rank=king | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		{greeted + `send s T | D "v" | C | S rank=copy | S as_of=x | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		// No server has applied the future: such a position would let stale reads through.
-		{greeted + `send s T | D "v" | C | S rank=copy | S as_of=8767225600123 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
-		// Bytes behind the end: the connection is in doubt.
-		{greeted + `send s T | D "v" | C | raw "Z\x00\x00\x00\x05IZ"`, Result{Outcome: balance.Succeeded, Value: []byte("v")}, 0},
-		// At the start nothing has been sent: nothing ran.
+		{handshakeAndQuery + `send s E 53300 | Z`, Result{Outcome: balance.Busy, ServerErrorCode: "53300"}, 1},
+		{handshakeAndQuery + `send s E XX000 | Z`, Result{Outcome: balance.Failed, ServerErrorCode: "XX000"}, 1},
+		{handshakeAndQuery + `send s E 57P03 | Z`, Result{Outcome: balance.Failed, ServerErrorCode: "57P03"}, 1},
+		// A fatal error counts although the connection ends after it.
+		{handshakeAndQuery + "send s FATAL 53300\nclose s", Result{Outcome: balance.Busy, ServerErrorCode: "53300"}, 0},
+		// The value is complete, so the lost rest of the answer changes nothing.
+		{handshakeAndQuery + "send s T | D \"v\" | C\nclose s", Result{Outcome: balance.Succeeded, Value: []byte("v")}, 0},
+		{handshakeAndQuery + "send s T | D \"v\"\nclose s", Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + "close s", Result{Outcome: balance.ConnectionReset}, 0},
+		// A malformed answer counts as a connection reset.
+		{handshakeAndQuery + `send s Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C | E XX000 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		// CommandComplete does not cancel an error that came before it.
+		{handshakeAndQuery + `send s T | D "v" | E XX000 | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s raw "T\x00\x00\x00\x01"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s raw "D\x00\x1f\x00\x00"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s w "x"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s raw "T\x00\x00\x00\x08\x00\x01b\x00" | D "v" | C | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C "INSERT 0 2\x00" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C "\x00" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C "SELECT 1" | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C | Z "E"`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s E 2500 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s E xx000 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C | S rank=king | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		{handshakeAndQuery + `send s T | D "v" | C | S rank=copy | S as_of=x | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		// A position in the future must be rejected: it would let stale reads pass.
+		{handshakeAndQuery + `send s T | D "v" | C | S rank=copy | S as_of=8767225600123 | Z`, Result{Outcome: balance.ConnectionReset}, 0},
+		// After extra bytes behind the answer, the connection is not reused.
+		{handshakeAndQuery + `send s T | D "v" | C | raw "Z\x00\x00\x00\x05IZ"`, Result{Outcome: balance.Succeeded, Value: []byte("v")}, 0},
+		// A failure during the handshake comes before the query is sent, so it did not run.
 		{"wait s\nexpect s startup\nsend s FATAL 53300", Result{Outcome: balance.Busy}, 0},
 		{"wait s\nexpect s startup\nsend s FATAL 57P03", Result{Outcome: balance.ConnectionRefused}, 0},
 		{"wait s\nexpect s startup\nsend s R \"\\x00\\x00\\x00\\x03\"", Result{Outcome: balance.ConnectionRefused}, 0},
 		{"wait s\nexpect s startup\nclose s", Result{Outcome: balance.ConnectionRefused}, 0},
 	} {
 		t.Run("", func(t *testing.T) {
-			s, p, _ := stage(t, 1024)
-			a := p.try()
-			s.Play(c.text)
-			got := <-a.Done()
+			network, pool, _ := newTestPool(t, 1024)
+			attempt := pool.try()
+			network.Play(tc.text)
+			got := <-attempt.Done()
 			if (got.Outcome == balance.Succeeded) != (got.Answer != nil) {
 				t.Errorf("outcome %d with answer %q", got.Outcome, got.Answer)
 			}
-			if diff := cmp.Diff(c.want, got, cmpopts.IgnoreFields(Result{}, "Answer", "Err")); diff != "" {
-				t.Errorf("%s: %v (-want +got)\n%s", c.text, got.Err, diff)
+			if diff := cmp.Diff(tc.want, got, cmpopts.IgnoreFields(Result{}, "Answer", "Err")); diff != "" {
+				t.Errorf("%s: %v (-want +got)\n%s", tc.text, got.Err, diff)
 			}
-			if p.Idle() != c.kept {
-				t.Errorf("%s: %d kept, want %d", c.text, p.Idle(), c.kept)
+			if pool.Idle() != tc.idle {
+				t.Errorf("%s: %d idle connections, want %d", tc.text, pool.Idle(), tc.idle)
 			}
 		})
 	}
 }
 
-// Whatever comes on an idle connection is nobody's answer: the next attempt goes
-// out on another one, and gets its own.
+// Bytes that arrive on an idle connection must not be taken for the answer to the next attempt, which uses another
+// connection.
 func TestUnaskedWhileIdle(t *testing.T) {
 	for _, extra := range []string{`S rank=source`, `T | D "v" | C | Z`, `N ""`, `raw "S\x00"`} {
-		s, p, _ := stage(t, 1024)
-		a := p.try()
-		s.Play(greeted + `send s T | D "v" | C | S rank=copy | Z`)
-		<-a.Done()
-		s.Play("send s " + extra) // the connection's goroutine may or may not have come to it
-		a = p.try()
-		s.Play(`expect s EOF` + greeted + `send s T | D "w" | C | Z`)
-		if res := <-a.Done(); res.Outcome != balance.Succeeded || res.Role != 0 || string(res.Value) != "w" {
+		network, pool, _ := newTestPool(t, 1024)
+		attempt := pool.try()
+		network.Play(handshakeAndQuery + `send s T | D "v" | C | S rank=copy | Z`)
+		<-attempt.Done()
+		network.Play("send s " + extra) // the connection's goroutine may or may not have read it yet
+		attempt = pool.try()
+		network.Play(`expect s EOF` + handshakeAndQuery + `send s T | D "w" | C | Z`)
+		if res := <-attempt.Done(); res.Outcome != balance.Succeeded || res.Role != 0 || string(res.Value) != "w" {
 			t.Errorf("%s: outcome %d, role %d, %q", extra, res.Outcome, res.Role, res.Value)
 		}
 	}
 }
 
-// A second copy that is sent while the next query is on its way looks like its
-// answer. It comes too soon, and it is the same again.
+// A duplicate of an answer that arrives just after the next query was sent looks like the answer to that query. It is
+// detected because it is identical and arrives within the duplicate window.
 func TestSecondCopyCrosses(t *testing.T) {
-	for _, c := range []struct {
-		crossing time.Duration
-		value    string
-		want     balance.Outcome
+	for _, tc := range []struct {
+		window time.Duration
+		value  string
+		want   balance.Outcome
 	}{{time.Hour, "v", balance.ConnectionReset}, {time.Hour, "w", balance.Succeeded}, {0, "v", balance.Succeeded}} {
-		s, p, _ := stage(t, 1024)
-		p.DuplicateWindow = c.crossing
-		a := p.try()
-		s.Play(greeted + `send s T | D "v" | C | Z`)
-		<-a.Done()
-		a = p.try()
-		s.Play(`expect s Q "A"
-			send s T | D "` + c.value + `" | C | Z`)
-		if res := <-a.Done(); res.Outcome != c.want {
-			t.Errorf("%+v: outcome %d, %v", c, res.Outcome, res.Err)
+		network, pool, _ := newTestPool(t, 1024)
+		pool.DuplicateWindow = tc.window
+		attempt := pool.try()
+		network.Play(handshakeAndQuery + `send s T | D "v" | C | Z`)
+		<-attempt.Done()
+		attempt = pool.try()
+		network.Play(`expect s Q "A"
+			send s T | D "` + tc.value + `" | C | Z`)
+		if res := <-attempt.Done(); res.Outcome != tc.want {
+			t.Errorf("%+v: outcome %d, %v", tc, res.Outcome, res.Err)
 		}
 	}
 }
 
-// A connection rests after an answer, so that what follows unasked shows.
-func TestSettles(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	p.SettleTime = time.Hour
-	a := p.try()
-	s.Play(greeted + `send s T | D "v" | C | Z`)
-	<-a.Done()
-	a = p.try()
-	s.Play(greeted + `send s T | D "v" | C | Z`)
-	<-a.Done()
+// A connection is not reused before the settle time has passed after an answer, so that unsolicited messages are
+// detected.
+func TestSettleTime(t *testing.T) {
+	network, pool, _ := newTestPool(t, 1024)
+	pool.SettleTime = time.Hour
+	attempt := pool.try()
+	network.Play(handshakeAndQuery + `send s T | D "v" | C | Z`)
+	<-attempt.Done()
+	attempt = pool.try()
+	network.Play(handshakeAndQuery + `send s T | D "v" | C | Z`)
+	<-attempt.Done()
 }
 
-// An answer that begins and does not go on is given up long before its request is.
+// An answer that begins and then stalls ends its attempt long before the attempt's own deadline.
 func TestStalledAnswer(t *testing.T) {
-	for _, half := range []string{`raw "T\x00\x00"`, `T`, `T | raw "D\x00\x00\x10\x00\x00\x01"`} {
-		s, p, _ := stage(t, 1024)
-		p.StallTimeout = 20 * time.Millisecond
-		a := p.Start(1, Deadlines{Connect: time.Now().Add(time.Hour), Answer: time.Now().Add(time.Hour)}, word, nil)
-		s.Play(greeted + "send s " + half)
-		if res := <-a.Done(); res.Outcome != balance.ConnectionReset {
-			t.Errorf("%s: outcome %d, %v", half, res.Outcome, res.Err)
+	for _, partial := range []string{`raw "T\x00\x00"`, `T`, `T | raw "D\x00\x00\x10\x00\x00\x01"`} {
+		network, pool, _ := newTestPool(t, 1024)
+		pool.StallTimeout = 20 * time.Millisecond
+		attempt := pool.Start(1, Deadlines{Connect: time.Now().Add(time.Hour), Answer: time.Now().Add(time.Hour)}, writeQueryA, nil)
+		network.Play(handshakeAndQuery + "send s " + partial)
+		if res := <-attempt.Done(); res.Outcome != balance.ConnectionReset {
+			t.Errorf("%s: outcome %d, %v", partial, res.Outcome, res.Err)
 		}
-		s.Play("expect s EOF")
+		network.Play("expect s EOF")
 	}
 }
 
-// Nobody listens: nothing ran.
-func TestNobodyThere(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	s.Shut("s")
-	if res := <-p.try().Done(); res.Outcome != balance.ConnectionRefused {
+// If nothing listens at the address, the query did not run.
+func TestNoListener(t *testing.T) {
+	network, pool, _ := newTestPool(t, 1024)
+	network.Shut("s")
+	if res := <-pool.try().Done(); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
 
-// An attempt that is given up has its connection closed; one that never came to
-// a connection surely did not run.
+// Aborting an attempt closes its connection. An attempt that was never bound to a connection did not run.
 func TestAbort(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	a := p.try()
-	s.Play(greeted)
-	if res := a.Abort(balance.Canceled); res.Outcome != balance.Canceled {
+	network, pool, _ := newTestPool(t, 1024)
+	attempt := pool.try()
+	network.Play(handshakeAndQuery)
+	if res := attempt.Abort(balance.Canceled); res.Outcome != balance.Canceled {
 		t.Errorf("outcome %d", res.Outcome)
 	}
-	s.Play("expect s EOF")
-	a = p.try()
-	s.Play("wait s\nexpect s startup")
-	if res := a.Abort(balance.TimedOut); res.Outcome != balance.ConnectionRefused {
-		t.Errorf("outcome %d before the connection was up", res.Outcome)
+	network.Play("expect s EOF")
+	attempt = pool.try()
+	network.Play("wait s\nexpect s startup")
+	if res := attempt.Abort(balance.TimedOut); res.Outcome != balance.ConnectionRefused {
+		t.Errorf("outcome %d before the connection was established", res.Outcome)
 	}
-	s.Play("expect s EOF")
+	network.Play("expect s EOF")
 }
 
-// A dial that outlasts the news of a drain must not lead to a send.
+// If the endpoint starts draining during a dial, the query must not be sent.
 func TestDrainDuringDial(t *testing.T) {
-	s, p, d := stage(t, 1024)
-	a := p.try()
-	s.Play("wait s\nexpect s startup")
-	d.drain()
-	s.Play("send s welcome")
-	if res := <-a.Done(); res.Outcome != balance.Busy {
+	network, pool, dir := newTestPool(t, 1024)
+	attempt := pool.try()
+	network.Play("wait s\nexpect s startup")
+	dir.drain()
+	network.Play("send s welcome")
+	if res := <-attempt.Done(); res.Outcome != balance.Busy {
 		t.Errorf("outcome %d", res.Outcome)
 	}
-	if res := <-p.try().Done(); res.Outcome != balance.Busy {
-		t.Errorf("outcome %d of a send to a draining node", res.Outcome)
+	if res := <-pool.try().Done(); res.Outcome != balance.Busy {
+		t.Errorf("outcome %d of a send to a draining endpoint", res.Outcome)
 	}
-	for open, _ := p.Counts(); open > 0; open, _ = p.Counts() { // it comes back to the pool after the attempt's end was told
-		p.retire(time.Time{})
+	for open, _ := pool.Counts(); open > 0; open, _ = pool.Counts() {
+		pool.retire(time.Time{}) // the connection may become idle only after the result was delivered
 		time.Sleep(time.Millisecond)
 	}
-	s.Play("expect s EOF")
+	network.Play("expect s EOF")
 }
 
-// The most recently used connection goes first, so that the others can retire;
-// one that the data server has closed is not used again.
-func TestPool(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	a, b := p.try(), p.try()
-	s.Play("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"")
+// The most recently used connection is reused first, so that the others can be retired. One that the data server has
+// closed is not reused.
+func TestPoolReusesMostRecent(t *testing.T) {
+	network, pool, _ := newTestPool(t, 1024)
+	attempt, second := pool.try(), pool.try()
+	network.Play("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"")
 	const row = ` T | D "v" | C | Z`
-	first := func() {
+	awaitEither := func() {
 		select {
-		case <-a.Done():
-		case <-b.Done():
+		case <-attempt.Done():
+		case <-second.Done():
 		}
 	}
-	s.Play("send x" + row)
-	first()
-	s.Play("send y" + row)
-	first()
-	if p.Idle() != 2 {
-		t.Fatalf("%d idle", p.Idle())
+	network.Play("send x" + row)
+	awaitEither()
+	network.Play("send y" + row)
+	awaitEither()
+	if pool.Idle() != 2 {
+		t.Fatalf("%d idle connections", pool.Idle())
 	}
-	a = p.try()
-	s.Play("expect y Q \"A\"\nsend y" + row)
-	<-a.Done()
-	p.mu.Lock()
-	before := p.idle[1][1].idleAt
-	p.mu.Unlock()
-	p.retire(before)
-	s.Play("expect x EOF\nclose y")
-	for p.Idle() > 0 { // the connection's goroutine sees the end without being asked
+	attempt = pool.try()
+	network.Play("expect y Q \"A\"\nsend y" + row)
+	<-attempt.Done()
+	pool.mu.Lock()
+	before := pool.idle[1][1].idleAt
+	pool.mu.Unlock()
+	pool.retire(before)
+	network.Play("expect x EOF\nclose y")
+	for pool.Idle() > 0 { // the connection's goroutine detects the end of an idle connection
 		time.Sleep(time.Millisecond)
 	}
-	a = p.try()
-	s.Play(greeted + "send s" + row)
-	if res := <-a.Done(); res.Outcome != balance.Succeeded {
+	attempt = pool.try()
+	network.Play(handshakeAndQuery + "send s" + row)
+	if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d", res.Outcome)
 	}
 }
 
-// With all descriptors taken, an idle connection makes room; without one the
-// attempt ends at once, unsent, and every descriptor comes back.
+// When all descriptors are in use, an idle connection is closed for a new one. If none is idle, the attempt ends at
+// once without being sent. Every descriptor is returned.
 func TestDescriptors(t *testing.T) {
-	s, p, _ := stage(t, 24+6) // of which two are the data servers'
-	a := p.try()
-	s.Play(greeted)
-	b := p.try()
-	s.Play("wait s as z")
-	if res := <-p.try().Done(); res.Outcome != outcomeNotSent {
+	network, pool, _ := newTestPool(t, 24+6) // of which two are for data servers
+	attempt := pool.try()
+	network.Play(handshakeAndQuery)
+	second := pool.try()
+	network.Play("wait s as z")
+	if res := <-pool.try().Done(); res.Outcome != outcomeNotSent {
 		t.Errorf("outcome %d without a descriptor", res.Outcome)
 	}
-	s.Play(`send s T | D "v" | C | Z`)
-	<-a.Done()
-	if !p.EvictIdle() || p.EvictIdle() {
-		t.Error("one connection was idle")
+	network.Play(`send s T | D "v" | C | Z`)
+	<-attempt.Done()
+	if !pool.EvictIdle() || pool.EvictIdle() {
+		t.Error("not exactly one connection was idle")
 	}
-	if p.Descriptors.Used() != 1 {
-		t.Errorf("%d descriptors taken", p.Descriptors.Used())
+	if pool.Descriptors.Used() != 1 {
+		t.Errorf("%d descriptors in use", pool.Descriptors.Used())
 	}
-	s.Play("expect s EOF\nclose z")
-	<-b.Done()
-	for p.Descriptors.Used() > 0 {
+	network.Play("expect s EOF\nclose z")
+	<-second.Done()
+	for pool.Descriptors.Used() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 func TestProbe(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	for _, c := range []struct {
-		send string
-		want pgwire.Report
-		out  balance.Outcome
+	network, pool, _ := newTestPool(t, 1024)
+	for _, tc := range []struct {
+		send    string
+		want    pgwire.Report
+		outcome balance.Outcome
 	}{
 		{`T | D "x0=1767225600.123,x1=0,inflight=7" | C | Z`, pgwire.Report{Position: 1767225600123, HasRole: true, Active: 7, HasHeld: true}, balance.Succeeded},
 		{`T | D "nonsense" | C | Z`, pgwire.Report{}, balance.Failed},
 		{`E 42501 | Z`, pgwire.Report{}, balance.Failed},
 	} {
-		type answer struct {
-			res Result
-			rep pgwire.Report
+		type probeResult struct {
+			result Result
+			report pgwire.Report
 		}
-		got, fresh := make(chan answer, 1), p.Idle() == 0
+		got, fresh := make(chan probeResult, 1), pool.Idle() == 0
 		go func() {
-			res, rep := p.Probe(1, 20*time.Second)
-			got <- answer{res, rep}
+			result, report := pool.Probe(1, 20*time.Second)
+			got <- probeResult{result, report}
 		}()
 		if fresh {
-			s.Play("wait s\nexpect s startup\nsend s welcome")
+			network.Play("wait s\nexpect s startup\nsend s welcome")
 		}
-		s.Play("expect s Q \"SHOW vitals\"\nsend s " + c.send)
-		a := <-got
-		if diff := cmp.Diff(c.want, a.rep); diff != "" || a.res.Outcome != c.out {
-			t.Errorf("%s: outcome %d, %v (-want +got)\n%s", c.send, a.res.Outcome, a.res.Err, diff)
+		network.Play("expect s Q \"SHOW vitals\"\nsend s " + tc.send)
+		answer := <-got
+		if diff := cmp.Diff(tc.want, answer.report); diff != "" || answer.result.Outcome != tc.outcome {
+			t.Errorf("%s: outcome %d, %v (-want +got)\n%s", tc.send, answer.result.Outcome, answer.result.Err, diff)
 		}
 	}
-	p.closeAll()
-	if res := <-p.try().Done(); res.Outcome != outcomeNotSent {
-		t.Errorf("a closed pool opened a connection: outcome %d", res.Outcome)
+	pool.closeAll()
+	if result := <-pool.try().Done(); result.Outcome != outcomeNotSent {
+		t.Errorf("attempt on a closed pool: outcome %d", result.Outcome)
 	}
 }
 
-// A connection must be up by the time that the attempt sets, though the settings allow more: nothing ran, and the rest
-// of the time is another's.
-func TestConnectionInTime(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	a := p.Start(1, Deadlines{Connect: time.Now().Add(20 * time.Millisecond), Answer: time.Now().Add(time.Hour)}, word, nil)
-	s.Play("wait s\nexpect s startup") // and no welcome
-	if res := <-a.Done(); res.Outcome != balance.ConnectionRefused {
+// A connection must be established by the attempt's connect deadline even if the connect timeout is longer. Otherwise
+// the query did not run, and the remaining time is left for another attempt.
+func TestConnectDeadline(t *testing.T) {
+	network, pool, _ := newTestPool(t, 1024)
+	attempt := pool.Start(1, Deadlines{Connect: time.Now().Add(20 * time.Millisecond), Answer: time.Now().Add(time.Hour)}, writeQueryA, nil)
+	network.Play("wait s\nexpect s startup") // the handshake is not completed
+	if res := <-attempt.Done(); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
-	s.Play("expect s EOF")
+	network.Play("expect s EOF")
 }
--- a/internal/backend/bind.go
+++ b/internal/backend/bind.go
@@ -12,50 +12,50 @@
 const (
 	bindOK         bindResult = iota
 	bindEnded                 // the attempt has ended
-	bindUnwanted              // its deadline has passed, or its answer is not wanted any more
-	bindNotAllowed            // its endpoint must not get new queries
-	bindMoved                 // its endpoint has another address now
-	bindUnusable              // the connection can't be used
-	bindStale                 // its endpoint may be too far behind by now
+	bindUnwanted              // the answer deadline has passed, or the query is not wanted any more
+	bindNotAllowed            // the endpoint must not get new queries
+	bindMoved                 // the endpoint has another address now
+	bindUnusable              // the connection has ended or carries unread bytes
+	bindStale                 // the endpoint may be too far behind by now
 )
 
-// bind binds the attempt to the connection that its query is sent on: the last step
-// before the first byte, and the only one that checks whether it may be sent. What was
-// decided before a dial or a wait may have been overtaken by then.
-func (a *Attempt) bind(c *serverConn) bindResult {
-	dial, ready := c.pool.Directory.Address(c.endpoint)
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// bind binds the attempt to the connection that its query will be sent on. It is the last step before the first byte is
+// written and the only place that checks whether the query may be sent: conditions that held before a dial or a wait
+// may have changed since.
+func (attempt *Attempt) bind(conn *serverConn) bindResult {
+	address, ready := conn.pool.Directory.Address(conn.endpoint)
+	attempt.mu.Lock()
+	defer attempt.mu.Unlock()
 	now := time.Now()
 	switch {
-	case a.ended:
+	case attempt.ended:
 		return bindEnded
 	case !ready:
 		return bindNotAllowed
-	case !now.Before(a.deadlines.Answer) || a.stillWanted != nil && !a.stillWanted():
+	case !now.Before(attempt.deadlines.Answer) || attempt.stillWanted != nil && !attempt.stillWanted():
 		return bindUnwanted
-	case dial != c.address:
+	case address != conn.address:
 		return bindMoved
-	case !a.deadlines.Fresh.IsZero() && now.After(a.deadlines.Fresh):
+	case !attempt.deadlines.Fresh.IsZero() && now.After(attempt.deadlines.Fresh):
 		return bindStale
 	}
-	invariant.Check(a.conn == nil, "an attempt is sent once")
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.unsolicited || c.closed || c.hasUnread() {
+	invariant.Check(attempt.conn == nil, "an attempt is bound to one connection at a time")
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.unsolicited || conn.closed || conn.hasUnread() {
 		return bindUnusable
 	}
-	a.conn = c
-	invariant.Check(c.current == nil, "a connection carries one request at a time")
-	c.current, c.sentAt = a, now
+	attempt.conn = conn
+	invariant.Check(conn.current == nil, "a connection carries one request at a time")
+	conn.current, conn.sentAt = attempt, now
 	return bindOK
 }
 
-// unbind frees the attempt from a connection that did not take its query completely; it
-// says whether the attempt goes on.
-func (a *Attempt) unbind() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.conn = nil
-	return !a.ended
+// unbind detaches the attempt from a connection on which its query was not written completely. It reports whether the
+// attempt is still running.
+func (attempt *Attempt) unbind() bool {
+	attempt.mu.Lock()
+	defer attempt.mu.Unlock()
+	attempt.conn = nil
+	return !attempt.ended
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -14,24 +14,24 @@
 	"lotushook/policy/balance"
 )
 
-// MaxMessageBytes is the longest message taken from a data server. Values are said to have 64 KiB at most, but complete
-// ones of 400 KB were seen; what the buffers take together is bounded by a quota.
+// MaxMessageBytes is the longest message accepted from a data server. Values are specified to have at most 64 KiB, but
+// complete ones of 400 KB were seen. A quota limits the total size of all buffers.
 const MaxMessageBytes = 1 << 20
 
-// maxAnswerBytes: what comes beside a value is short; beyond these bytes an answer has no end, and reading on would take
-// the time of other requests.
+// maxAnswerBytes is the longest answer accepted. Apart from the value its messages are short; reading on would let a
+// server that never stops sending use the time of other requests.
 const maxAnswerBytes = MaxMessageBytes + 64<<10
 
 var (
-	errUnsolicited = errors.New("the data server sent what was not requested")
-	errUnwanted    = errors.New("no time is left, or nobody waits for it")
-	errTooLong     = fmt.Errorf("%w: what has no end", pgwire.ErrMalformed)
-	errDraining    = errors.New("the endpoint drains")
-	errStale       = errors.New("what is known of the endpoint's position is too old for the read by now")
+	errUnsolicited = errors.New("the data server sent unsolicited bytes")
+	errUnwanted    = errors.New("the deadline has passed or the query is no longer wanted")
+	errTooLong     = fmt.Errorf("%w: answer too long", pgwire.ErrMalformed)
+	errDraining    = errors.New("the endpoint is draining")
+	errStale       = errors.New("the known position of the endpoint has become too old for this read")
 )
 
-// serverConn is one connection to a data server. Its goroutine dials, and then reads for as long as the connection lives,
-// so that its end is seen while it idles.
+// serverConn is one connection to a data server. Its goroutine dials and then reads until the connection ends, so that
+// the end of an idle connection is detected too.
 type serverConn struct {
 	pool      *Pool
 	endpoint  balance.EndpointID
@@ -42,98 +42,98 @@
 	connReader
 	connWriter
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	socket      net.Conn
 	rawSocket   syscall.RawConn // of socket
-	current     *Attempt        // being made on this connection
-	sentAt      time.Time       // since when
-	unsolicited bool            // bytes came while there was no attempt
+	current     *Attempt        // the attempt whose answer is awaited; nil while idle
+	sentAt      time.Time       // when the query of current was sent
+	unsolicited bool            // bytes arrived while there was no attempt
 	closed      bool
 }
 
-// connReader belongs to the connection's goroutine.
+// connReader holds the fields that only the connection's goroutine uses.
 type connReader struct {
 	in          *ringbuffer.Buffer
-	previousRow uint64 // the hash of the row of the answer before
+	previousRow uint64 // hash of the previous answer
 }
 
-// connWriter belongs to whoever writes a query.
+// connWriter holds the fields that the goroutine that writes a query uses.
 type connWriter struct {
 	out *ringbuffer.Buffer
-	// For each attempt that is bound to the connection, once: whether its query went out complete. Who writes it may be
-	// another goroutine than the one that reads, and what is read tells nothing of a query that was not there.
+	// Gets one value for each attempt bound to the connection: whether its query was written completely. The writer may
+	// be another goroutine than the reader, and bytes read before the query was complete are not its answer.
 	written chan bool
 }
 
-func newServerConn(p *Pool, endpoint balance.EndpointID, address string) *serverConn {
+func newServerConn(pool *Pool, endpoint balance.EndpointID, address string) *serverConn {
 	return &serverConn{
-		pool:       p,
+		pool:       pool,
 		endpoint:   endpoint,
 		address:    address,
-		connReader: connReader{in: ringbuffer.New(MaxMessageBytes).Within(p.ReadQuota)},
+		connReader: connReader{in: ringbuffer.New(MaxMessageBytes).Within(pool.ReadQuota)},
 		connWriter: connWriter{out: ringbuffer.New(MaxMessageBytes), written: make(chan bool, 1)},
 	}
 }
 
-// close ends the connection; the goroutine sees it and cleans up.
-func (c *serverConn) close() {
-	c.mu.Lock()
-	c.closed = true
-	socket := c.socket
-	c.mu.Unlock()
-	if socket != nil { // without the lock: it waits for the goroutine that reads, which takes it
+// close closes the connection. Its goroutine notices that and cleans up.
+func (conn *serverConn) close() {
+	conn.mu.Lock()
+	conn.closed = true
+	socket := conn.socket
+	conn.mu.Unlock()
+	if socket != nil { // without holding the lock: closing waits for the reading goroutine, which locks it
 		closeQuietly(socket)
 	}
 }
 
-// closeQuietly closes what nobody wants to hear of any more: an error says only that it has ended already.
+// closeQuietly closes a connection whose error is of no interest: it only says that the connection has already ended.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
-// release closes the connection, forgets it, and gives its descriptor back, once.
-func (c *serverConn) release() {
-	c.close()
-	c.pool.remove(c)
-	c.released.Do(c.pool.Descriptors.Hangup)
+// release closes the connection, removes it from the pool and returns its descriptor, once.
+func (conn *serverConn) release() {
+	conn.close()
+	conn.pool.remove(conn)
+	conn.released.Do(conn.pool.Descriptors.Hangup)
 }
 
-// run is the life of the connection.
-func (c *serverConn) run(first *Attempt) {
-	defer c.release()
-	defer c.in.Free()
-	result := c.connect(first)
-	c.pool.Metrics.Add(dialCounter(result.Outcome))
+// run is the connection's goroutine.
+func (conn *serverConn) run(first *Attempt) {
+	defer conn.release()
+	defer conn.in.Free()
+	result := conn.connect(first)
+	conn.pool.Metrics.Add(dialCounter(result.Outcome))
 	if result.Outcome != balance.Succeeded {
-		c.close()
+		conn.close()
 		first.finish(result)
 		return
 	}
-	c.send(first)
-	for c.serveNext() {
+	conn.send(first)
+	for conn.serveNext() {
 	}
 }
 
-// serveNext reads one answer and hands it to its attempt. It says whether the connection goes on.
-func (c *serverConn) serveNext() bool {
-	attempt, result, keep := c.readAnswer()
-	if attempt == nil { // idle, and ended or in doubt
+// serveNext reads one answer and delivers it to its attempt. It reports whether the connection may carry another.
+func (conn *serverConn) serveNext() bool {
+	attempt, result, keep := conn.readAnswer()
+	if attempt == nil { // an idle connection has ended or sent unsolicited bytes
 		return false
 	}
 	if !keep {
-		c.close()
+		conn.close()
 	}
-	if !c.awaitWrite() { // who writes sees to the attempt
+	if !conn.awaitWrite() { // the writer finishes or reassigns the attempt
 		return false
 	}
 	if !keep {
 		attempt.finish(result)
 		return false
 	}
-	c.mu.Lock()
-	c.current = nil
-	c.mu.Unlock()
-	c.in.Idle()
-	c.socket.SetReadDeadline(time.Time{})
-	pooled := c.pool.putIdle(c) // before the result is known, so that the next attempt finds it
+	conn.mu.Lock()
+	conn.current = nil
+	conn.mu.Unlock()
+	conn.in.Idle()
+	conn.socket.SetReadDeadline(time.Time{})
+	pooled := conn.pool.putIdle(conn) // before the result is delivered, so that the next attempt finds the connection
 	attempt.finish(result)
 	return pooled
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -15,9 +15,9 @@
 	"lotushook/policy/balance"
 )
 
-// maxWelcomeBytes: what comes before the first query is short; beyond these bytes it has no end, and reading on would
-// take the time of other requests.
-const maxWelcomeBytes = 64 << 10
+// maxStartupBytes limits the messages before the first query, which are short; reading on would let a server that never
+// stops sending use the time of other requests.
+const maxStartupBytes = 64 << 10
 
 const (
 	user     = "worker"
@@ -25,137 +25,139 @@
 )
 
 var (
-	errNoDialTurn   = errors.New("no turn to dial")
-	errAsksPassword = errors.New("asked to authenticate")
+	errDialNotPermitted = errors.New("no dial permitted before the connect deadline")
+	errPasswordRequired = errors.New("the data server requires authentication")
 )
 
-// dialFor starts a new connection and gives it its first attempt.
-func (p *Pool) dialFor(a *Attempt, address string) {
+// dialFor creates a connection for an attempt and dials in its own goroutine.
+func (pool *Pool) dialFor(attempt *Attempt, address string) {
 	delay := time.Duration(0)
-	if p.DialDelay != nil {
-		longest := time.Until(a.deadlines.Connect) / 2 // the other half is for the dial
+	if pool.DialDelay != nil {
+		maxDelay := time.Until(attempt.deadlines.Connect) / 2 // the other half is left for the dial
 		var ok bool
-		if delay, ok = p.DialDelay(longest); !ok {
-			a.finish(Result{Outcome: outcomeNotSent, Err: errNoDialTurn})
+		if delay, ok = pool.DialDelay(maxDelay); !ok {
+			attempt.finish(Result{Outcome: outcomeNotSent, Err: errDialNotPermitted})
 			return
 		}
 	}
-	if !p.takeDescriptor() {
-		slog.Warn("no descriptor free for a data server", "endpoint", a.endpoint)
-		p.Metrics.Add(metrics.DialsWithoutDescriptor)
-		a.finish(Result{Outcome: outcomeNotSent})
+	if !pool.reserveDescriptor() {
+		slog.Warn("no file descriptor available for a data server connection", "endpoint", attempt.endpoint)
+		pool.Metrics.Add(metrics.DialsWithoutDescriptor)
+		attempt.finish(Result{Outcome: outcomeNotSent})
 		return
 	}
-	c := newServerConn(p, a.endpoint, address)
-	c.dialDelay = delay
-	if !p.add(c) {
-		p.Descriptors.Hangup()
-		a.finish(Result{Outcome: outcomeNotSent})
+	conn := newServerConn(pool, attempt.endpoint, address)
+	conn.dialDelay = delay
+	if !pool.add(conn) {
+		pool.Descriptors.Hangup()
+		attempt.finish(Result{Outcome: outcomeNotSent})
 		return
 	}
-	go c.run(a)
+	go conn.run(attempt)
 }
 
-// takeDescriptor takes a descriptor for a connection, closing an idle one if there is no other.
-func (p *Pool) takeDescriptor() bool {
-	return p.Descriptors.Dial() || p.EvictIdle() && p.Descriptors.Dial()
+// reserveDescriptor reserves a file descriptor for a connection, closing an idle connection if none is free.
+func (pool *Pool) reserveDescriptor() bool {
+	return pool.Descriptors.Dial() || pool.EvictIdle() && pool.Descriptors.Dial()
 }
 
-// connect dials and starts a session; the outcome is balance.Succeeded, or why not.
-func (c *serverConn) connect(a *Attempt) Result {
-	last := time.Now().Add(c.pool.ConnectTimeout)
-	if a.deadlines.Connect.Before(last) {
-		last = a.deadlines.Connect
+// connect dials and starts a session. The outcome is balance.Succeeded or the reason for the failure.
+func (conn *serverConn) connect(attempt *Attempt) Result {
+	deadline := time.Now().Add(conn.pool.ConnectTimeout)
+	if attempt.deadlines.Connect.Before(deadline) {
+		deadline = attempt.deadlines.Connect
 	}
-	ctx, stop := context.WithDeadline(a.dialContext, last)
+	ctx, stop := context.WithDeadline(attempt.dialContext, deadline)
 	defer stop()
-	if c.dialDelay > 0 {
+	if conn.dialDelay > 0 {
 		select {
-		case <-time.After(c.dialDelay):
-		case <-ctx.Done(): // the endpoint has no part in it
-			return Result{Outcome: outcomeNotSent, Err: errNoDialTurn}
+		case <-time.After(conn.dialDelay):
+		case <-ctx.Done(): // the endpoint was not contacted
+			return Result{Outcome: outcomeNotSent, Err: errDialNotPermitted}
 		}
 	}
-	socket, err := c.dial(ctx)
+	socket, err := conn.dial(ctx)
 	switch {
 	case fdlimit.Exhausted(err):
 		return Result{Outcome: outcomeNotSent, Err: err}
 	case err != nil:
 		return Result{Outcome: balance.ConnectionRefused, Err: err}
 	}
-	if err := c.setSocket(socket); err != nil {
+	if err := conn.setSocket(socket); err != nil {
 		closeQuietly(socket)
 		return Result{Outcome: balance.ConnectionRefused, Err: err}
 	}
-	inTime := context.AfterFunc(ctx, func() { _ = socket.SetDeadline(time.Unix(1, 0)) }) // or it has ended
-	defer inTime()
-	result := c.startSession()
-	if result.Outcome == balance.Succeeded && !inTime() { // its deadline is spoilt
+	// The error is ignored: SetDeadline fails only on a closed socket.
+	cancelExpiry := context.AfterFunc(ctx, func() { _ = socket.SetDeadline(time.Unix(1, 0)) })
+	defer cancelExpiry()
+	result := conn.startSession()
+	if result.Outcome == balance.Succeeded && !cancelExpiry() { // the socket deadline has been set to the past
 		return Result{Outcome: balance.ConnectionRefused, Err: context.DeadlineExceeded}
 	}
 	return result
 }
 
-// dial dials once, and once more if an idle connection could be closed for want of a descriptor.
-func (c *serverConn) dial(ctx context.Context) (*net.TCPConn, error) {
-	socket, err := dialTCP(ctx, c.address)
+// dial dials, and retries once if the system had no descriptor left and an idle connection could be closed.
+func (conn *serverConn) dial(ctx context.Context) (*net.TCPConn, error) {
+	socket, err := dialTCP(ctx, conn.address)
 	if !fdlimit.Exhausted(err) {
 		return socket, err
 	}
-	if c.pool.OutOfDescriptors != nil { // the count said otherwise
-		c.pool.OutOfDescriptors()
+	if conn.pool.OutOfDescriptors != nil { // although the budget had one left
+		conn.pool.OutOfDescriptors()
 	}
-	if !c.pool.EvictIdle() {
+	if !conn.pool.EvictIdle() {
 		return nil, err
 	}
-	return dialTCP(ctx, c.address)
+	return dialTCP(ctx, conn.address)
 }
 
-// setSocket gives the connection its socket, unless it was closed meanwhile.
-func (c *serverConn) setSocket(socket *net.TCPConn) error {
+// setSocket sets the socket of the connection; it returns net.ErrClosed if the connection was closed in the meantime.
+func (conn *serverConn) setSocket(socket *net.TCPConn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.socket, c.rawSocket = socket, raw
-	if c.closed {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.socket, conn.rawSocket = socket, raw
+	if conn.closed {
 		return net.ErrClosed
 	}
 	return nil
 }
 
 // startSession sends the startup message and reads up to the first ReadyForQuery.
-func (c *serverConn) startSession() Result {
-	if _, err := c.socket.Write(pgwire.AppendStartup(nil, user, database)); err != nil {
+func (conn *serverConn) startSession() Result {
+	if _, err := conn.socket.Write(pgwire.AppendStartup(nil, user, database)); err != nil {
 		return Result{Outcome: balance.ConnectionRefused, Err: err}
 	}
 	for received := 0; ; {
-		message, err := c.nextMessage()
+		message, err := conn.nextMessage()
 		if err != nil {
 			return Result{Outcome: balance.ConnectionRefused, Err: err}
 		}
-		if received += message.Size; received > maxWelcomeBytes {
+		if received += message.Size; received > maxStartupBytes {
 			return Result{Outcome: balance.ConnectionRefused, Err: errTooLong}
 		}
-		result := welcomeResult(message)
+		result := startupResult(message)
 		if result.Outcome == balance.Busy || result.Err != nil {
 			return result
 		}
-		c.in.Discard(message.Size)
+		conn.in.Discard(message.Size)
 		if result.Outcome != balance.Succeeded {
 			continue
 		}
-		if c.in.Len() > 0 {
+		if conn.in.Len() > 0 {
 			return Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited}
 		}
 		return result
 	}
 }
 
-// welcomeResult is what a message before the first query says of the connection; no outcome: it goes on.
-func welcomeResult(message pgwire.Message) Result {
+// startupResult returns the result that a message before the first query implies. The zero Result means that more
+// messages follow.
+func startupResult(message pgwire.Message) Result {
 	switch message.Kind {
 	case pgwire.ReadyForQuery:
 		return Result{Outcome: balance.Succeeded}
@@ -165,18 +167,18 @@
 		if pgwire.IsAuthOK(message.Body) {
 			return Result{}
 		}
-		return Result{Outcome: balance.ConnectionRefused, Err: errAsksPassword}
+		return Result{Outcome: balance.ConnectionRefused, Err: errPasswordRequired}
 	case pgwire.ErrorResponse:
 		code, err := pgwire.ErrorCode(message.Body)
 		if err == nil && code == pgwire.CodeTooManyConnections {
 			return Result{Outcome: balance.Busy}
 		}
-		return Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("error %s at the start: %w", code, err)}
+		return Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("error %s during startup: %w", code, err)}
 	}
-	return Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("%w: %q at the start", pgwire.ErrMalformed, message.Kind)}
+	return Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("%w: unexpected message %q during startup", pgwire.ErrMalformed, message.Kind)}
 }
 
-// dialCounter is how connect's outcome counts.
+// dialCounter returns the counter for the outcome of connect.
 func dialCounter(outcome balance.Outcome) metrics.Counter {
 	switch outcome {
 	case balance.Succeeded:
@@ -189,7 +191,7 @@
 	return metrics.DialsFailed
 }
 
-// dialTCP connects to an address; whoever calls has taken the descriptor for it.
+// dialTCP connects to an address. The caller must have reserved a descriptor.
 func dialTCP(ctx context.Context, address string) (*net.TCPConn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/backend/endless_test.go
+++ b/internal/backend/endless_test.go
@@ -7,35 +7,35 @@
 	"lotushook/policy/balance"
 )
 
-// What a data server says without an end, before its welcome is over, before a value or behind it, is cut off long before
-// its request's time is over; nothing of it is served.
+// A data server that never stops sending, during the handshake, before a value or after it, is cut off long before the
+// attempt's deadline, and none of it is served.
 func TestEndless(t *testing.T) {
 	notice := `send s N "` + strings.Repeat("x", 16<<10) + `"`
-	const most = 512 // notices: 8 MB
-	for _, c := range []struct {
+	const maxNotices = 512 // 8 MiB in total
+	for _, tc := range []struct {
 		start string
 		want  balance.Outcome
 	}{
 		{"wait s\nexpect s startup", balance.ConnectionRefused},
-		{greeted, balance.ConnectionReset},
-		{greeted + `send s T`, balance.ConnectionReset},
-		{greeted + `send s T | D "v" | C`, balance.ConnectionReset},
-		{greeted + `send s E 25006`, balance.ConnectionReset},
+		{handshakeAndQuery, balance.ConnectionReset},
+		{handshakeAndQuery + `send s T`, balance.ConnectionReset},
+		{handshakeAndQuery + `send s T | D "v" | C`, balance.ConnectionReset},
+		{handshakeAndQuery + `send s E 25006`, balance.ConnectionReset},
 	} {
-		s, p, _ := stage(t, 1024)
-		a := p.try()
-		s.Play(c.start)
+		network, pool, _ := newTestPool(t, 1024)
+		attempt := pool.try()
+		network.Play(tc.start)
 		sent := 0
-		for sent < most && s.Try(notice) == nil {
+		for sent < maxNotices && network.Try(notice) == nil {
 			sent++
 		}
-		if sent == most {
-			t.Errorf("%q: all of it was read", c.start)
-			a.Abort(balance.TimedOut)
+		if sent == maxNotices {
+			t.Errorf("%q: all notices were read", tc.start)
+			attempt.Abort(balance.TimedOut)
 			continue
 		}
-		if res := <-a.Done(); res.Outcome != c.want {
-			t.Errorf("%q: outcome %d, %v", c.start, res.Outcome, res.Err)
+		if res := <-attempt.Done(); res.Outcome != tc.want {
+			t.Errorf("%q: outcome %d, %v", tc.start, res.Outcome, res.Err)
 		}
 	}
 }
--- a/internal/backend/laststep_test.go
+++ b/internal/backend/laststep_test.go
@@ -13,293 +13,298 @@
 	"lotushook/policy/balance"
 )
 
-// served is an answer that leaves its connection for the next query.
-const served = `send s T | D "v" | C | Z`
+// answerOK is a successful answer that leaves its connection ready for the next query.
+const answerOK = `send s T | D "v" | C | Z`
 
-func query(text string) func(io.Writer) error {
+func writeQuery(text string) func(io.Writer) error {
 	return func(w io.Writer) error {
 		_, err := w.Write(pgwire.AppendQuery(nil, text))
 		return err
 	}
 }
 
-// only is the one connection of a pool.
-func only(t *testing.T, p *Pool) *serverConn {
+// onlyConn returns the only connection of a pool.
+func onlyConn(t *testing.T, pool *Pool) *serverConn {
 	t.Helper()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.all {
-		if len(p.all) == 1 {
-			return c
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for conn := range pool.all {
+		if len(pool.all) == 1 {
+			return conn
 		}
 	}
-	t.Fatalf("%d connections", len(p.all))
+	t.Fatalf("%d connections, want 1", len(pool.all))
 	return nil
 }
 
-func await(t *testing.T, what string, is func() bool) {
+// waitFor waits until a condition holds, and fails the test after 30 seconds.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting: " + what)
 		}
 	}
 }
 
-// deadlinesIn are those of an attempt that nothing but its span, and the position that justified it, bound.
-func deadlinesIn(span, fresh time.Duration) Deadlines {
-	d := Deadlines{Connect: time.Now().Add(time.Hour), Answer: time.Now().Add(span)}
+// newDeadlines returns deadlines for an answer within timeout, with an hour to connect. If fresh is not 0, the known
+// position of the endpoint becomes too old after it.
+func newDeadlines(timeout, fresh time.Duration) Deadlines {
+	deadlines := Deadlines{Connect: time.Now().Add(time.Hour), Answer: time.Now().Add(timeout)}
 	if fresh > 0 {
-		d.Fresh = time.Now().Add(fresh)
+		deadlines.Fresh = time.Now().Add(fresh)
 	}
-	return d
+	return deadlines
 }
 
-// What happens after an attempt has got its connection, dialled or rested, and before the first byte of its query still
-// counts: nothing is written then, and the outcome says that nothing ran. The connection is as good as before.
+// Conditions that change after an attempt has got a new or an idle connection, but before the first byte of its query
+// is sent, must still be honored: nothing is written, the outcome says that the query did not run, and the connection
+// remains usable.
 func TestLastStep(t *testing.T) {
-	const position = 200 * time.Millisecond // until it is too old for the read, where there is one
-	for _, c := range []struct {
-		name string
-		late func(d *directory, unwanted *atomic.Bool)
-		span time.Duration // of the attempt
-		want balance.Outcome
+	const position = 200 * time.Millisecond // how long the known position remains fresh enough, where the case limits it
+	for _, tc := range []struct {
+		name    string
+		change  func(dir *directory, unwanted *atomic.Bool)
+		timeout time.Duration // of the answer
+		want    balance.Outcome
 
-		fresh time.Duration // what is known of the node is enough for so long; 0: for ever
+		fresh time.Duration // how long the known position of the endpoint is fresh enough; 0: no limit
 	}{
-		{"the node drains", func(d *directory, _ *atomic.Bool) { d.drain() }, time.Hour, balance.Busy, 0},
-		{"nobody waits any more", func(_ *directory, unwanted *atomic.Bool) { unwanted.Store(true) }, time.Hour, balance.NotSent, 0},
-		{"its time is over", func(*directory, *atomic.Bool) { time.Sleep(200 * time.Millisecond) }, 200 * time.Millisecond, balance.NotSent, 0},
-		{"the position that justified it is too old", func(*directory, *atomic.Bool) { time.Sleep(position) }, time.Hour, balance.NotEligible, position},
+		{"the endpoint starts draining", func(dir *directory, _ *atomic.Bool) { dir.drain() }, time.Hour, balance.Busy, 0},
+		{"the query is no longer wanted", func(_ *directory, unwanted *atomic.Bool) { unwanted.Store(true) }, time.Hour, balance.NotSent, 0},
+		{"the answer deadline passes", func(*directory, *atomic.Bool) { time.Sleep(200 * time.Millisecond) }, 200 * time.Millisecond, balance.NotSent, 0},
+		{"the known position becomes too old", func(*directory, *atomic.Bool) { time.Sleep(position) }, time.Hour, balance.NotEligible, position},
 	} {
-		for _, rested := range []bool{false, true} {
-			name := c.name + " during a dial"
-			if rested {
-				name = c.name + " as a connection is taken"
+		for _, reused := range []bool{false, true} {
+			name := tc.name + " during a dial"
+			if reused {
+				name = tc.name + " as an idle connection is reused"
 			}
 			t.Run(name, func(t *testing.T) {
-				s, p, d := stage(t, 1024)
+				network, pool, dir := newTestPool(t, 1024)
 				var unwanted atomic.Bool
-				if rested {
-					a := p.try()
-					s.Play(greeted + served)
-					<-a.Done()
+				if reused {
+					attempt := pool.try()
+					network.Play(handshakeAndQuery + answerOK)
+					<-attempt.Done()
 				}
-				word := query("late")
-				a := p.Start(1, deadlinesIn(c.span, c.fresh), func(w io.Writer) error {
-					if rested {
-						c.late(d, &unwanted)
+				writeLate := writeQuery("late")
+				attempt := pool.Start(1, newDeadlines(tc.timeout, tc.fresh), func(w io.Writer) error {
+					if reused {
+						tc.change(dir, &unwanted)
 					}
-					return word(w)
+					return writeLate(w)
 				}, func() bool { return !unwanted.Load() })
-				if !rested {
-					s.Play("wait s\nexpect s startup")
-					c.late(d, &unwanted)
-					s.Play("send s welcome")
+				if !reused {
+					network.Play("wait s\nexpect s startup")
+					tc.change(dir, &unwanted)
+					network.Play("send s welcome")
 				}
-				if res := <-a.Done(); res.Outcome != c.want {
+				if res := <-attempt.Done(); res.Outcome != tc.want {
 					t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 				}
-				await(t, "the connection is back", func() bool { return p.Idle() == 1 })
-				d.mu.Lock()
-				d.drains = false
-				d.mu.Unlock()
-				a = p.try()
-				s.Play("expect s Q \"A\"\n" + served)
-				if res := <-a.Done(); res.Outcome != balance.Succeeded {
-					t.Errorf("the next one: outcome %d, %v", res.Outcome, res.Err)
+				waitFor(t, "the connection is idle again", func() bool { return pool.Idle() == 1 })
+				dir.mu.Lock()
+				dir.draining = false
+				dir.mu.Unlock()
+				attempt = pool.try()
+				network.Play("expect s Q \"A\"\n" + answerOK)
+				if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
+					t.Errorf("the next attempt: outcome %d, %v", res.Outcome, res.Err)
 				}
 			})
 		}
 	}
 }
 
-// A node that is told to listen elsewhere while its connection comes up, or is taken, gets the query there: the old address
-// may be another's by now.
+// If an endpoint gets another address while its connection is dialed or reused, the query is sent to the new address:
+// the old one may belong to another server by now.
 func TestMovedAtTheLastStep(t *testing.T) {
-	for _, rested := range []bool{false, true} {
-		s, p, d := stage(t, 1024)
+	for _, reused := range []bool{false, true} {
+		network, pool, dir := newTestPool(t, 1024)
 		other := nettest.New(t, "s")
-		move := func() {
-			d.mu.Lock()
-			d.dial = other.Addr("s")
-			d.mu.Unlock()
+		changeAddress := func() {
+			dir.mu.Lock()
+			dir.address = other.Addr("s")
+			dir.mu.Unlock()
 		}
-		if rested {
-			a := p.try()
-			s.Play(greeted + served)
-			<-a.Done()
+		if reused {
+			attempt := pool.try()
+			network.Play(handshakeAndQuery + answerOK)
+			<-attempt.Done()
 		}
-		end, moved := time.Now().Add(time.Hour), make(chan *Attempt, 1)
+		deadline, started := time.Now().Add(time.Hour), make(chan *Attempt, 1)
 		go func() {
-			moved <- p.Start(1, Deadlines{Connect: end, Answer: end}, func(w io.Writer) error {
-				if rested {
-					move()
+			started <- pool.Start(1, Deadlines{Connect: deadline, Answer: deadline}, func(w io.Writer) error {
+				if reused {
+					changeAddress()
 				}
-				return word(w)
+				return writeQueryA(w)
 			}, nil)
 		}()
-		if !rested {
-			s.Play("wait s\nexpect s startup")
-			move()
-			s.Play("send s welcome")
+		if !reused {
+			network.Play("wait s\nexpect s startup")
+			changeAddress()
+			network.Play("send s welcome")
 		}
-		s.Play("expect s EOF")
-		other.Play(greeted + served)
-		if res := <-(<-moved).Done(); res.Outcome != balance.Succeeded {
-			t.Errorf("rested %v: outcome %d, %v", rested, res.Outcome, res.Err)
+		network.Play("expect s EOF")
+		other.Play(handshakeAndQuery + answerOK)
+		if res := <-(<-started).Done(); res.Outcome != balance.Succeeded {
+			t.Errorf("reused %v: outcome %d, %v", reused, res.Outcome, res.Err)
 		}
 	}
 }
 
-// An attempt that is called off before its connection is up did not run, and the node had no part in that.
+// An attempt that is canceled before its connection is established did not run, and the endpoint was not involved.
 func TestCalledOffDuringDial(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	a := p.try()
-	s.Play("wait s\nexpect s startup")
-	if res := a.Abort(balance.Canceled); res.Outcome != balance.NotSent {
+	network, pool, _ := newTestPool(t, 1024)
+	attempt := pool.try()
+	network.Play("wait s\nexpect s startup")
+	if res := attempt.Abort(balance.Canceled); res.Outcome != balance.NotSent {
 		t.Errorf("outcome %d", res.Outcome)
 	}
-	s.Play("expect s EOF")
+	network.Play("expect s EOF")
 }
 
-// A connection that a data server spoils just as it is taken, with its end or with anything that it says, is not written on:
-// the query goes to another one, as one and the same attempt.
+// If a data server closes an idle connection, or sends anything on it, just as an attempt is about to use it, the query
+// is not written there but sent on another connection, within the same attempt.
 func TestSpoiltAsItIsTaken(t *testing.T) {
-	for _, spoil := range []string{"close s", `send s raw "S\x00"`, `send s FATAL 57P03`, `send s FATAL 53300`, `send s E 53300 | Z`, `send s T | D "w" | C | Z`} {
-		s, p, _ := stage(t, 1024)
-		a := p.try()
-		s.Play(greeted + served)
-		<-a.Done()
-		c := only(t, p)
-		end, spoilt := time.Now().Add(time.Hour), false
-		a = p.Start(1, Deadlines{Connect: end, Answer: end}, func(w io.Writer) error {
-			if !spoilt { // the connection is this attempt's, and not written on
-				spoilt = true
-				s.Play(spoil)
-				await(t, "it has arrived", func() bool { return c.isUnsolicited() || c.hasUnread() })
+	for _, interference := range []string{"close s", `send s raw "S\x00"`, `send s FATAL 57P03`, `send s FATAL 53300`, `send s E 53300 | Z`, `send s T | D "w" | C | Z`} {
+		network, pool, _ := newTestPool(t, 1024)
+		attempt := pool.try()
+		network.Play(handshakeAndQuery + answerOK)
+		<-attempt.Done()
+		conn := onlyConn(t, pool)
+		deadline, interfered := time.Now().Add(time.Hour), false
+		attempt = pool.Start(1, Deadlines{Connect: deadline, Answer: deadline}, func(w io.Writer) error {
+			if !interfered { // the attempt has the connection and has not written yet
+				interfered = true
+				network.Play(interference)
+				waitFor(t, "the interference has arrived", func() bool { return conn.isUnsolicited() || conn.hasUnread() })
 			}
-			return word(w)
+			return writeQueryA(w)
 		}, nil)
-		s.Play(greeted + served)
-		if res := <-a.Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
-			t.Errorf("%s: outcome %d, %q, %v", spoil, res.Outcome, res.Value, res.Err)
+		network.Play(handshakeAndQuery + answerOK)
+		if res := <-attempt.Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
+			t.Errorf("%s: outcome %d, %q, %v", interference, res.Outcome, res.Value, res.Err)
 		}
 	}
 }
 
-// narrow makes a connection hold little of what is not read.
-func narrow(t *testing.T, c *serverConn) {
+// shrinkWriteBuffer makes writes to a connection block early when the peer does not read.
+func shrinkWriteBuffer(t *testing.T, conn *serverConn) {
 	t.Helper()
-	if err := c.socket.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
+	if err := conn.socket.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A connection that ends, or says anything, before the last byte of a query is written has not run it. On one that rested
-// the query goes to another, as the same attempt, whoever hears of the end first.
+// A connection that ends, or carries any message, before the last byte of a query is written has not run the query. If
+// the connection was reused, the query is sent on another one within the same attempt, whether the reader or the writer
+// detects the end first.
 func TestBrokenInTheMiddleOfAQuery(t *testing.T) {
 	large := strings.Repeat("x", 900<<10)
-	for _, end := range []string{"close s", "send s FATAL 57P03\nclose s", `send s E 53300 | Z`, `send s T | D "w" | C | Z`, `send s T | D "w"`} {
-		s, p, _ := stage(t, 1024)
-		p.StallTimeout = 50 * time.Millisecond
-		a := p.try()
-		s.Play(greeted + served)
-		<-a.Done()
-		narrow(t, only(t, p))
-		until, started := time.Now().Add(time.Hour), make(chan *Attempt, 1)
-		go func() { started <- p.Start(1, Deadlines{Connect: until, Answer: until}, query(large), nil) }()
-		s.Play(`expect s raw "Q"` + "\n" + end) // it is on its way, and nobody reads on
-		s.Set("large", large)
-		s.Play("wait s as y\nexpect y startup\nsend y welcome\nexpect y Q \"{large}\"\n" + `send y T | D "v" | C | Z`)
+	for _, interruption := range []string{"close s", "send s FATAL 57P03\nclose s", `send s E 53300 | Z`, `send s T | D "w" | C | Z`, `send s T | D "w"`} {
+		network, pool, _ := newTestPool(t, 1024)
+		pool.StallTimeout = 50 * time.Millisecond
+		attempt := pool.try()
+		network.Play(handshakeAndQuery + answerOK)
+		<-attempt.Done()
+		shrinkWriteBuffer(t, onlyConn(t, pool))
+		limit, started := time.Now().Add(time.Hour), make(chan *Attempt, 1)
+		go func() { started <- pool.Start(1, Deadlines{Connect: limit, Answer: limit}, writeQuery(large), nil) }()
+		network.Play(`expect s raw "Q"` + "\n" + interruption) // the server reads only the first byte of the query
+		network.Set("large", large)
+		network.Play("wait s as y\nexpect y startup\nsend y welcome\nexpect y Q \"{large}\"\n" + `send y T | D "v" | C | Z`)
 		if res := <-(<-started).Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
-			t.Errorf("%s: outcome %d, %q, %v", end, res.Outcome, res.Value, res.Err)
+			t.Errorf("%s: outcome %d, %q, %v", interruption, res.Outcome, res.Value, res.Err)
 		}
 	}
 }
 
-// heldWrite is a connection whose next write is done and does not return before it is let go.
-type heldWrite struct {
+// blockingConn is a connection whose next Write, once hold is set, blocks after writing until free is closed.
+type blockingConn struct {
 	net.Conn
 	hold atomic.Bool
 	done chan struct{}
 	free chan struct{}
 }
 
-func (h *heldWrite) Write(p []byte) (int, error) {
-	n, err := h.Conn.Write(p)
-	if h.hold.Swap(false) {
-		close(h.done)
-		<-h.free
+func (conn *blockingConn) Write(data []byte) (int, error) {
+	n, err := conn.Conn.Write(data)
+	if conn.hold.Swap(false) {
+		close(conn.done)
+		<-conn.free
 	}
 	return n, err
 }
 
-// An answer that overtakes the goroutine that wrote its query must not give the connection to another attempt: what the
-// writer drops at its end would be the other's query, which then never went out and is waited for to the end of its time.
+// An answer that is read before the writer's goroutine has finished must not make the connection available to another
+// attempt: the writer would then discard the other attempt's query, which would wait for its answer until its deadline.
 func TestAnswerOvertakesTheWriter(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	p.StallTimeout = 20 * time.Millisecond
-	a := p.try()
-	s.Play(greeted + served)
-	<-a.Done()
-	c := only(t, p)
-	held := &heldWrite{Conn: c.socket, done: make(chan struct{}), free: make(chan struct{})}
-	held.hold.Store(true)
-	c.mu.Lock()
-	c.socket = held
-	c.mu.Unlock()
+	network, pool, _ := newTestPool(t, 1024)
+	pool.StallTimeout = 20 * time.Millisecond
+	attempt := pool.try()
+	network.Play(handshakeAndQuery + answerOK)
+	<-attempt.Done()
+	conn := onlyConn(t, pool)
+	blocking := &blockingConn{Conn: conn.socket, done: make(chan struct{}), free: make(chan struct{})}
+	blocking.hold.Store(true)
+	conn.mu.Lock()
+	conn.socket = blocking
+	conn.mu.Unlock()
 	first := make(chan *Attempt, 1)
-	go func() { first <- p.try() }()
-	<-held.done
-	s.Play("expect s Q \"A\"\n" + served)
-	closed := func() bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return c.closed
+	go func() { first <- pool.try() }()
+	<-blocking.done
+	network.Play("expect s Q \"A\"\n" + answerOK)
+	isClosed := func() bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		return conn.closed
 	}
-	await(t, "the answer is here", func() bool { return closed() || p.Idle() > 0 })
-	if p.Idle() > 0 {
-		t.Error("a connection is free that is being written on")
+	waitFor(t, "the answer was read", func() bool { return isClosed() || pool.Idle() > 0 })
+	if pool.Idle() > 0 {
+		t.Error("a connection that is still being written to is idle")
 	}
-	close(held.free)
+	close(blocking.free)
 	if res := <-(<-first).Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
 
-// A node that was replaced under its old name listens elsewhere: the connections to the old one are not used again.
+// An endpoint that was replaced under its old name has another address: the connections to the old address are not
+// reused.
 func TestReplacedUnderItsName(t *testing.T) {
-	s, p, d := stage(t, 1024)
+	network, pool, dir := newTestPool(t, 1024)
 	other := nettest.New(t, "s")
-	a := p.try()
-	s.Play(greeted + served)
-	<-a.Done()
-	d.mu.Lock()
-	d.dial = other.Addr("s")
-	d.mu.Unlock()
-	a = p.try()
-	other.Play(greeted + served)
-	if res := <-a.Done(); res.Outcome != balance.Succeeded {
+	attempt := pool.try()
+	network.Play(handshakeAndQuery + answerOK)
+	<-attempt.Done()
+	dir.mu.Lock()
+	dir.address = other.Addr("s")
+	dir.mu.Unlock()
+	attempt = pool.try()
+	other.Play(handshakeAndQuery + answerOK)
+	if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
-	p.retire(time.Time{})
-	s.Play("expect s EOF")
+	pool.retire(time.Time{})
+	network.Play("expect s EOF")
 }
 
-// A node that died and is back on its address: what was open to the one before shows its end as it is taken, and the
-// attempt goes on with the new one.
+// A data server restarted on the same address: the idle connections to the old process are found closed when reused,
+// and the attempt continues on a new connection.
 func TestBackOnItsAddress(t *testing.T) {
-	s, p, _ := stage(t, 1024)
-	a, b := p.try(), p.try()
-	s.Play("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"\n" +
+	network, pool, _ := newTestPool(t, 1024)
+	attempt, second := pool.try(), pool.try()
+	network.Play("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"\n" +
 		`send x T | D "v" | C | Z` + "\n" + `send y T | D "v" | C | Z`)
-	<-a.Done()
-	<-b.Done()
-	s.Play("close x\nclose y")
-	a = p.try()
-	s.Play(greeted + served)
-	if res := <-a.Done(); res.Outcome != balance.Succeeded {
+	<-attempt.Done()
+	<-second.Done()
+	network.Play("close x\nclose y")
+	attempt = pool.try()
+	network.Play(handshakeAndQuery + answerOK)
+	if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend keeps connections to data servers and makes attempts and
-// probes on them. It speaks PostgreSQL as a client and decides nothing.
+// Package backend manages connections to data servers and makes attempts and probes on them. It speaks PostgreSQL as a
+// client and makes no routing decisions.
 package backend
 
 import (
@@ -13,30 +13,29 @@
 	"lotushook/policy/balance"
 )
 
-// Directory resolves endpoints to addresses, and knows which may get new queries.
+// Directory resolves endpoints to addresses and knows which may get new queries.
 type Directory interface {
-	Address(node balance.EndpointID) (dial string, ready bool)
+	Address(endpoint balance.EndpointID) (address string, ready bool)
 }
 
-// Options are a pool's settings.
+// Options configure a pool.
 type Options struct {
 	Directory        Directory
 	Descriptors      *fdlimit.Budget
 	ConnectTimeout   time.Duration
 	IdleClose        time.Duration     // data servers close idle connections after this
-	ReadQuota        *ringbuffer.Quota // bounds the buffered part of answers; nil: no bound
+	ReadQuota        *ringbuffer.Quota // limits the total size of buffered answers; nil: no limit
 	StallTimeout     time.Duration     // an answer that has begun must make progress within this
-	SettleTime       time.Duration     // a connection rests so long after an answer: unsolicited messages are seen by then
-	OutOfDescriptors func()            // called when the system has no descriptor left; nil: not called
-	Metrics          *metrics.Metrics  // counts dials; nil: not counted
-	// DialDelay is called before a dial, which may be made after wait, no longer than most; !ok: it must not be made, and
-	// nothing was sent. nil: at once.
-	DialDelay       func(most time.Duration) (wait time.Duration, ok bool)
-	DuplicateWindow time.Duration // so soon after its query, the same answer again is a duplicate of the previous one
+	SettleTime       time.Duration     // no reuse for this long after an answer, to detect unsolicited messages
+	OutOfDescriptors func()            // called when the system has no descriptor left; may be nil
+	Metrics          *metrics.Metrics  // counts dials; may be nil
+	// DialDelay is called before each dial, which is then delayed by wait, at most maxWait. If ok is false, the dial
+	// must not be made and the query counts as not sent. If it is nil, dials are not delayed.
+	DialDelay       func(maxWait time.Duration) (wait time.Duration, ok bool)
+	DuplicateWindow time.Duration // an answer equal to the previous one within this time after its query is a duplicate
 }
 
-// Pool holds the idle connections to all data servers. It is safe for
-// concurrent use.
+// Pool holds the connections to all data servers. It is safe for concurrent use.
 type Pool struct {
 	Options
 	mu     sync.Mutex
@@ -46,140 +45,140 @@
 }
 
 // NewPool returns a pool without connections.
-func NewPool(o Options) *Pool {
-	return &Pool{Options: o, idle: map[balance.EndpointID][]*serverConn{}, all: map[*serverConn]struct{}{}}
+func NewPool(options Options) *Pool {
+	return &Pool{Options: options, idle: map[balance.EndpointID][]*serverConn{}, all: map[*serverConn]struct{}{}}
 }
 
-// Run retires connections well before the data servers close them, until the
-// context ends; then it closes all.
-func (p *Pool) Run(ctx context.Context) {
-	keep := p.IdleClose / 2
-	tick := time.NewTicker(max(keep/8, 10*time.Millisecond))
-	defer tick.Stop()
+// Run closes idle connections well before the data servers would, until the context ends; then it closes all
+// connections.
+func (pool *Pool) Run(ctx context.Context) {
+	maxIdle := pool.IdleClose / 2
+	ticker := time.NewTicker(max(maxIdle/8, 10*time.Millisecond))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.closeAll()
+			pool.closeAll()
 			return
-		case now := <-tick.C:
-			p.retire(now.Add(-keep))
+		case now := <-ticker.C:
+			pool.retire(now.Add(-maxIdle))
 		}
 	}
 }
 
-func (p *Pool) closeAll() {
-	p.mu.Lock()
-	p.closed = true
+func (pool *Pool) closeAll() {
+	pool.mu.Lock()
+	pool.closed = true
 	var all []*serverConn
-	for c := range p.all {
-		all = append(all, c)
+	for conn := range pool.all {
+		all = append(all, conn)
 	}
-	p.mu.Unlock()
-	for _, c := range all {
-		c.close()
+	pool.mu.Unlock()
+	for _, conn := range all {
+		conn.close()
 	}
 }
 
-// retire closes connections that have been idle since before a time, and all idle
-// connections to endpoints that drain, are gone, or have moved.
-func (p *Pool) retire(before time.Time) {
-	var old []*serverConn
-	p.mu.Lock()
-	for node, list := range p.idle {
-		dial, ready := p.Directory.Address(node)
+// retire closes connections that have been idle since before the given time, and all idle connections to endpoints that
+// are draining, are removed or have another address.
+func (pool *Pool) retire(before time.Time) {
+	var expired []*serverConn
+	pool.mu.Lock()
+	for endpoint, list := range pool.idle {
+		address, ready := pool.Directory.Address(endpoint)
 		var keep []*serverConn
-		for _, c := range list {
-			if !ready || dial != c.address || c.idleAt.Before(before) {
-				old = append(old, c)
+		for _, conn := range list {
+			if !ready || address != conn.address || conn.idleAt.Before(before) {
+				expired = append(expired, conn)
 			} else {
-				keep = append(keep, c)
+				keep = append(keep, conn)
 			}
 		}
-		p.idle[node] = keep
+		pool.idle[endpoint] = keep
 		if len(keep) == 0 {
-			delete(p.idle, node)
+			delete(pool.idle, endpoint)
 		}
 	}
-	p.mu.Unlock()
-	for _, c := range old {
-		c.close()
+	pool.mu.Unlock()
+	for _, conn := range expired {
+		conn.close()
 	}
 }
 
-// takeIdle returns the most recently used idle connection to an endpoint that has settled,
-// if any.
-func (p *Pool) takeIdle(node balance.EndpointID, dial string, now time.Time) *serverConn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	list := p.idle[node]
-	for i := len(list) - 1; i >= 0 && !p.closed; i-- {
-		if c := list[i]; c.address == dial && now.Sub(c.idleAt) >= p.SettleTime {
-			p.removeIdle(c)
-			return c
+// takeIdle removes and returns the most recently used connection to an endpoint that has been idle for the settle time,
+// or nil.
+func (pool *Pool) takeIdle(endpoint balance.EndpointID, address string, now time.Time) *serverConn {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	list := pool.idle[endpoint]
+	for i := len(list) - 1; i >= 0 && !pool.closed; i-- {
+		if conn := list[i]; conn.address == address && now.Sub(conn.idleAt) >= pool.SettleTime {
+			pool.removeIdle(conn)
+			return conn
 		}
 	}
 	return nil
 }
 
 // add registers a new connection, unless the pool is closed.
-func (p *Pool) add(c *serverConn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (pool *Pool) add(conn *serverConn) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.closed {
 		return false
 	}
-	p.all[c] = struct{}{}
+	pool.all[conn] = struct{}{}
 	return true
 }
 
-// putIdle makes a connection available again.
-func (p *Pool) putIdle(c *serverConn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if _, live := p.all[c]; p.closed || !live {
+// putIdle makes a connection available again. It reports false if the connection or the pool has been closed.
+func (pool *Pool) putIdle(conn *serverConn) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if _, live := pool.all[conn]; pool.closed || !live {
 		return false
 	}
-	c.idleAt = time.Now()
-	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
+	conn.idleAt = time.Now()
+	pool.idle[conn.endpoint] = append(pool.idle[conn.endpoint], conn)
 	return true
 }
 
-// remove forgets a closed connection.
-func (p *Pool) remove(c *serverConn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.all, c)
-	p.removeIdle(c)
+// remove removes a closed connection from the pool.
+func (pool *Pool) remove(conn *serverConn) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	delete(pool.all, conn)
+	pool.removeIdle(conn)
 }
 
-// removeIdle takes a connection off the idle list; the lock is held.
-func (p *Pool) removeIdle(c *serverConn) {
-	list := p.idle[c.endpoint]
-	for i, x := range list {
-		if x == c {
+// removeIdle removes a connection from the idle list. The caller holds the lock.
+func (pool *Pool) removeIdle(conn *serverConn) {
+	list := pool.idle[conn.endpoint]
+	for i, idle := range list {
+		if idle == conn {
 			list = append(list[:i], list[i+1:]...)
 			break
 		}
 	}
-	if p.idle[c.endpoint] = list; len(list) == 0 {
-		delete(p.idle, c.endpoint)
+	if pool.idle[conn.endpoint] = list; len(list) == 0 {
+		delete(pool.idle, conn.endpoint)
 	}
 }
 
-// EvictIdle closes the connection that has been idle longest, so that its
-// descriptor comes free; false means that none was idle.
-func (p *Pool) EvictIdle() bool {
-	p.mu.Lock()
+// EvictIdle closes the connection that has been idle longest and so frees its descriptor. It reports false if no
+// connection was idle.
+func (pool *Pool) EvictIdle() bool {
+	pool.mu.Lock()
 	var oldest *serverConn
-	for _, list := range p.idle {
+	for _, list := range pool.idle {
 		if oldest == nil || list[0].idleAt.Before(oldest.idleAt) {
 			oldest = list[0]
 		}
 	}
 	if oldest != nil {
-		p.removeIdle(oldest)
+		pool.removeIdle(oldest)
 	}
-	p.mu.Unlock()
+	pool.mu.Unlock()
 	if oldest == nil {
 		return false
 	}
@@ -188,17 +187,17 @@
 }
 
 // Counts returns the number of connections, and how many of them are idle.
-func (p *Pool) Counts() (all, idle int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, list := range p.idle {
+func (pool *Pool) Counts() (all, idle int) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for _, list := range pool.idle {
 		idle += len(list)
 	}
-	return len(p.all), idle
+	return len(pool.all), idle
 }
 
 // Idle returns the number of idle connections.
-func (p *Pool) Idle() int {
-	_, idle := p.Counts()
+func (pool *Pool) Idle() int {
+	_, idle := pool.Counts()
 	return idle
 }
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -8,27 +8,27 @@
 	"lotushook/policy/balance"
 )
 
-// Probe fetches an endpoint's report. It waits for the answer.
-func (p *Pool) Probe(node balance.EndpointID, wait time.Duration) (Result, pgwire.Report) {
-	end := time.Now().Add(wait)
-	a := p.Start(node, Deadlines{Connect: end, Answer: end}, func(w io.Writer) error {
-		_, err := w.Write(pgwire.AppendQuery(nil, "SHOW vitals"))
+// Probe fetches an endpoint's load report. It blocks until the answer arrives or the timeout expires.
+func (pool *Pool) Probe(endpoint balance.EndpointID, timeout time.Duration) (Result, pgwire.Report) {
+	deadline := time.Now().Add(timeout)
+	attempt := pool.Start(endpoint, Deadlines{Connect: deadline, Answer: deadline}, func(out io.Writer) error {
+		_, err := out.Write(pgwire.AppendQuery(nil, "SHOW vitals"))
 		return err
 	}, nil)
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	var res Result
+	var result Result
 	select {
-	case res = <-a.Done():
+	case result = <-attempt.Done():
 	case <-timer.C:
-		res = a.Abort(balance.TimedOut)
+		result = attempt.Abort(balance.TimedOut)
 	}
-	if res.Outcome != balance.Succeeded {
-		return res, pgwire.Report{}
+	if result.Outcome != balance.Succeeded {
+		return result, pgwire.Report{}
 	}
-	rep, err := pgwire.ParseReport(string(res.Value))
+	report, err := pgwire.ParseReport(string(result.Value))
 	if err != nil {
-		res.Outcome, res.Err = balance.Failed, err
+		result.Outcome, result.Err = balance.Failed, err
 	}
-	return res, rep
+	return result, report
 }
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -9,82 +9,80 @@
 	"lotushook/internal/pgwire"
 )
 
-// replyReader reads a data server's messages, solicited or not. Reading
-// and checking whether there is an attempt are one step: otherwise an attempt that
-// begins in between would take an earlier message for its answer.
+// replyReader reads the messages of a data server, solicited or not. It reads and checks for a current attempt under
+// one lock: otherwise an attempt that is bound in between would take earlier bytes for its answer.
 type replyReader struct{ *serverConn }
 
 // Read implements io.Reader.
-func (l replyReader) Read(p []byte) (n int, err error) {
-	heard := false
-	wait := l.rawSocket.Read(func(fd uintptr) bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+func (reader replyReader) Read(p []byte) (n int, err error) {
+	finished := false
+	waitErr := reader.rawSocket.Read(func(fd uintptr) bool {
+		reader.mu.Lock()
+		defer reader.mu.Unlock()
 		n, err = syscall.Read(int(fd), p)
-		heard = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
-		l.unsolicited = l.unsolicited || heard && l.current == nil
-		return heard || errors.Is(err, syscall.EINTR)
+		finished = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+		reader.unsolicited = reader.unsolicited || finished && reader.current == nil
+		return finished || errors.Is(err, syscall.EINTR)
 	})
 	switch {
-	case wait != nil:
-		return 0, wait
+	case waitErr != nil:
+		return 0, waitErr
 	case err != nil:
 		return 0, err
-	case !heard: // interrupted
-		return l.Read(p)
+	case !finished: // interrupted
+		return reader.Read(p)
 	case n == 0:
 		return 0, io.EOF
-	case l.isUnsolicited():
+	case reader.isUnsolicited():
 		return 0, errUnsolicited
 	}
 	return n, nil
 }
 
 // nextMessage waits for the next complete message.
-func (c *serverConn) nextMessage() (pgwire.Message, error) {
+func (conn *serverConn) nextMessage() (pgwire.Message, error) {
 	for {
-		m, err := pgwire.Next(c.in)
+		message, err := pgwire.Next(conn.in)
 		if !errors.Is(err, pgwire.ErrShort) {
-			return m, err
+			return message, err
 		}
-		if err := c.in.Fill(c.socket); err != nil {
-			return m, err
+		if err := conn.in.Fill(conn.socket); err != nil {
+			return message, err
 		}
 	}
 }
 
-// nextReply returns the next message of an answer: none may come without an attempt, and
-// an answer that has begun must make progress.
-func (c *serverConn) nextReply(begun bool) (pgwire.Message, error) {
+// nextReply returns the next message of an answer. Bytes that arrive without an attempt are an error, and once an
+// answer has begun, each read must finish within the stall timeout.
+func (conn *serverConn) nextReply(begun bool) (pgwire.Message, error) {
 	for {
-		m, err := pgwire.Next(c.in)
+		message, err := pgwire.Next(conn.in)
 		if !errors.Is(err, pgwire.ErrShort) {
-			return m, err
+			return message, err
 		}
-		if begun = begun || c.in.Len() > 0; begun {
-			c.socket.SetReadDeadline(time.Now().Add(c.pool.StallTimeout))
+		if begun = begun || conn.in.Len() > 0; begun {
+			conn.socket.SetReadDeadline(time.Now().Add(conn.pool.StallTimeout))
 		}
-		if err := c.in.Fill(replyReader{c}); err != nil {
-			return m, err
+		if err := conn.in.Fill(replyReader{conn}); err != nil {
+			return message, err
 		}
 	}
 }
 
-func (c *serverConn) isUnsolicited() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.unsolicited
+func (conn *serverConn) isUnsolicited() bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return conn.unsolicited
 }
 
-// hasUnread says whether bytes or the connection's end wait to be read, which the
-// connection's goroutine has not processed yet: whatever they are, they are not the
-// answer to a query that was not sent yet.
-func (c *serverConn) hasUnread() bool {
-	waits := false
-	err := c.rawSocket.Control(func(fd uintptr) {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = !errors.Is(err, syscall.EAGAIN)
+// hasUnread reports whether bytes, or the end of the connection, are waiting that the connection's goroutine has not
+// read yet. They can't be the answer to a query that has not been sent.
+func (conn *serverConn) hasUnread() bool {
+	unread := false
+	err := conn.rawSocket.Control(func(fd uintptr) {
+		var probe [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		unread = !errors.Is(err, syscall.EAGAIN)
 	})
-	return waits || err != nil
+	return unread || err != nil
 }
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -10,93 +10,94 @@
 	"lotushook/policy/balance"
 )
 
-// send writes an attempt's query, unless bind finds that it may not.
-func (c *serverConn) send(a *Attempt) {
-	err := a.writeQuery(c.out) // before bind, so that nothing lies between that and the first byte
+// send writes an attempt's query, unless bind finds that it must not be sent.
+func (conn *serverConn) send(attempt *Attempt) {
+	err := attempt.writeQuery(conn.out) // before bind, so that the first byte follows its checks at once
 	if err != nil {
-		c.discardQuery()
-		c.returnToPool()
-		a.finish(Result{Outcome: outcomeNotSent, Err: fmt.Errorf("write: %w", err)})
+		conn.discardQuery()
+		conn.returnToPool()
+		attempt.finish(Result{Outcome: outcomeNotSent, Err: fmt.Errorf("write: %w", err)})
 		return
 	}
-	if bound := a.bind(c); bound != bindOK {
-		c.discardQuery()
-		c.refuse(a, bound)
+	if bound := attempt.bind(conn); bound != bindOK {
+		conn.discardQuery()
+		conn.reject(attempt, bound)
 		return
 	}
-	c.socket.SetWriteDeadline(a.deadlines.Answer)
-	_, err = c.out.WriteTo(c.socket)
-	complete := c.out.Len() == 0
-	c.discardQuery()
+	conn.socket.SetWriteDeadline(attempt.deadlines.Answer)
+	_, err = conn.out.WriteTo(conn.socket)
+	complete := conn.out.Len() == 0
+	conn.discardQuery()
 	if complete {
-		c.written <- true
+		conn.written <- true
 		return
 	}
-	c.close()
-	open := a.unbind()
-	c.written <- false
+	conn.close()
+	running := attempt.unbind()
+	conn.written <- false
 	switch {
-	case !open:
-	case c.hasServed() && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.pool.assign(a) // nothing ran: it is another connection's turn
+	case !running:
+	case conn.hasServed() && !errors.Is(err, os.ErrDeadlineExceeded):
+		conn.pool.assign(attempt) // the incomplete query did not run; use another connection
 	default:
-		a.finish(Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("write: %w", err)})
+		attempt.finish(Result{Outcome: balance.ConnectionRefused, Err: fmt.Errorf("write: %w", err)})
 	}
 }
 
-// hasServed says whether the connection was idle before, rather than new.
-func (c *serverConn) hasServed() bool { return !c.idleAt.IsZero() }
+// hasServed reports whether the connection has already been idle, and so is not a new one.
+func (conn *serverConn) hasServed() bool { return !conn.idleAt.IsZero() }
 
-// refuse ends an attempt that was not bound, or finds it another connection; nothing was written for it.
-func (c *serverConn) refuse(a *Attempt, bound bindResult) {
+// reject finishes an attempt that was not bound, or assigns it to another connection. Nothing was written for it.
+func (conn *serverConn) reject(attempt *Attempt, bound bindResult) {
 	switch bound {
 	case bindMoved:
-		c.close()
-		c.pool.assign(a)
+		conn.close()
+		conn.pool.assign(attempt)
 		return
 	case bindUnusable:
-		c.close()
-		if c.hasServed() {
-			c.pool.assign(a)
+		conn.close()
+		if conn.hasServed() {
+			conn.pool.assign(attempt)
 		} else {
-			a.finish(Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited})
+			attempt.finish(Result{Outcome: balance.ConnectionRefused, Err: errUnsolicited})
 		}
 		return
 	}
-	c.returnToPool()
+	conn.returnToPool()
 	switch bound {
 	case bindUnwanted:
-		a.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
+		attempt.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
 	case bindStale:
-		c.pool.Metrics.Add(metrics.TooOldRead)
-		a.finish(Result{Outcome: balance.NotEligible, Err: errStale})
+		conn.pool.Metrics.Add(metrics.TooOldRead)
+		attempt.finish(Result{Outcome: balance.NotEligible, Err: errStale})
 	case bindNotAllowed:
-		a.finish(Result{Outcome: balance.Busy, Err: errDraining})
+		attempt.finish(Result{Outcome: balance.Busy, Err: errDraining})
 	}
 }
 
-// awaitWrite waits for the end of the writing of a query, and says whether all of it went out: whatever came back of one
-// that did not was no answer to it. A server that answers and does not take the rest is not waited for long.
-func (c *serverConn) awaitWrite() bool {
+// awaitWrite waits until the writer of the current query has finished and reports whether the query was written
+// completely; if not, nothing that was read is its answer. A server that answers without reading the rest of the query
+// is cut off after the stall timeout.
+func (conn *serverConn) awaitWrite() bool {
 	select {
-	case complete := <-c.written: // as nearly always
+	case complete := <-conn.written: // the usual case
 		return complete
 	default:
 	}
-	late := time.AfterFunc(c.pool.StallTimeout, c.close)
-	defer late.Stop()
-	return <-c.written
+	stallTimer := time.AfterFunc(conn.pool.StallTimeout, conn.close)
+	defer stallTimer.Stop()
+	return <-conn.written
 }
 
-// discardQuery forgets what is left of a query.
-func (c *serverConn) discardQuery() {
-	c.out.Discard(c.out.Len())
-	c.out.Idle()
+// discardQuery drops the unsent rest of a query.
+func (conn *serverConn) discardQuery() {
+	conn.out.Discard(conn.out.Len())
+	conn.out.Idle()
 }
 
-// returnToPool returns a connection that nothing was written on.
-func (c *serverConn) returnToPool() {
-	if !c.pool.putIdle(c) {
-		c.close()
+// returnToPool returns a connection on which nothing was written.
+func (conn *serverConn) returnToPool() {
+	if !conn.pool.putIdle(conn) {
+		conn.close()
 	}
 }
