--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// halfJitter draws a span from half to one and a half: routers that started together
-// must not ask together.
+// halfJitter returns a random duration from 0.5 to 1.5 times d, so that routers that started together do not make their
+// calls together.
 func halfJitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// lowJitter draws a span from half to a tenth more: those whom one failure brought together ask apart from then on.
-func lowJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+d/jitterShare) }
+// shorteningJitter returns a random duration from 0.5 to 1.1 times d, so that routers whose calls one failure has
+// synchronized are spread out again.
+func shorteningJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+d/jitterDivisor) }
 
-// smallJitter draws a span from a tenth less to a tenth more.
-func smallJitter(d time.Duration) time.Duration { return d - d/jitterShare + rand.N(2*d/jitterShare) }
+// jitter returns a random duration from 0.9 to 1.1 times d.
+func jitter(d time.Duration) time.Duration { return d - d/jitterDivisor + rand.N(2*d/jitterDivisor) }
 
-// sleep waits for so long.
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
+// sleep waits for the duration or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -28,58 +29,61 @@
 	}
 }
 
-// isTimeout says whether an error is that nothing came in time.
+// isTimeout reports whether the error is a network timeout.
 func isTimeout(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && ne.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// errorCause is an error without the ports of its connection.
+// errorCause returns the text of an error without the addresses and ports of its connection, so that repeated errors
+// compare equal.
 func errorCause(err error) string {
-	var op *net.OpError
-	if errors.As(err, &op) {
-		err = op.Err
+	var opErr *net.OpError
+	if errors.As(err, &opErr) {
+		err = opErr.Err
 	}
 	return err.Error()
 }
 
-// watchWait is how long a watch may be. After an error it is a call for what there is.
-func (w *Watcher) watchWait() time.Duration {
+// watchWait returns how long the agent may wait for a change before it answers the next call. After an error the call
+// asks for an immediate answer.
+func (watcher *Watcher) watchWait() time.Duration {
 	switch {
-	case w.responseDelay == unknownDelay:
+	case watcher.responseDelay == unknownDelay:
 		return immediateWait
-	case w.shared && w.responseDelay <= sharedMaxDelay:
-		return min(w.watchTimeout, notifiedAfter-notifiedMargin-w.allowedSilence()-minBackoff*3/2-w.responseDelay).Truncate(time.Millisecond)
+	case watcher.shared && watcher.responseDelay <= sharedMaxDelay:
+		return min(watcher.watchTimeout, notifiedAfter-notifiedMargin-watcher.allowedSilence()-minBackoff*3/2-watcher.responseDelay).Truncate(time.Millisecond)
 	}
-	return w.watchTimeout
+	return watcher.watchTimeout
 }
 
-// allowedSilence is how long silence is borne beyond a call's wait, its dial included.
-func (w *Watcher) allowedSilence() time.Duration {
+// allowedSilence returns how long an answer may be overdue, beyond the call's wait, before the call fails. It includes
+// the dial.
+func (watcher *Watcher) allowedSilence() time.Duration {
 	switch {
-	case w.responseDelay == unknownDelay:
-	case w.shared && w.responseDelay <= sharedMaxDelay:
-		return max(w.quickSilence, w.responseDelay+sharedDelayGrowth)
-	case w.responseDelay <= w.quickSilence/2:
-		return w.quickSilence
+	case watcher.responseDelay == unknownDelay:
+	case watcher.shared && watcher.responseDelay <= sharedMaxDelay:
+		return max(watcher.shortSilence, watcher.responseDelay+sharedDelayGrowth)
+	case watcher.responseDelay <= watcher.shortSilence/2:
+		return watcher.shortSilence
 	}
-	return w.patientSilence
+	return watcher.longSilence
 }
 
-// awaitTurn waits for this router's turn, for as long as the list's clock allows.
-func (w *Watcher) awaitTurn(ctx context.Context) {
-	late := time.NewTimer(w.maxTurnWait)
-	defer late.Stop()
-	for ok := false; !ok && ctx.Err() == nil; {
+// awaitCallDelay waits until CallDelay permits the call, at most maxCallDelay.
+func (watcher *Watcher) awaitCallDelay(ctx context.Context) {
+	limit := time.NewTimer(watcher.maxCallDelay)
+	defer limit.Stop()
+	for permitted := false; !permitted && ctx.Err() == nil; {
 		var wait time.Duration
-		wait, ok = w.CallDelay()
-		its := time.NewTimer(wait)
+		wait, permitted = watcher.CallDelay()
+		delay := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-		case <-its.C:
-		case <-late.C:
-			ok = true
+		case <-delay.C:
+		case <-limit.C:
+			permitted = true
 		}
-		its.Stop()
+		delay.Stop()
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,36 +10,38 @@
 	"lotushook/internal/ringbuffer"
 )
 
-func (w *Watcher) get(ctx context.Context, agent, target string, wait, quiet time.Duration) ([]byte, error) {
-	until := time.Now().Add(wait + quiet) // includes the dial
-	if w.conn != nil && (w.reader.Buffered() > 0 || w.input.in.Len() > 0) {
-		w.closeConnection() // unread bytes are no answer to this call
+// get calls the agent and returns the body of its response. The response must begin within wait plus silence, and then
+// no read may take longer than silence.
+func (watcher *Watcher) get(ctx context.Context, agent, target string, wait, silence time.Duration) ([]byte, error) {
+	deadline := time.Now().Add(wait + silence) // the dial counts too
+	if watcher.conn != nil && (watcher.reader.Buffered() > 0 || watcher.input.in.Len() > 0) {
+		watcher.closeConnection() // bytes that arrived before the request are not its response
 	}
-	if w.conn == nil {
-		conn, err := w.dial(ctx, agent, min(dialTimeout, wait+quiet))
+	if watcher.conn == nil {
+		conn, err := watcher.dial(ctx, agent, min(dialTimeout, wait+silence))
 		if err != nil {
 			return nil, err
 		}
-		w.conn, w.input = conn, &timedReader{conn: conn, in: ringbuffer.New(1 << 16)}
-		w.reader = bufio.NewReader(w.input)
+		watcher.conn, watcher.input = conn, &timedReader{conn: conn, in: ringbuffer.New(1 << 16)}
+		watcher.reader = bufio.NewReader(watcher.input)
 	}
-	conn := w.conn // the context can end after w has closed the connection
-	w.input.expect(ctx, quiet, w.bodyTimeout)
-	if err := conn.SetDeadline(until); err != nil {
+	conn := watcher.conn // the context may end after the connection was closed and the field reset
+	watcher.input.reset(ctx, silence, watcher.bodyTimeout)
+	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	req := "GET " + target + " HTTP/1.1\r\nHost: " + agent + "\r\nAccept: application/json\r\n\r\n"
-	if _, err := conn.Write([]byte(req)); err != nil {
+	request := "GET " + target + " HTTP/1.1\r\nHost: " + agent + "\r\nAccept: application/json\r\n\r\n"
+	if _, err := conn.Write([]byte(request)); err != nil {
 		return nil, err
 	}
-	status, body, keep, err := readResponse(w.reader)
+	status, body, keepAlive, err := readResponse(watcher.reader)
 	if err != nil {
 		return nil, err
 	}
-	if !keep {
-		w.closeConnection()
+	if !keepAlive {
+		watcher.closeConnection()
 	}
 	if status != 200 {
 		return nil, statusError{status, target}
@@ -47,65 +49,64 @@
 	return body, nil
 }
 
-func dial(ctx context.Context, agent string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
-	return d.DialContext(ctx, "tcp", agent)
+func dial(ctx context.Context, agent string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	return dialer.DialContext(ctx, "tcp", agent)
 }
 
-func (w *Watcher) closeConnection() {
-	if w.conn != nil {
-		w.conn.Close()
+func (watcher *Watcher) closeConnection() {
+	if watcher.conn != nil {
+		watcher.conn.Close()
 	}
-	w.conn = nil
+	watcher.conn = nil
 }
 
-// timedReader reads from a connection through its ring buffer. Once an answer has
-// begun, silence is detected sooner than the end of the wait, and a slow answer is
-// waited for, within bounds.
+// timedReader reads a connection through a ring buffer. Once a response has begun, each read must finish within the
+// allowed silence, and the whole response within bodyTimeout.
 type timedReader struct {
 	conn net.Conn
 	in   *ringbuffer.Buffer
 
 	ctx                  context.Context
 	silence, bodyTimeout time.Duration
-	bodyDeadline         time.Time // of the answer that has begun; zero: none has
+	bodyDeadline         time.Time // of the response that has begun; zero if none has
 }
 
-// expect is called before a request is sent.
-func (f *timedReader) expect(ctx context.Context, quiet, drip time.Duration) {
-	f.ctx, f.silence, f.bodyTimeout, f.bodyDeadline = ctx, quiet, drip, time.Time{}
+// reset prepares for the response to the next request.
+func (reader *timedReader) reset(ctx context.Context, silence, bodyTimeout time.Duration) {
+	reader.ctx, reader.silence, reader.bodyTimeout, reader.bodyDeadline = ctx, silence, bodyTimeout, time.Time{}
 }
 
 // Read implements io.Reader.
-func (f *timedReader) Read(p []byte) (int, error) {
-	if f.in.Len() == 0 {
-		f.in.Idle()
-		if err := f.in.Fill(f.conn); err != nil {
+func (reader *timedReader) Read(p []byte) (int, error) {
+	if reader.in.Len() == 0 {
+		reader.in.Idle()
+		if err := reader.in.Fill(reader.conn); err != nil {
 			return 0, err
 		}
 		now := time.Now()
-		if f.bodyDeadline.IsZero() {
-			f.bodyDeadline = now.Add(f.bodyTimeout)
+		if reader.bodyDeadline.IsZero() {
+			reader.bodyDeadline = now.Add(reader.bodyTimeout)
 		}
-		next := now.Add(f.silence)
-		if f.bodyDeadline.Before(next) {
-			next = f.bodyDeadline
+		deadline := now.Add(reader.silence)
+		if reader.bodyDeadline.Before(deadline) {
+			deadline = reader.bodyDeadline
 		}
-		if err := f.conn.SetDeadline(next); err != nil {
+		if err := reader.conn.SetDeadline(deadline); err != nil {
 			return 0, err
 		}
-		if err := f.ctx.Err(); err != nil { // else the deadline that the context's end set would be undone
+		if err := reader.ctx.Err(); err != nil { // its end set a deadline that SetDeadline may have overwritten
 			return 0, err
 		}
 	}
-	return f.in.Read(p)
+	return reader.in.Read(p)
 }
 
-// statusError is a complete answer that is no list.
+// statusError is a complete response with a status other than 200.
 type statusError struct {
 	status int
 	target string
 }
 
 // Error implements the error interface.
-func (e statusError) Error() string { return fmt.Sprintf("status %d for %s", e.status, e.target) }
+func (err statusError) Error() string { return fmt.Sprintf("status %d for %s", err.status, err.target) }
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -166,7 +166,7 @@
 			return here, nil
 		}
 		if move > 0 {
-			time.AfterFunc(move, func() { w.Move("1") })
+			time.AfterFunc(move, func() { w.SetAgent("1") })
 		}
 		w.Run(ctx, func(l *List) error { return told(l, time.Since(began)) })
 		serving.Wait()
@@ -437,7 +437,7 @@
 					}
 					e, err := d.Update(l)
 					for _, n := range e.Endpoints {
-						if n.ID == d.ids["anew"] && n.State != balance.Removed && l.Doubtful {
+						if n.ID == d.ids["anew"] && n.State != balance.Removed && l.MayBeOutdated {
 							born = n.StartedAt
 						}
 					}
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -9,20 +9,20 @@
 	"lotushook/policy/balance"
 )
 
-// Directory maps hosts to the endpoint IDs that the decisions use, and IDs to
-// addresses and states. It is safe for concurrent use.
+// Directory maps host names to the endpoint IDs used by the routing decisions, and IDs to addresses and states. It is
+// safe for concurrent use.
 type Directory struct {
 	mu           sync.RWMutex
 	entries      map[balance.EndpointID]directoryEntry
 	ids          map[string]balance.EndpointID
-	removedOrder []balance.EndpointID // removed hosts, the earliest first
+	removedOrder []balance.EndpointID // removed hosts, the one removed first in front
 }
 
 type directoryEntry struct {
 	name      string
 	address   string
 	group     int64
-	startedMS int64 // the latest reported start, Unix ms
+	startedMS int64 // the latest start time that was listed, Unix ms
 	ready     bool
 	removed   bool
 }
@@ -32,188 +32,190 @@
 	return &Directory{entries: map[balance.EndpointID]directoryEntry{}, ids: map[string]balance.EndpointID{}}
 }
 
-// errEmptyList reports an agent that has lost its list: servers leave one after the other, and never all at once.
-var errEmptyList = errors.New("list: whole and empty, though hosts were listed: the old one is kept")
+// errEmptyList reports an agent that has lost its list: servers leave one after the other and never all at once.
+var errEmptyList = errors.New("list: complete but empty, although hosts are listed; keeping the current list")
 
-// tooManyHostsError reports a list with more hosts than a router can hold.
+// tooManyHostsError reports a list with more hosts than a router supports.
 type tooManyHostsError struct{ hosts int }
 
 // Error implements the error interface.
-func (e tooManyHostsError) Error() string {
-	return fmt.Sprintf("list: %d hosts would be listed, and at most %d may: the old list is kept", e.hosts, maxListed)
+func (err tooManyHostsError) Error() string {
+	return fmt.Sprintf("list: %d hosts exceed the limit of %d; keeping the current list", err.hosts, maxListed)
 }
 
-// Update is Apply of a list from discovery. One that would remove all hosts, or list too many, changes nothing. One that is
-// doubtful may withdraw, drain and add hosts, but does not lift a withdrawal or drain of a server's present start.
-func (d *Directory) Update(l *List) (balance.Event, error) {
-	if l.Doubtful {
-		l = d.withoutRevivals(l)
+// Update applies a list from discovery. A list that would remove all hosts, or list too many, is rejected and changes
+// nothing. A list that may be outdated can remove, drain and add hosts, but does not reactivate a removed or draining
+// server unless the server has started anew.
+func (directory *Directory) Update(list *List) (balance.Event, error) {
+	if list.MayBeOutdated {
+		list = directory.withoutReactivations(list)
 	}
-	if l.Complete && len(l.Hosts) == 0 && d.hasListed() {
+	if list.Complete && len(list.Hosts) == 0 && directory.hasListed() {
 		return balance.Event{}, errEmptyList
 	}
-	if n := d.countAfter(l); n > maxListed {
-		return balance.Event{}, tooManyHostsError{n}
+	if count := directory.countAfter(list); count > maxListed {
+		return balance.Event{}, tooManyHostsError{count}
 	}
-	return d.Apply(l), nil
+	return directory.Apply(list), nil
 }
 
-// withoutRevivals returns a list without the entries that would reactivate a draining or removed server, or end its slow start early.
-func (d *Directory) withoutRevivals(l *List) *List {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	kept := &List{Version: l.Version, Complete: l.Complete}
-	for _, h := range l.Hosts {
-		id, met := d.ids[h.Name]
-		if p := d.entries[id]; met && h.StartedMS <= p.startedMS {
-			if h.StartedMS = p.startedMS; !p.ready && states[h.State] == balance.Ready {
-				h.State = "DRAINING"
+// withoutReactivations returns the list without changes that would reactivate a draining or removed server that has not
+// restarted, or that would end its slow start early.
+func (directory *Directory) withoutReactivations(list *List) *List {
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	filtered := &List{Version: list.Version, Complete: list.Complete}
+	for _, host := range list.Hosts {
+		id, known := directory.ids[host.Name]
+		if entry := directory.entries[id]; known && host.StartedMS <= entry.startedMS {
+			if host.StartedMS = entry.startedMS; !entry.ready && states[host.State] == balance.Ready {
+				host.State = "DRAINING"
 			}
 		}
-		kept.Hosts = append(kept.Hosts, h)
+		filtered.Hosts = append(filtered.Hosts, host)
 	}
-	return kept
+	return filtered
 }
 
-// countAfter is the number of listed hosts after a list is applied, at most: each changed host counts that is not listed yet.
-func (d *Directory) countAfter(l *List) int {
-	if l.Complete {
-		return len(l.Hosts)
+// countAfter returns an upper bound of the number of listed hosts after a list is applied: each changed host that is
+// not in the directory counts as an addition.
+func (directory *Directory) countAfter(list *List) int {
+	if list.Complete {
+		return len(list.Hosts)
 	}
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	n := len(d.entries)
-	for _, h := range l.Hosts {
-		if _, met := d.ids[h.Name]; !met {
-			n++
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	count := len(directory.entries)
+	for _, host := range list.Hosts {
+		if _, known := directory.ids[host.Name]; !known {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (d *Directory) hasListed() bool {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	for _, p := range d.entries {
-		if !p.removed {
+func (directory *Directory) hasListed() bool {
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	for _, entry := range directory.entries {
+		if !entry.removed {
 			return true
 		}
 	}
 	return false
 }
 
-// Apply applies a list and returns it as an event for the decisions.
-func (d *Directory) Apply(l *List) balance.Event {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	e := balance.Event{Kind: balance.EndpointUpdate}
-	if l.Complete {
-		e.Kind = balance.EndpointSnapshot
+// Apply applies a list without the checks of Update and returns it as an event for the routing decisions.
+func (directory *Directory) Apply(list *List) balance.Event {
+	directory.mu.Lock()
+	defer directory.mu.Unlock()
+	event := balance.Event{Kind: balance.EndpointUpdate}
+	if list.Complete {
+		event.Kind = balance.EndpointSnapshot
 		listed := map[string]bool{}
-		for _, h := range l.Hosts {
-			listed[h.Name] = true
+		for _, host := range list.Hosts {
+			listed[host.Name] = true
 		}
-		for id, p := range d.entries { // absent from the complete list: removed
-			if !listed[p.name] {
-				d.remove(id, p)
+		for id, entry := range directory.entries { // hosts absent from a complete list have been removed
+			if !listed[entry.name] {
+				directory.remove(id, entry)
 			}
 		}
 	}
-	for _, h := range l.Hosts {
-		id := d.id(h.Name)
-		p := directoryEntry{name: h.Name, address: h.Address, group: h.Group, startedMS: h.StartedMS, ready: states[h.State] == balance.Ready, removed: d.entries[id].removed}
-		if p.address == "" {
-			p.address = d.entries[id].address
+	for _, host := range list.Hosts {
+		id := directory.id(host.Name)
+		entry := directoryEntry{name: host.Name, address: host.Address, group: host.Group, startedMS: host.StartedMS, ready: states[host.State] == balance.Ready, removed: directory.entries[id].removed}
+		if entry.address == "" {
+			entry.address = directory.entries[id].address
 		}
-		if states[h.State] == balance.Removed {
-			p.startedMS = max(p.startedMS, d.entries[id].startedMS) // a withdrawal may omit it
-			d.remove(id, p)
+		if states[host.State] == balance.Removed {
+			entry.startedMS = max(entry.startedMS, directory.entries[id].startedMS) // a removal may omit the start
+			directory.remove(id, entry)
 		} else {
-			p.removed = false
-			d.entries[id] = p
+			entry.removed = false
+			directory.entries[id] = entry
 		}
-		e.Endpoints = append(e.Endpoints, balance.Endpoint{ID: id, Group: h.Group, Zone: h.Zone,
-			State: states[h.State], Primary: h.Role == "source", Weight: h.Weight, StartedAt: h.StartedMS * 1e6})
+		event.Endpoints = append(event.Endpoints, balance.Endpoint{ID: id, Group: host.Group, Zone: host.Zone,
+			State: states[host.State], Primary: host.Role == "source", Weight: host.Weight, StartedAt: host.StartedMS * 1e6})
 	}
-	return e
+	return event
 }
 
-// remove marks a host as removed, and forgets the earliest removed ones: with
-// servers replaced all day they would pile up.
-func (d *Directory) remove(id balance.EndpointID, p directoryEntry) {
-	if p.ready = false; !p.removed {
-		p.removed = true
-		d.removedOrder = append(d.removedOrder, id)
+// remove marks a host as removed and forgets the hosts removed first beyond maxRemoved, so that the directory does not
+// grow where servers are replaced all the time.
+func (directory *Directory) remove(id balance.EndpointID, entry directoryEntry) {
+	if entry.ready = false; !entry.removed {
+		entry.removed = true
+		directory.removedOrder = append(directory.removedOrder, id)
 	}
-	d.entries[id] = p
-	for len(d.removedOrder) > maxRemoved {
-		id := d.removedOrder[0]
-		d.removedOrder = d.removedOrder[1:]
-		if p := d.entries[id]; p.removed {
-			delete(d.entries, id)
-			delete(d.ids, p.name)
+	directory.entries[id] = entry
+	for len(directory.removedOrder) > maxRemoved {
+		id := directory.removedOrder[0]
+		directory.removedOrder = directory.removedOrder[1:]
+		if entry := directory.entries[id]; entry.removed {
+			delete(directory.entries, id)
+			delete(directory.ids, entry.name)
 		}
 	}
 }
 
-// HasGroup says whether a group has a listed host. Before the first list, every
-// group may have one.
-func (d *Directory) HasGroup(group int64) bool {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	for _, p := range d.entries {
-		if p.group == group && !p.removed {
+// HasGroup reports whether a group has a listed host. Before the first list, it reports true for every group.
+func (directory *Directory) HasGroup(group int64) bool {
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	for _, entry := range directory.entries {
+		if entry.group == group && !entry.removed {
 			return true
 		}
 	}
-	return len(d.entries) == 0
+	return len(directory.entries) == 0
 }
 
-// id gives a host the same ID at every router, except where two names share a hash.
-func (d *Directory) id(host string) balance.EndpointID {
-	if id, ok := d.ids[host]; ok {
+// id returns the ID of a host. It is the hash of the name, and so the same at every router, unless two names have the
+// same hash.
+func (directory *Directory) id(host string) balance.EndpointID {
+	if id, ok := directory.ids[host]; ok {
 		return id
 	}
-	h := fnv.New32a()
-	h.Write([]byte(host))
-	id := balance.EndpointID(h.Sum32())
+	hash := fnv.New32a()
+	hash.Write([]byte(host))
+	id := balance.EndpointID(hash.Sum32())
 	for {
-		if _, taken := d.entries[id]; !taken {
+		if _, used := directory.entries[id]; !used {
 			break
 		}
 		id++
 	}
-	d.ids[host], d.entries[id] = id, directoryEntry{}
+	directory.ids[host], directory.entries[id] = id, directoryEntry{}
 	return id
 }
 
-// NameOf returns an endpoint's name; "" for one that was never listed, or removed long ago.
-func (d *Directory) NameOf(node balance.EndpointID) string {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	return d.entries[node].name
+// NameOf returns an endpoint's name, or an empty string if the endpoint was never listed or was removed long ago.
+func (directory *Directory) NameOf(endpoint balance.EndpointID) string {
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	return directory.entries[endpoint].name
 }
 
-// StartOf returns an endpoint's name and start time, as listed.
-func (d *Directory) StartOf(node balance.EndpointID) (host string, born int64) {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	return d.entries[node].name, d.entries[node].startedMS * 1e6
+// StartOf returns an endpoint's name and its listed start time in Unix ns.
+func (directory *Directory) StartOf(endpoint balance.EndpointID) (name string, startedAt int64) {
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	return directory.entries[endpoint].name, directory.entries[endpoint].startedMS * 1e6
 }
 
-// Address returns the address of an endpoint, and whether it may get new queries: it is
-// listed, and neither draining nor removed.
-func (d *Directory) Address(node balance.EndpointID) (dial string, ready bool) {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	p := d.entries[node]
-	return p.address, p.ready
+// Address returns the address of an endpoint, and whether it may get new queries: it must be listed and not draining.
+func (directory *Directory) Address(endpoint balance.EndpointID) (address string, ready bool) {
+	directory.mu.RLock()
+	defer directory.mu.RUnlock()
+	entry := directory.entries[endpoint]
+	return entry.address, entry.ready
 }
 
-// maxRemoved is how many removed hosts are remembered: connections to them may
-// still be open, and one may come back under its ID.
+// maxRemoved is the number of removed hosts that are remembered: connections to them may still be open, and a host that
+// is listed again gets its old ID.
 const maxRemoved = 64
 
-// maxListed is how many hosts may be listed at once: each costs memory here and in the decisions, and an agent that lists
-// ever new ones would use all of it.
+// maxListed is the maximum number of listed hosts. Each host costs memory here and in the routing decisions, and a
+// faulty agent that keeps listing new hosts would exhaust it.
 const maxListed = 16 << 10
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -207,7 +207,7 @@
 		defer close(done)
 		w := NewWatcher(s.Addr("agent"), 0, 0)
 		// Turns are waited for however slow the machine is.
-		w.maxTurnWait = time.Hour
+		w.maxCallDelay = time.Hour
 		w.CallDelay = func() (time.Duration, bool) { asked++; return time.Millisecond, asked%3 == 0 } // each whole list has its third turn
 		w.Run(ctx, func(l *List) error { told <- l.Version; return nil })
 	}()
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -315,8 +315,8 @@
 		})
 	}
 	for _, many := range []int{1, 5, 300, 100_000} {
-		if w := NewWatcher("", many, 0); w.maxBackoff*(jitterShare+1)/jitterShare+w.maxTurnWait+time.Second > notifiedAfter-notifiedMargin || w.firstBackoff > w.maxBackoff {
-			t.Errorf("%d routers: pauses of %v to %v", many, w.firstBackoff, w.maxBackoff)
+		if w := NewWatcher("", many, 0); w.maxBackoff*(jitterDivisor+1)/jitterDivisor+w.maxCallDelay+time.Second > notifiedAfter-notifiedMargin || w.initialBackoff > w.maxBackoff {
+			t.Errorf("%d routers: pauses of %v to %v", many, w.initialBackoff, w.maxBackoff)
 		}
 	}
 }
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -11,15 +11,15 @@
 
 const (
 	maxHeaders   = 100
-	maxBodyBytes = 2 << 20 // some ten thousand hosts; what it is parsed into has to fit a router of 32 MB
+	maxBodyBytes = 2 << 20 // about 10,000 hosts; the parsed list must fit into a router with 32 MB of memory
 )
 
 var errHTTP = errors.New("malformed HTTP response")
 
-// readResponse reads one HTTP/1.1 response: its status, its body, and whether
-// the connection may carry another request.
-func readResponse(r *bufio.Reader) (status int, body []byte, keep bool, err error) {
-	line, err := readLine(r)
+// readResponse reads one HTTP/1.1 response and returns its status, its body, and whether the connection may carry
+// another request.
+func readResponse(reader *bufio.Reader) (status int, body []byte, keepAlive bool, err error) {
+	line, err := readLine(reader)
 	if err != nil {
 		return 0, nil, false, err
 	}
@@ -28,27 +28,27 @@
 	if status, err = strconv.Atoi(code); err != nil || len(code) != 3 || !strings.HasPrefix(proto, "HTTP/1.") {
 		return 0, nil, false, fmt.Errorf("%w: status line %.60q", errHTTP, line)
 	}
-	keep = proto == "HTTP/1.1"
+	keepAlive = proto == "HTTP/1.1"
 	length, chunked := -1, false
-	for n := 0; ; n++ {
-		if line, err = readLine(r); err != nil {
+	for count := 0; ; count++ {
+		if line, err = readLine(reader); err != nil {
 			return 0, nil, false, unexpectedEOF(err)
 		}
 		if line == "" {
 			break
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || n == maxHeaders {
+		if !ok || count == maxHeaders {
 			return 0, nil, false, fmt.Errorf("%w: header %.60q", errHTTP, line)
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
-			l, err := strconv.Atoi(value)
-			if err != nil || l < 0 || l > maxBodyBytes || length >= 0 && length != l {
+			parsed, err := strconv.Atoi(value)
+			if err != nil || parsed < 0 || parsed > maxBodyBytes || length >= 0 && length != parsed {
 				return 0, nil, false, fmt.Errorf("%w: length %.60q", errHTTP, value)
 			}
-			length = l
+			length = parsed
 		case "transfer-encoding":
 			if !strings.EqualFold(value, "chunked") {
 				return 0, nil, false, fmt.Errorf("%w: transfer encoding %.60q", errHTTP, value)
@@ -56,65 +56,65 @@
 			chunked = true
 		case "connection":
 			if strings.EqualFold(value, "close") {
-				keep = false
+				keepAlive = false
 			} else if strings.EqualFold(value, "keep-alive") {
-				keep = true
+				keepAlive = true
 			}
 		}
 	}
 	switch {
 	case chunked:
-		body, err = readChunks(r)
+		body, err = readChunks(reader)
 	case status == 204 || status == 304:
 	case length >= 0:
 		body = make([]byte, length)
-		_, err = io.ReadFull(r, body)
-	default: // the end of the connection ends the body
-		keep = false
-		body, err = io.ReadAll(io.LimitReader(r, maxBodyBytes+1))
+		_, err = io.ReadFull(reader, body)
+	default: // the body extends to the end of the connection
+		keepAlive = false
+		body, err = io.ReadAll(io.LimitReader(reader, maxBodyBytes+1))
 		if len(body) > maxBodyBytes {
 			err = fmt.Errorf("%w: body too long", errHTTP)
 		}
 	}
-	return status, body, keep, unexpectedEOF(err)
+	return status, body, keepAlive, unexpectedEOF(err)
 }
 
-func readChunks(r *bufio.Reader) ([]byte, error) {
+func readChunks(reader *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
-		line, err := readLine(r)
+		line, err := readLine(reader)
 		if err != nil {
 			return nil, err
 		}
 		size, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 32)
-		if err != nil || len(body)+int(n) > maxBodyBytes {
+		chunkBytes, err := strconv.ParseUint(strings.TrimSpace(size), 16, 32)
+		if err != nil || len(body)+int(chunkBytes) > maxBodyBytes {
 			return nil, fmt.Errorf("%w: chunk size %.60q", errHTTP, line)
 		}
-		if n == 0 {
+		if chunkBytes == 0 {
 			for i := 0; i < maxHeaders; i++ { // trailers
-				if line, err = readLine(r); err != nil || line == "" {
+				if line, err = readLine(reader); err != nil || line == "" {
 					return body, err
 				}
 			}
 			return nil, fmt.Errorf("%w: too many trailers", errHTTP)
 		}
-		from := len(body)
-		body = append(body, make([]byte, n)...)
-		if _, err := io.ReadFull(r, body[from:]); err != nil {
+		start := len(body)
+		body = append(body, make([]byte, chunkBytes)...)
+		if _, err := io.ReadFull(reader, body[start:]); err != nil {
 			return nil, err
 		}
-		if line, err = readLine(r); err != nil {
+		if line, err = readLine(reader); err != nil {
 			return nil, err
 		} else if line != "" {
-			return nil, fmt.Errorf("%w: no line end behind a chunk", errHTTP)
+			return nil, fmt.Errorf("%w: no line end after a chunk", errHTTP)
 		}
 	}
 }
 
-// readLine reads a line of at most the reader's buffer.
-func readLine(r *bufio.Reader) (string, error) {
-	line, err := r.ReadSlice('\n')
+// readLine reads a line that is no longer than the reader's buffer and returns it without its line end.
+func readLine(reader *bufio.Reader) (string, error) {
+	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		return "", fmt.Errorf("%w: line too long", errHTTP)
 	}
@@ -124,7 +124,7 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// unexpectedEOF keeps a response that was cut off from looking like a clean end.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, so that a truncated response is not taken for a complete one.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of data servers at the router's agent and
-// maps each host to its endpoint ID and address.
+// Package discovery follows the list of data servers at the router's agent and maps each host to its endpoint ID and
+// address.
 package discovery
 
 import (
@@ -14,14 +14,15 @@
 	"lotushook/policy/balance"
 )
 
-// List is a complete list, or the entries that changed.
+// List is either the complete list of hosts or only the entries that changed.
 type List struct {
 	Version  int64  `json:"seq"`
 	Complete bool   `json:"whole"`
 	Hosts    []Host `json:"hosts"`
 
-	// A newer version was seen at another agent: this list must not lift a withdrawal yet.
-	Doubtful bool `json:"-"`
+	// The watcher has seen a newer version at another agent, so this list must not reactivate removed or draining
+	// hosts.
+	MayBeOutdated bool `json:"-"`
 }
 
 // Host is one data server.
@@ -41,48 +42,49 @@
 	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Removed}
 
 const (
-	// A server that started in the future would stay in slow start until then. All machines
-	// share one time, but a router's own clock may be wrong.
+	// A server that started in the future would stay in slow start until then. All machines share one time, but a
+	// router's own clock may be wrong.
 	maxClockAhead = time.Hour
-	maxWeight     = 1e4 // a server's capacity against the usual one: a larger one is a mistake, and all others would get nothing
+	// A weight is a server's capacity relative to a typical one. A larger one is a mistake that would starve all others.
+	maxWeight = 1e4
 )
 
-// Parse parses a list and rejects one that is malformed anywhere, so that the
-// old one is kept.
+// Parse parses a list. A list that is malformed anywhere is rejected as a whole, so that the current one stays in
+// force.
 func Parse(raw []byte, now time.Time) (*List, error) {
-	var l struct {
+	var document struct {
 		Seq   *int64  `json:"seq"`
 		Whole *bool   `json:"whole"`
 		Hosts *[]Host `json:"hosts"`
 	}
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &l); err != nil {
-		return nil, errors.New("list: " + strings.Join(strings.Fields(err.Error()), " ")) // the message quotes the list, line breaks included
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &document); err != nil {
+		return nil, errors.New("list: " + strings.Join(strings.Fields(err.Error()), " ")) // it may contain line breaks of the list
 	}
-	if l.Seq == nil || l.Whole == nil || l.Hosts == nil {
+	if document.Seq == nil || document.Whole == nil || document.Hosts == nil {
 		return nil, errors.New("list: seq, whole or hosts is missing")
 	}
-	if *l.Seq < 0 {
-		return nil, fmt.Errorf("list: seq %d is negative", *l.Seq)
+	if *document.Seq < 0 {
+		return nil, fmt.Errorf("list: seq %d is negative", *document.Seq)
 	}
-	seen := map[string]bool{}
-	for i, h := range *l.Hosts {
-		if h.Name == "" || seen[h.Name] {
-			return nil, fmt.Errorf("list: hosts[%d]: no name, or %q again", i, h.Name)
+	names := map[string]bool{}
+	for i, host := range *document.Hosts {
+		if host.Name == "" || names[host.Name] {
+			return nil, fmt.Errorf("list: hosts[%d]: missing or duplicate name %q", i, host.Name)
 		}
-		seen[h.Name] = true
-		state, ok := states[h.State]
+		names[host.Name] = true
+		state, ok := states[host.State]
 		if !ok {
-			return nil, fmt.Errorf("list: host %q: unknown health %q", h.Name, h.State)
+			return nil, fmt.Errorf("list: host %q: unknown health %q", host.Name, host.State)
 		}
-		if _, err := netip.ParseAddrPort(h.Address); err != nil && state != balance.Removed {
-			return nil, fmt.Errorf("list: host %q: bad address %q", h.Name, h.Address)
+		if _, err := netip.ParseAddrPort(host.Address); err != nil && state != balance.Removed {
+			return nil, fmt.Errorf("list: host %q: bad address %q", host.Name, host.Address)
 		}
-		if h.StartedMS < 0 || h.StartedMS > now.Add(maxClockAhead).UnixMilli() {
-			return nil, fmt.Errorf("list: host %q: born_ms %d is negative or in the future", h.Name, h.StartedMS)
+		if host.StartedMS < 0 || host.StartedMS > now.Add(maxClockAhead).UnixMilli() {
+			return nil, fmt.Errorf("list: host %q: born_ms %d is negative or in the future", host.Name, host.StartedMS)
 		}
-		if h.Weight < 0 || h.Weight > maxWeight {
-			return nil, fmt.Errorf("list: host %q: share %v is not between 0 and %v", h.Name, h.Weight, float64(maxWeight))
+		if host.Weight < 0 || host.Weight > maxWeight {
+			return nil, fmt.Errorf("list: host %q: share %v is not between 0 and %v", host.Name, host.Weight, float64(maxWeight))
 		}
 	}
-	return &List{Version: *l.Seq, Complete: *l.Whole, Hosts: *l.Hosts}, nil
+	return &List{Version: *document.Seq, Complete: *document.Whole, Hosts: *document.Hosts}, nil
 }
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -93,7 +93,7 @@
 					}
 				})
 				w := NewWatcher(ln.Addr().String(), 0, 0)
-				w.patientSilence, w.quickSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute // the machine may be slow
+				w.longSilence, w.shortSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute // the machine may be slow
 				w.dial = func(ctx context.Context, agent string, within time.Duration) (net.Conn, error) {
 					conn, err := dial(ctx, agent, within)
 					if err != nil {
@@ -132,7 +132,7 @@
 	var agent sync.WaitGroup
 	dials := 0
 	w := NewWatcher("", 0, 0)
-	w.watchTimeout, w.patientSilence, w.quickSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute, time.Minute // the machine may be slow
+	w.watchTimeout, w.longSilence, w.shortSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute, time.Minute // the machine may be slow
 	w.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
 		here, there := net.Pipe()
 		dials++
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,243 +13,247 @@
 	"lotushook/internal/metrics"
 )
 
-// Timing of the list, derived in docs/design/fleet.md: a change that discovery had and could have delivered must be applied 6 s
-// later, also where a watch fell silent or calls failed; a change that the router's own agent has must be applied within the
-// configured grace period, a second for drains.
+// Timing of the watches, derived in docs/design/fleet.md: a change that discovery had and could have delivered must be
+// applied within 6 s, even if a watch fell silent or calls failed. A change that the router's own agent has must be
+// applied within the configured grace period of drains, by default a second.
 const (
-	endpointsPath       = "/v1/endpoints"
-	dialTimeout         = time.Second
-	minBackoff          = 50 * time.Millisecond
-	backoffFactor       = 4                // each pause after an error is so many times as long as the one before, up to the maximum
-	immediateWait       = time.Millisecond // the wait of a call that asks for changes and expects an answer also if there are none
-	maxImmediateAnswers = 4                // answers that came at once; after more in a row the watcher pauses, or an agent that never waits would make it spin
-	bodyTimeout         = 2 * time.Second  // an answer must be complete this long after its first byte
-	unknownDelay        = time.Duration(-1)
-	// So long an agent with a smaller version may be behind the others: its list must not lift a withdrawal meanwhile.
-	// It is less than the 4 s after which a new agent's list is accepted.
-	doubtPeriod = 3 * time.Second
-
-	// The router's own agent answers at once and a call to it costs nothing. A watch that fell silent is reopened
-	// after watchTimeout + quickSilence + 1.5 minBackoff + maxTurnWait = 925 ms, and an agent that has come back is called within
-	// patientSilence + 1.5 minBackoff + maxTurnWait = 875 ms: both are within a drain's grace of a second. For a shorter
-	// grace all but minBackoff shrink in proportion: 500 and 475 ms for 500 ms, less 50 ms where nothing delays calls.
-	defaultGrace   = time.Second
-	watchTimeout   = 500 * time.Millisecond
-	quickSilence   = 250 * time.Millisecond
-	patientSilence = 700 * time.Millisecond
-	maxBackoff     = 100 * time.Millisecond
-	maxTurnWait    = 100 * time.Millisecond
-
-	// Where one service of fixed capacity answers all routers, calls queue there, and a call that is abandoned early has cost
-	// its work for nothing. A watch is the longest that leaves within the 6 s the time to detect silence and for a second answer
-	// as late as the last; a service that is later than that is given more time. After errors calls begin 4 s apart,
-	// as in normal operation, so that a service that recovers is called within 6 s less the time of an answer.
+	endpointsPath         = "/v1/endpoints"
+	dialTimeout           = time.Second
+	minBackoff            = 50 * time.Millisecond
+	backoffFactor         = 4                // growth of the backoff from one error to the next
+	immediateWait         = time.Millisecond // for calls for changes that must be answered at once even if there are none
+	maxImmediateResponses = 4                // in a row; after more the watcher pauses, so that an agent can't make it spin
+	bodyTimeout           = 2 * time.Second  // from the first byte of a response to its last
+	unknownDelay          = time.Duration(-1)
+	// How long an agent with a smaller version may be behind the others; its list must not reactivate hosts in the
+	// meantime. It is shorter than the 4 s after which the list of a new agent is accepted.
+	outdatedPeriod = 3 * time.Second
+
+	// The router's own agent answers at once, and calls to it cost nothing. A watch that fell silent is replaced after
+	// watchTimeout + shortSilence + 1.5 minBackoff + maxCallDelay = 925 ms, and an agent that is reachable again is
+	// called within longSilence + 1.5 minBackoff + maxCallDelay = 875 ms; both are within the default grace of a
+	// second. For a shorter grace all but minBackoff shrink in proportion: for 500 ms to 500 and 475 ms, and 50 ms less
+	// if CallDelay does not delay the call.
+	defaultGrace = time.Second
+	watchTimeout = 500 * time.Millisecond
+	shortSilence = 250 * time.Millisecond
+	longSilence  = 700 * time.Millisecond
+	maxBackoff   = 100 * time.Millisecond
+	maxCallDelay = 100 * time.Millisecond
+
+	// Where one service of fixed capacity answers all routers, calls queue there, and a call that is abandoned early
+	// wastes the work spent on it. A watch is as long as possible while leaving time, within the 6 s, to detect silence
+	// and to get a second answer as late as the previous one; a service that answers later than that is given more
+	// time. After errors, calls begin 4 s apart, as in normal operation, so that a service that recovers is called
+	// within 6 s less the time of an answer.
 	notifiedAfter        = 6 * time.Second
 	notifiedMargin       = 200 * time.Millisecond
 	sharedWatchTimeout   = 4 * time.Second
-	sharedQuickSilence   = time.Second
-	sharedDelayGrowth    = 600 * time.Millisecond // so much longer than the last answer the next may take
-	sharedMaxDelay       = 2 * time.Second        // a slower service can't be found silent and answer within the 6 s
-	sharedPatientSilence = 4 * time.Second        // until the next call is due
+	sharedShortSilence   = time.Second
+	sharedDelayGrowth    = 600 * time.Millisecond // how much later than the previous answer the next may be
+	sharedMaxDelay       = 2 * time.Second        // with a slower service, silence and a second answer take more than 6 s
+	sharedLongSilence    = 4 * time.Second        // the next call would be due by then
 	sharedMaxBackoff     = 4 * time.Second
-	sharedFirstBackoff   = 500 * time.Millisecond
-	sharedMaxTurnWait    = 400 * time.Millisecond
-	callSpacing          = 200 * time.Millisecond // all routers together call no more often after errors
+	sharedInitialBackoff = 500 * time.Millisecond
+	sharedMaxCallDelay   = 400 * time.Millisecond
+	callSpacing          = 200 * time.Millisecond // minimum interval between the calls of all routers together after errors
 	minSharedBackoff     = time.Second
-	jitterShare          = 10 // the interval between two calls varies by one part in so many either way
+	jitterDivisor        = 10 // intervals between calls vary by 1/jitterDivisor in either direction
 )
 
-// Watcher follows the list at one agent at a time.
+// Watcher follows the endpoint list at one agent at a time.
 type Watcher struct {
-	// The length of a watch; how much longer it may stay silent at an agent whose last answer was quick, and at others;
-	// the time limit of an answer's body; the first pause after an error; its maximum; how long CallDelay may delay a call;
-	// how long a smaller version is doubted.
-	watchTimeout, quickSilence, patientSilence, bodyTimeout, firstBackoff, maxBackoff, maxTurnWait, doubtPeriod time.Duration
-	shared                                                                                                      bool
-
-	Metrics *metrics.Metrics // counts calls; nil: not counted
-	// CallDelay is called before a call for the complete list, which may be made after wait; !ok: CallDelay is to be called
-	// again after it. A call is delayed by maxTurnWait at most. nil: at once.
+	// In this order: the length of a watch; how late an answer may be if the previous one was quick; how late it may be
+	// otherwise; the time limit of a response's body; the backoff after the first error; the maximum backoff; how long
+	// CallDelay may delay a call; and how long a list with a smaller version counts as possibly outdated.
+	watchTimeout, shortSilence, longSilence, bodyTimeout, initialBackoff, maxBackoff, maxCallDelay, outdatedPeriod time.Duration
+	shared                                                                                                         bool
+
+	Metrics *metrics.Metrics // counts calls; may be nil
+	// CallDelay is called before a call for the complete list. It returns how long to wait and whether the call may
+	// then be made; if not, CallDelay is called again after the wait. A call is delayed by at most maxCallDelay. If
+	// CallDelay is nil, calls are not delayed.
 	CallDelay func() (wait time.Duration, ok bool)
 
 	dial func(ctx context.Context, agent string, within time.Duration) (net.Conn, error)
 
 	mu         sync.Mutex
 	agent      string
-	cancelCall context.CancelFunc // ends the call under way
+	cancelCall context.CancelFunc // ends the current call
 
 	version       int64
 	hasSnapshot   bool          // a complete list was received from this agent
-	responseDelay time.Duration // how late the last answer was, after its wait; it is kept over a move to another agent of the service
+	responseDelay time.Duration // how late the last answer was; kept when the agent changes, as the service is the same
 	maxVersion    int64         // the highest version received, from any agent
-	doubtUntil    time.Time     // until when a smaller version is doubted; zero: none is
+	outdatedUntil time.Time     // until when lists with a smaller version may be outdated; zero: not in that state
 	conn          net.Conn
 	input         *timedReader
 	reader        *bufio.Reader
 }
 
-// NewWatcher returns a watcher of the agent at an address. If routers is not
-// 0, so many share one service behind their agents, which each call loads;
-// otherwise changes must be applied within a grace period from when the agent has them (0: the default).
+// NewWatcher returns a watcher of the agent at an address. If routers is not 0, that many routers share one discovery
+// service behind their agents, and each call is a load on it. Otherwise a change must be applied within the grace
+// period (0: the default) after the agent has it.
 func NewWatcher(agent string, routers int, grace time.Duration) *Watcher {
-	w := &Watcher{agent: agent, watchTimeout: watchTimeout, quickSilence: quickSilence, patientSilence: patientSilence, bodyTimeout: bodyTimeout, firstBackoff: minBackoff, maxBackoff: maxBackoff,
-		maxTurnWait: maxTurnWait, doubtPeriod: doubtPeriod, responseDelay: unknownDelay, dial: dial}
+	watcher := &Watcher{agent: agent, watchTimeout: watchTimeout, shortSilence: shortSilence, longSilence: longSilence, bodyTimeout: bodyTimeout, initialBackoff: minBackoff, maxBackoff: maxBackoff,
+		maxCallDelay: maxCallDelay, outdatedPeriod: outdatedPeriod, responseDelay: unknownDelay, dial: dial}
 	if grace > 0 && grace < defaultGrace {
-		for _, span := range []*time.Duration{&w.watchTimeout, &w.quickSilence, &w.patientSilence, &w.maxBackoff, &w.maxTurnWait} {
+		for _, span := range []*time.Duration{&watcher.watchTimeout, &watcher.shortSilence, &watcher.longSilence, &watcher.maxBackoff, &watcher.maxCallDelay} {
 			*span = *span * grace / defaultGrace
 		}
 	}
-	if w.shared = routers > 0; w.shared {
-		w.watchTimeout, w.quickSilence, w.patientSilence, w.maxTurnWait = sharedWatchTimeout, sharedQuickSilence, sharedPatientSilence, sharedMaxTurnWait
-		w.firstBackoff, w.maxBackoff = sharedFirstBackoff, min(max(minSharedBackoff, time.Duration(routers)*callSpacing), sharedMaxBackoff)
+	if watcher.shared = routers > 0; watcher.shared {
+		watcher.watchTimeout, watcher.shortSilence, watcher.longSilence, watcher.maxCallDelay = sharedWatchTimeout, sharedShortSilence, sharedLongSilence, sharedMaxCallDelay
+		watcher.initialBackoff, watcher.maxBackoff = sharedInitialBackoff, min(max(minSharedBackoff, time.Duration(routers)*callSpacing), sharedMaxBackoff)
 	}
-	return w
+	return watcher
 }
 
-// Move turns the watcher to the agent at another address: the call under way at
-// the old one ends, and the new one is called for the complete list at once.
-func (w *Watcher) Move(agent string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if agent == w.agent {
+// SetAgent switches the watcher to the agent at another address: the current call ends, and the new agent is called at
+// once for the complete list.
+func (watcher *Watcher) SetAgent(agent string) {
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	if agent == watcher.agent {
 		return
 	}
-	if w.agent = agent; w.cancelCall != nil {
-		w.cancelCall()
+	if watcher.agent = agent; watcher.cancelCall != nil {
+		watcher.cancelCall()
 	}
 }
 
-// Run passes each list to apply until the context ends, at one agent after another.
-// A list for which apply returns an error counts as malformed.
-func (w *Watcher) Run(ctx context.Context, apply func(*List) error) {
+// Run passes each list to apply until the context ends. A list for which apply returns an error counts as malformed.
+func (watcher *Watcher) Run(ctx context.Context, apply func(*List) error) {
 	for ctx.Err() == nil {
-		w.mu.Lock()
-		here, cut := context.WithCancel(ctx)
-		agent := w.agent
-		w.cancelCall = cut
-		w.mu.Unlock()
-		w.follow(here, agent, apply)
-		cut()
+		watcher.mu.Lock()
+		agentCtx, cancel := context.WithCancel(ctx)
+		agent := watcher.agent
+		watcher.cancelCall = cancel
+		watcher.mu.Unlock()
+		watcher.follow(agentCtx, agent, apply)
+		cancel()
 	}
 }
 
-// follow passes each list of one agent to apply until the context ends. After an
-// error the agent is called again, with short pauses: for the complete list where
-// changes may not fit the known one; a malformed list counts as an error.
-func (w *Watcher) follow(ctx context.Context, agent string, apply func(*List) error) {
-	defer func() { w.closeConnection() }()
-	w.hasSnapshot = false
-	pause, row, last, hasty := w.firstBackoff, 0, "", 0
+// follow passes each list of one agent to apply until the context ends. After an error, a malformed list included, the
+// agent is called again after a backoff, for the complete list if changes might not fit the known one.
+func (watcher *Watcher) follow(ctx context.Context, agent string, apply func(*List) error) {
+	defer func() { watcher.closeConnection() }()
+	watcher.hasSnapshot = false
+	backoff, failures, lastCause, immediateResponses := watcher.initialBackoff, 0, "", 0
 	for ctx.Err() == nil {
-		if w.CallDelay != nil && !w.hasSnapshot {
-			w.awaitTurn(ctx)
+		if watcher.CallDelay != nil && !watcher.hasSnapshot {
+			watcher.awaitCallDelay(ctx)
 		}
-		began := time.Now()
-		l, err := w.nextList(ctx, agent)
+		started := time.Now()
+		list, err := watcher.fetchList(ctx, agent)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && (l.Complete || len(l.Hosts) > 0) {
-			err = apply(l)
+		if err == nil && (list.Complete || len(list.Hosts) > 0) {
+			err = apply(list)
 		}
 		if err == nil {
-			w.applied(l)
-			w.Metrics.Add(metrics.ListCalls)
-			pause, row = w.firstBackoff, 0
-			if hasty++; time.Since(began) > minBackoff {
-				hasty = 0
+			watcher.applied(list)
+			watcher.Metrics.Add(metrics.ListCalls)
+			backoff, failures = watcher.initialBackoff, 0
+			if immediateResponses++; time.Since(started) > minBackoff {
+				immediateResponses = 0
 			}
-			if hasty > maxImmediateAnswers {
+			if immediateResponses > maxImmediateResponses {
 				sleep(ctx, halfJitter(minBackoff))
 			}
 			continue
 		}
-		w.hasSnapshot = w.hasSnapshot && w.keepsSnapshot(err)
-		w.closeConnection()
-		w.Metrics.Add(metrics.ListCallsFailed)
-		if why := errorCause(err); why != last {
-			row, last = 0, why
+		watcher.hasSnapshot = watcher.hasSnapshot && watcher.snapshotSurvives(err)
+		watcher.closeConnection()
+		watcher.Metrics.Add(metrics.ListCallsFailed)
+		if cause := errorCause(err); cause != lastCause {
+			failures, lastCause = 0, cause
 		}
-		if row++; row&(row-1) == 0 { // the first, second, fourth ... in a row: an agent may be away for long
-			slog.Warn("discovery", "agent", agent, "err", err, "in_a_row", row)
+		if failures++; failures&(failures-1) == 0 { // only the 1st, 2nd, 4th, 8th ... failure in a row is logged
+			slog.Warn("call for the endpoint list failed", "agent", agent, "err", err, "in_a_row", failures)
 		}
-		next := halfJitter(minBackoff)
+		delay := halfJitter(minBackoff)
 		switch {
-		case w.responseDelay != unknownDelay && isTimeout(err):
-			// A shared service that answered only in part has a broken connection: it is called again at
-			// once, and only once, in place of the next watch.
-		case pause == w.firstBackoff:
-			next, pause = halfJitter(pause), min(backoffFactor*pause, w.maxBackoff)
-		case pause < w.maxBackoff: // counted from call to call: one that was waited for has had its pause
-			next, pause = max(next, lowJitter(pause)-time.Since(began)), min(backoffFactor*pause, w.maxBackoff)
+		case watcher.responseDelay != unknownDelay && isTimeout(err):
+			// An agent that had answered before and timed out now probably has a broken connection. It is called
+			// again after minBackoff, but only once, in place of the next watch.
+		case backoff == watcher.initialBackoff:
+			delay, backoff = halfJitter(backoff), min(backoffFactor*backoff, watcher.maxBackoff)
+		case backoff < watcher.maxBackoff: // measured from the start of one call to the next
+			delay, backoff = max(delay, shorteningJitter(backoff)-time.Since(started)), min(backoffFactor*backoff, watcher.maxBackoff)
 		default:
-			next = max(next, smallJitter(pause)-time.Since(began))
+			delay = max(delay, jitter(backoff)-time.Since(started))
 		}
-		w.responseDelay = unknownDelay
-		sleep(ctx, next)
+		watcher.responseDelay = unknownDelay
+		sleep(ctx, delay)
 	}
 }
 
-// keepsSnapshot says whether the known list is still valid after an error, so that the changes since then, which are
-// less work for a service than the complete list, are enough: it was too busy to answer. One that refuses or breaks
-// connections may have restarted. A shared service's silence means no more than that; the router's own agent lists all at no cost.
-func (w *Watcher) keepsSnapshot(err error) bool {
-	var busy statusError
-	return errors.As(err, &busy) && busy.status >= 500 || w.shared && isTimeout(err)
+// snapshotSurvives reports whether the known list is still valid after an error, so that the next call can ask for the
+// changes since then, which cost a service less than the complete list. That is so if the agent was too busy to answer.
+// An agent that refuses or breaks connections may have restarted. A timeout of a shared service only means that it is
+// busy; the router's own agent lists all at no cost.
+func (watcher *Watcher) snapshotSurvives(err error) bool {
+	var status statusError
+	return errors.As(err, &status) && status.status >= 500 || watcher.shared && isTimeout(err)
 }
 
-// applied records the list in force.
-func (w *Watcher) applied(l *List) {
-	if !w.doubtUntil.IsZero() && !l.Doubtful {
-		w.hasSnapshot = w.hasSnapshot && l.Complete // a doubt ends with the agent's complete list
-		w.doubtUntil = time.Time{}
-		w.maxVersion = l.Version
+// applied records a list that has been applied.
+func (watcher *Watcher) applied(list *List) {
+	if !watcher.outdatedUntil.IsZero() && !list.MayBeOutdated {
+		// After the outdated period, the agent's complete list is needed.
+		watcher.hasSnapshot = watcher.hasSnapshot && list.Complete
+		watcher.outdatedUntil = time.Time{}
+		watcher.maxVersion = list.Version
 	}
-	w.maxVersion = max(w.maxVersion, l.Version)
+	watcher.maxVersion = max(watcher.maxVersion, list.Version)
 }
 
-// nextList calls for the complete list, or watches for changes.
-func (w *Watcher) nextList(ctx context.Context, agent string) (*List, error) {
-	if !w.doubtUntil.IsZero() && !time.Now().Before(w.doubtUntil) { // its list is accepted from now on, so the complete one is needed
-		w.hasSnapshot = false
+// fetchList calls for the complete list, or watches for changes if the list is known.
+func (watcher *Watcher) fetchList(ctx context.Context, agent string) (*List, error) {
+	// After the outdated period the agent's list is accepted, so the complete one is needed.
+	if !watcher.outdatedUntil.IsZero() && !time.Now().Before(watcher.outdatedUntil) {
+		watcher.hasSnapshot = false
 	}
-	target, wait, quiet := endpointsPath, time.Duration(0), w.allowedSilence()
-	if w.hasSnapshot {
-		wait = w.watchWait()
-		target = fmt.Sprintf("%s?since=%d&timeout_ms=%d", endpointsPath, w.version, wait.Milliseconds())
+	target, wait, silence := endpointsPath, time.Duration(0), watcher.allowedSilence()
+	if watcher.hasSnapshot {
+		wait = watcher.watchWait()
+		target = fmt.Sprintf("%s?since=%d&timeout_ms=%d", endpointsPath, watcher.version, wait.Milliseconds())
 	}
-	began := time.Now()
-	body, err := w.get(ctx, agent, target, wait, quiet)
+	started := time.Now()
+	body, err := watcher.get(ctx, agent, target, wait, silence)
 	if err != nil {
 		return nil, err
 	}
-	l, err := Parse(body, time.Now())
+	list, err := Parse(body, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	if late := time.Since(began) - wait; late >= 0 || wait <= immediateWait { // otherwise a change cut the wait short
-		w.responseDelay = max(late, 0)
+	if late := time.Since(started) - wait; late >= 0 || wait <= immediateWait { // otherwise a change ended the wait early
+		watcher.responseDelay = max(late, 0)
 	}
-	if !l.Complete {
-		if !w.hasSnapshot {
-			return nil, fmt.Errorf("list: asked for all, got changes")
+	if !list.Complete {
+		if !watcher.hasSnapshot {
+			return nil, fmt.Errorf("list: requested the complete list, got changes")
 		}
-		if l.Version < w.version {
-			// The agent's version went back, and ours means nothing to it: the complete list is called for next. That call may
-			// fail; so the withdrawals and drains of this answer are applied now.
-			w.hasSnapshot, l.Doubtful = false, true
-			if w.doubtUntil.IsZero() {
-				w.doubtUntil = time.Now().Add(w.doubtPeriod)
+		if list.Version < watcher.version {
+			// The agent's version went back, so it can't tell the changes since ours, and the next call asks for the complete
+			// list. As that call may fail, the removals and drains in this answer are applied now.
+			watcher.hasSnapshot, list.MayBeOutdated = false, true
+			if watcher.outdatedUntil.IsZero() {
+				watcher.outdatedUntil = time.Now().Add(watcher.outdatedPeriod)
 			}
-			return l, nil
+			return list, nil
 		}
 	}
-	w.version, w.hasSnapshot = l.Version, true
-	if l.Version < w.maxVersion {
-		if w.doubtUntil.IsZero() {
-			w.doubtUntil = time.Now().Add(w.doubtPeriod)
+	watcher.version, watcher.hasSnapshot = list.Version, true
+	if list.Version < watcher.maxVersion {
+		if watcher.outdatedUntil.IsZero() {
+			watcher.outdatedUntil = time.Now().Add(watcher.outdatedPeriod)
 		}
-		l.Doubtful = time.Now().Before(w.doubtUntil)
+		list.MayBeOutdated = time.Now().Before(watcher.outdatedUntil)
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -44,7 +44,7 @@
 	}
 	r.accessLog.settings.Store(own.Log)
 	slog.Info("reloaded", "discovery", config.Discovery)
-	r.watcher.Move(config.Discovery)
+	r.watcher.SetAgent(config.Discovery)
 	return nil
 }
 
