--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -18,37 +18,38 @@
 	"lotushook/policy/balance"
 )
 
-// script is an agent, and what befalls it, on the test's clock from its start on. Its news is that s-2 is listed.
+// script is an agent and the faults that it shows, at times of the test's clock since its start. Its list changes once,
+// from seq 1 to seq 2, which adds s-2.
 type script struct {
-	news       time.Duration                                       // from when on it has seq 2, before that seq 1
-	lists      func(t time.Duration, all bool) (seq int, l string) // what it has, instead
-	cut        time.Duration                                       // connections opened before are silent from then on
-	dark, back time.Duration                                       // between, nobody is answered, and never what was opened before back
-	shut, open time.Duration                                       // between, connections are refused
-	delay      time.Duration                                       // a call's turn
-	half       bool                                                // the first answer with news stops in its middle
-	drip       time.Duration                                       // so long between two of the first news' bytes
-	busy       bool                                                // 503 until there is news
-	busyFrom   time.Duration                                       // but not before
-	refusals   int                                                 // so many connections are refused from cut on
-	reset      time.Duration                                       // connections opened before end then
-	pace       func() (time.Duration, bool)                        // the router's own, asked before a whole list
-	form       func(list string) string                            // how lists are written
+	change           time.Duration                                       // when its list changes
+	listAt           func(t time.Duration, all bool) (seq int, l string) // its list at a time, in place of the change
+	stall            time.Duration                                       // connections opened before then stop answering then
+	outage, recovery time.Duration                                       // no answers in between; none ever on older connections
+	refuse, open     time.Duration                                       // connections are refused in between
+	wait             time.Duration                                       // how long each call waits in the queue
+	truncate         bool                                                // the first answer with the change stops halfway
+	byteInterval     time.Duration                                       // between the bytes of the first answer with it
+	busy             bool                                                // it answers 503 from busyFrom until the change
+	busyFrom         time.Duration
+	refusals         int                          // how many connections are refused after the stall
+	reset            time.Duration                // connections opened before then are reset then
+	callDelay        func() (time.Duration, bool) // the watcher's CallDelay
+	format           func(list string) string     // changes the format of the lists
 
-	mu     sync.Mutex    // connections that are given up may still be served
-	until  time.Duration // the test's end
-	calls  []string
-	hung   int // answers that nobody waited for
-	spoilt bool
+	mu         sync.Mutex    // abandoned connections may still be served
+	testEnd    time.Duration // when the test ends
+	calls      []string
+	abandoned  int // answers to calls that the watcher had abandoned
+	changeSent bool
 }
 
-func (s *script) list(t time.Duration, all bool) (int, string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.lists != nil {
-		return s.lists(t, all)
+func (agent *script) list(now time.Duration, complete bool) (int, string) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	if agent.listAt != nil {
+		return agent.listAt(now, complete)
 	}
-	if t < s.news {
+	if now < agent.change {
 		return 1, `{"seq":1,"whole":true,"hosts":[` + one + `]}`
 	}
 	return 2, `{"seq":2,"whole":true,"hosts":[` + one + `,` + strings.Replace(one, "s-1", "s-2", 1) + `]}`
@@ -56,128 +57,131 @@
 
 var errRefused = errors.New("connection refused")
 
-const tenth = time.Second / 10 // so often an agent with lists of its own looks for news
+const listInterval = time.Second / 10 // how often an agent with listAt checks for a new list
 
-// silent says whether what was opened at a time hears nothing now.
-func (s *script) silent(opened, now time.Duration) bool {
-	return opened < s.cut && now >= s.cut || opened < s.back && now >= s.dark
+// silent reports whether a connection opened at a time gets no answers now.
+func (agent *script) silent(openedAt, now time.Duration) bool {
+	return openedAt < agent.stall && now >= agent.stall || openedAt < agent.recovery && now >= agent.outage
 }
 
-func (s *script) note(f func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// locked calls f with the mutex locked.
+func (agent *script) locked(f func()) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
 	f()
 }
 
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func (s *script) serve(conn net.Conn, began time.Time) {
-	opened := time.Since(began)
+//nolint:gocognit,funlen // one scenario or table of cases that reads best in one piece
+func (agent *script) serve(conn net.Conn, started time.Time) {
+	openedAt := time.Since(started)
 	defer conn.Close()
-	if opened < s.reset {
-		defer time.AfterFunc(s.reset-opened, func() { conn.Close() }).Stop()
+	if openedAt < agent.reset {
+		defer time.AfterFunc(agent.reset-openedAt, func() { conn.Close() }).Stop()
 	}
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		line, err := in.ReadString('\n')
-		for rest := line; err == nil && rest != "\r\n"; {
-			rest, err = in.ReadString('\n')
+		request, err := reader.ReadString('\n')
+		for rest := request; err == nil && rest != "\r\n"; {
+			rest, err = reader.ReadString('\n')
 		}
 		if err != nil {
 			return
 		}
-		s.note(func() { s.calls = append(s.calls, strings.Fields(line)[1]) })
+		agent.locked(func() { agent.calls = append(agent.calls, strings.Fields(request)[1]) })
 		since, wait := 0, 0
-		_, _ = fmt.Sscanf(line, "GET /v1/endpoints?since=%d&timeout_ms=%d", &since, &wait) // what follows shows it
-		until := time.Now().Add(time.Duration(wait) * time.Millisecond)
-		seq, list := s.list(time.Since(began), since == 0)
-		for seq == since && time.Now().Before(until) && !s.silent(opened, time.Since(began)) {
-			now, next := time.Since(began), until.Sub(began)
-			for _, at := range []time.Duration{s.news, s.cut, s.dark, now.Truncate(tenth) + tenth} {
-				if at > now && (at != now.Truncate(tenth)+tenth || s.lists != nil) {
+		_, _ = fmt.Sscanf(request, "GET /v1/endpoints?since=%d&timeout_ms=%d", &since, &wait) // both stay 0 without parameters
+		waitEnd := time.Now().Add(time.Duration(wait) * time.Millisecond)
+		version, list := agent.list(time.Since(started), since == 0)
+		for version == since && time.Now().Before(waitEnd) && !agent.silent(openedAt, time.Since(started)) {
+			now, next := time.Since(started), waitEnd.Sub(started)
+			for _, at := range []time.Duration{agent.change, agent.stall, agent.outage, now.Truncate(listInterval) + listInterval} {
+				if at > now && (at != now.Truncate(listInterval)+listInterval || agent.listAt != nil) {
 					next = min(next, at)
 				}
 			}
 			time.Sleep(next - now)
-			seq, list = s.list(time.Since(began), since == 0)
+			version, list = agent.list(time.Since(started), since == 0)
 		}
-		time.Sleep(s.delay)
-		if s.silent(opened, time.Since(began)) {
-			_, _ = io.Copy(io.Discard, conn) // up to the other side's end
+		time.Sleep(agent.wait)
+		if agent.silent(openedAt, time.Since(started)) {
+			_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 			return
 		}
-		if seq == since {
-			list = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, seq)
+		if version == since {
+			list = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, version)
 		}
-		if s.form != nil {
-			list = s.form(list)
+		if agent.format != nil {
+			list = agent.format(list)
 		}
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-		if now := time.Since(began); s.busy && now >= s.busyFrom && now < s.news {
+		if now := time.Since(started); agent.busy && now >= agent.busyFrom && now < agent.change {
 			answer = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 		}
-		first := false
-		s.note(func() { first, s.spoilt = !s.spoilt, s.spoilt || seq == 2 })
-		if seq == 2 && first && (s.half || s.drip > 0) {
-			if s.half {
-				_, _ = io.WriteString(conn, answer[:len(answer)/2]) // what follows shows it
-				_, _ = io.Copy(io.Discard, conn)                    // what follows shows it
+		isFirst := false
+		agent.locked(func() { isFirst, agent.changeSent = !agent.changeSent, agent.changeSent || version == 2 })
+		if version == 2 && isFirst && (agent.truncate || agent.byteInterval > 0) {
+			if agent.truncate {
+				_, _ = io.WriteString(conn, answer[:len(answer)/2]) // a failure leaves the connection silent too
+				_, _ = io.Copy(io.Discard, conn)                    // until the client closes the connection
 				return
 			}
 			for i := 0; i < len(answer) && err == nil; i++ {
 				_, err = io.WriteString(conn, answer[i:i+1])
-				time.Sleep(s.drip)
+				time.Sleep(agent.byteInterval)
 			}
 			continue
 		}
 		if _, err := io.WriteString(conn, answer); err != nil {
-			if time.Since(began) < s.until {
-				s.note(func() { s.hung++ })
+			if time.Since(started) < agent.testEnd {
+				agent.locked(func() { agent.abandoned++ })
 			}
 			return
 		}
 	}
 }
 
-// follow has a watcher follow scripted agents, a later one from a SIGHUP on, until a time. It says when seq 2 was had.
-func follow(t *testing.T, routers int, grace, until, move time.Duration, told func(*List, time.Duration) error, agents ...*script) {
+// follow runs a watcher of the first agent until testEnd. If switchAt is not 0, the watcher is switched to the second
+// agent then. Each list is passed to apply with the time since the start.
+func follow(t *testing.T, routers int, grace, testEnd, switchAt time.Duration, apply func(*List, time.Duration) error, agents ...*script) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
-		began := time.Now()
-		for _, s := range agents {
-			s.until = until
+		started := time.Now()
+		for _, agent := range agents {
+			agent.testEnd = testEnd
 		}
-		ctx, stop := context.WithTimeout(context.Background(), until)
+		ctx, stop := context.WithTimeout(context.Background(), testEnd)
 		defer stop()
 		var serving sync.WaitGroup
-		w := NewWatcher("0", routers, grace)
-		w.CallDelay = agents[0].pace
-		w.dial = func(_ context.Context, agent string, _ time.Duration) (net.Conn, error) {
-			s := agents[agent[0]-'0']
-			now := time.Since(began)
-			if now >= s.shut && now < s.open {
+		watcher := NewWatcher("0", routers, grace)
+		watcher.CallDelay = agents[0].callDelay
+		watcher.dial = func(_ context.Context, address string, _ time.Duration) (net.Conn, error) {
+			agent := agents[address[0]-'0']
+			now := time.Since(started)
+			if now >= agent.refuse && now < agent.open {
 				return nil, errRefused
 			}
-			if now >= s.cut && s.refusals > 0 {
-				s.refusals--
+			if now >= agent.stall && agent.refusals > 0 {
+				agent.refusals--
 				return nil, errRefused
 			}
-			here, there := net.Pipe()
-			serving.Go(func() { s.serve(there, began) })
-			return here, nil
+			clientEnd, serverEnd := net.Pipe()
+			serving.Go(func() { agent.serve(serverEnd, started) })
+			return clientEnd, nil
 		}
-		if move > 0 {
-			time.AfterFunc(move, func() { w.SetAgent("1") })
+		if switchAt > 0 {
+			time.AfterFunc(switchAt, func() { watcher.SetAgent("1") })
 		}
-		w.Run(ctx, func(l *List) error { return told(l, time.Since(began)) })
+		watcher.Run(ctx, func(list *List) error { return apply(list, time.Since(started)) })
 		serving.Wait()
 	})
 }
 
-// The table of docs/design/fleet.md: when a change counts as told, and that this router has it before, whatever the
-// moment of the trouble within a watch. What a pushed list's agent has counts at once, even where the way to it is broken: a
-// drain's grace of a second is what is left to find that out.
+// Checks the table of docs/design/fleet.md: the time when a change counts as notified, and that the watcher applies it
+// before then, at whatever point within a watch the fault begins. With an agent of its own ("own agent"), a change
+// counts as notified as soon as the agent has it, even if the connection to the agent is broken; the grace period of a
+// drain, a second, is left to detect that.
 //
-//nolint:funlen // one history or table of cases, told in order
+//nolint:funlen // one scenario or table of cases that reads best in one piece
 func TestClock(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	const never = time.Hour
@@ -189,272 +193,273 @@
 		return "\n " + out.String() + "\n\n"
 	}
 	type at = time.Duration
-	early := func(_ time.Duration, all bool) (int, string) { // the change comes when all has been told
-		if all {
+	changedAtOnce := func(_ time.Duration, complete bool) (int, string) { // the change comes right after the complete list
+		if complete {
 			return 1, `{"seq":1,"whole":true,"hosts":[` + one + `]}`
 		}
 		return 2, `{"seq":2,"whole":false,"hosts":[` + strings.Replace(one, "s-1", "s-2", 1) + `]}`
 	}
-	for _, c := range []struct {
-		name    string
-		routers int
-		move    at
-		agents  func(x at) []*script // the trouble is at x
-		told    func(x at) at        // by the terms
-		within  at                   // of x: this router's own bound
+	for _, tc := range []struct {
+		name     string
+		routers  int
+		switchAt at
+		agents   func(x at) []*script // x is when the fault begins
+		notified func(x at) at        // when the change counts as notified
+		within   at                   // the expected maximum, from x
 	}{
-		{"pushed, watch open", 0, 0, func(x at) []*script { return []*script{{news: x}} },
+		{"own agent, watch open", 0, 0, func(x at) []*script { return []*script{{change: x}} },
 			func(x at) at { return x + 50*ms }, 2 * ms},
-		{"pushed, connection silent", 0, 0, func(x at) []*script { return []*script{{news: x, cut: x}} },
+		{"own agent, connection silent", 0, 0, func(x at) []*script { return []*script{{change: x, stall: x}} },
 			func(x at) at { return x + s }, 830 * ms},
-		{"pushed, agent silent, and back with news", 0, 0, func(x at) []*script { return []*script{{news: x + 9*s, dark: x, back: x + 9*s}} },
+		{"own agent, agent silent, then back with a change", 0, 0, func(x at) []*script { return []*script{{change: x + 9*s, outage: x, recovery: x + 9*s}} },
 			func(x at) at { return x + 10*s }, 9*s + 855*ms},
-		{"pushed, connection silent, half a second of grace", 0, 0, func(x at) []*script { return []*script{{news: x, cut: x}} },
+		{"own agent, connection silent, half a second of grace", 0, 0, func(x at) []*script { return []*script{{change: x, stall: x}} },
 			func(x at) at { return x + s/2 }, 455 * ms},
-		{"pushed, agent silent, and back with news, half a second of grace", 0, 0,
-			func(x at) []*script { return []*script{{news: x + 9*s, dark: x, back: x + 9*s}} },
+		{"own agent, agent silent, then back with a change, half a second of grace", 0, 0,
+			func(x at) []*script { return []*script{{change: x + 9*s, outage: x, recovery: x + 9*s}} },
 			func(x at) at { return x + 9*s + s/2 }, 9*s + 430*ms},
-		{"pushed, silent in mid-answer", 0, 0, func(x at) []*script { return []*script{{news: x, half: true}} },
+		{"own agent, silent in the middle of an answer", 0, 0, func(x at) []*script { return []*script{{change: x, truncate: true}} },
 			func(x at) at { return x + s }, 330 * ms},
-		{"pushed, an answer that drips and comes", 0, 0, func(x at) []*script { return []*script{{news: x, drip: 5 * ms}} },
+		{"own agent, an answer that arrives slowly", 0, 0, func(x at) []*script { return []*script{{change: x, byteInterval: 5 * ms}} },
 			func(x at) at { return x + 6*s }, 2 * s},
-		{"pushed, an answer that drips for long", 0, 0, func(x at) []*script { return []*script{{news: x, drip: 50 * ms}} },
+		{"own agent, an answer that arrives too slowly", 0, 0, func(x at) []*script { return []*script{{change: x, byteInterval: 50 * ms}} },
 			func(x at) at { return x + 6*s }, 2080 * ms},
-		{"pushed, refused", 0, 0, func(x at) []*script { return []*script{{news: x, cut: x, shut: x, open: x + 9*s}} },
+		{"own agent, refused", 0, 0, func(x at) []*script { return []*script{{change: x, stall: x, refuse: x, open: x + 9*s}} },
 			func(x at) at { return x + 10*s }, 9*s + 151*ms},
-		{"pushed, moved", 0, 10 * s, func(_ at) []*script { return []*script{{news: never}, {}} },
+		{"own agent, switched", 0, 10 * s, func(_ at) []*script { return []*script{{change: never}, {}} },
 			func(at) at { return 14 * s }, 2 * ms},
-		{"pushed, moved, the new agent refuses for 3 s", 0, 10 * s, func(_ at) []*script { return []*script{{news: never}, {open: 13 * s}} },
+		{"own agent, switched, the new agent refuses for 3 s", 0, 10 * s, func(_ at) []*script { return []*script{{change: never}, {open: 13 * s}} },
 			func(at) at { return 14 * s }, 3*s + 151*ms},
-		{"pushed, moved, the first connection is silent", 0, 10 * s, func(_ at) []*script { return []*script{{news: never}, {back: 10*s + ms}} },
+		{"own agent, switched, the first connection is silent", 0, 10 * s, func(_ at) []*script { return []*script{{change: never}, {recovery: 10*s + ms}} },
 			func(at) at { return 14 * s }, 330 * ms},
-		{"pushed, process just started", 0, 0, func(at) []*script { return []*script{{}} },
+		{"own agent, process that has just started", 0, 0, func(at) []*script { return []*script{{}} },
 			func(at) at { return 50 * ms }, 2 * ms},
-		{"pushed, agent silent, and back with news, and calls for all have no turn", 0, 0,
+		{"own agent, agent silent, then back with a change, and CallDelay never permits calls", 0, 0,
 			func(x at) []*script {
-				return []*script{{news: x + 9*s, dark: x, back: x + 9*s, pace: func() (time.Duration, bool) { return 10 * s, false }}}
+				return []*script{{change: x + 9*s, outage: x, recovery: x + 9*s, callDelay: func() (time.Duration, bool) { return 10 * s, false }}}
 			},
 			func(x at) at { return x + 10*s }, 9*s + 880*ms},
-		{"pushed, moved in mid-answer", 0, 10 * s, func(x at) []*script { return []*script{{news: x - 20*ms, drip: 5 * ms}, {}} },
+		{"own agent, switched in the middle of an answer", 0, 10 * s, func(x at) []*script { return []*script{{change: x - 20*ms, byteInterval: 5 * ms}, {}} },
 			func(at) at { return 14 * s }, 2 * ms},
-		{"pushed, changed before the first watch of a process just started", 0, 0, func(at) []*script { return []*script{{lists: early}} },
+		{"own agent, changed before the first watch of a process that has just started", 0, 0, func(at) []*script { return []*script{{listAt: changedAtOnce}} },
 			func(at) at { return 50 * ms }, 2 * ms},
-		{"polled, changed before the first watch of a process just started", 300, 0, func(at) []*script { return []*script{{lists: early}} },
+		{"shared service, changed before the first watch of a process that has just started", 300, 0, func(at) []*script { return []*script{{listAt: changedAtOnce}} },
 			func(at) at { return 50 * ms }, 2 * ms},
-		{"polled, moved in mid-answer", 300, 10 * s, func(x at) []*script { return []*script{{news: x - 20*ms, drip: 5 * ms}, {delay: 400 * ms}} },
+		{"shared service, switched in the middle of an answer", 300, 10 * s, func(x at) []*script { return []*script{{change: x - 20*ms, byteInterval: 5 * ms}, {wait: 400 * ms}} },
 			func(at) at { return 14 * s }, 402 * ms},
-		{"pushed, indented", 0, 0, func(x at) []*script { return []*script{{news: x, form: indented}} },
+		{"own agent, indented", 0, 0, func(x at) []*script { return []*script{{change: x, format: indented}} },
 			func(x at) at { return x + 50*ms }, 2 * ms},
 
-		{"polled, watch open", 300, 0, func(x at) []*script { return []*script{{news: x}} },
+		{"shared service, watch open", 300, 0, func(x at) []*script { return []*script{{change: x}} },
 			func(x at) at { return x + 50*ms }, 2 * ms},
-		{"polled, connection silent, a service that takes 0.4 s", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, delay: 400 * ms}} },
+		{"shared service, connection silent, answers take 0.4 s", 300, 0, func(x at) []*script { return []*script{{change: x, stall: x, wait: 400 * ms}} },
 			func(x at) at { return x + 6*s }, 5*s + 480*ms},
-		{"polled, silent in mid-answer", 300, 0, func(x at) []*script { return []*script{{news: x, half: true, delay: 400 * ms}} },
+		{"shared service, silent in the middle of an answer", 300, 0, func(x at) []*script { return []*script{{change: x, truncate: true, wait: 400 * ms}} },
 			func(x at) at { return x + 6*s }, 2280 * ms},
-		{"polled, an answer that drips for long", 300, 0, func(x at) []*script { return []*script{{news: x, drip: 50 * ms}} },
+		{"shared service, an answer that arrives too slowly", 300, 0, func(x at) []*script { return []*script{{change: x, byteInterval: 50 * ms}} },
 			func(x at) at { return x + 6*s }, 2080 * ms},
-		{"polled, connection silent, a service that takes 1 s", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, delay: s}} },
+		{"shared service, connection silent, answers take 1 s", 300, 0, func(x at) []*script { return []*script{{change: x, stall: x, wait: s}} },
 			func(x at) at { return x + 6*s }, 5*s + 805*ms},
-		{"polled, connection silent, a service that takes 1.9 s", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, delay: 1900 * ms}} },
+		{"shared service, connection silent, answers take 1.9 s", 300, 0, func(x at) []*script { return []*script{{change: x, stall: x, wait: 1900 * ms}} },
 			func(x at) at { return x + 6*s }, 5*s + 805*ms},
-		{"polled, connection silent, and the repeat is refused", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, refusals: 1}} },
+		{"shared service, connection silent, and the next connection is refused", 300, 0, func(x at) []*script { return []*script{{change: x, stall: x, refusals: 1}} },
 			func(x at) at { return x + 6*s }, 5*s + 830*ms},
-		{"polled, watches reset, and the repeat is refused", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, reset: x, refusals: 1}} },
+		{"shared service, watches reset, and the next connection is refused", 300, 0, func(x at) []*script { return []*script{{change: x, stall: x, reset: x, refusals: 1}} },
 			func(x at) at { return x + 6*s }, 2*s + 950*ms},
-		{"polled, service dark for 9 s: none can know before", 300, 0,
-			func(x at) []*script { return []*script{{news: x + 9*s, dark: x, back: x + 9*s}} },
+		{"shared service, silent for 9 s", 300, 0,
+			func(x at) []*script { return []*script{{change: x + 9*s, outage: x, recovery: x + 9*s}} },
 			func(x at) at { return x + 9*s + 6*s }, 9*s + 4405*ms},
-		{"polled, service dark for 9 s, and takes 1 s", 300, 0,
-			func(x at) []*script { return []*script{{news: x + 9*s, dark: x, back: x + 9*s, delay: s}} },
+		{"shared service, silent for 9 s, and answers take 1 s", 300, 0,
+			func(x at) []*script { return []*script{{change: x + 9*s, outage: x, recovery: x + 9*s, wait: s}} },
 			func(x at) at { return x + 9*s + 6*s }, 9*s + 5405*ms},
-		{"polled, refused for 9 s", 300, 0,
-			func(x at) []*script { return []*script{{news: x + 9*s, reset: x, shut: x, open: x + 9*s, delay: s}} },
+		{"shared service, refused for 9 s", 300, 0,
+			func(x at) []*script { return []*script{{change: x + 9*s, reset: x, refuse: x, open: x + 9*s, wait: s}} },
 			func(x at) at { return x + 9*s + 6*s }, 9*s + 5405*ms},
-		{"polled, refused for 40 s, and calls for all have no turn", 300, 0,
+		{"shared service, refused for 40 s, and CallDelay never permits calls", 300, 0,
 			func(x at) []*script {
-				return []*script{{news: x + 40*s, reset: x, shut: x, open: x + 40*s, delay: s,
-					pace: func() (time.Duration, bool) { return 10 * s, false }}}
+				return []*script{{change: x + 40*s, reset: x, refuse: x, open: x + 40*s, wait: s,
+					callDelay: func() (time.Duration, bool) { return 10 * s, false }}}
 			},
 			func(x at) at { return x + 40*s + 6*s }, 40*s + 5805*ms},
-		{"polled, turned away for 40 s", 300, 0,
-			func(x at) []*script { return []*script{{news: x + 40*s, busy: true, busyFrom: x, delay: 200 * ms}} },
+		{"shared service, answers 503 for 40 s", 300, 0,
+			func(x at) []*script { return []*script{{change: x + 40*s, busy: true, busyFrom: x, wait: 200 * ms}} },
 			func(x at) at { return x + 40*s + 6*s }, 40*s + 4605*ms},
-		{"polled, turned away from the first call on", 300, 0,
-			func(x at) []*script { return []*script{{news: x, busy: true}} },
+		{"shared service, answers 503 from the first call on", 300, 0,
+			func(x at) []*script { return []*script{{change: x, busy: true}} },
 			func(x at) at { return x + 6*s }, 4405 * ms},
-		{"polled, dark from the first call on", 300, 0,
-			func(x at) []*script { return []*script{{news: x, back: x}} },
+		{"shared service, silent from the first call on", 300, 0,
+			func(x at) []*script { return []*script{{change: x, recovery: x}} },
 			func(x at) at { return x + 6*s }, 4405 * ms},
-		{"polled, refused for 1 s", 300, 0, func(x at) []*script { return []*script{{news: x, cut: x, shut: x, open: x + s}} },
+		{"shared service, refused for 1 s", 300, 0, func(x at) []*script { return []*script{{change: x, stall: x, refuse: x, open: x + s}} },
 			func(x at) at { return x + 6*s }, 5950 * ms},
-		{"polled, moved", 300, 10 * s, func(_ at) []*script { return []*script{{news: never}, {delay: 400 * ms}} },
+		{"shared service, switched", 300, 10 * s, func(_ at) []*script { return []*script{{change: never}, {wait: 400 * ms}} },
 			func(at) at { return 14 * s }, 402 * ms},
-		{"polled, moved, the first connection is silent", 300, 10 * s,
-			func(_ at) []*script { return []*script{{news: never}, {back: 10*s + ms, delay: 400 * ms}} },
+		{"shared service, switched, the first connection is silent", 300, 10 * s,
+			func(_ at) []*script { return []*script{{change: never}, {recovery: 10*s + ms, wait: 400 * ms}} },
 			func(at) at { return 14 * s }, 1480 * ms},
-		{"polled, moved, the new agent refuses for 1 s", 300, 10 * s, func(_ at) []*script { return []*script{{news: never}, {open: 11 * s}} },
+		{"shared service, switched, the new agent refuses for 1 s", 300, 10 * s, func(_ at) []*script { return []*script{{change: never}, {open: 11 * s}} },
 			func(at) at { return 14 * s }, 3600 * ms},
-		{"polled, indented", 300, 0, func(x at) []*script { return []*script{{news: x, form: indented}} },
+		{"shared service, indented", 300, 0, func(x at) []*script { return []*script{{change: x, format: indented}} },
 			func(x at) at { return x + 50*ms }, 2 * ms},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			worst, margin := at(0), never
 			grace := s
-			if strings.HasSuffix(c.name, "half a second of grace") {
+			if strings.HasSuffix(tc.name, "half a second of grace") {
 				grace = s / 2
 			}
-			once := c.move > 0 || strings.HasSuffix(c.name, "started")
+			single := tc.switchAt > 0 || strings.HasSuffix(tc.name, "started")
 			for x := 10 * s; x < 14*s; x += 193 * ms {
-				has, from := never, x
-				if strings.HasSuffix(c.name, "started") {
-					from = 0
+				appliedAt, start := never, x
+				if strings.HasSuffix(tc.name, "started") {
+					start = 0
 				}
-				follow(t, c.routers, grace, x+60*s, c.move, func(l *List, now at) error {
-					if l.Version == 2 {
-						has = min(has, now)
+				follow(t, tc.routers, grace, x+60*s, tc.switchAt, func(list *List, now at) error {
+					if list.Version == 2 {
+						appliedAt = min(appliedAt, now)
 					}
 					return nil
-				}, c.agents(x)...)
-				worst, margin = max(worst, has-from), min(margin, c.told(x)-has)
-				if once {
+				}, tc.agents(x)...)
+				worst, margin = max(worst, appliedAt-start), min(margin, tc.notified(x)-appliedAt)
+				if single {
 					break
 				}
 			}
-			t.Logf("has it within %v, margin %v", worst, margin)
-			if worst > c.within || margin < 0 {
-				t.Errorf("has it only after %v, not %v; %v before it counts as told", worst, c.within, margin)
+			t.Logf("applied within %v, margin %v", worst, margin)
+			if worst > tc.within || margin < 0 {
+				t.Errorf("applied after %v, want at most %v; %v before it counts as notified", worst, tc.within, margin)
 			}
 		})
 	}
 }
 
-// What is asked of a service that is shared: no more than a call in 4 s while all is well, one more when a watch fell
-// silent, none that is given up in its turn, and no more than a call in 4 s while all fail, but for those that find out
-// whether it was only a moment.
+// Limits the load on a shared service: at most one call in 4 s in normal operation, one more after a watch fell silent,
+// no call that is abandoned while it is queued, and at most one call in 4 s while all calls fail, except for the first
+// ones, in case the failure is only momentary.
 func TestSharedLoad(t *testing.T) {
 	const s = time.Second
-	seq := 0
-	rash := func(_ time.Duration, all bool) (int, string) { // always newer than what was asked for
-		seq++
-		return seq, fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, all, one)
+	version := 0
+	alwaysNewer := func(_ time.Duration, complete bool) (int, string) { // always newer than the requested version
+		version++
+		return version, fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, one)
 	}
-	for _, c := range []struct {
-		name       string
-		agent      *script
-		most, hung int
+	for _, tc := range []struct {
+		name                   string
+		agent                  *script
+		maxCalls, maxAbandoned int
 	}{
-		{"quick", &script{news: time.Hour}, 26, 0},
-		{"a watch falls silent", &script{news: time.Hour, cut: 50 * s}, 27, 0},
-		{"answers take 2.5 s in turn", &script{news: time.Hour, delay: 5 * s / 2}, 17, 0},
-		{"answers without waiting", &script{lists: rash}, 99 * 40, 0},
-		{"turned away", &script{news: time.Hour, busy: true}, 28, 0},
-		{"dark", &script{news: time.Hour, dark: 50 * s, back: time.Hour}, 27, 0},
+		{"quick", &script{change: time.Hour}, 26, 0},
+		{"a watch falls silent", &script{change: time.Hour, stall: 50 * s}, 27, 0},
+		{"answers take 2.5 s in turn", &script{change: time.Hour, wait: 5 * s / 2}, 17, 0},
+		{"answers without waiting", &script{listAt: alwaysNewer}, 99 * 40, 0},
+		{"answers 503", &script{change: time.Hour, busy: true}, 28, 0},
+		{"silent", &script{change: time.Hour, outage: 50 * s, recovery: time.Hour}, 27, 0},
 	} {
-		follow(t, 300, 0, 99*s, 0, func(*List, time.Duration) error { return nil }, c.agent)
-		if n := len(c.agent.calls); n > c.most || n < 5 || c.agent.hung > c.hung {
-			t.Errorf("%s: %d calls, %d given up: %.500q", c.name, n, c.agent.hung, c.agent.calls)
+		follow(t, 300, 0, 99*s, 0, func(*List, time.Duration) error { return nil }, tc.agent)
+		if calls := len(tc.agent.calls); calls > tc.maxCalls || calls < 5 || tc.agent.abandoned > tc.maxAbandoned {
+			t.Errorf("%s: %d calls, %d abandoned: %.500q", tc.name, calls, tc.agent.abandoned, tc.agent.calls)
 		}
 	}
 }
 
-// An agent that is back with less: what it withdraws or drains holds at once, what it would lift waits for its news, and
-// after three seconds its word holds as it stands.
+// An agent whose version is smaller than one seen before: its removals and drains apply at once, its reactivations only
+// once its version has caught up or after three seconds, when its list is accepted as it is.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
+//nolint:gocognit,funlen // one scenario or table of cases that reads best in one piece
 func TestSaysLess(t *testing.T) {
-	const s = time.Second
-	host := func(name, health string, born int) string {
-		return fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":3,"health":%q,"share":1,"born_ms":%d}`, name, health, born)
+	const sec = time.Second
+	host := func(name, health string, startedAt int) string {
+		return fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":3,"health":%q,"share":1,"born_ms":%d}`, name, health, startedAt)
 	}
 	list := func(seq int, whole bool, hosts ...string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
 	}
-	full := list(50, true, host("drains", "DRAINING", 5), host("stays", "SERVING", 5), host("anew", "SERVING", 9), host("gone", "DELETED", 5))
-	less := []string{host("drains", "SERVING", 5), host("stays", "DRAINING", 5), host("anew", "SERVING", 2), host("gone", "SERVING", 5)}
-	for _, c := range []struct {
-		name string
-		then func(t time.Duration, all bool) (int, string) // from 10 s on
-		want [3]string                                     // who may get work at 11, 12.5 and 20 s
+	initial := list(50, true, host("drains", "DRAINING", 5), host("stays", "SERVING", 5), host("anew", "SERVING", 9), host("gone", "DELETED", 5))
+	older := []string{host("drains", "SERVING", 5), host("stays", "DRAINING", 5), host("anew", "SERVING", 2), host("gone", "SERVING", 5)}
+	for _, tc := range []struct {
+		name      string
+		listAfter func(t time.Duration, complete bool) (int, string) // from 10 s on
+		want      [3]string                                          // the ready hosts at 11, 12.5 and 20 s
 	}{
-		{"late with its news", func(t time.Duration, _ bool) (int, string) {
-			if t < 12*s {
-				return 48, list(48, true, less...)
+		{"behind the other agents", func(t time.Duration, _ bool) (int, string) {
+			if t < 12*sec {
+				return 48, list(48, true, older...)
 			}
 			return 51, list(51, false, host("drains", "DRAINING", 5), host("stays", "SERVING", 5), host("gone", "DELETED", 5))
 		}, [3]string{"anew", "anew stays", "anew stays"}},
-		{"counts anew", func(time.Duration, bool) (int, string) { return 3, list(3, true, less...) }, [3]string{"anew", "anew", "anew drains gone"}},
-		{"counts anew, with another start", func(time.Duration, bool) (int, string) {
+		{"versions restarted", func(time.Duration, bool) (int, string) { return 3, list(3, true, older...) }, [3]string{"anew", "anew", "anew drains gone"}},
+		{"versions and servers restarted", func(time.Duration, bool) (int, string) {
 			return 3, list(3, true, host("drains", "SERVING", 7), host("gone", "SERVING", 7))
 		}, [3]string{"drains gone", "drains gone", "drains gone"}},
-		{"counts anew, with changes only", func(time.Duration, bool) (int, string) { return 3, list(3, false, less...) },
-			[3]string{"anew stays", "anew stays", "anew stays"}}, // asked for all, it never tells it: the old list stays
-		{"counts anew behind an open watch", func(_ time.Duration, all bool) (int, string) { // its changes say nothing to what we have
-			if all {
-				return 4, list(4, true, less[0], less[2], less[3])
+		{"versions restarted, with changes only", func(time.Duration, bool) (int, string) { return 3, list(3, false, older...) },
+			[3]string{"anew stays", "anew stays", "anew stays"}}, // it never returns the complete list, so the current one stays
+		{"versions restarted during an open watch", func(_ time.Duration, complete bool) (int, string) {
+			if complete {
+				return 4, list(4, true, older[0], older[2], older[3])
 			}
-			return 4, list(4, false, less[0])
+			return 4, list(4, false, older[0]) // these changes do not fit the known list
 		}, [3]string{"anew", "anew", "anew drains gone"}},
-		{"bans behind an open watch", func(time.Duration, bool) (int, string) { return 4, list(4, false, less[1], less[0]) },
-			[3]string{"anew", "anew", "anew"}}, // what is asked for all never comes, and what it drained holds all the same
-		{"has nothing", func(time.Duration, bool) (int, string) { return 3, list(3, true) }, [3]string{"anew stays", "anew stays", "anew stays"}},
+		{"removals during an open watch", func(time.Duration, bool) (int, string) { return 4, list(4, false, older[1], older[0]) },
+			[3]string{"anew", "anew", "anew"}}, // no complete list follows, but the drain stays in force
+		{"empty list", func(time.Duration, bool) (int, string) { return 3, list(3, true) }, [3]string{"anew stays", "anew stays", "anew stays"}},
 	} {
 		for _, routers := range []int{0, 300} {
-			t.Run(fmt.Sprint(c.name, routers), func(t *testing.T) {
-				d, born := NewDirectory(), int64(0)
+			t.Run(fmt.Sprint(tc.name, routers), func(t *testing.T) {
+				directory, startedAt := NewDirectory(), int64(0)
 				var got [3]string
-				agent := &script{lists: func(t time.Duration, all bool) (int, string) {
-					if t < 10*s {
-						return 50, full
+				agent := &script{listAt: func(t time.Duration, complete bool) (int, string) {
+					if t < 10*sec {
+						return 50, initial
 					}
-					return c.then(t, all)
+					return tc.listAfter(t, complete)
 				}}
-				if !strings.HasSuffix(c.name, "open watch") {
-					agent.cut = 10 * s
+				if !strings.HasSuffix(tc.name, "open watch") {
+					agent.stall = 10 * sec
 				}
-				look := func() string {
-					d.mu.RLock()
-					defer d.mu.RUnlock()
+				readyHosts := func() string {
+					directory.mu.RLock()
+					defer directory.mu.RUnlock()
 					var ready []string
-					for _, h := range []string{"anew", "drains", "gone", "stays"} {
-						if d.entries[d.ids[h]].ready {
-							ready = append(ready, h)
+					for _, host := range []string{"anew", "drains", "gone", "stays"} {
+						if directory.entries[directory.ids[host]].ready {
+							ready = append(ready, host)
 						}
 					}
 					return strings.Join(ready, " ")
 				}
-				when, until := [3]time.Duration{11 * s, 25 * s / 2, 20 * s}, 20*s+time.Millisecond
-				if routers > 0 { // found out when the watch is over, and doubted up to the end of another
-					when, until = [3]time.Duration{10*s + 5*s, 0, 30 * s}, 30*s+time.Millisecond
+				checkTimes, testEnd := [3]time.Duration{11 * sec, 25 * sec / 2, 20 * sec}, 20*sec+time.Millisecond
+				if routers > 0 { // detected at the end of a watch, and outdated up to the end of the next one
+					checkTimes, testEnd = [3]time.Duration{10*sec + 5*sec, 0, 30 * sec}, 30*sec+time.Millisecond
 				}
-				follow(t, routers, 0, until, 0, func(l *List, now time.Duration) error {
+				follow(t, routers, 0, testEnd, 0, func(list *List, now time.Duration) error {
 					if now < time.Millisecond {
-						for i, w := range when {
-							if w > 0 {
-								time.AfterFunc(w, func() { got[i] = look() }) // no two at once
+						for i, at := range checkTimes {
+							if at > 0 {
+								time.AfterFunc(at, func() { got[i] = readyHosts() }) // the times differ
 							}
 						}
 					}
-					e, err := d.Update(l)
-					for _, n := range e.Endpoints {
-						if n.ID == d.ids["anew"] && n.State != balance.Removed && l.MayBeOutdated {
-							born = n.StartedAt
+					event, err := directory.Update(list)
+					for _, endpoint := range event.Endpoints {
+						if endpoint.ID == directory.ids["anew"] && endpoint.State != balance.Removed && list.MayBeOutdated {
+							startedAt = endpoint.StartedAt
 						}
 					}
 					return err
 				}, agent)
-				want := c.want
+				want := tc.want
 				if routers > 0 {
 					want[0], want[1] = got[0], ""
-					if c.name == "counts anew, with changes only" { // here the changes are asked for behind the silence, and what they ban holds
+					// The changes are requested after the silence, and their removals and drains apply.
+					if tc.name == "versions restarted, with changes only" {
 						want[2] = "anew"
 					}
 				}
 				if got != want {
-					t.Errorf("may get work: %q, want %q", got, want)
+					t.Errorf("ready: %q, want %q", got, want)
 				}
-				if born != 0 && born != 9e6 {
-					t.Errorf("the later start was forgotten: %d", born)
+				if startedAt != 0 && startedAt != 9e6 {
+					t.Errorf("the later start time was lost: %d", startedAt)
 				}
 			})
 		}
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -15,308 +15,310 @@
 	"time"
 )
 
-// service is one discovery for many routers, on the test's clock: it takes their calls one after the other, each for as
-// long as its lines ask, and turns away whom it can't serve in time. From back on it lists one server more.
-type service struct {
-	began      time.Time
-	from, back time.Duration // between, it is in trouble
-	trouble    string        // "dark": silent, also on what was opened before; "refuses"; "turns away": 503
-	call, line time.Duration // what a call costs, and a line of a list
-	names      []string      // hosts, as lists have them; each stands for tenfold in what a list costs
-	longest    time.Duration // who would wait longer than this is turned away then
+// sharedService is one discovery service for many routers, on the test's clock. It answers their calls one after the
+// other, each for as long as the lines of its answer take, and rejects those that would wait too long. From upAt on it
+// lists one server more.
+type sharedService struct {
+	started            time.Time
+	downAt, upAt       time.Duration // the outage lasts from downAt to upAt
+	outage             string        // "silent", also on connections opened before; "refuses connections"; or "answers 503"
+	callCost, lineCost time.Duration // the time that a call takes, and each line of a list
+	hosts              []string      // JSON entries; each costs as much as hostCost lines
+	maxWait            time.Duration // a call that would wait longer is answered 503 after this time
 
-	mu    sync.Mutex
-	free  time.Time // its queue's end
-	calls []time.Duration
-	lines int
+	mu       sync.Mutex
+	queueEnd time.Time // when the last queued call is answered
+	calls    []time.Duration
+	lines    int
 }
 
-func (s *service) now() time.Duration { return time.Since(s.began) }
+func (svc *sharedService) now() time.Duration { return time.Since(svc.started) }
 
-func (s *service) troubled() bool { return s.now() >= s.from && s.now() < s.back }
+func (svc *sharedService) inOutage() bool { return svc.now() >= svc.downAt && svc.now() < svc.upAt }
 
-// turn waits for a call's turn and says whether it came in time.
-func (s *service) turn(lines int) bool {
-	s.mu.Lock()
-	s.calls = append(s.calls, s.now())
-	start := s.free
+// waitTurn waits until the queue reaches a call and reports whether the wait was within maxWait.
+func (svc *sharedService) waitTurn(lines int) bool {
+	svc.mu.Lock()
+	svc.calls = append(svc.calls, svc.now())
+	start := svc.queueEnd
 	if start.Before(time.Now()) {
 		start = time.Now()
 	}
-	ok := time.Until(start) <= s.longest
-	if ok {
-		s.free = start.Add(s.call + time.Duration(lines)*s.line)
-		s.lines += lines
-		start = s.free
+	inTime := time.Until(start) <= svc.maxWait
+	if inTime {
+		svc.queueEnd = start.Add(svc.callCost + time.Duration(lines)*svc.lineCost)
+		svc.lines += lines
+		start = svc.queueEnd
 	} else {
-		start = time.Now().Add(s.longest)
+		start = time.Now().Add(svc.maxWait)
 	}
-	s.mu.Unlock()
+	svc.mu.Unlock()
 	time.Sleep(time.Until(start))
-	return ok
+	return inTime
 }
 
-func (s *service) seq() int {
-	if s.now() < s.back {
+func (svc *sharedService) version() int {
+	if svc.now() < svc.upAt {
 		return 1
 	}
 	return 2
 }
 
-const tenfold = 10 // reading so many whole lists would be most of the test
+const hostCost = 10 // lines that each host costs; parsing lists of so many real hosts would dominate the test
 
-// list is what a call is answered with, and how many lines that has.
-func (s *service) list(since int) (string, int) {
+// list returns the answer to a call and its cost in lines.
+func (svc *sharedService) list(since int) (string, int) {
 	var hosts []string
-	seq := s.seq()
+	version := svc.version()
 	if since == 0 {
-		hosts = slices.Clone(s.names)
+		hosts = slices.Clone(svc.hosts)
 	}
-	if seq == 2 && since < 2 {
+	if version == 2 && since < 2 {
 		hosts = append(hosts, strings.Replace(one, "s-1", "s-2", 1))
 	}
-	cost := len(hosts)
+	lines := len(hosts)
 	if since == 0 {
-		cost = tenfold * len(s.names)
+		lines = hostCost * len(svc.hosts)
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, since == 0, strings.Join(hosts, ",")), cost
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, since == 0, strings.Join(hosts, ",")), lines
 }
 
-//nolint:gocognit // one history or table of cases, told in order
-func (s *service) serve(conn net.Conn) {
-	opened, last := s.now(), time.Duration(-1)
+//nolint:gocognit // one scenario or table of cases that reads best in one piece
+func (svc *sharedService) serve(conn net.Conn) {
+	openedAt, lastAnswer := svc.now(), time.Duration(-1)
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		line, err := in.ReadString('\n')
-		for rest := line; err == nil && rest != "\r\n"; {
+		request, err := in.ReadString('\n')
+		for rest := request; err == nil && rest != "\r\n"; {
 			rest, err = in.ReadString('\n')
 		}
 		if err != nil {
 			return
 		}
 		since, wait := 0, 0
-		_, _ = fmt.Sscanf(line, "GET /v1/endpoints?since=%d&timeout_ms=%d", &since, &wait) // what follows shows it
-		if s.trouble == "dark" && opened < s.back && s.now() >= s.from {
-			s.mu.Lock()
-			s.calls = append(s.calls, s.now())
-			s.mu.Unlock()
-			_, _ = io.Copy(io.Discard, conn) // what follows shows it
+		_, _ = fmt.Sscanf(request, "GET /v1/endpoints?since=%d&timeout_ms=%d", &since, &wait) // both stay 0 without parameters
+		if svc.outage == "silent" && openedAt < svc.upAt && svc.now() >= svc.downAt {
+			svc.mu.Lock()
+			svc.calls = append(svc.calls, svc.now())
+			svc.mu.Unlock()
+			_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 			return
 		}
-		status, goesOn := "200 OK", last >= 0 && s.now()-last < 200*time.Millisecond
-		if s.trouble == "turns away" && s.troubled() {
-			s.mu.Lock()
-			s.calls = append(s.calls, s.now())
-			s.mu.Unlock()
+		status, continues := "200 OK", lastAnswer >= 0 && svc.now()-lastAnswer < 200*time.Millisecond
+		if svc.outage == "answers 503" && svc.inOutage() {
+			svc.mu.Lock()
+			svc.calls = append(svc.calls, svc.now())
+			svc.mu.Unlock()
 			status = "503 Busy"
 		} else {
-			until := s.now() + time.Duration(wait)*time.Millisecond
-			if !goesOn { // a new watch is a call
-				_, lines := s.list(since)
-				if !s.turn(lines) {
+			waitEnd := svc.now() + time.Duration(wait)*time.Millisecond
+			if !continues { // only a new watch takes a turn in the queue
+				_, lines := svc.list(since)
+				if !svc.waitTurn(lines) {
 					status = "503 Busy"
 				}
 			} else {
-				s.mu.Lock()
-				s.calls = append(s.calls, s.now())
-				s.mu.Unlock()
+				svc.mu.Lock()
+				svc.calls = append(svc.calls, svc.now())
+				svc.mu.Unlock()
 			}
 			if since > 0 && status == "200 OK" {
-				for s.seq() <= since && s.now() < until {
-					next := until
-					if s.back > s.now() {
-						next = min(next, s.back)
+				for svc.version() <= since && svc.now() < waitEnd {
+					next := waitEnd
+					if svc.upAt > svc.now() {
+						next = min(next, svc.upAt)
 					}
-					if s.from > s.now() {
-						next = min(next, s.from)
+					if svc.downAt > svc.now() {
+						next = min(next, svc.downAt)
 					}
-					time.Sleep(next - s.now())
-					if s.trouble == "dark" && opened < s.back && s.now() >= s.from {
-						_, _ = io.Copy(io.Discard, conn) // what follows shows it
+					time.Sleep(next - svc.now())
+					if svc.outage == "silent" && openedAt < svc.upAt && svc.now() >= svc.downAt {
+						_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 						return
 					}
 				}
 			}
 		}
-		text, _ := s.list(since)
+		text, _ := svc.list(since)
 		if status != "200 OK" {
 			text = ""
 		}
 		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text); err != nil {
 			return
 		}
-		last = s.now()
+		lastAnswer = svc.now()
 	}
 }
 
-// quietly keeps hundreds of routers' lines out of the test's output.
-func quietly(t *testing.T) {
+// discardLogs keeps the log lines of hundreds of routers out of the test's output.
+func discardLogs(t *testing.T) {
 	t.Helper()
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	t.Cleanup(func() { slog.SetDefault(was) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 }
 
-// rate is how many calls came in a span, a second, and in the busiest second.
-func (s *service) rate(from, to time.Duration) (mean float64, most int) {
-	var bins [600]int
-	n := 0
-	for _, at := range s.calls {
-		if at >= from && at < to {
-			n++
-			bins[at/time.Second]++
-			most = max(most, bins[at/time.Second])
+// rate returns the mean number of calls per second in an interval, and the number in its busiest second.
+func (svc *sharedService) rate(start, end time.Duration) (mean float64, busiest int) {
+	var perSecond [600]int
+	count := 0
+	for _, at := range svc.calls {
+		if at >= start && at < end {
+			count++
+			perSecond[at/time.Second]++
+			busiest = max(busiest, perSecond[at/time.Second])
 		}
 	}
-	return float64(n) / (to - from).Seconds(), most
+	return float64(count) / (end - start).Seconds(), busiest
 }
 
-// The clock of 6 s at its worst: a service that all routers share was away for long and is back with news, and in that
-// moment seven in ten routers start anew, all at once. Each has the news within 6 s, and what they ask is no more than in
-// calm, but for the moment after the trouble begins and that of the return.
+// The worst case of the 6 s limit: a service that all routers share returns from a long outage with a changed list, and
+// at that moment 7 of 10 routers restart. Each router must get the change within 6 s, and the call rate must not exceed
+// the normal one, except right after the beginning and the end of the outage.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
+//nolint:gocognit,funlen // one scenario or table of cases that reads best in one piece
 func TestFleetComesBack(t *testing.T) {
-	quietly(t)
+	discardLogs(t)
 	const s, ms, routers = time.Second, time.Millisecond, 300
-	const from, back, until = 14 * s, 54 * s, 62 * s
-	for _, trouble := range []string{"dark", "refuses", "turns away", "turns away, and the queue is long"} {
-		t.Run(trouble, func(t *testing.T) {
+	const outageStart, outageEnd, testEnd = 14 * s, 54 * s, 62 * s
+	for _, outage := range []string{"silent", "refuses connections", "answers 503", "answers 503, and the queue is long"} {
+		t.Run(outage, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				kind, _, long := strings.Cut(trouble, ",")
-				agent := &service{began: time.Now(), from: from, back: back, trouble: kind, call: ms, line: ms / 10, longest: 2 * s}
-				for i := range 120 / tenfold {
-					agent.names = append(agent.names, strings.Replace(one, "s-1", fmt.Sprint("h-", i), 1))
+				kind, _, longQueue := strings.Cut(outage, ",")
+				agent := &sharedService{started: time.Now(), downAt: outageStart, upAt: outageEnd, outage: kind, callCost: ms, lineCost: ms / 10, maxWait: 2 * s}
+				for i := range 120 / hostCost {
+					agent.hosts = append(agent.hosts, strings.Replace(one, "s-1", fmt.Sprint("h-", i), 1))
 				}
-				if long { // calls take four times as long, and who waits for 3 s is turned away
-					agent.call, agent.longest = 4*ms, 3*s
+				if longQueue { // calls take four times as long, and the service rejects a call after 3 s
+					agent.callCost, agent.maxWait = 4*ms, 3*s
 				}
-				ctx, stop := context.WithTimeout(context.Background(), until)
+				ctx, stop := context.WithTimeout(context.Background(), testEnd)
 				defer stop()
-				var all, serving sync.WaitGroup
+				var routersDone, serving sync.WaitGroup
 				var mu sync.Mutex
-				has := map[int]time.Duration{}
-				start := func(ctx context.Context, i int) {
-					w := NewWatcher("", routers, 0)
-					w.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
-						if kind == "refuses" && agent.troubled() {
+				receivedAt := map[int]time.Duration{}
+				startRouter := func(ctx context.Context, i int) {
+					watcher := NewWatcher("", routers, 0)
+					watcher.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
+						if kind == "refuses connections" && agent.inOutage() {
 							agent.mu.Lock()
 							agent.calls = append(agent.calls, agent.now())
 							agent.mu.Unlock()
 							return nil, errRefused
 						}
-						here, there := net.Pipe()
-						serving.Go(func() { agent.serve(there) })
-						if kind == "refuses" && agent.now() < from {
-							time.AfterFunc(from-agent.now(), func() { there.Close() })
+						clientEnd, serverEnd := net.Pipe()
+						serving.Go(func() { agent.serve(serverEnd) })
+						if kind == "refuses connections" && agent.now() < outageStart {
+							time.AfterFunc(outageStart-agent.now(), func() { serverEnd.Close() })
 						}
-						return here, nil
+						return clientEnd, nil
 					}
-					w.Run(ctx, func(l *List) error {
+					watcher.Run(ctx, func(list *List) error {
 						mu.Lock()
 						defer mu.Unlock()
-						if _, ok := has[i]; !ok && l.Version == 2 {
-							has[i] = agent.now()
+						if _, ok := receivedAt[i]; !ok && list.Version == 2 {
+							receivedAt[i] = agent.now()
 						}
 						return nil
 					})
 				}
 				for i := range routers {
-					all.Go(func() {
-						time.Sleep(time.Duration(i) * 4 * s / routers) // started over 4 s
+					routersDone.Go(func() {
+						time.Sleep(time.Duration(i) * 4 * s / routers) // the starts are spread over 4 s
 						if i%10 >= 7 {
-							start(ctx, i)
+							startRouter(ctx, i)
 							return
 						}
-						before, kill := context.WithDeadline(ctx, agent.began.Add(back))
-						start(before, i)
+						beforeRestart, kill := context.WithDeadline(ctx, agent.started.Add(outageEnd))
+						startRouter(beforeRestart, i)
 						kill()
-						start(ctx, i)
+						startRouter(ctx, i)
 					})
 				}
-				all.Wait()
+				routersDone.Wait()
 				stop()
 				serving.Wait()
 				worst := time.Duration(0)
 				for i := range routers {
-					if at, ok := has[i]; !ok {
-						t.Errorf("router %d never had it", i)
+					if at, ok := receivedAt[i]; !ok {
+						t.Errorf("router %d never received the change", i)
 					} else {
-						worst = max(worst, at-back)
+						worst = max(worst, at-outageEnd)
 					}
 				}
-				calm, calmMost := agent.rate(6*s, from)
-				broke, brokeMost := agent.rate(from, from+10*s)
-				away, awayMost := agent.rate(from+10*s, back)
-				after, afterMost := agent.rate(back, back+6*s)
-				t.Logf("had by all after %v; calls a second (busiest): calm %.0f (%d), its first 10 s away %.0f (%d), then %.0f (%d), back %.0f (%d); %d lines",
-					worst, calm, calmMost, broke, brokeMost, away, awayMost, after, afterMost, agent.lines)
+				normal, normalBusiest := agent.rate(6*s, outageStart)
+				start, startBusiest := agent.rate(outageStart, outageStart+10*s)
+				during, duringBusiest := agent.rate(outageStart+10*s, outageEnd)
+				after, afterBusiest := agent.rate(outageEnd, outageEnd+6*s)
+				t.Logf("received by all after %v; calls per second (busiest): normal %.0f (%d), first 10 s of the outage %.0f (%d), rest of it %.0f (%d), afterwards %.0f (%d); %d lines",
+					worst, normal, normalBusiest, start, startBusiest, during, duringBusiest, after, afterBusiest, agent.lines)
 				if worst > 6*s-100*ms {
-					t.Errorf("the last router has the news %v after the return", worst)
+					t.Errorf("the last router received the change %v after the outage", worst)
 				}
-				if limit := float64(routers) / 4 * 1.05; calm > limit || away > limit {
-					t.Errorf("%.0f calls a second in calm, %.0f while it is away: more than %.0f", calm, away, limit)
+				if limit := float64(routers) / 4 * 1.05; normal > limit || during > limit {
+					t.Errorf("%.0f calls per second in normal operation, %.0f during the outage: more than %.0f", normal, during, limit)
 				}
-				if limit := float64(routers)/4*1.05 + 2*routers/10; broke > limit { // two each to find out whether it is only a moment
-					t.Errorf("%.0f calls a second in the first 10 s: more than %.0f", broke, limit)
+				if limit := float64(routers)/4*1.05 + 2*routers/10; start > limit { // two extra calls each, in case it is momentary
+					t.Errorf("%.0f calls per second in the first 10 s of the outage: more than %.0f", start, limit)
 				}
-				if float64(awayMost) > 3*away {
-					t.Errorf("%d calls in a second, of %.0f in the mean: they come together", awayMost, away)
+				if float64(duringBusiest) > 3*during {
+					t.Errorf("%d calls in the busiest second, %.0f on average: the calls come in bursts", duringBusiest, during)
 				}
 			})
 		})
 	}
 }
 
-// A service that turns all away: none comes back twice within a second, whatever their number, nor together; and from call
-// to call it takes them about as long as a watch in calm, or, where they are few, as all of them at five a second, but
-// never so long that with an answer that takes a second the 6 s were over.
+// While a service rejects all calls, no router repeats a call twice within the first second, and the routers do not
+// call in bursts. In the long run routers call about as often as they renew watches in normal operation, or all
+// together five times a second if they are few. The interval never grows so long that the 6 s limit is missed if an
+// answer takes a second.
 func TestSharedServiceIsSpared(t *testing.T) {
-	quietly(t)
+	discardLogs(t)
 	for _, routers := range []int{1, 80, 300} {
 		synctest.Test(t, func(t *testing.T) {
-			agent := &service{began: time.Now(), back: time.Hour, trouble: "turns away"}
+			agent := &sharedService{started: time.Now(), upAt: time.Hour, outage: "answers 503"}
 			ctx, stop := context.WithTimeout(context.Background(), 80*time.Second)
 			defer stop()
-			var all, serving sync.WaitGroup
+			var routersDone, serving sync.WaitGroup
 			for range routers {
-				w := NewWatcher("", routers, 0)
-				w.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
-					here, there := net.Pipe()
-					serving.Go(func() { agent.serve(there) })
-					return here, nil
+				watcher := NewWatcher("", routers, 0)
+				watcher.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
+					clientEnd, serverEnd := net.Pipe()
+					serving.Go(func() { agent.serve(serverEnd) })
+					return clientEnd, nil
 				}
-				all.Go(func() { w.Run(ctx, func(*List) error { return nil }) })
+				routersDone.Go(func() { watcher.Run(ctx, func(*List) error { return nil }) })
 			}
-			all.Wait()
+			routersDone.Wait()
 			serving.Wait()
-			first := 0
+			repeats := 0
 			for _, at := range agent.calls {
 				if at > 0 && at < time.Second {
-					first++
+					repeats++
 				}
 			}
-			if first > routers {
-				t.Errorf("%d routers: %d repeats in the first second", routers, first)
+			if repeats > routers {
+				t.Errorf("%d routers: %d repeats in the first second", routers, repeats)
 			}
-			late, most := agent.rate(40*time.Second, 80*time.Second)
-			t.Logf("%d routers: %d repeats in the first second, then %.1f calls a second, %d in the busiest", routers, first, late, most)
+			rate, busiest := agent.rate(40*time.Second, 80*time.Second)
+			t.Logf("%d routers: %d repeats in the first second, then %.1f calls per second, %d in the busiest", routers, repeats, rate, busiest)
 			mean := float64(routers) / 4
 			if routers < 5 {
 				mean = float64(routers)
 			}
-			if late > mean*1.02+2./40 || late < mean*0.9 { // two calls of 40 s may fall to either side of the span
-				t.Errorf("%d routers: %.2f calls a second in the end, not %.2f", routers, late, mean)
+			if rate > mean*1.02+2./40 || rate < mean*0.9 { // two calls in 40 s may fall outside the interval on either side
+				t.Errorf("%d routers: %.2f calls per second in the end, want %.2f", routers, rate, mean)
 			}
-			if routers > 1 && float64(most) > 3*late {
-				t.Errorf("%d routers: %d calls in a second", routers, most)
+			if routers > 1 && float64(busiest) > 3*rate {
+				t.Errorf("%d routers: %d calls in the busiest second", routers, busiest)
 			}
 		})
 	}
-	for _, many := range []int{1, 5, 300, 100_000} {
-		if w := NewWatcher("", many, 0); w.maxBackoff*(jitterDivisor+1)/jitterDivisor+w.maxCallDelay+time.Second > notifiedAfter-notifiedMargin || w.initialBackoff > w.maxBackoff {
-			t.Errorf("%d routers: pauses of %v to %v", many, w.initialBackoff, w.maxBackoff)
+	for _, count := range []int{1, 5, 300, 100_000} {
+		if watcher := NewWatcher("", count, 0); watcher.maxBackoff*(jitterDivisor+1)/jitterDivisor+watcher.maxCallDelay+time.Second > notifiedAfter-notifiedMargin || watcher.initialBackoff > watcher.maxBackoff {
+			t.Errorf("%d routers: backoff from %v to %v", count, watcher.initialBackoff, watcher.maxBackoff)
 		}
 	}
 }
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -14,54 +14,54 @@
 	"time"
 )
 
-// counted is a connection that says how much was read of it.
-type counted struct {
+// countingConn counts the bytes that were read from a connection.
+type countingConn struct {
 	net.Conn
-	read *atomic.Int64
-	more chan struct{} // gets one after each read
+	received *atomic.Int64
+	progress chan struct{} // signaled after each read
 }
 
-func (c counted) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.read.Add(int64(n))
+func (conn countingConn) Read(data []byte) (int, error) {
+	n, err := conn.Conn.Read(data)
+	conn.received.Add(int64(n))
 	select {
-	case c.more <- struct{}{}:
+	case conn.progress <- struct{}{}:
 	default:
 	}
 	return n, err
 }
 
-// An answer without a length ends with its connection, but a reset is no end: also where all of it came first and is a
-// list in itself, nothing of it is taken, and it is asked for anew at once.
+// A response without a length extends to the end of its connection, but a connection reset is not such an end: even if
+// the bytes before it form a complete list, none of it is applied, and the list is requested again.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
+//nolint:gocognit,funlen // one scenario or table of cases that reads best in one piece
 func TestResetIsNoEnd(t *testing.T) {
 	short, long := `{"seq":1,"whole":true,"hosts":[`+one+`]}`, `{"seq":2,"whole":true,"hosts":[`+one+`]}`
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name  string
 		sent  int // bytes of the body before the reset
 		reset bool
-		want  int64 // the version that is taken first
+		want  int64 // the version that is applied first
 	}{
-		{"reset behind the last byte", len(short), true, 2},
+		{"reset after the last byte", len(short), true, 2},
 		{"reset before the last byte", len(short) - 1, true, 2},
 		{"reset before the body", 0, true, 2},
 		{"ended", len(short), false, 1},
 		{"ended before the last byte", len(short) - 1, false, 2},
 	} {
 		for _, head := range []string{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
-			t.Run(fmt.Sprintf("%s %.8s %d", c.name, head, len(head)), func(t *testing.T) {
-				ln, err := net.Listen("tcp", "127.0.0.1:0")
+			t.Run(fmt.Sprintf("%s %.8s %d", tc.name, head, len(head)), func(t *testing.T) {
+				listener, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer ln.Close()
-				var got atomic.Int64
-				more := make(chan struct{}, 1)
+				defer listener.Close()
+				var received atomic.Int64
+				progress := make(chan struct{}, 1)
 				var agent sync.WaitGroup
 				agent.Go(func() {
-					for n := 0; ; n++ {
-						conn, err := ln.Accept()
+					for count := 0; ; count++ {
+						conn, err := listener.Accept()
 						if err != nil {
 							return
 						}
@@ -70,155 +70,157 @@
 						for err == nil && line != "\r\n" {
 							line, err = in.ReadString('\n')
 						}
-						if err != nil { // a dial that was given up
+						if err != nil { // the watcher abandoned the dial
 							conn.Close()
-							n--
+							count--
 							continue
 						}
-						if n > 0 {
+						if count > 0 {
 							fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
-							_, _ = io.Copy(io.Discard, conn) // what follows shows it
+							_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 							conn.Close()
 							continue
 						}
-						text := head + short[:c.sent]
-						_, _ = io.WriteString(conn, text)   // what follows shows it
-						for got.Load() < int64(len(text)) { // the reset may not overtake what was sent
-							<-more
+						text := head + short[:tc.sent]
+						_, _ = io.WriteString(conn, text)        // a failure keeps the loop below from ending
+						for received.Load() < int64(len(text)) { // a reset could discard bytes that were not read yet
+							<-progress
 						}
-						if c.reset {
+						if tc.reset {
 							conn.(*net.TCPConn).SetLinger(0)
 						}
 						conn.Close()
 					}
 				})
-				w := NewWatcher(ln.Addr().String(), 0, 0)
-				w.longSilence, w.shortSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute // the machine may be slow
-				w.dial = func(ctx context.Context, agent string, within time.Duration) (net.Conn, error) {
+				watcher := NewWatcher(listener.Addr().String(), 0, 0)
+				// Longer than on any slow machine, so that no timeout fires.
+				watcher.longSilence, watcher.shortSilence, watcher.bodyTimeout = time.Minute, time.Minute, time.Minute
+				watcher.dial = func(ctx context.Context, agent string, within time.Duration) (net.Conn, error) {
 					conn, err := dial(ctx, agent, within)
 					if err != nil {
 						return nil, err
 					}
-					return counted{conn, &got, more}, nil
+					return countingConn{conn, &received, progress}, nil
 				}
 				ctx, stop := context.WithCancel(context.Background())
-				first := int64(0)
-				w.Run(ctx, func(l *List) error {
-					if first == 0 {
-						first = l.Version
+				firstVersion := int64(0)
+				watcher.Run(ctx, func(list *List) error {
+					if firstVersion == 0 {
+						firstVersion = list.Version
 					}
 					stop()
 					return nil
 				})
-				ln.Close()
+				listener.Close()
 				agent.Wait()
-				if first != c.want {
-					t.Errorf("version %d was taken", first)
+				if firstVersion != tc.want {
+					t.Errorf("version %d was applied first", firstVersion)
 				}
 			})
 		}
 	}
 }
 
-// What nobody asked for is no answer: an agent that says all twice is asked on a new connection, and the second word, which
-// stands there before the watch is sent, is never taken for the watch's answer.
+// An agent sends two responses to one request. The second, which arrives before the watch is sent, must not be taken
+// for the response to the watch; the watch is sent on a new connection.
 func TestUnaskedAnswer(t *testing.T) {
-	answer := func(seq int, whole bool, host string) string {
-		list := fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Replace(one, "s-1", host, 1))
+	response := func(version int, complete bool, host string) string {
+		list := fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Replace(one, "s-1", host, 1))
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var agent sync.WaitGroup
 	dials := 0
-	w := NewWatcher("", 0, 0)
-	w.watchTimeout, w.longSilence, w.shortSilence, w.bodyTimeout = time.Minute, time.Minute, time.Minute, time.Minute // the machine may be slow
-	w.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
-		here, there := net.Pipe()
+	watcher := NewWatcher("", 0, 0)
+	// Longer than on any slow machine, so that no timeout fires.
+	watcher.watchTimeout, watcher.longSilence, watcher.shortSilence, watcher.bodyTimeout = time.Minute, time.Minute, time.Minute, time.Minute
+	watcher.dial = func(context.Context, string, time.Duration) (net.Conn, error) {
+		clientEnd, serverEnd := net.Pipe()
 		dials++
-		first := dials == 1
+		isFirst := dials == 1
 		agent.Go(func() {
-			defer there.Close()
-			in := bufio.NewReader(there)
+			defer serverEnd.Close()
+			reader := bufio.NewReader(serverEnd)
 			for {
-				line, err := in.ReadString('\n')
-				for rest := line; err == nil && rest != "\r\n"; {
-					rest, err = in.ReadString('\n')
+				request, err := reader.ReadString('\n')
+				for rest := request; err == nil && rest != "\r\n"; {
+					rest, err = reader.ReadString('\n')
 				}
 				switch {
 				case err != nil:
 					return
-				case first: // in one write, so that one read has both
-					_, _ = io.WriteString(there, answer(1, true, "s-1")+answer(9, false, "unasked")) // what follows shows it
-				case strings.Contains(line, "since=1&"):
-					_, _ = io.WriteString(there, answer(2, false, "s-2")) // what follows shows it
+				case isFirst: // in one write, so that one read returns both
+					_, _ = io.WriteString(serverEnd, response(1, true, "s-1")+response(9, false, "unasked"))
+				case strings.Contains(request, "since=1&"):
+					_, _ = io.WriteString(serverEnd, response(2, false, "s-2"))
 				default:
-					_, _ = io.Copy(io.Discard, there) // what follows shows it
+					_, _ = io.Copy(io.Discard, serverEnd)
 					return
 				}
 			}
 		})
-		return here, nil
+		return clientEnd, nil
 	}
-	var names []string
-	w.Run(ctx, func(l *List) error {
-		names = append(names, l.Hosts[0].Name)
-		if len(names) == 2 {
+	var applied []string
+	watcher.Run(ctx, func(list *List) error {
+		applied = append(applied, list.Hosts[0].Name)
+		if len(applied) == 2 {
 			stop()
 		}
 		return nil
 	})
 	agent.Wait()
-	if fmt.Sprint(names) != "[s-1 s-2]" || dials != 2 {
-		t.Errorf("taken: %v on %d connections", names, dials)
+	if fmt.Sprint(applied) != "[s-1 s-2]" || dials != 2 {
+		t.Errorf("applied: %v on %d connections", applied, dials)
 	}
 }
 
-// endlessly is a reader that never ends, and counts.
-type endlessly struct{ read int }
+// endlessReader is a reader that never ends and counts the bytes read from it.
+type endlessReader struct{ read int }
 
-func (e *endlessly) Read(p []byte) (int, error) {
-	for i := range p {
-		p[i] = '0'
+func (reader *endlessReader) Read(data []byte) (int, error) {
+	for i := range data {
+		data[i] = '0'
 	}
-	e.read += len(p)
-	return len(p), nil
+	reader.read += len(data)
+	return len(data), nil
 }
 
-// An answer that never ends is left at a bound, whatever its form, and so is a list of ever new hosts.
+// An endless response of any form is abandoned at a limit, and so are lists that keep adding hosts.
 func TestEndless(t *testing.T) {
 	for _, head := range []string{"", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nX: ", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1fffff\r\n"} {
-		e := &endlessly{}
-		_, _, _, err := readResponse(bufio.NewReader(io.MultiReader(strings.NewReader(head), e)))
-		if !errors.Is(err, errHTTP) || e.read > maxBodyBytes+64<<10 {
-			t.Errorf("%q: %v after %d bytes", head, err, e.read)
+		endless := &endlessReader{}
+		_, _, _, err := readResponse(bufio.NewReader(io.MultiReader(strings.NewReader(head), endless)))
+		if !errors.Is(err, errHTTP) || endless.read > maxBodyBytes+64<<10 {
+			t.Errorf("%q: %v after %d bytes", head, err, endless.read)
 		}
 	}
-	d := NewDirectory()
-	named := 0
-	add := func(whole bool, n int) error {
-		l := &List{Complete: whole}
-		for range n {
-			named++
-			l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h-", named), Address: "127.0.0.1:1", Group: 1, State: "SERVING"})
+	directory := NewDirectory()
+	hosts := 0
+	add := func(complete bool, count int) error {
+		list := &List{Complete: complete}
+		for range count {
+			hosts++
+			list.Hosts = append(list.Hosts, Host{Name: fmt.Sprint("h-", hosts), Address: "127.0.0.1:1", Group: 1, State: "SERVING"})
 		}
-		_, err := d.Update(l)
+		_, err := directory.Update(list)
 		return err
 	}
-	var crowded tooManyHostsError
-	if err := add(true, maxListed+1); !errors.As(err, &crowded) || d.hasListed() {
-		t.Errorf("a whole list of too many: %v", err)
+	var tooMany tooManyHostsError
+	if err := add(true, maxListed+1); !errors.As(err, &tooMany) || directory.hasListed() {
+		t.Errorf("a complete list of too many hosts: %v", err)
 	}
 	for range 10 {
-		if err := add(false, maxListed/4); err != nil && (!errors.As(err, &crowded) || strings.Contains(err.Error(), "\n")) {
+		if err := add(false, maxListed/4); err != nil && (!errors.As(err, &tooMany) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%v", err)
 		}
 	}
-	if len(d.entries) != maxListed || len(d.ids) != maxListed {
-		t.Errorf("%d hosts are listed", len(d.entries))
+	if len(directory.entries) != maxListed || len(directory.ids) != maxListed {
+		t.Errorf("%d hosts are listed", len(directory.entries))
 	}
-	if err := add(true, 3); err != nil || len(d.entries) > 3+maxRemoved {
-		t.Errorf("a list that fits, later: %v, %d hosts remembered", err, len(d.entries))
+	if err := add(true, 3); err != nil || len(directory.entries) > 3+maxRemoved {
+		t.Errorf("a later list within the limit: %v, %d hosts remembered", err, len(directory.entries))
 	}
 }
