--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -70,7 +70,7 @@
 		pool:       pool,
 		endpoint:   endpoint,
 		address:    address,
-		connReader: connReader{in: ringbuffer.New(MaxMessageBytes).Within(pool.ReadQuota)},
+		connReader: connReader{in: ringbuffer.New(MaxMessageBytes).WithQuota(pool.ReadQuota)},
 		connWriter: connWriter{out: ringbuffer.New(MaxMessageBytes), written: make(chan bool, 1)},
 	}
 }
@@ -131,7 +131,7 @@
 	conn.mu.Lock()
 	conn.current = nil
 	conn.mu.Unlock()
-	conn.in.Idle()
+	conn.in.ShrinkIfEmpty()
 	conn.socket.SetReadDeadline(time.Time{})
 	pooled := conn.pool.putIdle(conn) // before the result is delivered, so that the next attempt finds the connection
 	attempt.finish(result)
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -92,7 +92,7 @@
 // discardQuery drops the unsent rest of a query.
 func (conn *serverConn) discardQuery() {
 	conn.out.Discard(conn.out.Len())
-	conn.out.Idle()
+	conn.out.ShrinkIfEmpty()
 }
 
 // returnToPool returns a connection on which nothing was written.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -80,7 +80,7 @@
 // Read implements io.Reader.
 func (reader *timedReader) Read(p []byte) (int, error) {
 	if reader.in.Len() == 0 {
-		reader.in.Idle()
+		reader.in.ShrinkIfEmpty()
 		if err := reader.in.Fill(reader.conn); err != nil {
 			return 0, err
 		}
--- a/internal/ringbuffer/ringbuffer.go
+++ b/internal/ringbuffer/ringbuffer.go
@@ -1,6 +1,5 @@
-// Package ringbuffer holds the byte buffer that each connection has one of in each
-// direction. A buffer starts small, grows to the message at hand up to its
-// cap, and gives the memory back when it is idle.
+// Package ringbuffer implements the byte buffers of connections, one for each direction. A buffer starts small, grows
+// up to its capacity to fit a message, and releases the memory when the connection is idle.
 package ringbuffer
 
 import (
@@ -10,119 +9,121 @@
 	"sync/atomic"
 )
 
-// MinSize is the size that a buffer starts with and shrinks back to.
+// MinSize is the initial size of a buffer, and the size that it does not count against a quota.
 const MinSize = 2 << 10
 
-// ErrFull says that more was asked of a buffer than its cap.
+// ErrFull reports an operation that would exceed the capacity of a buffer or its quota. The router sends its text to
+// clients.
 var ErrFull = errors.New("ring: message is over the buffer's cap")
 
-// Quota bounds what many buffers take together beyond the size that each starts
-// with. It is safe for concurrent use.
-type Quota struct{ left atomic.Int64 }
+// Quota limits the total memory of many buffers beyond MinSize each. It is safe for concurrent use.
+type Quota struct{ available atomic.Int64 }
 
-// NewQuota returns a quota of n bytes.
-func NewQuota(n int64) *Quota {
-	q := &Quota{}
-	q.left.Store(n)
-	return q
+// NewQuota returns a quota of the given size.
+func NewQuota(bytes int64) *Quota {
+	quota := &Quota{}
+	quota.available.Store(bytes)
+	return quota
 }
 
-// Left is what may still be taken.
-func (q *Quota) Left() int64 { return q.left.Load() }
+// Available returns the number of bytes that may still be reserved.
+func (quota *Quota) Available() int64 { return quota.available.Load() }
 
-func (q *Quota) take(n int) bool {
-	if q == nil {
+// reserve reserves bytes, or returns them if the number is negative. It reports false, and reserves nothing, if the quota
+// would be exceeded. A nil quota has no limit.
+func (quota *Quota) reserve(bytes int) bool {
+	if quota == nil {
 		return true
 	}
-	if q.left.Add(-int64(n)) < 0 && n > 0 {
-		q.left.Add(int64(n))
+	if quota.available.Add(-int64(bytes)) < 0 && bytes > 0 {
+		quota.available.Add(int64(bytes))
 		return false
 	}
 	return true
 }
 
-// Buffer is a ring of bytes: written at one end, read at the other. The zero
-// value is not ready; use New. It is not safe for concurrent use.
+// Buffer is a ring of bytes: Write and Fill append at its end, Read and Discard remove from its start. Use New: the
+// zero value has no capacity. It is not safe for concurrent use.
 type Buffer struct {
 	buf        []byte
 	start, len int
 	cap        int
-	quota      *Quota // nil: only the cap binds
+	quota      *Quota // nil: only the capacity limits the buffer
 }
 
-// New returns an empty buffer that holds at most most bytes.
-func New(most int) *Buffer { return &Buffer{cap: most} }
+// New returns an empty buffer that holds at most capacity bytes.
+func New(capacity int) *Buffer { return &Buffer{cap: capacity} }
 
-// Within makes the buffer count against a quota. Its owner must Free it.
-func (b *Buffer) Within(q *Quota) *Buffer {
-	b.quota = q
-	return b
+// WithQuota makes the buffer count against a quota and returns it. Its owner must call Free.
+func (buffer *Buffer) WithQuota(quota *Quota) *Buffer {
+	buffer.quota = quota
+	return buffer
 }
 
-// Len is the number of bytes held.
-func (b *Buffer) Len() int { return b.len }
+// Len returns the number of bytes in the buffer.
+func (buffer *Buffer) Len() int { return buffer.len }
 
-// Cap is the most that the buffer may hold.
-func (b *Buffer) Cap() int { return b.cap }
+// Cap returns the maximum number of bytes in the buffer.
+func (buffer *Buffer) Cap() int { return buffer.cap }
 
-// Size is the memory in use.
-func (b *Buffer) Size() int { return len(b.buf) }
+// Size returns the allocated memory in bytes.
+func (buffer *Buffer) Size() int { return len(buffer.buf) }
 
-// reserve makes room for n more bytes.
-func (b *Buffer) reserve(n int) error {
-	need := b.len + n
-	if need > b.cap {
+// reserve allocates space for n more bytes.
+func (buffer *Buffer) reserve(n int) error {
+	need := buffer.len + n
+	if need > buffer.cap {
 		return ErrFull
 	}
-	if need > len(b.buf) {
-		size := min(b.cap, round(need))
-		if !b.quota.take(size - max(len(b.buf), MinSize)) {
+	if need > len(buffer.buf) {
+		size := min(buffer.cap, round(need))
+		if !buffer.quota.reserve(size - max(len(buffer.buf), MinSize)) {
 			return ErrFull
 		}
-		b.resize(size)
+		buffer.resize(size)
 	}
 	return nil
 }
 
-// round goes up to a power of two, and from coarse on to a multiple of it, so
-// that a large message takes little more than its length.
-func round(n int) int {
+// round rounds up to a power of two, and from coarse on to a multiple of coarse, so that a large message takes little
+// more memory than its length.
+func round(size int) int {
 	const coarse = 16 << 10
-	if n > coarse {
-		return (n + coarse - 1) / coarse * coarse
+	if size > coarse {
+		return (size + coarse - 1) / coarse * coarse
 	}
-	return max(MinSize, 1<<bits.Len(uint(n-1)))
+	return max(MinSize, 1<<bits.Len(uint(size-1)))
 }
 
-func (b *Buffer) resize(size int) {
+func (buffer *Buffer) resize(size int) {
 	buf := make([]byte, size)
-	b.copyOut(buf)
-	b.buf, b.start = buf, 0
+	buffer.copyOut(buf)
+	buffer.buf, buffer.start = buf, 0
 }
 
-func (b *Buffer) copyOut(to []byte) {
-	n := copy(to[:b.len], b.buf[b.start:])
-	copy(to[n:b.len], b.buf)
+func (buffer *Buffer) copyOut(target []byte) {
+	n := copy(target[:buffer.len], buffer.buf[buffer.start:])
+	copy(target[n:buffer.len], buffer.buf)
 }
 
-// room is the free stretch behind the last byte, as far as it lies in one piece.
-func (b *Buffer) room() []byte {
-	end := b.start + b.len
-	if end < len(b.buf) {
-		return b.buf[end:]
+// free returns the contiguous free space after the last byte.
+func (buffer *Buffer) free() []byte {
+	end := buffer.start + buffer.len
+	if end < len(buffer.buf) {
+		return buffer.buf[end:]
 	}
-	return b.buf[end-len(b.buf) : b.start]
+	return buffer.buf[end-len(buffer.buf) : buffer.start]
 }
 
-// Fill reads once from r, so that at least one byte more is held unless r fails.
-func (b *Buffer) Fill(r io.Reader) error {
-	if b.len == len(b.buf) {
-		if err := b.reserve(1); err != nil {
+// Fill reads once from a reader. It appends at least one byte unless it returns an error.
+func (buffer *Buffer) Fill(reader io.Reader) error {
+	if buffer.len == len(buffer.buf) {
+		if err := buffer.reserve(1); err != nil {
 			return err
 		}
 	}
-	n, err := r.Read(b.room())
-	b.len += n
+	n, err := reader.Read(buffer.free())
+	buffer.len += n
 	if n > 0 {
 		return nil
 	}
@@ -132,80 +133,80 @@
 	return err
 }
 
-// Write appends p whole, or nothing and ErrFull.
-func (b *Buffer) Write(p []byte) (int, error) { return add(b, p) }
+// Write appends all of p, or nothing if it returns ErrFull.
+func (buffer *Buffer) Write(p []byte) (int, error) { return add(buffer, p) }
 
-// WriteString is Write of a string.
-func (b *Buffer) WriteString(s string) (int, error) { return add(b, s) }
+// WriteString is Write for a string.
+func (buffer *Buffer) WriteString(s string) (int, error) { return add(buffer, s) }
 
-func add[T []byte | string](b *Buffer, p T) (int, error) {
-	if err := b.reserve(len(p)); err != nil {
+func add[T []byte | string](buffer *Buffer, data T) (int, error) {
+	if err := buffer.reserve(len(data)); err != nil {
 		return 0, err
 	}
-	for rest := p; len(rest) > 0; {
-		n := copy(b.room(), rest)
-		b.len += n
+	for rest := data; len(rest) > 0; {
+		n := copy(buffer.free(), rest)
+		buffer.len += n
 		rest = rest[n:]
 	}
-	return len(p), nil
+	return len(data), nil
 }
 
-// Peek returns the first n bytes in one piece, fewer when fewer are held. They
-// are good until the next call that changes the buffer.
-func (b *Buffer) Peek(n int) []byte {
-	n = min(n, b.len)
-	if b.start+n > len(b.buf) {
-		b.resize(len(b.buf))
+// Peek returns the first n bytes as one slice, or fewer if the buffer has fewer. The slice is valid until the next call
+// that changes the buffer.
+func (buffer *Buffer) Peek(n int) []byte {
+	n = min(n, buffer.len)
+	if buffer.start+n > len(buffer.buf) {
+		buffer.resize(len(buffer.buf))
 	}
-	return b.buf[b.start : b.start+n]
+	return buffer.buf[buffer.start : buffer.start+n]
 }
 
-// Discard drops the first n bytes, fewer when fewer are held.
-func (b *Buffer) Discard(n int) int {
-	n = min(n, b.len)
-	b.len -= n
-	if b.start += n; b.start >= len(b.buf) {
-		b.start -= len(b.buf)
+// Discard removes the first n bytes, or fewer if the buffer has fewer, and returns the number removed.
+func (buffer *Buffer) Discard(n int) int {
+	n = min(n, buffer.len)
+	buffer.len -= n
+	if buffer.start += n; buffer.start >= len(buffer.buf) {
+		buffer.start -= len(buffer.buf)
 	}
-	if b.len == 0 {
-		b.start = 0
+	if buffer.len == 0 {
+		buffer.start = 0
 	}
 	return n
 }
 
-// Read takes bytes out; it returns io.EOF when none are held.
-func (b *Buffer) Read(p []byte) (int, error) {
-	if b.len == 0 && len(p) > 0 {
+// Read implements io.Reader. It returns io.EOF if the buffer is empty.
+func (buffer *Buffer) Read(p []byte) (int, error) {
+	if buffer.len == 0 && len(p) > 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, b.Peek(len(p)))
-	b.Discard(n)
+	n := copy(p, buffer.Peek(len(p)))
+	buffer.Discard(n)
 	return n, nil
 }
 
-// WriteTo writes all that is held to w, and keeps what w did not take.
-func (b *Buffer) WriteTo(w io.Writer) (int64, error) {
-	var sum int64
-	for b.len > 0 {
-		n, err := w.Write(b.buf[b.start:min(b.start+b.len, len(b.buf))])
-		b.Discard(n)
-		sum += int64(n)
+// WriteTo implements io.WriterTo. Bytes that the writer did not accept remain in the buffer.
+func (buffer *Buffer) WriteTo(writer io.Writer) (int64, error) {
+	var total int64
+	for buffer.len > 0 {
+		n, err := writer.Write(buffer.buf[buffer.start:min(buffer.start+buffer.len, len(buffer.buf))])
+		buffer.Discard(n)
+		total += int64(n)
 		if err != nil {
-			return sum, err
+			return total, err
 		}
 	}
-	return sum, nil
+	return total, nil
 }
 
-// Idle gives back what a large message took, once nothing is held.
-func (b *Buffer) Idle() {
-	if b.len == 0 && len(b.buf) > MinSize {
-		b.Free()
+// ShrinkIfEmpty releases the memory of a large message if the buffer is empty.
+func (buffer *Buffer) ShrinkIfEmpty() {
+	if buffer.len == 0 && len(buffer.buf) > MinSize {
+		buffer.Free()
 	}
 }
 
-// Free drops all that is held and gives the memory back.
-func (b *Buffer) Free() {
-	b.quota.take(-max(len(b.buf)-MinSize, 0))
-	b.buf, b.start, b.len = nil, 0, 0
+// Free discards the content and releases the memory.
+func (buffer *Buffer) Free() {
+	buffer.quota.reserve(-max(len(buffer.buf)-MinSize, 0))
+	buffer.buf, buffer.start, buffer.len = nil, 0, 0
 }
--- a/internal/ringbuffer/ringbuffer_test.go
+++ b/internal/ringbuffer/ringbuffer_test.go
@@ -11,127 +11,126 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A buffer must give back the bytes that went in, whatever the order of writes,
-// reads, growth and wrapping, and never hold more than its cap.
+// Compares a buffer with a byte slice under any order of writes, reads, growth and wrapping: it must return the same
+// bytes and never exceed its capacity.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte{10, 3, 200, 150, 7, 255, 255, 1, 90})
 	f.Add([]byte{255, 254, 253, 252, 0, 0, 9, 9, 9, 128, 127})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		const most = 8 << 10
-		b := New(most)
+		const capacity = 8 << 10
+		buffer := New(capacity)
 		var model []byte
 		next := byte(0)
-		for _, s := range steps[:min(len(steps), 300)] { // a longer story only takes longer
-			n := int(s>>2) * 64
-			switch s % 4 {
+		for _, step := range steps[:min(len(steps), 300)] { // more steps would not reach other states
+			count := int(step>>2) * 64
+			switch step % 4 {
 			case 0:
-				p := make([]byte, n)
-				for i := range p {
-					p[i], next = next, next+1
+				data := make([]byte, count)
+				for i := range data {
+					data[i], next = next, next+1
 				}
-				_, err := b.Write(p)
-				if (err != nil) != (len(model)+n > most) {
-					t.Fatalf("write of %d onto %d: %v", n, len(model), err)
+				_, err := buffer.Write(data)
+				if (err != nil) != (len(model)+count > capacity) {
+					t.Fatalf("write of %d bytes after %d: %v", count, len(model), err)
 				}
 				if err == nil {
-					model = append(model, p...)
+					model = append(model, data...)
 				}
 			case 1:
-				b.Discard(n)
-				model = model[min(n, len(model)):]
+				buffer.Discard(count)
+				model = model[min(count, len(model)):]
 			case 2:
-				if diff := cmp.Diff(model[:min(n, len(model))], b.Peek(n), cmp.Transformer("text", func(p []byte) string { return string(p) })); diff != "" {
+				if diff := cmp.Diff(model[:min(count, len(model))], buffer.Peek(count), cmp.Transformer("text", func(data []byte) string { return string(data) })); diff != "" {
 					t.Fatal(diff)
 				}
 			case 3:
-				b.Idle()
+				buffer.ShrinkIfEmpty()
 			}
-			if b.Len() != len(model) || b.Size() > most {
-				t.Fatalf("%d bytes in %d, want %d", b.Len(), b.Size(), len(model))
+			if buffer.Len() != len(model) || buffer.Size() > capacity {
+				t.Fatalf("%d bytes in %d of memory, want %d", buffer.Len(), buffer.Size(), len(model))
 			}
 		}
 		var out bytes.Buffer
-		if _, err := b.WriteTo(&out); err != nil || !bytes.Equal(out.Bytes(), model) {
+		if _, err := buffer.WriteTo(&out); err != nil || !bytes.Equal(out.Bytes(), model) {
 			t.Fatalf("drained %q, %v; want %q", out.Bytes(), err, model)
 		}
 	})
 }
 
-// The memory of a large message is given back when the connection idles: 1,024
-// of them must fit in the router's limit.
+// The memory of a large message is released when the connection is idle: 1,024 idle connections must fit in the
+// router's memory limit.
 func TestGrowsAndShrinks(t *testing.T) {
-	b := New(256 << 10)
-	if b.Size() != 0 {
-		t.Errorf("a new buffer holds %d bytes of memory", b.Size())
+	buffer := New(256 << 10)
+	if buffer.Size() != 0 {
+		t.Errorf("a new buffer has %d bytes of memory", buffer.Size())
 	}
 	big := strings.Repeat("x", 130<<10)
-	src := strings.NewReader(big)
-	for b.Len() < len(big) {
-		if err := b.Fill(src); err != nil {
+	source := strings.NewReader(big)
+	for buffer.Len() < len(big) {
+		if err := buffer.Fill(source); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b.Size() > 144<<10 {
-		t.Errorf("%d bytes of memory for %d", b.Size(), len(big))
+	if buffer.Size() > 144<<10 {
+		t.Errorf("%d bytes of memory for a message of %d", buffer.Size(), len(big))
 	}
-	if b.Idle(); b.Size() == 0 {
-		t.Error("a buffer gave up what it held")
+	if buffer.ShrinkIfEmpty(); buffer.Size() == 0 {
+		t.Error("a buffer that is not empty was released")
 	}
-	b.Discard(len(big))
-	if b.Idle(); b.Size() != 0 {
-		t.Errorf("idle with %d bytes of memory", b.Size())
+	buffer.Discard(len(big))
+	if buffer.ShrinkIfEmpty(); buffer.Size() != 0 {
+		t.Errorf("%d bytes of memory in an empty buffer", buffer.Size())
 	}
 }
 
-// What hundreds of clients send of messages that never become whole must fit in
-// one quota, and come back to it with each buffer.
+// The incomplete messages of hundreds of clients must stay within one quota, and each buffer must return its share.
 func TestQuota(t *testing.T) {
-	q := NewQuota(8 << 10)
-	var all []*Buffer
+	quota := NewQuota(8 << 10)
+	var buffers []*Buffer
 	for {
-		b := New(1 << 20).Within(q)
-		all = append(all, b)
-		if _, err := b.Write(make([]byte, MinSize+1)); err != nil {
+		buffer := New(1 << 20).WithQuota(quota)
+		buffers = append(buffers, buffer)
+		if _, err := buffer.Write(make([]byte, MinSize+1)); err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
 			break
 		}
 	}
-	if len(all) != 5 || q.Left() != 0 {
-		t.Errorf("%d buffers, %d left", len(all), q.Left())
+	if len(buffers) != 5 || quota.Available() != 0 {
+		t.Errorf("%d buffers, %d bytes available", len(buffers), quota.Available())
 	}
-	if _, err := all[4].Write(make([]byte, MinSize)); err != nil {
-		t.Errorf("the size that each starts with: %v", err)
+	if _, err := buffers[4].Write(make([]byte, MinSize)); err != nil {
+		t.Errorf("MinSize must not count against the quota: %v", err)
 	}
-	all[0].Discard(MinSize + 1)
-	all[0].Idle()
-	for _, b := range all[1:] {
-		b.Free()
+	buffers[0].Discard(MinSize + 1)
+	buffers[0].ShrinkIfEmpty()
+	for _, buffer := range buffers[1:] {
+		buffer.Free()
 	}
-	if q.Left() != 8<<10 {
-		t.Errorf("%d left once all are free", q.Left())
+	if quota.Available() != 8<<10 {
+		t.Errorf("%d bytes available after all buffers were released", quota.Available())
 	}
 }
 
 func TestErrors(t *testing.T) {
-	b := New(MinSize)
-	if _, err := b.Write(make([]byte, MinSize+1)); !errors.Is(err, ErrFull) {
-		t.Errorf("beyond the cap: %v", err)
+	buffer := New(MinSize)
+	if _, err := buffer.Write(make([]byte, MinSize+1)); !errors.Is(err, ErrFull) {
+		t.Errorf("write beyond the capacity: %v", err)
 	}
-	if err := b.Fill(iotest.ErrReader(io.ErrClosedPipe)); !errors.Is(err, io.ErrClosedPipe) {
+	if err := buffer.Fill(iotest.ErrReader(io.ErrClosedPipe)); !errors.Is(err, io.ErrClosedPipe) {
 		t.Errorf("fill: %v", err)
 	}
-	if _, err := b.WriteString(strings.Repeat("x", MinSize)); err != nil {
+	if _, err := buffer.WriteString(strings.Repeat("x", MinSize)); err != nil {
 		t.Error(err)
 	}
-	if err := b.Fill(strings.NewReader("y")); !errors.Is(err, ErrFull) {
+	if err := buffer.Fill(strings.NewReader("y")); !errors.Is(err, ErrFull) {
 		t.Errorf("fill of a full buffer: %v", err)
 	}
-	if n, err := b.Read(make([]byte, 2*MinSize)); n != MinSize || err != nil {
+	if n, err := buffer.Read(make([]byte, 2*MinSize)); n != MinSize || err != nil {
 		t.Errorf("read %d, %v", n, err)
 	}
-	if _, err := b.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("read of nothing: %v", err)
+	if _, err := buffer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("read of an empty buffer: %v", err)
 	}
 }
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -90,7 +90,7 @@
 		router:       r,
 		conn:         conn,
 		left:         make(chan struct{}),
-		clientReader: clientReader{input: ringbuffer.New(maxQueryBytes).Within(r.readQuota)},
+		clientReader: clientReader{input: ringbuffer.New(maxQueryBytes).WithQuota(r.readQuota)},
 		clientWriter: clientWriter{
 			output:      ringbuffer.New(maxAnswerBytes),
 			slots:       make(chan struct{}, maxPipelined),
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -146,7 +146,7 @@
 func (c *client) readMessage(tasks *sync.WaitGroup) error {
 	message, err := pgwire.Next(c.input)
 	if errors.Is(err, pgwire.ErrShort) {
-		c.input.Idle()
+		c.input.ShrinkIfEmpty()
 		return c.readMore()
 	}
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 	err = c.handleMessage(tasks, message)
 	c.input.Discard(message.Size)
-	c.input.Idle() // a large query is held once, as its text
+	c.input.ShrinkIfEmpty() // a large query is held once, as its text
 	return err
 }
 
--- a/internal/router/clientwriter.go
+++ b/internal/router/clientwriter.go
@@ -107,7 +107,7 @@
 		closeQuietly(c.conn)
 		c.closeWriteFailed.Do(func() { close(c.writeFailed) })
 	}
-	c.output.Idle()
+	c.output.ShrinkIfEmpty()
 	return err
 }
 
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -317,7 +317,7 @@
 				if err := <-done; err != nil {
 					t.Error(err)
 				}
-				if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
+				if left := r.readQuota.Available(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
 					t.Errorf("%d bytes left for reading", left)
 				}
 			})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -246,7 +246,7 @@
 		expect c3 welcome | FATAL 08P01 | EOF
 		expect c4 FATAL 08P01 | EOF
 		expect c5 welcome | I | Z | EOF`)
-	if left := r.readQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
+	if left := r.readQuota.Available(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
 		t.Errorf("%d bytes left for reading", left)
 	}
 }
@@ -335,7 +335,7 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "{value}" | C | S rank=copy | Z
 		expect c1 welcome | T | D "{value}" | C | Z`)
-	if left := r.pool.ReadQuota.Left(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
+	if left := r.pool.ReadQuota.Available(); left != r.config.Limits.MemoryMB<<20/readMemoryShare {
 		t.Errorf("%d bytes left for answers", left)
 	}
 }
