--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -54,7 +54,7 @@
 // fail returns the result of an answer that ended with an error. An outcome that was complete before the error stands,
 // unless the bytes after it are malformed.
 func (answer *partialAnswer) fail(err error) Result {
-	var tooLong *pgwire.TooLong
+	var tooLong *pgwire.TooLongError
 	if answer.result.Outcome == 0 || errors.Is(err, pgwire.ErrMalformed) || errors.As(err, &tooLong) {
 		return Result{Outcome: balance.ConnectionReset, Err: err}
 	}
@@ -84,7 +84,7 @@
 }
 
 func (answer *partialAnswer) addDescription(message pgwire.Message) error {
-	err := pgwire.OneColumn(message.Body)
+	err := pgwire.CheckOneColumn(message.Body)
 	if answer.attempt == nil || err != nil || answer.messages != nil || answer.result.Outcome != 0 {
 		return fmt.Errorf("%w: row description: %w", pgwire.ErrMalformed, err)
 	}
@@ -104,7 +104,7 @@
 }
 
 func (conn *serverConn) addComplete(answer *partialAnswer, message pgwire.Message) error {
-	err := pgwire.OneRow(message.Body)
+	err := pgwire.CheckOneRow(message.Body)
 	if answer.attempt == nil || answer.rows != 1 || answer.result.Outcome != 0 || err != nil {
 		return fmt.Errorf("%w: CommandComplete after %d rows: %w", pgwire.ErrMalformed, answer.rows, err)
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -317,7 +317,7 @@
 		want    pgwire.Report
 		outcome balance.Outcome
 	}{
-		{`T | D "x0=1767225600.123,x1=0,inflight=7" | C | Z`, pgwire.Report{Position: 1767225600123, HasRole: true, Active: 7, HasHeld: true}, balance.Succeeded},
+		{`T | D "x0=1767225600.123,x1=0,inflight=7" | C | Z`, pgwire.Report{Position: 1767225600123, HasRole: true, Active: 7, HasActive: true}, balance.Succeeded},
 		{`T | D "nonsense" | C | Z`, pgwire.Report{}, balance.Failed},
 		{`E 42501 | Z`, pgwire.Report{}, balance.Failed},
 	} {
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -43,7 +43,7 @@
 func (conn *serverConn) nextMessage() (pgwire.Message, error) {
 	for {
 		message, err := pgwire.Next(conn.in)
-		if !errors.Is(err, pgwire.ErrShort) {
+		if !errors.Is(err, pgwire.ErrIncomplete) {
 			return message, err
 		}
 		if err := conn.in.Fill(conn.socket); err != nil {
@@ -57,7 +57,7 @@
 func (conn *serverConn) nextReply(begun bool) (pgwire.Message, error) {
 	for {
 		message, err := pgwire.Next(conn.in)
-		if !errors.Is(err, pgwire.ErrShort) {
+		if !errors.Is(err, pgwire.ErrIncomplete) {
 			return message, err
 		}
 		if begun = begun || conn.in.Len() > 0; begun {
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -281,8 +281,8 @@
 		if err != nil || r.Cluster != 1 || r.Class != "f" {
 			return
 		}
-		q := &Request{Class: "f", Group: 1, Subscriber: r.Session, Gen: r.Gen, Until: now.Load() + 20e9}
-		if h, err := cursor.ParseHistory(r.History); err == nil && r.HasPos {
+		q := &Request{Class: "f", Group: 1, Subscriber: r.Session, Gen: r.Generation, Until: now.Load() + 20e9}
+		if h, err := cursor.ParseHistory(r.History); err == nil && r.HasAfter {
 			q.After = cursor.Position{History: h, At: r.After}
 		} else if r.History != "" && err == nil {
 			return
--- a/internal/emulator/feed.go
+++ b/internal/emulator/feed.go
@@ -145,7 +145,7 @@
 			a.From = max(a.TruncatedUpTo, events[i].At)
 		}
 	}
-	if r.HasPos {
+	if r.HasAfter {
 		h, err := cursor.ParseHistory(r.History)
 		if err != nil {
 			return pgwire.AppendError(nil, "ERROR", pgwire.CodeInvalidParameter, err.Error(), "")
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -207,7 +207,7 @@
 	next := func() (pgwire.Message, error) {
 		for {
 			m, err := pgwire.Next(in)
-			if !errors.Is(err, pgwire.ErrShort) {
+			if !errors.Is(err, pgwire.ErrIncomplete) {
 				return m, err
 			}
 			if err := in.Fill(conn); err != nil {
@@ -217,7 +217,7 @@
 	}
 	for {
 		kind, n, err := pgwire.NextStart(in)
-		if errors.Is(err, pgwire.ErrShort) {
+		if errors.Is(err, pgwire.ErrIncomplete) {
 			if in.Fill(conn) != nil {
 				return
 			}
@@ -233,7 +233,7 @@
 		_, _ = conn.Write([]byte{'N'})
 	}
 	s.awaitWelcome()
-	if _, err := conn.Write(pgwire.AppendWelcome(nil, pgwire.CancelKey{})); err != nil {
+	if _, err := conn.Write(pgwire.AppendSessionStart(nil, pgwire.CancelKey{})); err != nil {
 		return
 	}
 	for {
@@ -262,7 +262,7 @@
 	}
 	s.awaitHang()
 	switch {
-	case pgwire.Blank(text):
+	case pgwire.IsBlank(text):
 		return pgwire.AppendReady(pgwire.Append(nil, pgwire.EmptyQueryResponse, nil))
 	case text == "SHOW vitals":
 		s.group.count(func(a *Audit) { a.Probes++ })
@@ -292,7 +292,7 @@
 	g.enter(r.ID, v)
 	g.rates.Sends.add()
 	defer g.leave(r.ID, v)
-	place := g.attempted(Attempt{ID: r.ID, Key: r.Key, Class: r.Class, Server: s.Name, At: at, Left: r.Wait})
+	place := g.attempted(Attempt{ID: r.ID, Key: r.Key, Class: r.Class, Server: s.Name, At: at, Left: r.Timeout})
 	s.awaitHang()
 	s.mu.Lock()
 	late := !s.drainAt.IsZero() && time.Since(s.drainAt) > time.Second
@@ -353,7 +353,7 @@
 		return nil
 	case class.Write:
 		code = pgwire.CodeReadOnly
-	case r.HasPos && s.position(now) < r.After, class.Bound > 0 && s.position(now) < now.Add(-class.Bound).UnixMilli():
+	case r.HasAfter && s.position(now) < r.After, class.Bound > 0 && s.position(now) < now.Add(-class.Bound).UnixMilli():
 		code = pgwire.CodeTooFarBehind
 	default:
 		return nil
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -87,7 +87,7 @@
 func (c *client) next() (pgwire.Message, error) {
 	for {
 		m, err := pgwire.Next(c.in)
-		if !errors.Is(err, pgwire.ErrShort) {
+		if !errors.Is(err, pgwire.ErrIncomplete) {
 			return m, err
 		}
 		if err := c.in.Fill(c.conn); err != nil {
--- a/internal/nettest/message.go
+++ b/internal/nettest/message.go
@@ -37,7 +37,7 @@
 	case "ssl":
 		return []byte{0, 0, 0, 8, 4, 210, 22, 47}, nil
 	case "welcome":
-		return pgwire.AppendWelcome(nil, pgwire.CancelKey{}), nil
+		return pgwire.AppendSessionStart(nil, pgwire.CancelKey{}), nil
 	case "Q":
 		return pgwire.AppendQuery(nil, text), nil
 	case "T":
--- a/internal/pgwire/comment.go
+++ b/internal/pgwire/comment.go
@@ -9,118 +9,118 @@
 	"time"
 )
 
-// Request is what the comment ahead of a statement says of it.
+// Request is the information about a request in the comment before its statement.
 type Request struct {
-	ID      string
-	Class   string
-	Wait    time.Duration // from when the client sent it
-	Key     string        // of an idempotent write
-	Retry   bool
-	Cluster int64
-	After   int64  // the position that a session read must see, in Unix ms
-	HasPos  bool   // After was given
-	Team    string // whose request it says it is
-	Session string // the quoted key of the statement
-	History string // of a feed's cursor: the log's history that After is of
-	Gen     int64  // and its generation
-
-	text         string
-	from, behind int    // where the value of d stands
-	seen         [2]int // where the value of after stands
+	ID         string
+	Class      string
+	Timeout    time.Duration // how long the client waits for the answer
+	Key        string        // idempotency key of a write
+	Retry      bool
+	Cluster    int64
+	After      int64  // the log position that a session read must see, in Unix ms
+	HasAfter   bool   // whether the comment has a position
+	Team       string // the team that the comment names
+	Session    string // the first quoted string of the statement, its key
+	History    string // of a change feed's cursor: the history of the log that After belongs to
+	Generation int64  // of a change feed's cursor: the generation of that history
+
+	text                     string
+	timeoutStart, timeoutEnd int    // where the value of d is in text
+	afterSpan                [2]int // where the value of after is in text
 }
 
-// ErrComment is wrapped by all that is wrong with a comment.
+// ErrComment is wrapped by every error in a comment. The router sends such errors to clients.
 var ErrComment = errors.New("request comment")
 
-const longestWait = time.Hour
+const maxTimeout = time.Hour
 
-// ParseRequest reads a statement with its comment:
+// ParseRequest parses a statement with its comment:
 //
 //	/* id=9b1f,c=order,d=480,k=5c0f,cluster=2,after=1767225600123 */ SELECT ...
 //
-// Names that it does not know are passed over.
+// Unknown names are ignored.
 func ParseRequest(text string) (Request, error) {
-	r := Request{text: text}
+	request := Request{text: text}
 	start := len(text) - len(strings.TrimLeft(text, " \t\r\n"))
 	if !strings.HasPrefix(text[start:], "/*") {
-		return r, fmt.Errorf("%w: missing", ErrComment)
+		return request, fmt.Errorf("%w: missing", ErrComment)
 	}
 	start += 2
-	n := strings.Index(text[start:], "*/")
-	if n < 0 {
-		return r, fmt.Errorf("%w: does not end", ErrComment)
+	length := strings.Index(text[start:], "*/")
+	if length < 0 {
+		return request, fmt.Errorf("%w: does not end", ErrComment)
 	}
-	end := start + n
+	end := start + length
 	seen := map[string]bool{}
-	for at := start; at < end; {
+	for offset := start; offset < end; {
 		next := end
-		if i := strings.IndexByte(text[at:end], ','); i >= 0 {
-			next = at + i
+		if comma := strings.IndexByte(text[offset:end], ','); comma >= 0 {
+			next = offset + comma
 		}
-		if err := r.field(at, next, seen); err != nil {
-			return r, err
+		if err := request.parseField(offset, next, seen); err != nil {
+			return request, err
 		}
-		at = next + 1
+		offset = next + 1
 	}
 	for _, name := range []string{"id", "c", "d", "cluster"} {
 		if !seen[name] {
-			return r, fmt.Errorf("%w: no %s", ErrComment, name)
+			return request, fmt.Errorf("%w: no %s", ErrComment, name)
 		}
 	}
-	r.Session = quoted(text[end+2:])
-	return r, nil
+	request.Session = firstQuoted(text[end+2:])
+	return request, nil
 }
 
-// field reads one name and value, which stand between two places of the text.
-func (r *Request) field(from, behind int, seen map[string]bool) error {
-	for from < behind && r.text[from] == ' ' {
-		from++
+// parseField parses one name and value, which are the bytes of the text between two offsets.
+func (request *Request) parseField(start, end int, seen map[string]bool) error {
+	for start < end && request.text[start] == ' ' {
+		start++
 	}
-	for behind > from && r.text[behind-1] == ' ' {
-		behind--
+	for end > start && request.text[end-1] == ' ' {
+		end--
 	}
-	name, value, ok := strings.Cut(r.text[from:behind], "=")
+	name, value, ok := strings.Cut(request.text[start:end], "=")
 	if !ok || name == "" || value == "" || seen[name] {
-		return fmt.Errorf("%w: bad or repeated field %.40q", ErrComment, r.text[from:behind])
+		return fmt.Errorf("%w: bad or repeated field %.40q", ErrComment, request.text[start:end])
 	}
 	seen[name] = true
 	var err error
 	switch name {
 	case "id":
-		r.ID, err = value, checkName(value)
+		request.ID, err = value, checkName(value)
 	case "c":
-		r.Class = value
+		request.Class = value
 	case "team":
-		r.Team = value
+		request.Team = value
 	case "k":
-		r.Key, err = value, checkName(value)
+		request.Key, err = value, checkName(value)
 	case "r":
-		r.Retry = value == "1"
+		request.Retry = value == "1"
 	case "d":
 		var ms float64
 		ms, err = strconv.ParseFloat(value, 64)
-		if err == nil && !(ms >= 0 && ms <= float64(longestWait/time.Millisecond)) {
+		if err == nil && !(ms >= 0 && ms <= float64(maxTimeout/time.Millisecond)) {
 			err = strconv.ErrRange
 		}
 		if err == nil {
-			r.Wait = time.Duration(ms * float64(time.Millisecond))
+			request.Timeout = time.Duration(ms * float64(time.Millisecond))
 		}
-		r.from, r.behind = from+2, behind
+		request.timeoutStart, request.timeoutEnd = start+2, end
 	case "history":
-		r.History, err = value, checkName(value)
+		request.History, err = value, checkName(value)
 	case "gen":
-		r.Gen, err = strconv.ParseInt(value, 10, 64)
-		if err == nil && (r.Gen < 0 || r.Gen > 1<<53) {
+		request.Generation, err = strconv.ParseInt(value, 10, 64)
+		if err == nil && (request.Generation < 0 || request.Generation > 1<<53) {
 			err = strconv.ErrRange
 		}
 	case "cluster":
-		r.Cluster, err = strconv.ParseInt(value, 10, 64)
+		request.Cluster, err = strconv.ParseInt(value, 10, 64)
 	case "after":
-		r.After, err = strconv.ParseInt(value, 10, 64)
-		if err == nil && (r.After < 0 || r.After > 1<<43) {
+		request.After, err = strconv.ParseInt(value, 10, 64)
+		if err == nil && (request.After < 0 || request.After > 1<<43) {
 			err = strconv.ErrRange
 		}
-		r.HasPos, r.seen = true, [2]int{behind - len(value), behind}
+		request.HasAfter, request.afterSpan = true, [2]int{end - len(value), end}
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %s: bad value %.40q", ErrComment, name, value)
@@ -128,17 +128,17 @@
 	return nil
 }
 
-const longestName = 64
+const maxNameLength = 64
 
-// checkName wants the letters, digits and signs of which ids and keys are made:
-// a data server closes its connection on what it can't read.
-func checkName(s string) error {
-	if len(s) > longestName {
+// checkName returns an error unless a string is a valid ID or key: a data server closes its connection if it can't
+// parse one.
+func checkName(name string) error {
+	if len(name) > maxNameLength {
 		return strconv.ErrRange
 	}
-	for _, c := range []byte(s) {
+	for _, char := range []byte(name) {
 		switch {
-		case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c == '-', c == '_', c == '.', c == ':':
+		case char >= '0' && char <= '9', char >= 'a' && char <= 'z', char >= 'A' && char <= 'Z', char == '-', char == '_', char == '.', char == ':':
 		default:
 			return strconv.ErrSyntax
 		}
@@ -146,100 +146,101 @@
 	return nil
 }
 
-// quoted is the first quoted string of a statement.
-func quoted(s string) string {
-	_, s, ok := strings.Cut(s, "'")
+// firstQuoted returns the first quoted string of a statement.
+func firstQuoted(statement string) string {
+	_, statement, ok := strings.Cut(statement, "'")
 	if !ok {
 		return ""
 	}
-	s, _, _ = strings.Cut(s, "'")
-	return s
+	statement, _, _ = strings.Cut(statement, "'")
+	return statement
 }
 
-// Statement is what stands behind the comment.
-func (r *Request) Statement() string {
-	_, s, _ := strings.Cut(r.text, "*/")
-	return s
+// Statement returns the text after the comment.
+func (request *Request) Statement() string {
+	_, statement, _ := strings.Cut(request.text, "*/")
+	return statement
 }
 
-// Size is the length of the statement with its comment.
-func (r *Request) Size() int { return len(r.text) }
+// Size returns the length of the statement with its comment.
+func (request *Request) Size() int { return len(request.text) }
 
-// See raises the position that a session read must see; data servers check it in the comment.
-func (r *Request) See(after int64) {
-	if r.HasPos && r.After >= after {
+// RaiseAfter raises the position that a session read must see to at least the given one, also in the comment, where
+// data servers check it.
+func (request *Request) RaiseAfter(after int64) {
+	if request.HasAfter && request.After >= after {
 		return
 	}
 	value := strconv.FormatInt(after, 10)
-	if r.HasPos {
-		from, behind := r.seen[0], r.seen[1]
-		r.text = r.text[:from] + value + r.text[behind:]
-		if longer := len(value) - (behind - from); r.from > from {
-			r.from, r.behind = r.from+longer, r.behind+longer
+	if request.HasAfter {
+		start, end := request.afterSpan[0], request.afterSpan[1]
+		request.text = request.text[:start] + value + request.text[end:]
+		if growth := len(value) - (end - start); request.timeoutStart > start {
+			request.timeoutStart, request.timeoutEnd = request.timeoutStart+growth, request.timeoutEnd+growth
 		}
-		r.seen[1] = from + len(value)
+		request.afterSpan[1] = start + len(value)
 	} else {
 		const name = ",after="
-		r.text = r.text[:r.behind] + name + value + r.text[r.behind:]
-		r.seen = [2]int{r.behind + len(name), r.behind + len(name) + len(value)}
+		request.text = request.text[:request.timeoutEnd] + name + value + request.text[request.timeoutEnd:]
+		request.afterSpan = [2]int{request.timeoutEnd + len(name), request.timeoutEnd + len(name) + len(value)}
 	}
-	r.After, r.HasPos = after, true
+	request.After, request.HasAfter = after, true
 }
 
-// WriteQuery writes the request as a simple query, unchanged but for d, which
-// tells how long the router will wait.
-func (r *Request) WriteQuery(w io.Writer, wait time.Duration) error {
-	ms := strconv.FormatInt(max(1, wait.Milliseconds()), 10)
-	parts := []string{r.text[:r.from], ms, r.text[r.behind:]}
-	if _, err := w.Write(queryHead(len(parts[0]) + len(ms) + len(parts[2]))); err != nil {
+// WriteQuery writes the request as a simple query, unchanged except for d, which tells the data server how long the
+// router will wait.
+func (request *Request) WriteQuery(writer io.Writer, timeout time.Duration) error {
+	ms := strconv.FormatInt(max(1, timeout.Milliseconds()), 10)
+	parts := []string{request.text[:request.timeoutStart], ms, request.text[request.timeoutEnd:]}
+	if _, err := writer.Write(queryHeader(len(parts[0]) + len(ms) + len(parts[2]))); err != nil {
 		return err
 	}
-	for _, p := range append(parts, "\x00") {
-		if _, err := io.WriteString(w, p); err != nil {
+	for _, part := range append(parts, "\x00") {
+		if _, err := io.WriteString(writer, part); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Blank says whether a query holds nothing, which is answered at once.
-func Blank(text string) bool { return strings.Trim(text, " \t\r\n;") == "" }
+// IsBlank reports whether a query has no statement and so is answered at once.
+func IsBlank(text string) bool { return strings.Trim(text, " \t\r\n;") == "" }
 
-// Report is what a data server says of itself.
+// Report is a data server's report of its position, role and load.
 type Report struct {
-	Position int64 // Unix ms; 0: not told
-	Primary  bool
-	HasRole  bool
-	Waiting  int
-	Active   int
-	HasLoad  bool // Waiting and Active were told
-	HasHeld  bool // Active was
+	Position  int64 // Unix ms; 0: not reported
+	Primary   bool
+	HasRole   bool
+	Waiting   int
+	Active    int
+	HasLoad   bool // Waiting and Active were reported
+	HasActive bool // Active was reported
 }
 
-// ParseReport reads a load report such as x0=1767225600.123,x1=1,inflight=7.
+// ParseReport parses a load report such as x0=1767225600.123,x1=1,inflight=7.
 func ParseReport(text string) (Report, error) {
-	var r Report
-	var waiting, active bool
+	var report Report
+	var hasWaiting, hasActive bool
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
 			return Report{}, fmt.Errorf("%w: load report field %.40q", ErrMalformed, pair)
 		}
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v < 1<<33) {
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(number >= 0 && number < 1<<33) {
 			return Report{}, fmt.Errorf("%w: load report field %.40q", ErrMalformed, pair)
 		}
 		switch name {
 		case "x0":
-			r.Position = int64(v * 1e3)
+			report.Position = int64(number * 1e3)
 		case "x1":
-			r.Primary, r.HasRole = v == 1, true
+			report.Primary, report.HasRole = number == 1, true
 		case "waiting", "queue":
-			r.Waiting, waiting = int(v+0.5), true
+			report.Waiting, hasWaiting = int(number+0.5), true
 		case "active", "inflight":
-			r.Active, active = int(v+0.5), true
+			report.Active, hasActive = int(number+0.5), true
 		}
 	}
-	r.HasLoad, r.HasHeld = waiting && active, active
-	return r, nil
+	report.HasLoad, report.HasActive = hasWaiting && hasActive, hasActive
+	return report, nil
 }
--- a/internal/router/answers.go
+++ b/internal/router/answers.go
@@ -18,7 +18,7 @@
 	if reason == nil {
 		reason = &rejectionReason{text: "nothing ran"}
 	}
-	message := pgwire.AppendHint(nil, "ERROR", pgwire.CodeTooManyConnections, "refused: "+reason.text,
+	message := pgwire.AppendErrorWithHint(nil, "ERROR", pgwire.CodeTooManyConnections, "refused: "+reason.text,
 		retryAfterField(retryAfter), reason.hint)
 	return pgwire.AppendReady(message)
 }
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -55,12 +55,12 @@
 
 // answer answers a subscriber. Its connection's reader set the seat before any of its tasks began.
 func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Subscription, came clock.Nanos) []byte {
-	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.identity, Left: c.left,
-		Until: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
+	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Generation, Who: c.identity, Left: c.left,
+		Until: came + int64(max(q.Timeout-deadlineMargin, q.Timeout/2))}
 	if q.Session == "" {
 		return errorAnswer(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
 	}
-	if (q.History != "") != q.HasPos {
+	if (q.History != "") != q.HasAfter {
 		return errorAnswer(pgwire.CodeInvalidParameter, "a cursor is after and history together")
 	}
 	if q.History != "" {
@@ -89,12 +89,12 @@
 	case errors.As(err, &unread):
 		wait = retryAfterField(unread.Wait)
 	case errors.As(err, &no):
-		code = pgwire.CodeCursor
+		code = pgwire.CodeInvalidCursor
 	}
 	if e := operr.Of(err); e != nil {
 		kind, hint = e.Kind(), e.Hint()
 	}
-	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
+	return pgwire.AppendReady(pgwire.AppendErrorWithHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
 }
 
 // read reads from a member through the decision module, like a client of the class.
--- a/internal/router/clientclose.go
+++ b/internal/router/clientclose.go
@@ -53,7 +53,7 @@
 // fatalCode is the code of the error that a client gets before its connection is closed, none where it closed or has gone;
 // and when to come again, as the field D tells it.
 func fatalCode(err error) (code, retryAfter string) {
-	var tooLong *pgwire.TooLong
+	var tooLong *pgwire.TooLongError
 	var rejected *rejection
 	switch {
 	case errors.As(err, &rejected):
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -80,7 +80,7 @@
 func (c *client) startSession() error {
 	for {
 		kind, size, err := pgwire.NextStart(c.input)
-		if errors.Is(err, pgwire.ErrShort) {
+		if errors.Is(err, pgwire.ErrIncomplete) {
 			if err := c.readMore(); err != nil {
 				return err
 			}
@@ -106,7 +106,7 @@
 
 // cancelRequest carries a CancelRequest out; its connection has no other use, and is closed at once.
 func (c *client) cancelRequest(size int) error {
-	if key, ok := pgwire.CancelOf(c.input, size); ok {
+	if key, ok := pgwire.ParseCancelKey(c.input, size); ok {
 		c.router.cancelKeys.cancel(key)
 	}
 	return errDone
@@ -121,7 +121,7 @@
 			return err
 		}
 	}
-	return c.write(pgwire.AppendWelcome(nil, c.router.cancelKeys.add(c)))
+	return c.write(pgwire.AppendSessionStart(nil, c.router.cancelKeys.add(c)))
 }
 
 // readIdentity keeps what a startup message says, where anybody asks.
@@ -145,7 +145,7 @@
 // readMessage takes one message.
 func (c *client) readMessage(tasks *sync.WaitGroup) error {
 	message, err := pgwire.Next(c.input)
-	if errors.Is(err, pgwire.ErrShort) {
+	if errors.Is(err, pgwire.ErrIncomplete) {
 		c.input.ShrinkIfEmpty()
 		return c.readMore()
 	}
@@ -206,7 +206,7 @@
 	if err != nil {
 		return err
 	}
-	if pgwire.Blank(text) {
+	if pgwire.IsBlank(text) {
 		return c.startTask(tasks, c.answerReadiness)
 	}
 	parsed, err := pgwire.ParseRequest(text)
@@ -247,7 +247,7 @@
 // deadlineOf is when a request that arrived at a time has to be answered: what its client waits, less the way there and
 // back.
 func deadlineOf(parsed *pgwire.Request, arrivedAt clock.Nanos) clock.Nanos {
-	return arrivedAt + int64(max(parsed.Wait-deadlineMargin, parsed.Wait/2))
+	return arrivedAt + int64(max(parsed.Timeout-deadlineMargin, parsed.Timeout/2))
 }
 
 // newRequest returns a request that a CancelRequest can name.
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -76,7 +76,7 @@
 		return
 	}
 	time.Sleep(welcome)
-	_, _ = conn.Write(pgwire.AppendWelcome(nil, pgwire.CancelKey{})) // what follows shows it
+	_, _ = conn.Write(pgwire.AppendSessionStart(nil, pgwire.CancelKey{})) // what follows shows it
 	for {
 		if _, err := in.ReadByte(); err != nil { // the message's kind
 			return
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -40,7 +40,7 @@
 			}
 		}
 		e.HasLoad, e.Waiting, e.Active = rep.HasLoad, rep.Waiting, rep.Active
-		if rep.HasHeld {
+		if rep.HasActive {
 			held = rep.Active
 		}
 	} else {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -119,7 +119,7 @@
 		Deadline: r.deadline,
 		Group:    r.Cluster,
 	}}
-	if r.HasPos {
+	if r.HasAfter {
 		event.mustSee = max(1, r.After*clock.Millisecond)
 	}
 	if event.mustSee >= r.positionEvidence.at+clock.Millisecond { // the client knows of a later one
@@ -135,7 +135,7 @@
 	if position <= 0 {
 		return
 	}
-	r.See((position + clock.Millisecond - 1) / clock.Millisecond)
+	r.RaiseAfter((position + clock.Millisecond - 1) / clock.Millisecond)
 	r.sessionWroteAt = position
 	r.positionEvidence = r.router.membership.provenanceOf(r.Cluster, r.Session, position)
 }
--- a/internal/router/unreadage.go
+++ b/internal/router/unreadage.go
@@ -71,7 +71,7 @@
 		return 0, false
 	}
 	request, err := pgwire.ParseRequest(text)
-	return request.Wait, err == nil
+	return request.Timeout, err == nil
 }
 
 // stallWatch notices that the whole process was held up: its tick comes late. It is safe for concurrent use.
