--- a/cmd/router/main_test.go
+++ b/cmd/router/main_test.go
@@ -41,16 +41,16 @@
 const emptyList = `{"seq":1,"whole":true,"hosts":[]}`
 
 func TestCommandLine(t *testing.T) {
-	own := nettest.File(t, `{"admission":{"per_address":40,"reserve":[{"name":"counters","users":["c"],"connections":40}]}}`)
-	slip := nettest.File(t, `{"admission":{"per_adress":40}}`)
-	greedy := nettest.File(t, `{"admission":{"reserve":[{"name":"counters","users":["c"],"connections":4000}]}}`)
+	own := nettest.WriteConfig(t, `{"admission":{"per_address":40,"reserve":[{"name":"counters","users":["c"],"connections":40}]}}`)
+	slip := nettest.WriteConfig(t, `{"admission":{"per_adress":40}}`)
+	greedy := nettest.WriteConfig(t, `{"admission":{"reserve":[{"name":"counters","users":["c"],"connections":4000}]}}`)
 	fellows := `{"members":{"cluster":"x","key_file":"/nowhere/keys","routers":{"n0":{"listen":"127.0.0.1:0"}}}}`
-	keyless := nettest.File(t, fellows)
-	crowded := nettest.File(t, strings.Replace(fellows, `}}}}`, `},"n1":{"listen":"127.0.0.2:0"}}}}`, 1))
-	stranger := nettest.File(t, strings.Replace(fellows, "n0", "n9", 1))
-	good := nettest.File(t, nettest.Config("127.0.0.1:0", "127.0.0.1:1", emptyList))
-	torn := nettest.File(t, "\n{\n\n\"name\": \n")
-	bad := nettest.File(t, strings.Replace(nettest.Config("127.0.0.1:0", "127.0.0.1:1", emptyList), "mutate", "mutant", 1))
+	keyless := nettest.WriteConfig(t, fellows)
+	crowded := nettest.WriteConfig(t, strings.Replace(fellows, `}}}}`, `},"n1":{"listen":"127.0.0.2:0"}}}}`, 1))
+	stranger := nettest.WriteConfig(t, strings.Replace(fellows, "n0", "n9", 1))
+	good := nettest.WriteConfig(t, nettest.RouterConfig("127.0.0.1:0", "127.0.0.1:1", emptyList))
+	torn := nettest.WriteConfig(t, "\n{\n\n\"name\": \n")
+	bad := nettest.WriteConfig(t, strings.Replace(nettest.RouterConfig("127.0.0.1:0", "127.0.0.1:1", emptyList), "mutate", "mutant", 1))
 	for _, c := range []struct {
 		args, config string
 		code         int
@@ -99,23 +99,23 @@
 
 // start runs the program against the stage's agent and s1, and tells where its
 // configuration is; clients are named c.
-func start(t *testing.T) (*nettest.Stage, *exec.Cmd, string) {
+func start(t *testing.T) (*nettest.Network, *exec.Cmd, string) {
 	t.Helper()
 	return startAs(t, program, "serve")
 }
 
 // startAs is start by some command line.
-func startAs(t *testing.T, line ...string) (*nettest.Stage, *exec.Cmd, string) {
+func startAs(t *testing.T, line ...string) (*nettest.Network, *exec.Cmd, string) {
 	t.Helper()
 	return startWith(t, func(config string) string { return config }, line...)
 }
 
 // startWith is startAs with another configuration.
-func startWith(t *testing.T, other func(config string) string, line ...string) (*nettest.Stage, *exec.Cmd, string) {
+func startWith(t *testing.T, other func(config string) string, line ...string) (*nettest.Network, *exec.Cmd, string) {
 	t.Helper()
 	s := nettest.New(t, "s1", "s2", "agent", "next")
-	known := nettest.List(1, "h-1 "+s.Addr("s1")+" 1 SERVING")
-	file := nettest.File(t, other(nettest.Config("127.0.0.9:1", "127.0.0.9:2", known)))
+	known := nettest.EndpointList(1, "h-1 "+s.Addr("s1")+" 1 SERVING")
+	file := nettest.WriteConfig(t, other(nettest.RouterConfig("127.0.0.9:1", "127.0.0.9:2", known)))
 	cmd := exec.Command(line[0], line[1:]...)
 	cmd.Env = append(os.Environ(), "NODE_NAME=n3", "NODE_LISTEN=127.0.0.1:0", "NODE_DISCOVERY="+s.Addr("agent"),
 		"NODE_CONFIG="+file)
@@ -134,7 +134,7 @@
 	serving := regexp.MustCompile(`msg=serving name=n3 listen=(\S+)`)
 	for lines.Scan() {
 		if m := serving.FindStringSubmatch(lines.Text()); m != nil {
-			s.Dial("", m[1])
+			s.SetClients("", m[1])
 			go func() { // or the program would block on a full pipe
 				for lines.Scan() {
 				}
@@ -150,11 +150,11 @@
 // end while requests are in flight, each of these still gets its one answer, who
 // comes hears why, and once there is room again all is as before.
 func TestOutOfDescriptors(t *testing.T) {
-	own := nettest.File(t, `{"admission":{"green_ms":3600000,"spare_ms":3600000,"crowd_share":0,"linger_ms":1}}`)
+	own := nettest.WriteConfig(t, `{"admission":{"green_ms":3600000,"spare_ms":3600000,"crowd_share":0,"linger_ms":1}}`)
 	s, cmd, _ := startAs(t, "sh", "-c", "ulimit -n 40 && exec "+program+" serve --settings "+own)
 	const open = 4
 	for i := range open {
-		s.Play(fmt.Sprintf(`
+		s.Run(fmt.Sprintf(`
 			send c%[1]d startup | Q "/* id=0%[1]d,c=read,d=20000,cluster=1 */ A%[1]d"
 			wait s1 as x%[1]d
 			expect x%[1]d startup
@@ -163,25 +163,25 @@
 	}
 	const flood = 100
 	for i := range flood { // the first are held; from some on there is no descriptor
-		s.Play(fmt.Sprintf(`send f%d raw ""`, i))
+		s.Run(fmt.Sprintf(`send f%d raw ""`, i))
 	}
-	s.Play(fmt.Sprintf(`expect f%d FATAL 53300 # | EOF`, flood-1))
+	s.Run(fmt.Sprintf(`expect f%d FATAL 53300 # | EOF`, flood-1))
 	for i := range open {
-		s.Play(fmt.Sprintf(`
+		s.Run(fmt.Sprintf(`
 			send x%[1]d T | D "v%[1]d" | C | S rank=copy | Z
 			expect c%[1]d welcome | T | D "v%[1]d" | C | Z
 			send c%[1]d Q ""
 			expect c%[1]d I | Z`, i))
 	}
 	for i := range flood {
-		s.Play(fmt.Sprintf(`close f%d`, i))
+		s.Run(fmt.Sprintf(`close f%d`, i))
 	}
 	if err := cmd.Process.Signal(syscall.Signal(0)); err != nil {
 		t.Error(err)
 	}
 	got := false
 	for i := 0; !got && i < 1000; i++ { // the flood's ends are seen one by one
-		got = s.Try(fmt.Sprintf("send n%d startup", i)) == nil && s.Try(fmt.Sprintf("expect n%d welcome", i)) == nil
+		got = s.RunStep(fmt.Sprintf("send n%d startup", i)) == nil && s.RunStep(fmt.Sprintf("expect n%d welcome", i)) == nil
 	}
 	if !got {
 		t.Error("after the flood nobody gets in")
@@ -190,7 +190,7 @@
 
 // On SIGHUP limits change; settings that are wrong change nothing, and all goes on.
 func TestReloadSettings(t *testing.T) {
-	own := nettest.File(t, `{"admission":{"per_address":2}}`)
+	own := nettest.WriteConfig(t, `{"admission":{"per_address":2}}`)
 	s, cmd, _ := startAs(t, program, "serve", "--settings", own)
 	hup := func(text string) {
 		t.Helper()
@@ -201,7 +201,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q ""
 		send c2 startup | Q ""
 		expect c1 welcome | I | Z
@@ -209,11 +209,11 @@
 		expect c3 FATAL 53300 # | EOF`)
 	hup(`{"admission":{"per_address":0`)
 	hup(`{}`)
-	s.Play(`expect c4 FATAL 53300 # | EOF`)
+	s.Run(`expect c4 FATAL 53300 # | EOF`)
 	hup(`{"admission":{"per_address":3}}`)
 	got := false
 	for i := 0; !got && i < 2000; i++ { // the signal takes a moment
-		got = s.Try(fmt.Sprintf("send n%d startup", i)) == nil && s.Try(fmt.Sprintf("expect n%d welcome", i)) == nil
+		got = s.RunStep(fmt.Sprintf("send n%d startup", i)) == nil && s.RunStep(fmt.Sprintf("expect n%d welcome", i)) == nil
 	}
 	if !got {
 		t.Error("the cap was not raised")
@@ -224,7 +224,7 @@
 // silent, then follows discovery, and on SIGTERM finishes what it has taken.
 func TestServe(t *testing.T) {
 	s, cmd, _ := start(t)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c1 Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT"
@@ -234,14 +234,14 @@
 		expect s1 Q "/* id=01,c=write,d=#,k=ab,cluster=1 */ INSERT"
 		send s1 T | D "\x00\xff" | C | S rank=source | Z
 		expect c1 T | D "\x00\xff" | C | Z`)
-	tell := s.Agent("agent")
-	tell(2, nettest.List(2, "h-1 {s1} 1 DRAINING"))
-	s.Play(`
+	tell := s.ServeDiscovery("agent")
+	tell(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING"))
+	s.Run(`
 		expect s1 EOF
 		send c2 startup
 		expect c2 welcome`)
-	tell(3, nettest.List(3, "h-1 {s1} 1 SERVING"))
-	s.Play(`
+	tell(3, nettest.EndpointList(3, "h-1 {s1} 1 SERVING"))
+	s.Run(`
 		send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ INSERT"
 		wait s1
 		expect s1 startup
@@ -250,7 +250,7 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	s.Play(`
+	s.Run(`
 		expect c2 EOF
 		send s1 T | D "late" | C | S rank=source | Z
 		expect c1 T | D "late" | C | Z | EOF`)
@@ -273,12 +273,12 @@
 			t.Fatal(err)
 		}
 	}
-	s.Play(`
+	s.Run(`
 		wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"`)
 	hup("{")
-	hup(nettest.Config("127.0.0.9:1", s.Addr("next"), emptyList))
-	s.Play(`
+	hup(nettest.RouterConfig("127.0.0.9:1", s.Addr("next"), emptyList))
+	s.Run(`
 		wait next
 		expect next line "GET /v1/endpoints HTTP/1.1"
 		expect agent line "Host: {agent}"
@@ -292,8 +292,8 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z`)
-	s.Agent("next")(2, nettest.List(2, "h-1 {s1} 1 DRAINING"))
-	s.Play(`expect s1 EOF`)
+	s.ServeDiscovery("next")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING"))
+	s.Run(`expect s1 EOF`)
 }
 
 // Two routers can't listen on one address: the second says so and ends.
@@ -301,7 +301,7 @@
 	s := nettest.New(t, "taken")
 	cmd := exec.Command(program, "serve")
 	cmd.Env = append(os.Environ(), "NODE_LISTEN="+s.Addr("taken"),
-		"NODE_CONFIG="+nettest.File(t, nettest.Config("127.0.0.9:1", "127.0.0.1:1", emptyList)))
+		"NODE_CONFIG="+nettest.WriteConfig(t, nettest.RouterConfig("127.0.0.9:1", "127.0.0.1:1", emptyList)))
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "address already in use") {
 		t.Errorf("%v: %s", err, out)
@@ -327,7 +327,7 @@
 		err = cmd.Process.Signal(syscall.SIGTERM)
 	}
 	if err == nil {
-		_, err = config.WriteString(nettest.Config("127.0.0.1:0", "127.0.0.1:1", emptyList))
+		_, err = config.WriteString(nettest.RouterConfig("127.0.0.1:0", "127.0.0.1:1", emptyList))
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -341,7 +341,7 @@
 // SIGHUP while the program stops is taken as ever, and a second SIGTERM changes nothing: what was taken gets its answer.
 func TestSignalsWhileStopping(t *testing.T) {
 	s, cmd, file := start(t)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		send c2 startup | Q ""
 		expect c2 welcome | I | Z
@@ -356,16 +356,16 @@
 		}
 	}
 	tell(syscall.SIGTERM)
-	s.Play(`expect c2 EOF`)
-	if err := os.WriteFile(file, []byte(nettest.Config("127.0.0.9:1", s.Addr("next"), emptyList)), 0o600); err != nil {
+	s.Run(`expect c2 EOF`)
+	if err := os.WriteFile(file, []byte(nettest.RouterConfig("127.0.0.9:1", s.Addr("next"), emptyList)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tell(syscall.SIGHUP)
-	s.Play(`wait next`)
+	s.Run(`wait next`)
 	tell(syscall.SIGTERM)
 	tell(syscall.SIGHUP)
 	tell(syscall.SIGINT)
-	s.Play(`
+	s.Run(`
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z | EOF`)
 	if err := cmd.Wait(); err != nil {
@@ -377,7 +377,7 @@
 // discovery says on its return is taken, and the program never holds more descriptors than it may.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	const most = 64
-	own := nettest.File(t, `{"admission":{"shared":["0.0.0.0/0"]}}`)
+	own := nettest.WriteConfig(t, `{"admission":{"shared":["0.0.0.0/0"]}}`)
 	for _, line := range [][]string{{program, "serve"}, {program, "serve", "--settings", own}} {
 		t.Run(fmt.Sprint(len(line)), func(t *testing.T) {
 			s, cmd, _ := startWith(t, func(config string) string {
@@ -395,7 +395,7 @@
 				t.Helper()
 				for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 					name, clients = fmt.Sprintf("c%d", clients), clients+1
-					if s.Try("send "+name+" startup | "+ask) == nil && s.Try("expect "+name+" "+hear) == nil {
+					if s.RunStep("send "+name+" startup | "+ask) == nil && s.RunStep("expect "+name+" "+hear) == nil {
 						return name
 					}
 					count()
@@ -411,8 +411,8 @@
 				}
 			}
 			fill()
-			s.Set("first", enter(`Q "/* id=01,c=read,d=20000,cluster=1 */ A"`, "welcome"))
-			s.Play(`
+			s.Define("first", enter(`Q "/* id=01,c=read,d=20000,cluster=1 */ A"`, "welcome"))
+			s.Run(`
 				wait s1
 				expect s1 startup
 				send s1 welcome
@@ -420,10 +420,10 @@
 				send s1 T | D "v" | C | S rank=copy | Z
 				expect {first} T | D "v" | C | Z`)
 			fill()
-			s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-			s.Play(`expect s1 EOF`)
-			s.Set("last", enter(`Q "/* id=02,c=read,d=20000,cluster=1 */ A"`, "welcome"))
-			s.Play(`
+			s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+			s.Run(`expect s1 EOF`)
+			s.Define("last", enter(`Q "/* id=02,c=read,d=20000,cluster=1 */ A"`, "welcome"))
+			s.Run(`
 				wait s2
 				expect s2 startup
 				send s2 welcome
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -35,7 +35,7 @@
 }
 
 // newTestPool returns a pool for one scripted data server, s, with the given limit of sockets.
-func newTestPool(t *testing.T, sockets int) (*nettest.Stage, *Pool, *directory) {
+func newTestPool(t *testing.T, sockets int) (*nettest.Network, *Pool, *directory) {
 	t.Helper()
 	network := nettest.New(t, "s")
 	dir := &directory{address: network.Addr("s")}
@@ -119,7 +119,7 @@
 		t.Run("", func(t *testing.T) {
 			network, pool, _ := newTestPool(t, 1024)
 			attempt := pool.try()
-			network.Play(tc.text)
+			network.Run(tc.text)
 			got := <-attempt.Done()
 			if (got.Outcome == balance.Succeeded) != (got.Answer != nil) {
 				t.Errorf("outcome %d with answer %q", got.Outcome, got.Answer)
@@ -140,11 +140,11 @@
 	for _, extra := range []string{`S rank=source`, `T | D "v" | C | Z`, `N ""`, `raw "S\x00"`} {
 		network, pool, _ := newTestPool(t, 1024)
 		attempt := pool.try()
-		network.Play(handshakeAndQuery + `send s T | D "v" | C | S rank=copy | Z`)
+		network.Run(handshakeAndQuery + `send s T | D "v" | C | S rank=copy | Z`)
 		<-attempt.Done()
-		network.Play("send s " + extra) // the connection's goroutine may or may not have read it yet
+		network.Run("send s " + extra) // the connection's goroutine may or may not have read it yet
 		attempt = pool.try()
-		network.Play(`expect s EOF` + handshakeAndQuery + `send s T | D "w" | C | Z`)
+		network.Run(`expect s EOF` + handshakeAndQuery + `send s T | D "w" | C | Z`)
 		if res := <-attempt.Done(); res.Outcome != balance.Succeeded || res.Role != 0 || string(res.Value) != "w" {
 			t.Errorf("%s: outcome %d, role %d, %q", extra, res.Outcome, res.Role, res.Value)
 		}
@@ -162,10 +162,10 @@
 		network, pool, _ := newTestPool(t, 1024)
 		pool.DuplicateWindow = tc.window
 		attempt := pool.try()
-		network.Play(handshakeAndQuery + `send s T | D "v" | C | Z`)
+		network.Run(handshakeAndQuery + `send s T | D "v" | C | Z`)
 		<-attempt.Done()
 		attempt = pool.try()
-		network.Play(`expect s Q "A"
+		network.Run(`expect s Q "A"
 			send s T | D "` + tc.value + `" | C | Z`)
 		if res := <-attempt.Done(); res.Outcome != tc.want {
 			t.Errorf("%+v: outcome %d, %v", tc, res.Outcome, res.Err)
@@ -179,10 +179,10 @@
 	network, pool, _ := newTestPool(t, 1024)
 	pool.SettleTime = time.Hour
 	attempt := pool.try()
-	network.Play(handshakeAndQuery + `send s T | D "v" | C | Z`)
+	network.Run(handshakeAndQuery + `send s T | D "v" | C | Z`)
 	<-attempt.Done()
 	attempt = pool.try()
-	network.Play(handshakeAndQuery + `send s T | D "v" | C | Z`)
+	network.Run(handshakeAndQuery + `send s T | D "v" | C | Z`)
 	<-attempt.Done()
 }
 
@@ -192,18 +192,18 @@
 		network, pool, _ := newTestPool(t, 1024)
 		pool.StallTimeout = 20 * time.Millisecond
 		attempt := pool.Start(1, Deadlines{Connect: time.Now().Add(time.Hour), Answer: time.Now().Add(time.Hour)}, writeQueryA, nil)
-		network.Play(handshakeAndQuery + "send s " + partial)
+		network.Run(handshakeAndQuery + "send s " + partial)
 		if res := <-attempt.Done(); res.Outcome != balance.ConnectionReset {
 			t.Errorf("%s: outcome %d, %v", partial, res.Outcome, res.Err)
 		}
-		network.Play("expect s EOF")
+		network.Run("expect s EOF")
 	}
 }
 
 // If nothing listens at the address, the query did not run.
 func TestNoListener(t *testing.T) {
 	network, pool, _ := newTestPool(t, 1024)
-	network.Shut("s")
+	network.CloseListener("s")
 	if res := <-pool.try().Done(); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
@@ -213,26 +213,26 @@
 func TestAbort(t *testing.T) {
 	network, pool, _ := newTestPool(t, 1024)
 	attempt := pool.try()
-	network.Play(handshakeAndQuery)
+	network.Run(handshakeAndQuery)
 	if res := attempt.Abort(balance.Canceled); res.Outcome != balance.Canceled {
 		t.Errorf("outcome %d", res.Outcome)
 	}
-	network.Play("expect s EOF")
+	network.Run("expect s EOF")
 	attempt = pool.try()
-	network.Play("wait s\nexpect s startup")
+	network.Run("wait s\nexpect s startup")
 	if res := attempt.Abort(balance.TimedOut); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d before the connection was established", res.Outcome)
 	}
-	network.Play("expect s EOF")
+	network.Run("expect s EOF")
 }
 
 // If the endpoint starts draining during a dial, the query must not be sent.
 func TestDrainDuringDial(t *testing.T) {
 	network, pool, dir := newTestPool(t, 1024)
 	attempt := pool.try()
-	network.Play("wait s\nexpect s startup")
+	network.Run("wait s\nexpect s startup")
 	dir.drain()
-	network.Play("send s welcome")
+	network.Run("send s welcome")
 	if res := <-attempt.Done(); res.Outcome != balance.Busy {
 		t.Errorf("outcome %d", res.Outcome)
 	}
@@ -243,7 +243,7 @@
 		pool.retire(time.Time{}) // the connection may become idle only after the result was delivered
 		time.Sleep(time.Millisecond)
 	}
-	network.Play("expect s EOF")
+	network.Run("expect s EOF")
 }
 
 // The most recently used connection is reused first, so that the others can be retired. One that the data server has
@@ -251,7 +251,7 @@
 func TestPoolReusesMostRecent(t *testing.T) {
 	network, pool, _ := newTestPool(t, 1024)
 	attempt, second := pool.try(), pool.try()
-	network.Play("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"")
+	network.Run("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"")
 	const row = ` T | D "v" | C | Z`
 	awaitEither := func() {
 		select {
@@ -259,26 +259,26 @@
 		case <-second.Done():
 		}
 	}
-	network.Play("send x" + row)
+	network.Run("send x" + row)
 	awaitEither()
-	network.Play("send y" + row)
+	network.Run("send y" + row)
 	awaitEither()
 	if pool.Idle() != 2 {
 		t.Fatalf("%d idle connections", pool.Idle())
 	}
 	attempt = pool.try()
-	network.Play("expect y Q \"A\"\nsend y" + row)
+	network.Run("expect y Q \"A\"\nsend y" + row)
 	<-attempt.Done()
 	pool.mu.Lock()
 	before := pool.idle[1][1].idleAt
 	pool.mu.Unlock()
 	pool.retire(before)
-	network.Play("expect x EOF\nclose y")
+	network.Run("expect x EOF\nclose y")
 	for pool.Idle() > 0 { // the connection's goroutine detects the end of an idle connection
 		time.Sleep(time.Millisecond)
 	}
 	attempt = pool.try()
-	network.Play(handshakeAndQuery + "send s" + row)
+	network.Run(handshakeAndQuery + "send s" + row)
 	if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d", res.Outcome)
 	}
@@ -289,13 +289,13 @@
 func TestDescriptors(t *testing.T) {
 	network, pool, _ := newTestPool(t, 24+6) // of which two are for data servers
 	attempt := pool.try()
-	network.Play(handshakeAndQuery)
+	network.Run(handshakeAndQuery)
 	second := pool.try()
-	network.Play("wait s as z")
+	network.Run("wait s as z")
 	if res := <-pool.try().Done(); res.Outcome != outcomeNotSent {
 		t.Errorf("outcome %d without a descriptor", res.Outcome)
 	}
-	network.Play(`send s T | D "v" | C | Z`)
+	network.Run(`send s T | D "v" | C | Z`)
 	<-attempt.Done()
 	if !pool.EvictIdle() || pool.EvictIdle() {
 		t.Error("not exactly one connection was idle")
@@ -303,7 +303,7 @@
 	if pool.Descriptors.Used() != 1 {
 		t.Errorf("%d descriptors in use", pool.Descriptors.Used())
 	}
-	network.Play("expect s EOF\nclose z")
+	network.Run("expect s EOF\nclose z")
 	<-second.Done()
 	for pool.Descriptors.Used() > 0 {
 		time.Sleep(time.Millisecond)
@@ -331,9 +331,9 @@
 			got <- probeResult{result, report}
 		}()
 		if fresh {
-			network.Play("wait s\nexpect s startup\nsend s welcome")
+			network.Run("wait s\nexpect s startup\nsend s welcome")
 		}
-		network.Play("expect s Q \"SHOW vitals\"\nsend s " + tc.send)
+		network.Run("expect s Q \"SHOW vitals\"\nsend s " + tc.send)
 		answer := <-got
 		if diff := cmp.Diff(tc.want, answer.report); diff != "" || answer.result.Outcome != tc.outcome {
 			t.Errorf("%s: outcome %d, %v (-want +got)\n%s", tc.send, answer.result.Outcome, answer.result.Err, diff)
@@ -350,9 +350,9 @@
 func TestConnectDeadline(t *testing.T) {
 	network, pool, _ := newTestPool(t, 1024)
 	attempt := pool.Start(1, Deadlines{Connect: time.Now().Add(20 * time.Millisecond), Answer: time.Now().Add(time.Hour)}, writeQueryA, nil)
-	network.Play("wait s\nexpect s startup") // the handshake is not completed
+	network.Run("wait s\nexpect s startup") // the handshake is not completed
 	if res := <-attempt.Done(); res.Outcome != balance.ConnectionRefused {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
-	network.Play("expect s EOF")
+	network.Run("expect s EOF")
 }
--- a/internal/backend/endless_test.go
+++ b/internal/backend/endless_test.go
@@ -24,9 +24,9 @@
 	} {
 		network, pool, _ := newTestPool(t, 1024)
 		attempt := pool.try()
-		network.Play(tc.start)
+		network.Run(tc.start)
 		sent := 0
-		for sent < maxNotices && network.Try(notice) == nil {
+		for sent < maxNotices && network.RunStep(notice) == nil {
 			sent++
 		}
 		if sent == maxNotices {
--- a/internal/backend/laststep_test.go
+++ b/internal/backend/laststep_test.go
@@ -85,7 +85,7 @@
 				var unwanted atomic.Bool
 				if reused {
 					attempt := pool.try()
-					network.Play(handshakeAndQuery + answerOK)
+					network.Run(handshakeAndQuery + answerOK)
 					<-attempt.Done()
 				}
 				writeLate := writeQuery("late")
@@ -96,9 +96,9 @@
 					return writeLate(w)
 				}, func() bool { return !unwanted.Load() })
 				if !reused {
-					network.Play("wait s\nexpect s startup")
+					network.Run("wait s\nexpect s startup")
 					tc.change(dir, &unwanted)
-					network.Play("send s welcome")
+					network.Run("send s welcome")
 				}
 				if res := <-attempt.Done(); res.Outcome != tc.want {
 					t.Errorf("outcome %d, %v", res.Outcome, res.Err)
@@ -108,7 +108,7 @@
 				dir.draining = false
 				dir.mu.Unlock()
 				attempt = pool.try()
-				network.Play("expect s Q \"A\"\n" + answerOK)
+				network.Run("expect s Q \"A\"\n" + answerOK)
 				if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 					t.Errorf("the next attempt: outcome %d, %v", res.Outcome, res.Err)
 				}
@@ -130,7 +130,7 @@
 		}
 		if reused {
 			attempt := pool.try()
-			network.Play(handshakeAndQuery + answerOK)
+			network.Run(handshakeAndQuery + answerOK)
 			<-attempt.Done()
 		}
 		deadline, started := time.Now().Add(time.Hour), make(chan *Attempt, 1)
@@ -143,12 +143,12 @@
 			}, nil)
 		}()
 		if !reused {
-			network.Play("wait s\nexpect s startup")
+			network.Run("wait s\nexpect s startup")
 			changeAddress()
-			network.Play("send s welcome")
+			network.Run("send s welcome")
 		}
-		network.Play("expect s EOF")
-		other.Play(handshakeAndQuery + answerOK)
+		network.Run("expect s EOF")
+		other.Run(handshakeAndQuery + answerOK)
 		if res := <-(<-started).Done(); res.Outcome != balance.Succeeded {
 			t.Errorf("reused %v: outcome %d, %v", reused, res.Outcome, res.Err)
 		}
@@ -159,11 +159,11 @@
 func TestCalledOffDuringDial(t *testing.T) {
 	network, pool, _ := newTestPool(t, 1024)
 	attempt := pool.try()
-	network.Play("wait s\nexpect s startup")
+	network.Run("wait s\nexpect s startup")
 	if res := attempt.Abort(balance.Canceled); res.Outcome != balance.NotSent {
 		t.Errorf("outcome %d", res.Outcome)
 	}
-	network.Play("expect s EOF")
+	network.Run("expect s EOF")
 }
 
 // If a data server closes an idle connection, or sends anything on it, just as an attempt is about to use it, the query
@@ -172,19 +172,19 @@
 	for _, interference := range []string{"close s", `send s raw "S\x00"`, `send s FATAL 57P03`, `send s FATAL 53300`, `send s E 53300 | Z`, `send s T | D "w" | C | Z`} {
 		network, pool, _ := newTestPool(t, 1024)
 		attempt := pool.try()
-		network.Play(handshakeAndQuery + answerOK)
+		network.Run(handshakeAndQuery + answerOK)
 		<-attempt.Done()
 		conn := onlyConn(t, pool)
 		deadline, interfered := time.Now().Add(time.Hour), false
 		attempt = pool.Start(1, Deadlines{Connect: deadline, Answer: deadline}, func(w io.Writer) error {
 			if !interfered { // the attempt has the connection and has not written yet
 				interfered = true
-				network.Play(interference)
+				network.Run(interference)
 				waitFor(t, "the interference has arrived", func() bool { return conn.isUnsolicited() || conn.hasUnread() })
 			}
 			return writeQueryA(w)
 		}, nil)
-		network.Play(handshakeAndQuery + answerOK)
+		network.Run(handshakeAndQuery + answerOK)
 		if res := <-attempt.Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
 			t.Errorf("%s: outcome %d, %q, %v", interference, res.Outcome, res.Value, res.Err)
 		}
@@ -208,14 +208,14 @@
 		network, pool, _ := newTestPool(t, 1024)
 		pool.StallTimeout = 50 * time.Millisecond
 		attempt := pool.try()
-		network.Play(handshakeAndQuery + answerOK)
+		network.Run(handshakeAndQuery + answerOK)
 		<-attempt.Done()
 		shrinkWriteBuffer(t, onlyConn(t, pool))
 		limit, started := time.Now().Add(time.Hour), make(chan *Attempt, 1)
 		go func() { started <- pool.Start(1, Deadlines{Connect: limit, Answer: limit}, writeQuery(large), nil) }()
-		network.Play(`expect s raw "Q"` + "\n" + interruption) // the server reads only the first byte of the query
-		network.Set("large", large)
-		network.Play("wait s as y\nexpect y startup\nsend y welcome\nexpect y Q \"{large}\"\n" + `send y T | D "v" | C | Z`)
+		network.Run(`expect s raw "Q"` + "\n" + interruption) // the server reads only the first byte of the query
+		network.Define("large", large)
+		network.Run("wait s as y\nexpect y startup\nsend y welcome\nexpect y Q \"{large}\"\n" + `send y T | D "v" | C | Z`)
 		if res := <-(<-started).Done(); res.Outcome != balance.Succeeded || string(res.Value) != "v" {
 			t.Errorf("%s: outcome %d, %q, %v", interruption, res.Outcome, res.Value, res.Err)
 		}
@@ -245,7 +245,7 @@
 	network, pool, _ := newTestPool(t, 1024)
 	pool.StallTimeout = 20 * time.Millisecond
 	attempt := pool.try()
-	network.Play(handshakeAndQuery + answerOK)
+	network.Run(handshakeAndQuery + answerOK)
 	<-attempt.Done()
 	conn := onlyConn(t, pool)
 	blocking := &blockingConn{Conn: conn.socket, done: make(chan struct{}), free: make(chan struct{})}
@@ -256,7 +256,7 @@
 	first := make(chan *Attempt, 1)
 	go func() { first <- pool.try() }()
 	<-blocking.done
-	network.Play("expect s Q \"A\"\n" + answerOK)
+	network.Run("expect s Q \"A\"\n" + answerOK)
 	isClosed := func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
@@ -278,18 +278,18 @@
 	network, pool, dir := newTestPool(t, 1024)
 	other := nettest.New(t, "s")
 	attempt := pool.try()
-	network.Play(handshakeAndQuery + answerOK)
+	network.Run(handshakeAndQuery + answerOK)
 	<-attempt.Done()
 	dir.mu.Lock()
 	dir.address = other.Addr("s")
 	dir.mu.Unlock()
 	attempt = pool.try()
-	other.Play(handshakeAndQuery + answerOK)
+	other.Run(handshakeAndQuery + answerOK)
 	if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	pool.retire(time.Time{})
-	network.Play("expect s EOF")
+	network.Run("expect s EOF")
 }
 
 // A data server restarted on the same address: the idle connections to the old process are found closed when reused,
@@ -297,13 +297,13 @@
 func TestBackOnItsAddress(t *testing.T) {
 	network, pool, _ := newTestPool(t, 1024)
 	attempt, second := pool.try(), pool.try()
-	network.Play("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"\n" +
+	network.Run("wait s as x\nwait s as y\nexpect x startup\nexpect y startup\nsend x welcome\nsend y welcome\nexpect x Q \"A\"\nexpect y Q \"A\"\n" +
 		`send x T | D "v" | C | Z` + "\n" + `send y T | D "v" | C | Z`)
 	<-attempt.Done()
 	<-second.Done()
-	network.Play("close x\nclose y")
+	network.Run("close x\nclose y")
 	attempt = pool.try()
-	network.Play(handshakeAndQuery + answerOK)
+	network.Run(handshakeAndQuery + answerOK)
 	if res := <-attempt.Done(); res.Outcome != balance.Succeeded {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -227,23 +227,23 @@
 	}
 	play := func(steps ...string) {
 		t.Helper()
-		network.Play(strings.Join(steps, "\n"))
+		network.Run(strings.Join(steps, "\n"))
 	}
-	play("wait agent", complete, rest, nettest.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`))
+	play("wait agent", complete, rest, nettest.HTTPResponse("agent", `{"seq":41,"whole":true,"hosts":[]}`))
 	expect(41)
-	play(watch(41), rest, nettest.HTTP("agent", `{"seq":43,"whole":false,"hosts":[`+one+`]}`))
+	play(watch(41), rest, nettest.HTTPResponse("agent", `{"seq":43,"whole":false,"hosts":[`+one+`]}`))
 	expect(43)
 	// Without changes, apply is not called and the watch continues.
-	play(watch(43), rest, nettest.HTTP("agent", `{"seq":43,"whole":false,"hosts":[]}`), watch(43), rest,
+	play(watch(43), rest, nettest.HTTPResponse("agent", `{"seq":43,"whole":false,"hosts":[]}`), watch(43), rest,
 		`send agent raw "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"`)
 	// After a 503 the list is still valid, so the changes since then are requested. After a 410 it is not.
 	play("wait agent", watch(43), rest, `send agent raw "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"`)
-	play("wait agent", complete, rest, nettest.HTTP("agent", `{"seq":44,"whole":true,"hosts":[`+one+`]}`))
+	play("wait agent", complete, rest, nettest.HTTPResponse("agent", `{"seq":44,"whole":true,"hosts":[`+one+`]}`))
 	expect(44)
-	play(watch(44), rest, nettest.HTTP("agent", `{"seq":45,"whole":true,"hosts":[{}]}`))
+	play(watch(44), rest, nettest.HTTPResponse("agent", `{"seq":45,"whole":true,"hosts":[{}]}`))
 	play("wait agent", complete, rest, "close agent")
-	play("wait agent", complete, rest, nettest.HTTP("agent", `{"seq":46,"whole":false,"hosts":[]}`)) // not the complete list
-	play("wait agent", complete, rest, nettest.HTTP("agent", `{"seq":47,"whole":true,"hosts":[]}`))
+	play("wait agent", complete, rest, nettest.HTTPResponse("agent", `{"seq":46,"whole":false,"hosts":[]}`)) // not the complete list
+	play("wait agent", complete, rest, nettest.HTTPResponse("agent", `{"seq":47,"whole":true,"hosts":[]}`))
 	expect(47)
 	stop()
 	<-stopped
@@ -270,9 +270,9 @@
 		expect agent line "Accept: application/json"
 		expect agent line ""
 		`
-	network.Play(`wait agent
+	network.Run(`wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"` + rest +
-		nettest.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`) + `
+		nettest.HTTPResponse("agent", `{"seq":41,"whole":true,"hosts":[]}`) + `
 		expect agent line "GET /v1/endpoints?since=41&timeout_ms=500 HTTP/1.1"` + rest + `wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"`)
 	stop()
@@ -289,13 +289,13 @@
 		defer close(stopped)
 		NewWatcher(network.Addr("agent"), routers, 0).Run(ctx, func(list *List) error { versions <- list.Version; return nil })
 	}()
-	network.Play(`wait agent
+	network.Run(`wait agent
 		expect agent line "GET /v1/endpoints HTTP/1.1"
 		expect agent line "Host: {agent}"
 		expect agent line "Accept: application/json"
 		expect agent line ""`)
 	time.Sleep(1500 * time.Millisecond) // longer than the router's own agent may be silent
-	network.Play(nettest.HTTP("agent", `{"seq":41,"whole":true,"hosts":[]}`))
+	network.Run(nettest.HTTPResponse("agent", `{"seq":41,"whole":true,"hosts":[]}`))
 	if got := <-versions; got != 41 {
 		t.Errorf("got version %d", got)
 	}
--- a/internal/emulator/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -30,8 +30,8 @@
 	r := fleet(t)
 	s := nettest.New(t)
 	primary, replica := r.Servers()[0], r.Servers()[1]
-	s.Dial("p", primary.Addr())
-	s.Play(`
+	s.SetClients("p", primary.Addr())
+	s.Run(`
 		send p1 startup | Q "/* id=01,c=write,d=500,k=ab,cluster=1 */ INSERT"
 		expect p1 welcome | T | D "k:ab" | C | S rank=source | S as_of=# | Z
 		send p1 Q "/* id=02,c=write,d=500,k=ab,cluster=1 */ INSERT"
@@ -42,9 +42,9 @@
 		expect p1 T | D "x0=#.#,x1=1,inflight=0" | C | Z | I | Z
 		send p1 Q "/* id=04,c=read,d=500,cluster=2 */ SELECT"
 		expect p1 E XX000 | Z`)
-	s.Dial("r", replica.Addr())
-	s.Set("far", fmt.Sprint(time.Now().Add(time.Hour).UnixMilli()))
-	s.Play(`
+	s.SetClients("r", replica.Addr())
+	s.Define("far", fmt.Sprint(time.Now().Add(time.Hour).UnixMilli()))
+	s.Run(`
 		send r1 startup | Q "/* id=11,c=write,d=500,k=ac,cluster=1 */ INSERT"
 		expect r1 welcome | E 25006 | S rank=copy | S as_of=# | Z
 		send r1 Q "/* id=12,c=own,d=500,cluster=1,after={far} */ SELECT"
@@ -88,8 +88,8 @@
 		t.Fatal(err)
 	}
 	s := nettest.New(t)
-	s.Dial("c", old.Addr())
-	s.Play(`
+	s.SetClients("c", old.Addr())
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=write,d=500,k=ab,cluster=1 */ INSERT"
 		expect c1 welcome | E 25006 | S rank=copy | S as_of=# | Z`)
 }
--- a/internal/nettest/drawn.go
+++ b/internal/nettest/drawn.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Drawn runs a package's tests with the same drawn histories each time, so that a verdict can be had again; the flag
-// -rapid.seed draws others.
-func Drawn(m *testing.M) {
+// RunWithFixedSeed runs the tests of a package with a fixed seed for package rapid, so that a result can be reproduced.
+// The flag -rapid.seed sets another seed.
+func RunWithFixedSeed(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261201"); err != nil {
 		panic(err)
 	}
--- a/internal/nettest/message.go
+++ b/internal/nettest/message.go
@@ -17,11 +17,12 @@
 
 var separator = regexp.MustCompile(`\s+\|\s+`)
 
-func messages(text string) []string { return separator.Split(strings.TrimSpace(text), -1) }
+// splitMessages splits the messages of a step.
+func splitMessages(text string) []string { return separator.Split(strings.TrimSpace(text), -1) }
 
-// encode is the bytes of one message.
-func encode(m string) ([]byte, error) {
-	kind, rest, _ := strings.Cut(m, " ")
+// encode returns the bytes of one message.
+func encode(message string) ([]byte, error) {
+	kind, rest, _ := strings.Cut(message, " ")
 	text := rest
 	if strings.HasPrefix(rest, `"`) {
 		var err error
@@ -46,7 +47,7 @@
 		body := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(text)))
 		return pgwire.Append(nil, 'D', append(body, text...)), nil
 	case "C":
-		if text != "" { // another tag
+		if text != "" { // another command tag
 			break
 		}
 		return pgwire.Append(nil, 'C', []byte("SELECT 1\x00")), nil
@@ -58,7 +59,7 @@
 	case "FATAL":
 		return pgwire.AppendError(nil, "FATAL", text, "scripted", ""), nil
 	case "Z":
-		if text != "" { // another status
+		if text != "" { // another transaction status
 			break
 		}
 		return pgwire.AppendReady(nil), nil
@@ -66,24 +67,25 @@
 	if len(kind) == 1 {
 		return pgwire.Append(nil, kind[0], []byte(text)), nil
 	}
-	return nil, fmt.Errorf("no such message: %s", kind)
+	return nil, fmt.Errorf("unknown message: %s", kind)
 }
 
-// expect reads as many messages as are wanted and compares them all at once.
-func expect(p *peer, want []string) error {
+// expect reads as many messages as are wanted and compares them all at once. In a wanted message, # matches one or more
+// digits.
+func expect(conn *connection, want []string) error {
 	var got []string
-	for _, w := range want {
-		g, err := decode(p, w)
+	for _, message := range want {
+		text, err := decode(conn, message)
 		if err != nil {
-			g = err.Error()
+			text = err.Error()
 		}
-		if digits := regexp.QuoteMeta(w); strings.Contains(w, "#") {
-			digits = strings.ReplaceAll(digits, "#", `[0-9]+`)
-			if regexp.MustCompile("^(?s:" + digits + ")$").MatchString(g) {
-				g = w
+		if pattern := regexp.QuoteMeta(message); strings.Contains(message, "#") {
+			pattern = strings.ReplaceAll(pattern, "#", `[0-9]+`)
+			if regexp.MustCompile("^(?s:" + pattern + ")$").MatchString(text) {
+				text = message
 			}
 		}
-		got = append(got, g)
+		got = append(got, text)
 		if err != nil {
 			break
 		}
@@ -94,8 +96,8 @@
 	return nil
 }
 
-// decode reads one message as text; what is wanted says in which shape.
-func decode(p *peer, want string) (string, error) {
+// decode reads one message and returns its text. The wanted message determines the form of the text.
+func decode(conn *connection, want string) (string, error) {
 	kind, rest, _ := strings.Cut(want, " ")
 	switch kind {
 	case "raw":
@@ -103,62 +105,63 @@
 		if err != nil {
 			return "", err
 		}
-		b := make([]byte, len(text))
-		_, err = io.ReadFull(p.read, b)
-		return "raw " + strconv.Quote(string(b)), ended(err)
+		raw := make([]byte, len(text))
+		_, err = io.ReadFull(conn.reader, raw)
+		return "raw " + strconv.Quote(string(raw)), normalizeEnd(err)
 	case "line":
-		l, err := p.read.ReadString('\n')
-		return "line " + strconv.Quote(strings.TrimRight(l, "\r\n")), ended(err)
+		line, err := conn.reader.ReadString('\n')
+		return "line " + strconv.Quote(strings.TrimRight(line, "\r\n")), normalizeEnd(err)
 	case "startup":
-		var n [4]byte
-		if _, err := io.ReadFull(p.read, n[:]); err != nil {
-			return "", ended(err)
+		var length [4]byte
+		if _, err := io.ReadFull(conn.reader, length[:]); err != nil {
+			return "", normalizeEnd(err)
 		}
-		_, err := p.read.Discard(int(binary.BigEndian.Uint32(n[:])) - 4)
-		return "startup", ended(err)
+		_, err := conn.reader.Discard(int(binary.BigEndian.Uint32(length[:])) - 4)
+		return "startup", normalizeEnd(err)
 	case "welcome":
 		for {
-			m, err := message(p)
-			if err != nil || m == "Z" {
+			message, err := readMessage(conn)
+			if err != nil || message == "Z" {
 				return "welcome", err
 			}
 		}
 	case "EOF":
-		m, err := message(p)
+		message, err := readMessage(conn)
 		if err != nil && err.Error() == "EOF" {
 			return "EOF", nil
 		}
-		return m, err
+		return message, err
 	}
-	return message(p)
+	return readMessage(conn)
 }
 
-func message(p *peer) (string, error) {
-	var h [5]byte
-	if _, err := io.ReadFull(p.read, h[:]); err != nil {
-		return "", ended(err)
+// readMessage reads one message and returns its text: its kind and, for some kinds, its content.
+func readMessage(conn *connection) (string, error) {
+	var header [5]byte
+	if _, err := io.ReadFull(conn.reader, header[:]); err != nil {
+		return "", normalizeEnd(err)
 	}
-	body := make([]byte, binary.BigEndian.Uint32(h[1:])-4)
-	if _, err := io.ReadFull(p.read, body); err != nil {
-		return "", ended(err)
+	body := make([]byte, binary.BigEndian.Uint32(header[1:])-4)
+	if _, err := io.ReadFull(conn.reader, body); err != nil {
+		return "", normalizeEnd(err)
 	}
-	kind := string(h[0])
-	switch h[0] {
+	kind := string(header[0])
+	switch header[0] {
 	case 'Q':
 		text, err := pgwire.QueryText(body)
 		return kind + " " + strconv.Quote(text), err
 	case 'D':
-		v, err := pgwire.Column(body)
-		return kind + " " + strconv.Quote(string(v)), err
+		value, err := pgwire.Column(body)
+		return kind + " " + strconv.Quote(string(value)), err
 	case 'E':
 		code, err := pgwire.ErrorCode(body)
 		fields := string(body)
 		if strings.HasPrefix(fields, "SFATAL") {
 			kind = "FATAL"
 		}
-		if _, d, ok := strings.Cut(fields, "\x00D"); ok {
-			d, _, _ = strings.Cut(d, "\x00")
-			code += " " + d
+		if _, detail, ok := strings.Cut(fields, "\x00D"); ok {
+			detail, _, _ = strings.Cut(detail, "\x00")
+			code += " " + detail
 		}
 		return kind + " " + code, err
 	case 'S':
@@ -168,8 +171,8 @@
 	return kind, nil
 }
 
-// ended makes one of all the ways in which a connection can end.
-func ended(err error) error {
+// normalizeEnd returns io.EOF for every way in which a connection can end.
+func normalizeEnd(err error) error {
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,20 +1,19 @@
-// Package nettest is a small language for tests of network code. A scenario is
-// a list of steps, one a line, done in order:
+// Package nettest implements a small language for tests of network code. A script is a list of steps, one on each line,
+// which are executed in order:
 //
 //	send c1 startup | Q "SELECT 1"     write messages
 //	expect c1 welcome | E 42601 | Z    read messages; they must be these
 //	close c1                           close the connection
-//	wait s1                            wait until somebody connects to peer s1
+//	wait s1                            wait for a connection to server s1
 //
-// A name that was given to Dial is a client and connects when it is first used;
-// one given to New is a server, and stands for the connection that wait took
-// last. "wait s1 as s2" names that connection s2.
+// A name with the prefix given to SetClients is a client, which connects when its name is first used. A name given to New
+// is a server; in send, expect and close it stands for the connection that the last wait for that server has accepted.
+// "wait s1 as s2" calls that connection s2 instead.
 //
-// Messages of PostgreSQL's protocol are written as their kind and what counts:
-// startup, welcome, ssl, Q "text", T, D "value", C, Z, I, X, S name=value, E code, FATAL
-// code, D+ms in an error as E code ms. raw "bytes" is sent or expected as it
-// stands, line "text" is a line of text, and EOF is the connection's end. In
-// what is expected, # stands for a run of digits.
+// A message of PostgreSQL's protocol is written as its kind and the content that matters: startup, welcome, ssl,
+// Q "text", T, D "value", C, Z, I, X, S name=value, E code, FATAL code. In an expected error, a detail field follows the
+// code: E code ms. raw "bytes" is sent or expected unchanged, line "text" is a line of text, and EOF is the end of the
+// connection. In expected messages, # stands for one or more digits.
 package nettest
 
 import (
@@ -30,208 +29,207 @@
 	"time"
 )
 
-// hang ends a scenario that is stuck. Nothing that passes comes near it.
-const hang = 30 * time.Second
-
-// Stage is where a scenario plays: its peers and their connections.
-type Stage struct {
-	t       testing.TB
-	servers map[string]net.Listener
-	dial    string
-	clients string            // the prefix of their names
-	from    map[string]string // the address that clients of a prefix come from
-	conns   map[string]*peer
-	subst   []string // {name} and what stands for it, by turns
+// scriptTimeout ends a script that is stuck. It is much longer than any script that passes takes.
+const scriptTimeout = 30 * time.Second
+
+// Network holds the servers, clients and connections that a script uses.
+type Network struct {
+	t               testing.TB
+	servers         map[string]net.Listener
+	clientTarget    string
+	clientPrefix    string            // the prefix of the names of clients
+	sourceAddresses map[string]string // by prefix of client names: the address that they connect from
+	conns           map[string]*connection
+	values          []string // pairs of {name} and its value
 }
 
-type peer struct {
+type connection struct {
 	net.Conn
-	read *bufio.Reader
+	reader *bufio.Reader
 }
 
-// New returns a stage with servers of these names on loopback.
-func New(tb testing.TB, servers ...string) *Stage {
+// New returns a network with servers of the given names, which listen on loopback addresses.
+func New(tb testing.TB, servers ...string) *Network {
 	tb.Helper()
-	s := &Stage{t: tb, servers: map[string]net.Listener{}, conns: map[string]*peer{}, from: map[string]string{}}
+	network := &Network{t: tb, servers: map[string]net.Listener{}, conns: map[string]*connection{}, sourceAddresses: map[string]string{}}
 	for _, name := range servers {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			tb.Fatal(err)
 		}
-		s.servers[name] = ln
-		s.Set(name, s.Addr(name))
-		tb.Cleanup(func() { ln.Close() })
+		network.servers[name] = listener
+		network.Define(name, network.Addr(name))
+		tb.Cleanup(func() { listener.Close() })
 	}
-	tb.Cleanup(s.Close)
-	return s
+	tb.Cleanup(network.Close)
+	return network
 }
 
-// Close ends all connections.
-func (s *Stage) Close() {
-	for _, p := range s.conns {
-		p.Close()
+// Close closes all connections.
+func (nw *Network) Close() {
+	for _, conn := range nw.conns {
+		conn.Close()
 	}
 }
 
-// Addr is where a server listens.
-func (s *Stage) Addr(name string) string { return s.servers[name].Addr().String() }
+// Addr returns the address of a server.
+func (nw *Network) Addr(name string) string { return nw.servers[name].Addr().String() }
 
-// Shut stops a server from listening.
-func (s *Stage) Shut(name string) { s.servers[name].Close() }
+// CloseListener makes a server refuse connections.
+func (nw *Network) CloseListener(name string) { nw.servers[name].Close() }
 
-// HasConnection says whether somebody has connected to a server whom no step waited for.
-func (s *Stage) HasConnection(name string) bool {
-	ln := s.servers[name].(*net.TCPListener)
-	ln.SetDeadline(time.Now().Add(10 * time.Millisecond)) // one in the queue is taken at once
-	conn, err := ln.Accept()
+// HasPendingConnection reports whether there is a connection to a server that no wait has accepted, and closes it.
+func (nw *Network) HasPendingConnection(name string) bool {
+	listener := nw.servers[name].(*net.TCPListener)
+	listener.SetDeadline(time.Now().Add(10 * time.Millisecond)) // a pending one is accepted at once
+	conn, err := listener.Accept()
 	if err == nil {
 		conn.Close()
 	}
 	return err == nil
 }
 
-// Agent is a server that is silent until tell is called, and from then on answers for the list that it was last told, as
-// often as it is asked; a watch waits for a newer one.
-func (s *Stage) Agent(name string) (tell func(seq int, list string)) {
+// ServeDiscovery turns a server into a discovery agent. It is silent until publish is called; from then on it answers
+// calls with the list published last, and a watch waits for a newer one.
+func (nw *Network) ServeDiscovery(name string) (publish func(seq int, list string)) {
 	var mu sync.Mutex
-	now, news := "", make(chan struct{})
+	current, changed := "", make(chan struct{})
 	version := 0
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		since, _ := strconv.Atoi(r.URL.Query().Get("since"))
-		wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
+	server := &http.Server{Handler: http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		since, _ := strconv.Atoi(request.URL.Query().Get("since"))
+		wait, _ := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
 		mu.Lock()
-		changed, same := news, since == version
+		currentChanged, same := changed, since == version
 		mu.Unlock()
 		if same {
 			select {
-			case <-changed:
+			case <-currentChanged:
 			case <-time.After(time.Duration(wait) * time.Millisecond):
 			}
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if since == version {
-			fmt.Fprintf(w, `{"seq":%d,"whole":false,"hosts":[]}`, version)
+			fmt.Fprintf(response, `{"seq":%d,"whole":false,"hosts":[]}`, version)
 		} else {
-			_, _ = io.WriteString(w, now)
+			_, _ = io.WriteString(response, current)
 		}
 	})}
-	s.t.Cleanup(func() { srv.Close() })
+	nw.t.Cleanup(func() { server.Close() })
 	start := sync.OnceFunc(func() {
-		go func() { _ = srv.Serve(s.servers[name]) }() // its end is the listener's
+		go func() { _ = server.Serve(nw.servers[name]) }() // ends with an error when the listener closes
 	})
 	return func(seq int, list string) {
 		mu.Lock()
-		version, now = seq, s.Expand(list)
-		close(news)
-		news = make(chan struct{})
+		version, current = seq, nw.Expand(list)
+		close(changed)
+		changed = make(chan struct{})
 		mu.Unlock()
 		start()
 	}
 }
 
-// Dial lets names that begin with prefix connect to an address.
-func (s *Stage) Dial(prefix, addr string) { s.clients, s.dial = prefix, addr }
+// SetClients makes all names that begin with prefix clients, which connect to an address.
+func (nw *Network) SetClients(prefix, addr string) { nw.clientPrefix, nw.clientTarget = prefix, addr }
 
-// From lets clients whose names begin with prefix come from an address of their
-// own; the longest prefix counts.
-func (s *Stage) From(prefix, addr string) { s.from[prefix] = addr }
+// SetSourceAddress makes clients whose names begin with prefix connect from an address. The longest matching prefix
+// applies.
+func (nw *Network) SetSourceAddress(prefix, addr string) { nw.sourceAddresses[prefix] = addr }
 
-// Set replaces {name} by value in what follows. The name of a server stands for
-// its address from the start.
-func (s *Stage) Set(name, value string) { s.subst = append(s.subst, "{"+name+"}", value) }
+// Define replaces {name} by value in later steps. The name of a server is defined as its address.
+func (nw *Network) Define(name, value string) { nw.values = append(nw.values, "{"+name+"}", value) }
 
-// Expand does the replacements in a text.
-func (s *Stage) Expand(text string) string { return strings.NewReplacer(s.subst...).Replace(text) }
+// Expand replaces the defined names in a text.
+func (nw *Network) Expand(text string) string { return strings.NewReplacer(nw.values...).Replace(text) }
 
-// Play does the steps of a scenario.
-func (s *Stage) Play(text string) {
-	s.t.Helper()
-	for i, line := range strings.Split(text, "\n") {
+// Run executes the steps of a script.
+func (nw *Network) Run(script string) {
+	nw.t.Helper()
+	for i, line := range strings.Split(script, "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if err := s.step(s.Expand(line)); err != nil {
-			s.t.Fatalf("step %d, %s: %v", i, line, err)
+		if err := nw.step(nw.Expand(line)); err != nil {
+			nw.t.Fatalf("step %d, %s: %v", i, line, err)
 		}
 	}
 }
 
-// Try does one step and returns its error.
-func (s *Stage) Try(step string) error { return s.step(s.Expand(step)) }
+// RunStep executes one step and returns its error.
+func (nw *Network) RunStep(step string) error { return nw.step(nw.Expand(step)) }
 
-func (s *Stage) step(line string) error {
+func (nw *Network) step(line string) error {
 	verb, rest, _ := strings.Cut(line, " ")
 	name, rest, _ := strings.Cut(strings.TrimSpace(rest), " ")
 	if verb == "wait" {
-		return s.accept(name, strings.TrimPrefix(rest, "as "))
+		return nw.accept(name, strings.TrimPrefix(rest, "as "))
 	}
-	p, err := s.peer(name)
+	conn, err := nw.connection(name)
 	if err != nil {
 		return err
 	}
 	switch verb {
 	case "send":
-		var all []byte // one write, so that what comes first can't end the connection under the rest
-		for _, m := range messages(rest) {
-			b, err := encode(m)
+		var all []byte // one write, so that the peer can't close the connection in between
+		for _, message := range splitMessages(rest) {
+			encoded, err := encode(message)
 			if err != nil {
-				return fmt.Errorf("%s: %w", m, err)
+				return fmt.Errorf("%s: %w", message, err)
 			}
-			all = append(all, b...)
+			all = append(all, encoded...)
 		}
-		_, err := p.Write(all)
+		_, err := conn.Write(all)
 		return err
 	case "expect":
-		return expect(p, messages(rest))
+		return expect(conn, splitMessages(rest))
 	case "close":
-		return p.Close()
+		return conn.Close()
 	}
-	return fmt.Errorf("no such step: %s", verb)
+	return fmt.Errorf("unknown step: %s", verb)
 }
 
-func (s *Stage) accept(name, as string) error {
-	ln, ok := s.servers[name].(*net.TCPListener)
+func (nw *Network) accept(name, as string) error {
+	listener, ok := nw.servers[name].(*net.TCPListener)
 	if !ok {
 		return fmt.Errorf("no server %s", name)
 	}
 	if as == "" {
 		as = name
 	}
-	ln.SetDeadline(time.Now().Add(hang))
-	conn, err := ln.Accept()
+	listener.SetDeadline(time.Now().Add(scriptTimeout))
+	conn, err := listener.Accept()
 	if err == nil {
-		s.add(as, conn)
+		nw.add(as, conn)
 	}
 	return err
 }
 
-func (s *Stage) peer(name string) (*peer, error) {
-	if p := s.conns[name]; p != nil {
-		return p, nil
+func (nw *Network) connection(name string) (*connection, error) {
+	if conn := nw.conns[name]; conn != nil {
+		return conn, nil
 	}
-	if s.dial == "" || !strings.HasPrefix(name, s.clients) {
-		return nil, fmt.Errorf("nobody has connected to %s", name)
+	if nw.clientTarget == "" || !strings.HasPrefix(name, nw.clientPrefix) {
+		return nil, fmt.Errorf("no connection named %s", name)
 	}
-	var d net.Dialer
-	longest := ""
-	for prefix, addr := range s.from {
-		if strings.HasPrefix(name, prefix) && len(prefix) > len(longest) {
-			longest, d.LocalAddr = prefix, &net.TCPAddr{IP: net.ParseIP(addr)}
+	var dialer net.Dialer
+	longestPrefix := ""
+	for prefix, addr := range nw.sourceAddresses {
+		if strings.HasPrefix(name, prefix) && len(prefix) > len(longestPrefix) {
+			longestPrefix, dialer.LocalAddr = prefix, &net.TCPAddr{IP: net.ParseIP(addr)}
 		}
 	}
-	conn, err := d.Dial("tcp", s.dial)
+	conn, err := dialer.Dial("tcp", nw.clientTarget)
 	if err != nil {
 		return nil, err
 	}
-	return s.add(name, conn), nil
+	return nw.add(name, conn), nil
 }
 
-func (s *Stage) add(name string, conn net.Conn) *peer {
-	if old := s.conns[name]; old != nil {
+func (nw *Network) add(name string, conn net.Conn) *connection {
+	if old := nw.conns[name]; old != nil {
 		old.Close()
 	}
-	conn.SetDeadline(time.Now().Add(hang))
-	s.conns[name] = &peer{conn, bufio.NewReaderSize(conn, 1<<16)}
-	return s.conns[name]
+	conn.SetDeadline(time.Now().Add(scriptTimeout))
+	nw.conns[name] = &connection{conn, bufio.NewReaderSize(conn, 1<<16)}
+	return nw.conns[name]
 }
--- a/internal/nettest/nettest_test.go
+++ b/internal/nettest/nettest_test.go
@@ -5,10 +5,9 @@
 	"testing"
 )
 
-// What a scenario expects and does not get must be an error: a test language
-// that lets everything through proves nothing.
+// An expected message that does not arrive must be an error: otherwise tests in this language would prove nothing.
 func TestExpectationsCanFail(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		send, expect string
 		ok           bool
 	}{
@@ -28,32 +27,32 @@
 		{`Z`, `EOF`, false},
 		{`X`, `Z`, false},
 	} {
-		s := New(t, "s")
-		s.Dial("c", s.Addr("s"))
-		for _, step := range []string{"send c " + c.send, "wait s"} {
-			if err := s.step(step); err != nil {
+		network := New(t, "s")
+		network.SetClients("c", network.Addr("s"))
+		for _, step := range []string{"send c " + tc.send, "wait s"} {
+			if err := network.step(step); err != nil {
 				t.Fatalf("%s: %v", step, err)
 			}
 		}
-		if err := s.step("expect s " + c.expect); (err == nil) != c.ok {
-			t.Errorf("sent %s, expected %s: %v", c.send, c.expect, err)
+		if err := network.step("expect s " + tc.expect); (err == nil) != tc.ok {
+			t.Errorf("sent %s, expected %s: %v", tc.send, tc.expect, err)
 		}
-		if err := s.step("close c"); err != nil {
+		if err := network.step("close c"); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
 func TestBadSteps(t *testing.T) {
-	s := New(t, "s")
+	network := New(t, "s")
 	for _, step := range []string{"dance s", "wait x", "send s Z", "expect c1 Z"} {
-		if err := s.step(step); err == nil {
+		if err := network.step(step); err == nil {
 			t.Errorf("%s: no error", step)
 		}
 	}
-	s.Shut("s")
-	if conn, err := net.Dial("tcp", s.Addr("s")); err == nil {
+	network.CloseListener("s")
+	if conn, err := net.Dial("tcp", network.Addr("s")); err == nil {
 		conn.Close()
-		t.Error("a server that was shut listens")
+		t.Error("a server still listens after CloseListener")
 	}
 }
--- a/internal/nettest/settings.go
+++ b/internal/nettest/settings.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Settings is a settings object for one router: a bounded read, a session read
-// and a keyed write, with probes, replicas that check and positions in answers.
+// Settings is the settings object of one router, with a bounded read, a session read and an idempotent write; with
+// probes, with replicas that check positions, and with positions in answers.
 const Settings = `{"balancers":1,"granularity":5000000,"discovery":"automatic","workload":"replicas","me":0,
 "classes":[
  {"deadline":20000000000,"effect":"free","gain":3,"keyScope":"all","lateWorth":0,"name":"read","objective":5000000000,"window":5000000000},
@@ -24,26 +24,26 @@
 "rules":{"answerSlack":20000000,"coldShare":0.17,"drainGrace":1000000000,"fallMultiple":3,"overloadFor":1500000000,"rampTime":18000000000},
 "weights":"rough","zone":"a","zones":["a"]}`
 
-// List is a whole list in discovery's form: each server is "host address block health".
-func List(seq int, servers ...string) string {
+// EndpointList returns a complete list in the format of discovery. Each server is "host address block health".
+func EndpointList(seq int, servers ...string) string {
 	var hosts []string
-	for _, s := range servers {
-		f := strings.Fields(s)
+	for _, server := range servers {
+		fields := strings.Fields(server)
 		hosts = append(hosts, fmt.Sprintf(
-			`{"host":%q,"dial":%q,"site":"a","class":"m","block":%s,"health":%q,"share":1.0,"born_ms":0}`, f[0], f[1], f[2], f[3]))
+			`{"host":%q,"dial":%q,"site":"a","class":"m","block":%s,"health":%q,"share":1.0,"born_ms":0}`, fields[0], fields[1], fields[2], fields[3]))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, seq, strings.Join(hosts, ","))
 }
 
-// Config is a router's configuration that starts from a list.
-func Config(listen, discovery, known string) string {
+// RouterConfig returns a router's configuration with an initial endpoint list.
+func RouterConfig(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",`+
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		listen, discovery, known, Settings)
 }
 
-// File writes a configuration to a file of the test's own and returns its path.
-func File(tb testing.TB, config string) string {
+// WriteConfig writes a configuration to a temporary file and returns its path.
+func WriteConfig(tb testing.TB, config string) string {
 	tb.Helper()
 	file := filepath.Join(tb.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
@@ -52,7 +52,7 @@
 	return file
 }
 
-// HTTP is the step that sends a 200 with this body.
-func HTTP(name, body string) string {
+// HTTPResponse returns the step that sends a response with status 200 and the given body.
+func HTTPResponse(name, body string) string {
 	return fmt.Sprintf("send %s raw %q", name, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
--- a/internal/platformconfig/platformconfig_test.go
+++ b/internal/platformconfig/platformconfig_test.go
@@ -10,7 +10,7 @@
 const known = `{"seq":41,"whole":true,"hosts":[]}`
 
 func TestLoad(t *testing.T) {
-	file := nettest.File(t, nettest.Config("127.0.0.1:5433", "127.0.0.1:8500", known))
+	file := nettest.WriteConfig(t, nettest.RouterConfig("127.0.0.1:5433", "127.0.0.1:8500", known))
 	env := map[string]string{"NODE_CONFIG": file, "NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.2:1"}
 	c, err := Load(func(name string) string { return env[name] })
 	if err != nil {
@@ -27,7 +27,7 @@
 
 // A bad configuration is one clear line that names the field.
 func TestMalformed(t *testing.T) {
-	good := nettest.Config("127.0.0.1:5433", "127.0.0.1:8500", known)
+	good := nettest.RouterConfig("127.0.0.1:5433", "127.0.0.1:8500", known)
 	for _, c := range []struct{ from, to, names string }{
 		{good, "", "JSON"}, {good, good[:100], "JSON"}, {good, "[]", "an object wanted"}, {good, "null", "name"},
 		{`"name":"n0"`, `"name":""`, "name"},
@@ -50,7 +50,7 @@
 		{`"free"`, `"harmless"`, `settings: classes[0].effect: unknown word "harmless"; write one of free, guarded, single_shot`},
 		{`"mostHeld"`, `"mostKept"`, "settings: limits.mostHeld: missing"},
 	} {
-		_, err := Check(nettest.File(t, strings.Replace(good, c.from, c.to, 1)))
+		_, err := Check(nettest.WriteConfig(t, strings.Replace(good, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.40s -> %.40s: %v", c.from, c.to, err)
 		}
--- a/internal/router/acceptor_test.go
+++ b/internal/router/acceptor_test.go
@@ -30,15 +30,15 @@
 
 // doorStage is a running router that admits clients; those named a and b have
 // addresses of one prefix, k those of a reserve.
-func doorStage(t *testing.T, text string) (*nettest.Stage, *Router) {
+func doorStage(t *testing.T, text string) (*nettest.Network, *Router) {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
 	s, r, _, _ := stageOwn(t, admitting(t, text), now, endless)
-	s.From("a", "127.2.0.1")
-	s.From("b", "127.2.0.2")
-	s.From("k", "127.9.0.1")
-	s.Dial("", s.Expand("{router}"))
+	s.SetSourceAddress("a", "127.2.0.1")
+	s.SetSourceAddress("b", "127.2.0.2")
+	s.SetSourceAddress("k", "127.9.0.1")
+	s.SetClients("", s.Expand("{router}"))
 	return s, r
 }
 
@@ -57,7 +57,7 @@
 // come again; another address gets in.
 func TestDoorCaps(t *testing.T) {
 	s, r := doorStage(t, `{"per_address":2,"per_prefix":3,"come_back_ms":200}`)
-	s.Play(`
+	s.Run(`
 		send a1 startup
 		send a2 startup
 		expect a1 welcome
@@ -73,7 +73,7 @@
 		close a2
 		close b2`)
 	waitHeld(t, r, 3)
-	s.Play(`
+	s.Run(`
 		send a4 startup
 		expect a4 welcome`)
 }
@@ -123,15 +123,15 @@
 	s, r := doorStage(t, `{"spare_ms":3600000,"green_ms":3600000,"crowd_share":0,
 		"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":3}]}`)
 	whole := r.acceptor.capacity()
-	s.Play(fmt.Sprintf(meet, "a1"))
-	s.Play(`send a2 startup
+	s.Run(fmt.Sprintf(meet, "a1"))
+	s.Run(`send a2 startup
 		expect a2 welcome`)
 	waitIdle(t, r, 1)
 	for i := range whole - 2 {
-		s.Play(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
+		s.Run(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
 		waitIdle(t, r, i+2)
 	}
-	s.Play(`
+	s.Run(`
 		expect c1 FATAL 53300 # | EOF
 		send k1 startup | Q ""
 		expect k1 welcome | I | Z
@@ -139,8 +139,8 @@
 		send k2 startup
 		expect k2 welcome
 		send b0 Q ""`)
-	s.Play("expect b0 EOF\nsend k3 startup\nexpect k3 welcome\nexpect b1 EOF")
-	s.Play(`expect k4 FATAL 53300 # | EOF
+	s.Run("expect b0 EOF\nsend k3 startup\nexpect k3 welcome\nexpect b1 EOF")
+	s.Run(`expect k4 FATAL 53300 # | EOF
 		send b2 Q ""
 		expect b2 I | Z`)
 }
@@ -154,16 +154,16 @@
 		t.Fatalf("there is room for %d", n)
 	}
 	for i := range room + 1 {
-		s.Play(fmt.Sprintf("send a%d startup\nexpect a%[1]d welcome", i))
+		s.Run(fmt.Sprintf("send a%d startup\nexpect a%[1]d welcome", i))
 	}
 	for i := range room {
-		s.Play(fmt.Sprintf(`send a%d Q "/* id=%[1]d,c=read,d=20000,cluster=1 */ A"
+		s.Run(fmt.Sprintf(`send a%d Q "/* id=%[1]d,c=read,d=20000,cluster=1 */ A"
 			wait s1 as x%[1]d
 			expect x%[1]d startup
 			send x%[1]d welcome
 			expect x%[1]d Q "/* id=%[1]d,c=read,d=#,cluster=1 */ A"`, i))
 	}
-	s.Play(fmt.Sprintf(`send a%d Q "/* id=x,c=read,d=20000,cluster=1 */ A"
+	s.Run(fmt.Sprintf(`send a%d Q "/* id=x,c=read,d=20000,cluster=1 */ A"
 		expect a%[1]d FATAL 53300 # | EOF
 		send x0 T | D "v" | C | S rank=copy | Z
 		expect a0 T | D "v" | C | Z`, room))
@@ -174,14 +174,14 @@
 	s, r := doorStage(t, `{"per_address":2,"per_prefix":5,"green_ms":3600000}`)
 	for i := range 200 {
 		name := fmt.Sprintf("f%d.", i)
-		s.From(name, fmt.Sprintf("127.3.0.%d", i+1))
+		s.SetSourceAddress(name, fmt.Sprintf("127.3.0.%d", i+1))
 		if i < 5 {
-			s.Play("send " + name + " startup\nexpect " + name + " welcome")
+			s.Run("send " + name + " startup\nexpect " + name + " welcome")
 		} else {
-			s.Play("expect " + name + " FATAL 53300 # | EOF")
+			s.Run("expect " + name + " FATAL 53300 # | EOF")
 		}
 	}
-	s.Play(`send k1 startup | Q ""
+	s.Run(`send k1 startup | Q ""
 		expect k1 welcome | I | Z`)
 	waitHeld(t, r, 6)
 }
@@ -190,8 +190,8 @@
 // is open end; what can't be in force changes nothing.
 func TestDoorReload(t *testing.T) {
 	s, r := doorStage(t, `{"per_address":4,"spare_ms":0}`)
-	s.Play(fmt.Sprintf(meet, "a1"))
-	s.Play(`send a2 startup
+	s.Run(fmt.Sprintf(meet, "a1"))
+	s.Run(`send a2 startup
 		expect a2 welcome
 		send a3 startup | Q "/* id=03,c=read,d=20000,cluster=1 */ A"
 		expect a3 welcome
@@ -202,12 +202,12 @@
 	if err := r.Reload(r.config, admitting(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
 		t.Error("a reserve beyond the whole was taken")
 	}
-	s.Play(`send a1 Q ""
+	s.Run(`send a1 Q ""
 		expect a1 I | Z`)
 	if err := r.Reload(r.config, admitting(t, `{"per_address":1,"spare_ms":0}`)); err != nil {
 		t.Fatal(err)
 	}
-	s.Play(`expect a1 EOF
+	s.Run(`expect a1 EOF
 		expect a4 FATAL 53300 # | EOF
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect a3 T | D "v" | C | Z | EOF`)
@@ -221,9 +221,9 @@
 	s, r, stop, done := stageOwn(t, admitting(t, `{"per_address":20}`), accepted, p)
 	accept := sync.OnceFunc(func() { close(accepted) })
 	t.Cleanup(accept)
-	s.From("a", "127.2.0.1")
-	s.Dial("", s.Expand("{router}"))
-	s.Play(`
+	s.SetSourceAddress("a", "127.2.0.1")
+	s.SetClients("", s.Expand("{router}"))
+	s.Run(`
 		send a1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -255,7 +255,7 @@
 	}
 	stop()
 	accept()
-	s.Play(`
+	s.Run(`
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect a1 welcome | T | D "v" | C | Z | EOF`)
 	if err := <-done; err != nil {
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -31,7 +31,7 @@
 	close(now)
 	own := teams(t, "1")
 	s, r, _, _ := stageOwn(t, own, now, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -51,7 +51,7 @@
 	if err := r.Reload(r.config, teams(t, "5")); err != nil {
 		t.Fatal(err)
 	}
-	s.Play(`
+	s.Run(`
 		send c2 Q "/* id=07,c=read,d=20000,cluster=1 */ A"
 		wait s1 as x
 		expect x startup
@@ -89,7 +89,7 @@
 	now := make(chan time.Time)
 	close(now)
 	s, r, _, _ := stageOwn(t, teams(t, "1"), now, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -100,7 +100,7 @@
 	defer release()
 	go r.loop.do(t.Context(), func() { close(held); <-over })
 	<-held
-	s.Play(`
+	s.Run(`
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z
 		send c1 Q "/* id=02,c=read,d=20000,cluster=1 */ A"`)
@@ -109,7 +109,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	release()
-	s.Play(`
+	s.Run(`
 		expect s1 Q "/* id=02,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "w" | C | S rank=copy | Z
 		expect c1 T | D "w" | C | Z`)
@@ -143,7 +143,7 @@
 			l.shedder.Tick(at, shedding.Connectivity{}, nil)
 		}
 	})
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1,team=rest */ A"
 		expect c1 welcome | E 53300 # | Z
 		send c1 Q "/* id=02,c=read,d=20000,cluster=1 */ A"
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -26,7 +26,7 @@
 }
 
 // stageSet is stageHeld with other settings.
-func stageSet(t *testing.T, hold time.Duration, p clientTimeouts, set func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
+func stageSet(t *testing.T, hold time.Duration, p clientTimeouts, set func(settings string) string, hosts ...string) (*nettest.Network, *Router) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	for i, h := range hosts {
 		hosts[i] = s.Expand(h)
 	}
-	conf, err := platformconfig.Check(nettest.File(t, set(nettest.Config(ln.Addr().String(), s.Addr("agent"), nettest.List(1, hosts...)))))
+	conf, err := platformconfig.Check(nettest.WriteConfig(t, set(nettest.RouterConfig(ln.Addr().String(), s.Addr("agent"), nettest.EndpointList(1, hosts...)))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 			t.Errorf("invariants broken: %v", invariant.Counts())
 		}
 	})
-	s.Dial("c", ln.Addr().String())
+	s.SetClients("c", ln.Addr().String())
 	return s, r
 }
 
@@ -94,14 +94,14 @@
 // called off. The connection is the next one's.
 func TestClientLeavesDuringDial(t *testing.T) {
 	s, r := stageSet(t, 0, endless, noCancel, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + read01 + `
+	s.Run("send c1 startup | " + read01 + `
 		wait s1
 		expect s1 startup
 		close c1`)
 	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) })
-	s.Play("send s1 welcome")
+	s.Run("send s1 welcome")
 	until(t, "its request has ended", func() bool { return !someone(r, hasLeft) })
-	s.Play("send c2 startup | " + read02 + `
+	s.Run("send c2 startup | " + read02 + `
 		expect s1 ` + seen02 + `
 		send s1` + value + `
 		expect c2 welcome | T | D "v" | C | Z`)
@@ -110,16 +110,16 @@
 // A client that goes while its request is out, where attempts can't be called off, gets no further one when that breaks.
 func TestClientLeavesBeforeRepeat(t *testing.T) {
 	s, r := stageSet(t, 0, endless, noCancel, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + write01 + `
+	s.Run("send c1 startup | " + write01 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 ` + wrote01 + `
 		close c1`)
 	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) })
-	s.Play("close s1")
+	s.Run("close s1")
 	until(t, "its request has ended", func() bool { return !someone(r, hasLeft) })
-	if s.HasConnection("s1") {
+	if s.HasPendingConnection("s1") {
 		t.Error("a request whose client had gone was repeated")
 	}
 }
@@ -127,7 +127,7 @@
 // The module's word to send and the client's leaving are there in the same moment: it is not sent, whichever is drawn.
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
-		r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
+		r := newRouter(t, nettest.EndpointList(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
 		e := r.directory.Apply(r.config.Known)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
@@ -164,24 +164,24 @@
 		for i := range n {
 			all = append(all, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 		}
-		s.Play("send c1 startup | " + strings.Join(all, " | "))
+		s.Run("send c1 startup | " + strings.Join(all, " | "))
 		until(t, "no slot is free", func() bool { return someone(r, func(c *client) bool { return len(c.slots) == maxPipelined }) })
 		closed := time.Now()
-		s.Play("close c1")
+		s.Run("close c1")
 		until(t, "its leaving is seen", func() bool { return !someone(r, func(c *client) bool { return !hasLeft(c) }) })
 		if took := time.Since(closed); took > 10*time.Second { // the requests' own end would come at 20 s
 			t.Errorf("%d requests: its leaving was seen after %v", n, took)
 		}
 		until(t, "nobody is here", func() bool { return !someone(r, func(*client) bool { return true }) })
-		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-		s.Play(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
+		s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 SERVING"))
+		s.Run(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
 			wait s1
 			expect s1 startup
 			send s1 welcome
 			expect s1 Q "/* id=b,c=read,d=#,cluster=1 */ B"
 			send s1` + value + `
 			expect c2 welcome | T | D "v" | C | Z`)
-		if s.HasConnection("s1") {
+		if s.HasPendingConnection("s1") {
 			t.Errorf("%d requests: one of a client that had gone was sent", n)
 		}
 	}
@@ -192,7 +192,7 @@
 	p := endless
 	p.openRequests = time.Hour
 	s, r := stageSet(t, time.Hour, p, noCancel, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + read01 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
+	s.Run("send c1 startup | " + read01 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
 		close c1`)
 	until(t, "its request has come", func() bool { return len(r.loop.events) > 1 })
 	until(t, "its leaving is seen", func() bool { return !someone(r, func(c *client) bool { return !hasLeft(c) }) })
@@ -242,12 +242,12 @@
 func TestCloseDuringAnswer(t *testing.T) {
 	s, r := stageSet(t, 0, endless, noCancel, "h-1 {s1} 1 SERVING")
 	const large = 12 // of 1,000 KB: more than sockets hold
-	s.Set("large", strings.Repeat("v", 1000<<10))
+	s.Define("large", strings.Repeat("v", 1000<<10))
 	var all []string
 	for i := range large {
 		all = append(all, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 	}
-	s.Play("send c1 startup | " + all[0] + `
+	s.Run("send c1 startup | " + all[0] + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -255,19 +255,19 @@
 		send s1 T | D "{large}" | C | S rank=copy | Z`)
 	for i := 1; i < large; i++ {
 		until(t, "the answer before was read", func() bool { return r.pool.Idle() == 1 })
-		s.Play("send c1 " + all[i])
-		s.Play(fmt.Sprintf("expect s1 Q \"/* id=%d,c=read,d=#,cluster=1 */ A\"", i+1))
-		s.Play(`send s1 T | D "{large}" | C | S rank=copy | Z`)
+		s.Run("send c1 " + all[i])
+		s.Run(fmt.Sprintf("expect s1 Q \"/* id=%d,c=read,d=#,cluster=1 */ A\"", i+1))
+		s.Run(`send s1 T | D "{large}" | C | S rank=copy | Z`)
 	}
 	until(t, "the last answer was read", func() bool { return r.pool.Idle() == 1 })
 	// One more, whose attempt breaks after the client has gone.
-	s.Play("send c1 " + read02 + `
+	s.Run("send c1 " + read02 + `
 		expect s1 ` + seen02 + `
 		close c1`)
 	until(t, "its leaving is seen", func() bool { return someone(r, hasLeft) || !someone(r, func(*client) bool { return true }) })
-	s.Play("close s1")
+	s.Run("close s1")
 	until(t, "its requests have ended", func() bool { return !someone(r, func(*client) bool { return true }) })
-	if s.HasConnection("s1") {
+	if s.HasPendingConnection("s1") {
 		t.Error("a request whose client had gone was repeated")
 	}
 }
@@ -345,14 +345,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, r := stageSet(t, 0, endless, c.set, "h-1 {s1} 1 SERVING")
-			s.Play(c.before)
+			s.Run(c.before)
 			key := keyOf(t, r)
 			key.Process += c.wrong.Process
 			key.Secret += c.wrong.Secret
-			s.Set("cancel", cancelRequest(key))
-			s.Dial("", r.config.Listen)
-			s.Play(ask)
-			s.Play(c.after)
+			s.Define("cancel", cancelRequest(key))
+			s.SetClients("", r.config.Listen)
+			s.Run(ask)
+			s.Run(c.after)
 			until(t, "its connection counts no more", func() bool {
 				n := 0
 				r.clients.each(func(*client) { n++ })
@@ -370,17 +370,17 @@
 // it. Here the reader rests after unusable queries, so that the order is the same each time.
 func TestCancelOfUnreadQuery(t *testing.T) {
 	s, r := stageSet(t, 0, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-	s.Dial("", r.config.Listen)
-	s.Play("send c1 startup\nexpect c1 welcome")
+	s.SetClients("", r.config.Listen)
+	s.Run("send c1 startup\nexpect c1 welcome")
 	for range 10 { // the pause grows to a tenth of a second
-		s.Play("send c1 Q \"SELECT 1\"\nexpect c1 E 42601 | Z")
+		s.Run("send c1 Q \"SELECT 1\"\nexpect c1 E 42601 | Z")
 	}
-	s.Set("cancel", cancelRequest(keyOf(t, r)))
-	s.Play("send c1 " + read01 + "\nsend x {cancel}\nexpect x EOF\nexpect c1 E 57014 | Z")
-	if s.HasConnection("s1") {
+	s.Define("cancel", cancelRequest(keyOf(t, r)))
+	s.Run("send c1 " + read01 + "\nsend x {cancel}\nexpect x EOF\nexpect c1 E 57014 | Z")
+	if s.HasPendingConnection("s1") {
 		t.Error("a request that was canceled before it was read was forwarded")
 	}
-	s.Play("send c1 " + read02 + `
+	s.Run("send c1 " + read02 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -392,13 +392,13 @@
 // A request that nothing was decided on yet is called off at once, and is never sent.
 func TestCancelBeforeDecision(t *testing.T) {
 	s, r := stageSet(t, time.Hour, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-	s.Dial("", r.config.Listen)
-	s.Play("send c1 startup | " + read01)
+	s.SetClients("", r.config.Listen)
+	s.Run("send c1 startup | " + read01)
 	until(t, "the request has come", func() bool { return len(r.loop.events) > 1 })
-	s.Set("cancel", cancelRequest(keyOf(t, r)))
-	s.Play("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
-	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-	s.Play("send c1 " + read02 + `
+	s.Define("cancel", cancelRequest(keyOf(t, r)))
+	s.Run("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
+	s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 SERVING"))
+	s.Run("send c1 " + read02 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -453,7 +453,7 @@
 		t.Errorf("%d keys told, %d held", len(told), held())
 	}
 	for i, bad := range []string{`raw "\x00\x00\x00\x0c\x04\xd2\x16\x2e\x00\x00\x00\x01"`, `raw "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"`} {
-		s.Play(fmt.Sprintf("send c%[1]d %[2]s\nexpect c%[1]d EOF", i, bad))
+		s.Run(fmt.Sprintf("send c%[1]d %[2]s\nexpect c%[1]d EOF", i, bad))
 	}
 	for _, conn := range conns {
 		conn.Close()
@@ -470,7 +470,7 @@
 			fmt.Sprintf(`"name":"write","objective":5000000000,"window":%d`, window.Nanoseconds()), 1)
 	}
 	s, _ := stageSet(t, 0, endless, short, "h-1 {s1} 1 SERVING")
-	s.Play("send c1 startup | " + write01 + `
+	s.Run("send c1 startup | " + write01 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -479,7 +479,7 @@
 		wait s1
 		expect s1 startup`)
 	time.Sleep(window) // counted from the first attempt it is over earlier
-	s.Play(`
+	s.Run(`
 		send s1 welcome
 		expect c1 welcome | E 58000 | Z
 		send c1 ` + read02 + `
@@ -490,7 +490,7 @@
 
 // The last moment of a repeat, by the class's effect and window and by nothing else.
 func TestLastRepeat(t *testing.T) {
-	r := newRouter(t, nettest.List(1))
+	r := newRouter(t, nettest.EndpointList(1))
 	for _, c := range []struct {
 		class string
 		ran   bool
@@ -512,12 +512,12 @@
 func TestDrainCrossesWrite(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		s, r := stageSet(t, 0, endless, strings.Clone, "h-1 {s1} 1 SERVING")
-		s.Play("send c1 startup | " + write01 + `
+		s.Run("send c1 startup | " + write01 + `
 			wait s1
 			expect s1 startup
 			send s1 welcome
 			expect s1 ` + wrote01)
-		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+		s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 		known := r.config.Known.Hosts[0].Name
 		until(t, "the drain is known", func() bool {
 			_, ready := r.directory.Address(nodeOf(known))
@@ -532,13 +532,13 @@
 			send s2 T | D "w" | C | S rank=source | Z
 			expect c1 `
 		if broken {
-			s.Play("close s1" + go2 + wrote01 + took + `welcome | T | D "w" | C | Z`)
+			s.Run("close s1" + go2 + wrote01 + took + `welcome | T | D "w" | C | Z`)
 		} else {
-			s.Play(`send s1 T | D "v" | C | S rank=source | Z
+			s.Run(`send s1 T | D "v" | C | S rank=source | Z
 				expect c1 welcome | T | D "v" | C | Z
 				send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ B"` + go2 + `Q "/* id=02,c=write,d=#,k=ac,cluster=1 */ B"` + took + `T | D "w" | C | Z`)
 		}
-		if s.HasConnection("s1") {
+		if s.HasPendingConnection("s1") {
 			t.Error("a draining server got a connection")
 		}
 	}
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -108,7 +108,7 @@
 // not decide. Debug builds stopped there, which failed TestFeeds on machines with more to do than they can (one play of forty).
 func TestLateEventLoopIsNoFault(t *testing.T) {
 	s, r, _, _ := stageWith(t, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z`)
 	held, over := make(chan struct{}), make(chan struct{})
@@ -117,7 +117,7 @@
 	go r.loop.do(t.Context(), func() { close(held); <-over })
 	<-held
 	broken := len(invariant.Counts())
-	s.Play(`
+	s.Run(`
 		send c1 Q "/* id=01,c=read,d=100,cluster=1 */ A"
 		expect c1 E 58000 | Z`)
 	release()
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	s := nettest.New(t, "s1", "s2", "agent")
-	text := nettest.Config(ln.Addr().String(), s.Addr("agent"), nettest.List(1, s.Expand("h-1 {s1} 1 SERVING")))
-	conf, err := platformconfig.Check(nettest.File(t, strings.Replace(text, `"sockets":1024`, `"sockets":64`, 1)))
+	text := nettest.RouterConfig(ln.Addr().String(), s.Addr("agent"), nettest.EndpointList(1, s.Expand("h-1 {s1} 1 SERVING")))
+	conf, err := platformconfig.Check(nettest.WriteConfig(t, strings.Replace(text, `"sockets":1024`, `"sockets":64`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,26 +40,26 @@
 		stop()
 		<-done //nolint:errcheck // the test has seen what it wants
 	})
-	s.Dial("c", ln.Addr().String())
+	s.SetClients("c", ln.Addr().String())
 	most, _ := r.descriptors.Clients()
 	for i := range most {
-		s.Play(fmt.Sprintf(`
+		s.Run(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
-	s.Play(fmt.Sprintf("send c%d startup", most)) // stands in the queue: there is no room for it
+	s.Run(fmt.Sprintf("send c%d startup", most)) // stands in the queue: there is no room for it
 	if _, used := r.descriptors.Clients(); used != most || most < 10 {
 		t.Fatalf("%d clients of %d", used, most)
 	}
 	for r.descriptors.Dial() { // others, of which this test knows nothing
 	}
 	r.descriptors.Hangup()
-	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 	until(t, "the list is heard", func() bool {
 		_, ready := r.directory.Address(old)
 		return !ready
 	})
-	s.Play(`
+	s.Run(`
 		send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s2
 		expect s2 startup
@@ -67,7 +67,7 @@
 		expect s2 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s2 T | D "a" | C | S rank=copy | Z
 		expect c1 T | D "a" | C | Z`)
-	if s.HasConnection("s1") {
+	if s.HasPendingConnection("s1") {
 		t.Error("a draining server got a connection")
 	}
 }
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -50,14 +50,14 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys)))
+	own, err := siteconfig.Load(nettest.WriteConfig(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := make(chan time.Time)
 	close(now)
 	s, r, _, _ := stageOwn(t, own, now, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT INTO objects (oid, body) VALUES ('visitor-7', 'v')"
 		wait s1
 		expect s1 startup
@@ -72,7 +72,7 @@
 	if at := r.membership.commit(1, written.Session); at != 1767225600000e6 {
 		t.Fatalf("the commit of session %q is %d", written.Session, at)
 	}
-	idle := newOwnRouter(t, own, nettest.List(1)) // its owner does not run: events can be read
+	idle := newOwnRouter(t, own, nettest.EndpointList(1)) // its owner does not run: events can be read
 	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: written.Session, At: 1767225600000e6})
 	for _, c := range []struct {
 		class string
@@ -99,14 +99,14 @@
 		t.Fatal(err)
 	}
 	load := func(modes string) *siteconfig.Config {
-		own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"modes":%s,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, modes)))
+		own, err := siteconfig.Load(nettest.WriteConfig(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"modes":%s,"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, modes)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return own
 	}
 	good := load(`{"classes":{"write":"one"}}`)
-	r := newOwnRouter(t, good, nettest.List(1))
+	r := newOwnRouter(t, good, nettest.EndpointList(1))
 	for _, class := range []string{"own", "nothing"} {
 		_, err := New(r.config, load(fmt.Sprintf(`{"classes":{%q:"one"}}`, class)))
 		if e := operr.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Hint(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -47,7 +47,7 @@
 	close(now)
 	own := &siteconfig.Config{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
 	s, _, stop, done := stageOwn(t, own, now, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -80,7 +80,7 @@
 // Switched off, nothing is counted and no line of totals or ways is written.
 func TestTotalsOff(t *testing.T) {
 	w := logged(t)
-	r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	r := newRouter(t, nettest.EndpointList(1, "h-1 127.0.0.1:1 1 SERVING"))
 	r.writeTotals()
 	if r.metrics != nil || r.accessLog.wanted() || strings.Contains(w.String(), "totals") {
 		t.Errorf("something is on: %s", w)
@@ -90,7 +90,7 @@
 // Lines beyond the rate are left out and counted.
 func TestWaysAreBounded(t *testing.T) {
 	w := logged(t)
-	r := newOwnRouter(t, &siteconfig.Config{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	r := newOwnRouter(t, &siteconfig.Config{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.EndpointList(1, "h-1 127.0.0.1:1 1 SERVING"))
 	one := &request{router: r, arrivedAt: r.clock.now(), requestTask: requestTask{outcome: endServed}}
 	for range 1000 {
 		r.accessLog.write(one)
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -25,12 +25,12 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, filepath.Join(dir, "keep"))))
+	own, err := siteconfig.Load(nettest.WriteConfig(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, filepath.Join(dir, "keep"))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func() (*membershipService, func()) {
-		m := newOwnRouter(t, own, nettest.List(1)).membership
+		m := newOwnRouter(t, own, nettest.EndpointList(1)).membership
 		ctx, cancel := context.WithCancel(context.Background())
 		var parts sync.WaitGroup
 		m.restore(ctx, &parts)
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -42,7 +42,7 @@
 		now := make(chan time.Time)
 		close(now)
 		t.Run(c.guards, func(t *testing.T) {
-			own, err := siteconfig.Load(nettest.File(t, `{"recovery":`+c.own+`}`))
+			own, err := siteconfig.Load(nettest.WriteConfig(t, `{"recovery":`+c.own+`}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -52,7 +52,7 @@
 					time.Sleep(time.Millisecond)
 				}
 			}
-			s.Play(c.text)
+			s.Run(c.text)
 		})
 	}
 }
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -280,39 +280,39 @@
 				s, r, stop, done := stageOn(t, ln, 0, own, accepted, finish, endless, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
 				t.Cleanup(sync.OnceFunc(func() { close(accepted) }))
 				t.Cleanup(end)
-				s.Set("list", nettest.HTTP("agent", nettest.List(2, s.Expand("h-1 {s1} 1 SERVING"), s.Expand("h-2 {s2} 2 SERVING"))))
-				s.Play(c.before)
+				s.Define("list", nettest.HTTPResponse("agent", nettest.EndpointList(2, s.Expand("h-1 {s1} 1 SERVING"), s.Expand("h-2 {s2} 2 SERVING"))))
+				s.Run(c.before)
 				switch c.at {
 				case atAccept:
-					s.Play(c.sent)
+					s.Run(c.sent)
 					<-ln.reached
 				case atWrite:
-					s.Play(`expect c1 welcome`)
+					s.Run(`expect c1 welcome`)
 					ln.shut(atWrite)
-					s.Play(c.sent)
+					s.Run(c.sent)
 					<-ln.reached
 				case atBytes:
 					ln.shut(atBytes)
-					s.Play(c.sent)
+					s.Run(c.sent)
 					<-ln.reached
 				case atRead: // only from the place before it does a reader certainly come to this one
 					ln.shut(atBytes)
-					s.Play(`send c1 Q ""`)
+					s.Run(`send c1 Q ""`)
 					<-ln.reached
 					ln.shut(atRead)
-					s.Play(`expect c1 I | Z`)
+					s.Run(`expect c1 I | Z`)
 					<-ln.reached
-					s.Play(c.sent)
+					s.Run(c.sent)
 				}
 				stop()
 				accepted <- time.Time{}
 				<-ln.woken
 				until(t, "the idle clients are closed", r.clients.isDraining)
 				ln.open()
-				s.Play(c.stopped)
+				s.Run(c.stopped)
 				if c.over != "" {
 					end()
-					s.Play(c.over)
+					s.Run(c.over)
 				}
 				if err := <-done; err != nil {
 					t.Error(err)
@@ -337,7 +337,7 @@
 	p := endless
 	p.finalAnswers = time.Millisecond
 	s, r, stop, done := stageOn(t, ln, 0, &siteconfig.Config{}, accepted, finish, p)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c2 startup | Q ""
@@ -347,12 +347,12 @@
 	var sent [2]atomic.Int64
 	flood := strings.Repeat(` | Q ""`, 1000)
 	floods.Go(func() {
-		for s.Try(`send c1 raw ""`+flood) == nil {
+		for s.RunStep(`send c1 raw ""`+flood) == nil {
 			sent[0].Add(1)
 		}
 	})
 	floods.Go(func() { // and this one reads
-		for s.Try(`send c2 Q ""`) == nil && s.Try(`expect c2 I | Z`) == nil {
+		for s.RunStep(`send c2 Q ""`) == nil && s.RunStep(`expect c2 I | Z`) == nil {
 			sent[1].Add(1)
 		}
 	})
@@ -383,28 +383,28 @@
 		return found
 	}
 	ln.shut(atBytes)
-	s.Play(`send c1 startup | Q ""`)
+	s.Run(`send c1 startup | Q ""`)
 	<-ln.reached
 	until(t, "who idles is asked to go", asked)
 	ln.open()
-	s.Play(`expect c1 welcome | I | Z | EOF`)
+	s.Run(`expect c1 welcome | I | Z | EOF`)
 
 	ln = newTurnstile(t)
 	s, r, _, _ = stageOn(t, ln, 0, admitting(t, `{"per_address":2}`), accepted, nil, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c2 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1`)
 	ln.shut(atBytes)
-	s.Play(`send c1 Q "" | Q ""`)
+	s.Run(`send c1 Q "" | Q ""`)
 	<-ln.reached
 	if err := r.acceptor.reload(admitting(t, `{"per_address":1}`).Admission); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "who idles over a lowered cap is put out", asked)
 	ln.open()
-	s.Play(`expect c1 E 53300 | Z | FATAL 53300 | EOF`)
+	s.Run(`expect c1 E 53300 | Z | FATAL 53300 | EOF`)
 }
 
 // leaves says whether the client's reader is to end the connection.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -26,7 +26,7 @@
 func newOwnRouter(t *testing.T, own *siteconfig.Config, known string, addresses ...string) *Router {
 	t.Helper()
 	addresses = append(addresses, "127.0.0.1:1", "127.0.0.1:1")
-	conf, err := platformconfig.Check(nettest.File(t, nettest.Config(addresses[0], addresses[1], known)))
+	conf, err := platformconfig.Check(nettest.WriteConfig(t, nettest.RouterConfig(addresses[0], addresses[1], known)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,14 +43,14 @@
 
 // stage is a running router with data servers s1 and s2 in group 1 and a silent
 // agent; clients are named c.
-func stage(t *testing.T, hosts ...string) (*nettest.Stage, context.CancelFunc, <-chan error) {
+func stage(t *testing.T, hosts ...string) (*nettest.Network, context.CancelFunc, <-chan error) {
 	t.Helper()
 	s, _, stop, done := stageWith(t, endless, hosts...)
 	return s, stop, done
 }
 
 // stageWith is stage with a router of some patience.
-func stageWith(t *testing.T, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageWith(t *testing.T, p clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	now := make(chan time.Time)
 	close(now)
@@ -58,19 +58,19 @@
 }
 
 // stageUntil is stageWith a router that, told to stop, takes clients until accepted.
-func stageUntil(t *testing.T, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageUntil(t *testing.T, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return stageOwn(t, &siteconfig.Config{}, accepted, p, hosts...)
 }
 
 // stageOwn is stageUntil with parts switched on.
-func stageOwn(t *testing.T, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOwn(t *testing.T, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return stageHeld(t, 0, own, accepted, p, hosts...)
 }
 
 // stageHeld is stageOwn with a router that sends nothing at its start until the agent has answered, or some time is over.
-func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageHeld(t *testing.T, hold time.Duration, own *siteconfig.Config, accepted <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,7 +80,7 @@
 }
 
 // stageOn is stageOwn on a listener, of a router that has until finish for what is open.
-func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Config, accepted, finish <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func stageOn(t *testing.T, ln net.Listener, hold time.Duration, own *siteconfig.Config, accepted, finish <-chan time.Time, p clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	s := nettest.New(t, "s1", "s2", "agent")
 	if len(hosts) == 0 {
@@ -89,7 +89,7 @@
 	for i, h := range hosts {
 		hosts[i] = s.Expand(h)
 	}
-	r := newOwnRouter(t, own, nettest.List(1, hosts...), ln.Addr().String(), s.Addr("agent"))
+	r := newOwnRouter(t, own, nettest.EndpointList(1, hosts...), ln.Addr().String(), s.Addr("agent"))
 	r.shutdown.acceptOver = func() <-chan time.Time { return accepted }
 	r.shutdown.timeoutEnd = func() <-chan time.Time { return finish }
 	r.shutdown.timeout = time.Hour
@@ -108,8 +108,8 @@
 			t.Errorf("invariants broken: %v", invariant.Counts())
 		}
 	})
-	s.Dial("c", ln.Addr().String())
-	s.Set("router", ln.Addr().String())
+	s.SetClients("c", ln.Addr().String())
+	s.Define("router", ln.Addr().String())
 	return s, r, stop, done
 }
 
@@ -226,7 +226,7 @@
 	} {
 		t.Run(c.guards, func(t *testing.T) {
 			s, _, _ := stage(t)
-			s.Play(c.text)
+			s.Run(c.text)
 		})
 	}
 }
@@ -235,7 +235,7 @@
 // half a message, and not one that asked once and stays.
 func TestTimeLimits(t *testing.T) {
 	s, r, _, _ := stageWith(t, defaultTimeouts)
-	s.Play(`
+	s.Run(`
 		send c1 raw ""
 		send c2 startup
 		send c3 startup | raw "Q\x00\x00\x01\x00SEL"
@@ -257,15 +257,15 @@
 	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictable: time.Hour})
 	const ask = ` Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		`
-	s.Play("send c0 startup |" + ask + `wait s1
+	s.Run("send c0 startup |" + ask + `wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "a" | C | S rank=copy | Z`)
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
-		s.Play(fmt.Sprintf(`send c%d raw ""`, i+1))
+		s.Run(fmt.Sprintf(`send c%d raw ""`, i+1))
 	}
-	s.Play("send c701 startup |" + ask + `
+	s.Run("send c701 startup |" + ask + `
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "a" | C | S rank=copy | Z
 		expect c701 welcome | T | D "a" | C | Z`)
@@ -276,7 +276,7 @@
 func TestCrowd(t *testing.T) {
 	s, r, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, silent: time.Hour})
 	for i := range r.config.Limits.Sockets/crowdedDescriptorShare + 1 {
-		s.Play(fmt.Sprintf(`
+		s.Run(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 		until(t, "it idles, and after the one before", func() bool {
@@ -288,7 +288,7 @@
 			return !open
 		})
 	}
-	s.Play(`
+	s.Run(`
 		expect c0 EOF
 		expect c1 EOF
 		send c2 Q ""
@@ -300,7 +300,7 @@
 func TestStayingFlood(t *testing.T) {
 	s, _, _, _ := stageWith(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, silent: time.Hour})
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
-		s.Play(fmt.Sprintf(`
+		s.Run(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
@@ -310,9 +310,9 @@
 // query, and as bytes in the answer.
 func TestLargestValue(t *testing.T) {
 	s, _, _ := stage(t)
-	s.Set("hex", strings.Repeat("9f", 64<<10))
-	s.Set("value", strings.Repeat("v", 64<<10))
-	s.Play(`
+	s.Define("hex", strings.Repeat("9f", 64<<10))
+	s.Define("value", strings.Repeat("v", 64<<10))
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT '{hex}'"
 		wait s1
 		expect s1 startup
@@ -326,8 +326,8 @@
 // turns one away would have every member of its group make it in vain.
 func TestLargerValue(t *testing.T) {
 	s, r, _, _ := stageWith(t, endless)
-	s.Set("value", strings.Repeat("v", 500<<10))
-	s.Play(`
+	s.Define("value", strings.Repeat("v", 500<<10))
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -346,8 +346,8 @@
 	for _, turned := range []string{"E 25006 | S rank=copy", "E 53300 | S rank=source"} {
 		t.Run(turned, func(t *testing.T) {
 			s, _, _ := stage(t, "h-1 {s1} 1 SERVING", "h-2 {s2} 1 SERVING")
-			s.Set("turned", turned)
-			s.Play(`
+			s.Define("turned", turned)
+			s.Run(`
 				send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ A"
 				wait s2
 				expect s2 startup
@@ -368,7 +368,7 @@
 // idle connection to it is closed.
 func TestDrain(t *testing.T) {
 	s, _, _ := stage(t, "h-1 {s1} 1 SERVING")
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -376,8 +376,8 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z`)
-	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-	s.Play(`
+	s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	s.Run(`
 		expect s1 EOF
 		send c1 Q "/* id=02,c=read,d=20000,cluster=1 */ A"
 		wait s2
@@ -399,7 +399,7 @@
 			now := make(chan time.Time)
 			close(now)
 			s, r, _, _ := stageHeld(t, hold, &siteconfig.Config{}, now, endless, "h-1 {s1} 1 SERVING")
-			s.Play(ask)
+			s.Run(ask)
 			if hold == time.Hour {
 				for late := time.Now().Add(20 * time.Second); len(r.loop.events) < 2 && time.Now().Before(late); {
 					time.Sleep(time.Millisecond) // the kept list and the request
@@ -409,19 +409,19 @@
 					t.Error("ready before the agent has answered")
 				default:
 				}
-				s.Set("serves", "s2")
-				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+				s.Define("serves", "s2")
+				s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 			} else {
-				s.Set("serves", "s1")
+				s.Define("serves", "s1")
 			}
-			s.Play(`expect c2 welcome | I | Z
+			s.Run(`expect c2 welcome | I | Z
 				wait {serves}
 				expect {serves} startup
 				send {serves} welcome
 				expect {serves} Q "/* id=01,c=read,d=#,cluster=1 */ A"
 				send {serves} T | D "a" | C | S rank=copy | Z
 				expect c1 welcome | T | D "a" | C | Z`)
-			if hold == time.Hour && s.HasConnection("s1") {
+			if hold == time.Hour && s.HasPendingConnection("s1") {
 				t.Error("a draining server got a connection")
 			}
 		})
@@ -446,7 +446,7 @@
 	s, _, stop, done := stageUntil(t, accepted, endless)
 	accept := sync.OnceFunc(func() { close(accepted) })
 	t.Cleanup(accept)
-	s.Play(`
+	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		send c2 startup
 		expect c2 welcome
@@ -455,13 +455,13 @@
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
 	stop()
-	s.Play(`
+	s.Run(`
 		send c3 startup | Q ""
 		expect c3 welcome | I | Z
 		send c2 Q ""
 		expect c2 I | Z`)
 	accept()
-	s.Play(`
+	s.Run(`
 		expect c2 EOF
 		expect c3 EOF
 		send s1 T | D "v" | C | S rank=copy | Z
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -19,7 +19,7 @@
 
 // stageStopped is a running router on a turnstile, with data servers s1 and s2 of which s2 drains; told to stop, it takes no new
 // clients, and has all time for what is open.
-func stageStopped(t *testing.T, ln *turnstile, p clientTimeouts) (s *nettest.Stage, r *Router, stop func(), done <-chan error) {
+func stageStopped(t *testing.T, ln *turnstile, p clientTimeouts) (s *nettest.Network, r *Router, stop func(), done <-chan error) {
 	t.Helper()
 	accepted := make(chan time.Time)
 	close(accepted)
@@ -135,11 +135,11 @@
 	p.lingeringClose = time.Hour
 	s, r, stop, done := stageStopped(t, ln, p)
 	value := strings.Repeat("v", 60<<10)
-	s.Set("value", value)
+	s.Define("value", value)
 	conn := slowClient(t, ln.Addr().String())
 	ask := pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "/* id=01,c=read,d=20000,cluster=1 */ A")
 	say(t, conn, pgwire.AppendQuery(ask, ""))
-	s.Play(`
+	s.Run(`
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -154,7 +154,7 @@
 		return n
 	}
 	until(t, "both are taken", func() bool { return open() == 2 })
-	s.Play(`send s1 T | D "{value}" | C | S rank=copy | Z`)
+	s.Run(`send s1 T | D "{value}" | C | S rank=copy | Z`)
 	until(t, "both are answered", func() bool { return open() == 0 })
 	ln.shut(atClose)
 	stop()
@@ -168,8 +168,8 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s.Play(`expect s1 EOF`)
-	if s.HasConnection("s1") {
+	s.Run(`expect s1 EOF`)
+	if s.HasPendingConnection("s1") {
 		t.Error("the request that crossed the close was sent on")
 	}
 }
@@ -190,7 +190,7 @@
 			ln := newTurnstile(t)
 			s, r, stop, _ := stageStopped(t, ln, p)
 			ln.shut(atClose)
-			s.Play(`
+			s.Run(`
 				send c1 startup | Q ""
 				expect c1 welcome | I | Z`)
 			until(t, "it idles", func() bool {
@@ -204,11 +204,11 @@
 			})
 			closes(r, stop)
 			<-ln.reached
-			s.Play(`send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"`)
+			s.Run(`send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"`)
 			ln.open()
-			s.Play(`expect c1 EOF`)
+			s.Run(`expect c1 EOF`)
 			until(t, "it is gone", func() bool { return connected(r) == 0 })
-			if s.HasConnection("s1") {
+			if s.HasPendingConnection("s1") {
 				t.Error("it was sent on")
 			}
 		})
@@ -219,7 +219,7 @@
 func TestNoDelay(t *testing.T) {
 	ln := newTurnstile(t)
 	s, r, _, _ := stageStopped(t, ln, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup
 		expect c1 welcome`)
 	r.clients.each(func(c *client) {
@@ -237,7 +237,7 @@
 func TestNothingIsSentAfterACut(t *testing.T) {
 	ln := newTurnstile(t)
 	s, r, _, _ := stageStopped(t, ln, endless)
-	s.Play(`
+	s.Run(`
 		send c1 startup
 		expect c1 welcome
 		send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"
@@ -249,22 +249,22 @@
 	for i := range maxPipelined - 1 { // held by the module: cluster 2 has no server that serves
 		fmt.Fprintf(&queued, ` | Q "/* id=h%d,c=read,d=20000,cluster=2 */ A"`, i)
 	}
-	s.Play(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
+	s.Run(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
 	until(t, "no more is taken at a time", func() bool {
 		full := false
 		r.clients.each(func(c *client) { full = full || len(c.slots) == maxPipelined })
 		return full
 	})
 	ln.breakWrites(true)
-	s.Play(`send s1 T | D "v" | C | S rank=copy | Z`)
+	s.Run(`send s1 T | D "v" | C | S rank=copy | Z`)
 	until(t, "the connection ends", func() bool { return connected(r) == 0 })
 	ln.breakWrites(false)
-	s.Play(`
+	s.Run(`
 		send c2 startup | Q "/* id=04,c=read,d=20000,cluster=1 */ A"
 		expect s1 Q "/* id=04,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c2 welcome | T | D "v" | C | Z`)
-	if s.HasConnection("s1") {
+	if s.HasPendingConnection("s1") {
 		t.Error("something was sent on")
 	}
 }
@@ -276,7 +276,7 @@
 	p := endless
 	p.evictable = 0
 	s, r, _, _ := stageStopped(t, ln, p)
-	s.Play(`
+	s.Run(`
 		send c0 startup | raw "Q\x00\x00"
 		expect c0 welcome
 		send c1 startup | Q ""
@@ -295,7 +295,7 @@
 	if !r.clients.evictIdle(time.Now().Add(time.Minute), 0) {
 		t.Error("nobody goes")
 	}
-	s.Play(`
+	s.Run(`
 		expect c1 EOF
 		send c0 raw "\x00\x05\x00"
 		expect c0 I | Z`)
@@ -313,9 +313,9 @@
 			const room = 20
 			r.descriptors.LimitClients(room)
 			for i := range 2 * room {
-				s.Play(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
+				s.Run(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
 			}
-			s.Play(`
+			s.Run(`
 				send c0 startup | Q ""
 				expect c0 welcome | I | Z`)
 		})
@@ -331,7 +331,7 @@
 	const room = 20
 	r.descriptors.LimitClients(room)
 	for i := range 2 * room {
-		s.Play(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
+		s.Run(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
 		until(t, "the first is the oldest", func() bool {
 			half := i > 0
 			r.clients.each(func(c *client) {
@@ -341,7 +341,7 @@
 			return half
 		})
 	}
-	s.Play(`
+	s.Run(`
 		send c0 startup | Q ""
 		expect c0 welcome | I | Z
 		expect c1 welcome | FATAL 53300 | EOF`)
@@ -357,15 +357,15 @@
 			end := sync.OnceFunc(func() { close(finish) })
 			t.Cleanup(end)
 			s, r, stop, done := stageOn(t, newTurnstile(t), time.Hour, &siteconfig.Config{}, accepted, finish, endless, "h-1 {s1} 1 SERVING")
-			s.Play(`
+			s.Run(`
 				send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 				expect c1 welcome`)
 			until(t, "the kept list and the request wait", func() bool { return len(r.loop.events) == 2 })
 			stop()
 			until(t, "it stops", r.clients.isDraining)
 			if answers {
-				s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-				s.Play(`
+				s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 SERVING"))
+				s.Run(`
 					wait s1
 					expect s1 startup
 					send s1 welcome
@@ -374,7 +374,7 @@
 					expect c1 T | D "v" | C | Z | EOF`)
 			} else {
 				end()
-				s.Play(`expect c1 E 53300 | Z | EOF`)
+				s.Run(`expect c1 E 53300 | Z | EOF`)
 			}
 			if err := <-done; err != nil {
 				t.Error(err)
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -46,7 +46,7 @@
 	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,
+	own, err := siteconfig.Load(nettest.WriteConfig(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,
 		"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, dir)))
 	if err != nil {
 		t.Fatal(err)
--- a/policy/admission/main_test.go
+++ b/policy/admission/main_test.go
@@ -6,4 +6,4 @@
 	"lotushook/internal/nettest"
 )
 
-func TestMain(m *testing.M) { nettest.Drawn(m) }
+func TestMain(m *testing.M) { nettest.RunWithFixedSeed(m) }
--- a/policy/shedding/shedder_test.go
+++ b/policy/shedding/shedder_test.go
@@ -10,7 +10,7 @@
 	"lotushook/policy/clock"
 )
 
-func TestMain(m *testing.M) { nettest.Drawn(m) }
+func TestMain(m *testing.M) { nettest.RunWithFixedSeed(m) }
 
 const (
 	ms     = clock.Nanos(1e6)
