--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -81,7 +81,7 @@
 	conn.closed = true
 	socket := conn.socket
 	conn.mu.Unlock()
-	if socket != nil { // without holding the lock: closing waits for the reading goroutine, which locks it
+	if socket != nil { // without holding the lock: closing waits for the reading goroutine, which needs it
 		closeQuietly(socket)
 	}
 }
