--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -49,9 +49,10 @@
 
 // Start begins an attempt on the most recently used idle connection, or on a new one, which must be established by the
 // connect deadline. It returns without waiting for either. If there is no result by the answer deadline, the caller
-// must abort the attempt. As a dial takes time, three checks are made once, right before the first byte of the query is
-// sent: that stillWanted, which must not block, returns true, that the endpoint may still get queries, and that its
-// known position is still fresh enough. If a check fails, the query has not run and the endpoint is not to blame.
+// must abort the attempt. As a dial takes time, the conditions for sending the query are checked once, right before its
+// first byte: stillWanted, which must not block, must return true, and the endpoint must still be allowed to get
+// queries and be fresh enough. Otherwise the query does not run; if it is not wanted any more, the endpoint is not to
+// blame.
 func (pool *Pool) Start(endpoint balance.EndpointID, deadlines Deadlines, writeQuery func(io.Writer) error, stillWanted func() bool) *Attempt {
 	attempt := &Attempt{
 		endpoint:    endpoint,
