--- a/internal/router/acceptor_test.go
+++ b/internal/router/acceptor_test.go
@@ -30,15 +30,15 @@
 
 // startAdmissionRouter starts a router with admission settings. Clients a and b have addresses with the same prefix,
 // client k has the address of a reserve.
-func startAdmissionRouter(t *testing.T, settings string) (*nettest.Stage, *Router) {
+func startAdmissionRouter(t *testing.T, settings string) (*nettest.Network, *Router) {
 	t.Helper()
 	acceptEnd := make(chan time.Time)
 	close(acceptEnd)
 	stage, router, _, _ := startRouterWithConfig(t, admissionConfig(t, settings), acceptEnd, noTimeouts)
-	stage.From("a", "127.2.0.1")
-	stage.From("b", "127.2.0.2")
-	stage.From("k", "127.9.0.1")
-	stage.Dial("", stage.Expand("{router}"))
+	stage.SetSourceAddress("a", "127.2.0.1")
+	stage.SetSourceAddress("b", "127.2.0.2")
+	stage.SetSourceAddress("k", "127.9.0.1")
+	stage.SetClients("", stage.Expand("{router}"))
 	return stage, router
 }
 
@@ -57,7 +57,7 @@
 // it. Clients from other addresses are accepted.
 func TestAdmissionCaps(t *testing.T) {
 	stage, router := startAdmissionRouter(t, `{"per_address":2,"per_prefix":3,"come_back_ms":200}`)
-	stage.Play(`
+	stage.Run(`
 		send a1 startup
 		send a2 startup
 		expect a1 welcome
@@ -73,7 +73,7 @@
 		close a2
 		close b2`)
 	waitForConnections(t, router, 3)
-	stage.Play(`
+	stage.Run(`
 		send a4 startup
 		expect a4 welcome`)
 }
@@ -124,15 +124,15 @@
 	stage, router := startAdmissionRouter(t, `{"spare_ms":3600000,"green_ms":3600000,"crowd_share":0,
 		"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":3}]}`)
 	capacity := router.acceptor.capacity()
-	stage.Play(fmt.Sprintf(firstReadScenario, "a1"))
-	stage.Play(`send a2 startup
+	stage.Run(fmt.Sprintf(firstReadScenario, "a1"))
+	stage.Run(`send a2 startup
 		expect a2 welcome`)
 	waitForIdleClients(t, router, 1)
 	for i := range capacity - 2 {
-		stage.Play(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
+		stage.Run(fmt.Sprintf("send b%d startup\nexpect b%[1]d welcome\nsend b%[1]d Q \"\"\nexpect b%[1]d I | Z", i))
 		waitForIdleClients(t, router, i+2)
 	}
-	stage.Play(`
+	stage.Run(`
 		expect c1 FATAL 53300 # | EOF
 		send k1 startup | Q ""
 		expect k1 welcome | I | Z
@@ -140,8 +140,8 @@
 		send k2 startup
 		expect k2 welcome
 		send b0 Q ""`)
-	stage.Play("expect b0 EOF\nsend k3 startup\nexpect k3 welcome\nexpect b1 EOF")
-	stage.Play(`expect k4 FATAL 53300 # | EOF
+	stage.Run("expect b0 EOF\nsend k3 startup\nexpect k3 welcome\nexpect b1 EOF")
+	stage.Run(`expect k4 FATAL 53300 # | EOF
 		send b2 Q ""
 		expect b2 I | Z`)
 }
@@ -155,16 +155,16 @@
 		t.Fatalf("the capacity is %d", actual)
 	}
 	for i := range shared + 1 {
-		stage.Play(fmt.Sprintf("send a%d startup\nexpect a%[1]d welcome", i))
+		stage.Run(fmt.Sprintf("send a%d startup\nexpect a%[1]d welcome", i))
 	}
 	for i := range shared {
-		stage.Play(fmt.Sprintf(`send a%d Q "/* id=%[1]d,c=read,d=20000,cluster=1 */ A"
+		stage.Run(fmt.Sprintf(`send a%d Q "/* id=%[1]d,c=read,d=20000,cluster=1 */ A"
 			wait s1 as x%[1]d
 			expect x%[1]d startup
 			send x%[1]d welcome
 			expect x%[1]d Q "/* id=%[1]d,c=read,d=#,cluster=1 */ A"`, i))
 	}
-	stage.Play(fmt.Sprintf(`send a%d Q "/* id=x,c=read,d=20000,cluster=1 */ A"
+	stage.Run(fmt.Sprintf(`send a%d Q "/* id=x,c=read,d=20000,cluster=1 */ A"
 		expect a%[1]d FATAL 53300 # | EOF
 		send x0 T | D "v" | C | S rank=copy | Z
 		expect a0 T | D "v" | C | Z`, shared))
@@ -175,14 +175,14 @@
 	stage, router := startAdmissionRouter(t, `{"per_address":2,"per_prefix":5,"green_ms":3600000}`)
 	for i := range 200 {
 		name := fmt.Sprintf("f%d.", i)
-		stage.From(name, fmt.Sprintf("127.3.0.%d", i+1))
+		stage.SetSourceAddress(name, fmt.Sprintf("127.3.0.%d", i+1))
 		if i < 5 {
-			stage.Play("send " + name + " startup\nexpect " + name + " welcome")
+			stage.Run("send " + name + " startup\nexpect " + name + " welcome")
 		} else {
-			stage.Play("expect " + name + " FATAL 53300 # | EOF")
+			stage.Run("expect " + name + " FATAL 53300 # | EOF")
 		}
 	}
-	stage.Play(`send k1 startup | Q ""
+	stage.Run(`send k1 startup | Q ""
 		expect k1 welcome | I | Z`)
 	waitForConnections(t, router, 6)
 }
@@ -191,8 +191,8 @@
 // Invalid settings change nothing.
 func TestAdmissionReload(t *testing.T) {
 	stage, router := startAdmissionRouter(t, `{"per_address":4,"spare_ms":0}`)
-	stage.Play(fmt.Sprintf(firstReadScenario, "a1"))
-	stage.Play(`send a2 startup
+	stage.Run(fmt.Sprintf(firstReadScenario, "a1"))
+	stage.Run(`send a2 startup
 		expect a2 welcome
 		send a3 startup | Q "/* id=03,c=read,d=20000,cluster=1 */ A"
 		expect a3 welcome
@@ -203,12 +203,12 @@
 	if err := router.Reload(router.config, admissionConfig(t, `{"reserve":[{"name":"x","users":["x"],"connections":100000}]}`)); err == nil {
 		t.Error("a reserve above the total capacity was accepted")
 	}
-	stage.Play(`send a1 Q ""
+	stage.Run(`send a1 Q ""
 		expect a1 I | Z`)
 	if err := router.Reload(router.config, admissionConfig(t, `{"per_address":1,"spare_ms":0}`)); err != nil {
 		t.Fatal(err)
 	}
-	stage.Play(`expect a1 EOF
+	stage.Run(`expect a1 EOF
 		expect a4 FATAL 53300 # | EOF
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect a3 T | D "v" | C | Z | EOF`)
@@ -222,9 +222,9 @@
 	stage, router, shutDown, done := startRouterWithConfig(t, admissionConfig(t, `{"per_address":20}`), acceptEnd, timeouts)
 	stopAccepting := sync.OnceFunc(func() { close(acceptEnd) })
 	t.Cleanup(stopAccepting)
-	stage.From("a", "127.2.0.1")
-	stage.Dial("", stage.Expand("{router}"))
-	stage.Play(`
+	stage.SetSourceAddress("a", "127.2.0.1")
+	stage.SetClients("", stage.Expand("{router}"))
+	stage.Run(`
 		send a1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -256,7 +256,7 @@
 	}
 	shutDown()
 	stopAccepting()
-	stage.Play(`
+	stage.Run(`
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect a1 welcome | T | D "v" | C | Z | EOF`)
 	if err := <-done; err != nil {
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -90,7 +90,7 @@
 		router:       router,
 		conn:         conn,
 		left:         make(chan struct{}),
-		clientReader: clientReader{input: ringbuffer.New(maxQueryBytes).Within(router.readQuota)},
+		clientReader: clientReader{input: ringbuffer.New(maxQueryBytes).WithQuota(router.readQuota)},
 		clientWriter: clientWriter{
 			output:      ringbuffer.New(maxAnswerBytes),
 			slots:       make(chan struct{}, maxPipelined),
--- a/internal/router/clientclose.go
+++ b/internal/router/clientclose.go
@@ -54,7 +54,7 @@
 // fatalCode returns the code of the error that a client gets before its connection is closed, and its field D, the
 // Retry-After time. The code is empty if the client closed the connection itself or is closed without an error.
 func fatalCode(err error) (code, retryAfter string) {
-	var tooLong *pgwire.TooLong
+	var tooLong *pgwire.TooLongError
 	var rejected *rejection
 	switch {
 	case errors.As(err, &rejected):
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -81,7 +81,7 @@
 func (client *client) startSession() error {
 	for {
 		kind, size, err := pgwire.NextStart(client.input)
-		if errors.Is(err, pgwire.ErrShort) {
+		if errors.Is(err, pgwire.ErrIncomplete) {
 			if err := client.readMore(); err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 
 // cancelRequest carries out a CancelRequest. Its connection is closed at once, as the protocol has no other use for it.
 func (client *client) cancelRequest(size int) error {
-	if key, ok := pgwire.CancelOf(client.input, size); ok {
+	if key, ok := pgwire.ParseCancelKey(client.input, size); ok {
 		client.router.cancelKeys.cancel(key)
 	}
 	return errDone
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	return client.write(pgwire.AppendWelcome(nil, client.router.cancelKeys.add(client)))
+	return client.write(pgwire.AppendSessionStart(nil, client.router.cancelKeys.add(client)))
 }
 
 // readIdentity stores the identity in a startup message if admission or contracts need it.
@@ -146,8 +146,8 @@
 // readMessage handles the next message, or reads more bytes if none is complete.
 func (client *client) readMessage(tasks *sync.WaitGroup) error {
 	message, err := pgwire.Next(client.input)
-	if errors.Is(err, pgwire.ErrShort) {
-		client.input.Idle()
+	if errors.Is(err, pgwire.ErrIncomplete) {
+		client.input.ShrinkIfEmpty()
 		return client.readMore()
 	}
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 	err = client.handleMessage(tasks, message)
 	client.input.Discard(message.Size)
-	client.input.Idle() // so that a large query is in memory only once, as its text
+	client.input.ShrinkIfEmpty() // so that a large query is in memory only once, as its text
 	return err
 }
 
@@ -207,7 +207,7 @@
 	if err != nil {
 		return err
 	}
-	if pgwire.Blank(text) {
+	if pgwire.IsBlank(text) {
 		return client.startTask(tasks, client.answerReadiness)
 	}
 	parsed, err := pgwire.ParseRequest(text)
@@ -247,7 +247,7 @@
 
 // deadlineOf returns the deadline of a request by its arrival: the time that its client waits, less the transit times.
 func deadlineOf(parsed *pgwire.Request, arrivedAt clock.Nanos) clock.Nanos {
-	return arrivedAt + int64(max(parsed.Wait-deadlineMargin, parsed.Wait/2))
+	return arrivedAt + int64(max(parsed.Timeout-deadlineMargin, parsed.Timeout/2))
 }
 
 // newRequest returns a request that a CancelRequest can name.
--- a/internal/router/clientwriter.go
+++ b/internal/router/clientwriter.go
@@ -109,7 +109,7 @@
 		closeQuietly(client.conn)
 		client.closeWriteFailed.Do(func() { close(client.writeFailed) })
 	}
-	client.output.Idle()
+	client.output.ShrinkIfEmpty()
 	return err
 }
 
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -76,7 +76,7 @@
 		return
 	}
 	time.Sleep(welcome)
-	_, _ = conn.Write(pgwire.AppendWelcome(nil, pgwire.CancelKey{})) // the next read shows an error
+	_, _ = conn.Write(pgwire.AppendSessionStart(nil, pgwire.CancelKey{})) // the next read shows an error
 	for {
 		if _, err := reader.ReadByte(); err != nil { // the message type
 			return
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -26,7 +26,7 @@
 }
 
 // startRouterWithSettings is startRouterWithHold with changed platform settings.
-func startRouterWithSettings(t *testing.T, hold time.Duration, timeouts clientTimeouts, changeSettings func(settings string) string, hosts ...string) (*nettest.Stage, *Router) {
+func startRouterWithSettings(t *testing.T, hold time.Duration, timeouts clientTimeouts, changeSettings func(settings string) string, hosts ...string) (*nettest.Network, *Router) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	for i, host := range hosts {
 		hosts[i] = stage.Expand(host)
 	}
-	config, err := platformconfig.Check(nettest.File(t, changeSettings(nettest.Config(listener.Addr().String(), stage.Addr("agent"), nettest.List(1, hosts...)))))
+	config, err := platformconfig.Check(nettest.WriteConfig(t, changeSettings(nettest.RouterConfig(listener.Addr().String(), stage.Addr("agent"), nettest.EndpointList(1, hosts...)))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 			t.Errorf("invariants broken: %v", invariant.Counts())
 		}
 	})
-	stage.Dial("c", listener.Addr().String())
+	stage.SetClients("c", listener.Addr().String())
 	return stage, router
 }
 
@@ -94,14 +94,14 @@
 // even if attempts can't be canceled. The connection is used for the next request.
 func TestClientLeavesDuringDial(t *testing.T) {
 	stage, router := startRouterWithSettings(t, 0, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING")
-	stage.Play("send c1 startup | " + readQuery1 + `
+	stage.Run("send c1 startup | " + readQuery1 + `
 		wait s1
 		expect s1 startup
 		close c1`)
 	waitUntil(t, "the disconnect is detected", func() bool { return anyClient(router, left) })
-	stage.Play("send s1 welcome")
+	stage.Run("send s1 welcome")
 	waitUntil(t, "the request has ended", func() bool { return !anyClient(router, left) })
-	stage.Play("send c2 startup | " + readQuery2 + `
+	stage.Run("send c2 startup | " + readQuery2 + `
 		expect s1 ` + forwardedRead2 + `
 		send s1` + value + `
 		expect c2 welcome | T | D "v" | C | Z`)
@@ -110,16 +110,16 @@
 // If a client disconnects during an attempt that can't be canceled, and the attempt fails, the request is not retried.
 func TestClientLeavesBeforeRepeat(t *testing.T) {
 	stage, router := startRouterWithSettings(t, 0, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING")
-	stage.Play("send c1 startup | " + writeQuery1 + `
+	stage.Run("send c1 startup | " + writeQuery1 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 ` + forwardedWrite1 + `
 		close c1`)
 	waitUntil(t, "the disconnect is detected", func() bool { return anyClient(router, left) })
-	stage.Play("close s1")
+	stage.Run("close s1")
 	waitUntil(t, "the request has ended", func() bool { return !anyClient(router, left) })
-	if stage.HasConnection("s1") {
+	if stage.HasPendingConnection("s1") {
 		t.Error("a request of a disconnected client was retried")
 	}
 }
@@ -128,7 +128,7 @@
 // the two select chooses.
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
-		router := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its event loop does not run
+		router := newRouter(t, nettest.EndpointList(1, "h-1 127.0.0.1:1 1 SERVING")) // its event loop does not run
 		update := router.directory.Apply(router.config.Known)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
@@ -166,24 +166,24 @@
 		for i := range count {
 			queries = append(queries, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 		}
-		stage.Play("send c1 startup | " + strings.Join(queries, " | "))
+		stage.Run("send c1 startup | " + strings.Join(queries, " | "))
 		waitUntil(t, "no slot is free", func() bool { return anyClient(router, func(c *client) bool { return len(c.slots) == maxPipelined }) })
 		closedAt := time.Now()
-		stage.Play("close c1")
+		stage.Run("close c1")
 		waitUntil(t, "the disconnect is detected", func() bool { return !anyClient(router, func(c *client) bool { return !left(c) }) })
 		if elapsed := time.Since(closedAt); elapsed > 10*time.Second { // the requests' deadline is at 20 s
 			t.Errorf("%d requests: the disconnect was detected after %v", count, elapsed)
 		}
 		waitUntil(t, "no client is connected", func() bool { return !anyClient(router, func(*client) bool { return true }) })
-		stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-		stage.Play(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
+		stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 SERVING"))
+		stage.Run(`send c2 startup | Q "/* id=b,c=read,d=20000,cluster=1 */ B"
 			wait s1
 			expect s1 startup
 			send s1 welcome
 			expect s1 Q "/* id=b,c=read,d=#,cluster=1 */ B"
 			send s1` + value + `
 			expect c2 welcome | T | D "v" | C | Z`)
-		if stage.HasConnection("s1") {
+		if stage.HasPendingConnection("s1") {
 			t.Errorf("%d requests: a request of a disconnected client was sent", count)
 		}
 	}
@@ -195,7 +195,7 @@
 	timeouts := noTimeouts
 	timeouts.openRequests = time.Hour
 	stage, router := startRouterWithSettings(t, time.Hour, timeouts, withoutCancel, "h-1 {s1} 1 SERVING")
-	stage.Play("send c1 startup | " + readQuery1 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
+	stage.Run("send c1 startup | " + readQuery1 + ` | raw "Q\x00\x00\x00\x01more that nobody reads"
 		close c1`)
 	waitUntil(t, "the request has arrived", func() bool { return len(router.loop.events) > 1 })
 	waitUntil(t, "the disconnect is detected", func() bool { return !anyClient(router, func(c *client) bool { return !left(c) }) })
@@ -245,12 +245,12 @@
 func TestCloseDuringAnswer(t *testing.T) {
 	stage, router := startRouterWithSettings(t, 0, noTimeouts, withoutCancel, "h-1 {s1} 1 SERVING")
 	const large = 12 // answers of 1,000 KB: more than the socket buffers hold
-	stage.Set("large", strings.Repeat("v", 1000<<10))
+	stage.Define("large", strings.Repeat("v", 1000<<10))
 	var queries []string
 	for i := range large {
 		queries = append(queries, fmt.Sprintf(`Q "/* id=%d,c=read,d=20000,cluster=1 */ A"`, i+1))
 	}
-	stage.Play("send c1 startup | " + queries[0] + `
+	stage.Run("send c1 startup | " + queries[0] + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -258,19 +258,19 @@
 		send s1 T | D "{large}" | C | S rank=copy | Z`)
 	for i := 1; i < large; i++ {
 		waitUntil(t, "the previous answer was read", func() bool { return router.pool.Idle() == 1 })
-		stage.Play("send c1 " + queries[i])
-		stage.Play(fmt.Sprintf("expect s1 Q \"/* id=%d,c=read,d=#,cluster=1 */ A\"", i+1))
-		stage.Play(`send s1 T | D "{large}" | C | S rank=copy | Z`)
+		stage.Run("send c1 " + queries[i])
+		stage.Run(fmt.Sprintf("expect s1 Q \"/* id=%d,c=read,d=#,cluster=1 */ A\"", i+1))
+		stage.Run(`send s1 T | D "{large}" | C | S rank=copy | Z`)
 	}
 	waitUntil(t, "the last answer was read", func() bool { return router.pool.Idle() == 1 })
 	// One more request, whose attempt fails after the client has disconnected.
-	stage.Play("send c1 " + readQuery2 + `
+	stage.Run("send c1 " + readQuery2 + `
 		expect s1 ` + forwardedRead2 + `
 		close c1`)
 	waitUntil(t, "the disconnect is detected", func() bool { return anyClient(router, left) || !anyClient(router, func(*client) bool { return true }) })
-	stage.Play("close s1")
+	stage.Run("close s1")
 	waitUntil(t, "the requests have ended", func() bool { return !anyClient(router, func(*client) bool { return true }) })
-	if stage.HasConnection("s1") {
+	if stage.HasPendingConnection("s1") {
 		t.Error("a request of a disconnected client was retried")
 	}
 }
@@ -348,14 +348,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			stage, router := startRouterWithSettings(t, 0, noTimeouts, test.set, "h-1 {s1} 1 SERVING")
-			stage.Play(test.before)
+			stage.Run(test.before)
 			key := onlyCancelKey(t, router)
 			key.Process += test.wrong.Process
 			key.Secret += test.wrong.Secret
-			stage.Set("cancel", cancelRequest(key))
-			stage.Dial("", router.config.Listen)
-			stage.Play(ask)
-			stage.Play(test.after)
+			stage.Define("cancel", cancelRequest(key))
+			stage.SetClients("", router.config.Listen)
+			stage.Run(ask)
+			stage.Run(test.after)
 			waitUntil(t, "the canceling connection is removed", func() bool {
 				count := 0
 				router.clients.each(func(*client) { count++ })
@@ -373,17 +373,17 @@
 // this test the reader pauses after unusable queries, so that the order is always the same.
 func TestCancelOfUnreadQuery(t *testing.T) {
 	stage, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
-	stage.Dial("", router.config.Listen)
-	stage.Play("send c1 startup\nexpect c1 welcome")
+	stage.SetClients("", router.config.Listen)
+	stage.Run("send c1 startup\nexpect c1 welcome")
 	for range 10 { // the pause grows to a tenth of a second
-		stage.Play("send c1 Q \"SELECT 1\"\nexpect c1 E 42601 | Z")
+		stage.Run("send c1 Q \"SELECT 1\"\nexpect c1 E 42601 | Z")
 	}
-	stage.Set("cancel", cancelRequest(onlyCancelKey(t, router)))
-	stage.Play("send c1 " + readQuery1 + "\nsend x {cancel}\nexpect x EOF\nexpect c1 E 57014 | Z")
-	if stage.HasConnection("s1") {
+	stage.Define("cancel", cancelRequest(onlyCancelKey(t, router)))
+	stage.Run("send c1 " + readQuery1 + "\nsend x {cancel}\nexpect x EOF\nexpect c1 E 57014 | Z")
+	if stage.HasPendingConnection("s1") {
 		t.Error("a request that was canceled before it was read was sent")
 	}
-	stage.Play("send c1 " + readQuery2 + `
+	stage.Run("send c1 " + readQuery2 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -395,13 +395,13 @@
 // A request that is canceled before the first decision about it is answered at once, and never sent.
 func TestCancelBeforeDecision(t *testing.T) {
 	stage, router := startRouterWithSettings(t, time.Hour, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
-	stage.Dial("", router.config.Listen)
-	stage.Play("send c1 startup | " + readQuery1)
+	stage.SetClients("", router.config.Listen)
+	stage.Run("send c1 startup | " + readQuery1)
 	waitUntil(t, "the request has arrived", func() bool { return len(router.loop.events) > 1 })
-	stage.Set("cancel", cancelRequest(onlyCancelKey(t, router)))
-	stage.Play("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
-	stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-	stage.Play("send c1 " + readQuery2 + `
+	stage.Define("cancel", cancelRequest(onlyCancelKey(t, router)))
+	stage.Run("send x {cancel}\nexpect x EOF\nexpect c1 welcome | E 57014 | Z")
+	stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 SERVING"))
+	stage.Run("send c1 " + readQuery2 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -456,7 +456,7 @@
 		t.Errorf("%d keys sent, %d stored", len(sent), stored())
 	}
 	for i, invalid := range []string{`raw "\x00\x00\x00\x0c\x04\xd2\x16\x2e\x00\x00\x00\x01"`, `raw "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x00\x00\x00\x00\x00"`} {
-		stage.Play(fmt.Sprintf("send c%[1]d %[2]s\nexpect c%[1]d EOF", i, invalid))
+		stage.Run(fmt.Sprintf("send c%[1]d %[2]s\nexpect c%[1]d EOF", i, invalid))
 	}
 	for _, conn := range conns {
 		conn.Close()
@@ -473,7 +473,7 @@
 			fmt.Sprintf(`"name":"write","objective":5000000000,"window":%d`, window.Nanoseconds()), 1)
 	}
 	stage, _ := startRouterWithSettings(t, 0, noTimeouts, shortWindow, "h-1 {s1} 1 SERVING")
-	stage.Play("send c1 startup | " + writeQuery1 + `
+	stage.Run("send c1 startup | " + writeQuery1 + `
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -482,7 +482,7 @@
 		wait s1
 		expect s1 startup`)
 	time.Sleep(window) // the window started earlier, with the first attempt
-	stage.Play(`
+	stage.Run(`
 		send s1 welcome
 		expect c1 welcome | E 58000 | Z
 		send c1 ` + readQuery2 + `
@@ -493,7 +493,7 @@
 
 // lastRetryAt depends only on the class's idempotency and window, and on whether an attempt may have run.
 func TestLastRepeat(t *testing.T) {
-	router := newRouter(t, nettest.List(1))
+	router := newRouter(t, nettest.EndpointList(1))
 	for _, test := range []struct {
 		class      string
 		mayHaveRun bool
@@ -516,12 +516,12 @@
 func TestDrainCrossesWrite(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		stage, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, "h-1 {s1} 1 SERVING")
-		stage.Play("send c1 startup | " + writeQuery1 + `
+		stage.Run("send c1 startup | " + writeQuery1 + `
 			wait s1
 			expect s1 startup
 			send s1 welcome
 			expect s1 ` + forwardedWrite1)
-		stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+		stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 		known := router.config.Known.Hosts[0].Name
 		waitUntil(t, "the drain is known", func() bool {
 			_, ready := router.directory.Address(endpointIDOf(known))
@@ -536,13 +536,13 @@
 			send s2 T | D "w" | C | S rank=source | Z
 			expect c1 `
 		if broken {
-			stage.Play("close s1" + forwardToS2 + forwardedWrite1 + answerFromS2 + `welcome | T | D "w" | C | Z`)
+			stage.Run("close s1" + forwardToS2 + forwardedWrite1 + answerFromS2 + `welcome | T | D "w" | C | Z`)
 		} else {
-			stage.Play(`send s1 T | D "v" | C | S rank=source | Z
+			stage.Run(`send s1 T | D "v" | C | S rank=source | Z
 				expect c1 welcome | T | D "v" | C | Z
 				send c1 Q "/* id=02,c=write,d=20000,k=ac,cluster=1 */ B"` + forwardToS2 + `Q "/* id=02,c=write,d=#,k=ac,cluster=1 */ B"` + answerFromS2 + `T | D "w" | C | Z`)
 		}
-		if stage.HasConnection("s1") {
+		if stage.HasPendingConnection("s1") {
 			t.Error("a connection to a draining server was established")
 		}
 	}
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -108,7 +108,7 @@
 // machines (one run in forty).
 func TestStalledEventLoopBreaksNoInvariant(t *testing.T) {
 	stage, router, _, _ := startRouterWithTimeouts(t, noTimeouts)
-	stage.Play(`
+	stage.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z`)
 	blocked, unblock := make(chan struct{}), make(chan struct{})
@@ -117,7 +117,7 @@
 	go router.loop.do(t.Context(), func() { close(blocked); <-unblock })
 	<-blocked
 	broken := len(invariant.Counts())
-	stage.Play(`
+	stage.Run(`
 		send c1 Q "/* id=01,c=read,d=100,cluster=1 */ A"
 		expect c1 E 58000 | Z`)
 	release()
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -41,7 +41,7 @@
 			}
 		}
 		event.HasLoad, event.Waiting, event.Active = report.HasLoad, report.Waiting, report.Active
-		if report.HasHeld {
+		if report.HasActive {
 			reportedActive = report.Active
 		}
 	} else {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -120,7 +120,7 @@
 		Deadline: request.deadline,
 		Group:    request.Cluster,
 	}}
-	if request.HasPos {
+	if request.HasAfter {
 		event.minPosition = max(1, request.After*clock.Millisecond)
 	}
 	if event.minPosition >= request.positionEvidence.at+clock.Millisecond { // the client requires a later position
@@ -136,7 +136,7 @@
 	if position <= 0 {
 		return
 	}
-	request.See((position + clock.Millisecond - 1) / clock.Millisecond)
+	request.RaiseAfter((position + clock.Millisecond - 1) / clock.Millisecond)
 	request.sessionWroteAt = position
 	request.positionEvidence = request.router.membership.provenanceOf(request.Cluster, request.Session, position)
 }
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -282,44 +282,44 @@
 				stage, router, shutDown, done := startRouterOn(t, listener, 0, config, acceptEnd, timeoutEnd, noTimeouts, "h-1 {s1} 1 SERVING", "h-2 {s2} 2 DRAINING")
 				t.Cleanup(sync.OnceFunc(func() { close(acceptEnd) }))
 				t.Cleanup(endTimeout)
-				stage.Set("list", nettest.HTTP("agent", nettest.List(2, stage.Expand("h-1 {s1} 1 SERVING"), stage.Expand("h-2 {s2} 2 SERVING"))))
-				stage.Play(test.before)
+				stage.Define("list", nettest.HTTPResponse("agent", nettest.EndpointList(2, stage.Expand("h-1 {s1} 1 SERVING"), stage.Expand("h-2 {s2} 2 SERVING"))))
+				stage.Run(test.before)
 				switch test.at {
 				case beforeAccept:
-					stage.Play(test.sent)
+					stage.Run(test.sent)
 					<-listener.reached
 				case duringWrite:
-					stage.Play(`expect c1 welcome`)
+					stage.Run(`expect c1 welcome`)
 					listener.pauseAt(duringWrite)
-					stage.Play(test.sent)
+					stage.Run(test.sent)
 					<-listener.reached
 				case afterRead:
 					listener.pauseAt(afterRead)
-					stage.Play(test.sent)
+					stage.Run(test.sent)
 					<-listener.reached
 				case beforeRead: // a reader that is paused after a read certainly reaches the next read
 					listener.pauseAt(afterRead)
-					stage.Play(`send c1 Q ""`)
+					stage.Run(`send c1 Q ""`)
 					<-listener.reached
 					listener.pauseAt(beforeRead)
-					stage.Play(`expect c1 I | Z`)
+					stage.Run(`expect c1 I | Z`)
 					<-listener.reached
-					stage.Play(test.sent)
+					stage.Run(test.sent)
 				}
 				shutDown()
 				acceptEnd <- time.Time{}
 				<-listener.stopped
 				waitUntil(t, "the idle clients are closed", router.clients.isDraining)
 				listener.resume()
-				stage.Play(test.stopped)
+				stage.Run(test.stopped)
 				if test.over != "" {
 					endTimeout()
-					stage.Play(test.over)
+					stage.Run(test.over)
 				}
 				if err := <-done; err != nil {
 					t.Error(err)
 				}
-				if remaining := router.readQuota.Left(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
+				if remaining := router.readQuota.Available(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
 					t.Errorf("%d bytes of the read quota are left", remaining)
 				}
 			})
@@ -339,7 +339,7 @@
 	timeouts := noTimeouts
 	timeouts.finalAnswers = time.Millisecond
 	stage, router, shutDown, done := startRouterOn(t, listener, 0, &siteconfig.Config{}, acceptEnd, timeoutEnd, timeouts)
-	stage.Play(`
+	stage.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c2 startup | Q ""
@@ -349,12 +349,12 @@
 	var sent [2]atomic.Int64
 	flood := strings.Repeat(` | Q ""`, 1000)
 	floods.Go(func() {
-		for stage.Try(`send c1 raw ""`+flood) == nil {
+		for stage.RunStep(`send c1 raw ""`+flood) == nil {
 			sent[0].Add(1)
 		}
 	})
 	floods.Go(func() { // this client reads its answers
-		for stage.Try(`send c2 Q ""`) == nil && stage.Try(`expect c2 I | Z`) == nil {
+		for stage.RunStep(`send c2 Q ""`) == nil && stage.RunStep(`expect c2 I | Z`) == nil {
 			sent[1].Add(1)
 		}
 	})
@@ -385,28 +385,28 @@
 		return found
 	}
 	listener.pauseAt(afterRead)
-	stage.Play(`send c1 startup | Q ""`)
+	stage.Run(`send c1 startup | Q ""`)
 	<-listener.reached
 	waitUntil(t, "the idle client is asked to close", closeRequested)
 	listener.resume()
-	stage.Play(`expect c1 welcome | I | Z | EOF`)
+	stage.Run(`expect c1 welcome | I | Z | EOF`)
 
 	listener = newPausingListener(t)
 	stage, router, _, _ = startRouterOn(t, listener, 0, admissionConfig(t, `{"per_address":2}`), acceptEnd, nil, noTimeouts)
-	stage.Play(`
+	stage.Run(`
 		send c1 startup | Q ""
 		expect c1 welcome | I | Z
 		send c2 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1`)
 	listener.pauseAt(afterRead)
-	stage.Play(`send c1 Q "" | Q ""`)
+	stage.Run(`send c1 Q "" | Q ""`)
 	<-listener.reached
 	if err := router.acceptor.reload(admissionConfig(t, `{"per_address":1}`).Admission); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, "the idle client above the lowered limit is evicted", closeRequested)
 	listener.resume()
-	stage.Play(`expect c1 E 53300 | Z | FATAL 53300 | EOF`)
+	stage.Run(`expect c1 E 53300 | Z | FATAL 53300 | EOF`)
 }
 
 // willClose reports whether the client's reader was asked to close the connection.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -26,7 +26,7 @@
 func newRouterWithConfig(t *testing.T, site *siteconfig.Config, known string, addresses ...string) *Router {
 	t.Helper()
 	addresses = append(addresses, "127.0.0.1:1", "127.0.0.1:1")
-	config, err := platformconfig.Check(nettest.File(t, nettest.Config(addresses[0], addresses[1], known)))
+	config, err := platformconfig.Check(nettest.WriteConfig(t, nettest.RouterConfig(addresses[0], addresses[1], known)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,14 +43,14 @@
 
 // startRouter starts a router with data servers s1 and s2 in group 1 and a discovery agent that does not answer.
 // Clients have names that begin with c.
-func startRouter(t *testing.T, hosts ...string) (*nettest.Stage, context.CancelFunc, <-chan error) {
+func startRouter(t *testing.T, hosts ...string) (*nettest.Network, context.CancelFunc, <-chan error) {
 	t.Helper()
 	stage, _, shutDown, done := startRouterWithTimeouts(t, noTimeouts, hosts...)
 	return stage, shutDown, done
 }
 
 // startRouterWithTimeouts is startRouter with client timeouts.
-func startRouterWithTimeouts(t *testing.T, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func startRouterWithTimeouts(t *testing.T, timeouts clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	acceptEnd := make(chan time.Time)
 	close(acceptEnd)
@@ -59,20 +59,20 @@
 
 // startRouterWithAcceptEnd is startRouterWithTimeouts with a router that accepts clients during a shutdown until
 // acceptEnd is closed.
-func startRouterWithAcceptEnd(t *testing.T, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func startRouterWithAcceptEnd(t *testing.T, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return startRouterWithConfig(t, &siteconfig.Config{}, acceptEnd, timeouts, hosts...)
 }
 
 // startRouterWithConfig is startRouterWithAcceptEnd with a site configuration.
-func startRouterWithConfig(t *testing.T, site *siteconfig.Config, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func startRouterWithConfig(t *testing.T, site *siteconfig.Config, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	return startRouterWithHold(t, 0, site, acceptEnd, timeouts, hosts...)
 }
 
 // startRouterWithHold is startRouterWithConfig with a router that sends no requests until the discovery agent has
 // answered or the hold time is over.
-func startRouterWithHold(t *testing.T, hold time.Duration, site *siteconfig.Config, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func startRouterWithHold(t *testing.T, hold time.Duration, site *siteconfig.Config, acceptEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,7 +83,7 @@
 
 // startRouterOn is startRouterWithHold on a listener, with a router that ends open requests in a shutdown when
 // timeoutEnd is closed.
-func startRouterOn(t *testing.T, listener net.Listener, hold time.Duration, site *siteconfig.Config, acceptEnd, timeoutEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Stage, *Router, context.CancelFunc, <-chan error) {
+func startRouterOn(t *testing.T, listener net.Listener, hold time.Duration, site *siteconfig.Config, acceptEnd, timeoutEnd <-chan time.Time, timeouts clientTimeouts, hosts ...string) (*nettest.Network, *Router, context.CancelFunc, <-chan error) {
 	t.Helper()
 	stage := nettest.New(t, "s1", "s2", "agent")
 	if len(hosts) == 0 {
@@ -92,7 +92,7 @@
 	for i, host := range hosts {
 		hosts[i] = stage.Expand(host)
 	}
-	router := newRouterWithConfig(t, site, nettest.List(1, hosts...), listener.Addr().String(), stage.Addr("agent"))
+	router := newRouterWithConfig(t, site, nettest.EndpointList(1, hosts...), listener.Addr().String(), stage.Addr("agent"))
 	router.shutdown.acceptEnd = func() <-chan time.Time { return acceptEnd }
 	router.shutdown.timeoutEnd = func() <-chan time.Time { return timeoutEnd }
 	router.shutdown.timeout = time.Hour
@@ -111,8 +111,8 @@
 			t.Errorf("invariants broken: %v", invariant.Counts())
 		}
 	})
-	stage.Dial("c", listener.Addr().String())
-	stage.Set("router", listener.Addr().String())
+	stage.SetClients("c", listener.Addr().String())
+	stage.Define("router", listener.Addr().String())
 	return stage, router, shutDown, done
 }
 
@@ -229,7 +229,7 @@
 	} {
 		t.Run(test.guards, func(t *testing.T) {
 			stage, _, _ := startRouter(t)
-			stage.Play(test.text)
+			stage.Run(test.text)
 		})
 	}
 }
@@ -238,7 +238,7 @@
 // a query are closed without an error.
 func TestClientTimeouts(t *testing.T) {
 	stage, router, _, _ := startRouterWithTimeouts(t, defaultTimeouts)
-	stage.Play(`
+	stage.Run(`
 		send c1 raw ""
 		send c2 startup
 		send c3 startup | raw "Q\x00\x00\x01\x00SEL"
@@ -249,7 +249,7 @@
 		expect c3 welcome | FATAL 08P01 | EOF
 		expect c4 FATAL 08P01 | EOF
 		expect c5 welcome | I | Z | EOF`)
-	if remaining := router.readQuota.Left(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
+	if remaining := router.readQuota.Available(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
 		t.Errorf("%d bytes of the read quota are left", remaining)
 	}
 }
@@ -260,15 +260,15 @@
 	stage, _, _, _ := startRouterWithTimeouts(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableIdle: time.Hour})
 	const ask = ` Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		`
-	stage.Play("send c0 startup |" + ask + `wait s1
+	stage.Run("send c0 startup |" + ask + `wait s1
 		expect s1 startup
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "a" | C | S rank=copy | Z`)
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
-		stage.Play(fmt.Sprintf(`send c%d raw ""`, i+1))
+		stage.Run(fmt.Sprintf(`send c%d raw ""`, i+1))
 	}
-	stage.Play("send c701 startup |" + ask + `
+	stage.Run("send c701 startup |" + ask + `
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "a" | C | S rank=copy | Z
 		expect c701 welcome | T | D "a" | C | Z`)
@@ -279,7 +279,7 @@
 func TestCrowd(t *testing.T) {
 	stage, router, _, _ := startRouterWithTimeouts(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
 	for i := range router.config.Limits.Sockets/crowdedDescriptorDivisor + 1 {
-		stage.Play(fmt.Sprintf(`
+		stage.Run(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 		waitUntil(t, "it is idle, and has been idle for less time than the previous one", func() bool {
@@ -291,7 +291,7 @@
 			return !open
 		})
 	}
-	stage.Play(`
+	stage.Run(`
 		expect c0 EOF
 		expect c1 EOF
 		send c2 Q ""
@@ -303,7 +303,7 @@
 func TestStayingFlood(t *testing.T) {
 	stage, _, _, _ := startRouterWithTimeouts(t, clientTimeouts{message: time.Hour, write: time.Hour, idle: time.Hour, evictableSilence: time.Hour})
 	for i := range 700 { // more than a router of 1,024 descriptors gives to clients
-		stage.Play(fmt.Sprintf(`
+		stage.Run(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
@@ -313,9 +313,9 @@
 // bytes in the answer.
 func TestLargestValue(t *testing.T) {
 	stage, _, _ := startRouter(t)
-	stage.Set("hex", strings.Repeat("9f", 64<<10))
-	stage.Set("value", strings.Repeat("v", 64<<10))
-	stage.Play(`
+	stage.Define("hex", strings.Repeat("9f", 64<<10))
+	stage.Define("value", strings.Repeat("v", 64<<10))
+	stage.Run(`
 		send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ INSERT '{hex}'"
 		wait s1
 		expect s1 startup
@@ -329,8 +329,8 @@
 // the group compute it in vain.
 func TestLargerValue(t *testing.T) {
 	stage, router, _, _ := startRouterWithTimeouts(t, noTimeouts)
-	stage.Set("value", strings.Repeat("v", 500<<10))
-	stage.Play(`
+	stage.Define("value", strings.Repeat("v", 500<<10))
+	stage.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -338,7 +338,7 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "{value}" | C | S rank=copy | Z
 		expect c1 welcome | T | D "{value}" | C | Z`)
-	if remaining := router.pool.ReadQuota.Left(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
+	if remaining := router.pool.ReadQuota.Available(); remaining != router.config.Limits.MemoryMB<<20/readMemoryDivisor {
 		t.Errorf("%d bytes of the answers' read quota are left", remaining)
 	}
 }
@@ -350,8 +350,8 @@
 	for _, rejection := range []string{"E 25006 | S rank=copy", "E 53300 | S rank=source"} {
 		t.Run(rejection, func(t *testing.T) {
 			stage, _, _ := startRouter(t, "h-1 {s1} 1 SERVING", "h-2 {s2} 1 SERVING")
-			stage.Set("turned", rejection)
-			stage.Play(`
+			stage.Define("turned", rejection)
+			stage.Run(`
 				send c1 startup | Q "/* id=01,c=write,d=20000,k=ab,cluster=1 */ A"
 				wait s2
 				expect s2 startup
@@ -372,7 +372,7 @@
 // closed.
 func TestDrainedEndpoint(t *testing.T) {
 	stage, _, _ := startRouter(t, "h-1 {s1} 1 SERVING")
-	stage.Play(`
+	stage.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -380,8 +380,8 @@
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c1 welcome | T | D "v" | C | Z`)
-	stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-	stage.Play(`
+	stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	stage.Run(`
 		expect s1 EOF
 		send c1 Q "/* id=02,c=read,d=20000,cluster=1 */ A"
 		wait s2
@@ -404,7 +404,7 @@
 			acceptEnd := make(chan time.Time)
 			close(acceptEnd)
 			stage, router, _, _ := startRouterWithHold(t, hold, &siteconfig.Config{}, acceptEnd, noTimeouts, "h-1 {s1} 1 SERVING")
-			stage.Play(ask)
+			stage.Run(ask)
 			if hold == time.Hour {
 				for timeout := time.Now().Add(20 * time.Second); len(router.loop.events) < 2 && time.Now().Before(timeout); {
 					time.Sleep(time.Millisecond) // the persisted list and the request
@@ -414,19 +414,19 @@
 					t.Error("ready before the agent has answered")
 				default:
 				}
-				stage.Set("serves", "s2")
-				stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+				stage.Define("serves", "s2")
+				stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 			} else {
-				stage.Set("serves", "s1")
+				stage.Define("serves", "s1")
 			}
-			stage.Play(`expect c2 welcome | I | Z
+			stage.Run(`expect c2 welcome | I | Z
 				wait {serves}
 				expect {serves} startup
 				send {serves} welcome
 				expect {serves} Q "/* id=01,c=read,d=#,cluster=1 */ A"
 				send {serves} T | D "a" | C | S rank=copy | Z
 				expect c1 welcome | T | D "a" | C | Z`)
-			if hold == time.Hour && stage.HasConnection("s1") {
+			if hold == time.Hour && stage.HasPendingConnection("s1") {
 				t.Error("a connection to a draining server was established")
 			}
 		})
@@ -450,7 +450,7 @@
 	stage, _, shutDown, done := startRouterWithAcceptEnd(t, acceptEnd, noTimeouts)
 	stopAccepting := sync.OnceFunc(func() { close(acceptEnd) })
 	t.Cleanup(stopAccepting)
-	stage.Play(`
+	stage.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		send c2 startup
 		expect c2 welcome
@@ -459,13 +459,13 @@
 		send s1 welcome
 		expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"`)
 	shutDown()
-	stage.Play(`
+	stage.Run(`
 		send c3 startup | Q ""
 		expect c3 welcome | I | Z
 		send c2 Q ""
 		expect c2 I | Z`)
 	stopAccepting()
-	stage.Play(`
+	stage.Run(`
 		expect c2 EOF
 		expect c3 EOF
 		send s1 T | D "v" | C | S rank=copy | Z
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -19,7 +19,7 @@
 
 // startRouterOnListener starts a router on a pausing listener, with data servers s1 and s2, of which s2 is draining. In
 // a shutdown it accepts no new clients and has no timeout.
-func startRouterOnListener(t *testing.T, listener *pausingListener, timeouts clientTimeouts) (stage *nettest.Stage, router *Router, shutDown func(), done <-chan error) {
+func startRouterOnListener(t *testing.T, listener *pausingListener, timeouts clientTimeouts) (stage *nettest.Network, router *Router, shutDown func(), done <-chan error) {
 	t.Helper()
 	acceptEnd := make(chan time.Time)
 	close(acceptEnd)
@@ -135,11 +135,11 @@
 	timeouts.lingeringClose = time.Hour
 	stage, router, shutDown, done := startRouterOnListener(t, listener, timeouts)
 	value := strings.Repeat("v", 60<<10)
-	stage.Set("value", value)
+	stage.Define("value", value)
 	conn := slowClient(t, listener.Addr().String())
 	query := pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "/* id=01,c=read,d=20000,cluster=1 */ A")
 	mustWrite(t, conn, pgwire.AppendQuery(query, ""))
-	stage.Play(`
+	stage.Run(`
 		wait s1
 		expect s1 startup
 		send s1 welcome
@@ -154,7 +154,7 @@
 		return count
 	}
 	waitUntil(t, "both requests are open", func() bool { return openQueries() == 2 })
-	stage.Play(`send s1 T | D "{value}" | C | S rank=copy | Z`)
+	stage.Run(`send s1 T | D "{value}" | C | S rank=copy | Z`)
 	waitUntil(t, "both requests are answered", func() bool { return openQueries() == 0 })
 	listener.pauseAt(beforeClose)
 	shutDown()
@@ -168,8 +168,8 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	stage.Play(`expect s1 EOF`)
-	if stage.HasConnection("s1") {
+	stage.Run(`expect s1 EOF`)
+	if stage.HasPendingConnection("s1") {
 		t.Error("the request that crossed the close was forwarded")
 	}
 }
@@ -190,7 +190,7 @@
 			listener := newPausingListener(t)
 			stage, router, shutDown, _ := startRouterOnListener(t, listener, timeouts)
 			listener.pauseAt(beforeClose)
-			stage.Play(`
+			stage.Run(`
 				send c1 startup | Q ""
 				expect c1 welcome | I | Z`)
 			waitUntil(t, "the client is idle", func() bool {
@@ -204,11 +204,11 @@
 			})
 			closes(router, shutDown)
 			<-listener.reached
-			stage.Play(`send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"`)
+			stage.Run(`send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"`)
 			listener.resume()
-			stage.Play(`expect c1 EOF`)
+			stage.Run(`expect c1 EOF`)
 			waitUntil(t, "the client is removed", func() bool { return clientCount(router) == 0 })
-			if stage.HasConnection("s1") {
+			if stage.HasPendingConnection("s1") {
 				t.Error("the request was forwarded")
 			}
 		})
@@ -219,7 +219,7 @@
 func TestNoDelay(t *testing.T) {
 	listener := newPausingListener(t)
 	stage, router, _, _ := startRouterOnListener(t, listener, noTimeouts)
-	stage.Play(`
+	stage.Run(`
 		send c1 startup
 		expect c1 welcome`)
 	router.clients.each(func(client *client) {
@@ -237,7 +237,7 @@
 func TestNothingIsSentAfterACut(t *testing.T) {
 	listener := newPausingListener(t)
 	stage, router, _, _ := startRouterOnListener(t, listener, noTimeouts)
-	stage.Play(`
+	stage.Run(`
 		send c1 startup
 		expect c1 welcome
 		send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"
@@ -249,22 +249,22 @@
 	for i := range maxPipelined - 1 { // queued by the module, as cluster 2 has no serving endpoint
 		fmt.Fprintf(&queued, ` | Q "/* id=h%d,c=read,d=20000,cluster=2 */ A"`, i)
 	}
-	stage.Play(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
+	stage.Run(`send c1 raw ""` + queued.String() + ` | Q "/* id=02,c=read,d=20000,cluster=1 */ A" | Q "/* id=03,c=read,d=20000,cluster=1 */ A"`)
 	waitUntil(t, "the maximum number of requests is pipelined", func() bool {
 		full := false
 		router.clients.each(func(client *client) { full = full || len(client.slots) == maxPipelined })
 		return full
 	})
 	listener.failWrites(true)
-	stage.Play(`send s1 T | D "v" | C | S rank=copy | Z`)
+	stage.Run(`send s1 T | D "v" | C | S rank=copy | Z`)
 	waitUntil(t, "the connection ends", func() bool { return clientCount(router) == 0 })
 	listener.failWrites(false)
-	stage.Play(`
+	stage.Run(`
 		send c2 startup | Q "/* id=04,c=read,d=20000,cluster=1 */ A"
 		expect s1 Q "/* id=04,c=read,d=#,cluster=1 */ A"
 		send s1 T | D "v" | C | S rank=copy | Z
 		expect c2 welcome | T | D "v" | C | Z`)
-	if stage.HasConnection("s1") {
+	if stage.HasPendingConnection("s1") {
 		t.Error("a query of the closed connection was forwarded")
 	}
 }
@@ -276,7 +276,7 @@
 	timeouts := noTimeouts
 	timeouts.evictableIdle = 0
 	stage, router, _, _ := startRouterOnListener(t, listener, timeouts)
-	stage.Play(`
+	stage.Run(`
 		send c0 startup | raw "Q\x00\x00"
 		expect c0 welcome
 		send c1 startup | Q ""
@@ -295,7 +295,7 @@
 	if !router.clients.evictIdle(time.Now().Add(time.Minute), 0) {
 		t.Error("no client is evicted")
 	}
-	stage.Play(`
+	stage.Run(`
 		expect c1 EOF
 		send c0 raw "\x00\x05\x00"
 		expect c0 I | Z`)
@@ -313,9 +313,9 @@
 			const limit = 20
 			router.descriptors.LimitClients(limit)
 			for i := range 2 * limit {
-				stage.Play(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
+				stage.Run(fmt.Sprintf(`send c%d startup | y "x"`, i+1))
 			}
-			stage.Play(`
+			stage.Run(`
 				send c0 startup | Q ""
 				expect c0 welcome | I | Z`)
 		})
@@ -331,7 +331,7 @@
 	const limit = 20
 	router.descriptors.LimitClients(limit)
 	for i := range 2 * limit {
-		stage.Play(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
+		stage.Run(fmt.Sprintf(`send c%d startup | raw "Q\x00\x00"`, i+1))
 		waitUntil(t, "the first client is the oldest", func() bool {
 			partial := i > 0
 			router.clients.each(func(client *client) {
@@ -341,7 +341,7 @@
 			return partial
 		})
 	}
-	stage.Play(`
+	stage.Run(`
 		send c0 startup | Q ""
 		expect c0 welcome | I | Z
 		expect c1 welcome | FATAL 53300 | EOF`)
@@ -357,15 +357,15 @@
 			endTimeout := sync.OnceFunc(func() { close(timeoutEnd) })
 			t.Cleanup(endTimeout)
 			stage, router, shutDown, done := startRouterOn(t, newPausingListener(t), time.Hour, &siteconfig.Config{}, acceptEnd, timeoutEnd, noTimeouts, "h-1 {s1} 1 SERVING")
-			stage.Play(`
+			stage.Run(`
 				send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 				expect c1 welcome`)
 			waitUntil(t, "the persisted list and the request are queued", func() bool { return len(router.loop.events) == 2 })
 			shutDown()
 			waitUntil(t, "the shutdown has begun", router.clients.isDraining)
 			if answers {
-				stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 SERVING"))
-				stage.Play(`
+				stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 SERVING"))
+				stage.Run(`
 					wait s1
 					expect s1 startup
 					send s1 welcome
@@ -374,7 +374,7 @@
 					expect c1 T | D "v" | C | Z | EOF`)
 			} else {
 				endTimeout()
-				stage.Play(`expect c1 E 53300 | Z | EOF`)
+				stage.Run(`expect c1 E 53300 | Z | EOF`)
 			}
 			if err := <-done; err != nil {
 				t.Error(err)
--- a/internal/router/unreadage.go
+++ b/internal/router/unreadage.go
@@ -75,7 +75,7 @@
 		return 0, false
 	}
 	request, err := pgwire.ParseRequest(text)
-	return request.Wait, err == nil
+	return request.Timeout, err == nil
 }
 
 // stallDetector detects stalls of the whole process by late ticks. It is safe for concurrent use.
