--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -49,10 +49,10 @@
 	}
 	q := dkeep.DefaultSettings()
 	q.QueueBytes, q.FsyncsPerSecond = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
-	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
+	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Epoch: self.Boot, Queue: q, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
 	u := crdt.DefaultSettings(self)
-	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
+	s.Retention[crdt.PendingWrite], s.Retention[crdt.Hint] = u.WriteWindow, u.HintLifetime
 	k := &persistedState{loadTimeout: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: ledger, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
 	k.store, err = store.New(s)
 	return k, err
@@ -82,7 +82,7 @@
 // restore merges the disk's records into the state. Hints of unknown age are left out; a write that may have run counts as
 // young as it can be.
 func (k *persistedState) restore(state *peer.State) {
-	f := k.store.Found()
+	f := k.store.TakeRestored()
 	var list []crdt.Entry
 	bad := 0
 	k.mu.Lock()
@@ -110,7 +110,7 @@
 	}
 	k.restored = len(list)
 	k.mu.Unlock()
-	if taken := state.Restore(list); f.Boot != 0 {
+	if taken := state.Restore(list); f.Epoch != 0 {
 		slog.Info("state restored", "entries", len(list), "taken", taken, "not_read", bad)
 	}
 }
@@ -157,7 +157,7 @@
 	if k.standing = max(k.standing, trust.CompareCopy(k.mark, seen, maxCrashLoss)); k.standing == trust.CopyOutdated {
 		k.ledger.DistrustRestored()
 		mark := func(m trust.CopyVersion) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Epoch) }
-		slog.Warn("keep", operr.Attrs(&store.Old{Path: k.store.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
+		slog.Warn("keep", operr.Attrs(&store.OutdatedError{Path: k.store.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
 	}
 }
 
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -47,7 +47,7 @@
 	boot := m.detectorSettings.Epoch
 	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
 		r := m.persisted.report().(persistedReport)
-		return r.Waiting == 0 && r.Counts.Batches > 0
+		return r.PendingBytes == 0 && r.Counts.Batches > 0
 	})
 	stop()
 
@@ -78,7 +78,7 @@
 		t.Errorf("after an own answer: %+v", f)
 	}
 	r := m.persisted.report().(persistedReport)
-	if r.Restored != 2 || r.Doubted != 0 || r.Old || !r.Writes {
+	if r.Restored != 2 || r.Doubted != 0 || r.Old || !r.Writable {
 		t.Errorf("%+v", r)
 	}
 	e := session
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -64,10 +64,10 @@
 }
 
 // readStore reads a copy in which nothing expires.
-func readStore(t *testing.T, dir string) store.Found {
+func readStore(t *testing.T, dir string) store.Restored {
 	t.Helper()
 	began := time.Now()
-	k, err := store.New(store.Settings{Dir: dir, MaxBytes: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.DefaultSettings(),
+	k, err := store.New(store.Settings{Dir: dir, MaxBytes: 16 << 20, Cluster: "x", Name: "n0", Epoch: 9, Queue: dkeep.DefaultSettings(),
 		Now: func() int64 { return int64(time.Since(began)) }, Wall: func() int64 { return time.Now().UnixNano() }})
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { k.Run(ctx) })
 	<-k.Loaded()
-	found := k.Found()
+	found := k.TakeRestored()
 	cancel()
 	running.Wait()
 	return found
@@ -93,7 +93,7 @@
 		}
 		until(t, "all is on the disk", func() bool {
 			r := k.report().(persistedReport)
-			return r.Waiting == 0 && r.Counts.Batches > 0
+			return r.PendingBytes == 0 && r.Counts.Batches > 0
 		})
 		stop()
 		raw, err := os.ReadFile(path)
@@ -113,8 +113,8 @@
 		t.Fatal(err)
 	}
 	found := readStore(t, dir)
-	if found.Boot != 9 || found.Generation == 0 {
-		t.Errorf("boot %d, generation %d", found.Boot, found.Generation)
+	if found.Epoch != 9 || found.Generation == 0 {
+		t.Errorf("boot %d, generation %d", found.Epoch, found.Generation)
 	}
 	read := map[crdt.Kind]crdt.Entry{}
 	boots := map[string]bool{}
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -13,237 +13,241 @@
 	"time"
 
 	"go.etcd.io/bbolt"
-	berrors "go.etcd.io/bbolt/errors"
+	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"lotushook/policy/clock"
 	"lotushook/policy/persistence"
 )
 
-// disk is the part of the system that a copy uses; tests inject faults.
+// disk is the part of the system that a Store uses. Tests replace it to inject faults.
 type disk interface {
 	lock(path string) (io.Closer, error)
-	open(path string, most int64, readOnly bool) (engine, error)
+	open(path string, maxBytes int64, readOnly bool) (engine, error)
 }
 
-// engine is an open copy.
+// engine is an open database file.
 type engine interface {
-	// load passes all records on, and returns the stored head and the sum over the records. What it passes is valid during the
-	// call only.
-	load(each func(k, v []byte) error) (head []byte, sum uint64, err error)
-	// commit puts a batch and a head on disk, both or neither, and returns how many fsyncs it made and how many older records
-	// it dropped for lack of room.
-	commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error)
-	rename(to string) error // and have that on disk too
+	// load passes each record to visit, and returns the stored header and the sum of the record checksums. The slices
+	// passed to visit are valid only during the call.
+	load(visit func(key, value []byte) error) (rawHeader []byte, checksumSum uint64, err error)
+	// commit writes a batch and a header atomically, and returns the number of fsyncs it made and the number of older
+	// records it evicted to stay within the file's size limit.
+	commit(header *fileHeader, batch []persistence.Record) (fsyncs, evicted int, err error)
+	rename(newPath string) error // returns after the new name is durable
 	size() int64
 	close() error
 }
 
 var (
-	bucketName = []byte("keep")
-	headKey    = []byte{0}
-	errNoHead  = errors.New("there is no head in it")
+	bucketName  = []byte("keep")
+	headerKey   = []byte{0}
+	errNoHeader = errors.New("the header is missing")
 )
 
 const (
-	liveShare  = 6 // records use one part in so many of the file: pages are half full at worst, and a batch may write each anew
-	sweepShare = 8 // and so much of that is freed at a time
+	// recordShare limits records to 1/recordShare of the file: pages are half full in the worst case, and one batch may
+	// rewrite each page.
+	recordShare = 6
+	// evictionShare is the part of that limit freed in one eviction, as 1/evictionShare.
+	evictionShare = 8
 )
 
-type osDisk struct{ windows [256]clock.Nanos }
+type osDisk struct{ retention [256]clock.Nanos } // as Settings.Retention
 
-// lock locks a file for this process alone.
+// lock locks a file exclusively.
 func (osDisk) lock(path string) (io.Closer, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		file.Close()
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
 type boltEngine struct {
-	db       *bbolt.DB
-	path     string
-	maxBytes int64 // size of the file; the store maps powers of two
-	live     int64 // size of keys and values
-	sum      uint64
-	windows  [256]clock.Nanos
-	bad      bool // it has panicked: it is not used any more
+	db          *bbolt.DB
+	path        string
+	maxBytes    int64 // maximum file size; a power of two, as bbolt's memory maps are
+	recordBytes int64 // size of all keys and values
+	checksumSum uint64
+	retention   [256]clock.Nanos
+	panicked    bool // after a panic the database is not used again
 }
 
-// open opens a store that is sound, or creates one.
-func (d osDisk) open(path string, most int64, readOnly bool) (engine, error) {
-	most = 1 << (bits.Len64(uint64(most)) - 1)
-	s := &boltEngine{path: path, maxBytes: most, windows: d.windows}
-	err := guarded(func() (err error) {
-		s.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Millisecond, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType,
-			PageSize: pageBytes, MaxSize: int(most), ReadOnly: readOnly, NoStatistics: true})
+// open opens a database file that verifyFile has accepted, or creates one.
+func (d osDisk) open(path string, maxBytes int64, readOnly bool) (engine, error) {
+	maxBytes = 1 << (bits.Len64(uint64(maxBytes)) - 1)
+	opened := &boltEngine{path: path, maxBytes: maxBytes, retention: d.retention}
+	err := recoverPanics(func() (err error) {
+		opened.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Millisecond, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType,
+			PageSize: pageBytes, MaxSize: int(maxBytes), ReadOnly: readOnly, NoStatistics: true})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.db.AllocSize = int(max(most/64, pageBytes))
-	return s, nil
+	opened.db.AllocSize = int(max(maxBytes/64, pageBytes))
+	return opened, nil
 }
 
-// guarded turns a panic, and a fault in the mapped file, into an error.
-func guarded(f func() error) (err error) {
+// recoverPanics calls f and turns a panic, including a page fault in the mapped file, into an error.
+func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %v", errPanic, p)
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("%w: %v", errPanic, cause)
 		}
 	}()
 	return f()
 }
 
-var errPanic = errors.New("the store broke off")
+var errPanic = errors.New("the database panicked")
 
-func (s *boltEngine) load(each func(k, v []byte) error) (raw []byte, sum uint64, err error) {
-	err = guarded(func() error {
-		return s.db.View(func(tx *bbolt.Tx) error {
-			b := tx.Bucket(bucketName)
-			if b == nil {
-				return errNoHead
+func (e *boltEngine) load(visit func(key, value []byte) error) (rawHeader []byte, checksumSum uint64, err error) {
+	err = recoverPanics(func() error {
+		return e.db.View(func(tx *bbolt.Tx) error {
+			bucket := tx.Bucket(bucketName)
+			if bucket == nil {
+				return errNoHeader
 			}
-			if raw = append(raw, b.Get(headKey)...); len(raw) == 0 {
-				return errNoHead
+			if rawHeader = append(rawHeader, bucket.Get(headerKey)...); len(rawHeader) == 0 {
+				return errNoHeader
 			}
-			return b.ForEach(func(k, v []byte) error {
-				if len(k) == 1 && k[0] == headKey[0] {
+			return bucket.ForEach(func(key, value []byte) error {
+				if len(key) == 1 && key[0] == headerKey[0] {
 					return nil
 				}
-				s.live, s.sum = s.live+int64(len(k)+len(v)), s.sum+sumOf(v)
-				return each(k, v)
+				e.recordBytes, e.checksumSum = e.recordBytes+int64(len(key)+len(value)), e.checksumSum+storedChecksum(value)
+				return visit(key, value)
 			})
 		})
 	})
-	return raw, s.sum, err
+	return rawHeader, e.checksumSum, err
 }
 
-func (s *boltEngine) commit(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
-	if s.bad {
+func (e *boltEngine) commit(header *fileHeader, batch []persistence.Record) (fsyncs, evicted int, err error) {
+	if e.panicked {
 		return 0, 0, errPanic
 	}
-	count := h.letGo
-	fsyncs, letGo, err = s.put(h, batch)
-	if half := len(batch) / 2; half > 0 && errors.Is(err, berrors.ErrMaxSizeReached) { // fewer pages at a time find room
-		h.letGo = count
+	droppedBefore := header.dropped
+	fsyncs, evicted, err = e.commitOnce(header, batch)
+	// A smaller batch rewrites fewer pages at a time, and so may fit where the whole batch does not.
+	if half := len(batch) / 2; half > 0 && errors.Is(err, bbolterrors.ErrMaxSizeReached) {
+		header.dropped = droppedBefore
 		for _, part := range [][]persistence.Record{batch[:half], batch[half:]} {
-			var n, gone int
-			n, gone, err = s.commit(h, part)
-			if fsyncs, letGo = fsyncs+n, letGo+gone; err != nil {
-				return fsyncs, letGo, err
+			var partFsyncs, partEvicted int
+			partFsyncs, partEvicted, err = e.commit(header, part)
+			if fsyncs, evicted = fsyncs+partFsyncs, evicted+partEvicted; err != nil {
+				return fsyncs, evicted, err
 			}
 		}
 	}
-	return fsyncs, letGo, err
+	return fsyncs, evicted, err
 }
 
-// put is one batch.
-func (s *boltEngine) put(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
-	before, live, sum := s.size(), s.live, s.sum
-	err = guarded(func() error {
-		return s.db.Update(func(tx *bbolt.Tx) error {
-			b, err := tx.CreateBucketIfNotExists(bucketName)
+// commitOnce writes a batch in one transaction.
+func (e *boltEngine) commitOnce(header *fileHeader, batch []persistence.Record) (fsyncs, evicted int, err error) {
+	sizeBefore, recordBytes, checksumSum := e.size(), e.recordBytes, e.checksumSum
+	err = recoverPanics(func() error {
+		return e.db.Update(func(tx *bbolt.Tx) error {
+			bucket, err := tx.CreateBucketIfNotExists(bucketName)
 			if err != nil {
 				return err
 			}
 			for i := range batch {
-				k, v := key(&batch[i]), appendRecord(&batch[i], h.wall)
-				if old := b.Get(k); old != nil {
-					live, sum = live-int64(len(k)+len(old)), sum-sumOf(old)
+				key, value := recordKey(&batch[i]), encodeRecord(&batch[i], header.writtenAt)
+				if old := bucket.Get(key); old != nil {
+					recordBytes, checksumSum = recordBytes-int64(len(key)+len(old)), checksumSum-storedChecksum(old)
 				}
-				if err := b.Put(k, v); err != nil {
+				if err := bucket.Put(key, value); err != nil {
 					return err
 				}
-				live, sum = live+int64(len(k)+len(v)), sum+sumOf(v)
+				recordBytes, checksumSum = recordBytes+int64(len(key)+len(value)), checksumSum+storedChecksum(value)
 			}
-			if room := s.maxBytes / liveShare; live > room {
-				n, bytes, sums, err := s.sweep(b, h.wall, live-room+room/sweepShare)
+			if limit := e.maxBytes / recordShare; recordBytes > limit {
+				count, freedBytes, freedChecksums, err := e.evict(bucket, header.writtenAt, recordBytes-limit+limit/evictionShare)
 				if err != nil {
 					return err
 				}
-				live, sum, letGo = live-bytes, sum-sums, n
+				recordBytes, checksumSum, evicted = recordBytes-freedBytes, checksumSum-freedChecksums, count
 			}
-			h.letGo, h.sum = h.letGo+uint64(letGo), sum
-			return b.Put(headKey, h.append(nil))
+			header.dropped, header.checksumSum = header.dropped+uint64(evicted), checksumSum
+			return bucket.Put(headerKey, header.append(nil))
 		})
 	})
-	fsyncs = 2 // of the pages, and of which of them count; one more where the file grew
-	if s.size() != before {
+	fsyncs = 2 // bbolt syncs the data pages, then the meta page; a file that grew needs a third fsync
+	if e.size() != sizeBefore {
 		fsyncs = 3
 	}
-	if s.bad = errors.Is(err, errPanic); err != nil {
+	if e.panicked = errors.Is(err, errPanic); err != nil {
 		return fsyncs, 0, err
 	}
-	s.live, s.sum = live, sum
-	return fsyncs, letGo, nil
+	e.recordBytes, e.checksumSum = recordBytes, checksumSum
+	return fsyncs, evicted, nil
 }
 
-// sweep deletes the oldest records until so many bytes are free: first those that have expired, then by age, as coarse as
-// powers of two of a millisecond.
-func (s *boltEngine) sweep(b *bbolt.Bucket, wall int64, free int64) (count int, freed int64, sums uint64, err error) {
-	rank := func(k, v []byte) int { // 0: the head, or an unreadable record
-		r, written, err := parseRecord(k, v)
+// evict deletes records until at least needBytes are free: expired records first, then by age, the oldest first. Ages are
+// compared in powers of two of a millisecond. It returns the count, size and sum of checksums of the deleted records.
+func (e *boltEngine) evict(bucket *bbolt.Bucket, now int64, needBytes int64) (count int, freedBytes int64, freedChecksums uint64, err error) {
+	ageRank := func(key, value []byte) int { // 0: the header, or an unreadable record; neither is evicted
+		record, writtenAt, err := parseRecord(key, value)
 		if err != nil {
 			return 0
 		}
-		age, _ := persistence.AgeNow(r.Age, written, wall, wall)
-		if w := s.windows[r.Kind]; w > 0 && age >= w {
+		age, _ := persistence.AgeNow(record.Age, writtenAt, now, now)
+		if maxAge := e.retention[record.Kind]; maxAge > 0 && age >= maxAge {
 			return 65
 		}
 		return 1 + bits.Len64(uint64(age/1e6))
 	}
-	var bytes [66]int64
-	c := b.Cursor()
-	for k, v := c.First(); k != nil; k, v = c.Next() {
-		bytes[rank(k, v)] += int64(len(k) + len(v))
+	var bytesByRank [66]int64
+	cursor := bucket.Cursor()
+	for key, value := cursor.First(); key != nil; key, value = cursor.Next() {
+		bytesByRank[ageRank(key, value)] += int64(len(key) + len(value))
 	}
-	least := len(bytes)
-	for sum := int64(0); least > 1 && sum < free; {
-		least--
-		sum += bytes[least]
+	minRank := len(bytesByRank)
+	for sum := int64(0); minRank > 1 && sum < needBytes; {
+		minRank--
+		sum += bytesByRank[minRank]
 	}
-	var gone [][]byte // deleting moves a cursor
-	for k, v := c.First(); k != nil; k, v = c.Next() {
-		if at := rank(k, v); at > least || at == least && freed < free && at > 0 {
-			gone, freed, sums = append(gone, append([]byte(nil), k...)), freed+int64(len(k)+len(v)), sums+sumOf(v)
+	var evicted [][]byte // deleted after the loop, because a deletion moves the cursor
+	for key, value := cursor.First(); key != nil; key, value = cursor.Next() {
+		if rank := ageRank(key, value); rank > minRank || rank == minRank && freedBytes < needBytes && rank > 0 {
+			evicted, freedBytes, freedChecksums = append(evicted, append([]byte(nil), key...)), freedBytes+int64(len(key)+len(value)), freedChecksums+storedChecksum(value)
 		}
 	}
-	for _, k := range gone {
-		if err := b.Delete(k); err != nil {
+	for _, key := range evicted {
+		if err := bucket.Delete(key); err != nil {
 			return 0, 0, 0, err
 		}
 	}
-	return len(gone), freed, sums, nil
+	return len(evicted), freedBytes, freedChecksums, nil
 }
 
-func (s *boltEngine) size() int64 {
-	info, err := os.Stat(s.path)
+func (e *boltEngine) size() int64 {
+	info, err := os.Stat(e.path)
 	if err != nil {
-		return -1 // it was moved by another process
+		return -1 // another process moved the file
 	}
 	return info.Size()
 }
 
-func (s *boltEngine) close() error {
-	if s.bad {
-		return nil // it may hold its own locks for ever
+func (e *boltEngine) close() error {
+	if e.panicked {
+		return nil // after a panic bbolt may still hold its own locks, and Close would block forever
 	}
-	return guarded(s.db.Close)
+	return recoverPanics(e.db.Close)
 }
 
-func (s *boltEngine) rename(to string) error {
-	if err := os.Rename(s.path, to); err != nil {
+func (e *boltEngine) rename(newPath string) error {
+	if err := os.Rename(e.path, newPath); err != nil {
 		return err
 	}
-	s.path = to
-	dir, err := os.Open(filepath.Dir(to))
+	e.path = newPath
+	dir, err := os.Open(filepath.Dir(newPath))
 	if err != nil {
 		return err
 	}
@@ -255,16 +259,16 @@
 	return errors.Is(err, syscall.EROFS) || errors.Is(err, syscall.EACCES) || errors.Is(err, syscall.EPERM)
 }
 
-// isFull also checks the text: where it makes its file larger the store passes on no more than that.
+// isFull also compares the error text, because bbolt does not wrap the cause when it fails to grow its file.
 func isFull(err error) bool {
-	for _, full := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, berrors.ErrMaxSizeReached} {
-		if err != nil && (errors.Is(err, full) || strings.Contains(err.Error(), full.Error())) {
+	for _, fullError := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, bbolterrors.ErrMaxSizeReached} {
+		if err != nil && (errors.Is(err, fullError) || strings.Contains(err.Error(), fullError.Error())) {
 			return true
 		}
 	}
 	return false
 }
 
-func isTaken(err error) bool {
-	return errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, berrors.ErrTimeout)
+func isLocked(err error) bool {
+	return errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, bbolterrors.ErrTimeout)
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,267 +5,268 @@
 	"time"
 )
 
-// Cause is what is wrong with a copy that can't be read.
+// Cause is the reason why a copy can't be read.
 type Cause string
 
 // The causes.
 const (
-	Empty   Cause = "empty"   // no byte in it
-	Torn    Cause = "torn"    // it ends too early, or was never finished
-	Corrupt Cause = "spoiled" // a checksum or the store's own structure is wrong
+	CauseEmpty   Cause = "empty"   // the file has no bytes
+	CauseTorn    Cause = "torn"    // the file ends too early, or its first batch was never finished
+	CauseCorrupt Cause = "spoiled" // a checksum is wrong, or the structure of the database is
 )
 
-// Damaged is a copy that can't be read.
-type Damaged struct {
-	Path, Aside string // where it was, and where it is now; "": it could not be moved
-	Cause       Cause
-	Err         error
+// DamagedError reports a copy that can't be read.
+type DamagedError struct {
+	Path, MovedTo string // MovedTo is empty if the file could not be moved
+	Cause         Cause
+	Err           error
 }
 
 // Error implements the error interface.
-func (e *Damaged) Error() string {
-	return fmt.Sprintf("keep: %s is %s (%v): started empty%s", e.Path, e.Cause, e.Err, moved(e.Aside))
+func (e *DamagedError) Error() string {
+	return fmt.Sprintf("keep: %s is %s (%v): started empty%s", e.Path, e.Cause, e.Err, describeMove(e.MovedTo))
 }
 
 // Unwrap returns the cause.
-func (e *Damaged) Unwrap() error { return e.Err }
+func (e *DamagedError) Unwrap() error { return e.Err }
 
-// Kind is "keep-empty", "keep-torn" or "keep-spoiled".
-func (e *Damaged) Kind() string { return "keep-" + string(e.Cause) }
+// Kind returns "keep-empty", "keep-torn" or "keep-spoiled".
+func (e *DamagedError) Kind() string { return "keep-" + string(e.Cause) }
 
-// Hint is for operators.
-func (*Damaged) Hint() string {
-	return "nothing at once: the other routers feed this one; check the disk, and delete the file that was moved aside once nobody wants to look at it"
+// Hint implements operr.Error.
+func (*DamagedError) Hint() string {
+	return "no immediate action needed: the other routers send this one their state; check the disk, and delete the file that was moved aside once nobody needs to look at it"
 }
 
-// Foreign is a copy that another router wrote, or one of another cluster.
-type Foreign struct {
-	Path, Aside   string
-	Cluster, Name string // whose it is
+// ForeignError reports a copy that another router, or a router of another cluster, wrote.
+type ForeignError struct {
+	Path, MovedTo string // MovedTo is empty if the file could not be moved
+	Cluster, Name string // of the router that wrote it
 }
 
 // Error implements the error interface.
-func (e *Foreign) Error() string {
-	return fmt.Sprintf("keep: %s is of router %q of cluster %q: started empty%s", e.Path, e.Name, e.Cluster, moved(e.Aside))
+func (e *ForeignError) Error() string {
+	return fmt.Sprintf("keep: %s belongs to router %q of cluster %q: started empty%s", e.Path, e.Name, e.Cluster, describeMove(e.MovedTo))
 }
 
-// Kind is "keep-foreign".
-func (*Foreign) Kind() string { return "keep-foreign" }
+// Kind returns "keep-foreign".
+func (*ForeignError) Kind() string { return "keep-foreign" }
 
-// Hint is for operators.
-func (*Foreign) Hint() string {
-	return "give each router a directory of its own (members.keep.dir), and move the file that was moved aside back to the one whose it is"
+// Hint implements operr.Error.
+func (*ForeignError) Hint() string {
+	return "give each router a directory of its own (members.keep.dir), and move the file that was moved aside back to the router that it belongs to"
 }
 
-// Later is a copy in a format that this release does not know.
-type Later struct {
-	Path, Aside string
-	Format      uint16
+// NewerFormatError reports a copy in a format that this release does not know.
+type NewerFormatError struct {
+	Path, MovedTo string // MovedTo is empty if the file could not be moved
+	Format        uint16
 }
 
 // Error implements the error interface.
-func (e *Later) Error() string {
-	return fmt.Sprintf("keep: %s has format %d, known up to %d: started empty%s", e.Path, e.Format, format, moved(e.Aside))
+func (e *NewerFormatError) Error() string {
+	return fmt.Sprintf("keep: %s has format %d, but this release supports formats up to %d: started empty%s", e.Path, e.Format, format, describeMove(e.MovedTo))
 }
 
-// Kind is "keep-later".
-func (*Later) Kind() string { return "keep-later" }
+// Kind returns "keep-later".
+func (*NewerFormatError) Kind() string { return "keep-later" }
 
-// Hint is for operators.
-func (*Later) Hint() string {
-	return "start the later release again with the file moved back, or go on with this one: the other routers feed it"
+// Hint implements operr.Error.
+func (*NewerFormatError) Hint() string {
+	return "move the file back and start the newer release again, or continue with this release: the other routers send it their state"
 }
 
-// Old is a copy that is behind what the other routers have seen of this one: somebody put it back.
-type Old struct {
+// OutdatedError reports a copy that lacks entries that the other routers have seen from this router: somebody restored an
+// old file.
+type OutdatedError struct {
 	Path       string
-	Copy, Seen string // how far each goes
+	Copy, Seen string // the router's newest own entry in the copy, and the newest one that the other routers have seen
 }
 
 // Error implements the error interface.
-func (e *Old) Error() string {
-	return fmt.Sprintf("keep: %s goes to %s, the other routers have seen this one at %s: nothing in it counts until it is proven", e.Path, e.Copy, e.Seen)
+func (e *OutdatedError) Error() string {
+	return fmt.Sprintf("keep: the newest entry of this router in %s is %s, but the other routers have seen %s: its records are not used until they are confirmed", e.Path, e.Copy, e.Seen)
 }
 
-// Kind is "keep-old".
-func (*Old) Kind() string { return "keep-old" }
+// Kind returns "keep-old".
+func (*OutdatedError) Kind() string { return "keep-old" }
 
-// Hint is for operators.
-func (*Old) Hint() string {
-	return "nothing at once: the other routers feed this one; do not put copies of this directory back, an empty directory is better"
+// Hint implements operr.Error.
+func (*OutdatedError) Hint() string {
+	return "no immediate action needed: the other routers send this one their state; do not restore old copies of this directory, an empty directory is better"
 }
 
-// Locked is a directory that another process uses.
-type Locked struct {
+// LockedError reports a directory that another process uses.
+type LockedError struct {
 	Dir string
 	Err error
 }
 
 // Error implements the error interface.
-func (e *Locked) Error() string {
-	return fmt.Sprintf("keep: another process uses %s (%v): goes on without a copy", e.Dir, e.Err)
+func (e *LockedError) Error() string {
+	return fmt.Sprintf("keep: another process uses %s (%v): continues without a copy", e.Dir, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *Locked) Unwrap() error { return e.Err }
+func (e *LockedError) Unwrap() error { return e.Err }
 
-// Kind is "keep-locked".
-func (*Locked) Kind() string { return "keep-locked" }
+// Kind returns "keep-locked".
+func (*LockedError) Kind() string { return "keep-locked" }
 
-// Hint is for operators.
-func (*Locked) Hint() string {
+// Hint implements operr.Error.
+func (*LockedError) Hint() string {
 	return "end the other process, or give each router a directory of its own (members.keep.dir), and start this router again"
 }
 
-// ReadOnly is a directory in which nothing can be written.
-type ReadOnly struct {
+// ReadOnlyError reports a directory or file that can't be written.
+type ReadOnlyError struct {
 	Path string
 	Err  error
 }
 
 // Error implements the error interface.
-func (e *ReadOnly) Error() string {
-	return fmt.Sprintf("keep: nothing can be written at %s (%v): goes on with what could be read, and writes nothing", e.Path, e.Err)
+func (e *ReadOnlyError) Error() string {
+	return fmt.Sprintf("keep: %s is not writable (%v): continues with what could be read, and writes nothing", e.Path, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *ReadOnly) Unwrap() error { return e.Err }
+func (e *ReadOnlyError) Unwrap() error { return e.Err }
 
-// Kind is "keep-read-only".
-func (*ReadOnly) Kind() string { return "keep-read-only" }
+// Kind returns "keep-read-only".
+func (*ReadOnlyError) Kind() string { return "keep-read-only" }
 
-// Hint is for operators.
-func (*ReadOnly) Hint() string {
+// Hint implements operr.Error.
+func (*ReadOnlyError) Hint() string {
 	return "make the directory writable for the router's user (a disk with errors is often mounted read-only), and start this router again"
 }
 
-// Full is a disk, or a bound of the settings or of the system, that takes no more.
-type Full struct {
+// FullError reports that the disk is full, or that a limit of the settings or of the system is reached.
+type FullError struct {
 	Path string
 	Err  error
 }
 
 // Error implements the error interface.
-func (e *Full) Error() string {
-	return fmt.Sprintf("keep: no room for %s (%v): the last batch is not written and is tried again", e.Path, e.Err)
+func (e *FullError) Error() string {
+	return fmt.Sprintf("keep: no space left for %s (%v): the last batch is not written and will be retried", e.Path, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *Full) Unwrap() error { return e.Err }
+func (e *FullError) Unwrap() error { return e.Err }
 
-// Kind is "keep-full".
-func (*Full) Kind() string { return "keep-full" }
+// Kind returns "keep-full".
+func (*FullError) Kind() string { return "keep-full" }
 
-// Hint is for operators.
-func (*Full) Hint() string {
-	return "make room on the disk (the files that were moved aside may go), or raise members.keep.most_mb; writing goes on by itself"
+// Hint implements operr.Error.
+func (*FullError) Hint() string {
+	return "free space on the disk (the files that were moved aside may be deleted), or raise members.keep.most_mb; writing resumes by itself"
 }
 
-// Slow is a disk on which a batch takes long.
-type Slow struct {
+// SlowError reports a disk operation that takes too long.
+type SlowError struct {
 	Path    string
 	Elapsed time.Duration // so far
 }
 
 // Error implements the error interface.
-func (e *Slow) Error() string {
-	return fmt.Sprintf("keep: %s: a step has taken %v and is not done: what comes meanwhile waits, the newest of each key", e.Path, e.Elapsed.Round(time.Millisecond))
+func (e *SlowError) Error() string {
+	return fmt.Sprintf("keep: %s: a disk operation has not finished after %v: new records are queued, the newest of each key", e.Path, e.Elapsed.Round(time.Millisecond))
 }
 
-// Kind is "keep-slow".
-func (*Slow) Kind() string { return "keep-slow" }
+// Kind returns "keep-slow".
+func (*SlowError) Kind() string { return "keep-slow" }
 
-// Hint is for operators.
-func (*Slow) Hint() string {
-	return "nothing is held up by it; look at what else the disk does, or name a directory on another one (members.keep.dir)"
+// Hint implements operr.Error.
+func (*SlowError) Hint() string {
+	return "requests are not delayed by it; check what else uses the disk, or set members.keep.dir to a directory on another one"
 }
 
-// Behind is a queue that is full: the disk does not keep up with what comes.
-type Behind struct {
-	Path  string
-	LetGo uint64 // since the start
+// QueueFullError reports a full queue: records arrive faster than the disk writes them.
+type QueueFullError struct {
+	Path    string
+	Dropped uint64 // records since the process started
 }
 
 // Error implements the error interface.
-func (e *Behind) Error() string {
-	return fmt.Sprintf("keep: %s: the queue is full, %d records were let go so far: the copy lacks them until they change", e.Path, e.LetGo)
+func (e *QueueFullError) Error() string {
+	return fmt.Sprintf("keep: %s: the queue is full, %d records were dropped so far: the copy lacks them until they change", e.Path, e.Dropped)
 }
 
-// Kind is "keep-behind".
-func (*Behind) Kind() string { return "keep-behind" }
+// Kind returns "keep-behind".
+func (*QueueFullError) Kind() string { return "keep-behind" }
 
-// Hint is for operators.
-func (*Behind) Hint() string {
-	return "raise members.keep.queue_kb or fsyncs_per_s, or name a faster disk; after a restart the other routers make up for it"
+// Hint implements operr.Error.
+func (*QueueFullError) Hint() string {
+	return "raise members.keep.queue_kb or fsyncs_per_s, or use a faster disk; after a restart the other routers send the missing records"
 }
 
-// Crowded is a directory in which as many copies lie aside as are let.
-type Crowded struct {
+// TooManyMovedError reports a directory that already has the maximum number of copies that were moved aside.
+type TooManyMovedError struct {
 	Dir   string
 	Count int
-	Err   error // why one more was to be moved
+	Err   error // why another copy had to be moved
 }
 
 // Error implements the error interface.
-func (e *Crowded) Error() string {
-	return fmt.Sprintf("keep: %d copies lie aside in %s, and one more can't be used (%v): goes on without a copy", e.Count, e.Dir, e.Err)
+func (e *TooManyMovedError) Error() string {
+	return fmt.Sprintf("keep: %d copies were moved aside in %s already, and another one can't be used (%v): continues without a copy", e.Count, e.Dir, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *Crowded) Unwrap() error { return e.Err }
+func (e *TooManyMovedError) Unwrap() error { return e.Err }
 
-// Kind is "keep-crowded".
-func (*Crowded) Kind() string { return "keep-crowded" }
+// Kind returns "keep-crowded".
+func (*TooManyMovedError) Kind() string { return "keep-crowded" }
 
-// Hint is for operators.
-func (*Crowded) Hint() string {
-	return "find out why copies break (the disk, two routers with one directory), delete the files that lie aside, and start this router again"
+// Hint implements operr.Error.
+func (*TooManyMovedError) Hint() string {
+	return "find out why copies get damaged (the disk, two routers with one directory), delete the files that were moved aside, and start this router again"
 }
 
-// Clock is a wall's clock that was set back since the copy was written.
-type Clock struct {
+// ClockError reports a wall clock that was set back after the copy was written.
+type ClockError struct {
 	Path   string
-	Offset time.Duration // at least
+	Offset time.Duration // lower bound
 }
 
 // Error implements the error interface.
-func (e *Clock) Error() string {
-	return fmt.Sprintf("keep: %s was written %v after now: its records are at least as old as they were then, and nobody knows how much older", e.Path, e.Offset)
+func (e *ClockError) Error() string {
+	return fmt.Sprintf("keep: %s was written %v in the future: its records are at least as old as they were then, and how much older is unknown", e.Path, e.Offset)
 }
 
-// Kind is "keep-clock".
-func (*Clock) Kind() string { return "keep-clock" }
+// Kind returns "keep-clock".
+func (*ClockError) Kind() string { return "keep-clock" }
 
-// Hint is for operators.
-func (*Clock) Hint() string {
-	return "let the machine's clock be set before routers start; nothing to do for this start"
+// Hint implements operr.Error.
+func (*ClockError) Hint() string {
+	return "have the machine's clock set before routers start; no action needed for this start"
 }
 
-// Failed is anything else that the disk or the store said.
-type Failed struct {
-	Path, Doing string
-	Err         error
+// OperationError reports any other error of the disk or the database.
+type OperationError struct {
+	Path, Operation string
+	Err             error
 }
 
 // Error implements the error interface.
-func (e *Failed) Error() string {
-	return fmt.Sprintf("keep: %s: %s: %v: goes on without what was to be done", e.Path, e.Doing, e.Err)
+func (e *OperationError) Error() string {
+	return fmt.Sprintf("keep: %s: %s: %v: continues without this operation", e.Path, e.Operation, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *Failed) Unwrap() error { return e.Err }
+func (e *OperationError) Unwrap() error { return e.Err }
 
-// Kind is "keep-failed".
-func (*Failed) Kind() string { return "keep-failed" }
+// Kind returns "keep-failed".
+func (*OperationError) Kind() string { return "keep-failed" }
 
-// Hint is for operators.
-func (*Failed) Hint() string {
-	return "check that the directory is there, is the router's and its disk is sound, and start this router again"
+// Hint implements operr.Error.
+func (*OperationError) Hint() string {
+	return "check that the directory exists and belongs to the router's user, and that its disk has no errors, and start this router again"
 }
 
-func moved(aside string) string {
-	if aside == "" {
-		return ", it could not be moved aside"
+func describeMove(movedTo string) string {
+	if movedTo == "" {
+		return ", the file could not be moved aside"
 	}
-	return ", it lies at " + aside
+	return ", the file was moved to " + movedTo
 }
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -14,129 +14,131 @@
 	"lotushook/policy/persistence"
 )
 
-// open is the step that reads what the disk holds.
-func (k *Store) open() func() {
-	f, h, off, err := k.read()
+// open reads the copy on disk. It is the first disk operation of Run.
+func (s *Store) open() func() {
+	restored, header, disabled, err := s.read()
 	return func() {
-		k.mu.Lock()
-		k.found, k.off, k.head, k.start = f, off, h, err
-		k.mu.Unlock()
+		s.mu.Lock()
+		s.restored, s.disabled, s.header, s.loadError = restored, disabled, header, err
+		s.mu.Unlock()
 		if err != nil {
 			slog.Warn("keep", operr.Attrs(err)...)
 		}
-		if f.Boot != 0 {
-			slog.Info("keep: read", "path", k.path, "records", len(f.Records), "boot", f.Boot, "generation", f.Generation, "let_go", f.LetGo)
+		if restored.Epoch != 0 {
+			slog.Info("keep: copy read", "path", s.path, "records", len(restored.Records), "boot", restored.Epoch, "generation", restored.Generation, "let_go", restored.Dropped)
 		}
-		close(k.loaded)
+		close(s.loaded)
 	}
 }
 
-func (k *Store) read() (f Found, h head, off bool, trouble operr.Error) {
+// read locks the directory and reads the copy. disabled means that nothing may be written.
+func (s *Store) read() (restored Restored, header fileHeader, disabled bool, problem operr.Error) {
 	readOnly := operr.Error(nil)
-	err := os.MkdirAll(k.settings.Dir, 0o700)
+	err := os.MkdirAll(s.settings.Dir, 0o700)
 	if err == nil {
-		k.lock, err = k.settings.disk.lock(filepath.Join(k.settings.Dir, lockName))
+		s.lock, err = s.settings.disk.lock(filepath.Join(s.settings.Dir, lockName))
 	}
 	switch {
 	case err == nil:
-	case isTaken(err):
-		return f, h, true, &Locked{k.settings.Dir, err}
+	case isLocked(err):
+		return restored, header, true, &LockedError{s.settings.Dir, err}
 	case isReadOnly(err):
-		readOnly = &ReadOnly{k.settings.Dir, err}
+		readOnly = &ReadOnlyError{s.settings.Dir, err}
 	default:
-		return f, h, true, &Failed{k.settings.Dir, "lock the directory", err}
-	}
-	if f, h, trouble = k.use(readOnly != nil); trouble == nil {
-		trouble = readOnly
-	}
-	switch e := trouble.(type) {
-	case *ReadOnly, *Locked, *Crowded, *Failed:
-		off = true
-	case *Damaged:
-		off = e.Aside == "" // a new copy would take its place
-	case *Foreign:
-		off = e.Aside == ""
-	case *Later:
-		off = e.Aside == ""
-	}
-	return f, h, off || readOnly != nil, trouble
+		return restored, header, true, &OperationError{s.settings.Dir, "lock the directory", err}
+	}
+	if restored, header, problem = s.openCopy(readOnly != nil); problem == nil {
+		problem = readOnly
+	}
+	switch e := problem.(type) {
+	case *ReadOnlyError, *LockedError, *TooManyMovedError, *OperationError:
+		disabled = true
+	case *DamagedError:
+		disabled = e.MovedTo == "" // a new copy would overwrite the one that could not be moved
+	case *ForeignError:
+		disabled = e.MovedTo == ""
+	case *NewerFormatError:
+		disabled = e.MovedTo == ""
+	}
+	return restored, header, disabled || readOnly != nil, problem
 }
 
-// use reads the copy that is there, if there is one that can be used.
+// openCopy reads the existing copy, if there is one. A copy that can't be used is moved aside.
 //
 //nolint:funlen // to be split (docs/ROADMAP.md, readable code)
-func (k *Store) use(readOnly bool) (f Found, h head, trouble operr.Error) {
-	err := k.sound()
+func (s *Store) openCopy(readOnly bool) (restored Restored, header fileHeader, problem operr.Error) {
+	err := s.verify()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return f, h, nil
+		return restored, header, nil
 	case isReadOnly(err):
-		return f, h, &ReadOnly{k.path, err}
+		return restored, header, &ReadOnlyError{s.path, err}
 	case err != nil:
-		return f, h, k.aside(err)
+		return restored, header, s.moveDamagedAside(err)
 	}
-	s, err := k.settings.disk.open(k.path, k.settings.MaxBytes, readOnly)
+	opened, err := s.settings.disk.open(s.path, s.settings.MaxBytes, readOnly)
 	if isReadOnly(err) && !readOnly {
-		f, h, trouble = k.use(true)
-		if trouble == nil {
-			trouble = &ReadOnly{k.path, err}
+		restored, header, problem = s.openCopy(true)
+		if problem == nil {
+			problem = &ReadOnlyError{s.path, err}
 		}
-		return f, h, trouble
+		return restored, header, problem
 	}
 	switch {
-	case isTaken(err):
-		return f, h, &Locked{k.settings.Dir, err}
+	case isLocked(err):
+		return restored, header, &LockedError{s.settings.Dir, err}
 	case err != nil:
-		return f, h, k.aside(err)
+		return restored, header, s.moveDamagedAside(err)
 	}
-	now := k.settings.Wall()
-	var walls []int64
-	raw, sum, err := s.load(func(key, value []byte) error {
-		r, wall, err := parseRecord(key, value)
+	now := s.settings.Wall()
+	var writtenAt []int64 // by index into restored.Records
+	rawHeader, checksumSum, err := opened.load(func(key, value []byte) error {
+		record, recordWrittenAt, err := parseRecord(key, value)
 		if err == nil {
-			f.Records, walls = append(f.Records, r), append(walls, wall)
+			restored.Records, writtenAt = append(restored.Records, record), append(writtenAt, recordWrittenAt)
 		}
 		return err
 	})
 	if err == nil {
-		h, err = parseHead(raw)
+		header, err = parseHeader(rawHeader)
 	}
-	if err == nil && h.format == format && h.sum != sum {
-		err = errSum
+	if err == nil && header.format == format && header.checksumSum != checksumSum {
+		err = errChecksum
 	}
-	if err == nil && h.format > format {
-		s.close()
-		return Found{}, head{}, k.asideAs(&Later{Path: k.path, Format: h.format})
+	if err == nil && header.format > format {
+		opened.close()
+		return Restored{}, fileHeader{}, s.moveAside(&NewerFormatError{Path: s.path, Format: header.format})
 	}
-	if err == nil && (h.cluster != k.settings.Cluster || h.name != k.settings.Name) {
-		s.close()
-		return Found{}, head{}, k.asideAs(&Foreign{Path: k.path, Cluster: h.cluster, Name: h.name})
+	if err == nil && (header.cluster != s.settings.Cluster || header.name != s.settings.Name) {
+		opened.close()
+		return Restored{}, fileHeader{}, s.moveAside(&ForeignError{Path: s.path, Cluster: header.cluster, Name: header.name})
 	}
 	if err != nil {
-		s.close()
-		return Found{}, head{}, k.aside(err)
-	}
-	kept := f.Records[:0]
-	for i, r := range f.Records {
-		r.Age, r.MinAgeOnly = persistence.AgeNow(r.Age, walls[i], h.wall, now)
-		if w := k.settings.Windows[r.Kind]; w == 0 || r.Age < w {
-			kept = append(kept, r)
+		opened.close()
+		return Restored{}, fileHeader{}, s.moveDamagedAside(err)
+	}
+	unexpired := restored.Records[:0]
+	for i, record := range restored.Records {
+		record.Age, record.MinAgeOnly = persistence.AgeNow(record.Age, writtenAt[i], header.writtenAt, now)
+		if maxAge := s.settings.Retention[record.Kind]; maxAge == 0 || record.Age < maxAge {
+			unexpired = append(unexpired, record)
 		}
 	}
-	f = Found{kept, h.boot, h.generation, h.letGo}
-	if now < h.wall {
-		trouble = &Clock{k.path, time.Duration(h.wall - now)}
+	restored = Restored{unexpired, header.epoch, header.generation, header.dropped}
+	if now < header.writtenAt {
+		problem = &ClockError{s.path, time.Duration(header.writtenAt - now)}
 	}
 	if readOnly {
-		s.close()
+		opened.close()
 	} else {
-		k.engine = s
+		s.engine = opened
 	}
-	return f, h, trouble
+	return restored, header, problem
 }
 
-func (k *Store) sound() error {
-	file, err := os.Open(k.path)
+// verify checks the structure of the file before bbolt opens it.
+func (s *Store) verify() error {
+	file, err := os.Open(s.path)
 	if err != nil {
 		return err
 	}
@@ -148,55 +150,56 @@
 	if info.Size() == 0 {
 		return errEmpty
 	}
-	return sound(file, info.Size())
+	return verifyFile(file, info.Size())
 }
 
 var errEmpty = errors.New("0 bytes")
 
-func (k *Store) aside(err error) operr.Error {
-	e := &Damaged{Path: k.path, Cause: Corrupt, Err: err}
+func (s *Store) moveDamagedAside(err error) operr.Error {
+	damaged := &DamagedError{Path: s.path, Cause: CauseCorrupt, Err: err}
 	switch {
 	case errors.Is(err, errEmpty):
-		e.Cause = Empty
-	case errors.Is(err, errTorn), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, errNoHead):
-		e.Cause = Torn
+		damaged.Cause = CauseEmpty
+	case errors.Is(err, errTorn), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, errNoHeader):
+		damaged.Cause = CauseTorn
 	}
-	return k.asideAs(e)
+	return s.moveAside(damaged)
 }
 
-// asideAs moves a copy that can't be used out of the way, if not too many lie there.
-func (k *Store) asideAs(e operr.Error) operr.Error {
+// moveAside renames a copy that can't be used, unless maxMovedAside copies were moved aside already. It returns problem with
+// the new path set, or the error that prevented the move.
+func (s *Store) moveAside(problem operr.Error) operr.Error {
 	for n := 1; n <= maxMovedAside; n++ {
-		to := fmt.Sprintf("%s.aside-%d", k.path, n)
-		if _, err := os.Lstat(to); err == nil {
+		newPath := fmt.Sprintf("%s.aside-%d", s.path, n)
+		if _, err := os.Lstat(newPath); err == nil {
 			continue
 		}
-		if err := os.Rename(k.path, to); err != nil {
+		if err := os.Rename(s.path, newPath); err != nil {
 			if isReadOnly(err) {
-				return e // it says that it lies where it was; the lock failed as well
+				return problem // it says that the file was not moved; the directory's lock failed as well
 			}
-			return &Failed{k.path, "move it aside", errors.Join(err, e)}
+			return &OperationError{s.path, "move it aside", errors.Join(err, problem)}
 		}
-		switch e := e.(type) {
-		case *Damaged:
-			e.Aside = to
-		case *Foreign:
-			e.Aside = to
-		case *Later:
-			e.Aside = to
+		switch e := problem.(type) {
+		case *DamagedError:
+			e.MovedTo = newPath
+		case *ForeignError:
+			e.MovedTo = newPath
+		case *NewerFormatError:
+			e.MovedTo = newPath
 		}
-		return e
+		return problem
 	}
-	return &Crowded{k.settings.Dir, maxMovedAside, e}
+	return &TooManyMovedError{s.settings.Dir, maxMovedAside, problem}
 }
 
-// close is the last step.
-func (k *Store) close() func() {
-	if k.engine != nil {
-		k.engine.close()
+// close closes the database and unlocks the directory. It is the last disk operation of Run.
+func (s *Store) close() func() {
+	if s.engine != nil {
+		s.engine.close()
 	}
-	if k.lock != nil {
-		k.lock.Close()
+	if s.lock != nil {
+		s.lock.Close()
 	}
 	return func() {}
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -17,110 +17,111 @@
 )
 
 var (
-	errSum   = errors.New("a checksum is wrong")
-	errShort = errors.New("a record is shorter than it says")
+	errChecksum = errors.New("a checksum is wrong")
+	errShort    = errors.New("the data is shorter than its length fields say")
 )
 
-// sum goes on with a checksum. Its table is made at the first call: a router without a copy has none.
-func sum(so uint32, b []byte) uint32 { return crc32.Update(so, crc32.MakeTable(crc32.Castagnoli), b) }
+// crc extends the CRC-32C checksum sum by b. The table is created at the first call, because a router without a copy needs none.
+func crc(sum uint32, b []byte) uint32 { return crc32.Update(sum, crc32.MakeTable(crc32.Castagnoli), b) }
 
-// head is what a copy says of itself. It is written with each batch.
-type head struct {
+// fileHeader describes a copy. It is written with each batch.
+type fileHeader struct {
 	format        uint16
 	cluster, name string
-	boot          uint64 // of the process that wrote it
-	generation    uint64 // batches since the copy was begun, over all boots
-	wall          int64  // Unix time when it was written, in nanoseconds
-	letGo         uint64 // records that boot could not keep
-	sum           uint64 // over all records: a page that is of another batch is noticed, though all in it is sound
+	epoch         uint64 // of the process that wrote it
+	generation    uint64 // batches since the copy was created, over all processes
+	writtenAt     int64  // Unix time in nanoseconds
+	dropped       uint64 // records that this process could not store or had to evict
+	checksumSum   uint64 // sum of the record checksums: detects a valid page that belongs to another batch
 }
 
-// sealed adds a checksum; opened takes it off again.
-func sealed(raw []byte) []byte {
-	return binary.LittleEndian.AppendUint32(raw, sum(0, raw))
+// appendChecksum appends a checksum; trimChecksum verifies and removes it.
+func appendChecksum(raw []byte) []byte {
+	return binary.LittleEndian.AppendUint32(raw, crc(0, raw))
 }
 
-func opened(raw []byte) ([]byte, error) {
+func trimChecksum(raw []byte) ([]byte, error) {
 	if len(raw) < 4 {
 		return nil, errShort
 	}
 	body := raw[:len(raw)-4]
-	if binary.LittleEndian.Uint32(raw[len(body):]) != sum(0, body) {
-		return nil, errSum
+	if binary.LittleEndian.Uint32(raw[len(body):]) != crc(0, body) {
+		return nil, errChecksum
 	}
 	return body, nil
 }
 
-func (h *head) append(out []byte) []byte {
+func (h *fileHeader) append(out []byte) []byte {
 	out = binary.LittleEndian.AppendUint16(append(out, magic...), h.format)
 	for _, text := range []string{h.cluster, h.name} {
 		out = append(append(out, byte(len(text))), text...)
 	}
-	for _, n := range []uint64{h.boot, h.generation, uint64(h.wall), h.letGo, h.sum} {
-		out = binary.LittleEndian.AppendUint64(out, n)
+	for _, number := range []uint64{h.epoch, h.generation, uint64(h.writtenAt), h.dropped, h.checksumSum} {
+		out = binary.LittleEndian.AppendUint64(out, number)
 	}
-	return sealed(out)
+	return appendChecksum(out)
 }
 
-// parseHead reads a head; of a later format only which one it is.
-func parseHead(raw []byte) (h head, err error) {
-	b, err := opened(raw)
+// parseHeader reads a header. Of a newer format it reads only the format number.
+func parseHeader(raw []byte) (header fileHeader, err error) {
+	rest, err := trimChecksum(raw)
 	if err != nil {
-		return h, err
+		return header, err
 	}
-	if len(b) < len(magic)+2 || string(b[:len(magic)]) != magic {
-		return h, errors.New("the head is not one")
+	if len(rest) < len(magic)+2 || string(rest[:len(magic)]) != magic {
+		return header, errors.New("the header has a wrong magic number")
 	}
-	b = b[len(magic):]
-	if h.format = binary.LittleEndian.Uint16(b); h.format > format {
-		return h, nil
+	rest = rest[len(magic):]
+	if header.format = binary.LittleEndian.Uint16(rest); header.format > format {
+		return header, nil
 	}
-	b = b[2:]
-	for _, text := range []*string{&h.cluster, &h.name} {
-		if len(b) == 0 || len(b) <= int(b[0]) {
-			return h, errShort
+	rest = rest[2:]
+	for _, text := range []*string{&header.cluster, &header.name} {
+		if len(rest) == 0 || len(rest) <= int(rest[0]) {
+			return header, errShort
 		}
-		*text, b = string(b[1:1+b[0]]), b[1+int(b[0]):]
+		*text, rest = string(rest[1:1+rest[0]]), rest[1+int(rest[0]):]
 	}
-	if len(b) != 40 {
-		return h, errShort
+	if len(rest) != 40 {
+		return header, errShort
 	}
-	h.boot, h.generation = binary.LittleEndian.Uint64(b), binary.LittleEndian.Uint64(b[8:])
-	h.wall, h.letGo = int64(binary.LittleEndian.Uint64(b[16:])), binary.LittleEndian.Uint64(b[24:])
-	h.sum = binary.LittleEndian.Uint64(b[32:])
-	return h, nil
+	header.epoch, header.generation = binary.LittleEndian.Uint64(rest), binary.LittleEndian.Uint64(rest[8:])
+	header.writtenAt, header.dropped = int64(binary.LittleEndian.Uint64(rest[16:])), binary.LittleEndian.Uint64(rest[24:])
+	header.checksumSum = binary.LittleEndian.Uint64(rest[32:])
+	return header, nil
 }
 
-// key is a record's key in the store; appendRecord is its value: the wall's clock when it was written, its age then, its own
-// value, and a checksum over these and the key.
-func key(r *persistence.Record) []byte { return append([]byte{r.Kind}, r.Key...) }
+// recordKey returns a record's key in the database.
+func recordKey(record *persistence.Record) []byte { return append([]byte{record.Kind}, record.Key...) }
 
-func appendRecord(r *persistence.Record, wall int64) []byte {
-	out := make([]byte, 0, 20+len(r.Value))
-	out = binary.LittleEndian.AppendUint64(out, uint64(wall))
-	out = binary.LittleEndian.AppendUint64(out, uint64(r.Age))
-	out = append(out, r.Value...)
-	return binary.LittleEndian.AppendUint32(out, sum(sum(0, out), key(r)))
+// encodeRecord returns a record's value in the database: the wall-clock time of the write, the record's age at that time,
+// its own value, and a checksum over these and the key.
+func encodeRecord(record *persistence.Record, writtenAt int64) []byte {
+	out := make([]byte, 0, 20+len(record.Value))
+	out = binary.LittleEndian.AppendUint64(out, uint64(writtenAt))
+	out = binary.LittleEndian.AppendUint64(out, uint64(record.Age))
+	out = append(out, record.Value...)
+	return binary.LittleEndian.AppendUint32(out, crc(crc(0, out), recordKey(record)))
 }
 
-// sumOf is a record's part of the sum in the head.
-func sumOf(v []byte) uint64 {
-	if len(v) < 4 {
+// storedChecksum returns the checksum at the end of an encoded record. The header stores the sum of these.
+func storedChecksum(value []byte) uint64 {
+	if len(value) < 4 {
 		return 0
 	}
-	return uint64(binary.LittleEndian.Uint32(v[len(v)-4:]))
+	return uint64(binary.LittleEndian.Uint32(value[len(value)-4:]))
 }
 
-// parseRecord reads a record that was written at a wall's time. What it returns is a copy.
-func parseRecord(k, v []byte) (r persistence.Record, wall int64, err error) {
-	if len(k) < 1 || len(v) < 20 {
-		return r, 0, errShort
+// parseRecord decodes a record and the wall-clock time at which it was written. The returned record is a copy.
+func parseRecord(key, value []byte) (record persistence.Record, writtenAt int64, err error) {
+	if len(key) < 1 || len(value) < 20 {
+		return record, 0, errShort
 	}
-	body := v[:len(v)-4]
-	if sum(sum(0, body), k) != binary.LittleEndian.Uint32(v[len(body):]) {
-		return r, 0, errSum
+	body := value[:len(value)-4]
+	if crc(crc(0, body), key) != binary.LittleEndian.Uint32(value[len(body):]) {
+		return record, 0, errChecksum
 	}
-	wall = int64(binary.LittleEndian.Uint64(body))
-	return persistence.Record{Kind: k[0], Key: append([]byte(nil), k[1:]...), Value: append([]byte(nil), body[16:]...),
-		Age: int64(binary.LittleEndian.Uint64(body[8:]))}, wall, nil
+	writtenAt = int64(binary.LittleEndian.Uint64(body))
+	return persistence.Record{Kind: key[0], Key: append([]byte(nil), key[1:]...), Value: append([]byte(nil), body[16:]...),
+		Age: int64(binary.LittleEndian.Uint64(body[8:]))}, writtenAt, nil
 }
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -8,51 +8,51 @@
 	"lotushook/policy/persistence"
 )
 
-// Report is the operators' report of a copy.
+// Report describes a store to operators.
 type Report struct {
-	Path       string             `json:"path"`
-	Writes     bool               `json:"writes"` // false: not read yet, or without a copy
-	Boot       uint64             `json:"boot"`   // of the last writer
-	Generation uint64             `json:"generation"`
-	Bytes      int64              `json:"bytes"`   // of the file
-	Waiting    int                `json:"waiting"` // in bytes, including the batch in progress
-	Swept      uint64             `json:"swept"`   // records dropped for lack of room in the file
-	Counts     persistence.Counts `json:"counts"`
-	Trouble    string             `json:"trouble,omitempty"`
-	ErrorKind  string             `json:"error_kind,omitempty"`
-	Hint       string             `json:"remedy,omitempty"`
+	Path         string             `json:"path"`
+	Writable     bool               `json:"writes"` // false before the copy is read, and while the router runs without a copy
+	Epoch        uint64             `json:"boot"`   // of the process that wrote last
+	Generation   uint64             `json:"generation"`
+	FileBytes    int64              `json:"bytes"`
+	PendingBytes int                `json:"waiting"` // queued records and the batch in flight
+	Evicted      uint64             `json:"swept"`   // older records deleted to stay within the file's size limit
+	Counts       persistence.Counts `json:"counts"`
+	Problem      string             `json:"trouble,omitempty"`
+	ErrorKind    string             `json:"error_kind,omitempty"`
+	Hint         string             `json:"remedy,omitempty"`
 }
 
-// Report returns the present report; nil of a nil copy.
-func (k *Store) Report() *Report {
-	if k == nil {
+// Report returns the current report, or nil for a nil Store.
+func (s *Store) Report() *Report {
+	if s == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := &Report{Path: k.path, Writes: !k.off, Boot: k.head.boot, Generation: k.head.generation, Bytes: k.size, Swept: k.swept, Counts: k.queue.Counts()}
-	_, r.Waiting = k.queue.Bytes()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	report := &Report{Path: s.path, Writable: !s.disabled, Epoch: s.header.epoch, Generation: s.header.generation, FileBytes: s.fileBytes, Evicted: s.evicted, Counts: s.queue.Counts()}
+	_, report.PendingBytes = s.queue.Bytes()
 	select {
-	case <-k.loaded:
+	case <-s.loaded:
 	default:
-		r.Writes = false
+		report.Writable = false
 	}
-	if e := cmp.Or(k.trouble, k.start); e != nil {
-		r.Trouble, r.ErrorKind, r.Hint = e.Error(), e.Kind(), e.Hint()
+	if e := cmp.Or(s.problem, s.loadError); e != nil {
+		report.Problem, report.ErrorKind, report.Hint = e.Error(), e.Kind(), e.Hint()
 	}
-	return r
+	return report
 }
 
-// note stores the present error for reports, and logs it once while it lasts; nil: it is over. An error that ended the writing
-// for good stays.
-func (k *Store) note(e operr.Error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if e == nil && k.off {
+// setProblem stores the current error for reports, and logs it once while its kind lasts. nil clears it, except for an error
+// that stopped writing for good.
+func (s *Store) setProblem(problem operr.Error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if problem == nil && s.disabled {
 		return
 	}
-	if e != nil && (k.trouble == nil || k.trouble.Kind() != e.Kind()) {
-		slog.Warn("keep", operr.Attrs(e)...)
+	if problem != nil && (s.problem == nil || s.problem.Kind() != problem.Kind()) {
+		slog.Warn("keep", operr.Attrs(problem)...)
 	}
-	k.trouble = e
+	s.problem = problem
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,11 @@
-// Package store is a router's copy of the replicated state on its own disk: records of a kind, a key, a value and an age, which
-// are restored after a start. Their meaning is the caller's, and which records wait for a batch and how old a
-// restored record is is decided in policy/persistence.
+// Package store persists a router's replicated state on its own disk, as records of a kind, a key, a value and an age, and
+// restores them after a restart. The caller defines what the records mean; policy/persistence decides which records wait for
+// a batch and how old a restored record is.
 //
-// Callers never wait for the disk: records are put into a queue of bounded size, and one goroutine writes
-// batches from it into a bbolt file. A copy that can't be used is moved aside, at most so many times, and never deleted; the
-// router then goes on without it and reports what can be done. Whether a record is confirmed is not known here: see policy/trust.
+// Callers never wait for the disk: records are put into a queue of bounded size, and one goroutine writes batches from it
+// into a bbolt file, the copy. A copy that can't be used is never deleted but moved aside, at most maxMovedAside times;
+// after that the router runs without a copy and reports what the operator can do. Whether other routers have confirmed a
+// restored record is tracked in policy/trust.
 package store
 
 import (
@@ -22,166 +23,168 @@
 )
 
 const (
-	fileName      = "keep.db"
-	lockName      = "lock"
-	maxMovedAside = 4
-	slowAfter     = time.Second // a slower step is reported
-	lastFor       = time.Second // time for the last batch at the end
+	fileName         = "keep.db"
+	lockName         = "lock"
+	maxMovedAside    = 4
+	slowAfter        = time.Second // a disk operation that takes longer is reported
+	finalBatchPeriod = time.Second // time for the final batch after the context ends
 )
 
-// Settings are the settings of a copy.
+// Settings are the settings of a Store.
 type Settings struct {
 	Dir           string // created if missing
-	MaxBytes      int64  // bytes of the file; records take up to a quarter of it
-	Cluster, Name string // its owner
-	Boot          uint64 // of this process
+	MaxBytes      int64  // maximum file size; records use at most a sixth of it
+	Cluster, Name string // of this router
+	Epoch         uint64 // of this process
 	Queue         persistence.Settings
-	Windows       [256]clock.Nanos   // by kind: older ones are dropped; 0: they stay
-	Now           func() clock.Nanos // a monotonic clock; its value is not written
-	Wall          func() int64       // Unix time in nanoseconds, as the system has it now
+	Retention     [256]clock.Nanos   // maximum age of records by kind; 0: no maximum
+	Now           func() clock.Nanos // a monotonic clock, whose readings are not written to disk
+	Wall          func() int64       // the system's wall clock, as Unix time in nanoseconds
 
 	disk disk
 }
 
-// Found is the content of a copy.
-type Found struct {
+// Restored is the content of a copy.
+type Restored struct {
 	Records    []persistence.Record
-	Boot       uint64 // of the process that wrote last; 0: there was no copy
+	Epoch      uint64 // of the process that wrote last; 0: there was no copy
 	Generation uint64
-	LetGo      uint64 // records that process could not store: where it is not 0 the copy has gaps beside the last batch
+	Dropped    uint64 // records that this process could not store; if above 0, the copy lacks more than the last batch
 }
 
-// Store is a copy. A nil Store stores nothing. Put, Generation and Report are safe for concurrent use.
+// Store is a copy on disk. A nil Store stores nothing. Put, Generation and Report are safe for concurrent use.
 type Store struct {
 	settings Settings
 	path     string
 	wake     chan struct{}
 	loaded   chan struct{}
 
-	mu      sync.Mutex // never held while the disk is used
-	queue   *persistence.Queue
-	found   Found
-	off     bool // nothing is written any more
-	head    head // as last written
-	swept   uint64
-	size    int64
-	start   operr.Error // what was wrong with the copy at the start; nil: nothing
-	trouble operr.Error // what is wrong now; nil: nothing
-	failing bool        // the last batch is not written
-	lost    uint64      // dropped records as last reported
+	mu              sync.Mutex // never held during a disk operation
+	queue           *persistence.Queue
+	restored        Restored
+	disabled        bool       // nothing is written any more
+	header          fileHeader // as last written
+	evicted         uint64
+	fileBytes       int64
+	loadError       operr.Error // what was wrong with the copy when it was read; nil: nothing
+	problem         operr.Error // what is wrong now; nil: nothing
+	failing         bool        // the last batch failed
+	reportedDropped uint64      // the count of dropped records as last reported
 
-	// Owned by the writing goroutine.
+	// Owned by the goroutine that runs the disk operations.
 	engine engine
 	lock   io.Closer
 }
 
-// New returns a copy that Run opens.
-func New(s Settings) (*Store, error) {
-	if s.Dir == "" || s.MaxBytes < 1<<18 || s.Name == "" || max(len(s.Name), len(s.Cluster)) > maxNameBytes || s.Now == nil || s.Wall == nil {
-		return nil, errors.New("keep: Dir, Most, Name, Cluster, Now or Wall: missing or out of range")
+// New returns a store whose copy Run opens.
+func New(settings Settings) (*Store, error) {
+	if settings.Dir == "" || settings.MaxBytes < 1<<18 || settings.Name == "" || max(len(settings.Name), len(settings.Cluster)) > maxNameBytes || settings.Now == nil || settings.Wall == nil {
+		return nil, errors.New("keep: Dir, MaxBytes, Name, Cluster, Now or Wall is missing or out of range")
 	}
-	q, err := persistence.New(s.Queue)
+	queue, err := persistence.New(settings.Queue)
 	if err != nil {
 		return nil, err
 	}
-	if s.disk == nil {
-		s.disk = osDisk{s.Windows}
+	if settings.disk == nil {
+		settings.disk = osDisk{settings.Retention}
 	}
-	return &Store{settings: s, path: filepath.Join(s.Dir, fileName), queue: q, wake: make(chan struct{}, 1), loaded: make(chan struct{})}, nil
+	return &Store{settings: settings, path: filepath.Join(settings.Dir, fileName), queue: queue, wake: make(chan struct{}, 1), loaded: make(chan struct{})}, nil
 }
 
-// Put stores a record, in place of the one of its kind and key. It never waits for the disk. Dropped records are counted.
-func (k *Store) Put(r persistence.Record) {
-	if k == nil || r.Kind == 0 || len(r.Key) > maxKeyBytes || len(r.Value) > maxValueBytes {
+// Put queues a record to replace the stored one of its kind and key. It never waits for the disk. Records that a full queue
+// drops are counted; a record without a kind, or with a key or value that is too long, is ignored.
+func (s *Store) Put(record persistence.Record) {
+	if s == nil || record.Kind == 0 || len(record.Key) > maxKeyBytes || len(record.Value) > maxValueBytes {
 		return
 	}
-	k.mu.Lock()
-	if !k.off {
-		k.queue.Put(k.settings.Now(), r)
+	s.mu.Lock()
+	if !s.disabled {
+		s.queue.Put(s.settings.Now(), record)
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Loaded is closed once the copy was read, or could not be.
-func (k *Store) Loaded() <-chan struct{} { return k.loaded }
+// Loaded returns a channel that is closed once the copy was read, or could not be.
+func (s *Store) Loaded() <-chan struct{} { return s.loaded }
 
-// Found returns the content of the copy, once; nothing before Loaded.
-func (k *Store) Found() Found {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	f := k.found
-	k.found.Records = nil
-	return f
+// TakeRestored returns the content of the copy. It returns no records before Loaded, and the records only once.
+func (s *Store) TakeRestored() Restored {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	restored := s.restored
+	s.restored.Records = nil
+	return restored
 }
 
-// Generation is how many batches the copy has had over all processes, and which process wrote the last. It rises by one a
-// batch: a copy that is behind what a peer remembers of it was put back (trust.CompareCopy).
-func (k *Store) Generation() (boot, generation uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.head.boot, k.head.generation
+// Generation returns the number of batches written to the copy, over all processes, and the epoch of the process that wrote
+// the last one. A copy with a lower generation than another router remembers is an old file that somebody restored
+// (trust.CompareCopy).
+func (s *Store) Generation() (epoch, generation uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.header.epoch, s.header.generation
 }
 
-// Run reads the copy, and writes records until the context ends, and once more then. The disk's steps run on another
-// goroutine: one that hangs is reported after a second, and at the end has a second before it is abandoned.
-func (k *Store) Run(ctx context.Context) {
-	jobs, done := make(chan func() func(), 1), make(chan func(), 1) // one at a time: neither side ever waits to send
+// Run reads the copy, writes records until the context ends, and then writes a final batch. Disk operations run on another
+// goroutine: one that takes longer than a second is reported, and after the context ends Run waits at most another second.
+func (s *Store) Run(ctx context.Context) {
+	operations, done := make(chan func() func(), 1), make(chan func(), 1) // one at a time, so that no send blocks
 	go func() {
-		for job := range jobs {
-			done <- job()
+		for operation := range operations {
+			done <- operation()
 		}
 	}()
-	defer close(jobs)
-	began, busy, slow := time.Now(), true, false
-	jobs <- k.open
-	var leave <-chan time.Time
-	ending, closing := ctx.Done(), false
+	defer close(operations)
+	startedAt, busy, slow := time.Now(), true, false
+	operations <- s.open
+	var deadline <-chan time.Time // not nil once the context has ended
+	ctxDone, closing := ctx.Done(), false
 	timer := time.NewTimer(slowAfter)
 	defer timer.Stop()
 	for {
 		wait := time.Hour
 		if busy {
 			if !slow {
-				wait = time.Until(began.Add(slowAfter))
+				wait = time.Until(startedAt.Add(slowAfter))
 			}
 		} else if closing {
 			return
-		} else if at, ok := k.due(leave != nil); ok {
-			wait = time.Duration(at - k.settings.Now())
+		} else if dueAt, ok := s.due(deadline != nil); ok {
+			wait = time.Duration(dueAt - s.settings.Now())
 		}
 		if !busy && wait <= 0 {
-			began, busy = time.Now(), true
-			jobs <- k.batch()
+			startedAt, busy = time.Now(), true
+			operations <- s.batch()
 			continue
 		}
-		if leave != nil && !busy {
-			began, busy, closing = time.Now(), true, true
-			jobs <- k.close
+		if deadline != nil && !busy {
+			startedAt, busy, closing = time.Now(), true, true
+			operations <- s.close
 			continue
 		}
 		timer.Reset(max(0, wait))
 		select {
-		case f := <-done:
+		case finish := <-done:
 			if slow {
-				slog.Info("keep: the disk goes on", "path", k.path, "took", time.Since(began))
-				k.note(nil)
+				slog.Info("keep: the slow disk operation has finished", "path", s.path, "took", time.Since(startedAt))
+				s.setProblem(nil)
 			}
 			busy, slow = false, false
-			f()
+			finish()
 		case <-timer.C:
-			if busy && !slow && time.Since(began) >= slowAfter {
+			if busy && !slow && time.Since(startedAt) >= slowAfter {
 				slow = true
-				k.note(&Slow{k.path, time.Since(began)})
+				s.setProblem(&SlowError{s.path, time.Since(startedAt)})
 			}
-		case <-k.wake:
-		case <-ending:
-			ending, leave = nil, time.After(lastFor)
-		case <-leave:
-			k.note(&Slow{k.path, time.Since(began)})
+		case <-s.wake:
+		case <-ctxDone:
+			ctxDone, deadline = nil, time.After(finalBatchPeriod)
+		case <-deadline:
+			s.setProblem(&SlowError{s.path, time.Since(startedAt)})
 			return
 		}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -21,445 +21,450 @@
 	"lotushook/policy/persistence"
 )
 
-var began = time.Now()
+var processStart = time.Now()
 
-func settings(dir string) Settings {
-	q := persistence.DefaultSettings()
-	q.FsyncsPerSecond, q.RetryBackoff = 1000, 1e6
-	return Settings{Dir: dir, MaxBytes: 1 << 20, Cluster: "x", Name: "n0", Boot: 7, Queue: q, Now: func() int64 { return int64(time.Since(began)) },
+func testSettings(dir string) Settings {
+	queue := persistence.DefaultSettings()
+	queue.FsyncsPerSecond, queue.RetryBackoff = 1000, 1e6
+	return Settings{Dir: dir, MaxBytes: 1 << 20, Cluster: "x", Name: "n0", Epoch: 7, Queue: queue, Now: func() int64 { return int64(time.Since(processStart)) },
 		Wall: func() int64 { return time.Now().UnixNano() }}
 }
 
-// run starts a copy; stop ends it and waits.
-func run(tb testing.TB, s Settings) (k *Store, stop func()) {
+// start runs a store; stop ends its context and waits for Run.
+func start(tb testing.TB, settings Settings) (store *Store, stop func()) {
 	tb.Helper()
-	k, err := New(s)
+	store, err := New(settings)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { k.Run(ctx); close(done) }()
+	go func() { store.Run(ctx); close(done) }()
 	stop = func() { cancel(); <-done }
 	tb.Cleanup(stop)
-	return k, stop
+	return store, stop
 }
 
-func until(tb testing.TB, what string, is func() bool) {
+func waitFor(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			tb.Fatalf("not in 20 s: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			tb.Fatalf("not within 20 s: %s", what)
 		}
 	}
 }
 
-func (k *Store) written() bool {
-	r := k.Report()
-	return r.Waiting == 0 && r.Counts.Batches > 0
+func (s *Store) allWritten() bool {
+	report := s.Report()
+	return report.PendingBytes == 0 && report.Counts.Batches > 0
 }
 
-func record(key, value string) persistence.Record {
+func newRecord(key, value string) persistence.Record {
 	return persistence.Record{Kind: 1, Key: []byte(key), Value: []byte(value)}
 }
 
-func fill(tb testing.TB, s Settings, records map[string]string) {
+// writeCopy writes records with a store that runs only for this.
+func writeCopy(tb testing.TB, settings Settings, records map[string]string) {
 	tb.Helper()
-	k, stop := run(tb, s)
-	<-k.Loaded()
+	store, stop := start(tb, settings)
+	<-store.Loaded()
 	for key, value := range records {
-		k.Put(record(key, value))
+		store.Put(newRecord(key, value))
 	}
-	stop() // what waits is written at the end
+	stop() // the final batch writes all queued records
 }
 
-// read opens a copy as Run does, and returns what it held and what was wrong.
-func read(tb testing.TB, s Settings) (map[string]string, *Report) {
+// readCopy opens a copy with Run, and returns the restored values by key and the report.
+func readCopy(tb testing.TB, settings Settings) (map[string]string, *Report) {
 	tb.Helper()
-	k, stop := run(tb, s)
+	store, stop := start(tb, settings)
 	defer stop()
-	<-k.Loaded()
-	return texts(k.Found()), k.Report()
+	<-store.Loaded()
+	return values(store.TakeRestored()), store.Report()
 }
 
-func texts(f Found) map[string]string {
+// values returns the values of restored records by key.
+func values(restored Restored) map[string]string {
 	out := map[string]string{}
-	for _, r := range f.Records {
-		out[string(r.Key)] = string(r.Value)
+	for _, record := range restored.Records {
+		out[string(record.Key)] = string(record.Value)
 	}
 	return out
 }
 
-func many(from, n int) map[string]string {
+func numberedRecords(from, count int) map[string]string {
 	out := map[string]string{}
-	for i := from; i < from+n; i++ {
+	for i := from; i < from+count; i++ {
 		out[fmt.Sprintf("key-%04d", i)] = strings.Repeat("v", i%60)
 	}
 	return out
 }
 
-// What was put comes back after the process has ended, older by what has passed, and goes on under one generation.
-func TestComesBack(t *testing.T) {
+// After a restart the records are restored, older by the elapsed wall-clock time, and the generation continues. Expired
+// records are not restored, and ages are lower bounds if the clock was set back.
+func TestRestore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	s := settings(dir)
+	settings := testSettings(dir)
 	wall := int64(1e18)
-	s.Wall = func() int64 { return wall }
-	want := many(0, 500)
-	fill(t, s, want)
-	wall, s.Boot = wall+3600e9, 8
-	s.Windows[2] = 30e9
-	k, stop := run(t, s)
-	<-k.Loaded()
-	f := k.Found()
-	if got := texts(f); !maps.Equal(got, want) || f.Boot != 7 || f.Generation == 0 || f.LetGo != 0 {
-		t.Fatalf("%d records, boot %d, generation %d, let go %d", len(got), f.Boot, f.Generation, f.LetGo)
-	}
-	for _, r := range f.Records {
-		if r.Age < 3600e9 || r.Age > 3700e9 || r.MinAgeOnly {
-			t.Fatalf("%s is %d old, unsure %v", r.Key, r.Age, r.MinAgeOnly)
+	settings.Wall = func() int64 { return wall }
+	want := numberedRecords(0, 500)
+	writeCopy(t, settings, want)
+	wall, settings.Epoch = wall+3600e9, 8
+	settings.Retention[2] = 30e9
+	store, stop := start(t, settings)
+	<-store.Loaded()
+	restored := store.TakeRestored()
+	if got := values(restored); !maps.Equal(got, want) || restored.Epoch != 7 || restored.Generation == 0 || restored.Dropped != 0 {
+		t.Fatalf("%d records, epoch %d, generation %d, %d dropped", len(got), restored.Epoch, restored.Generation, restored.Dropped)
+	}
+	for _, record := range restored.Records {
+		if record.Age < 3600e9 || record.Age > 3700e9 || record.MinAgeOnly {
+			t.Fatalf("%s has age %d, minimum age only %v", record.Key, record.Age, record.MinAgeOnly)
 		}
 	}
-	if len(k.Found().Records) != 0 {
-		t.Error("what was found is held on to")
+	if len(store.TakeRestored().Records) != 0 {
+		t.Error("the restored records are returned twice")
 	}
-	k.Put(record("key-0001", "new"))
-	k.Put(persistence.Record{Kind: 2, Key: []byte("key-0001"), Value: []byte("of another kind")})
-	k.Put(record(strings.Repeat("k", maxKeyBytes+1), "too long"))
+	store.Put(newRecord("key-0001", "new"))
+	store.Put(persistence.Record{Kind: 2, Key: []byte("key-0001"), Value: []byte("of another kind")})
+	store.Put(newRecord(strings.Repeat("k", maxKeyBytes+1), "too long"))
 	stop()
-	if boot, gen := k.Generation(); boot != 8 || gen <= f.Generation {
-		t.Errorf("boot %d, generation %d after %d", boot, gen, f.Generation)
+	if epoch, generation := store.Generation(); epoch != 8 || generation <= restored.Generation {
+		t.Errorf("epoch %d, generation %d after %d", epoch, generation, restored.Generation)
 	}
-	wall += 31e9 // the one of kind 2 is over
-	if got, _ := read(t, s); len(got) != 500 || got["key-0001"] != "new" {
-		t.Errorf("%d, %q", len(got), got["key-0001"])
+	wall += 31e9 // the record of kind 2 expires
+	if got, _ := readCopy(t, settings); len(got) != 500 || got["key-0001"] != "new" {
+		t.Errorf("%d records, key-0001 is %q", len(got), got["key-0001"])
 	}
-	wall -= 3600e9 // the clock was set back
-	k, stop = run(t, s)
+	wall -= 3600e9 // the clock is set back
+	store, stop = start(t, settings)
 	defer stop()
-	<-k.Loaded()
-	for _, r := range k.Found().Records {
-		if !r.MinAgeOnly || r.Age > 3700e9 {
-			t.Fatalf("%s is %d old, unsure %v, by a clock that was set back", r.Key, r.Age, r.MinAgeOnly)
+	<-store.Loaded()
+	for _, record := range store.TakeRestored().Records {
+		if !record.MinAgeOnly || record.Age > 3700e9 {
+			t.Fatalf("%s has age %d, minimum age only %v, after the clock was set back", record.Key, record.Age, record.MinAgeOnly)
 		}
 	}
-	if r := k.Report(); r.ErrorKind != "keep-clock" || !r.Writes {
-		t.Errorf("%+v", r)
+	if report := store.Report(); report.ErrorKind != "keep-clock" || !report.Writable {
+		t.Errorf("%+v", report)
 	}
 }
 
-// Each thing that can be wrong with a copy, or with the disk, has its end: the router starts, says what it did, and what can
-// be done; a copy that can't be used lies aside as it was.
+// For each fault of a copy or of the disk, the store starts, and reports what it did and what the operator can do. A copy
+// that can't be used is moved aside unchanged.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func TestHardCases(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		spoil  func(t *testing.T, dir string, s *Settings)
-		kind   string
-		finds  bool // what was kept
-		writes bool
-		aside  int
+//nolint:gocognit,funlen // a table of cases and one sequence of checks for all of them
+func TestCopyAndDiskFaults(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		inject     func(t *testing.T, dir string, settings *Settings)
+		errorKind  string
+		restores   bool // the records written before the fault
+		writable   bool
+		movedAside int
 	}{
-		{"sound", func(*testing.T, string, *Settings) {}, "", true, true, 0},
-		{"no directory yet", func(_ *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, "a", "b") }, "", false, true, 0},
-		{"gone", func(_ *testing.T, dir string, _ *Settings) { os.Remove(filepath.Join(dir, fileName)) }, "", false, true, 0},
+		{"valid copy", func(*testing.T, string, *Settings) {}, "", true, true, 0},
+		{"no directory", func(_ *testing.T, dir string, settings *Settings) { settings.Dir = filepath.Join(dir, "a", "b") }, "", false, true, 0},
+		{"no file", func(_ *testing.T, dir string, _ *Settings) { os.Remove(filepath.Join(dir, fileName)) }, "", false, true, 0},
 		{"empty file", func(t *testing.T, dir string, _ *Settings) {
 			t.Helper()
-			change(t, dir, func([]byte) []byte { return nil })
+			changeFile(t, dir, func([]byte) []byte { return nil })
 		}, "keep-empty", false, true, 1},
-		{"torn", func(t *testing.T, dir string, _ *Settings) {
+		{"truncated file", func(t *testing.T, dir string, _ *Settings) {
 			t.Helper()
-			change(t, dir, func(b []byte) []byte { return b[:len(b)/2] })
+			changeFile(t, dir, func(content []byte) []byte { return content[:len(content)/2] })
 		}, "keep-torn", false, true, 1},
-		{"a flipped bit in a value", func(t *testing.T, dir string, _ *Settings) {
+		{"bit flip in a value", func(t *testing.T, dir string, _ *Settings) {
 			t.Helper()
-			change(t, dir, func(b []byte) []byte { b[strings.LastIndex(string(b), "vvvv")] ^= 4; return b })
+			changeFile(t, dir, func(content []byte) []byte { content[strings.LastIndex(string(content), "vvvv")] ^= 4; return content })
 		}, "keep-spoiled", false, true, 1},
-		{"something else", func(t *testing.T, dir string, _ *Settings) {
+		{"not a database file", func(t *testing.T, dir string, _ *Settings) {
 			t.Helper()
-			change(t, dir, func(_ []byte) []byte { return []byte(strings.Repeat("what is this? ", 5000)) })
+			changeFile(t, dir, func(_ []byte) []byte { return []byte(strings.Repeat("what is this? ", 5000)) })
 		}, "keep-spoiled", false, true, 1},
-		{"of another router", func(_ *testing.T, _ string, s *Settings) { s.Name = "n1" }, "keep-foreign", false, true, 1},
-		{"of another cluster", func(_ *testing.T, _ string, s *Settings) { s.Cluster = "y" }, "keep-foreign", false, true, 1},
-		{"of a later format", func(t *testing.T, dir string, _ *Settings) {
+		{"copy of another router", func(_ *testing.T, _ string, settings *Settings) { settings.Name = "n1" }, "keep-foreign", false, true, 1},
+		{"copy of another cluster", func(_ *testing.T, _ string, settings *Settings) { settings.Cluster = "y" }, "keep-foreign", false, true, 1},
+		{"newer format", func(t *testing.T, dir string, _ *Settings) {
 			t.Helper()
-			db, err := osDisk{}.open(filepath.Join(dir, fileName), 1<<20, false)
+			opened, err := osDisk{}.open(filepath.Join(dir, fileName), 1<<20, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err = db.commit(&head{format: format + 1}, nil); err != nil {
+			if _, _, err = opened.commit(&fileHeader{format: format + 1}, nil); err != nil {
 				t.Fatal(err)
 			}
-			db.close()
+			opened.close()
 		}, "keep-later", false, true, 1},
-		{"another process has it", func(t *testing.T, _ string, s *Settings) {
+		{"locked by another process", func(t *testing.T, _ string, settings *Settings) {
 			t.Helper()
-			other, stop := run(t, *s)
+			other, stop := start(t, *settings)
 			<-other.Loaded()
 			t.Cleanup(stop)
 		}, "keep-locked", false, false, 0},
-		{"a directory that can't be written", func(_ *testing.T, _ string, s *Settings) {
-			s.disk = &faults{osDisk: osDisk{}, locks: syscall.EROFS}
+		{"read-only directory", func(_ *testing.T, _ string, settings *Settings) {
+			settings.disk = &faultyDisk{osDisk: osDisk{}, lockError: syscall.EROFS}
 		}, "keep-read-only", true, false, 0},
-		{"a file that can't be written", func(_ *testing.T, _ string, s *Settings) {
-			s.disk = &faults{osDisk: osDisk{}, opens: syscall.EACCES}
+		{"read-only file", func(_ *testing.T, _ string, settings *Settings) {
+			settings.disk = &faultyDisk{osDisk: osDisk{}, openError: syscall.EACCES}
 		}, "keep-read-only", true, false, 0},
-		{"a directory that is a file", func(_ *testing.T, dir string, s *Settings) { s.Dir = filepath.Join(dir, fileName) }, "keep-failed", false, false, 0},
-		{"too many lie aside", func(t *testing.T, dir string, s *Settings) {
+		{"a file in place of the directory", func(_ *testing.T, dir string, settings *Settings) { settings.Dir = filepath.Join(dir, fileName) }, "keep-failed", false, false, 0},
+		{"too many copies moved aside", func(t *testing.T, dir string, settings *Settings) {
 			t.Helper()
 			for range maxMovedAside {
-				change(t, dir, func([]byte) []byte { return nil })
-				read(t, *s)
+				changeFile(t, dir, func([]byte) []byte { return nil })
+				readCopy(t, *settings)
 			}
-			change(t, dir, func([]byte) []byte { return nil })
+			changeFile(t, dir, func([]byte) []byte { return nil })
 		}, "keep-crowded", false, false, maxMovedAside},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
-			s := settings(dir)
-			want := many(0, 300)
-			fill(t, s, want)
-			c.spoil(t, dir, &s)
+			settings := testSettings(dir)
+			want := numberedRecords(0, 300)
+			writeCopy(t, settings, want)
+			test.inject(t, dir, &settings)
 			before, _ := os.ReadFile(filepath.Join(dir, fileName))
-			k, stop := run(t, s)
-			<-k.Loaded()
-			got, r := texts(k.Found()), k.Report()
-			if r.ErrorKind != c.kind || r.Writes != c.writes || c.finds != maps.Equal(got, want) || !c.finds && len(got) > 0 || (r.Hint == "") != (c.kind == "") {
-				t.Errorf("%d records, %+v", len(got), r)
+			store, stop := start(t, settings)
+			<-store.Loaded()
+			got, report := values(store.TakeRestored()), store.Report()
+			if report.ErrorKind != test.errorKind || report.Writable != test.writable || test.restores != maps.Equal(got, want) || !test.restores && len(got) > 0 || (report.Hint == "") != (test.errorKind == "") {
+				t.Errorf("%d records, %+v", len(got), report)
 			}
-			aside, _ := filepath.Glob(filepath.Join(dir, "*.aside-*"))
-			if len(aside) != c.aside {
-				t.Errorf("aside: %v", aside)
+			movedAside, _ := filepath.Glob(filepath.Join(dir, "*.aside-*"))
+			if len(movedAside) != test.movedAside {
+				t.Errorf("moved aside: %v", movedAside)
 			}
-			if c.aside == 1 {
-				if after, _ := os.ReadFile(aside[0]); string(after) != string(before) {
-					t.Error("what lies aside is not what was there")
+			if test.movedAside == 1 {
+				if after, _ := os.ReadFile(movedAside[0]); string(after) != string(before) {
+					t.Error("the file that was moved aside is changed")
 				}
 			}
-			k.Put(record("more", "of it"))
-			if stop(); !c.writes {
+			store.Put(newRecord("more", "of it"))
+			if stop(); !test.writable {
 				if after, _ := os.ReadFile(filepath.Join(dir, fileName)); string(after) != string(before) {
-					t.Error("it was written to")
+					t.Error("the copy was written to")
 				}
 				return
 			}
-			s.disk = nil
-			if got, r = read(t, s); got["more"] != "of it" || r.ErrorKind != "" {
-				t.Errorf("started again: %d records, %+v", len(got), r)
+			settings.disk = nil
+			if got, report = readCopy(t, settings); got["more"] != "of it" || report.ErrorKind != "" {
+				t.Errorf("after a restart: %d records, %+v", len(got), report)
 			}
 		})
 	}
 }
 
-func change(tb testing.TB, dir string, f func([]byte) []byte) {
+func changeFile(tb testing.TB, dir string, change func([]byte) []byte) {
 	tb.Helper()
 	path := filepath.Join(dir, fileName)
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		tb.Fatal(err)
 	}
-	if err := os.WriteFile(path, f(b), 0o600); err != nil {
+	if err := os.WriteFile(path, change(content), 0o600); err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// faults is a disk with something wrong.
-type faults struct {
+// faultyDisk is a disk that injects faults.
+type faultyDisk struct {
 	osDisk
-	locks, opens error
-	commits      atomic.Pointer[func() error] // before each batch
-	calls        atomic.Int64
+	lockError, openError error                        // openError is not returned for a read-only open
+	beforeCommit         atomic.Pointer[func() error] // called before each batch; its error fails the batch
+	commits              atomic.Int64
 }
 
-func (d *faults) lock(path string) (io.Closer, error) {
-	if d.locks != nil {
-		return nil, &os.PathError{Op: "open", Path: path, Err: d.locks}
+func (d *faultyDisk) lock(path string) (io.Closer, error) {
+	if d.lockError != nil {
+		return nil, &os.PathError{Op: "open", Path: path, Err: d.lockError}
 	}
 	return d.osDisk.lock(path)
 }
 
-func (d *faults) open(path string, most int64, readOnly bool) (engine, error) {
-	if d.opens != nil && !readOnly {
-		return nil, &os.PathError{Op: "open", Path: path, Err: d.opens}
+func (d *faultyDisk) open(path string, maxBytes int64, readOnly bool) (engine, error) {
+	if d.openError != nil && !readOnly {
+		return nil, &os.PathError{Op: "open", Path: path, Err: d.openError}
 	}
-	s, err := d.osDisk.open(path, most, readOnly)
-	return &faulty{s, d}, err
+	opened, err := d.osDisk.open(path, maxBytes, readOnly)
+	return &faultyEngine{opened, d}, err
 }
 
-type faulty struct {
+type faultyEngine struct {
 	engine
-	disk *faults
+	disk *faultyDisk
 }
 
-func (s *faulty) commit(h *head, batch []persistence.Record) (int, int, error) {
-	s.disk.calls.Add(1)
-	if f := s.disk.commits.Load(); f != nil {
-		if err := (*f)(); err != nil {
+func (e *faultyEngine) commit(header *fileHeader, batch []persistence.Record) (int, int, error) {
+	e.disk.commits.Add(1)
+	if beforeCommit := e.disk.beforeCommit.Load(); beforeCommit != nil {
+		if err := (*beforeCommit)(); err != nil {
 			return 2, 0, err
 		}
 	}
-	return s.engine.commit(h, batch)
+	return e.engine.commit(header, batch)
 }
 
-// A disk that hangs holds up nobody: what comes meanwhile waits within its bound, what finds no room is counted and said in
-// the copy, and the stop does not wait for it for ever.
-func TestHangs(t *testing.T) {
-	s := settings(t.TempDir())
-	s.Queue.QueueBytes = 4096
-	d := &faults{}
-	free := make(chan struct{})
-	hang := func() error { <-free; return nil } //nolint:unparam // a step of the fake disk
-	d.commits.Store(&hang)
-	s.disk = d
-	k, stop := run(t, s)
-	k.Put(record("first", "1"))
-	until(t, "the disk hangs", func() bool { return d.calls.Load() == 1 })
-	worst := time.Duration(0)
+// While the disk hangs, Put does not block, the queue stays within its bound, and dropped records are counted in the copy.
+// A store that stops during the hang gives up waiting for the disk.
+func TestHangingDisk(t *testing.T) {
+	settings := testSettings(t.TempDir())
+	settings.Queue.QueueBytes = 4096
+	disk := &faultyDisk{}
+	release := make(chan struct{})
+	hang := func() error { <-release; return nil } //nolint:unparam // has the type of beforeCommit
+	disk.beforeCommit.Store(&hang)
+	settings.disk = disk
+	store, stop := start(t, settings)
+	store.Put(newRecord("first", "1"))
+	waitFor(t, "the disk hangs", func() bool { return disk.commits.Load() == 1 })
+	maxElapsed := time.Duration(0)
 	for i := range 2000 {
-		at := time.Now()
-		k.Put(record(fmt.Sprint("key-", i%200), fmt.Sprint(i)))
-		worst = max(worst, time.Since(at))
-	}
-	if r := k.Report(); r.Waiting > 2*4096 || r.Counts.Dropped == 0 || r.Counts.Coalesced == 0 || r.Counts.Batches != 0 {
-		t.Errorf("%+v", r)
-	}
-	until(t, "it is said", func() bool { return k.Report().ErrorKind == "keep-slow" })
-	if worst > 5*time.Second { // it hung for longer than this by then if it waited at all
-		t.Errorf("a put took %v", worst)
-	}
-	free <- struct{}{}
-	until(t, "what was let go is said", func() bool { return k.Report().ErrorKind == "keep-behind" })
-	close(free)
-	until(t, "it goes on", func() bool { r := k.Report(); return r.Waiting == 0 && r.Counts.Batches == 2 })
-	k.Put(record("key-0", "after it"))
-	until(t, "nothing is wrong any more", func() bool { r := k.Report(); return r.Counts.Batches == 3 && r.ErrorKind == "" })
+		startedAt := time.Now()
+		store.Put(newRecord(fmt.Sprint("key-", i%200), fmt.Sprint(i)))
+		maxElapsed = max(maxElapsed, time.Since(startedAt))
+	}
+	if report := store.Report(); report.PendingBytes > 2*4096 || report.Counts.Dropped == 0 || report.Counts.Coalesced == 0 || report.Counts.Batches != 0 {
+		t.Errorf("%+v", report)
+	}
+	waitFor(t, "the slow disk is reported", func() bool { return store.Report().ErrorKind == "keep-slow" })
+	if maxElapsed > 5*time.Second { // a Put that waited for the disk would have hung for longer
+		t.Errorf("a Put took %v", maxElapsed)
+	}
+	release <- struct{}{}
+	waitFor(t, "the dropped records are reported", func() bool { return store.Report().ErrorKind == "keep-behind" })
+	close(release)
+	waitFor(t, "the queue is written", func() bool { report := store.Report(); return report.PendingBytes == 0 && report.Counts.Batches == 2 })
+	store.Put(newRecord("key-0", "after it"))
+	waitFor(t, "no problem is reported", func() bool { report := store.Report(); return report.Counts.Batches == 3 && report.ErrorKind == "" })
 	stop()
-	s.disk = nil
-	again, _ := run(t, s)
-	<-again.Loaded()
-	if f := again.Found(); f.LetGo == 0 || texts(f)["key-0"] != "after it" {
-		t.Errorf("let go %d, %q", f.LetGo, texts(f)["key-0"])
+	settings.disk = nil
+	restarted, _ := start(t, settings)
+	<-restarted.Loaded()
+	if restored := restarted.TakeRestored(); restored.Dropped == 0 || values(restored)["key-0"] != "after it" {
+		t.Errorf("%d dropped, key-0 is %q", restored.Dropped, values(restored)["key-0"])
 	}
 
-	hung := make(chan struct{})
-	defer close(hung)
-	hang = func() error { <-hung; return nil } //nolint:unparam // a step of the fake disk
-	s = settings(t.TempDir())
-	s.disk = d
-	k, stop = run(t, s)
-	k.Put(record("a", "b"))
-	until(t, "the disk hangs again", func() bool { return d.calls.Load() == 4 })
-	at := time.Now()
-	if stop(); time.Since(at) > 10*time.Second {
-		t.Errorf("the stop took %v", time.Since(at))
+	testEnd := make(chan struct{})
+	defer close(testEnd)
+	hang = func() error { <-testEnd; return nil } //nolint:unparam // has the type of beforeCommit
+	settings = testSettings(t.TempDir())
+	settings.disk = disk
+	store, stop = start(t, settings)
+	store.Put(newRecord("a", "b"))
+	waitFor(t, "the disk hangs again", func() bool { return disk.commits.Load() == 4 })
+	stoppedAt := time.Now()
+	if stop(); time.Since(stoppedAt) > 10*time.Second {
+		t.Errorf("the stop took %v", time.Since(stoppedAt))
 	}
 }
 
-// A disk that is full, or refuses once: the batch is tried again with what is newest, and nothing that was on disk is lost.
-func TestFull(t *testing.T) {
-	for _, c := range []struct {
-		err  error
-		kind string
+// After a batch that failed on a full disk or for another reason, the batch is retried with the newest values, and the
+// records written before are still there.
+func TestFullDisk(t *testing.T) {
+	for _, test := range []struct {
+		err       error
+		errorKind string
 	}{{syscall.ENOSPC, "keep-full"}, {syscall.EDQUOT, "keep-full"}, {syscall.EIO, "keep-failed"}} {
-		s := settings(t.TempDir())
-		fill(t, s, map[string]string{"old": "1"})
-		d := &faults{}
-		fails := func() error { return c.err }
-		d.commits.Store(&fails)
-		s.disk = d
-		k, stop := run(t, s)
-		k.Put(record("a", "1"))
-		until(t, "it is said", func() bool { return k.Report().ErrorKind == c.kind })
-		k.Put(record("a", "2"))
-		d.commits.Store(nil)
-		until(t, "it writes again", func() bool { r := k.Report(); return r.ErrorKind == "" && r.Waiting == 0 })
+		settings := testSettings(t.TempDir())
+		writeCopy(t, settings, map[string]string{"old": "1"})
+		disk := &faultyDisk{}
+		fail := func() error { return test.err }
+		disk.beforeCommit.Store(&fail)
+		settings.disk = disk
+		store, stop := start(t, settings)
+		store.Put(newRecord("a", "1"))
+		waitFor(t, "the error is reported", func() bool { return store.Report().ErrorKind == test.errorKind })
+		store.Put(newRecord("a", "2"))
+		disk.beforeCommit.Store(nil)
+		waitFor(t, "the batch is written", func() bool { report := store.Report(); return report.ErrorKind == "" && report.PendingBytes == 0 })
 		stop()
-		s.disk = nil
-		if got, _ := read(t, s); !maps.Equal(got, map[string]string{"a": "2", "old": "1"}) {
-			t.Errorf("%v: %v", c.err, got)
+		settings.disk = nil
+		if got, _ := readCopy(t, settings); !maps.Equal(got, map[string]string{"a": "2", "old": "1"}) {
+			t.Errorf("%v: %v", test.err, got)
 		}
 	}
 }
 
-// However much is put, the file stays within its bound, and the newest are kept.
-func TestBounded(t *testing.T) {
-	s := settings(t.TempDir())
-	s.MaxBytes = 1 << 18
-	k, _ := run(t, s)
-	<-k.Loaded()
+// However many records are put, the file stays within its maximum size, and the newest records stay in it.
+func TestMaxFileSize(t *testing.T) {
+	settings := testSettings(t.TempDir())
+	settings.MaxBytes = 1 << 18
+	store, _ := start(t, settings)
+	<-store.Loaded()
 	for i := range 60 {
 		for j := range 50 {
-			k.Put(persistence.Record{Kind: 1, Key: fmt.Appendf(nil, "%x-%d", (i*50+j)*7919%65536, i), Value: make([]byte, 100), Age: (60 - int64(i)) * 60e9})
+			store.Put(persistence.Record{Kind: 1, Key: fmt.Appendf(nil, "%x-%d", (i*50+j)*7919%65536, i), Value: make([]byte, 100), Age: (60 - int64(i)) * 60e9})
 		}
-		until(t, "written", func() bool { r := k.Report(); return r.Waiting == 0 && r.Counts.Batches > 0 })
-		if r := k.Report(); r.Bytes > s.MaxBytes || r.ErrorKind != "" {
-			t.Fatalf("%+v", r)
+		waitFor(t, "all records written", func() bool { report := store.Report(); return report.PendingBytes == 0 && report.Counts.Batches > 0 })
+		if report := store.Report(); report.FileBytes > settings.MaxBytes || report.ErrorKind != "" {
+			t.Fatalf("%+v", report)
 		}
 	}
-	if k.Report().Swept == 0 {
-		t.Error("nothing was let go")
+	if store.Report().Evicted == 0 {
+		t.Error("no record was evicted")
 	}
-	k.Put(record("last", "1"))
-	until(t, "written", k.written)
-	got, _ := read(t, func() Settings { s := s; s.Dir = copied(t, s.Dir); return s }())
+	store.Put(newRecord("last", "1"))
+	waitFor(t, "all records written", store.allWritten)
+	got, _ := readCopy(t, func() Settings { settings := settings; settings.Dir = copyFile(t, settings.Dir); return settings }())
 	if _, ok := got["last"]; !ok || len(got) < 200 {
 		t.Errorf("%d records", len(got))
 	}
 	for i := 58; i < 60; i++ {
 		for j := range 50 {
 			if _, ok := got[fmt.Sprintf("%x-%d", (i*50+j)*7919%65536, i)]; !ok {
-				t.Fatalf("one of the newest is gone: %d, %d", i, j)
+				t.Fatalf("one of the newest records was evicted: %d, %d", i, j)
 			}
 		}
 	}
 }
 
-func copied(t *testing.T, dir string) string {
+// copyFile copies a directory's database file to a new directory, so that it can be read while the store runs.
+func copyFile(t *testing.T, dir string) string {
 	t.Helper()
-	to := t.TempDir()
-	b, err := os.ReadFile(filepath.Join(dir, fileName))
+	newDir := t.TempDir()
+	content, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err == nil {
-		err = os.WriteFile(filepath.Join(to, fileName), b, 0o600)
+		err = os.WriteFile(filepath.Join(newDir, fileName), content, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return to
+	return newDir
 }
 
-// Fsyncs keep their rate.
-func TestFsyncs(t *testing.T) {
-	s := settings(t.TempDir())
-	s.Queue.FsyncsPerSecond = 20
-	k, _ := run(t, s)
-	at := time.Now()
-	for i := 0; time.Since(at) < time.Second; i++ {
-		k.Put(record("a", fmt.Sprint(i)))
+// The rate of fsyncs stays within its limit.
+func TestFsyncRate(t *testing.T) {
+	settings := testSettings(t.TempDir())
+	settings.Queue.FsyncsPerSecond = 20
+	store, _ := start(t, settings)
+	startedAt := time.Now()
+	for i := 0; time.Since(startedAt) < time.Second; i++ {
+		store.Put(newRecord("a", fmt.Sprint(i)))
 		time.Sleep(time.Millisecond)
 	}
-	if c := k.Report().Counts; float64(c.Fsyncs) > 20*time.Since(at).Seconds()+6 || c.Batches == 0 {
-		t.Errorf("%+v in %v", c, time.Since(at))
+	if counts := store.Report().Counts; float64(counts.Fsyncs) > 20*time.Since(startedAt).Seconds()+6 || counts.Batches == 0 {
+		t.Errorf("%+v in %v", counts, time.Since(startedAt))
 	}
 }
 
-// All types of errors say what can be done, each under a kind of its own.
-func TestRemedies(t *testing.T) {
-	why := errors.New("why")
-	all := []operr.Error{&Damaged{"p", "a", Empty, why}, &Damaged{"p", "", Torn, why}, &Damaged{"p", "a", Corrupt, why}, &Foreign{"p", "a", "c", "n"},
-		&Later{"p", "a", 9}, &Old{"p", "1", "2"}, &Locked{"p", why}, &ReadOnly{"p", why}, &Full{"p", why}, &Slow{"p", time.Second}, &Behind{"p", 3},
-		&Crowded{"p", 4, why}, &Clock{"p", time.Hour}, &Failed{"p", "d", why}}
+// Each error type has a kind of its own, a hint and an entry in the operators' documentation.
+func TestErrorHints(t *testing.T) {
+	cause := errors.New("why")
+	examples := []operr.Error{&DamagedError{"p", "a", CauseEmpty, cause}, &DamagedError{"p", "", CauseTorn, cause}, &DamagedError{"p", "a", CauseCorrupt, cause}, &ForeignError{"p", "a", "c", "n"},
+		&NewerFormatError{"p", "a", 9}, &OutdatedError{"p", "1", "2"}, &LockedError{"p", cause}, &ReadOnlyError{"p", cause}, &FullError{"p", cause}, &SlowError{"p", time.Second}, &QueueFullError{"p", 3},
+		&TooManyMovedError{"p", 4, cause}, &ClockError{"p", time.Hour}, &OperationError{"p", "d", cause}}
 	types, kinds := map[string]bool{}, map[string]bool{}
-	for _, e := range all {
-		types[strings.TrimPrefix(fmt.Sprintf("%T", e), "*store.")] = true
-		if kinds[e.Kind()] || !strings.HasPrefix(e.Kind(), "keep-") || len(e.Hint()) < 20 || !strings.Contains(e.Error(), "p") || operr.Of(fmt.Errorf("x: %w", e)) != e {
-			t.Errorf("%T: %s: %s: %s", e, e.Kind(), e, e.Hint())
+	for _, example := range examples {
+		types[strings.TrimPrefix(fmt.Sprintf("%T", example), "*store.")] = true
+		if kinds[example.Kind()] || !strings.HasPrefix(example.Kind(), "keep-") || len(example.Hint()) < 20 || !strings.Contains(example.Error(), "p") || operr.Of(fmt.Errorf("x: %w", example)) != example {
+			t.Errorf("%T: %s: %s: %s", example, example.Kind(), example, example.Hint())
 		}
-		kinds[e.Kind()] = true
-		if u, ok := e.(interface{ Unwrap() error }); ok && !errors.Is(u.Unwrap(), why) {
-			t.Errorf("%T does not unwrap", e)
+		kinds[example.Kind()] = true
+		if wrapper, ok := example.(interface{ Unwrap() error }); ok && !errors.Is(wrapper.Unwrap(), cause) {
+			t.Errorf("%T does not unwrap to its cause", example)
 		}
 	}
-	f, err := parser.ParseFile(token.NewFileSet(), "errors.go", nil, 0)
+	file, err := parser.ParseFile(token.NewFileSet(), "errors.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -469,13 +474,13 @@
 	}
 	for kind := range kinds {
 		if !strings.Contains(string(page), "`"+kind+"`") {
-			t.Errorf("%s is not on the operators' page", kind)
+			t.Errorf("%s is missing in docs/operators/recovery.md", kind)
 		}
 	}
-	for _, d := range f.Decls {
-		if fn, ok := d.(*ast.FuncDecl); ok && fn.Name.Name == "Hint" {
-			if name := fn.Recv.List[0].Type.(*ast.StarExpr).X.(*ast.Ident).Name; !types[name] {
-				t.Errorf("%s is not looked at", name)
+	for _, declaration := range file.Decls {
+		if function, ok := declaration.(*ast.FuncDecl); ok && function.Name.Name == "Hint" {
+			if name := function.Recv.List[0].Type.(*ast.StarExpr).X.(*ast.Ident).Name; !types[name] {
+				t.Errorf("%s is not tested", name)
 			}
 		}
 	}
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -9,92 +9,95 @@
 	"lotushook/policy/persistence"
 )
 
-// due is when the next batch is written; at the end at once, and only if the last one has not failed.
-func (k *Store) due(last bool) (clock.Nanos, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.off {
+// due returns when the next batch may be written, and false if there is none. While the store stops, a batch is due
+// immediately, but only if the previous one did not fail.
+func (s *Store) due(stopping bool) (clock.Nanos, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.disabled {
 		return 0, false
 	}
-	at, ok := k.queue.Due()
-	if last {
-		return 0, ok && !k.failing
+	dueAt, ok := s.queue.Due()
+	if stopping {
+		return 0, ok && !s.failing
 	}
-	return at, ok
+	return dueAt, ok
 }
 
-// batch is the step that writes all queued records.
-func (k *Store) batch() func() func() {
-	k.mu.Lock()
-	taken := k.settings.Now()
-	b := k.queue.TakeBatch(taken)
-	h := head{format: format, cluster: k.settings.Cluster, name: k.settings.Name, boot: k.settings.Boot, generation: k.head.generation + 1,
-		letGo: k.queue.Counts().Dropped + k.swept}
-	k.mu.Unlock()
+// batch returns the disk operation that writes all queued records.
+func (s *Store) batch() func() func() {
+	s.mu.Lock()
+	takenAt := s.settings.Now()
+	batch := s.queue.TakeBatch(takenAt)
+	header := fileHeader{format: format, cluster: s.settings.Cluster, name: s.settings.Name, epoch: s.settings.Epoch, generation: s.header.generation + 1,
+		dropped: s.queue.Counts().Dropped + s.evicted}
+	s.mu.Unlock()
 	return func() func() {
-		h.wall = k.settings.Wall()
-		fsyncs, swept, err := k.write(&h, b.Records())
-		size := int64(0)
-		if k.engine != nil {
-			size = k.engine.size()
+		header.writtenAt = s.settings.Wall()
+		fsyncs, evicted, err := s.write(&header, batch.Records())
+		fileBytes := int64(0)
+		if s.engine != nil {
+			fileBytes = s.engine.size()
 		}
-		return func() { k.wrote(taken, &h, fsyncs, swept, size, err) }
+		return func() { s.finishBatch(takenAt, &header, fsyncs, evicted, fileBytes, err) }
 	}
 }
 
-// write puts a batch on disk; the first of a new copy under another name, so that an incomplete copy never has this one.
-func (k *Store) write(h *head, batch []persistence.Record) (fsyncs, letGo int, err error) {
-	if k.engine != nil {
-		return k.engine.commit(h, batch)
+// write commits a batch. The first batch of a new copy goes to a temporary file that is then renamed, so that s.path never
+// names an incomplete copy.
+func (s *Store) write(header *fileHeader, batch []persistence.Record) (fsyncs, evicted int, err error) {
+	if s.engine != nil {
+		return s.engine.commit(header, batch)
 	}
-	next := k.path + ".new"
-	os.Remove(next) // left by an earlier attempt: it was never read
-	s, err := k.settings.disk.open(next, k.settings.MaxBytes, false)
+	newPath := s.path + ".new"
+	os.Remove(newPath) // left by an earlier attempt, and never read
+	created, err := s.settings.disk.open(newPath, s.settings.MaxBytes, false)
 	if err != nil {
 		return 2, 0, err
 	}
-	if fsyncs, letGo, err = s.commit(h, batch); err == nil {
-		err = s.rename(k.path)
+	if fsyncs, evicted, err = created.commit(header, batch); err == nil {
+		err = created.rename(s.path)
 	}
 	if err != nil {
-		s.close()
-		return fsyncs + 3, letGo, err
+		created.close()
+		return fsyncs + 3, evicted, err
 	}
-	k.engine = s
-	return fsyncs + 3, letGo, nil // the file's first pages, its growth, the directory
+	s.engine = created
+	return fsyncs + 3, evicted, nil // plus one each for the file's first pages, its growth and the directory
 }
 
-func (k *Store) wrote(taken clock.Nanos, h *head, fsyncs, swept int, size int64, err error) {
-	k.mu.Lock()
+// finishBatch records the outcome of a batch.
+func (s *Store) finishBatch(takenAt clock.Nanos, header *fileHeader, fsyncs, evicted int, fileBytes int64, err error) {
+	s.mu.Lock()
 	if err != nil {
-		k.queue.Failed(taken, k.settings.Now(), fsyncs)
+		s.queue.Failed(takenAt, s.settings.Now(), fsyncs)
 		if errors.Is(err, errPanic) || isReadOnly(err) {
-			k.off = true
+			s.disabled = true
 		}
 	} else {
-		k.queue.Committed(taken, fsyncs)
-		k.head, k.size = *h, size
-		k.swept += uint64(swept)
+		s.queue.Committed(takenAt, fsyncs)
+		s.header, s.fileBytes = *header, fileBytes
+		s.evicted += uint64(evicted)
 	}
-	again := k.failing && err == nil
-	k.failing = err != nil
-	lost := k.queue.Counts().Dropped
-	k.lost, lost = lost, lost-k.lost
-	total := k.lost
-	k.mu.Unlock()
-	if again {
-		slog.Info("keep: writes again", "path", k.path)
+	recovered := s.failing && err == nil
+	s.failing = err != nil
+	dropped := s.queue.Counts().Dropped
+	s.reportedDropped, dropped = dropped, dropped-s.reportedDropped
+	totalDropped := s.reportedDropped
+	s.mu.Unlock()
+	if recovered {
+		slog.Info("keep: writing works again", "path", s.path)
 	}
 	switch {
-	case err == nil && lost > 0:
-		k.note(&Behind{k.path, total})
+	case err == nil && dropped > 0:
+		s.setProblem(&QueueFullError{s.path, totalDropped})
 	case err == nil:
-		k.note(nil)
+		s.setProblem(nil)
 	case isFull(err):
-		k.note(&Full{k.path, err})
+		s.setProblem(&FullError{s.path, err})
 	case isReadOnly(err):
-		k.note(&ReadOnly{k.path, err})
+		s.setProblem(&ReadOnlyError{s.path, err})
 	default:
-		k.note(&Failed{k.path, "write a batch", err})
+		s.setProblem(&OperationError{s.path, "write a batch", err})
 	}
 }
