--- a/cmd/routerctl/fleet.go
+++ b/cmd/routerctl/fleet.go
@@ -84,13 +84,13 @@
 
 func servers(out io.Writer, f *fleetreport.Fleet) {
 	fmt.Fprint(out, "\ndata server\trouters\tdone\tmiss\tbusy\tfailed\tlost\tunsent\n")
-	bad := func(host string) int64 { s := f.Servers[host]; return s.Busy + s.Failed + s.Lost + s.Unsent }
+	bad := func(host string) int64 { s := f.Servers[host]; return s.Busy + s.Failed + s.NoResponse + s.NotSent }
 	hosts := slices.SortedFunc(maps.Keys(f.Servers), func(x, y string) int {
 		return cmp.Or(cmp.Compare(bad(y), bad(x)), strings.Compare(x, y))
 	})
 	for _, host := range hosts[:min(len(hosts), maxRows)] {
 		s := f.Servers[host]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", host, len(s.Routers), s.Done, s.Miss, s.Busy, s.Failed, s.Lost, s.Unsent)
+		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", host, len(s.Routers), s.Succeeded, s.NotEligible, s.Busy, s.Failed, s.NoResponse, s.NotSent)
 	}
 	if more := len(hosts) - maxRows; more > 0 {
 		fmt.Fprintf(out, "and %d with less that went wrong\n", more)
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -180,7 +180,7 @@
 func dialCounter(outcome balance.Outcome) metrics.Counter {
 	switch outcome {
 	case balance.Succeeded:
-		return metrics.DialsUp
+		return metrics.DialsSucceeded
 	case balance.Busy:
 		return metrics.DialsRejected
 	case outcomeNotSent:
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -68,7 +68,7 @@
 	case bindUnwanted:
 		a.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
 	case bindStale:
-		c.pool.Metrics.Add(metrics.TooOldRead)
+		c.pool.Metrics.Add(metrics.StaleReadsSkipped)
 		a.finish(Result{Outcome: balance.NotEligible, Err: errStale})
 	case bindNotAllowed:
 		a.finish(Result{Outcome: balance.Busy, Err: errDraining})
--- a/internal/fleetreport/fleetreport.go
+++ b/internal/fleetreport/fleetreport.go
@@ -43,7 +43,7 @@
 
 // Seen is a data server as the fleet met it.
 type Seen struct {
-	metrics.Server
+	metrics.EndpointCounts
 	Routers map[string]struct{}
 }
 
@@ -147,8 +147,8 @@
 
 // total takes one count of a line of totals.
 func (f *Fleet) total(router string, span int64, key, value string) {
-	if host, ok := strings.CutPrefix(key, metrics.ServerPrefix); ok {
-		got, err := metrics.ParseServer(value)
+	if host, ok := strings.CutPrefix(key, metrics.EndpointPrefix); ok {
+		got, err := metrics.ParseEndpointCounts(value)
 		if err != nil {
 			f.Skipped++
 			return
--- a/internal/fleetreport/fleetreport_test.go
+++ b/internal/fleetreport/fleetreport_test.go
@@ -50,7 +50,7 @@
 	if diff := cmp.Diff([]map[string]int64{{"asked": 6, "served": 4, "refused_crowd": 1}, {"asked": 2}}, rows); diff != "" {
 		t.Errorf("over time (-want +got)\n%s", diff)
 	}
-	want := map[string]*Seen{"s-1": {Server: metrics.Server{Done: 5, Lost: 2}, Routers: map[string]struct{}{"n1": {}}}}
+	want := map[string]*Seen{"s-1": {EndpointCounts: metrics.EndpointCounts{Succeeded: 5, NoResponse: 2}, Routers: map[string]struct{}{"n1": {}}}}
 	if diff := cmp.Diff(want, f.Servers); diff != "" {
 		t.Errorf("data servers (-want +got)\n%s", diff)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a router does, for one line of totals a period. Nobody decides by it.
+// Package metrics counts what a router does, for a line of totals in the log per period. The counts influence no decision.
 package metrics
 
 import (
@@ -12,186 +12,186 @@
 	"lotushook/policy/balance"
 )
 
-// Counter names what is counted one by one.
+// Counter identifies a counter.
 type Counter int
 
 // The counters.
 const (
-	Requests           Counter = iota // requests that came
-	Served                            // answered by a data server
-	ClientLeft                        // the client left before its answer
-	Unanswered                        // the module was silent past the deadline: a fault of ours
-	TooManyInFlight                   // refused by the router itself: too many requests held, or too many bytes
-	RejectedByContract                // refused by a team's contract
-	RejectedByShedding                // refused as its lane is shed
-	DuplicateID                       // failed, as its id was that of an open request
-
-	FirstAttempts // sends of a request's first attempt
-	Retries       // sends of a further one
-
-	MissesNotPrimary // misses by reason: a write at a node that is none
-	MissesBehind     // a read at a node that is too far behind
-
-	Probes         // sent
-	ProbesAnswered // answered
-
-	DialsUp                // dials that came to a session
-	DialsFailed            // that did not come up
-	DialsRejected          // that were turned away: the data server holds too many connections
-	DialsWithoutDescriptor // for which no descriptor was free
-	ListCalls              // calls of discovery that brought a list or changes
-	ListCallsFailed        // that failed
-
-	DeniedByRecovery // attempts, dials, probes and list calls that recovery did not allow
-	DeniedRetries    // of the attempts: further ones without successes to pay for them
-	DeniedLate       // of the attempts: an answer could not be in time any more
-
-	ShutUnread // connections that waited too long to be accepted, in a crowd
-	TooOldRead // attempts not made: what was known of the replica had become too old for the read
-
-	counters
+	Requests           Counter = iota // requests received
+	Served                            // requests answered by an endpoint
+	ClientDisconnected                // requests whose client disconnected before the response
+	Unanswered                        // requests that the balancer did not decide by their deadline: a fault of the router
+	TooManyInFlight                   // requests rejected because too many requests or bytes are in flight
+	RejectedByContract                // requests rejected by a team's contract
+	RejectedByShedding                // requests rejected because their priority class is shed
+	DuplicateID                       // requests failed because another open request has the same ID
+
+	FirstAttempts // first attempts sent
+	Retries       // further attempts sent
+
+	MissesNotPrimary // attempts that ended as balance.NotEligible: writes at an endpoint that is not the primary
+	MissesStale      // attempts that ended as balance.NotEligible: reads at an endpoint that lags too far
+
+	Probes         // probes sent
+	ProbesAnswered // probes answered
+
+	DialsSucceeded         // dials that led to a session
+	DialsFailed            // dials that failed
+	DialsRejected          // dials that the endpoint rejected because it has too many connections
+	DialsWithoutDescriptor // dials not made for lack of a file descriptor
+	ListCalls              // discovery calls that returned a list or changes
+	ListCallsFailed        // discovery calls that failed
+
+	DeniedByRecovery // attempts, dials, probes and discovery calls that policy/recovery denied
+	DeniedRetries    // of these: retries beyond the retry budget, which successful requests fill
+	DeniedLate       // of these: attempts whose response could not arrive before the deadline
+
+	ClosedUnread      // client connections closed unread because they waited too long to be accepted during overload
+	StaleReadsSkipped // attempts not sent because the information about the replica had become too old for the read
+
+	counterCount
 )
 
-var names = [counters]string{"asked", "served", "gone", "unanswered", "no_room", "contract", "lane", "twice_alive",
+var names = [counterCount]string{"asked", "served", "gone", "unanswered", "no_room", "contract", "lane", "twice_alive",
 	"first", "repeated", "not_primary", "behind", "probes", "probed",
 	"dial_up", "dial_unheard", "dial_too_many", "dial_no_socket", "lists", "no_list",
 	"denied", "denied_again", "denied_late",
 	"shut_unread", "too_old"}
 
-// outcomes are the ends of attempts, as balance counts them from 1.
-var outcomes = [...]string{"", "done", "failed", "busy", "timed_out", "unconnected", "reset", "canceled", "skipped", "miss"}
+// outcomeNames has the names of balance.Outcome, whose values start at 1.
+var outcomeNames = [...]string{"", "done", "failed", "busy", "timed_out", "unconnected", "reset", "canceled", "skipped", "miss"}
 
-const actions = int(balance.WriteLog) + 1
+const actionKinds = int(balance.WriteLog) + 1
 
-// Outcome is an outcome's name in logs.
-func Outcome(o balance.Outcome) string { return outcomes[o] }
+// Outcome returns the name of an outcome in logs.
+func Outcome(outcome balance.Outcome) string { return outcomeNames[outcome] }
 
-// mostServers is how many data servers are counted one by one in a period; the work of the others is counted
-// under the name "others".
-const maxServers = 512
+// maxEndpoints is the maximum number of endpoints with counts of their own in a period. Attempts at further endpoints are
+// counted together under the name "others".
+const maxEndpoints = 512
 
-// Metrics is one router's counts. A nil one counts nothing. It is safe for concurrent use.
+// Metrics has the counts of one router. A nil Metrics counts nothing. It is safe for concurrent use.
 type Metrics struct {
-	counts [counters]atomic.Int64
-	why    [actions][balance.ReasonCount]atomic.Int64 // the module's actions by kind and reason
-	ends   [len(outcomes)]atomic.Int64                // of attempts
+	counts   [counterCount]atomic.Int64
+	actions  [actionKinds][balance.ReasonCount]atomic.Int64 // the balancer's actions by kind and reason
+	outcomes [len(outcomeNames)]atomic.Int64                // of attempts
 
-	mu      sync.Mutex
-	servers map[string]*Server
+	mu        sync.Mutex
+	endpoints map[string]*EndpointCounts
 }
 
-// Server is what became of the attempts at one data server in a period.
-type Server struct{ Done, Miss, Busy, Failed, Lost, Unsent int64 }
+// EndpointCounts counts the outcomes of the attempts at one endpoint in a period.
+type EndpointCounts struct{ Succeeded, NotEligible, Busy, Failed, NoResponse, NotSent int64 }
 
-// New returns a tally of nothing.
-func New() *Metrics { return &Metrics{servers: map[string]*Server{}} }
+// New returns Metrics with all counts at 0.
+func New() *Metrics { return &Metrics{endpoints: map[string]*EndpointCounts{}} }
 
-// Add counts one.
-func (t *Metrics) Add(c Counter) {
-	if t != nil {
-		t.counts[c].Add(1)
+// Add increments a counter.
+func (m *Metrics) Add(counter Counter) {
+	if m != nil {
+		m.counts[counter].Add(1)
 	}
 }
 
-// CountAction counts one action of the module.
-func (t *Metrics) CountAction(a *balance.Action) {
-	if t != nil {
-		t.why[a.Kind][a.Reason].Add(1)
+// CountAction counts an action of the balancer.
+func (m *Metrics) CountAction(action *balance.Action) {
+	if m != nil {
+		m.actions[action.Kind][action.Reason].Add(1)
 	}
 }
 
-// CountOutcome counts how an attempt at a data server ended.
-func (t *Metrics) CountOutcome(host string, o balance.Outcome) {
-	if t == nil {
+// CountOutcome counts the outcome of an attempt at an endpoint.
+func (m *Metrics) CountOutcome(host string, outcome balance.Outcome) {
+	if m == nil {
 		return
 	}
-	t.ends[o].Add(1)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	s := t.servers[host]
-	if s == nil {
-		if len(t.servers) >= maxServers {
+	m.outcomes[outcome].Add(1)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	endpoint := m.endpoints[host]
+	if endpoint == nil {
+		if len(m.endpoints) >= maxEndpoints {
 			host = "others"
 		}
-		if s = t.servers[host]; s == nil {
-			s = &Server{}
-			t.servers[host] = s
+		if endpoint = m.endpoints[host]; endpoint == nil {
+			endpoint = &EndpointCounts{}
+			m.endpoints[host] = endpoint
 		}
 	}
-	switch o {
+	switch outcome {
 	case balance.Succeeded:
-		s.Done++
+		endpoint.Succeeded++
 	case balance.NotEligible:
-		s.Miss++
+		endpoint.NotEligible++
 	case balance.Busy:
-		s.Busy++
+		endpoint.Busy++
 	case balance.Failed:
-		s.Failed++
+		endpoint.Failed++
 	case balance.TimedOut, balance.ConnectionReset, balance.Canceled:
-		s.Lost++
+		endpoint.NoResponse++
 	default:
-		s.Unsent++
+		endpoint.NotSent++
 	}
 }
 
-// Take returns what was counted since the last Take, without what is zero, and counts on from nothing.
-func (t *Metrics) Take() []slog.Attr {
+// Take returns all counts above 0 and resets them to 0.
+func (m *Metrics) Take() []slog.Attr {
 	var out []slog.Attr
-	put := func(name string, c *atomic.Int64) {
-		if n := c.Swap(0); n != 0 {
+	take := func(name string, count *atomic.Int64) {
+		if n := count.Swap(0); n != 0 {
 			out = append(out, slog.Int64(name, n))
 		}
 	}
-	for i := range t.counts {
-		put(names[i], &t.counts[i])
+	for i := range m.counts {
+		take(names[i], &m.counts[i])
 	}
 	for kind, prefix := range map[balance.ActionKind]string{balance.SendAttempt: "send", balance.RejectRequest: "refused", balance.FailRequest: "failed", balance.WriteLog: "node"} {
-		for why := range t.why[kind] {
-			put(prefix+"_"+balance.Reason(why).String(), &t.why[kind][why])
+		for reason := range m.actions[kind] {
+			take(prefix+"_"+balance.Reason(reason).String(), &m.actions[kind][reason])
 		}
 	}
-	for o := 1; o < len(outcomes); o++ {
-		put("end_"+outcomes[o], &t.ends[o])
+	for outcome := 1; outcome < len(outcomeNames); outcome++ {
+		take("end_"+outcomeNames[outcome], &m.outcomes[outcome])
 	}
 	slices.SortFunc(out, func(x, y slog.Attr) int { return strings.Compare(x.Key, y.Key) })
-	t.mu.Lock()
-	servers := t.servers
-	t.servers = map[string]*Server{}
-	t.mu.Unlock()
-	hosts := make([]string, 0, len(servers))
-	for host := range servers {
+	m.mu.Lock()
+	endpoints := m.endpoints
+	m.endpoints = map[string]*EndpointCounts{}
+	m.mu.Unlock()
+	hosts := make([]string, 0, len(endpoints))
+	for host := range endpoints {
 		hosts = append(hosts, host)
 	}
 	slices.Sort(hosts)
 	for _, host := range hosts {
-		out = append(out, slog.String(ServerPrefix+host, servers[host].String()))
+		out = append(out, slog.String(EndpointPrefix+host, endpoints[host].String()))
 	}
 	return out
 }
 
-// ServerPrefix stands before a data server's name in a line of totals.
-const ServerPrefix = "at."
-
-// Add adds what became of other attempts.
-func (s *Server) Add(o Server) {
-	s.Done += o.Done
-	s.Miss += o.Miss
-	s.Busy += o.Busy
-	s.Failed += o.Failed
-	s.Lost += o.Lost
-	s.Unsent += o.Unsent
+// EndpointPrefix precedes an endpoint's name in a line of totals.
+const EndpointPrefix = "at."
+
+// Add adds the counts of other attempts.
+func (c *EndpointCounts) Add(other EndpointCounts) {
+	c.Succeeded += other.Succeeded
+	c.NotEligible += other.NotEligible
+	c.Busy += other.Busy
+	c.Failed += other.Failed
+	c.NoResponse += other.NoResponse
+	c.NotSent += other.NotSent
 }
 
-// String is the form in a line of totals.
-func (s Server) String() string {
-	return fmt.Sprintf("%d/%d/%d/%d/%d/%d", s.Done, s.Miss, s.Busy, s.Failed, s.Lost, s.Unsent)
+// String returns the form used in a line of totals.
+func (c EndpointCounts) String() string {
+	return fmt.Sprintf("%d/%d/%d/%d/%d/%d", c.Succeeded, c.NotEligible, c.Busy, c.Failed, c.NoResponse, c.NotSent)
 }
 
-// ParseServer reads what String wrote.
-func ParseServer(text string) (s Server, err error) {
-	n, err := fmt.Sscanf(text, "%d/%d/%d/%d/%d/%d", &s.Done, &s.Miss, &s.Busy, &s.Failed, &s.Lost, &s.Unsent)
-	if err != nil || s.String() != text {
-		return s, fmt.Errorf("tally: %q is no data server's totals (%d numbers)", text, n)
+// ParseEndpointCounts parses the result of String.
+func ParseEndpointCounts(text string) (counts EndpointCounts, err error) {
+	n, err := fmt.Sscanf(text, "%d/%d/%d/%d/%d/%d", &counts.Succeeded, &counts.NotEligible, &counts.Busy, &counts.Failed, &counts.NoResponse, &counts.NotSent)
+	if err != nil || counts.String() != text {
+		return counts, fmt.Errorf("metrics: %q does not have the form of an endpoint's totals (%d numbers parsed)", text, n)
 	}
-	return s, nil
+	return counts, nil
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,65 +9,65 @@
 )
 
 func TestTake(t *testing.T) {
-	c := New()
-	c.Add(Requests)
-	c.Add(Requests)
-	c.CountAction(&balance.Action{Kind: balance.SendAttempt, Reason: balance.ReasonPrimarySearch})
-	c.CountAction(&balance.Action{Kind: balance.RejectRequest, Reason: balance.ReasonGroupOverloaded})
-	c.CountAction(&balance.Action{Kind: balance.SetTimer}) // nobody counts these
-	c.CountOutcome("s-1", balance.Succeeded)
-	c.CountOutcome("s-1", balance.TimedOut)
-	c.CountOutcome("s-0", balance.ConnectionRefused)
+	m := New()
+	m.Add(Requests)
+	m.Add(Requests)
+	m.CountAction(&balance.Action{Kind: balance.SendAttempt, Reason: balance.ReasonPrimarySearch})
+	m.CountAction(&balance.Action{Kind: balance.RejectRequest, Reason: balance.ReasonGroupOverloaded})
+	m.CountAction(&balance.Action{Kind: balance.SetTimer}) // not in the totals
+	m.CountOutcome("s-1", balance.Succeeded)
+	m.CountOutcome("s-1", balance.TimedOut)
+	m.CountOutcome("s-0", balance.ConnectionRefused)
 	got := map[string]string{}
-	for _, a := range c.Take() {
-		got[a.Key] = a.Value.String()
+	for _, attr := range m.Take() {
+		got[attr.Key] = attr.Value.String()
 	}
 	want := map[string]string{"asked": "2", "send_finding": "1", "refused_crowd": "1", "end_done": "1", "end_timed_out": "1",
 		"end_unconnected": "1", "at.s-0": "0/0/0/0/0/1", "at.s-1": "1/0/0/0/1/0"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	if rest := c.Take(); len(rest) > 0 {
-		t.Errorf("counted twice: %v", rest)
+	if again := m.Take(); len(again) > 0 {
+		t.Errorf("counts returned twice: %v", again)
 	}
 }
 
-// Each way to end has its name, and what is there beyond the bound is counted together.
-func TestServers(t *testing.T) {
-	c := New()
-	for o := balance.Succeeded; o <= balance.NotEligible; o++ {
-		c.CountOutcome("s", o)
-		if Outcome(o) == "" {
-			t.Errorf("outcome %d has no name", o)
+// Each outcome has a name, and the endpoints beyond the maximum are counted together.
+func TestEndpointCounts(t *testing.T) {
+	m := New()
+	for outcome := balance.Succeeded; outcome <= balance.NotEligible; outcome++ {
+		m.CountOutcome("s", outcome)
+		if Outcome(outcome) == "" {
+			t.Errorf("outcome %d has no name", outcome)
 		}
 	}
-	for i := range maxServers + 10 {
-		c.CountOutcome(string(rune('a'+i%26))+string(rune('0'+i/26)), balance.Succeeded)
+	for i := range maxEndpoints + 10 {
+		m.CountOutcome(string(rune('a'+i%26))+string(rune('0'+i/26)), balance.Succeeded)
 	}
-	if n := len(c.servers); n != maxServers+1 {
-		t.Errorf("%d data servers remembered", n)
+	if n := len(m.endpoints); n != maxEndpoints+1 {
+		t.Errorf("%d endpoints have counts", n)
 	}
-	if s := c.servers["others"]; s == nil || s.Done != 11 {
-		t.Errorf("others: %v", s)
+	if others := m.endpoints["others"]; others == nil || others.Succeeded != 11 {
+		t.Errorf("others: %v", others)
 	}
-	want := Server{Done: 1, Miss: 1, Busy: 1, Failed: 1, Lost: 3, Unsent: 2}
-	if diff := cmp.Diff(want, *c.servers["s"]); diff != "" {
+	want := EndpointCounts{Succeeded: 1, NotEligible: 1, Busy: 1, Failed: 1, NoResponse: 3, NotSent: 2}
+	if diff := cmp.Diff(want, *m.endpoints["s"]); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	back, err := ParseServer(want.String())
-	if back != want || err != nil {
-		t.Errorf("%v, %v", back, err)
+	parsed, err := ParseEndpointCounts(want.String())
+	if parsed != want || err != nil {
+		t.Errorf("%v, %v", parsed, err)
 	}
-	for _, bad := range []string{"", "1/2", "1/2/3/4/5/6/7", "1/2/3/4/5/x", "1/2/3/4/5/6 "} {
-		if _, err := ParseServer(bad); err == nil {
-			t.Errorf("%q was read", bad)
+	for _, malformed := range []string{"", "1/2", "1/2/3/4/5/6/7", "1/2/3/4/5/x", "1/2/3/4/5/6 "} {
+		if _, err := ParseEndpointCounts(malformed); err == nil {
+			t.Errorf("%q was parsed", malformed)
 		}
 	}
 }
 
-func TestOffCountsNothing(_ *testing.T) {
-	var c *Metrics
-	c.Add(Requests)
-	c.CountAction(&balance.Action{Kind: balance.SendAttempt})
-	c.CountOutcome("s", balance.Succeeded)
+func TestNilMetrics(_ *testing.T) {
+	var m *Metrics
+	m.Add(Requests)
+	m.CountAction(&balance.Action{Kind: balance.SendAttempt})
+	m.CountOutcome("s", balance.Succeeded)
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -116,7 +116,7 @@
 		if r.router.config.Settings.IsWrite(r.Class) {
 			r.router.metrics.Add(metrics.MissesNotPrimary)
 		} else {
-			r.router.metrics.Add(metrics.MissesBehind)
+			r.router.metrics.Add(metrics.MissesStale)
 		}
 	}
 	if r.router.accessLog.wanted() {
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -34,7 +34,7 @@
 // acceptClient starts a client's goroutine, unless the client has waited too long in a crowd.
 func (r *Router) acceptClient(conn net.Conn, lackingAt clock.Nanos) {
 	if r.hasWaitedTooLong(conn, lackingAt) {
-		r.metrics.Add(metrics.ShutUnread)
+		r.metrics.Add(metrics.ClosedUnread)
 		closeQuietly(conn)
 		r.descriptors.Leave()
 		return
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -98,7 +98,7 @@
 	case endServed:
 		r.router.metrics.Add(metrics.Served)
 	case endAbandoned:
-		r.router.metrics.Add(metrics.ClientLeft)
+		r.router.metrics.Add(metrics.ClientDisconnected)
 	}
 	r.router.accessLog.write(r)
 	return answer
