--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -232,7 +232,7 @@
 		t.Fatal(b, err)
 	}
 	_, err = ask(p, first, "x", cursor.Position{History: one, At: 20})
-	if r := operr.Of(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Hint(), "connect again") {
+	if r := operr.Find(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Hint(), "connect again") {
 		t.Error(err)
 	}
 	two := cursor.History{Era: 2, ID: 1}
@@ -254,7 +254,7 @@
 	m.fail = errors.New("no member")
 	now.Add(1e9)
 	_, err = ask(p, second, "x", cursor.Position{History: two, At: 20})
-	if r := operr.Of(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
+	if r := operr.Find(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
 		t.Error(err)
 	}
 	for _, e := range []operr.Error{&cursor.RejectedError{Row: cursor.Future}, &cursor.RejectedError{Row: cursor.Snapshot}, &cursor.RejectedError{Row: cursor.Snapshot, Forgot: true}, &cursor.OverloadedError{Why: cursor.CrowdWaiting},
@@ -290,7 +290,7 @@
 		seat := &Subscription{}
 		raw, err := p.Answer(seat, q)
 		if err != nil {
-			if operr.Of(err) == nil {
+			if operr.Find(err) == nil {
 				t.Fatalf("%v has no remedy", err)
 			}
 			return
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -1,5 +1,5 @@
-// Package operr is what an error owes to the operator who reads it: which kind it is, and what can be done. Types of such errors
-// stand where they arise; this package only finds them in a chain and writes them into a log.
+// Package operr defines what an error tells an operator: its kind, and what to do about it. The error types are defined where
+// the errors arise; this package only finds them in a chain of wrapped errors and logs them.
 package operr
 
 import (
@@ -7,28 +7,28 @@
 	"log/slog"
 )
 
-// Error is one that an operator can act on. Its text says what failed, on what (a path, a member, a key), and what the router
-// did instead.
+// Error is an error that an operator can act on. Its text says what failed, for which object (a path, a member, a key), and
+// what the router did instead.
 type Error interface {
 	error
-	Kind() string // one word or two for counting and filtering, as "keep-torn"; the same for all errors of a type and cause
-	Hint() string // one sentence that tells what to do
+	Kind() string // one or two words for counting and filtering, such as "keep-torn"; the same for all errors of a type and cause
+	Hint() string // one sentence that says what to do
 }
 
-// Of is the outermost such error in a chain; nil if there is none.
-func Of(err error) Error {
-	var e Error
-	if errors.As(err, &e) {
-		return e
+// Find returns the outermost Error in the chain of err, or nil.
+func Find(err error) Error {
+	var found Error
+	if errors.As(err, &found) {
+		return found
 	}
 	return nil
 }
 
-// Attrs are an error's attributes for slog: err, and error_kind and hint where the chain has them.
+// Attrs returns the slog attributes of an error: err and, if the chain has an Error, error_kind and hint.
 func Attrs(err error) []any {
 	out := []any{slog.Any("err", err)}
-	if e := Of(err); e != nil {
-		out = append(out, slog.String("error_kind", e.Kind()), slog.String("hint", e.Hint()))
+	if found := Find(err); found != nil {
+		out = append(out, slog.String("error_kind", found.Kind()), slog.String("hint", found.Hint()))
 	}
 	return out
 }
--- a/internal/peer/errors_test.go
+++ b/internal/peer/errors_test.go
@@ -24,7 +24,7 @@
 	_, place := Listen(Options{Listen: "nowhere"})
 	seen := map[string]bool{}
 	for _, err := range []error{keys, line, place, &CorruptError{"n1", 3}, &DiffersError{From: "n1", Entry: crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "s"}}} {
-		e := operr.Of(fmt.Errorf("router: %w", err))
+		e := operr.Find(fmt.Errorf("router: %w", err))
 		if e == nil || e.Kind() == "" || strings.ContainsAny(e.Kind(), " \n") || len(e.Hint()) < 20 || strings.Contains(e.Error()+e.Hint(), "\n") {
 			t.Errorf("%T: %v", err, err)
 			continue
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -91,7 +91,7 @@
 	case errors.As(err, &no):
 		code = pgwire.CodeCursor
 	}
-	if e := operr.Of(err); e != nil {
+	if e := operr.Find(err); e != nil {
 		kind, hint = e.Kind(), e.Hint()
 	}
 	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -109,7 +109,7 @@
 	r := newOwnRouter(t, good, nettest.List(1))
 	for _, class := range []string{"own", "nothing"} {
 		_, err := New(r.config, load(fmt.Sprintf(`{"classes":{%q:"one"}}`, class)))
-		if e := operr.Of(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Hint(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
+		if e := operr.Find(err); e == nil || e.Kind() != "modes-class" || !strings.Contains(e.Hint(), class) || !strings.Contains(err.Error(), "modes.classes."+class) {
 			t.Errorf("%s: %v", class, err)
 		}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -456,7 +456,7 @@
 	types, kinds := map[string]bool{}, map[string]bool{}
 	for _, example := range examples {
 		types[strings.TrimPrefix(fmt.Sprintf("%T", example), "*store.")] = true
-		if kinds[example.Kind()] || !strings.HasPrefix(example.Kind(), "keep-") || len(example.Hint()) < 20 || !strings.Contains(example.Error(), "p") || operr.Of(fmt.Errorf("x: %w", example)) != example {
+		if kinds[example.Kind()] || !strings.HasPrefix(example.Kind(), "keep-") || len(example.Hint()) < 20 || !strings.Contains(example.Error(), "p") || operr.Find(fmt.Errorf("x: %w", example)) != example {
 			t.Errorf("%T: %s: %s: %s", example, example.Kind(), example, example.Hint())
 		}
 		kinds[example.Kind()] = true
