--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -133,11 +133,11 @@
 	fmt.Fprintln(w, "team\tclass\tasked\twithin\tborrowed\trefused\tserved\tin aim\tturned away\tfailed\tworth\tp50 ms\tp99 ms\t")
 	for _, r := range rows {
 		refused := uint64(0)
-		for _, n := range r.Refused {
+		for _, n := range r.RejectedByContract {
 			refused += n
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t\n", r.Team, r.Class, r.Requested, r.Grounds["within"]+r.Grounds["repeat"],
-			r.Grounds["borrowed"], refused, r.Served, r.InObjective, r.Rejected, r.Failed, r.Weight, r.P50MS, r.P99MS)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t\n", r.Team, r.Class, r.Requested, r.Admitted["within"]+r.Admitted["repeat"],
+			r.Admitted["borrowed"], refused, r.Served, r.InObjective, r.Rejected, r.Failed, r.Weight, r.P50MS, r.P99MS)
 	}
 	return w.Flush()
 }
@@ -163,7 +163,7 @@
 		worth.WithLabelValues(r.Team, r.Class).Add(r.Weight)
 		failed.WithLabelValues(r.Team, r.Class, "failed").Add(float64(r.Failed))
 		failed.WithLabelValues(r.Team, r.Class, "turned_away").Add(float64(r.Rejected))
-		for _, by := range []map[string]uint64{r.Grounds, r.Refused} {
+		for _, by := range []map[string]uint64{r.Admitted, r.RejectedByContract} {
 			for reason, n := range by {
 				decided.WithLabelValues(r.Team, r.Class, reason).Add(float64(n))
 			}
--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -1,6 +1,5 @@
-// Package accounting holds what teams asked and got, as it is told to operators:
-// the shape of a row, and how long answers took. What is counted is decided and
-// kept elsewhere; internal/admin lets it be read.
+// Package accounting defines the report to operators about the requests of each team: the form of a row, and histograms of
+// response times. policy/contract counts the requests, and internal/admin serves the report.
 package accounting
 
 import (
@@ -9,54 +8,54 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Row is one team's account of one class, since the router's start.
+// Row is the account of one team and one class since the router started.
 type Row struct {
-	Team        string            `json:"team"`
-	Class       string            `json:"class"`
-	Requested   uint64            `json:"asked"`
-	Grounds     map[string]uint64 `json:"grounds"` // on which requests were taken
-	Refused     map[string]uint64 `json:"refused"` // by the contract, by reason
-	Served      uint64            `json:"served"`
-	InObjective uint64            `json:"in_aim"`
-	Rejected    uint64            `json:"turned_away"` // taken, and refused later
-	Failed      uint64            `json:"failed"`
-	Weight      float64           `json:"worth"`
-	P50MS       float64           `json:"p50_ms"`
-	P99MS       float64           `json:"p99_ms"`
+	Team               string            `json:"team"`
+	Class              string            `json:"class"`
+	Requested          uint64            `json:"asked"`
+	Admitted           map[string]uint64 `json:"grounds"` // by the contract, by reason
+	RejectedByContract map[string]uint64 `json:"refused"` // by reason
+	Served             uint64            `json:"served"`
+	InObjective        uint64            `json:"in_aim"`
+	Rejected           uint64            `json:"turned_away"` // by the router after their admission
+	Failed             uint64            `json:"failed"`
+	Weight             float64           `json:"worth"`
+	P50MS              float64           `json:"p50_ms"`
+	P99MS              float64           `json:"p99_ms"`
 }
 
 const (
-	maxTimes = 4096 // histograms, of 4 KB at the most; beyond it answers are not timed
-	longest  = 60 * time.Second
+	maxHistograms   = 4096 // of at most 4 KB each; further teams and classes have no response times
+	maxResponseTime = 60 * time.Second
 )
 
-// Times are how long answers took, by team and class. One goroutine owns them.
-type Times struct {
-	by map[[2]string]*hdrhistogram.Histogram
+// Latencies has histograms of response times by team and class. It is not safe for concurrent use.
+type Latencies struct {
+	histograms map[[2]string]*hdrhistogram.Histogram
 }
 
-// NewTimes returns empty ones.
-func NewTimes() *Times { return &Times{map[[2]string]*hdrhistogram.Histogram{}} }
+// NewLatencies returns Latencies without a response time.
+func NewLatencies() *Latencies { return &Latencies{map[[2]string]*hdrhistogram.Histogram{}} }
 
-// Add notes an answer.
-func (t *Times) Add(team, class string, took time.Duration) {
+// Record adds the response time of a request.
+func (t *Latencies) Record(team, class string, elapsed time.Duration) {
 	key := [2]string{team, class}
-	h := t.by[key]
-	if h == nil {
-		if len(t.by) >= maxTimes {
+	histogram := t.histograms[key]
+	if histogram == nil {
+		if len(t.histograms) >= maxHistograms {
 			return
 		}
-		h = hdrhistogram.New(1, int64(longest/time.Millisecond), 1)
-		t.by[key] = h
+		histogram = hdrhistogram.New(1, int64(maxResponseTime/time.Millisecond), 1)
+		t.histograms[key] = histogram
 	}
-	_ = h.RecordValue(int64(min(max(took, time.Millisecond), longest) / time.Millisecond))
+	_ = histogram.RecordValue(int64(min(max(elapsed, time.Millisecond), maxResponseTime) / time.Millisecond)) // the value is in range
 }
 
-// Quantiles are the median and the 99th percentile in ms; 0 where nothing was noted.
-func (t *Times) Quantiles(team, class string) (p50, p99 float64) {
-	h := t.by[[2]string{team, class}]
-	if h == nil {
+// Quantiles returns the median and the 99th percentile in ms, or 0 and 0 if no response time was recorded.
+func (t *Latencies) Quantiles(team, class string) (p50, p99 float64) {
+	histogram := t.histograms[[2]string{team, class}]
+	if histogram == nil {
 		return 0, 0
 	}
-	return float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99))
+	return float64(histogram.ValueAtQuantile(50)), float64(histogram.ValueAtQuantile(99))
 }
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -33,7 +33,7 @@
 	ledger        *contract.Ledger
 	openAttempts  map[balance.EndpointID]int   // this router's open attempts by endpoint
 	groups        map[balance.EndpointID]int64 // of the listed endpoints
-	responseTimes *accounting.Times
+	responseTimes *accounting.Latencies
 	settings      *siteconfig.Accounts
 	shedding      *sheddingService          // load shedding, applied before the contracts; nil: off
 	orderBuffer   []contract.BatchedRequest // reused
@@ -41,7 +41,7 @@
 }
 
 func newContractService(r *Router, own *siteconfig.Config) (*contractService, error) {
-	t := &contractService{router: r, openAttempts: map[balance.EndpointID]int{}, groups: map[balance.EndpointID]int64{}, responseTimes: accounting.NewTimes(), settings: own.Accounts}
+	t := &contractService{router: r, openAttempts: map[balance.EndpointID]int{}, groups: map[balance.EndpointID]int64{}, responseTimes: accounting.NewLatencies(), settings: own.Accounts}
 	s, err := t.contractSettings(own.Contracts)
 	if err != nil {
 		return nil, err
@@ -210,7 +210,7 @@
 		t.shedding.requestEnded(r, now)
 	}
 	if r.end.Served {
-		t.responseTimes.Add(t.ledger.TeamName(r.contractRequest.Team), r.Class, time.Duration(r.end.Elapsed))
+		t.responseTimes.Record(t.ledger.TeamName(r.contractRequest.Team), r.Class, time.Duration(r.end.Elapsed))
 	}
 }
 
@@ -286,14 +286,14 @@
 	t.router.loop.do(ctx, func() {
 		t.ledger.Accounts(func(team, class string, a contract.Account) {
 			row := accounting.Row{Team: team, Class: class, Requested: a.Requested, Served: a.Served, InObjective: a.InObjective, Rejected: a.Rejected, Failed: a.Failed, Weight: a.Weight,
-				Grounds: map[string]uint64{}, Refused: map[string]uint64{}}
+				Admitted: map[string]uint64{}, RejectedByContract: map[string]uint64{}}
 			for r, n := range a.ByReason {
 				switch reason := contract.Reason(r); {
 				case n == 0:
 				case reason.Admitted():
-					row.Grounds[reason.String()] = n
+					row.Admitted[reason.String()] = n
 				default:
-					row.Refused[reason.String()] = n
+					row.RejectedByContract[reason.String()] = n
 				}
 			}
 			row.P50MS, row.P99MS = t.responseTimes.Quantiles(team, class)
@@ -376,7 +376,7 @@
 		}
 		before[key] = row.Requested
 		if lines++; lines <= maxAccountLines {
-			slog.Info("account", "team", row.Team, "class", row.Class, "asked", row.Requested, "grounds", row.Grounds, "refused", row.Refused,
+			slog.Info("account", "team", row.Team, "class", row.Class, "asked", row.Requested, "grounds", row.Admitted, "refused", row.RejectedByContract,
 				"served", row.Served, "in_aim", row.InObjective, "turned_away", row.Rejected, "failed", row.Failed, "worth", row.Weight, "p50_ms", row.P50MS, "p99_ms", row.P99MS)
 		}
 	}
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	if row.Requested != 4 || row.Grounds["within"] != 3 || row.Refused["open"] != 1 || row.InObjective != 3 {
+	if row.Requested != 4 || row.Admitted["within"] != 3 || row.RejectedByContract["open"] != 1 || row.InObjective != 3 {
 		t.Errorf("%+v", row)
 	}
 }
