--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -93,7 +93,7 @@
 func (c *serverConn) release() {
 	c.close()
 	c.pool.remove(c)
-	c.released.Do(c.pool.Descriptors.Hangup)
+	c.released.Do(c.pool.Descriptors.ReleaseServer)
 }
 
 // run is the life of the connection.
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -49,7 +49,7 @@
 	c := newServerConn(p, a.endpoint, address)
 	c.dialDelay = delay
 	if !p.add(c) {
-		p.Descriptors.Hangup()
+		p.Descriptors.ReleaseServer()
 		a.finish(Result{Outcome: outcomeNotSent})
 		return
 	}
@@ -58,7 +58,7 @@
 
 // takeDescriptor takes a descriptor for a connection, closing an idle one if there is no other.
 func (p *Pool) takeDescriptor() bool {
-	return p.Descriptors.Dial() || p.EvictIdle() && p.Descriptors.Dial()
+	return p.Descriptors.ReserveServer() || p.EvictIdle() && p.Descriptors.ReserveServer()
 }
 
 // connect dials and starts a session; the outcome is balance.Succeeded, or why not.
@@ -78,7 +78,7 @@
 	}
 	socket, err := c.dial(ctx)
 	switch {
-	case fdlimit.Exhausted(err):
+	case fdlimit.IsExhausted(err):
 		return Result{Outcome: outcomeNotSent, Err: err}
 	case err != nil:
 		return Result{Outcome: balance.ConnectionRefused, Err: err}
@@ -99,7 +99,7 @@
 // dial dials once, and once more if an idle connection could be closed for want of a descriptor.
 func (c *serverConn) dial(ctx context.Context) (*net.TCPConn, error) {
 	socket, err := dialTCP(ctx, c.address)
-	if !fdlimit.Exhausted(err) {
+	if !fdlimit.IsExhausted(err) {
 		return socket, err
 	}
 	if c.pool.OutOfDescriptors != nil { // the count said otherwise
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -1,6 +1,5 @@
-// Package fdlimit shares the process's file descriptors out between clients and
-// connections to data servers. Neither side can take the other's: a flood of
-// clients must leave the way to the data servers open.
+// Package fdlimit divides the process's file descriptors between client connections and connections to data servers. Neither
+// side can use the descriptors of the other, so that a flood of clients does not prevent connections to the data servers.
 package fdlimit
 
 import (
@@ -9,88 +8,88 @@
 	"syscall"
 )
 
-// Budget counts descriptors. It is safe for concurrent use.
+// Budget counts the reserved descriptors. It is safe for concurrent use.
 type Budget struct {
 	mu               sync.Mutex
 	clients, servers side
-	waiting          chan struct{}
+	clientReleased   chan struct{}
 }
 
-type side struct{ capacity, used, advertised int }
+// A side's capacity is at most its maxCapacity.
+type side struct{ capacity, used, maxCapacity int }
 
-// own covers what is neither a client nor a data server: standard streams, the
-// listener, the poller, discovery, the config file while it is read.
-const own = 24
+// otherDescriptors is the number of descriptors for anything else: standard streams, the listener, the poller, discovery, and
+// the configuration file while it is read.
+const otherDescriptors = 24
 
-// New returns a budget for a process that may hold limit descriptors.
+// New returns a budget for a process that may have limit open descriptors.
 func New(limit int) *Budget {
-	most := max(limit-own, 2)
-	servers := most * 3 / 8 // a third may be clients with a request open; then there are probes, and some that idle
-	return &Budget{clients: side{capacity: most - servers, advertised: most - servers}, servers: side{capacity: servers}, waiting: make(chan struct{}, 1)}
+	available := max(limit-otherDescriptors, 2)
+	servers := available * 3 / 8 // a third of all for open requests, and the rest for probes and idle connections
+	return &Budget{clients: side{capacity: available - servers, maxCapacity: available - servers}, servers: side{capacity: servers}, clientReleased: make(chan struct{}, 1)}
 }
 
-// Dial takes a descriptor for a connection to a data server, if one is free.
-func (b *Budget) Dial() bool { return b.take(&b.servers) }
+// ReserveServer reserves a descriptor for a connection to a data server, if one is free.
+func (b *Budget) ReserveServer() bool { return b.reserve(&b.servers) }
 
-// Hangup gives back what Dial took.
-func (b *Budget) Hangup() { b.give(&b.servers) }
+// ReleaseServer releases a descriptor that ReserveServer reserved.
+func (b *Budget) ReleaseServer() { b.release(&b.servers) }
 
-// Accept takes a descriptor for a client, if one is free.
-func (b *Budget) Accept() bool { return b.take(&b.clients) }
+// ReserveClient reserves a descriptor for a client connection, if one is free.
+func (b *Budget) ReserveClient() bool { return b.reserve(&b.clients) }
 
-// Leave gives back what Accept took.
-func (b *Budget) Leave() {
-	b.give(&b.clients)
+// ReleaseClient releases a descriptor that ReserveClient reserved.
+func (b *Budget) ReleaseClient() {
+	b.release(&b.clients)
 	select {
-	case b.waiting <- struct{}{}:
+	case b.clientReleased <- struct{}{}:
 	default:
 	}
 }
 
-// Clients is how many descriptors clients may hold by now, and how many they do.
-func (b *Budget) Clients() (most, used int) {
+// Clients returns the current limit of client descriptors, and how many are reserved.
+func (b *Budget) Clients() (limit, used int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.clients.capacity, b.clients.used
 }
 
-// LimitClients is for when the system grants fewer descriptors than were told of:
-// clients may hold so many from now on, at least leastClients and at most what
-// they were to have. It returns what is in force.
-func (b *Budget) LimitClients(n int) int {
-	const leastClients = 8
+// LimitClients sets the limit of client descriptors and returns the new limit, which is at least minClients and at most the
+// clients' part of New's limit. It is used when the system grants fewer descriptors than that limit.
+func (b *Budget) LimitClients(limit int) int {
+	const minClients = 8
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.clients.capacity = min(max(n, leastClients), b.clients.advertised)
+	b.clients.capacity = min(max(limit, minClients), b.clients.maxCapacity)
 	return b.clients.capacity
 }
 
-// Exhausted says whether an error is that the process, or the system, has no
-// descriptor left, whatever was counted.
-func Exhausted(err error) bool {
+// IsExhausted reports whether an error says that the process or the system has no free descriptor, which may happen below the
+// budget's limit.
+func IsExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-func (b *Budget) take(s *side) bool {
+func (b *Budget) reserve(part *side) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s.used >= s.capacity {
+	if part.used >= part.capacity {
 		return false
 	}
-	s.used++
+	part.used++
 	return true
 }
 
-func (b *Budget) give(s *side) {
+func (b *Budget) release(part *side) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s.used--
+	part.used--
 }
 
-// Left signals that a client may have left since it was last read.
-func (b *Budget) Left() <-chan struct{} { return b.waiting }
+// ClientReleased returns a channel that signals that ReleaseClient may have been called since the last receive.
+func (b *Budget) ClientReleased() <-chan struct{} { return b.clientReleased }
 
-// Used is the number of descriptors taken.
+// Used returns the number of reserved descriptors.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fdlimit/fdlimit_test.go
+++ b/internal/fdlimit/fdlimit_test.go
@@ -2,46 +2,45 @@
 
 import "testing"
 
-// Neither side can take the other's share: a flood of clients must leave the way
-// to the data servers open, and the other way round.
+// Clients can't use the descriptors of data servers, nor data servers those of clients.
 func TestSides(t *testing.T) {
-	b := New(own + 80)
-	accepted := 0
-	for b.Accept() {
-		accepted++
+	budget := New(otherDescriptors + 80)
+	clients := 0
+	for budget.ReserveClient() {
+		clients++
 	}
-	dialled := 0
-	for b.Dial() {
-		dialled++
+	servers := 0
+	for budget.ReserveServer() {
+		servers++
 	}
-	if dialled != 30 || accepted != 50 || b.Used() != 80 {
-		t.Errorf("%d dialled, %d accepted, %d used", dialled, accepted, b.Used())
+	if servers != 30 || clients != 50 || budget.Used() != 80 {
+		t.Errorf("%d server descriptors, %d client descriptors, %d used", servers, clients, budget.Used())
 	}
-	b.Hangup()
-	if b.Accept() || !b.Dial() {
-		t.Error("a data server's descriptor is a client's")
+	budget.ReleaseServer()
+	if budget.ReserveClient() || !budget.ReserveServer() {
+		t.Error("a data server's descriptor was reserved for a client")
 	}
-	b.Leave()
-	<-b.Left()
-	if b.Dial() || !b.Accept() {
-		t.Error("a client's descriptor is a data server's")
+	budget.ReleaseClient()
+	<-budget.ClientReleased()
+	if budget.ReserveServer() || !budget.ReserveClient() {
+		t.Error("a client's descriptor was reserved for a data server")
 	}
 }
 
-// What clients may hold follows what the system really grants, and back.
+// The limit of client descriptors can be lowered, and raised again up to the original limit.
 func TestLimitClients(t *testing.T) {
-	b := New(own + 80)
-	if n := b.LimitClients(20); n != 20 {
-		t.Errorf("%d", n)
+	budget := New(otherDescriptors + 80)
+	if limit := budget.LimitClients(20); limit != 20 {
+		t.Errorf("limit %d", limit)
 	}
-	accepted := 0
-	for b.Accept() {
-		accepted++
+	clients := 0
+	for budget.ReserveClient() {
+		clients++
 	}
-	if accepted != 20 {
-		t.Errorf("%d accepted", accepted)
+	if clients != 20 {
+		t.Errorf("%d clients", clients)
 	}
-	if few, many := b.LimitClients(1), b.LimitClients(1000); few != 8 || many != 50 {
-		t.Errorf("%d, %d", few, many)
+	if low, high := budget.LimitClients(1), budget.LimitClients(1000); low != 8 || high != 50 {
+		t.Errorf("limits %d, %d", low, high)
 	}
 }
--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -127,20 +127,20 @@
 func (d *acceptor) accept(ln net.Listener) error {
 	defer d.spare.give()
 	for n := 1; ; n++ {
-		for !d.router.descriptors.Accept() { // connections that are closing hold the rest
+		for !d.router.descriptors.ReserveClient() { // connections that are closing hold the rest
 			if d.router.clients.endLingering() || !d.lingering.closeOldest() {
 				select {
-				case <-d.router.descriptors.Left():
+				case <-d.router.descriptors.ClientReleased():
 				case <-time.After(retryAcceptAfter):
 				}
 			}
 		}
 		conn, err := ln.Accept()
 		if err != nil {
-			d.router.descriptors.Leave()
+			d.router.descriptors.ReleaseClient()
 			var ne net.Error
 			switch {
-			case fdlimit.Exhausted(err):
+			case fdlimit.IsExhausted(err):
 				d.acceptWithoutDescriptor(ln)
 			case errors.As(err, &ne) && !errors.Is(err, net.ErrClosed): // an aborted connection
 				slog.Warn("accept", "err", err)
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -185,7 +185,7 @@
 	servers := startSlowServers(t, 0, 0, "")
 	_, r := stageSet(t, 0, endless, strings.Clone, servers.hosts...)
 	taken := 0
-	for r.descriptors.Accept() { // by others, who don't go
+	for r.descriptors.ReserveClient() { // by others, who don't go
 		taken++
 	}
 	dial := func(wait time.Duration) net.Conn {
@@ -205,7 +205,7 @@
 	late, inTime := dial(100*time.Millisecond), dial(testWait)
 	time.Sleep(waited)
 	for range taken {
-		r.descriptors.Leave()
+		r.descriptors.ReleaseClient()
 	}
 	var b [1]byte
 	if _, err := late.Read(b[:]); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/router/lingeringclose.go
+++ b/internal/router/lingeringclose.go
@@ -123,7 +123,7 @@
 
 func (l *lingeringCloses) closeNow(conn net.Conn) {
 	conn.Close()
-	l.budget.Leave()
+	l.budget.ReleaseClient()
 }
 
 // rejectAndShutdown says a word, ends the sending, and drops what has come, all without
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -51,9 +51,9 @@
 	if _, used := r.descriptors.Clients(); used != most || most < 10 {
 		t.Fatalf("%d clients of %d", used, most)
 	}
-	for r.descriptors.Dial() { // others, of which this test knows nothing
+	for r.descriptors.ReserveServer() { // others, of which this test knows nothing
 	}
-	r.descriptors.Hangup()
+	r.descriptors.ReleaseServer()
 	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 	until(t, "the list is heard", func() bool {
 		_, ready := r.directory.Address(old)
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -22,7 +22,7 @@
 			r.acceptClient(conn, lackingAt)
 			continue
 		}
-		r.descriptors.Leave()
+		r.descriptors.ReleaseClient()
 		if !isTemporary(err) {
 			return err
 		}
@@ -36,7 +36,7 @@
 	if r.hasWaitedTooLong(conn, lackingAt) {
 		r.metrics.Add(metrics.ClosedUnread)
 		closeQuietly(conn)
-		r.descriptors.Leave()
+		r.descriptors.ReleaseClient()
 		return
 	}
 	r.serveClient(conn)
@@ -50,14 +50,14 @@
 
 // awaitDescriptor returns once there is a descriptor for one more client, making room where it can. It says whether there was none.
 func (r *Router) awaitDescriptor() (lacking bool) {
-	for !r.descriptors.Accept() {
+	for !r.descriptors.ReserveClient() {
 		lacking = true
 		now := time.Now()
 		if !r.clients.endLingering() && !r.clients.evictIdle(now, r.timeouts.silent) {
 			r.clients.rejectPartial(now)
 		}
 		select {
-		case <-r.descriptors.Left():
+		case <-r.descriptors.ClientReleased():
 		case <-time.After(r.timeouts.silent / 4):
 		}
 	}
@@ -81,5 +81,5 @@
 	if r.acceptor != nil {
 		r.acceptor.clientClosed(c)
 	}
-	r.descriptors.Leave()
+	r.descriptors.ReleaseClient()
 }
--- a/internal/router/sparedescriptor.go
+++ b/internal/router/sparedescriptor.go
@@ -42,7 +42,7 @@
 	case err != nil: // another took it, or nobody waits any more
 		time.Sleep(retryAcceptAfter)
 	case again == nil: // there is room after all
-		if !d.router.descriptors.Accept() {
+		if !d.router.descriptors.ReserveClient() {
 			conn.Close()
 			return
 		}
