--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin lets operators on a router's own machine read what it knows, over a Unix socket that only its user may
-// open. A reader writes one word in a line; the answer is JSON, and then the socket is closed.
+// Package admin serves reports to operators on the router's own machine, over a Unix socket that only the router's user
+// can open. A client sends the name of a report in one line; the server responds with JSON and closes the connection.
 package admin
 
 import (
@@ -19,62 +19,62 @@
 )
 
 const (
-	readers     = 4 // at a time; one more waits
-	longest     = 64
-	readTimeout = time.Second // a reader says its word in so long
-	writeFor    = 5 * time.Second
+	maxClients      = 4 // served at a time; one more is accepted and waits
+	maxRequestBytes = 64
+	readTimeout     = time.Second
+	responseTimeout = 5 * time.Second
 )
 
-// Answers are by word. They are called from goroutines of their own.
-type Answers map[string]func(context.Context) any
+// Handlers has a function for each report name, which returns the report. Calls may be concurrent.
+type Handlers map[string]func(context.Context) any
 
-// failure is the answer to a word that is none.
-type failure struct {
+// errorResponse is the response to an unknown report name.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// Serve answers whoever connects to a Unix socket. A socket file that nobody listens on is replaced. stop waits for all
-// readers, and so does the context's end.
-func Serve(ctx context.Context, path string, answers Answers) (stop func(), err error) {
+// Serve serves reports on a Unix socket, until stop is called or the context ends. It replaces a socket file on which
+// no process listens. stop waits until all clients have been served.
+func Serve(ctx context.Context, path string, handlers Handlers) (stop func(), err error) {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
-		return nil, fmt.Errorf("control: %s: another listens there", path)
+		return nil, fmt.Errorf("admin: %s: another process listens there", path)
 	}
-	if st, err := os.Lstat(path); err == nil && st.Mode()&os.ModeSocket != 0 {
+	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		os.Remove(path)
 	}
-	ln, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
-		return nil, fmt.Errorf("control: %w", err)
+		return nil, fmt.Errorf("admin: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		ln.Close()
-		return nil, fmt.Errorf("control: %w", err)
+		listener.Close()
+		return nil, fmt.Errorf("admin: %w", err)
 	}
-	unhook := context.AfterFunc(ctx, func() { ln.Close() })
-	var all sync.WaitGroup
-	slots := make(chan struct{}, readers)
-	all.Go(func() {
+	cancelHook := context.AfterFunc(ctx, func() { listener.Close() })
+	var goroutines sync.WaitGroup
+	slots := make(chan struct{}, maxClients)
+	goroutines.Go(func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // out of descriptors: readers come last
+			if err != nil { // usually no free descriptor: retried later, as reports have the lowest precedence
 				time.Sleep(100 * time.Millisecond)
 				continue
 			}
 			slots <- struct{}{}
-			all.Go(func() {
+			goroutines.Go(func() {
 				defer func() { <-slots }()
 				defer conn.Close()
 				conn.SetDeadline(time.Now().Add(readTimeout))
-				word, err := bufio.NewReader(io.LimitReader(conn, longest)).ReadString('\n')
+				name, err := bufio.NewReader(io.LimitReader(conn, maxRequestBytes)).ReadString('\n')
 				if err != nil {
 					return
 				}
-				conn.SetDeadline(time.Now().Add(writeFor))
-				raw, err := jsoniter.Marshal(answers.to(ctx, strings.TrimSpace(word)))
+				conn.SetDeadline(time.Now().Add(responseTimeout))
+				raw, err := jsoniter.Marshal(handlers.respond(ctx, strings.TrimSpace(name)))
 				if err == nil {
 					_, _ = conn.Write(raw)
 				}
@@ -82,45 +82,45 @@
 		}
 	})
 	return func() {
-		unhook()
-		ln.Close()
-		all.Wait()
+		cancelHook()
+		listener.Close()
+		goroutines.Wait()
 	}, nil
 }
 
-func (a Answers) to(ctx context.Context, word string) any {
-	if answer := a[word]; answer != nil {
-		return answer(ctx)
+func (h Handlers) respond(ctx context.Context, name string) any {
+	if handler := h[name]; handler != nil {
+		return handler(ctx)
 	}
 	var known []string
-	for w := range a {
-		known = append(known, w)
+	for knownName := range h {
+		known = append(known, knownName)
 	}
 	slices.Sort(known)
-	return failure{fmt.Sprintf("%q is not told here; there is %s", word, strings.Join(known, ", "))}
+	return errorResponse{fmt.Sprintf("%q is not told here; there is %s", name, strings.Join(known, ", "))}
 }
 
-// Query reads the answer to a word at a socket.
-func Query(path, word string, to any) error {
+// Query requests a report by name from the socket at path and decodes it into result.
+func Query(path, name string, result any) error {
 	conn, err := net.Dial("unix", path)
 	if err != nil {
-		return fmt.Errorf("control: %w", err)
+		return fmt.Errorf("admin: %w", err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(writeFor))
-	if _, err := io.WriteString(conn, word+"\n"); err != nil {
-		return fmt.Errorf("control: %s: %w", path, err)
+	conn.SetDeadline(time.Now().Add(responseTimeout))
+	if _, err := io.WriteString(conn, name+"\n"); err != nil {
+		return fmt.Errorf("admin: %s: %w", path, err)
 	}
 	raw, err := io.ReadAll(conn)
 	if err != nil {
-		return fmt.Errorf("control: %s: %w", path, err)
+		return fmt.Errorf("admin: %s: %w", path, err)
 	}
-	var f failure
-	if jsoniter.Unmarshal(raw, &f) == nil && f.Error != "" {
-		return fmt.Errorf("control: %s: %s", path, f.Error)
+	var failed errorResponse
+	if jsoniter.Unmarshal(raw, &failed) == nil && failed.Error != "" {
+		return fmt.Errorf("admin: %s: %s", path, failed.Error)
 	}
-	if err := jsoniter.Unmarshal(raw, to); err != nil {
-		return fmt.Errorf("control: %s: %w", path, err)
+	if err := jsoniter.Unmarshal(raw, result); err != nil {
+		return fmt.Errorf("admin: %s: %w", path, err)
 	}
 	return nil
 }
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -266,8 +266,8 @@
 }
 
 // answers are the commands of the accounts' socket.
-func (t *contractService) answers() admin.Answers {
-	a := admin.Answers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
+func (t *contractService) answers() admin.Handlers {
+	a := admin.Handlers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
 	if t.shedding != nil {
 		a["lanes"] = func(ctx context.Context) (out any) {
 			t.router.loop.do(ctx, func() { out = t.shedding.report() })
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -119,7 +119,7 @@
 // run takes part in the membership until the context ends, and serves the list of members.
 func (m *membershipService) run(ctx context.Context) {
 	if m.settings.Socket != "" && !m.router.controls(m.settings.Socket) {
-		stop, err := admin.Serve(ctx, m.settings.Socket, admin.Answers{"members": m.report})
+		stop, err := admin.Serve(ctx, m.settings.Socket, admin.Handlers{"members": m.report})
 		if err != nil {
 			slog.Error("members can't be read", operr.Attrs(err)...)
 		} else {
