--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -1,5 +1,5 @@
-// Package platformconfig reads what a router is told at its start: the NODE_*
-// variables and the JSON file that one of them names.
+// Package platformconfig reads the router's configuration from the platform: the NODE_* environment variables and the
+// JSON file that NODE_CONFIG names.
 package platformconfig
 
 import (
@@ -21,16 +21,16 @@
 
 // Config is a router's configuration, validated.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     *discovery.List // the list as this router last had it; nil when none was kept
-	Settings  *platformsettings.Settings
+	Name          string
+	Listen        string
+	Discovery     string
+	Seed          uint64
+	Limits        Limits
+	LastKnownList *discovery.List // the last endpoint list that this router had; nil if none was persisted
+	Settings      *platformsettings.Settings
 }
 
-// Limits are what the platform allows the process.
+// Limits are the platform's limits on the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
@@ -47,8 +47,7 @@
 	Settings  jsoniter.RawMessage `json:"settings"`
 }
 
-// Load reads the file that NODE_CONFIG names; the other variables, where set,
-// go before what the file says.
+// Load reads the file that NODE_CONFIG names. The other variables, if set, override the file.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -57,8 +56,8 @@
 	return read(path, getenv)
 }
 
-// Reload is Load after the file was replaced: the variables still tell of the
-// start, so the file's agent goes before NODE_DISCOVERY.
+// Reload is Load after the file was replaced. The variables still have their values from the start, so the file's
+// discovery address overrides NODE_DISCOVERY.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == "NODE_DISCOVERY" {
@@ -68,7 +67,7 @@
 	})
 }
 
-// Check reads a configuration file by itself.
+// Check reads a configuration file without the environment variables.
 func Check(path string) (*Config, error) {
 	return read(path, func(string) string { return "" })
 }
@@ -78,71 +77,71 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var f file
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &f); err != nil {
-		if where := strictjson.Kinds(raw, &file{}); where != nil && jsoniter.Valid(raw) { // it tells the field
-			return nil, fmt.Errorf("config: %w", where)
+	var parsed file
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &parsed); err != nil {
+		if kindError := strictjson.Kinds(raw, &file{}); kindError != nil && jsoniter.Valid(raw) { // this error names the field
+			return nil, fmt.Errorf("config: %w", kindError)
 		}
 		return nil, fmt.Errorf("config: not valid JSON: %w", err)
 	}
-	c := &Config{Name: cmp.Or(getenv("NODE_NAME"), f.Name), Listen: cmp.Or(getenv("NODE_LISTEN"), f.Listen),
-		Discovery: cmp.Or(getenv("NODE_DISCOVERY"), f.Discovery), Limits: f.Limits}
+	config := &Config{Name: cmp.Or(getenv("NODE_NAME"), parsed.Name), Listen: cmp.Or(getenv("NODE_LISTEN"), parsed.Listen),
+		Discovery: cmp.Or(getenv("NODE_DISCOVERY"), parsed.Discovery), Limits: parsed.Limits}
 	var errs []error
 	check := func(field string, err error) {
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", field, err))
 		}
 	}
-	if c.Name == "" {
+	if config.Name == "" {
 		check("name", errors.New("missing"))
 	}
-	check("listen", address(c.Listen))
-	check("discovery", address(c.Discovery))
-	check("limits", c.Limits.validate())
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		check("seed", fmt.Errorf("not 64 bits in hex: %q", f.Seed))
+	check("listen", checkAddress(config.Listen))
+	check("discovery", checkAddress(config.Discovery))
+	check("limits", config.Limits.validate())
+	if config.Seed, err = strconv.ParseUint(parsed.Seed, 16, 64); err != nil {
+		check("seed", fmt.Errorf("not 64 bits in hex: %q", parsed.Seed))
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		c.Known, err = discovery.Parse(f.Known, time.Now())
+	if len(parsed.Known) > 0 && string(parsed.Known) != "null" {
+		config.LastKnownList, err = discovery.Parse(parsed.Known, time.Now())
 		check("known", err)
 	}
-	c.Settings, err = platformsettings.Parse(f.Settings)
+	config.Settings, err = platformsettings.Parse(parsed.Settings)
 	if check("settings", err); err == nil {
-		_, err = balance.New(c.Settings.Balance, c.Seed)
+		_, err = balance.New(config.Settings.Balance, config.Seed)
 		check("settings", err)
-		check("settings", c.Settings.Serveable())
+		check("settings", config.Settings.Serveable())
 	}
 	if len(errs) > 0 {
-		return nil, fmt.Errorf("config: %w", oneLine(errs))
+		return nil, fmt.Errorf("config: %w", joinOnOneLine(errs))
 	}
-	return c, nil
+	return config, nil
 }
 
-// oneLine joins errors so that they print on a single line.
-func oneLine(errs []error) error {
-	out := errs[0]
+// joinOnOneLine joins errors so that they print on one line.
+func joinOnOneLine(errs []error) error {
+	joined := errs[0]
 	for _, err := range errs[1:] {
-		out = fmt.Errorf("%w; %w", out, err)
+		joined = fmt.Errorf("%w; %w", joined, err)
 	}
-	return out
+	return joined
 }
 
-func address(s string) error {
-	if _, err := netip.ParseAddrPort(s); err != nil {
-		return fmt.Errorf("not an address with a port: %q", s)
+func checkAddress(address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return fmt.Errorf("not an address with a port: %q", address)
 	}
 	return nil
 }
 
 func (l Limits) validate() error {
-	const leastMemory, leastSockets = 16, 64
+	const minMemoryMB, minSockets = 16, 64
 	switch {
 	case !(l.Cores > 0):
 		return fmt.Errorf("cores: %v is not above 0", l.Cores)
-	case l.MemoryMB < leastMemory:
-		return fmt.Errorf("memory_mb: %d, at least %d needed", l.MemoryMB, leastMemory)
-	case l.Sockets < leastSockets:
-		return fmt.Errorf("sockets: %d, at least %d needed", l.Sockets, leastSockets)
+	case l.MemoryMB < minMemoryMB:
+		return fmt.Errorf("memory_mb: %d, at least %d needed", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return fmt.Errorf("sockets: %d, at least %d needed", l.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -128,7 +128,7 @@
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
 		r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING")) // its owner does not run: events can be read
-		e := r.directory.Apply(r.config.Known)
+		e := r.directory.Apply(r.config.LastKnownList)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
 			if err != nil {
@@ -518,7 +518,7 @@
 			send s1 welcome
 			expect s1 ` + wrote01)
 		s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-		known := r.config.Known.Hosts[0].Name
+		known := r.config.LastKnownList.Hosts[0].Name
 		until(t, "the drain is known", func() bool {
 			_, ready := r.directory.Address(nodeOf(known))
 			return !ready
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -43,7 +43,7 @@
 func newTestOwner(t *testing.T) *eventLoop {
 	t.Helper()
 	r := newRouter(t, `{"seq":1,"whole":true,"hosts":[{"host":"h-1","dial":"127.0.0.1:1","block":1,"health":"SERVING"}]}`)
-	r.loop.handle(loopEvent{Event: r.directory.Apply(r.config.Known)})
+	r.loop.handle(loopEvent{Event: r.directory.Apply(r.config.LastKnownList)})
 	return r.loop
 }
 
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	r.timeouts, r.start.timeout = endless, 0
-	old := r.directory.Apply(conf.Known).Endpoints[0].ID
+	old := r.directory.Apply(conf.LastKnownList).Endpoints[0].ID
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- r.Serve(ctx, ln) }()
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -54,8 +54,8 @@
 		r.membership.restore(ctx, running)
 		running.Go(func() { r.membership.run(ctx) })
 	}
-	if r.config.Known != nil {
-		r.loop.events <- loopEvent{Event: r.directory.Apply(r.config.Known)}
+	if r.config.LastKnownList != nil {
+		r.loop.events <- loopEvent{Event: r.directory.Apply(r.config.LastKnownList)}
 		r.recovery.listReceived()
 	}
 	listed := make(chan struct{})
