--- a/internal/sharded/debug.go
+++ b/internal/sharded/debug.go
@@ -10,19 +10,20 @@
 	"lotushook/internal/invariant"
 )
 
-// holders are the goroutines that hold a shard, by the name that the runtime gives them in traces.
+// holders has the goroutines that access a shard, by their names in stack traces.
 var holders sync.Map
 
-// enter asserts that this goroutine holds no other shard: two that take two in another order wait for each other for good.
+// enter asserts that this goroutine accesses no other shard: two goroutines that lock two shards in opposite orders
+// would deadlock.
 func enter() {
-	_, held := holders.LoadOrStore(goroutine(), true)
-	invariant.Check(!held, "one shard's lock at a time")
+	_, isHolder := holders.LoadOrStore(goroutineName(), true)
+	invariant.Check(!isHolder, "one shard's lock at a time")
 }
 
-func leave() { holders.Delete(goroutine()) }
+func leave() { holders.Delete(goroutineName()) }
 
-func goroutine() string {
-	var buf [40]byte
-	name, _, _ := bytes.Cut(buf[:runtime.Stack(buf[:], false)], []byte(" ["))
+func goroutineName() string {
+	var stack [40]byte
+	name, _, _ := bytes.Cut(stack[:runtime.Stack(stack[:], false)], []byte(" ["))
 	return string(name)
 }
--- a/internal/sharded/sharded.go
+++ b/internal/sharded/sharded.go
@@ -1,8 +1,8 @@
-// Package sharded keeps a value in pieces, each with a mutex of its own, so that goroutines that look at different keys do not
-// wait for each other. What the value is and how it is decided on is the caller's: a shard is a plain value without locks.
+// Package sharded divides a value into shards, each with a mutex of its own, so that goroutines that access different
+// keys do not wait for each other. A shard is a plain value without locks, and the caller defines its meaning.
 //
-// A goroutine holds one shard at a time, whichever Shards it belongs to, and waits for nothing while it does: no socket,
-// file, channel or callback. With the build tag debug the first is asserted.
+// A goroutine may access only one shard at a time, whichever Shards it belongs to, and must not block during the
+// access: no socket, file, channel or callback. Builds with the tag debug assert the first rule.
 package sharded
 
 import (
@@ -11,59 +11,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shards are n values of one type. The number is fixed when they are made.
+// Shards is a fixed number of values of one type.
 type Shards[T any] struct {
-	cells []cell[T]
+	shards []shard[T]
 }
 
-type cell[T any] struct {
+type shard[T any] struct {
 	mu    sync.Mutex
 	value T
-	_     [128]byte // or the locks of two would share a cache line, or one that is fetched along
+	_     [128]byte // keeps the mutexes of two shards on different cache lines, also where lines are prefetched in pairs
 }
 
-// New makes n shards, at least one; start makes the value of each.
-func New[T any](n int, start func(i int) T) *Shards[T] {
-	s := &Shards[T]{cells: make([]cell[T], max(n, 1))}
-	for i := range s.cells {
-		s.cells[i].value = start(i)
+// New returns n shards, but at least one, whose initial values newValue returns.
+func New[T any](n int, newValue func(i int) T) *Shards[T] {
+	s := &Shards[T]{shards: make([]shard[T], max(n, 1))}
+	for i := range s.shards {
+		s.shards[i].value = newValue(i)
 	}
 	return s
 }
 
-// Len is how many there are.
-func (s *Shards[T]) Len() int { return len(s.cells) }
+// Len returns the number of shards.
+func (s *Shards[T]) Len() int { return len(s.shards) }
 
-// Index is the shard of a key of one or more parts. It is the same in every process with as many shards. Each part is hashed
-// by itself, so that "a", "bc" and "ab", "c" are two keys, and nothing is put together or allocated.
+// Index returns the shard index of a key of one or more parts. It is the same in every process with the same number of
+// shards. Each part is hashed separately, so that the keys "a", "bc" and "ab", "c" differ and nothing is concatenated
+// or allocated.
 func (s *Shards[T]) Index(key ...string) int {
-	h := uint64(0)
+	hash := uint64(0)
 	for _, part := range key {
-		h = (h ^ xxhash.Sum64String(part)) * spread
+		hash = (hash ^ xxhash.Sum64String(part)) * hashMultiplier
 	}
-	return int((h >> 32) * uint64(len(s.cells)) >> 32) // by the upper bits, which depend on all others
+	return int((hash >> 32) * uint64(len(s.shards)) >> 32) // uses the upper bits, which depend on all others
 }
 
-const spread = 0x9e3779b97f4a7c15 // odd: 2^64 over the golden ratio
+const hashMultiplier = 0x9e3779b97f4a7c15 // odd: 2^64 divided by the golden ratio
 
-// Do has a function look at or change the value of a key's shard, which it must not keep.
+// Do calls f with the value of the key's shard under the shard's lock. f may change the value, but must not retain the
+// pointer.
 func (s *Shards[T]) Do(key string, f func(*T)) { s.At(s.Index(key), f) }
 
-// At is Do for a shard by number, where a key has several parts.
+// At is Do for the shard with index i, for keys of several parts.
 func (s *Shards[T]) At(i int, f func(*T)) {
-	c := &s.cells[i]
+	accessed := &s.shards[i]
 	enter()
 	defer leave()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	f(&c.value)
+	accessed.mu.Lock()
+	defer accessed.mu.Unlock()
+	f(&accessed.value)
 }
 
-// Each goes through all shards, one by one in order of their numbers. Between two of them anything may change: a key that is
-// changed meanwhile may be seen before or after it, and a sum over shards is of no one moment. Only what a single shard
-// holds is of one moment.
-func (s *Shards[T]) Each(f func(i int, v *T)) {
-	for i := range s.cells {
-		s.At(i, func(v *T) { f(i, v) })
+// Each calls f for each shard in the order of their indexes, and locks only that shard during the call. It is not a
+// consistent snapshot: any shard may change between two calls, so that only the values within one shard are consistent
+// with each other.
+func (s *Shards[T]) Each(f func(i int, value *T)) {
+	for i := range s.shards {
+		s.At(i, func(value *T) { f(i, value) })
 	}
 }
--- a/internal/sharded/sharded_test.go
+++ b/internal/sharded/sharded_test.go
@@ -12,140 +12,142 @@
 	"lotushook/internal/invariant"
 )
 
-// book is something to decide with: each key may be taken so often.
-type book map[string]int
+// quotas counts how often each key was acquired.
+type quotas map[string]int
 
-func (b book) take(key string, most int) bool {
-	if b[key] >= most {
+func (q quotas) acquire(key string, limit int) bool {
+	if q[key] >= limit {
 		return false
 	}
-	b[key]++
+	q[key]++
 	return true
 }
 
-func books(n int) *Shards[book] { return New(n, func(int) book { return book{} }) }
+func newQuotas(n int) *Shards[quotas] { return New(n, func(int) quotas { return quotas{} }) }
 
-// However many shards there are, a sequence gets the same verdicts, and in the end they hold the same.
-func TestSameVerdicts(t *testing.T) {
+// A sequence of calls has the same results and leaves the same counts for any number of shards.
+func TestSameResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, many, was := books(1), books(64), book{}
+		oneShard, manyShards, unsharded := newQuotas(1), newQuotas(64), quotas{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			key := fmt.Sprint(rapid.IntRange(0, 40).Draw(t, "key"))
-			want := was.take(key, 3)
-			for _, s := range []*Shards[book]{one, many} {
+			want := unsharded.acquire(key, 3)
+			for _, shards := range []*Shards[quotas]{oneShard, manyShards} {
 				got := !want
-				s.Do(key, func(b *book) { got = b.take(key, 3) })
+				shards.Do(key, func(q *quotas) { got = q.acquire(key, 3) })
 				if got != want {
-					t.Fatalf("%d shards: %s: %v", s.Len(), key, got)
+					t.Fatalf("%d shards: %s: acquired %v", shards.Len(), key, got)
 				}
 			}
 		}
-		for _, s := range []*Shards[book]{one, many} {
-			all := book{}
-			s.Each(func(i int, b *book) {
-				for key, n := range *b {
-					if all[key] += n; s.Index(key) != i {
-						t.Fatalf("%s is in shard %d of %d", key, i, s.Len())
+		for _, shards := range []*Shards[quotas]{oneShard, manyShards} {
+			total := quotas{}
+			shards.Each(func(i int, q *quotas) {
+				for key, count := range *q {
+					if total[key] += count; shards.Index(key) != i {
+						t.Fatalf("%s is in shard %d of %d", key, i, shards.Len())
 					}
 				}
 			})
-			if fmt.Sprint(all) != fmt.Sprint(was) {
-				t.Fatalf("%d shards hold %v, not %v", s.Len(), all, was)
+			if fmt.Sprint(total) != fmt.Sprint(unsharded) {
+				t.Fatalf("%d shards have %v, want %v", shards.Len(), total, unsharded)
 			}
 		}
 	})
 }
 
-// Eight goroutines take no more of a key than there is; what Each sees never falls.
-func TestGoroutines(t *testing.T) {
-	s, taken := books(16), atomic.Int64{}
-	var all sync.WaitGroup
+// Eight goroutines acquire each key exactly up to its limit, and the sum that Each sees never falls.
+func TestConcurrentAccess(t *testing.T) {
+	shards, acquired := newQuotas(16), atomic.Int64{}
+	var goroutines sync.WaitGroup
 	for g := range 8 {
-		all.Go(func() {
+		goroutines.Go(func() {
 			for i := range 4000 {
 				key := fmt.Sprint((i*7 + g) % 300)
-				s.Do(key, func(b *book) {
-					if b.take(key, 50) {
-						taken.Add(1)
+				shards.Do(key, func(q *quotas) {
+					if q.acquire(key, 50) {
+						acquired.Add(1)
 					}
 				})
 			}
 		})
 	}
-	all.Go(func() {
-		for before := 0; before < 300*50; {
+	goroutines.Go(func() {
+		for previous := 0; previous < 300*50; {
 			sum := 0
-			s.Each(func(_ int, b *book) {
-				for _, n := range *b {
-					sum += n
+			shards.Each(func(_ int, q *quotas) {
+				for _, count := range *q {
+					sum += count
 				}
 			})
-			if sum < before {
-				t.Errorf("%d after %d", sum, before)
+			if sum < previous {
+				t.Errorf("the sum is %d after %d", sum, previous)
 				return
 			}
-			before = sum
+			previous = sum
 		}
 	})
-	all.Wait()
-	if taken.Load() != 300*50 {
-		t.Errorf("%d taken", taken.Load())
+	goroutines.Wait()
+	if acquired.Load() != 300*50 {
+		t.Errorf("%d acquired", acquired.Load())
 	}
 }
 
-// Parts of a key are told apart, and keys go to all shards.
+// The parts of a key are distinguished, and keys are evenly distributed over all shards.
 func TestIndex(t *testing.T) {
-	s, seen := books(1<<16), map[int]int{}
-	if s.Index("a", "bc") == s.Index("ab", "c") || s.Index("a", "") == s.Index("", "a") {
-		t.Error("two keys are one")
+	shards, keysByShard := newQuotas(1<<16), map[int]int{}
+	if shards.Index("a", "bc") == shards.Index("ab", "c") || shards.Index("a", "") == shards.Index("", "a") {
+		t.Error("two different keys have the same index")
 	}
-	few := books(16)
+	fewShards := newQuotas(16)
 	for i := range 16_000 {
-		seen[few.Index("1", fmt.Sprint("session-", i))]++
+		keysByShard[fewShards.Index("1", fmt.Sprint("session-", i))]++
 	}
-	for i := range few.Len() {
-		if seen[i] < 800 || seen[i] > 1200 {
-			t.Errorf("shard %d has %d of 16000", i, seen[i])
+	for i := range fewShards.Len() {
+		if keysByShard[i] < 800 || keysByShard[i] > 1200 {
+			t.Errorf("shard %d has %d of 16000 keys", i, keysByShard[i])
 		}
 	}
 }
 
-// A second shard in the first one's function is found in a debug build, before it can wait for anything.
-func TestOneAtATime(t *testing.T) {
+// In a debug build, access to a second shard within the function of the first one panics before it can block.
+func TestNestedAccess(t *testing.T) {
 	if !invariant.Debug {
 		t.Skip("asserted in debug builds")
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("two shards at once were not noticed")
+			t.Error("nested access to two shards was not detected")
 		}
-		holders := books(2)
-		holders.At(0, func(*book) {}) // and the next one goes on
+		shards := newQuotas(2)
+		shards.At(0, func(*quotas) {}) // the panic left no access registered for this goroutine
 	}()
-	s := books(2)
-	s.At(0, func(*book) { s.At(1, func(*book) {}) })
+	shards := newQuotas(2)
+	shards.At(0, func(*quotas) { shards.At(1, func(*quotas) {}) })
 }
 
-// onelock is what shards stand in place of.
-type onelock struct {
-	mu sync.Mutex
-	b  book
+// singleLock is the alternative to shards.
+type singleLock struct {
+	mu     sync.Mutex
+	quotas quotas
 }
 
-// work is what a decision does under its lock beside a look at its map: some hundred ns of a core's own.
-func work(n int) (x uint64) {
-	for x = 1; n > 0; n-- {
+// work simulates the computation of a decision under its lock, in addition to a map access: a few hundred ns of CPU
+// time.
+func work(steps int) (x uint64) {
+	for x = 1; steps > 0; steps-- {
 		x = x*6364136223846793005 + 1
 	}
 	return x
 }
 
-// BenchmarkAgainstOneLock measures 1, 2, 4 and 8 goroutines by turns, in each iteration so many looks at one lock and then as
-// many at 64 shards, and reports how many times as many a second the shards allow: with nothing under the lock but a map's
-// entry that all goroutines write, which costs what moving a cache line costs, and with a decision's work beside it. The same work without any lock ("free") is
-// what the machine gives at that moment: where it does not scale, nothing can.
+// BenchmarkAgainstOneLock compares 64 shards with one lock, for 1, 2, 4 and 8 goroutines. Each iteration makes the same
+// number of accesses with one lock, with the shards and, as the limit of what the machine allows at that moment,
+// without any lock ("free"). "times" is how many times as many accesses per second the shards allow. Each access writes
+// an entry of a map that all goroutines share, which costs the transfer of a cache line, either alone or with the work
+// of a decision.
 func BenchmarkAgainstOneLock(b *testing.B) {
-	const looks = 20_000
+	const accessCount = 20_000
 	keys := make([]string, 20_000)
 	for i := range keys {
 		keys[i] = fmt.Sprint("session-", i)
@@ -153,39 +155,39 @@
 	for _, steps := range []int{0, 300} {
 		for _, goroutines := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("work=%d/goroutines=%d", steps, goroutines), func(b *testing.B) {
-				one, many := onelock{b: book{}}, books(64)
+				single, shards := singleLock{quotas: quotas{}}, newQuotas(64)
 				for _, key := range keys {
-					one.b[key] = 1
-					many.Do(key, func(b *book) { (*b)[key] = 1 })
+					single.quotas[key] = 1
+					shards.Do(key, func(q *quotas) { (*q)[key] = 1 })
 				}
-				timed := func(look func(key string)) time.Duration {
-					var all sync.WaitGroup
-					from := time.Now()
+				measure := func(access func(key string)) time.Duration {
+					var running sync.WaitGroup
+					startedAt := time.Now()
 					for g := range goroutines {
-						all.Go(func() {
-							for i := range looks {
-								look(keys[(i*31+g*4999)%len(keys)])
+						running.Go(func() {
+							for i := range accessCount {
+								access(keys[(i*31+g*4999)%len(keys)])
 							}
 						})
 					}
-					all.Wait()
-					return time.Since(from)
+					running.Wait()
+					return time.Since(startedAt)
 				}
-				var lock, shards, free time.Duration
+				var singleElapsed, shardsElapsed, freeElapsed time.Duration
 				for b.Loop() {
-					lock += timed(func(key string) {
-						one.mu.Lock()
-						one.b[key] += int(work(steps) & 1)
-						one.mu.Unlock()
+					singleElapsed += measure(func(key string) {
+						single.mu.Lock()
+						single.quotas[key] += int(work(steps) & 1)
+						single.mu.Unlock()
 					})
-					shards += timed(func(key string) { many.Do(key, func(b *book) { (*b)[key] += int(work(steps) & 1) }) })
-					free += timed(func(key string) { _ = work(steps + len(key)) })
+					shardsElapsed += measure(func(key string) { shards.Do(key, func(q *quotas) { (*q)[key] += int(work(steps) & 1) }) })
+					freeElapsed += measure(func(key string) { _ = work(steps + len(key)) })
 				}
-				n := float64(b.N * goroutines * looks)
-				b.ReportMetric(float64(lock.Nanoseconds())/n, "ns/lock")
-				b.ReportMetric(float64(shards.Nanoseconds())/n, "ns/shards")
-				b.ReportMetric(float64(free.Nanoseconds())/n, "ns/free")
-				b.ReportMetric(lock.Seconds()/shards.Seconds(), "times")
+				accesses := float64(b.N * goroutines * accessCount)
+				b.ReportMetric(float64(singleElapsed.Nanoseconds())/accesses, "ns/lock")
+				b.ReportMetric(float64(shardsElapsed.Nanoseconds())/accesses, "ns/shards")
+				b.ReportMetric(float64(freeElapsed.Nanoseconds())/accesses, "ns/free")
+				b.ReportMetric(singleElapsed.Seconds()/shardsElapsed.Seconds(), "times")
 			})
 		}
 	}
