--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -1,5 +1,5 @@
-// Package accounting defines the report to operators about the requests of each team: the form of a row, and histograms of
-// response times. policy/contract counts the requests, and internal/admin serves the report.
+// Package accounting defines the report to operators about the requests of each team: the form of a row, and histograms
+// of response times. policy/contract counts the requests, and internal/admin serves the report.
 package accounting
 
 import (
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -1,5 +1,6 @@
-// Package fdlimit divides the process's file descriptors between client connections and connections to data servers. Neither
-// side can use the descriptors of the other, so that a flood of clients does not prevent connections to the data servers.
+// Package fdlimit divides the process's file descriptors between client connections and connections to data servers.
+// Neither side can use the descriptors of the other, so that a flood of clients does not prevent connections to the
+// data servers.
 package fdlimit
 
 import (
@@ -18,8 +19,8 @@
 // A side's capacity is at most its maxCapacity.
 type side struct{ capacity, used, maxCapacity int }
 
-// otherDescriptors is the number of descriptors for anything else: standard streams, the listener, the poller, discovery, and
-// the configuration file while it is read.
+// otherDescriptors is the number of descriptors for anything else: standard streams, the listener, the poller,
+// discovery, and the configuration file while it is read.
 const otherDescriptors = 24
 
 // New returns a budget for a process that may have limit open descriptors.
@@ -54,8 +55,8 @@
 	return b.clients.capacity, b.clients.used
 }
 
-// LimitClients sets the limit of client descriptors and returns the new limit, which is at least minClients and at most the
-// clients' part of New's limit. It is used when the system grants fewer descriptors than that limit.
+// LimitClients sets the limit of client descriptors and returns the new limit, which is at least minClients and at most
+// the clients' part of New's limit. It is used when the system grants fewer descriptors than that limit.
 func (b *Budget) LimitClients(limit int) int {
 	const minClients = 8
 	b.mu.Lock()
@@ -64,8 +65,8 @@
 	return b.clients.capacity
 }
 
-// IsExhausted reports whether an error says that the process or the system has no free descriptor, which may happen below the
-// budget's limit.
+// IsExhausted reports whether an error says that the process or the system has no free descriptor, which may happen
+// below the budget's limit.
 func IsExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics counts what a router does, for a line of totals in the log per period. The counts influence no decision.
+// Package metrics counts what a router does, for a line of totals in the log per period. The counts influence no
+// decision.
 package metrics
 
 import (
@@ -66,8 +67,8 @@
 // Outcome returns the name of an outcome in logs.
 func Outcome(outcome balance.Outcome) string { return outcomeNames[outcome] }
 
-// maxEndpoints is the maximum number of endpoints with counts of their own in a period. Attempts at further endpoints are
-// counted together under the name "others".
+// maxEndpoints is the maximum number of endpoints with counts of their own in a period. Attempts at further endpoints
+// are counted together under the name "others".
 const maxEndpoints = 512
 
 // Metrics has the counts of one router. A nil Metrics counts nothing. It is safe for concurrent use.
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -1,5 +1,5 @@
-// Package operr defines what an error tells an operator: its kind, and what to do about it. The error types are defined where
-// the errors arise; this package only finds them in a chain of wrapped errors and logs them.
+// Package operr defines what an error tells an operator: its kind, and what to do about it. The error types are defined
+// where the errors arise; this package only finds them in a chain of wrapped errors and logs them.
 package operr
 
 import (
@@ -7,8 +7,8 @@
 	"log/slog"
 )
 
-// Error is an error that an operator can act on. Its text says what failed, for which object (a path, a member, a key), and
-// what the router did instead.
+// Error is an error that an operator can act on. Its text says what failed, for which object (a path, a member, a key),
+// and what the router did instead.
 type Error interface {
 	error
 	Kind() string // one or two words for counting and filtering, such as "keep-torn"; the same for all errors of a type and cause
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -189,8 +189,9 @@
 	return fsyncs, evicted, nil
 }
 
-// evict deletes records until at least needBytes are free: expired records first, then by age, the oldest first. Ages are
-// compared in powers of two of a millisecond. It returns the count, size and sum of checksums of the deleted records.
+// evict deletes records until at least needBytes are free: expired records first, then by age, the oldest first. Ages
+// are compared in powers of two of a millisecond. It returns the count, size and sum of checksums of the deleted
+// records.
 func (e *boltEngine) evict(bucket *bbolt.Bucket, now int64, needBytes int64) (count int, freedBytes int64, freedChecksums uint64, err error) {
 	ageRank := func(key, value []byte) int { // 0: the header, or an unreadable record; neither is evicted
 		record, writtenAt, err := parseRecord(key, value)
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -76,8 +76,8 @@
 	return "move the file back and start the newer release again, or continue with this release: the other routers send it their state"
 }
 
-// OutdatedError reports a copy that lacks entries that the other routers have seen from this router: somebody restored an
-// old file.
+// OutdatedError reports a copy that lacks entries that the other routers have seen from this router: somebody restored
+// an old file.
 type OutdatedError struct {
 	Path       string
 	Copy, Seen string // the router's newest own entry in the copy, and the newest one that the other routers have seen
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -166,8 +166,8 @@
 	return s.moveAside(damaged)
 }
 
-// moveAside renames a copy that can't be used, unless maxMovedAside copies were moved aside already. It returns problem with
-// the new path set, or the error that prevented the move.
+// moveAside renames a copy that can't be used, unless maxMovedAside copies were moved aside already. It returns problem
+// with the new path set, or the error that prevented the move.
 func (s *Store) moveAside(problem operr.Error) operr.Error {
 	for n := 1; n <= maxMovedAside; n++ {
 		newPath := fmt.Sprintf("%s.aside-%d", s.path, n)
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -21,7 +21,8 @@
 	errShort    = errors.New("the data is shorter than its length fields say")
 )
 
-// crc extends the CRC-32C checksum sum by b. The table is created at the first call, because a router without a copy needs none.
+// crc extends the CRC-32C checksum sum by b. The table is created at the first call, because a router without a copy
+// needs none.
 func crc(sum uint32, b []byte) uint32 { return crc32.Update(sum, crc32.MakeTable(crc32.Castagnoli), b) }
 
 // fileHeader describes a copy. It is written with each batch.
@@ -94,8 +95,8 @@
 // recordKey returns a record's key in the database.
 func recordKey(record *persistence.Record) []byte { return append([]byte{record.Kind}, record.Key...) }
 
-// encodeRecord returns a record's value in the database: the wall-clock time of the write, the record's age at that time,
-// its own value, and a checksum over these and the key.
+// encodeRecord returns a record's value in the database: the wall-clock time of the write, the record's age at that
+// time, its own value, and a checksum over these and the key.
 func encodeRecord(record *persistence.Record, writtenAt int64) []byte {
 	out := make([]byte, 0, 20+len(record.Value))
 	out = binary.LittleEndian.AppendUint64(out, uint64(writtenAt))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,11 +1,11 @@
-// Package store persists a router's replicated state on its own disk, as records of a kind, a key, a value and an age, and
-// restores them after a restart. The caller defines what the records mean; policy/persistence decides which records wait for
-// a batch and how old a restored record is.
+// Package store persists a router's replicated state on its own disk, as records of a kind, a key, a value and an age,
+// and restores them after a restart. The caller defines what the records mean; policy/persistence decides which records
+// wait for a batch and how old a restored record is.
 //
-// Callers never wait for the disk: records are put into a queue of bounded size, and one goroutine writes batches from it
-// into a bbolt file, the copy. A copy that can't be used is never deleted but moved aside, at most maxMovedAside times;
-// after that the router runs without a copy and reports what the operator can do. Whether other routers have confirmed a
-// restored record is tracked in policy/trust.
+// Callers never wait for the disk: records are put into a queue of bounded size, and one goroutine writes batches from
+// it into a bbolt file, the copy. A copy that can't be used is never deleted but moved aside, at most maxMovedAside
+// times; after that the router runs without a copy and reports what the operator can do. Whether other routers have
+// confirmed a restored record is tracked in policy/trust.
 package store
 
 import (
@@ -49,7 +49,7 @@
 	Records    []persistence.Record
 	Epoch      uint64 // of the process that wrote last; 0: there was no copy
 	Generation uint64
-	Dropped    uint64 // records that this process could not store; if above 0, the copy lacks more than the last batch
+	Dropped    uint64 // records that this process dropped or evicted; if above 0, the copy lacks more than the last batch
 }
 
 // Store is a copy on disk. A nil Store stores nothing. Put, Generation and Report are safe for concurrent use.
@@ -91,8 +91,8 @@
 	return &Store{settings: settings, path: filepath.Join(settings.Dir, fileName), queue: queue, wake: make(chan struct{}, 1), loaded: make(chan struct{})}, nil
 }
 
-// Put queues a record to replace the stored one of its kind and key. It never waits for the disk. Records that a full queue
-// drops are counted; a record without a kind, or with a key or value that is too long, is ignored.
+// Put queues a record to replace the stored one of its kind and key. It never waits for the disk. Records that a full
+// queue drops are counted; a record without a kind, or with a key or value that is too long, is ignored.
 func (s *Store) Put(record persistence.Record) {
 	if s == nil || record.Kind == 0 || len(record.Key) > maxKeyBytes || len(record.Value) > maxValueBytes {
 		return
@@ -120,17 +120,18 @@
 	return restored
 }
 
-// Generation returns the number of batches written to the copy, over all processes, and the epoch of the process that wrote
-// the last one. A copy with a lower generation than another router remembers is an old file that somebody restored
-// (trust.CompareCopy).
+// Generation returns the number of batches written to the copy, over all processes, and the epoch of the process that
+// wrote the last one. A copy with a lower generation than another router remembers is an old file that somebody
+// restored (trust.CompareCopy).
 func (s *Store) Generation() (epoch, generation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.header.epoch, s.header.generation
 }
 
-// Run reads the copy, writes records until the context ends, and then writes a final batch. Disk operations run on another
-// goroutine: one that takes longer than a second is reported, and after the context ends Run waits at most another second.
+// Run reads the copy, writes records until the context ends, and then writes a final batch. Disk operations run on
+// another goroutine: one that takes longer than a second is reported, and after the context ends Run waits at most
+// another second.
 func (s *Store) Run(ctx context.Context) {
 	operations, done := make(chan func() func(), 1), make(chan func(), 1) // one at a time, so that no send blocks
 	go func() {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// For each fault of a copy or of the disk, the store starts, and reports what it did and what the operator can do. A copy
-// that can't be used is moved aside unchanged.
+// For each fault of a copy or of the disk, the store starts, and reports what it did and what the operator can do. A
+// copy that can't be used is moved aside unchanged.
 //
 //nolint:gocognit,funlen // a table of cases and one sequence of checks for all of them
 func TestCopyAndDiskFaults(t *testing.T) {
@@ -304,8 +304,8 @@
 	return e.engine.commit(header, batch)
 }
 
-// While the disk hangs, Put does not block, the queue stays within its bound, and dropped records are counted in the copy.
-// A store that stops during the hang gives up waiting for the disk.
+// While the disk hangs, Put does not block, the queue stays within its bound, and dropped records are counted in the
+// copy. A store that stops during the hang gives up waiting for the disk.
 func TestHangingDisk(t *testing.T) {
 	settings := testSettings(t.TempDir())
 	settings.Queue.QueueBytes = 4096
--- a/internal/store/verify_test.go
+++ b/internal/store/verify_test.go
@@ -88,8 +88,8 @@
 	return values(restored), errorKind
 }
 
-// After a write that stopped at any page, with pages written in any order, or after a bit flip anywhere, the store restores
-// all records of one batch or all of the other, or rejects the copy.
+// After a write that stopped at any page, with pages written in any order, or after a bit flip anywhere, the store
+// restores all records of one batch or all of the other, or rejects the copy.
 func TestTornWritesAndBitFlips(t *testing.T) {
 	firstFile, secondFile, firstRecords, secondRecords := twoBatches(t)
 	var rejected, accepted atomic.Int64
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// write commits a batch. The first batch of a new copy goes to a temporary file that is then renamed, so that s.path never
-// names an incomplete copy.
+// write commits a batch. The first batch of a new copy goes to a temporary file that is then renamed, so that s.path
+// never names an incomplete copy.
 func (s *Store) write(header *fileHeader, batch []persistence.Record) (fsyncs, evicted int, err error) {
 	if s.engine != nil {
 		return s.engine.commit(header, batch)
