--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -23,7 +23,7 @@
 // discovery, and the configuration file while it is read.
 const otherDescriptors = 24
 
-// New returns a budget for a process that may have limit open descriptors.
+// New returns a budget for a process that may open limit descriptors.
 func New(limit int) *Budget {
 	available := max(limit-otherDescriptors, 2)
 	servers := available * 3 / 8 // a third of all for open requests, and the rest for probes and idle connections
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -53,7 +53,8 @@
 	counterCount
 )
 
-var names = [counterCount]string{"asked", "served", "gone", "unanswered", "no_room", "contract", "lane", "twice_alive",
+// counterNames has the names of the counters in the line of totals.
+var counterNames = [counterCount]string{"asked", "served", "gone", "unanswered", "no_room", "contract", "lane", "twice_alive",
 	"first", "repeated", "not_primary", "behind", "probes", "probed",
 	"dial_up", "dial_unheard", "dial_too_many", "dial_no_socket", "lists", "no_list",
 	"denied", "denied_again", "denied_late",
@@ -144,7 +145,7 @@
 		}
 	}
 	for i := range m.counts {
-		take(names[i], &m.counts[i])
+		take(counterNames[i], &m.counts[i])
 	}
 	for kind, prefix := range map[balance.ActionKind]string{balance.SendAttempt: "send", balance.RejectRequest: "refused", balance.FailRequest: "failed", balance.WriteLog: "node"} {
 		for reason := range m.actions[kind] {
