--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -93,7 +93,7 @@
 func (conn *serverConn) release() {
 	conn.close()
 	conn.pool.remove(conn)
-	conn.released.Do(conn.pool.Descriptors.Hangup)
+	conn.released.Do(conn.pool.Descriptors.ReleaseServer)
 }
 
 // run is the connection's goroutine.
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -49,7 +49,7 @@
 	conn := newServerConn(pool, attempt.endpoint, address)
 	conn.dialDelay = delay
 	if !pool.add(conn) {
-		pool.Descriptors.Hangup()
+		pool.Descriptors.ReleaseServer()
 		attempt.finish(Result{Outcome: outcomeNotSent})
 		return
 	}
@@ -58,7 +58,7 @@
 
 // reserveDescriptor reserves a file descriptor for a connection, closing an idle connection if none is free.
 func (pool *Pool) reserveDescriptor() bool {
-	return pool.Descriptors.Dial() || pool.EvictIdle() && pool.Descriptors.Dial()
+	return pool.Descriptors.ReserveServer() || pool.EvictIdle() && pool.Descriptors.ReserveServer()
 }
 
 // connect dials and starts a session. The outcome is balance.Succeeded or the reason for the failure.
@@ -78,7 +78,7 @@
 	}
 	socket, err := conn.dial(ctx)
 	switch {
-	case fdlimit.Exhausted(err):
+	case fdlimit.IsExhausted(err):
 		return Result{Outcome: outcomeNotSent, Err: err}
 	case err != nil:
 		return Result{Outcome: balance.ConnectionRefused, Err: err}
@@ -100,7 +100,7 @@
 // dial dials, and retries once if the system had no descriptor left and an idle connection could be closed.
 func (conn *serverConn) dial(ctx context.Context) (*net.TCPConn, error) {
 	socket, err := dialTCP(ctx, conn.address)
-	if !fdlimit.Exhausted(err) {
+	if !fdlimit.IsExhausted(err) {
 		return socket, err
 	}
 	if conn.pool.OutOfDescriptors != nil { // although the budget had one left
@@ -182,7 +182,7 @@
 func dialCounter(outcome balance.Outcome) metrics.Counter {
 	switch outcome {
 	case balance.Succeeded:
-		return metrics.DialsUp
+		return metrics.DialsSucceeded
 	case balance.Busy:
 		return metrics.DialsRejected
 	case outcomeNotSent:
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -68,7 +68,7 @@
 	case bindUnwanted:
 		attempt.finish(Result{Outcome: outcomeNotSent, Err: errUnwanted})
 	case bindStale:
-		conn.pool.Metrics.Add(metrics.TooOldRead)
+		conn.pool.Metrics.Add(metrics.StaleReadsSkipped)
 		attempt.finish(Result{Outcome: balance.NotEligible, Err: errStale})
 	case bindNotAllowed:
 		attempt.finish(Result{Outcome: balance.Busy, Err: errDraining})
--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -124,20 +124,20 @@
 func (acceptor *acceptor) accept(listener net.Listener) error {
 	defer acceptor.spare.release()
 	for accepts := 1; ; accepts++ {
-		for !acceptor.router.descriptors.Accept() { // the remaining descriptors belong to closing connections
+		for !acceptor.router.descriptors.ReserveClient() { // the remaining descriptors belong to closing connections
 			if acceptor.router.clients.endLingering() || !acceptor.lingering.closeOldest() {
 				select {
-				case <-acceptor.router.descriptors.Left():
+				case <-acceptor.router.descriptors.ClientReleased():
 				case <-time.After(acceptRetryDelay):
 				}
 			}
 		}
 		conn, err := listener.Accept()
 		if err != nil {
-			acceptor.router.descriptors.Leave()
+			acceptor.router.descriptors.ReleaseClient()
 			var netError net.Error
 			switch {
-			case fdlimit.Exhausted(err):
+			case fdlimit.IsExhausted(err):
 				acceptor.acceptWithoutDescriptor(listener)
 			case errors.As(err, &netError) && !errors.Is(err, net.ErrClosed): // the client aborted the connection
 				slog.Warn("accept", "err", err)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -117,7 +117,7 @@
 		if request.router.config.Settings.IsWrite(request.Class) {
 			request.router.metrics.Add(metrics.MissesNotPrimary)
 		} else {
-			request.router.metrics.Add(metrics.MissesBehind)
+			request.router.metrics.Add(metrics.MissesStale)
 		}
 	}
 	if request.router.accessLog.wanted() {
--- a/internal/router/deadline_test.go
+++ b/internal/router/deadline_test.go
@@ -186,7 +186,7 @@
 	servers := startSlowServers(t, 0, 0, "")
 	_, router := startRouterWithSettings(t, 0, noTimeouts, strings.Clone, servers.hosts...)
 	reserved := 0
-	for router.descriptors.Accept() { // by connections that are not closed
+	for router.descriptors.ReserveClient() { // by connections that are not closed
 		reserved++
 	}
 	dial := func(wait time.Duration) net.Conn {
@@ -206,7 +206,7 @@
 	late, inTime := dial(100*time.Millisecond), dial(testWait)
 	time.Sleep(waited)
 	for range reserved {
-		router.descriptors.Leave()
+		router.descriptors.ReleaseClient()
 	}
 	var buffer [1]byte
 	if _, err := late.Read(buffer[:]); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -129,7 +129,7 @@
 func TestLeavingMeetsSend(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
 		router := newRouter(t, nettest.EndpointList(1, "h-1 127.0.0.1:1 1 SERVING")) // its event loop does not run
-		update := router.directory.Apply(router.config.Known)
+		update := router.directory.Apply(router.config.LastKnownList)
 		for range 64 {
 			parsed, err := pgwire.ParseRequest("/* id=01,c=read,d=20000,cluster=1 */ A")
 			if err != nil {
@@ -522,7 +522,7 @@
 			send s1 welcome
 			expect s1 ` + forwardedWrite1)
 		stage.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-		known := router.config.Known.Hosts[0].Name
+		known := router.config.LastKnownList.Hosts[0].Name
 		waitUntil(t, "the drain is known", func() bool {
 			_, ready := router.directory.Address(endpointIDOf(known))
 			return !ready
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -43,7 +43,7 @@
 func newTestEventLoop(t *testing.T) *eventLoop {
 	t.Helper()
 	router := newRouter(t, `{"seq":1,"whole":true,"hosts":[{"host":"h-1","dial":"127.0.0.1:1","block":1,"health":"SERVING"}]}`)
-	router.loop.handle(loopEvent{Event: router.directory.Apply(router.config.Known)})
+	router.loop.handle(loopEvent{Event: router.directory.Apply(router.config.LastKnownList)})
 	return router.loop
 }
 
--- a/internal/router/lingeringclose.go
+++ b/internal/router/lingeringclose.go
@@ -122,7 +122,7 @@
 
 func (closes *lingeringCloses) closeNow(conn net.Conn) {
 	conn.Close()
-	closes.budget.Leave()
+	closes.budget.ReleaseClient()
 }
 
 // rejectAndShutdown sends a message, shuts down the sending side, and discards available input, all without blocking.
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	r.timeouts, r.start.timeout = noTimeouts, 0
-	old := r.directory.Apply(conf.Known).Endpoints[0].ID
+	old := r.directory.Apply(conf.LastKnownList).Endpoints[0].ID
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- r.Serve(ctx, ln) }()
@@ -51,9 +51,9 @@
 	if _, used := r.descriptors.Clients(); used != most || most < 10 {
 		t.Fatalf("%d clients of %d", used, most)
 	}
-	for r.descriptors.Dial() { // others, of which this test knows nothing
+	for r.descriptors.ReserveServer() { // others, of which this test knows nothing
 	}
-	r.descriptors.Hangup()
+	r.descriptors.ReleaseServer()
 	s.ServeDiscovery("agent")(2, nettest.EndpointList(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
 	waitUntil(t, "the list is heard", func() bool {
 		_, ready := r.directory.Address(old)
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -22,7 +22,7 @@
 			router.acceptClient(conn, exhaustedAt)
 			continue
 		}
-		router.descriptors.Leave()
+		router.descriptors.ReleaseClient()
 		if !isTemporary(err) {
 			return err
 		}
@@ -34,9 +34,9 @@
 // acceptClient starts a client's goroutine, unless the client waited too long to be accepted.
 func (router *Router) acceptClient(conn net.Conn, exhaustedAt clock.Nanos) {
 	if router.hasWaitedTooLong(conn, exhaustedAt) {
-		router.metrics.Add(metrics.ShutUnread)
+		router.metrics.Add(metrics.ClosedUnread)
 		closeQuietly(conn)
-		router.descriptors.Leave()
+		router.descriptors.ReleaseClient()
 		return
 	}
 	router.serveClient(conn)
@@ -52,14 +52,14 @@
 // awaitDescriptor returns once a descriptor for one more client is free, and closes other connections if necessary. It
 // reports whether no descriptor was free at the time of the call.
 func (router *Router) awaitDescriptor() (exhausted bool) {
-	for !router.descriptors.Accept() {
+	for !router.descriptors.ReserveClient() {
 		exhausted = true
 		now := time.Now()
 		if !router.clients.endLingering() && !router.clients.evictIdle(now, router.timeouts.evictableSilence) {
 			router.clients.rejectPartial(now)
 		}
 		select {
-		case <-router.descriptors.Left():
+		case <-router.descriptors.ClientReleased():
 		case <-time.After(router.timeouts.evictableSilence / 4):
 		}
 	}
@@ -84,5 +84,5 @@
 	if router.acceptor != nil {
 		router.acceptor.clientClosed(client)
 	}
-	router.descriptors.Leave()
+	router.descriptors.ReleaseClient()
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -99,7 +99,7 @@
 	case endServed:
 		request.router.metrics.Add(metrics.Served)
 	case endAbandoned:
-		request.router.metrics.Add(metrics.ClientLeft)
+		request.router.metrics.Add(metrics.ClientDisconnected)
 	}
 	request.router.accessLog.write(request)
 	return answer
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -54,8 +54,8 @@
 		router.membership.restore(ctx, running)
 		running.Go(func() { router.membership.run(ctx) })
 	}
-	if router.config.Known != nil {
-		router.loop.events <- loopEvent{Event: router.directory.Apply(router.config.Known)}
+	if router.config.LastKnownList != nil {
+		router.loop.events <- loopEvent{Event: router.directory.Apply(router.config.LastKnownList)}
 		router.recovery.listReceived()
 	}
 	listed := make(chan struct{})
--- a/internal/router/sparedescriptor.go
+++ b/internal/router/sparedescriptor.go
@@ -43,7 +43,7 @@
 	case err != nil: // the descriptor was used elsewhere, or no client is waiting
 		time.Sleep(acceptRetryDelay)
 	case reopenErr == nil: // another descriptor has become free
-		if !acceptor.router.descriptors.Accept() {
+		if !acceptor.router.descriptors.ReserveClient() {
 			conn.Close()
 			return
 		}
