--- a/internal/experiment/sends.go
+++ b/internal/experiment/sends.go
@@ -25,7 +25,7 @@
 
 // auditSends reads what all routers recorded of their sends and holds it against what the data servers did.
 func (f *memberCluster) auditSends(ran []emulator.Ran) (map[string]float64, error) {
-	var all []router.Send
+	var all []router.AttemptRecord
 	for n := range f.count {
 		one, err := readSends(filepath.Join(f.dir, sendsName(n)))
 		if err != nil {
@@ -37,20 +37,20 @@
 }
 
 // readSends reads one router's record. Its last line may be cut: the process was killed.
-func readSends(path string) ([]router.Send, error) {
+func readSends(path string) ([]router.AttemptRecord, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	var all []router.Send
+	var all []router.AttemptRecord
 	lines := bufio.NewScanner(file)
 	bad := error(nil)
 	for n := 1; lines.Scan(); n++ {
 		if bad != nil {
 			return nil, bad
 		}
-		var s router.Send
+		var s router.AttemptRecord
 		if err := jsoniter.Unmarshal(lines.Bytes(), &s); err != nil {
 			bad = fmt.Errorf("%s: line %d: %w", path, n, err)
 			continue
@@ -69,7 +69,7 @@
 //	lowered      a session's floor fell within one process of a router, which knew better
 //	below        a session's read was answered as of before the floor that it was sent with
 //	young        something restored is younger than the process that has it
-func auditSends(sends []router.Send, ran []emulator.Ran) map[string]float64 {
+func auditSends(sends []router.AttemptRecord, ran []emulator.Ran) map[string]float64 {
 	m := map[string]float64{"sends": float64(len(sends)), "ran": float64(len(ran)), "restored": 0, "unrecorded": 0, "unlisted": 0, "blind_writes": 0, "ungrounded": 0,
 		"lowered": 0, "below": 0, "young": 0}
 	type at struct{ id, server string }
@@ -78,13 +78,13 @@
 		boot            uint64
 		group           int64
 	}
-	sent, floors := map[at]*router.Send{}, map[whose]int64{}
+	sent, floors := map[at]*router.AttemptRecord{}, map[whose]int64{}
 	for i := range sends {
 		s := &sends[i]
 		sent[at{s.ID, s.Server}] = s
 		grounded := false
-		for _, g := range s.On {
-			grounded = grounded || g.What == "server" && g.Origin == "own" && g.Says == s.Server
+		for _, g := range s.BasedOn {
+			grounded = grounded || g.Subject == "server" && g.Origin == "own" && g.Value == s.Server
 			switch g.Origin {
 			case "restored":
 				m["restored"]++
@@ -96,11 +96,11 @@
 				m["ungrounded"]++
 			}
 			switch {
-			case g.What == "primary" && g.Origin != "own" && !g.Proven:
+			case g.Subject == "primary" && g.Origin != "own" && !g.Proven:
 				m["blind_writes"]++
-			case g.What == "floor" && g.Origin != "client":
-				w := whose{s.Router, s.Session, s.Boot, s.Group}
-				if floors[w] = max(floors[w], s.Floor); s.Floor < floors[w] {
+			case g.Subject == "floor" && g.Origin != "client":
+				w := whose{s.Router, s.Session, s.Epoch, s.Group}
+				if floors[w] = max(floors[w], s.MinPosition); s.MinPosition < floors[w] {
 					m["lowered"]++
 				}
 			}
@@ -118,7 +118,7 @@
 		case !s.Listed:
 			m["unlisted"]++
 		}
-		if !r.Missed && !r.Write && s.Session == r.Session && r.Pos < s.Floor {
+		if !r.Missed && !r.Write && s.Session == r.Session && r.Pos < s.MinPosition {
 			m["below"]++
 		}
 	}
--- a/internal/experiment/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -54,29 +54,32 @@
 
 // Each figure of the audit comes from a record that was doctored for it, and from no other.
 func TestSendsAuditFails(t *testing.T) {
-	ground := func(what, origin string, age int64, says string) router.Provenance {
-		return router.Provenance{What: what, Origin: origin, AgeMS: age, Says: says}
+	ground := func(what, origin string, age int64, says string) router.Evidence {
+		return router.Evidence{Subject: what, Origin: origin, AgeMS: age, Value: says}
 	}
 	for _, c := range []struct {
 		figure string
-		doctor func(s []router.Send, r []emulator.Ran) []emulator.Ran
+		doctor func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran
 	}{
-		{"", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { return r }},
-		{"unrecorded", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
-		{"unlisted", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].Listed = false; return r }},
-		{"blind_writes", func(s []router.Send, r []emulator.Ran) []emulator.Ran {
-			s[0].On = append(s[0].On, ground("primary", "restored", 9000, "s1"))
+		{"", func(_ []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { return r }},
+		{"unrecorded", func(_ []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
+		{"unlisted", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[0].Listed = false; return r }},
+		{"blind_writes", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran {
+			s[0].BasedOn = append(s[0].BasedOn, ground("primary", "restored", 9000, "s1"))
 			return r
 		}},
-		{"ungrounded", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].On[0].Says = "s9"; return r }},
-		{"lowered", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[2].Floor = 40; return r }},
-		{"below", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
-		{"young", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[1].On[1].AgeMS = 10; return r }},
+		{"ungrounded", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran {
+			s[0].BasedOn[0].Value = "s9"
+			return r
+		}},
+		{"lowered", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[2].MinPosition = 40; return r }},
+		{"below", func(_ []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
+		{"young", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[1].BasedOn[1].AgeMS = 10; return r }},
 	} {
-		sends := []router.Send{
-			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Provenance{ground("server", "own", 0, "s1")}},
-			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
-			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
+		sends := []router.AttemptRecord{
+			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, BasedOn: []router.Evidence{ground("server", "own", 0, "s1")}},
+			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, MinPosition: 50, BasedOn: []router.Evidence{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
+			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, MinPosition: 50, BasedOn: []router.Evidence{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
 		}
 		ran := c.doctor(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
 		m := auditSends(sends, ran)
--- a/internal/router/accesslog.go
+++ b/internal/router/accesslog.go
@@ -12,78 +12,80 @@
 	"lotushook/policy/clock"
 )
 
-// accessLog writes a line for single requests. Lines beyond the settings' rate are counted and left out.
+// accessLog writes a log line for each request that the settings select. Lines beyond the configured rate are omitted
+// and counted.
 type accessLog struct {
-	settings atomic.Pointer[siteconfig.Log] // nil: nothing is written
-	second   atomic.Int64                   // the second that the next two count in
+	settings atomic.Pointer[siteconfig.Log] // nil: no lines are written
+	second   atomic.Int64                   // the second of the clock that written refers to
 	written  atomic.Int64
 	omitted  atomic.Int64
 }
 
-// logOmitted tells how many lines were left out since it last did.
-func (l *accessLog) logOmitted() {
-	if n := l.omitted.Swap(0); n > 0 {
-		slog.Info("requests left out", "lines", n)
+// logOmitted logs how many lines were omitted since the last call.
+func (log *accessLog) logOmitted() {
+	if omitted := log.omitted.Swap(0); omitted > 0 {
+		slog.Info("request log lines omitted", "lines", omitted)
 	}
 }
 
-// wanted says whether a request's attempts are to be kept for its line.
-func (l *accessLog) wanted() bool {
-	settings := l.settings.Load()
+// wanted reports whether requests have to record their attempts for the access log.
+func (log *accessLog) wanted() bool {
+	settings := log.settings.Load()
 	return settings != nil && settings.Trace != siteconfig.TraceOff
 }
 
-// write writes the line of a request that has ended. Its keys are read by tools and stay as they are.
-func (l *accessLog) write(r *request) {
-	settings := l.settings.Load()
+// write writes the line of a request that has ended. Tools read the keys, so they must not change.
+func (log *accessLog) write(request *request) {
+	settings := log.settings.Load()
 	if settings == nil || settings.Trace == siteconfig.TraceOff {
 		return
 	}
-	if settings.Trace == siteconfig.TraceWrong && r.outcome == endServed {
+	if settings.Trace == siteconfig.TraceWrong && request.outcome == endServed {
 		return
 	}
-	now := r.router.clock.now()
-	if !l.takeLine(now, settings.TracePerS) {
+	now := request.router.clock.now()
+	if !log.allowLine(now, settings.TracePerS) {
 		return
 	}
-	slog.Info("request", "id", r.ID, "key", r.Key, "class", r.Class, "cluster", r.Cluster, "session", r.Session,
-		"came_ms", r.arrivedAt/clock.Millisecond, "left_ms", (r.deadline-r.arrivedAt)/clock.Millisecond,
-		"end", string(r.outcome), "why", r.reason.String(), "took_ms", (now-r.arrivedAt)/clock.Millisecond,
-		"way", r.attemptsText())
+	slog.Info("request", "id", request.ID, "key", request.Key, "class", request.Class, "cluster", request.Cluster, "session", request.Session,
+		"came_ms", request.arrivedAt/clock.Millisecond, "left_ms", (request.deadline-request.arrivedAt)/clock.Millisecond,
+		"end", string(request.outcome), "why", request.reason.String(), "took_ms", (now-request.arrivedAt)/clock.Millisecond,
+		"way", request.attemptsText())
 }
 
-// takeLine says whether one more line may be written in this second.
-func (l *accessLog) takeLine(now clock.Nanos, linesPerSecond int) bool {
+// allowLine reports whether another line may be written in the current second, and counts it as written or omitted.
+func (log *accessLog) allowLine(now clock.Nanos, linesPerSecond int) bool {
 	second := now / clock.Second
-	if l.second.Swap(second) != second {
-		l.written.Store(0)
-		l.logOmitted()
+	if log.second.Swap(second) != second {
+		log.written.Store(0)
+		log.logOmitted()
 	}
-	if l.written.Add(1) > int64(linesPerSecond) {
-		l.omitted.Add(1)
+	if log.written.Add(1) > int64(linesPerSecond) {
+		log.omitted.Add(1)
 		return false
 	}
 	return true
 }
 
-// attemptsText is the request's attempts: host, reason, start after the arrival, outcome and duration in ms of each.
-func (r *request) attemptsText() string {
+// attemptsText describes the request's attempts. Each is written as host:reason@start=outcome/duration, where start is
+// the time since the request's arrival; times are in milliseconds.
+func (request *request) attemptsText() string {
 	var text strings.Builder
-	for i, attempt := range r.trace {
+	for i, attempt := range request.trace {
 		if i > 0 {
 			text.WriteByte(' ')
 		}
-		startMS := (attempt.startedAt - r.arrivedAt) / clock.Millisecond
+		startMS := (attempt.startedAt - request.arrivedAt) / clock.Millisecond
 		elapsedMS := (attempt.endedAt - attempt.startedAt) / clock.Millisecond
 		fmt.Fprintf(&text, "%s:%s@%d=%s/%d", attempt.host, attempt.reason, startMS, metrics.Outcome(attempt.outcome), elapsedMS)
 	}
 	return text.String()
 }
 
-// requestOutcome is how a request ended, as the access log names it.
+// requestOutcome is the outcome of a request as written to the access log.
 type requestOutcome string
 
-// The outcomes of a request.
+// Outcomes of requests.
 const (
 	endServed    requestOutcome = "served"
 	endRejected  requestOutcome = "refused"
@@ -91,7 +93,7 @@
 	endAbandoned requestOutcome = "gone"
 )
 
-// tracedAttempt is one attempt on a request's way.
+// tracedAttempt is an attempt of a request, as recorded for the access log.
 type tracedAttempt struct {
 	host               string
 	reason             balance.Reason
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -16,94 +16,95 @@
 	"lotushook/policy/trust"
 )
 
-// Send is one line of the record of decisions: a send, and what was known for it. Ages are in ms.
-type Send struct {
-	AtMS    int64        `json:"at_ms"` // the router's clock, from its start
-	Router  string       `json:"router"`
-	Boot    uint64       `json:"boot"`
-	ID      string       `json:"id"`
-	Class   string       `json:"class"`
-	Group   int64        `json:"group"`
-	Session string       `json:"session,omitempty"`
-	Server  string       `json:"server"`
-	Listed  bool         `json:"listed"` // the list in hand names it, and not as one that drains
-	Write   bool         `json:"write"`
-	Why     string       `json:"why"`              // the module's reason for this server
-	Floor   int64        `json:"floor,omitempty"`  // ms: a session's read must see it
-	On      []Provenance `json:"on"`               // what the send rests on
-	Beside  []Provenance `json:"beside,omitempty"` // what was known and not used
+// AttemptRecord is a line of the attempt log: an attempt and the evidence on which the decision to send it was based.
+// Ages are in milliseconds.
+type AttemptRecord struct {
+	AtMS        int64      `json:"at_ms"` // time on the router's clock since its start
+	Router      string     `json:"router"`
+	Epoch       uint64     `json:"boot"`
+	ID          string     `json:"id"`
+	Class       string     `json:"class"`
+	Group       int64      `json:"group"`
+	Session     string     `json:"session,omitempty"`
+	Server      string     `json:"server"`
+	Listed      bool       `json:"listed"` // the current endpoint list contains it as not draining
+	Write       bool       `json:"write"`
+	Reason      string     `json:"why"`              // why the decision module chose this server
+	MinPosition int64      `json:"floor,omitempty"`  // in ms; a session's read must see the log up to here
+	BasedOn     []Evidence `json:"on"`               // evidence that the decision used
+	Unused      []Evidence `json:"beside,omitempty"` // evidence that was known but not used
 }
 
-// Provenance is one fact that a decision rests on, and where it came from.
-type Provenance struct {
-	What   string `json:"what"`   // server, floor, primary
-	Origin string `json:"origin"` // own, client, peer, restored
-	AgeMS  int64  `json:"age_ms"` // of own answers in the module not told: 0
-	Proven bool   `json:"proven"`
-	Says   string `json:"says,omitempty"`
+// Evidence is a fact that was known for a decision, and its provenance.
+type Evidence struct {
+	Subject string `json:"what"`   // server, floor, primary
+	Origin  string `json:"origin"` // own, client, peer, restored
+	AgeMS   int64  `json:"age_ms"` // 0 for answers to this router, whose age the decision module does not report
+	Proven  bool   `json:"proven"`
+	Value   string `json:"says,omitempty"`
 }
 
-// attemptLog writes the record. A nil one writes nothing. It is for experiments: a line is written before its send goes out.
+// attemptLog records attempts in a file, for experiments. Each line is written before its attempt is sent.
 type attemptLog struct {
 	mu        sync.Mutex
 	file      *os.File
-	remaining int64
-	omitted   int64 // lines that found none
+	remaining int64 // bytes that may still be written
+	omitted   int64 // lines that did not fit into the file or failed to be written
 }
 
-func newAttemptLog(s *siteconfig.Sends) (*attemptLog, error) {
-	f, err := os.OpenFile(s.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+func newAttemptLog(settings *siteconfig.Sends) (*attemptLog, error) {
+	file, err := os.OpenFile(settings.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("members: decisions: %w", err)
 	}
-	return &attemptLog{file: f, remaining: s.MaxMB << 20}, nil
+	return &attemptLog{file: file, remaining: settings.MaxMB << 20}, nil
 }
 
-func (w *attemptLog) write(s *Send) {
-	raw, err := jsoniter.Marshal(s)
+func (log *attemptLog) write(record *AttemptRecord) {
+	line, err := jsoniter.Marshal(record)
 	if err != nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.remaining -= int64(len(raw) + 1); w.remaining < 0 {
-		w.omitted++
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	if log.remaining -= int64(len(line) + 1); log.remaining < 0 {
+		log.omitted++
 		return
 	}
-	if _, err := w.file.Write(append(raw, '\n')); err != nil {
-		w.omitted++
+	if _, err := log.file.Write(append(line, '\n')); err != nil {
+		log.omitted++
 	}
 }
 
-func (w *attemptLog) close() {
-	if w.omitted > 0 {
-		slog.Warn("decisions left out", "lines", w.omitted)
+func (log *attemptLog) close() {
+	if log.omitted > 0 {
+		slog.Warn("attempt log lines omitted", "lines", log.omitted)
 	}
-	w.file.Close()
+	log.file.Close()
 }
 
-// logAttempt records one send on what is known at this moment.
-func (m *membershipService) logAttempt(r *request, act balance.Action) {
-	if m == nil || m.attemptLog == nil {
+// logAttempt records an attempt that is about to be sent, with the evidence known at this time.
+func (service *membershipService) logAttempt(request *request, action balance.Action) {
+	if service == nil || service.attemptLog == nil {
 		return
 	}
 	const ms = 1e6
-	host := r.router.directory.NameOf(act.Endpoint)
-	_, listed := r.router.directory.Address(act.Endpoint)
-	s := &Send{AtMS: (r.router.clock.now() - r.router.clock.unix) / ms, Router: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch, ID: r.ID, Class: r.Class, Group: r.Cluster,
-		Session: r.Session, Server: host, Listed: listed, Write: r.router.config.Settings.IsWrite(r.Class), Why: act.Reason.String(),
-		On: []Provenance{{What: "server", Origin: trust.OwnResponse.String(), Proven: true, Says: host}}}
-	if r.positionEvidence.at > 0 {
-		g := Provenance{What: "floor", Origin: r.positionEvidence.fact.Provenance.String(), AgeMS: r.positionEvidence.fact.Age / ms, Proven: r.positionEvidence.fact.Proven, Says: strconv.FormatInt(r.positionEvidence.at/ms, 10)}
-		if r.positionEvidence.fact.Provenance == trust.Unknown {
-			g.Origin = "client"
+	host := request.router.directory.NameOf(action.Endpoint)
+	_, listed := request.router.directory.Address(action.Endpoint)
+	record := &AttemptRecord{AtMS: (request.router.clock.now() - request.router.clock.unix) / ms, Router: service.detectorSettings.Name, Epoch: service.detectorSettings.Epoch, ID: request.ID, Class: request.Class, Group: request.Cluster,
+		Session: request.Session, Server: host, Listed: listed, Write: request.router.config.Settings.IsWrite(request.Class), Reason: action.Reason.String(),
+		BasedOn: []Evidence{{Subject: "server", Origin: trust.OwnResponse.String(), Proven: true, Value: host}}}
+	if request.positionEvidence.at > 0 {
+		evidence := Evidence{Subject: "floor", Origin: request.positionEvidence.fact.Provenance.String(), AgeMS: request.positionEvidence.fact.Age / ms, Proven: request.positionEvidence.fact.Proven, Value: strconv.FormatInt(request.positionEvidence.at/ms, 10)}
+		if request.positionEvidence.fact.Provenance == trust.Unknown {
+			evidence.Origin = "client"
 		}
-		v := trust.Evaluate(trust.RaisePosition, r.positionEvidence.fact, true, trust.DefaultSettings())
-		invariant.Check(g.Origin == "client" || v.Allowed, "a floor is raised on known evidence", "why", v.Reason)
-		s.Floor, s.On = r.positionEvidence.at/ms, append(s.On, g)
+		verdict := trust.Evaluate(trust.RaisePosition, request.positionEvidence.fact, true, trust.DefaultSettings())
+		invariant.Check(evidence.Origin == "client" || verdict.Allowed, "a minimum position is based on known evidence", "why", verdict.Reason)
+		record.MinPosition, record.BasedOn = request.positionEvidence.at/ms, append(record.BasedOn, evidence)
 	}
-	if f, e := m.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(r.Cluster, 10)}); s.Write && f.Provenance != trust.Unknown {
-		s.Beside = append(s.Beside, Provenance{What: "primary", Origin: f.Provenance.String(), AgeMS: f.Age / ms, Proven: f.Proven, Says: e.Server})
+	if fact, entry := service.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(request.Cluster, 10)}); record.Write && fact.Provenance != trust.Unknown {
+		record.Unused = append(record.Unused, Evidence{Subject: "primary", Origin: fact.Provenance.String(), AgeMS: fact.Age / ms, Proven: fact.Proven, Value: entry.Server})
 	}
-	m.attemptLog.write(s)
+	service.attemptLog.write(record)
 }
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -19,105 +19,108 @@
 	"lotushook/policy/cursor"
 )
 
-// changefeedService answers the requests of feed classes. They don't reach the decision module; the reads that it makes at data servers
-// do, as requests of the same class, so that pending counts, slow start and limits apply to them.
+// changefeedService answers the requests of change feed classes. These requests bypass the decision module. The
+// service's own reads from data servers do pass through the decision module, as requests of the same class, so that
+// pending counts, slow start and limits apply to them.
 type changefeedService struct {
 	router         *Router
 	settings       *siteconfig.Feeds
 	feeds          *changefeed.Feeds
 	requestCount   atomic.Uint64
-	internalClient *client // the client of the router's own requests
+	internalClient *client // the client of the service's own reads
 }
 
-func newChangefeedService(r *Router, own *siteconfig.Feeds) (*changefeedService, error) {
-	f := &changefeedService{router: r, settings: own, internalClient: &client{left: make(chan struct{})}}
-	all, by := own.Cursor()
-	for name := range by {
-		i := r.config.Settings.Class(name)
-		if i < 0 {
-			return nil, fmt.Errorf("feeds: classes.%s: the platform has no such class", name)
+func newChangefeedService(router *Router, settings *siteconfig.Feeds) (*changefeedService, error) {
+	service := &changefeedService{router: router, settings: settings, internalClient: &client{left: make(chan struct{})}}
+	defaults, byClass := settings.Cursor()
+	for name := range byClass {
+		index := router.config.Settings.Class(name)
+		if index < 0 {
+			return nil, fmt.Errorf("feeds: classes.%s: the platform has no class of this name", name)
 		}
-		if k := r.config.Settings.Balance.Classes[i]; k.Consistency == balance.Write || k.Idempotency != balance.Idempotent {
-			return nil, fmt.Errorf("feeds: classes.%s: not one of reads that may be repeated", name)
+		if class := router.config.Settings.Balance.Classes[index]; class.Consistency == balance.Write || class.Idempotency != balance.Idempotent {
+			return nil, fmt.Errorf("feeds: classes.%s: not a class of idempotent reads", name)
 		}
 	}
-	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MaxWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
-		Self: crdt.Origin{Name: r.config.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
-	if r.membership != nil {
-		o.State = r.membership.state
+	options := changefeed.Options{Settings: defaults, Classes: byClass, Waiting: settings.MaxWaiting, ReadFor: time.Duration(settings.ReadForMS) * time.Millisecond,
+		Self: crdt.Origin{Name: router.config.Name, Boot: uint64(router.clock.unix)}, Now: router.clock.now, Read: service.read}
+	if router.membership != nil {
+		options.State = router.membership.state
 	}
 	var err error
-	if f.feeds, err = changefeed.New(o); err != nil {
+	if service.feeds, err = changefeed.New(options); err != nil {
 		return nil, fmt.Errorf("feeds: %w", err)
 	}
-	return f, nil
+	return service, nil
 }
 
-// answer answers a subscriber. Its connection's reader set the seat before any of its tasks began.
-func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Subscription, came clock.Nanos) []byte {
-	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.identity, Left: c.left,
-		Until: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
-	if q.Session == "" {
+// answer returns the answer to a subscriber's request. The reader of the client's connection created the subscription
+// before it started any task that uses it.
+func (service *changefeedService) answer(client *client, parsed *pgwire.Request, subscription *changefeed.Subscription, arrivedAt clock.Nanos) []byte {
+	request := &changefeed.Request{Class: parsed.Class, Group: parsed.Cluster, Subscriber: parsed.Session, Gen: parsed.Gen, Who: client.identity, Left: client.left,
+		Until: arrivedAt + int64(max(parsed.Wait-deadlineMargin, parsed.Wait/2))}
+	if parsed.Session == "" {
 		return errorAnswer(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
 	}
-	if (q.History != "") != q.HasPos {
+	if (parsed.History != "") != parsed.HasPos {
 		return errorAnswer(pgwire.CodeInvalidParameter, "a cursor is after and history together")
 	}
-	if q.History != "" {
-		h, err := cursor.ParseHistory(q.History)
+	if parsed.History != "" {
+		history, err := cursor.ParseHistory(parsed.History)
 		if err != nil {
 			return errorAnswer(pgwire.CodeInvalidParameter, err.Error())
 		}
-		r.After = cursor.Position{History: h, At: q.After}
+		request.After = cursor.Position{History: history, At: parsed.After}
 	}
-	value, err := f.feeds.Answer(seat, r)
+	value, err := service.feeds.Answer(subscription, request)
 	if err == nil {
 		return pgwire.AppendReady(pgwire.AppendRow(nil, "feed", string(value)))
 	}
 	return feedError(err)
 }
 
-// feedError is the error a client receives: the kind is the message's first word, the hint its HINT field.
+// feedError returns the error response to a client: the message begins with the error's kind, and the HINT field
+// contains the error's hint.
 func feedError(err error) []byte {
-	code, wait, hint, kind := pgwire.CodeTooManyConnections, "", "", "failed"
-	var crowded *cursor.OverloadedError
-	var unread *cursor.UnreadableError
-	var no *cursor.RejectedError
+	code, retryAfter, hint, kind := pgwire.CodeTooManyConnections, "", "", "failed"
+	var overloaded *cursor.OverloadedError
+	var unreadable *cursor.UnreadableError
+	var rejected *cursor.RejectedError
 	switch {
-	case errors.As(err, &crowded):
-		wait = retryAfterField(crowded.Wait)
-	case errors.As(err, &unread):
-		wait = retryAfterField(unread.Wait)
-	case errors.As(err, &no):
+	case errors.As(err, &overloaded):
+		retryAfter = retryAfterField(overloaded.Wait)
+	case errors.As(err, &unreadable):
+		retryAfter = retryAfterField(unreadable.Wait)
+	case errors.As(err, &rejected):
 		code = pgwire.CodeCursor
 	}
-	if e := operr.Of(err); e != nil {
-		kind, hint = e.Kind(), e.Hint()
+	if described := operr.Of(err); described != nil {
+		kind, hint = described.Kind(), described.Hint()
 	}
-	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), wait, hint))
+	return pgwire.AppendReady(pgwire.AppendHint(nil, "ERROR", code, kind+": "+err.Error(), retryAfter, hint))
 }
 
-// read reads from a member through the decision module, like a client of the class.
-func (f *changefeedService) read(ask changefeed.ReadRequest) changefeed.ReadResult {
-	now := f.router.clock.now()
+// read requests events from a data server through the decision module, like a client's request of the same class.
+func (service *changefeedService) read(readRequest changefeed.ReadRequest) changefeed.ReadResult {
+	now := service.router.clock.now()
 	var text strings.Builder
-	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.requestCount.Add(1), ask.Class, max(1, (ask.Until-now)/1e6), ask.Group)
-	if ask.After.History != (cursor.History{}) {
-		text.WriteString(",after=" + strconv.FormatInt(ask.After.At, 10) + ",history=" + ask.After.String())
+	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(service.router.clock.unix>>10), service.requestCount.Add(1), readRequest.Class, max(1, (readRequest.Until-now)/1e6), readRequest.Group)
+	if readRequest.After.History != (cursor.History{}) {
+		text.WriteString(",after=" + strconv.FormatInt(readRequest.After.At, 10) + ",history=" + readRequest.After.String())
 	}
-	fmt.Fprintf(&text, " */ SELECT feed(%d)", ask.MaxEvents)
+	fmt.Fprintf(&text, " */ SELECT feed(%d)", readRequest.MaxEvents)
 	parsed, err := pgwire.ParseRequest(text.String())
 	if err != nil {
 		return changefeed.ReadResult{Err: err}
 	}
-	end := &internalResult{}
-	r := &request{Request: parsed, router: f.router, client: f.internalClient, identity: ask.Who, actions: make(chan balance.Action, actionQueueSize), deadline: ask.Until, result: end}
-	r.run()
+	result := &internalResult{}
+	request := &request{Request: parsed, router: service.router, client: service.internalClient, identity: readRequest.Who, actions: make(chan balance.Action, actionQueueSize), deadline: readRequest.Until, result: result}
+	request.run()
 	switch {
-	case end.served:
-		return changefeed.ReadResult{Value: end.value}
-	case end.retryAfter > 0:
-		return changefeed.ReadResult{Wait: end.retryAfter, Err: errors.New("refused by this router's own decisions")}
+	case result.served:
+		return changefeed.ReadResult{Value: result.value}
+	case result.retryAfter > 0:
+		return changefeed.ReadResult{Wait: result.retryAfter, Err: errors.New("refused by this router's own decisions")}
 	}
 	return changefeed.ReadResult{Err: context.DeadlineExceeded}
 }
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -19,368 +19,370 @@
 )
 
 const (
-	maxAccountLines = 200 // log lines a period; the rest are counted
+	maxAccountLines = 200 // log lines per period; further accounts are only counted
 
-	// The load that a server reports determines this router's share of its capacity.
-	// One endpoint is probed per interval, in turn: a few hundredths of a probe per request.
+	// Probes report an endpoint's load, from which this router's share of its capacity is derived. One endpoint is
+	// probed per interval, in round-robin order, which adds a few hundredths of a probe per request.
 	loadProbeInterval = 200 * time.Millisecond
 )
 
-// contractService carries out the teams' contracts. All of it except run and settings belongs to the event loop's
-// goroutine.
+// contractService enforces the teams' contracts. Except for run and settings, only the event loop's goroutine may use
+// it.
 type contractService struct {
 	router        *Router
 	ledger        *contract.Ledger
-	openAttempts  map[balance.EndpointID]int   // this router's open attempts by endpoint
-	groups        map[balance.EndpointID]int64 // of the listed endpoints
+	openAttempts  map[balance.EndpointID]int   // number of this router's open attempts by endpoint
+	groups        map[balance.EndpointID]int64 // groups of the listed endpoints
 	responseTimes *accounting.Times
 	settings      *siteconfig.Accounts
 	shedding      *sheddingService          // load shedding, applied before the contracts; nil: off
-	orderBuffer   []contract.BatchedRequest // reused
-	swapBuffer    []balance.Event
+	orderBuffer   []contract.BatchedRequest // reused between batches
+	swapBuffer    []balance.Event           // reused between batches
 }
 
-func newContractService(r *Router, own *siteconfig.Config) (*contractService, error) {
-	t := &contractService{router: r, openAttempts: map[balance.EndpointID]int{}, groups: map[balance.EndpointID]int64{}, responseTimes: accounting.NewTimes(), settings: own.Accounts}
-	s, err := t.contractSettings(own.Contracts)
+func newContractService(router *Router, config *siteconfig.Config) (*contractService, error) {
+	service := &contractService{router: router, openAttempts: map[balance.EndpointID]int{}, groups: map[balance.EndpointID]int64{}, responseTimes: accounting.NewTimes(), settings: config.Accounts}
+	settings, err := service.contractSettings(config.Contracts)
 	if err != nil {
 		return nil, err
 	}
-	if t.ledger, err = contract.New(s, r.config.Seed); err != nil {
+	if service.ledger, err = contract.New(settings, router.config.Seed); err != nil {
 		return nil, err
 	}
-	t.shedding, err = newSheddingService(r, own)
-	return t, err
+	service.shedding, err = newSheddingService(router, config)
+	return service, err
 }
 
-// contractSettings are the contracts as applied on this platform.
-func (t *contractService) contractSettings(c *siteconfig.Contracts) (contract.Settings, error) {
-	b := &t.router.config.Settings.Balance
-	back := clock.Nanos(0)
-	if b.RetryAfterAllowed {
-		back = b.MaxRetryAfter
-	}
-	s, err := c.LedgerSettings(c.Classes(b.Classes), b.Routers, back)
+// contractSettings returns the contracts as they apply on this platform.
+func (service *contractService) contractSettings(contracts *siteconfig.Contracts) (contract.Settings, error) {
+	platform := &service.router.config.Settings.Balance
+	maxRetryAfter := clock.Nanos(0)
+	if platform.RetryAfterAllowed {
+		maxRetryAfter = platform.MaxRetryAfter
+	}
+	settings, err := contracts.LedgerSettings(contracts.Classes(platform.Classes), platform.Routers, maxRetryAfter)
 	if err != nil {
-		return s, fmt.Errorf("contracts: %w", err)
+		return settings, fmt.Errorf("contracts: %w", err)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// sheddingSettings returns the shedding settings that a reload brings; a reload can't switch shedding on or off.
-func (t *contractService) sheddingSettings(own *siteconfig.Config) (*shedding.Settings, error) {
-	if (own.Contracts.Shedding != nil) != (t.shedding != nil) {
-		return nil, errors.New("contracts: lanes can't be switched on or off in service")
+// sheddingSettings returns the load shedding settings of a reloaded configuration. A reload can't enable or disable
+// load shedding.
+func (service *contractService) sheddingSettings(config *siteconfig.Config) (*shedding.Settings, error) {
+	if (config.Contracts.Shedding != nil) != (service.shedding != nil) {
+		return nil, errors.New("contracts: lanes can't be enabled or disabled by a reload")
 	}
-	if t.shedding == nil {
+	if service.shedding == nil {
 		return nil, nil
 	}
-	return t.shedding.settingsFrom(own)
+	return service.shedding.settingsFrom(config)
 }
 
-// reload puts new contracts in force, and new shedding settings with them.
-func (t *contractService) reload(s contract.Settings, l *shedding.Settings) error {
+// reload applies new contracts and new load shedding settings.
+func (service *contractService) reload(contracts contract.Settings, shedding *shedding.Settings) error {
 	var err error
-	ctx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
-	if !t.router.loop.do(ctx, func() {
-		if l != nil {
-			if err = t.shedding.shedder.Configure(*l); err != nil {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	if !service.router.loop.do(ctx, func() {
+		if shedding != nil {
+			if err = service.shedding.shedder.Configure(*shedding); err != nil {
 				return
 			}
-			t.shedding.settings = *l
+			service.shedding.settings = *shedding
 		}
-		err = t.apply(s)
+		err = service.apply(contracts)
 	}) {
 		return fmt.Errorf("contracts: %w", ctx.Err())
 	}
 	return err
 }
 
-// apply puts new contracts in force; open requests stay with their teams by name.
-func (t *contractService) apply(s contract.Settings) error {
-	names := map[*request]string{}
-	for _, r := range t.router.loop.requests {
-		names[r] = t.ledger.TeamName(r.contractRequest.Team)
+// apply applies new contracts. Open requests remain with the team of the same name.
+func (service *contractService) apply(contracts contract.Settings) error {
+	teamNames := map[*request]string{}
+	for _, request := range service.router.loop.requests {
+		teamNames[request] = service.ledger.TeamName(request.contractRequest.Team)
 	}
-	if err := t.ledger.UpdateSettings(s); err != nil {
+	if err := service.ledger.UpdateSettings(contracts); err != nil {
 		return err
 	}
-	for r, name := range names {
-		r.contractRequest.Team = t.ledger.TeamIndex(name)
+	for request, name := range teamNames {
+		request.contractRequest.Team = service.ledger.TeamIndex(name)
 	}
 	return nil
 }
 
-// observe tracks the events that pass: which endpoints are listed, which attempts end, and which load the
-// endpoints report.
-func (t *contractService) observe(e *loopEvent) {
-	switch e.Kind {
+// observe processes an event on its way to the decision module: it tracks the listed endpoints, the attempts that end
+// and the load that endpoints report.
+func (service *contractService) observe(event *loopEvent) {
+	switch event.Kind {
 	case balance.EndpointSnapshot:
-		clear(t.groups)
+		clear(service.groups)
 		fallthrough
 	case balance.EndpointUpdate:
-		for _, n := range e.Endpoints {
-			if t.groups[n.ID] = n.Group; n.State == balance.Removed {
-				delete(t.groups, n.ID)
+		for _, endpoint := range event.Endpoints {
+			if service.groups[endpoint.ID] = endpoint.Group; endpoint.State == balance.Removed {
+				delete(service.groups, endpoint.ID)
 			}
 		}
 	case balance.AttemptEnded:
-		t.attemptEnded(e.Endpoint)
+		service.attemptEnded(event.Endpoint)
 	case balance.ProbeEnded:
-		if g, ok := t.groups[e.Endpoint]; ok && e.Outcome == balance.Succeeded && e.reportedActive >= 0 {
-			t.ledger.AddLoadReport(g, t.openAttempts[e.Endpoint], e.reportedActive)
+		if group, listed := service.groups[event.Endpoint]; listed && event.Outcome == balance.Succeeded && event.reportedActive >= 0 {
+			service.ledger.AddLoadReport(group, service.openAttempts[event.Endpoint], event.reportedActive)
 		}
 	}
 }
 
-// attemptEnded counts an attempt that has ended.
-func (t *contractService) attemptEnded(node balance.EndpointID) {
-	if t.openAttempts[node]--; t.openAttempts[node] <= 0 {
-		delete(t.openAttempts, node)
+// attemptEnded decrements the number of open attempts of an endpoint.
+func (service *contractService) attemptEnded(endpoint balance.EndpointID) {
+	if service.openAttempts[endpoint]--; service.openAttempts[endpoint] <= 0 {
+		delete(service.openAttempts, endpoint)
 	}
 }
 
-// admit passes an incoming request on, queues it, or rejects
-// it at once.
-func (t *contractService) admit(e *loopEvent, now clock.Nanos) (taken, hold bool) {
-	r := e.request
-	team, why := t.ledger.Match(r.identity)
-	team, why = t.ledger.TeamFromComment(r.Team, team, why)
-	v := contract.Verdict{Reason: why}
+// admit decides on a request that has arrived. It reports whether the request is admitted and, if so, whether it is
+// queued. Other requests are rejected immediately.
+func (service *contractService) admit(arrival *loopEvent, now clock.Nanos) (admitted, queued bool) {
+	request := arrival.request
+	team, reason := service.ledger.Match(request.identity)
+	team, reason = service.ledger.TeamFromComment(request.Team, team, reason)
+	verdict := contract.Verdict{Reason: reason}
 	if team >= 0 {
-		if t.shedding != nil && !t.shedding.admit(r, team, now) {
+		if service.shedding != nil && !service.shedding.admit(request, team, now) {
 			return false, false
 		}
-		r.contractRequest = contract.Request{Team: team, Class: e.Class, Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, ID: r.ID, Deadline: r.deadline}
-		v = t.ledger.Admit(r.contractRequest, now)
+		request.contractRequest = contract.Request{Team: team, Class: arrival.Class, Group: request.Cluster, Key: request.Key, IsRetry: request.Retry, ID: request.ID, Deadline: request.deadline}
+		verdict = service.ledger.Admit(request.contractRequest, now)
 	}
-	if r.contractReason = v.Reason; !v.Reason.Admitted() {
-		r.rejectionReason = t.rejectionFor(team, r, v)
-		t.router.metrics.Add(metrics.RejectedByContract)
-		r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: v.RetryAfter})
+	if request.contractReason = verdict.Reason; !verdict.Reason.Admitted() {
+		request.rejectionReason = service.rejectionFor(team, request, verdict)
+		service.router.metrics.Add(metrics.RejectedByContract)
+		request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: verdict.RetryAfter})
 		return false, false
 	}
-	if t.shedding != nil {
-		t.shedding.requestStarted(r)
+	if service.shedding != nil {
+		service.shedding.requestStarted(request)
 	}
-	if v.Displaced != nil {
-		t.rejectQueued(*v.Displaced)
+	if verdict.Displaced != nil {
+		service.rejectQueued(*verdict.Displaced)
 	}
-	if v.Queued {
+	if verdict.Queued {
 		return true, true
 	}
-	r.lowPriority, e.OverQuota = v.LowPriority, v.LowPriority
+	request.lowPriority, arrival.OverQuota = verdict.LowPriority, verdict.LowPriority
 	return true, false
 }
 
-// rejectQueued ends the wait of a queued request.
-func (t *contractService) rejectQueued(turn contract.QueuedVerdict) {
-	if r := t.router.loop.requests[turn.ID]; r != nil {
-		t.router.metrics.Add(metrics.RejectedByContract)
-		r.contractReason, r.rejectionReason = turn.Reason, t.rejectionFor(r.contractRequest.Team, r, turn.Verdict)
-		r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: turn.RetryAfter})
+// rejectQueued rejects a queued request.
+func (service *contractService) rejectQueued(verdict contract.QueuedVerdict) {
+	if request := service.router.loop.requests[verdict.ID]; request != nil {
+		service.router.metrics.Add(metrics.RejectedByContract)
+		request.contractReason, request.rejectionReason = verdict.Reason, service.rejectionFor(request.contractRequest.Team, request, verdict.Verdict)
+		request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: verdict.RetryAfter})
 	}
 }
 
-// releaseQueued passes on the requests whose turn has come, and rejects those whose deadline has passed.
-func (t *contractService) releaseQueued(now clock.Nanos) {
-	o := t.router.loop
-	for _, turn := range t.ledger.DecideQueued(now) {
-		r := o.requests[turn.ID]
+// releaseQueued passes the queued requests that are now admitted to the decision module, and rejects those that expired
+// in the queue.
+func (service *contractService) releaseQueued(now clock.Nanos) {
+	loop := service.router.loop
+	for _, verdict := range service.ledger.DecideQueued(now) {
+		request := loop.requests[verdict.ID]
 		switch {
-		case r == nil:
-		case !turn.Reason.Admitted():
-			t.rejectQueued(turn)
+		case request == nil:
+		case !verdict.Reason.Admitted():
+			service.rejectQueued(verdict)
 		default:
-			r.lowPriority = true
-			e := r.queuedArrival
-			e.OverQuota = true
-			o.addToBatch(e)
+			request.lowPriority = true
+			arrival := request.queuedArrival
+			arrival.OverQuota = true
+			loop.addToBatch(arrival)
 		}
 	}
 }
 
 // requestEnded records a request's end in the ledger.
-func (t *contractService) requestEnded(r *request, now clock.Nanos) {
-	end := r.end
-	end.Abandoned = end.Abandoned || !r.contractReason.Admitted()
-	t.ledger.RequestEnded(r.contractRequest, r.lowPriority, end, now)
-	if t.shedding != nil {
-		t.shedding.requestEnded(r, now)
+func (service *contractService) requestEnded(request *request, now clock.Nanos) {
+	outcome := request.end
+	outcome.Abandoned = outcome.Abandoned || !request.contractReason.Admitted()
+	service.ledger.RequestEnded(request.contractRequest, request.lowPriority, outcome, now)
+	if service.shedding != nil {
+		service.shedding.requestEnded(request, now)
 	}
-	if r.end.Served {
-		t.responseTimes.Add(t.ledger.TeamName(r.contractRequest.Team), r.Class, time.Duration(r.end.Elapsed))
+	if request.end.Served {
+		service.responseTimes.Add(service.ledger.TeamName(request.contractRequest.Team), request.Class, time.Duration(request.end.Elapsed))
 	}
 }
 
-// order sorts the requests that came in one batch into the teams' fair order. They stay
-// in the positions that requests had, so that no other event moves.
-func (t *contractService) order(batch []balance.Event, requests map[string]*request) {
-	t.orderBuffer = t.orderBuffer[:0]
+// order sorts the arrivals of a batch into the teams' fair order. They are placed only in positions that arrivals had,
+// so that no other event moves.
+func (service *contractService) order(batch []balance.Event, requests map[string]*request) {
+	service.orderBuffer = service.orderBuffer[:0]
 	for i := range batch {
-		if r := requests[batch[i].Request]; batch[i].Kind == balance.RequestArrived && r != nil {
-			t.orderBuffer = append(t.orderBuffer, contract.BatchedRequest{Team: r.contractRequest.Team, Class: r.contractRequest.Class, Reason: r.contractReason, Index: i})
+		if request := requests[batch[i].Request]; batch[i].Kind == balance.RequestArrived && request != nil {
+			service.orderBuffer = append(service.orderBuffer, contract.BatchedRequest{Team: request.contractRequest.Team, Class: request.contractRequest.Class, Reason: request.contractReason, Index: i})
 		}
 	}
-	if len(t.orderBuffer) < 2 {
+	if len(service.orderBuffer) < 2 {
 		return
 	}
-	t.swapBuffer = t.swapBuffer[:0]
-	places := make([]int, len(t.orderBuffer))
-	for i, w := range t.orderBuffer {
-		places[i] = w.Index
+	service.swapBuffer = service.swapBuffer[:0]
+	positions := make([]int, len(service.orderBuffer))
+	for i, batched := range service.orderBuffer {
+		positions[i] = batched.Index
 	}
-	t.ledger.Order(t.orderBuffer)
-	for _, w := range t.orderBuffer {
-		t.swapBuffer = append(t.swapBuffer, batch[w.Index])
+	service.ledger.Order(service.orderBuffer)
+	for _, batched := range service.orderBuffer {
+		service.swapBuffer = append(service.swapBuffer, batch[batched.Index])
 	}
-	for i, at := range places {
-		batch[at] = t.swapBuffer[i]
+	for i, position := range positions {
+		batch[position] = service.swapBuffer[i]
 	}
-	clear(t.swapBuffer)
+	clear(service.swapBuffer)
 }
 
-// rejectionFor names the team, the limit and its value.
-func (t *contractService) rejectionFor(team int, r *request, v contract.Verdict) *rejectionReason {
-	name := t.ledger.TeamName(team)
-	figure := strconv.FormatFloat(v.Limit, 'g', 4, 64)
-	back := "come back after the time in DETAIL, in ms; what is beyond the contract passes again when others leave room"
-	switch v.Reason {
+// rejectionFor returns the reason for a rejection, which names the team, the limit and the limit's value.
+func (service *contractService) rejectionFor(team int, request *request, verdict contract.Verdict) *rejectionReason {
+	teamName := service.ledger.TeamName(team)
+	limit := strconv.FormatFloat(verdict.Limit, 'g', 4, 64)
+	hint := "come back after the time in DETAIL, in ms; what is beyond the contract passes again when others leave room"
+	switch verdict.Reason {
 	case contract.UnknownTeam:
 		return &rejectionReason{"no team is known by this user, database, application or address (contracts)", "ask the operators for a contract"}
 	case contract.AmbiguousTeam:
 		return &rejectionReason{"two teams are known by this user, database, application or address (contracts)", "the operators want to know"}
 	case contract.ClassNotAllowed:
-		return &rejectionReason{fmt.Sprintf("team %s may not use class %s (contracts)", name, r.Class), "ask the operators for a larger contract"}
+		return &rejectionReason{fmt.Sprintf("team %s may not use class %s (contracts)", teamName, request.Class), "ask the operators for a larger contract"}
 	case contract.TooManyOpen:
-		return &rejectionReason{fmt.Sprintf("team %s has its %s requests open (contracts: open)", name, figure), back}
+		return &rejectionReason{fmt.Sprintf("team %s has its %s requests open (contracts: open)", teamName, limit), hint}
 	case contract.OverRate:
-		return &rejectionReason{fmt.Sprintf("team %s is over its %s a second of class %s (contracts: per_s), and others need the room", name, figure, r.Class), back}
+		return &rejectionReason{fmt.Sprintf("team %s is over its %s a second of class %s (contracts: per_s), and others need the room", teamName, limit, request.Class), hint}
 	case contract.OverPrimaryShare:
-		return &rejectionReason{fmt.Sprintf("team %s is over its share %s of the primary of cluster %d (contracts: primary_share), and others need the room", name, figure, r.Cluster), back}
+		return &rejectionReason{fmt.Sprintf("team %s is over its share %s of the primary of cluster %d (contracts: primary_share), and others need the room", teamName, limit, request.Cluster), hint}
 	case contract.OverRetryShare:
-		return &rejectionReason{fmt.Sprintf("team %s repeats more than %s of its first tries (contracts: retry_share), and others need the room", name, figure), back}
+		return &rejectionReason{fmt.Sprintf("team %s repeats more than %s of its first tries (contracts: retry_share), and others need the room", teamName, limit), hint}
 	}
-	return &rejectionReason{v.Reason.String(), ""}
+	return &rejectionReason{verdict.Reason.String(), ""}
 }
 
-// answers are the commands of the accounts' socket.
-func (t *contractService) answers() admin.Answers {
-	a := admin.Answers{"accounts": func(ctx context.Context) any { return t.rows(ctx) }}
-	if t.shedding != nil {
-		a["lanes"] = func(ctx context.Context) (out any) {
-			t.router.loop.do(ctx, func() { out = t.shedding.report() })
-			return out
+// answers returns the commands of the accounts' admin socket.
+func (service *contractService) answers() admin.Answers {
+	commands := admin.Answers{"accounts": func(ctx context.Context) any { return service.rows(ctx) }}
+	if service.shedding != nil {
+		commands["lanes"] = func(ctx context.Context) (report any) {
+			service.router.loop.do(ctx, func() { report = service.shedding.report() })
+			return report
 		}
 	}
-	if m := t.router.membership; m != nil && m.settings.Socket == t.settings.Socket {
-		a["members"] = m.report
+	if members := service.router.membership; members != nil && members.settings.Socket == service.settings.Socket {
+		commands["members"] = members.report
 	}
-	return a
+	return commands
 }
 
-// rows returns the accounts' current state.
-func (t *contractService) rows(ctx context.Context) []accounting.Row {
+// rows returns the current accounts.
+func (service *contractService) rows(ctx context.Context) []accounting.Row {
 	var rows []accounting.Row
-	t.router.loop.do(ctx, func() {
-		t.ledger.Accounts(func(team, class string, a contract.Account) {
-			row := accounting.Row{Team: team, Class: class, Requested: a.Requested, Served: a.Served, InObjective: a.InObjective, Rejected: a.Rejected, Failed: a.Failed, Weight: a.Weight,
+	service.router.loop.do(ctx, func() {
+		service.ledger.Accounts(func(team, class string, account contract.Account) {
+			row := accounting.Row{Team: team, Class: class, Requested: account.Requested, Served: account.Served, InObjective: account.InObjective, Rejected: account.Rejected, Failed: account.Failed, Weight: account.Weight,
 				Grounds: map[string]uint64{}, Refused: map[string]uint64{}}
-			for r, n := range a.ByReason {
-				switch reason := contract.Reason(r); {
-				case n == 0:
+			for index, count := range account.ByReason {
+				switch reason := contract.Reason(index); {
+				case count == 0:
 				case reason.Admitted():
-					row.Grounds[reason.String()] = n
+					row.Grounds[reason.String()] = count
 				default:
-					row.Refused[reason.String()] = n
+					row.Refused[reason.String()] = count
 				}
 			}
-			row.P50MS, row.P99MS = t.responseTimes.Quantiles(team, class)
+			row.P50MS, row.P99MS = service.responseTimes.Quantiles(team, class)
 			rows = append(rows, row)
 		})
 	})
 	return rows
 }
 
-// nextToProbe returns the endpoint to probe after another one, round-robin by ID.
-func (t *contractService) nextToProbe(after balance.EndpointID) (node balance.EndpointID, ok bool) {
-	least, found := balance.EndpointID(0), false
-	for n := range t.groups {
+// nextToProbe returns the endpoint to probe after the given one, in round-robin order by ID.
+func (service *contractService) nextToProbe(previous balance.EndpointID) (next balance.EndpointID, ok bool) {
+	lowest, found := balance.EndpointID(0), false
+	for endpoint := range service.groups {
 		switch {
-		case n > after && (!ok || n < node):
-			node, ok = n, true
-		case !found || n < least:
-			least, found = n, true
+		case endpoint > previous && (!ok || endpoint < next):
+			next, ok = endpoint, true
+		case !found || endpoint < lowest:
+			lowest, found = endpoint, true
 		}
 	}
 	if !ok {
-		return least, found
+		return lowest, found
 	}
-	return node, ok
+	return next, ok
 }
 
-// run probes loads, logs the accounts once a period, and serves them at the socket,
-// until the context ends.
-func (t *contractService) run(ctx context.Context) {
+// run probes the endpoints' load, logs the accounts periodically and serves them on the admin socket until the context
+// is done.
+func (service *contractService) run(ctx context.Context) {
 	var probeTick, logTick <-chan time.Time
-	if b := &t.router.config.Settings.Balance; b.ProbesAllowed && b.Routers > 1 {
-		tick := time.NewTicker(loadProbeInterval)
-		defer tick.Stop()
-		probeTick = tick.C
+	if platform := &service.router.config.Settings.Balance; platform.ProbesAllowed && platform.Routers > 1 {
+		ticker := time.NewTicker(loadProbeInterval)
+		defer ticker.Stop()
+		probeTick = ticker.C
 	}
-	if t.settings != nil && t.settings.Socket != "" {
-		stop, err := admin.Serve(ctx, t.settings.Socket, t.answers())
+	if service.settings != nil && service.settings.Socket != "" {
+		stopServing, err := admin.Serve(ctx, service.settings.Socket, service.answers())
 		if err != nil {
-			slog.Error("accounts can't be read", "err", err)
+			slog.Error("serving the accounts on the admin socket failed", "err", err)
 		} else {
-			defer stop()
+			defer stopServing()
 		}
 	}
-	if t.settings != nil && t.settings.EveryS > 0 {
-		tick := time.NewTicker(time.Duration(t.settings.EveryS) * time.Second)
-		defer tick.Stop()
-		logTick = tick.C
+	if service.settings != nil && service.settings.EveryS > 0 {
+		ticker := time.NewTicker(time.Duration(service.settings.EveryS) * time.Second)
+		defer ticker.Stop()
+		logTick = ticker.C
 	}
 	var sheddingTick <-chan time.Time
-	if t.shedding != nil {
-		tick := time.NewTicker(sheddingInterval)
-		defer tick.Stop()
-		sheddingTick = tick.C
+	if service.shedding != nil {
+		ticker := time.NewTicker(sheddingInterval)
+		defer ticker.Stop()
+		sheddingTick = ticker.C
 	}
-	before, node := map[[2]string]uint64{}, balance.EndpointID(0)
+	loggedCounts, endpoint := map[[2]string]uint64{}, balance.EndpointID(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-probeTick:
 			found := false
-			if t.router.loop.do(ctx, func() { node, found = t.nextToProbe(node) }) && found {
-				t.router.probe(node)
+			if service.router.loop.do(ctx, func() { endpoint, found = service.nextToProbe(endpoint) }) && found {
+				service.router.probe(endpoint)
 			}
 		case <-sheddingTick:
-			t.router.loop.do(ctx, func() { t.shedding.tick(t.router.clock.now()) })
+			service.router.loop.do(ctx, func() { service.shedding.tick(service.router.clock.now()) })
 		case <-logTick:
-			t.logAccounts(ctx, before)
+			service.logAccounts(ctx, loggedCounts)
 		}
 	}
 }
 
-// logAccounts logs the accounts that had requests since they were last logged.
-func (t *contractService) logAccounts(ctx context.Context, before map[[2]string]uint64) {
+// logAccounts logs the accounts that have received requests since they were last logged.
+func (service *contractService) logAccounts(ctx context.Context, loggedCounts map[[2]string]uint64) {
 	lines := 0
-	for _, row := range t.rows(ctx) {
+	for _, row := range service.rows(ctx) {
 		key := [2]string{row.Team, row.Class}
-		if row.Requested == before[key] {
+		if row.Requested == loggedCounts[key] {
 			continue
 		}
-		before[key] = row.Requested
+		loggedCounts[key] = row.Requested
 		if lines++; lines <= maxAccountLines {
 			slog.Info("account", "team", row.Team, "class", row.Class, "asked", row.Requested, "grounds", row.Grounds, "refused", row.Refused,
 				"served", row.Served, "in_aim", row.InObjective, "turned_away", row.Rejected, "failed", row.Failed, "worth", row.Weight, "p50_ms", row.P50MS, "p99_ms", row.P99MS)
 		}
 	}
 	if lines > maxAccountLines {
-		slog.Info("accounts without a line", "count", lines-maxAccountLines)
+		slog.Info("accounts omitted from the log", "count", lines-maxAccountLines)
 	}
 }
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -12,54 +12,54 @@
 	"lotushook/internal/siteconfig"
 )
 
-// Clients that stay may hold all that clients may while discovery is silent, and data servers' connections all but one of
-// theirs: the list that comes with discovery's return is heard at once all the same, and a client's request finds its way
-// to the server that it names.
+// A new endpoint list is received immediately even if clients use all descriptors reserved for them and connections to
+// data servers use all but one of theirs while discovery is silent. A client's request is then sent to the server in
+// the new list.
 func TestListBehindFullDescriptors(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := nettest.New(t, "s1", "s2", "agent")
-	text := nettest.Config(ln.Addr().String(), s.Addr("agent"), nettest.List(1, s.Expand("h-1 {s1} 1 SERVING")))
-	conf, err := platformconfig.Check(nettest.File(t, strings.Replace(text, `"sockets":1024`, `"sockets":64`, 1)))
+	stage := nettest.New(t, "s1", "s2", "agent")
+	configText := nettest.Config(listener.Addr().String(), stage.Addr("agent"), nettest.List(1, stage.Expand("h-1 {s1} 1 SERVING")))
+	config, err := platformconfig.Check(nettest.File(t, strings.Replace(configText, `"sockets":1024`, `"sockets":64`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(conf, &siteconfig.Config{})
+	router, err := New(config, &siteconfig.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.timeouts, r.start.timeout = endless, 0
-	old := r.directory.Apply(conf.Known).Endpoints[0].ID
-	ctx, stop := context.WithCancel(context.Background())
+	router.timeouts, router.start.timeout = endless, 0
+	oldEndpoint := router.directory.Apply(config.Known).Endpoints[0].ID
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- r.Serve(ctx, ln) }()
+	go func() { done <- router.Serve(ctx, listener) }()
 	t.Cleanup(func() {
-		s.Close()
-		stop()
-		<-done //nolint:errcheck // the test has seen what it wants
+		stage.Close()
+		cancel()
+		<-done //nolint:errcheck // not part of the test
 	})
-	s.Dial("c", ln.Addr().String())
-	most, _ := r.descriptors.Clients()
-	for i := range most {
-		s.Play(fmt.Sprintf(`
+	stage.Dial("c", listener.Addr().String())
+	maxClients, _ := router.descriptors.Clients()
+	for i := range maxClients {
+		stage.Play(fmt.Sprintf(`
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
-	s.Play(fmt.Sprintf("send c%d startup", most)) // stands in the queue: there is no room for it
-	if _, used := r.descriptors.Clients(); used != most || most < 10 {
-		t.Fatalf("%d clients of %d", used, most)
+	stage.Play(fmt.Sprintf("send c%d startup", maxClients)) // waits in the accept queue, as no descriptor is left for it
+	if _, used := router.descriptors.Clients(); used != maxClients || maxClients < 10 {
+		t.Fatalf("%d of %d clients are connected", used, maxClients)
 	}
-	for r.descriptors.Dial() { // others, of which this test knows nothing
+	for router.descriptors.Dial() { // uses up the descriptors for connections to data servers
 	}
-	r.descriptors.Hangup()
-	s.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
-	until(t, "the list is heard", func() bool {
-		_, ready := r.directory.Address(old)
+	router.descriptors.Hangup()
+	stage.Agent("agent")(2, nettest.List(2, "h-1 {s1} 1 DRAINING", "h-2 {s2} 1 SERVING"))
+	until(t, "the list is received", func() bool {
+		_, ready := router.directory.Address(oldEndpoint)
 		return !ready
 	})
-	s.Play(`
+	stage.Play(`
 		send c1 Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s2
 		expect s2 startup
@@ -67,7 +67,7 @@
 		expect s2 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 		send s2 T | D "a" | C | S rank=copy | Z
 		expect c1 T | D "a" | C | Z`)
-	if s.HasConnection("s1") {
-		t.Error("a draining server got a connection")
+	if stage.HasConnection("s1") {
+		t.Error("a draining server received a connection")
 	}
 }
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -29,115 +29,116 @@
 )
 
 const (
-	maxSuspects       = 64
-	maxGivenPositions = 4096
-	maxPositionAge    = int64(300 * time.Millisecond)
+	maxSuspects      = 64                            // capacity of the queue of suspicions
+	maxUsedPositions = 4096                          // endpoints whose last used position is stored
+	maxPositionAge   = int64(300 * time.Millisecond) // older positions from peers are not used in place of a probe
 )
 
-// membershipService connects the membership protocol to the router. The event loop never waits for it: it reads the quota share
-// in force and its expiry from the current view.
+// membershipService connects the membership protocol to the router. The event loop never waits for it, and reads the
+// current quota share and its expiry from an atomic pointer.
 type membershipService struct {
 	router           *Router
 	settings         *siteconfig.Members
 	detectorSettings membership.Settings
 	keys             [][]byte
-	peers            *peer.Peers             // from listen on
-	state            *peer.State             // the state that routers replicate to each other; nil: none
-	suspects         chan balance.EndpointID // endpoints that the module suspects, to be sent to the peers
-	probes           bool                    // the module probes for positions: where it does, positions that peers heard replace a probe
+	peers            *peer.Peers             // nil until listen is called
+	state            *peer.State             // replicated between the routers; nil if replication is disabled
+	suspects         chan balance.EndpointID // endpoints that the decision module suspects, to be announced to the peers
+	probes           bool                    // the decision module probes for log positions, so that positions from peers can replace probes
 	mu               sync.Mutex
-	givenPositions   map[balance.EndpointID]clock.Nanos // the last replicated position that was used, by endpoint
-	persisted        *persistedState                    // its copy on disk; nil: there is none
-	attemptLog       *attemptLog                        // nil: sends are not recorded
+	usedPositions    map[balance.EndpointID]clock.Nanos // the position from a peer that was last used, by endpoint
+	persisted        *persistedState                    // copy of the state on disk; nil if the state is not persisted
+	attemptLog       *attemptLog                        // nil if attempts are not recorded
 	quota            atomic.Pointer[quotalease.Quota]
-	share            float64          // the quota share that the module uses; belongs to the event loop
+	share            float64          // the quota share that the decision module uses; only the event loop may use it
 	loggedView       *membership.View // the view that was last logged
 }
 
-func newMembershipService(r *Router, own *siteconfig.Members) (*membershipService, error) {
-	m := &membershipService{router: r, settings: own}
+func newMembershipService(router *Router, settings *siteconfig.Members) (*membershipService, error) {
+	service := &membershipService{router: router, settings: settings}
 	var err error
-	if m.detectorSettings, err = own.Member(r.config.Name, uint64(r.clock.unix)); err != nil {
+	if service.detectorSettings, err = settings.Member(router.config.Name, uint64(router.clock.unix)); err != nil {
 		return nil, err
 	}
-	if n := r.config.Settings.Balance.Routers; n != m.detectorSettings.Configured {
-		return nil, fmt.Errorf("members: routers: %d of them, and the configuration has %d", m.detectorSettings.Configured, n)
+	if count := router.config.Settings.Balance.Routers; count != service.detectorSettings.Configured {
+		return nil, fmt.Errorf("members: routers: %d are listed, but the platform's configuration has %d", service.detectorSettings.Configured, count)
 	}
-	m.share = 1 / float64(m.detectorSettings.Configured)
-	if own.Share {
-		set := crdt.DefaultSettings(crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch})
-		if b := &r.config.Settings.Balance; b.ProbesAllowed && b.ProbesReportPosition && b.LagHandling == balance.LagUnchecked {
-			m.probes, m.givenPositions = true, map[balance.EndpointID]clock.Nanos{}
+	service.share = 1 / float64(service.detectorSettings.Configured)
+	if settings.Share {
+		storeSettings := crdt.DefaultSettings(crdt.Origin{Name: service.detectorSettings.Name, Boot: service.detectorSettings.Epoch})
+		if platform := &router.config.Settings.Balance; platform.ProbesAllowed && platform.ProbesReportPosition && platform.LagHandling == balance.LagUnchecked {
+			service.probes, service.usedPositions = true, map[balance.EndpointID]clock.Nanos{}
 		} else {
-			set.MinLearnInterval *= 4 // this router doesn't read positions
+			storeSettings.MinLearnInterval *= 4 // this router does not use positions from peers
 		}
-		if m.state, err = peer.NewState(set, r.clock.now); err != nil {
+		if service.state, err = peer.NewState(storeSettings, router.clock.now); err != nil {
 			return nil, err
 		}
-		m.suspects = make(chan balance.EndpointID, maxSuspects)
-		for _, class := range slices.Sorted(maps.Keys(own.Modes.Classes)) {
-			if !r.config.Settings.IsWrite(class) {
-				return nil, &ModeError{class, r.config.Settings.Class(class) >= 0}
+		service.suspects = make(chan balance.EndpointID, maxSuspects)
+		for _, class := range slices.Sorted(maps.Keys(settings.Modes.Classes)) {
+			if !router.config.Settings.IsWrite(class) {
+				return nil, &ModeError{class, router.config.Settings.Class(class) >= 0}
 			}
 		}
 	}
-	if own.Keep != nil {
-		if m.persisted, err = newPersistedState(own, crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch}, r.clock.now); err != nil {
+	if settings.Keep != nil {
+		if service.persisted, err = newPersistedState(settings, crdt.Origin{Name: service.detectorSettings.Name, Boot: service.detectorSettings.Epoch}, router.clock.now); err != nil {
 			return nil, err
 		}
-		m.state.SetKeeper(m.persisted)
+		service.state.SetKeeper(service.persisted)
 	}
-	m.keys, err = peer.ReadKeys(own.KeyFile)
-	return m, err
+	service.keys, err = peer.ReadKeys(settings.KeyFile)
+	return service, err
 }
 
-// listen opens the sockets, and the attempt log if one is configured.
-func (m *membershipService) listen() error {
+// listen opens the membership sockets and, if configured, the attempt log.
+func (service *membershipService) listen() error {
 	var err error
-	if m.settings.Sends != nil {
-		if m.attemptLog, err = newAttemptLog(m.settings.Sends); err != nil {
+	if service.settings.Sends != nil {
+		if service.attemptLog, err = newAttemptLog(service.settings.Sends); err != nil {
 			return err
 		}
 	}
-	m.peers, err = peer.Listen(peer.Options{Cluster: m.settings.Cluster, Listen: m.settings.Routers[m.detectorSettings.Name].Listen, Member: m.detectorSettings, Keys: m.keys, State: m.state, Zones: m.settings.Zones(), Changed: m.changed,
-		Now: m.router.clock.now})
+	service.peers, err = peer.Listen(peer.Options{Cluster: service.settings.Cluster, Listen: service.settings.Routers[service.detectorSettings.Name].Listen, Member: service.detectorSettings, Keys: service.keys, State: service.state, Zones: service.settings.Zones(), Changed: service.changed,
+		Now: service.router.clock.now})
 	if err != nil {
 		return err
 	}
-	m.changed(m.peers.View())
-	slog.Info("members", "cluster", m.settings.Cluster, "address", m.peers.Address(), "routers", m.detectorSettings.Configured)
+	service.changed(service.peers.View())
+	slog.Info("members", "cluster", service.settings.Cluster, "address", service.peers.Address(), "routers", service.detectorSettings.Configured)
 	return nil
 }
 
-// restore reads the copy on disk, if there is one, and keeps it written until the context ends.
-func (m *membershipService) restore(ctx context.Context, parts *sync.WaitGroup) {
-	if m.persisted != nil {
-		m.persisted.start(ctx, parts, m.state)
+// restore loads the persisted state, if there is one, and keeps its copy on disk up to date until the context is done.
+func (service *membershipService) restore(ctx context.Context, running *sync.WaitGroup) {
+	if service.persisted != nil {
+		service.persisted.start(ctx, running, service.state)
 	}
 }
 
-// run takes part in the membership until the context ends, and serves the list of members.
-func (m *membershipService) run(ctx context.Context) {
-	if m.settings.Socket != "" && !m.router.controls(m.settings.Socket) {
-		stop, err := admin.Serve(ctx, m.settings.Socket, admin.Answers{"members": m.report})
+// run participates in the membership protocol and serves the list of members, until the context is done.
+func (service *membershipService) run(ctx context.Context) {
+	if service.settings.Socket != "" && !service.router.controls(service.settings.Socket) {
+		stopServing, err := admin.Serve(ctx, service.settings.Socket, admin.Answers{"members": service.report})
 		if err != nil {
-			slog.Error("members can't be read", operr.Attrs(err)...)
+			slog.Error("serving the members on the admin socket failed", operr.Attrs(err)...)
 		} else {
-			defer stop()
+			defer stopServing()
 		}
 	}
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	if m.state != nil {
-		parts.Go(func() { m.announceSuspects(ctx) })
+	var running sync.WaitGroup
+	defer running.Wait()
+	if service.state != nil {
+		running.Go(func() { service.announceSuspects(ctx) })
 	}
-	m.peers.Run(ctx)
+	service.peers.Run(ctx)
 }
 
-// ModeError reports a replication mode given to a class that has no writes: the router does not start.
+// ModeError is the error of a configuration that sets a replication mode for a class that is not a class of writes. The
+// router does not start with it.
 type ModeError struct {
 	Class string
-	Known bool
+	Known bool // the platform has a class of this name
 }
 
 // Error implements the error interface.
@@ -156,174 +157,178 @@
 	return "name a class of writes that the configuration has, or take " + e.Class + " out of members.modes.classes"
 }
 
-// controls says whether an admin socket is configured: the members can then be read there too.
-func (r *Router) controls(path string) bool {
-	return r.loop.contracts != nil && r.loop.contracts.settings != nil && r.loop.contracts.settings.Socket == path
+// controls reports whether the accounts' admin socket, which also serves the members, has the given path.
+func (router *Router) controls(path string) bool {
+	return router.loop.contracts != nil && router.loop.contracts.settings != nil && router.loop.contracts.settings.Socket == path
 }
 
-// changed is called on the membership goroutine for each view that differs from the last.
-func (m *membershipService) changed(v *membership.View) {
-	force := v.Quota
-	m.quota.Store(&force)
-	m.router.recovery.peersSeen(v)
-	peer.Log(m.loggedView, v)
-	m.loggedView = v
+// changed is called on the membership goroutine with each view that differs from the previous one.
+func (service *membershipService) changed(view *membership.View) {
+	quota := view.Quota
+	service.quota.Store(&quota)
+	service.router.recovery.peersSeen(view)
+	peer.Log(service.loggedView, view)
+	service.loggedView = view
 }
 
-// committed records a session's commit: its position in its group's log. In mode "one" it returns
-// once another router has it too, or the wait has timed out, or the client has left. It runs on the request's goroutine.
-func (m *membershipService) committed(r *request, at clock.Nanos) {
-	if m == nil || m.state == nil || r.Session == "" || at <= 0 {
+// committed records the log position of a session's commit in the replicated state. In mode "one" it returns only when
+// another router has the entry too, the wait has timed out or the client has left. It is called on the request's
+// goroutine.
+func (service *membershipService) committed(request *request, position clock.Nanos) {
+	if service == nil || service.state == nil || request.Session == "" || position <= 0 {
 		return
 	}
-	e := crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(r.Cluster, 10), B: r.Session, At: at}
-	switch m.settings.Modes.Of(r.Class) {
+	entry := crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(request.Cluster, 10), B: request.Session, At: position}
+	switch service.settings.Modes.Of(request.Class) {
 	case siteconfig.ModeAsync:
-		m.state.Learn(e)
+		service.state.Learn(entry)
 	case siteconfig.ModeOne:
-		most := min(time.Duration(m.settings.Modes.WaitMS)*time.Millisecond, time.Duration(r.deadline-m.router.clock.now()))
-		m.state.LearnDurably(e, most, r.client.left)
+		timeout := min(time.Duration(service.settings.Modes.WaitMS)*time.Millisecond, time.Duration(request.deadline-service.router.clock.now()))
+		service.state.LearnDurably(entry, timeout, request.client.left)
 	}
 }
 
-// learnFrom learns from a complete answer how far its server has applied the log, and whether it is the
-// primary. Each is replicated at a limited rate.
-func (m *membershipService) learnFrom(group int64, node balance.EndpointID, res *backend.Result) {
-	if m == nil || m.state == nil || res.Outcome != balance.Succeeded || res.Position <= 0 {
+// learnFrom records from a complete answer how far the data server has applied the log and whether it is the primary.
+// Both are replicated at a limited rate.
+func (service *membershipService) learnFrom(group int64, endpoint balance.EndpointID, result *backend.Result) {
+	if service == nil || service.state == nil || result.Outcome != balance.Succeeded || result.Position <= 0 {
 		return
 	}
-	host, born := m.router.directory.StartOf(node)
+	host, startedAt := service.router.directory.StartOf(endpoint)
 	if host == "" {
 		return
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.ServerPosition, A: host, Born: born, At: res.Position})
-	if res.Role == balance.Primary {
-		m.state.Learn(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(group, 10), Server: host, Born: born, At: res.Position})
+	service.state.Learn(crdt.Entry{Kind: crdt.ServerPosition, A: host, Born: startedAt, At: result.Position})
+	if result.Role == balance.Primary {
+		service.state.Learn(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(group, 10), Server: host, Born: startedAt, At: result.Position})
 	}
 }
 
-// mayHaveRun records that an attempt at a keyed write ended with an unknown outcome.
-func (m *membershipService) mayHaveRun(class, key string) {
-	if m != nil && m.state != nil && key != "" {
-		m.state.Learn(crdt.Entry{Kind: crdt.PendingWrite, A: class, B: key})
+// mayHaveRun records that an attempt of a keyed write ended with an unknown outcome.
+func (service *membershipService) mayHaveRun(class, key string) {
+	if service != nil && service.state != nil && key != "" {
+		service.state.Learn(crdt.Entry{Kind: crdt.PendingWrite, A: class, B: key})
 	}
 }
 
-// suspected queues the module's suspicion of an endpoint. The event loop calls it: it does not block, and drops what finds no room.
-func (m *membershipService) suspected(node balance.EndpointID) {
-	if m == nil || m.state == nil {
+// suspected queues the decision module's suspicion of an endpoint. The event loop calls it, so it must not block: if
+// the queue is full, the suspicion is dropped.
+func (service *membershipService) suspected(endpoint balance.EndpointID) {
+	if service == nil || service.state == nil {
 		return
 	}
 	select {
-	case m.suspects <- node:
+	case service.suspects <- endpoint:
 	default:
 	}
 }
 
-// announceSuspects sends the suspicions to the peers until the context ends.
-func (m *membershipService) announceSuspects(ctx context.Context) {
+// announceSuspects announces the queued suspicions to the peers until the context is done.
+func (service *membershipService) announceSuspects(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case node := <-m.suspects:
-			if host := m.router.directory.NameOf(node); host != "" {
-				m.state.Learn(crdt.Entry{Kind: crdt.Hint, A: "suspect " + host})
+		case endpoint := <-service.suspects:
+			if host := service.router.directory.NameOf(endpoint); host != "" {
+				service.state.Learn(crdt.Entry{Kind: crdt.Hint, A: "suspect " + host})
 			}
 		}
 	}
 }
 
-// position returns how far an endpoint had applied the log when another router heard it, if that is newer than the last one used
-// and so recent that a probe would hardly add to it; 0: there is none. A position never goes back for one start of a
-// server, so it is used unchanged; it says nothing about the server's health.
-func (m *membershipService) position(node balance.EndpointID) (at clock.Nanos) {
-	if m == nil || !m.probes {
+// position returns the position up to which an endpoint had applied the log according to another router, or 0. It
+// returns only a position that is later than the last one used and so recent that a probe would hardly give a later
+// one. A data server's position never decreases until its next start, so the position can be used unchanged. It says
+// nothing about the server's health.
+func (service *membershipService) position(endpoint balance.EndpointID) (position clock.Nanos) {
+	if service == nil || !service.probes {
 		return 0
 	}
-	host, born := m.router.directory.StartOf(node)
-	m.state.Look(host, "", func(s *crdt.Store, now int64) {
-		if reported, age, own := s.AppliedPosition(now, host, born); !own && age < maxPositionAge {
-			at = reported
+	host, startedAt := service.router.directory.StartOf(endpoint)
+	service.state.Look(host, "", func(store *crdt.Store, now int64) {
+		if reported, age, own := store.AppliedPosition(now, host, startedAt); !own && age < maxPositionAge {
+			position = reported
 		}
 	})
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if at <= m.givenPositions[node] {
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	if position <= service.usedPositions[endpoint] {
 		return 0
 	}
-	if len(m.givenPositions) >= maxGivenPositions {
-		clear(m.givenPositions) // each may be used once more
+	if len(service.usedPositions) >= maxUsedPositions {
+		clear(service.usedPositions) // each position may then be used a second time
 	}
-	m.givenPositions[node] = at
-	return at
+	service.usedPositions[endpoint] = position
+	return position
 }
 
-// provenanceOf returns the origin of a session's commit, for the attempt log.
-func (m *membershipService) provenanceOf(group int64, session string, at clock.Nanos) positionProvenance {
-	if m == nil || m.attemptLog == nil {
+// provenanceOf returns the provenance of a session's commit position, for the attempt log.
+func (service *membershipService) provenanceOf(group int64, session string, position clock.Nanos) positionProvenance {
+	if service == nil || service.attemptLog == nil {
 		return positionProvenance{}
 	}
-	f, e := m.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(group, 10), B: session})
-	if e.At != at {
-		f = trust.Fact{} // the client brought the position, or it stands for sessions that were evicted
+	fact, entry := service.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(group, 10), B: session})
+	if entry.At != position {
+		fact = trust.Fact{} // the position is the client's, or a lower bound for evicted sessions
 	}
-	return positionProvenance{at, f}
+	return positionProvenance{position, fact}
 }
 
-// commit returns the position that a session's reads must see: the latest commit that any router knows of; 0: none.
-func (m *membershipService) commit(group int64, session string) (at clock.Nanos) {
-	if m != nil && m.state != nil && session != "" {
-		name := strconv.FormatInt(group, 10)
-		m.state.Look(name, session, func(s *crdt.Store, _ int64) { at, _ = s.CommitPosition(name, session) })
+// commit returns the log position that a session's reads must see, which is that of the session's latest commit known
+// to any router, or 0 if no commit is known.
+func (service *membershipService) commit(group int64, session string) (position clock.Nanos) {
+	if service != nil && service.state != nil && session != "" {
+		groupName := strconv.FormatInt(group, 10)
+		service.state.Look(groupName, session, func(store *crdt.Store, _ int64) { position, _ = store.CommitPosition(groupName, session) })
 	}
-	return at
+	return position
 }
 
-// leave tells the peers that this router stops.
-func (m *membershipService) leave() {
-	ctx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
-	m.peers.Leave(ctx)
+// leave announces to the peers that this router stops.
+func (service *membershipService) leave() {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	service.peers.Leave(ctx)
 }
 
-// reload reads the keys again.
-func (m *membershipService) reload(own *siteconfig.Members) (keys [][]byte, err error) {
-	if !reflect.DeepEqual(own, m.settings) {
-		return nil, errors.New("of members only the keys change in service")
+// reload reads the keys again. All other settings must be unchanged.
+func (service *membershipService) reload(settings *siteconfig.Members) (keys [][]byte, err error) {
+	if !reflect.DeepEqual(settings, service.settings) {
+		return nil, errors.New("members: a reload can change the keys only")
 	}
-	return peer.ReadKeys(own.KeyFile)
+	return peer.ReadKeys(settings.KeyFile)
 }
 
-// quotaChange returns the event that puts another quota share in force, if it has changed. A share that was not renewed in
-// time expires by itself, even if no view has come since.
-func (m *membershipService) quotaChange(now clock.Nanos) (balance.Event, bool) {
-	f := m.quota.Load()
-	share := f.Share
-	if now >= f.ValidUntil {
-		share = f.MinShare
+// quotaChange returns an event with the current quota share if the share has changed since the last call. A share that
+// was not renewed in time expires even if no new view has been received.
+func (service *membershipService) quotaChange(now clock.Nanos) (balance.Event, bool) {
+	quota := service.quota.Load()
+	share := quota.Share
+	if now >= quota.ValidUntil {
+		share = quota.MinShare
 	}
-	if share == m.share {
+	if share == service.share {
 		return balance.Event{}, false
 	}
-	m.share = share
+	service.share = share
 	return balance.Event{Kind: balance.QuotaShareChanged, Share: share}, true
 }
 
-// report is the part of the operators' report about the members.
-func (m *membershipService) report(ctx context.Context) any {
-	out := struct {
+// report returns the members for the admin socket.
+func (service *membershipService) report(ctx context.Context) any {
+	report := struct {
 		peer.Report
 		Recovery *recovery.Report   `json:"recovery,omitempty"`
 		Feeds    *changefeed.Counts `json:"feeds,omitempty"`
-	}{m.peers.Report(), m.router.recovery.report(), nil}
-	if t := m.router.loop.contracts; t != nil && t.shedding != nil {
-		m.router.loop.do(ctx, func() { out.Shedding = t.shedding.report() })
+	}{service.peers.Report(), service.router.recovery.report(), nil}
+	if contracts := service.router.loop.contracts; contracts != nil && contracts.shedding != nil {
+		service.router.loop.do(ctx, func() { report.Shedding = contracts.shedding.report() })
 	}
-	out.Persisted = m.persisted.report()
-	if m.router.changefeed != nil {
-		counts := m.router.changefeed.feeds.Counts()
-		out.Feeds = &counts
+	report.Persisted = service.persisted.report()
+	if service.router.changefeed != nil {
+		counts := service.router.changefeed.feeds.Counts()
+		report.Feeds = &counts
 	}
-	return out
+	return report
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -8,49 +8,50 @@
 	"time"
 )
 
-// writeTotalsEvery writes one line of what was counted a period, and one at the end.
-func (r *Router) writeTotalsEvery(ctx context.Context, every time.Duration) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// writeTotalsEvery logs the totals at the given interval until the context is done.
+func (router *Router) writeTotalsEvery(ctx context.Context, interval time.Duration) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-			r.writeTotals()
+		case <-ticker.C:
+			router.writeTotals()
 		}
 	}
 }
 
-func (r *Router) writeTotals() {
-	if r.metrics == nil {
+// writeTotals logs the counters, if metrics are enabled.
+func (router *Router) writeTotals() {
+	if router.metrics == nil {
 		return
 	}
-	open, idle := r.pool.Counts()
-	line := []slog.Attr{
-		slog.String("name", r.config.Name),
-		slog.Int64("resident_kb", resident()),
-		slog.Int("clients", r.clients.len()),
+	open, idle := router.pool.Counts()
+	attributes := []slog.Attr{
+		slog.String("name", router.config.Name),
+		slog.Int64("resident_kb", residentKB()),
+		slog.Int("clients", router.clients.len()),
 		slog.Int("open", open),
 		slog.Int("idle", idle),
 	}
-	slog.LogAttrs(context.Background(), slog.LevelInfo, "totals", append(line, r.metrics.Take()...)...)
-	if r.changefeed != nil {
-		counts := r.changefeed.feeds.Counts()
-		slog.Info("feeds", "name", r.config.Name, "cursors", counts.Cursors, "answers", counts.Answers,
+	slog.LogAttrs(context.Background(), slog.LevelInfo, "totals", append(attributes, router.metrics.Take()...)...)
+	if router.changefeed != nil {
+		counts := router.changefeed.feeds.Counts()
+		slog.Info("feeds", "name", router.config.Name, "cursors", counts.Cursors, "answers", counts.Answers,
 			"events", counts.Events, "end_reads", counts.EndReads, "far_reads", counts.FarReads,
 			"refused", counts.Refused, "rows", counts.Rows)
 	}
 }
 
-// resident is the memory that the process holds, in KB; 0 where the system does not tell.
-func resident() int64 {
-	raw, err := os.ReadFile("/proc/self/statm")
+// residentKB returns the resident memory of the process in KB, or 0 if the system does not report it.
+func residentKB() int64 {
+	statm, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
 	}
 	var size, pages int64
-	if _, err := fmt.Sscan(string(raw), &size, &pages); err != nil {
+	if _, err := fmt.Sscan(string(statm), &size, &pages); err != nil {
 		return 0
 	}
 	return pages * int64(os.Getpagesize()) / 1024
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -13,41 +13,41 @@
 	"lotushook/internal/siteconfig"
 )
 
-// written is what is logged while a test runs.
-type written struct {
+// logBuffer contains what is logged during a test.
+type logBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
 }
 
-func (w *written) Write(p []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Buffer.Write(p)
+func (buffer *logBuffer) Write(p []byte) (int, error) {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.Buffer.Write(p)
 }
 
-func (w *written) String() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Buffer.String()
+func (buffer *logBuffer) String() string {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.Buffer.String()
 }
 
-func logged(t *testing.T) *written {
+// captureLog returns a buffer to which the default logger writes until the test ends.
+func captureLog(t *testing.T) *logBuffer {
 	t.Helper()
-	w, before := &written{}, slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(w, nil)))
-	t.Cleanup(func() { slog.SetDefault(before) })
-	return w
+	buffer, previous := &logBuffer{}, slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(buffer, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	return buffer
 }
 
-// What is not served is written with its way, what is beyond the rate is counted, and the last line of totals has
-// what all ends were.
-func TestTotalsAndWays(t *testing.T) {
-	w := logged(t)
+// Requests that are not served are logged with their attempts, and the last line of totals counts all outcomes.
+func TestTotalsAndAccessLog(t *testing.T) {
+	buffer := captureLog(t)
 	now := make(chan time.Time)
 	close(now)
-	own := &siteconfig.Config{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
-	s, _, stop, done := stageOwn(t, own, now, endless)
-	s.Play(`
+	config := &siteconfig.Config{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
+	stage, _, stop, done := stageOwn(t, config, now, endless)
+	stage.Play(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 		wait s1
 		expect s1 startup
@@ -58,10 +58,10 @@
 		send c1 Q "/* id=02,c=write,d=20000,k=ab,cluster=1 */ B"
 		expect s1 Q "/* id=02,c=write,d=#,k=ab,cluster=1 */ B"
 		close c1
-		expect s1 EOF`) // called off
+		expect s1 EOF`) // the attempt is canceled
 	stop()
-	<-done //nolint:errcheck // the test has seen what it wants
-	text := w.String()
+	<-done //nolint:errcheck // not part of the test
+	text := buffer.String()
 	for _, want := range []string{
 		`msg=totals name=n0 resident_kb=`, ` clients=0 open=0 idle=0 asked=2 dial_up=1 end_canceled=1 end_done=1 first=2 gone=1 `,
 		` served=1 at.h-1=1/0/0/0/1/0`,
@@ -69,43 +69,43 @@
 		`way="h-1:`, `=canceled/`,
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %s in\n%s", want, text)
+			t.Errorf("%s is missing in\n%s", want, text)
 		}
 	}
 	if regexp.MustCompile(`msg=request id=01`).MatchString(text) {
-		t.Error("a served request's way was written")
+		t.Error("a served request was logged")
 	}
 }
 
-// Switched off, nothing is counted and no line of totals or ways is written.
-func TestTotalsOff(t *testing.T) {
-	w := logged(t)
-	r := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
-	r.writeTotals()
-	if r.metrics != nil || r.accessLog.wanted() || strings.Contains(w.String(), "totals") {
-		t.Errorf("something is on: %s", w)
+// If metrics and the access log are disabled, nothing is counted, and neither totals nor requests are logged.
+func TestTotalsDisabled(t *testing.T) {
+	buffer := captureLog(t)
+	router := newRouter(t, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	router.writeTotals()
+	if router.metrics != nil || router.accessLog.wanted() || strings.Contains(buffer.String(), "totals") {
+		t.Errorf("metrics or the access log are enabled: %s", buffer)
 	}
 }
 
-// Lines beyond the rate are left out and counted.
-func TestWaysAreBounded(t *testing.T) {
-	w := logged(t)
-	r := newOwnRouter(t, &siteconfig.Config{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
-	one := &request{router: r, arrivedAt: r.clock.now(), requestTask: requestTask{outcome: endServed}}
+// Request log lines beyond the configured rate are omitted and counted.
+func TestAccessLogRate(t *testing.T) {
+	buffer := captureLog(t)
+	router := newOwnRouter(t, &siteconfig.Config{Log: &siteconfig.Log{Trace: siteconfig.TraceAll, TracePerS: 5}}, nettest.List(1, "h-1 127.0.0.1:1 1 SERVING"))
+	served := &request{router: router, arrivedAt: router.clock.now(), requestTask: requestTask{outcome: endServed}}
 	for range 1000 {
-		r.accessLog.write(one)
+		router.accessLog.write(served)
 	}
-	r.accessLog.logOmitted()
-	wrote := strings.Count(w.String(), "msg=request ")
-	left := 0
-	for _, m := range regexp.MustCompile(`left out" lines=(\d+)`).FindAllStringSubmatch(w.String(), -1) {
-		n := 0
-		for _, c := range m[1] {
-			n = 10*n + int(c-'0')
+	router.accessLog.logOmitted()
+	written := strings.Count(buffer.String(), "msg=request ")
+	omitted := 0
+	for _, match := range regexp.MustCompile(`omitted" lines=(\d+)`).FindAllStringSubmatch(buffer.String(), -1) {
+		lines := 0
+		for _, digit := range match[1] {
+			lines = 10*lines + int(digit-'0')
 		}
-		left += n
+		omitted += lines
 	}
-	if wrote+left != 1000 || wrote == 0 || left == 0 {
-		t.Errorf("%d lines written, %d left out", wrote, left)
+	if written+omitted != 1000 || written == 0 || omitted == 0 {
+		t.Errorf("%d lines written, %d omitted", written, omitted)
 	}
 }
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -16,192 +16,194 @@
 	"lotushook/internal/store"
 	"lotushook/policy/clock"
 	"lotushook/policy/crdt"
-	dkeep "lotushook/policy/persistence"
+	"lotushook/policy/persistence"
 	"lotushook/policy/trust"
 )
 
 const (
-	memberRecordKind = 200    // the store's own records: a member's epoch, as last seen
-	maxCrashLoss     = 10_000 // at most so many of a router's own entries: the capacity of the queue
+	memberRecordKind = 200    // kind of the records that contain a member's last seen epoch; other records are entries
+	maxCrashLoss     = 10_000 // how many of a router's own entries a crash can lose: the capacity of the write queue
 )
 
-// persistedState connects the replicated state to its copy on disk: it writes the entries, restores them at a start, and knows
-// which of them are confirmed. It implements peer.Keeper.
+// persistedState connects the replicated state to its copy on disk: it writes the entries, restores them at startup and
+// tracks which of them are confirmed. It implements peer.Keeper.
 type persistedState struct {
 	store       *store.Store
 	loadTimeout time.Duration
 	self        crdt.Origin
 	now         func() int64
 
-	mu           sync.Mutex // guards the maps; never held while anything blocks
-	ledger       *trust.Ledger
-	steadyEpochs map[string]uint64 // the members' epochs that the previous process saw: a member that still has it was up meanwhile
-	seenEpochs   map[string]uint64 // the present epochs
-	mark         trust.CopyVersion // the last of this router's own entries in the copy
-	standing     trust.CopyStatus
-	restored     int
+	mu             sync.Mutex // guards the fields below; not held during blocking calls
+	ledger         *trust.Ledger
+	previousEpochs map[string]uint64 // the members' epochs as restored from disk: a member that still has its epoch has been up since
+	currentEpochs  map[string]uint64 // the members' current epochs
+	copyVersion    trust.CopyVersion // version of the last of this router's own entries in the restored copy
+	copyStatus     trust.CopyStatus
+	restoredCount  int
 }
 
-func newPersistedState(own *siteconfig.Members, self crdt.Origin, now func() int64) (*persistedState, error) {
+func newPersistedState(settings *siteconfig.Members, self crdt.Origin, now func() int64) (*persistedState, error) {
 	ledger, err := trust.NewLedger(trust.DefaultSettings())
 	if err != nil {
 		return nil, err
 	}
-	q := dkeep.DefaultSettings()
-	q.QueueBytes, q.FsyncsPerSecond = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
-	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
+	queueSettings := persistence.DefaultSettings()
+	queueSettings.QueueBytes, queueSettings.FsyncsPerSecond = settings.Keep.QueueKB<<10, settings.Keep.FsyncsPer
+	storeSettings := store.Settings{Dir: settings.Keep.Dir, MaxBytes: settings.Keep.MaxMB << 20, Cluster: settings.Cluster, Name: self.Name, Boot: self.Boot, Queue: queueSettings, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
-	u := crdt.DefaultSettings(self)
-	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
-	k := &persistedState{loadTimeout: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: ledger, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
-	k.store, err = store.New(s)
-	return k, err
+	stateSettings := crdt.DefaultSettings(self)
+	storeSettings.Windows[crdt.PendingWrite], storeSettings.Windows[crdt.Hint] = stateSettings.WriteWindow, stateSettings.HintLifetime
+	persisted := &persistedState{loadTimeout: time.Duration(settings.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: ledger, previousEpochs: map[string]uint64{}, currentEpochs: map[string]uint64{}}
+	persisted.store, err = store.New(storeSettings)
+	return persisted, err
 }
 
-// start reads the copy and restores it, and writes from then on; it returns once that is done, or the load has timed out.
-func (k *persistedState) start(ctx context.Context, parts *sync.WaitGroup, state *peer.State) {
-	parts.Go(func() { k.store.Run(ctx) })
+// start restores the copy on disk and starts writing to it in the background. It returns once the state is restored or
+// loading has timed out.
+func (persisted *persistedState) start(ctx context.Context, running *sync.WaitGroup, state *peer.State) {
+	running.Go(func() { persisted.store.Run(ctx) })
 	done := make(chan struct{})
-	parts.Go(func() {
+	running.Go(func() {
 		defer close(done)
 		select {
-		case <-k.store.Loaded():
-			k.restore(state)
+		case <-persisted.store.Loaded():
+			persisted.restore(state)
 		case <-ctx.Done():
 		}
 	})
-	wait := time.NewTimer(k.loadTimeout)
-	defer wait.Stop()
+	timeout := time.NewTimer(persisted.loadTimeout)
+	defer timeout.Stop()
 	select {
 	case <-done:
-	case <-wait.C:
-		slog.Warn("keep: the start does not wait for the disk longer", "waited", k.loadTimeout)
+	case <-timeout.C:
+		slog.Warn("keep: loading timed out; starting before the persisted state is restored", "waited", persisted.loadTimeout)
 	}
 }
 
-// restore merges the disk's records into the state. Hints of unknown age are left out; a write that may have run counts as
-// young as it can be.
-func (k *persistedState) restore(state *peer.State) {
-	f := k.store.Found()
-	var list []crdt.Entry
-	bad := 0
-	k.mu.Lock()
-	for i := range f.Records {
-		r := &f.Records[i]
-		if r.Kind == memberRecordKind {
-			if len(r.Value) == 8 {
-				k.steadyEpochs[string(r.Key)] = binary.LittleEndian.Uint64(r.Value)
+// restore merges the records on disk into the replicated state. Hints of unknown age are omitted. A pending write of
+// unknown age is restored with its minimum age.
+func (persisted *persistedState) restore(state *peer.State) {
+	found := persisted.store.Found()
+	var entries []crdt.Entry
+	unreadable := 0
+	persisted.mu.Lock()
+	for i := range found.Records {
+		record := &found.Records[i]
+		if record.Kind == memberRecordKind {
+			if len(record.Value) == 8 {
+				persisted.previousEpochs[string(record.Key)] = binary.LittleEndian.Uint64(record.Value)
 			}
 			continue
 		}
-		var e crdt.Entry
-		if cbor.Unmarshal(r.Value, &e) != nil || uint8(e.Kind) != r.Kind || string(entryKey(&e)) != string(r.Key) {
-			bad++
+		var entry crdt.Entry
+		if cbor.Unmarshal(record.Value, &entry) != nil || uint8(entry.Kind) != record.Kind || string(entryKey(&entry)) != string(record.Key) {
+			unreadable++
 			continue
 		}
-		if e.Age = r.Age; e.Kind == crdt.Hint && r.MinAgeOnly {
+		if entry.Age = record.Age; entry.Kind == crdt.Hint && record.MinAgeOnly {
 			continue
 		}
-		list = append(list, e)
-		k.ledger.AddRestored(k.now(), e, r.MinAgeOnly)
-		if e.From.Name == k.self.Name && (e.From.Boot > k.mark.Epoch || e.From.Boot == k.mark.Epoch && e.Seq > k.mark.Number) {
-			k.mark = trust.CopyVersion{Epoch: e.From.Boot, Number: e.Seq}
+		entries = append(entries, entry)
+		persisted.ledger.AddRestored(persisted.now(), entry, record.MinAgeOnly)
+		if entry.From.Name == persisted.self.Name && (entry.From.Boot > persisted.copyVersion.Epoch || entry.From.Boot == persisted.copyVersion.Epoch && entry.Seq > persisted.copyVersion.Number) {
+			persisted.copyVersion = trust.CopyVersion{Epoch: entry.From.Boot, Number: entry.Seq}
 		}
 	}
-	k.restored = len(list)
-	k.mu.Unlock()
-	if taken := state.Restore(list); f.Boot != 0 {
-		slog.Info("state restored", "entries", len(list), "taken", taken, "not_read", bad)
+	persisted.restoredCount = len(entries)
+	persisted.mu.Unlock()
+	if mergedCount := state.Restore(entries); found.Boot != 0 {
+		slog.Info("state restored", "entries", len(entries), "taken", mergedCount, "not_read", unreadable)
 	}
 }
 
-// Put stores an entry that the state holds now. Feed cursors and shedding levels are not stored: no rule says yet how
-// a restored cursor may be used, and a level expires after two seconds.
-func (k *persistedState) Put(e crdt.Entry, by crdt.Origin) {
-	if e.Kind > crdt.Hint {
+// Put stores an entry that the replicated state now contains. Feed cursors and shedding levels are not stored: no rule
+// defines yet how a restored cursor may be used, and a level expires after two seconds.
+func (persisted *persistedState) Put(entry crdt.Entry, peer crdt.Origin) {
+	if entry.Kind > crdt.Hint {
 		return
 	}
-	k.mu.Lock()
-	now := k.now()
-	was, entry := k.ledger.Fact(now, e)
-	own := by == crdt.Origin{}
+	persisted.mu.Lock()
+	now := persisted.now()
+	previousFact, previousEntry := persisted.ledger.Fact(now, entry)
+	own := peer == crdt.Origin{}
 	if own {
-		k.ledger.AddOwnResponse(now, e)
+		persisted.ledger.AddOwnResponse(now, entry)
 	} else {
-		k.ledger.AddFromPeer(now, e, by.Boot != 0 && k.steadyEpochs[by.Name] == by.Boot)
-		k.compareWithPeer(&e)
+		persisted.ledger.AddFromPeer(now, entry, peer.Boot != 0 && persisted.previousEpochs[peer.Name] == peer.Boot)
+		persisted.compareWithPeer(&entry)
 	}
-	met := !own && by.Boot != 0 && k.seenEpochs[by.Name] != by.Boot && (len(k.seenEpochs) < 4096 || k.seenEpochs[by.Name] != 0)
-	if met {
-		k.seenEpochs[by.Name] = by.Boot
+	newEpoch := !own && peer.Boot != 0 && persisted.currentEpochs[peer.Name] != peer.Boot && (len(persisted.currentEpochs) < 4096 || persisted.currentEpochs[peer.Name] != 0)
+	if newEpoch {
+		persisted.currentEpochs[peer.Name] = peer.Boot
 	}
-	k.mu.Unlock()
-	if met {
-		k.store.Put(dkeep.Record{Kind: memberRecordKind, Key: []byte(by.Name), Value: binary.LittleEndian.AppendUint64(nil, by.Boot)})
+	persisted.mu.Unlock()
+	if newEpoch {
+		persisted.store.Put(persistence.Record{Kind: memberRecordKind, Key: []byte(peer.Name), Value: binary.LittleEndian.AppendUint64(nil, peer.Boot)})
 	}
-	if was.Provenance != trust.Unknown && entry.From == e.From && entry.Seq == e.Seq && (e.Kind != crdt.PendingWrite || e.Age >= was.Age) {
-		return // it is queued or written already
+	if previousFact.Provenance != trust.Unknown && previousEntry.From == entry.From && previousEntry.Seq == entry.Seq && (entry.Kind != crdt.PendingWrite || entry.Age >= previousFact.Age) {
+		return // already queued or written
 	}
-	value, err := cbor.Marshal(e)
+	value, err := cbor.Marshal(entry)
 	if err == nil {
-		k.store.Put(dkeep.Record{Kind: uint8(e.Kind), Key: entryKey(&e), Value: value, Age: e.Age})
+		persisted.store.Put(persistence.Record{Kind: uint8(entry.Kind), Key: entryKey(&entry), Value: value, Age: entry.Age})
 	}
 }
 
-// compareWithPeer compares the copy with what a peer remembers of this router's own entries.
-func (k *persistedState) compareWithPeer(e *crdt.Entry) {
-	if e.From.Name != k.self.Name || e.From.Boot == k.self.Boot || k.mark == (trust.CopyVersion{}) || k.standing == trust.CopyOutdated {
+// compareWithPeer compares the version of the restored copy with one of this router's earlier entries that a peer still
+// has. It detects that an outdated copy was put in place of the last one.
+func (persisted *persistedState) compareWithPeer(entry *crdt.Entry) {
+	if entry.From.Name != persisted.self.Name || entry.From.Boot == persisted.self.Boot || persisted.copyVersion == (trust.CopyVersion{}) || persisted.copyStatus == trust.CopyOutdated {
 		return
 	}
-	seen := trust.CopyVersion{Epoch: e.From.Boot, Number: e.Seq}
-	if k.standing = max(k.standing, trust.CompareCopy(k.mark, seen, maxCrashLoss)); k.standing == trust.CopyOutdated {
-		k.ledger.DistrustRestored()
-		mark := func(m trust.CopyVersion) string { return fmt.Sprintf("word %d of start %d", m.Number, m.Epoch) }
-		slog.Warn("keep", operr.Attrs(&store.Old{Path: k.store.Report().Path, Copy: mark(k.mark), Seen: mark(seen)})...)
+	seen := trust.CopyVersion{Epoch: entry.From.Boot, Number: entry.Seq}
+	if persisted.copyStatus = max(persisted.copyStatus, trust.CompareCopy(persisted.copyVersion, seen, maxCrashLoss)); persisted.copyStatus == trust.CopyOutdated {
+		persisted.ledger.DistrustRestored()
+		describe := func(v trust.CopyVersion) string { return fmt.Sprintf("entry %d of epoch %d", v.Number, v.Epoch) }
+		slog.Warn("keep", operr.Attrs(&store.Old{Path: persisted.store.Report().Path, Copy: describe(persisted.copyVersion), Seen: describe(seen)})...)
 	}
 }
 
-// fact returns what is known of an entry's key.
-func (k *persistedState) fact(e crdt.Entry) (trust.Fact, crdt.Entry) {
-	if k == nil {
+// fact returns the fact and the entry that are recorded for the key of an entry.
+func (persisted *persistedState) fact(entry crdt.Entry) (trust.Fact, crdt.Entry) {
+	if persisted == nil {
 		return trust.Fact{}, crdt.Entry{}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ledger.Fact(k.now(), e)
+	persisted.mu.Lock()
+	defer persisted.mu.Unlock()
+	return persisted.ledger.Fact(persisted.now(), entry)
 }
 
 // entryKey returns an entry's key on disk.
-func entryKey(e *crdt.Entry) []byte {
-	out := append(append([]byte(e.A), 0), e.B...)
-	switch e.Kind {
+func entryKey(entry *crdt.Entry) []byte {
+	key := append(append([]byte(entry.A), 0), entry.B...)
+	switch entry.Kind {
 	case crdt.ServerPosition:
-		out = binary.LittleEndian.AppendUint64(append(out, 0), uint64(e.Born))
+		key = binary.LittleEndian.AppendUint64(append(key, 0), uint64(entry.Born))
 	case crdt.Usage, crdt.Hint:
-		out = binary.LittleEndian.AppendUint64(append(append(out, 0), e.From.Name...), e.From.Boot)
+		key = binary.LittleEndian.AppendUint64(append(append(key, 0), entry.From.Name...), entry.From.Boot)
 	}
-	return out
+	return key
 }
 
-// persistedReport is the part of the operators' report about the copy.
+// persistedReport describes the copy on disk in the members' report.
 type persistedReport struct {
 	*store.Report
-	Restored int  `json:"restored"` // at the start
-	Doubted  int  `json:"doubted"`  // of these, not confirmed yet
-	Old      bool `json:"old"`      // the copy is an older one that was put back
+	Restored int  `json:"restored"` // entries restored at startup
+	Doubted  int  `json:"doubted"`  // restored entries that are not confirmed yet
+	Old      bool `json:"old"`      // the restored copy is outdated
 }
 
-func (k *persistedState) report() any {
-	if k == nil {
+func (persisted *persistedState) report() any {
+	if persisted == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return persistedReport{k.store.Report(), k.restored, k.ledger.Unconfirmed(trust.FromDisk), k.standing == trust.CopyOutdated}
+	persisted.mu.Lock()
+	defer persisted.mu.Unlock()
+	return persistedReport{persisted.store.Report(), persisted.restoredCount, persisted.ledger.Unconfirmed(trust.FromDisk), persisted.copyStatus == trust.CopyOutdated}
 }
 
-// positionProvenance says where the position came from that a read must see.
+// positionProvenance is the log position that a read must see, and its provenance.
 type positionProvenance struct {
-	at   clock.Nanos // the floor; 0: there is none
+	at   clock.Nanos // 0: none
 	fact trust.Fact
 }
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -15,78 +15,79 @@
 	"lotushook/policy/trust"
 )
 
-// What a router had learned and been told comes back after its start as the disk's word: it raises floors at once, and is
-// proven by who was up meanwhile or by own answers alone. A copy that was put back is noticed.
+// Entries that a router learned itself or received from peers are restored from disk at its next start. They
+// immediately raise the positions that reads must see, and are confirmed only by answers to this router or by peers
+// that have been up since. A restored copy that is outdated is detected.
 //
-//nolint:funlen // one history or table of cases, told in order
-func TestRestored(t *testing.T) {
+//nolint:funlen // one sequence of steps
+func TestRestoredState(t *testing.T) {
 	dir := t.TempDir()
-	keys := filepath.Join(dir, "keys")
-	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
+	keyFile := filepath.Join(dir, "keys")
+	if err := os.WriteFile(keyFile, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, filepath.Join(dir, "keep"))))
+	config, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keyFile, filepath.Join(dir, "keep"))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func() (*membershipService, func()) {
-		m := newOwnRouter(t, own, nettest.List(1)).membership
+		service := newOwnRouter(t, config, nettest.List(1)).membership
 		ctx, cancel := context.WithCancel(context.Background())
-		var parts sync.WaitGroup
-		m.restore(ctx, &parts)
-		return m, func() { cancel(); parts.Wait() }
+		var running sync.WaitGroup
+		service.restore(ctx, &running)
+		return service, func() { cancel(); running.Wait() }
 	}
 	session := crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine"}
-	m, stop := start()
-	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 5e9})
+	service, stop := start()
+	service.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 5e9})
 	primary := crdt.Entry{Kind: crdt.PrimaryClaim, A: "1", Server: "s1", At: 4e9, From: crdt.Origin{Name: "n1", Boot: 3}, Seq: 1}
-	m.state.Learn(crdt.NewSheddingLevel("1", 100, 7, 1)) // neither this nor a cursor is copied
-	m.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, A: "f", B: "mine", Count: 1, At: 5})
-	steady := crdt.Origin{Name: "n1", Boot: 3}
-	m.persisted.Put(primary, steady)
-	boot := m.detectorSettings.Epoch
-	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
-		r := m.persisted.report().(persistedReport)
-		return r.Waiting == 0 && r.Counts.Batches > 0
+	service.state.Learn(crdt.NewSheddingLevel("1", 100, 7, 1)) // shedding levels and cursors are not persisted
+	service.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, A: "f", B: "mine", Count: 1, At: 5})
+	peerUp := crdt.Origin{Name: "n1", Boot: 3}
+	service.persisted.Put(primary, peerUp)
+	epoch := service.detectorSettings.Epoch
+	until(t, "all entries are on disk (a stopping router waits for the disk for a second only)", func() bool {
+		report := service.persisted.report().(persistedReport)
+		return report.Waiting == 0 && report.Counts.Batches > 0
 	})
 	stop()
 
-	m, stop = start()
+	service, stop = start()
 	defer func() { stop() }()
-	if at := m.commit(1, "mine"); at != 5e9 {
-		t.Fatalf("the commit is %d", at)
+	if at := service.commit(1, "mine"); at != 5e9 {
+		t.Fatalf("the commit position is %d", at)
 	}
-	for _, e := range []crdt.Entry{session, primary} {
-		if f, _ := m.persisted.fact(e); f.Provenance != trust.FromDisk || f.Proven || f.MinAgeOnly || f.Age <= 0 {
-			t.Fatalf("%s: %+v", e.Kind, f)
+	for _, entry := range []crdt.Entry{session, primary} {
+		if fact, _ := service.persisted.fact(entry); fact.Provenance != trust.FromDisk || fact.Proven || fact.MinAgeOnly || fact.Age <= 0 {
+			t.Fatalf("%s: %+v", entry.Kind, fact)
 		}
 	}
-	m.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
-	if f, _ := m.persisted.fact(primary); f.Proven {
-		t.Errorf("proven by who was not up: %+v", f)
+	service.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // this peer may have restored the entry from its own disk
+	if fact, _ := service.persisted.fact(primary); fact.Proven {
+		t.Errorf("proven by a peer that was not up: %+v", fact)
 	}
-	m.persisted.Put(primary, steady)
-	if f, _ := m.persisted.fact(primary); !f.Proven {
-		t.Errorf("not proven by who was up all the while: %+v", f)
+	service.persisted.Put(primary, peerUp)
+	if fact, _ := service.persisted.fact(primary); !fact.Proven {
+		t.Errorf("not proven by a peer that has been up since: %+v", fact)
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 4e9})
-	if at := m.commit(1, "mine"); at != 5e9 {
-		t.Errorf("an older answer lowered the commit to %d", at)
+	service.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 4e9})
+	if at := service.commit(1, "mine"); at != 5e9 {
+		t.Errorf("an older answer lowered the commit position to %d", at)
 	}
-	m.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 6e9})
-	if f, e := m.persisted.fact(session); f.Provenance != trust.OwnResponse || e.At != 6e9 {
-		t.Errorf("after an own answer: %+v", f)
+	service.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: "mine", At: 6e9})
+	if fact, entry := service.persisted.fact(session); fact.Provenance != trust.OwnResponse || entry.At != 6e9 {
+		t.Errorf("after an answer to this router: %+v", fact)
 	}
-	r := m.persisted.report().(persistedReport)
-	if r.Restored != 2 || r.Doubted != 0 || r.Old || !r.Writes {
-		t.Errorf("%+v", r)
+	report := service.persisted.report().(persistedReport)
+	if report.Restored != 2 || report.Doubted != 0 || report.Old || !report.Writes {
+		t.Errorf("%+v", report)
 	}
-	e := session
-	e.B, e.At, e.From, e.Seq = "other", 7e9, crdt.Origin{Name: m.detectorSettings.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
-	if m.persisted.Put(e, steady); !m.persisted.report().(persistedReport).Old {
-		t.Error("an old copy was not noticed")
+	entry := session
+	entry.B, entry.At, entry.From, entry.Seq = "other", 7e9, crdt.Origin{Name: service.detectorSettings.Name, Boot: epoch + 1}, 1 // of an epoch that is later than the copy
+	if service.persisted.Put(entry, peerUp); !service.persisted.report().(persistedReport).Old {
+		t.Error("the outdated copy was not detected")
 	}
-	if f, _ := m.persisted.fact(primary); !f.MinAgeOnly || f.Proven {
-		t.Errorf("of an old copy: %+v", f)
+	if fact, _ := service.persisted.fact(primary); !fact.MinAgeOnly || fact.Proven {
+		t.Errorf("from an outdated copy: %+v", fact)
 	}
 }
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -13,158 +13,162 @@
 	"lotushook/policy/recovery"
 )
 
-// tickInterval is how often a router that does not serve yet checks its recovery stage.
+// tickInterval is how often a router checks its recovery stage until it serves.
 const tickInterval = 100 * time.Millisecond
 
-// recoveryGate applies the recovery decisions. Several goroutines use it; its lock is held for no longer than a decision takes.
-// A nil gate allows everything at once.
+// recoveryGate applies the recovery decisions. It may be used by several goroutines at once; its lock is held only
+// while a decision is made. A nil gate allows everything immediately.
 type recoveryGate struct {
 	router *Router
 
 	mu       sync.Mutex
 	decision *recovery.Recovery
-	stage    recovery.Stage // the stage that was last logged
+	stage    recovery.Stage // the last logged stage
 }
 
-func newRecoveryGate(r *Router, own *siteconfig.Recovery) (*recoveryGate, error) {
-	s := own.Decision(r.config.Name, uint64(r.clock.unix), r.config.Settings.Balance.Routers)
-	s.SeesPeers = r.membership != nil // without peers nothing can say that the replicated state is complete: the wait ends as Empty
-	d, err := recovery.New(s, r.clock.now())
+func newRecoveryGate(router *Router, config *siteconfig.Recovery) (*recoveryGate, error) {
+	settings := config.Decision(router.config.Name, uint64(router.clock.unix), router.config.Settings.Balance.Routers)
+	settings.SeesPeers = router.membership != nil // without peers, nothing can confirm that the replicated state is complete, and the recovery times out as Empty
+	decision, err := recovery.New(settings, router.clock.now())
 	if err != nil {
 		return nil, err
 	}
-	c := &recoveryGate{router: r, decision: d}
-	r.pool.DialDelay = func(most time.Duration) (time.Duration, bool) { return c.allow(recovery.Dial, most) }
-	r.watcher.CallDelay = func() (time.Duration, bool) { return c.allow(recovery.ListCall, time.Second) }
-	return c, nil
+	gate := &recoveryGate{router: router, decision: decision}
+	router.pool.DialDelay = func(maxWait time.Duration) (time.Duration, bool) { return gate.allow(recovery.Dial, maxWait) }
+	router.watcher.CallDelay = func() (time.Duration, bool) { return gate.allow(recovery.ListCall, time.Second) }
+	return gate, nil
 }
 
-// update runs a function under the lock, and logs a new stage.
-func (c *recoveryGate) update(f func(d *recovery.Recovery, now clock.Nanos)) {
-	now := c.router.clock.now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	f(c.decision, now)
-	if s := c.decision.Stage(); s != c.stage {
-		c.stage = s
-		r := c.decision.Report(now)
-		slog.Info("recovery", "stage", r.Stage, "proven", r.Proven, "returning", r.Returning, "part", r.Share)
+// update calls a function with the lock held and logs the stage if it has changed.
+func (gate *recoveryGate) update(apply func(decision *recovery.Recovery, now clock.Nanos)) {
+	now := gate.router.clock.now()
+	gate.mu.Lock()
+	defer gate.mu.Unlock()
+	apply(gate.decision, now)
+	if stage := gate.decision.Stage(); stage != gate.stage {
+		gate.stage = stage
+		report := gate.decision.Report(now)
+		slog.Info("recovery", "stage", report.Stage, "proven", report.Proven, "returning", report.Returning, "part", report.Share)
 	}
 }
 
-// allow is called before each dial, probe or list call; it returns how long that must wait.
-func (c *recoveryGate) allow(k recovery.Kind, most time.Duration) (wait time.Duration, ok bool) {
-	if c == nil {
+// allow is called before each dial, probe and discovery call. It returns how long the caller must wait before it, and
+// whether it is allowed at all.
+func (gate *recoveryGate) allow(kind recovery.Kind, maxWait time.Duration) (wait time.Duration, ok bool) {
+	if gate == nil {
 		return 0, true
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) {
-		span, why := d.Allow(now, k, clock.Nanos(most))
-		wait, ok = time.Duration(span), why == recovery.Allowed
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) {
+		delay, verdict := decision.Allow(now, kind, clock.Nanos(maxWait))
+		wait, ok = time.Duration(delay), verdict == recovery.Allowed
 	})
 	if !ok {
-		c.router.metrics.Add(metrics.DeniedByRecovery)
+		gate.router.metrics.Add(metrics.DeniedByRecovery)
 	}
 	return wait, ok
 }
 
-// allowSend says whether an attempt that the module wants may be sent.
-func (c *recoveryGate) allowSend(r *request, a *balance.Action) (ok bool) {
-	if c == nil {
+// allowSend reports whether an attempt that the decision module requests may be sent.
+func (gate *recoveryGate) allowSend(request *request, action *balance.Action) (ok bool) {
+	if gate == nil {
 		return true
 	}
-	class, until := c.router.config.Settings.Class(r.Class), r.deadline
-	if k := &c.router.config.Settings.Balance.Classes[class]; k.LateWeight <= 0 {
-		until = min(until, r.arrivedAt+k.LatencyObjective)
+	class, deadline := gate.router.config.Settings.Class(request.Class), request.deadline
+	if classSettings := &gate.router.config.Settings.Balance.Classes[class]; classSettings.LateWeight <= 0 {
+		deadline = min(deadline, request.arrivedAt+classSettings.LatencyObjective)
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) {
-		r.recoveryAttempt, r.recoveryAskedAt = recovery.Attempt{Server: uint32(a.Endpoint), Class: class, IsRetry: r.attemptsSent > 0, Deadline: until}, now
-		switch d.AllowSend(now, r.recoveryAttempt) {
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) {
+		request.recoveryAttempt, request.recoveryAskedAt = recovery.Attempt{Server: uint32(action.Endpoint), Class: class, IsRetry: request.attemptsSent > 0, Deadline: deadline}, now
+		switch decision.AllowSend(now, request.recoveryAttempt) {
 		case recovery.Allowed:
 			ok = true
 			return
 		case recovery.RetryLimited:
-			c.router.metrics.Add(metrics.DeniedRetries)
+			gate.router.metrics.Add(metrics.DeniedRetries)
 		case recovery.TooLate:
-			c.router.metrics.Add(metrics.DeniedLate)
+			gate.router.metrics.Add(metrics.DeniedLate)
 		}
-		c.router.metrics.Add(metrics.DeniedByRecovery)
+		gate.router.metrics.Add(metrics.DeniedByRecovery)
 	})
 	return ok
 }
 
-// attemptEnded records how an attempt ended. Nothing is learned from one that was not sent, or that an endpoint rejected at once.
-func (c *recoveryGate) attemptEnded(r *request, o balance.Outcome) {
-	if c == nil {
+// attemptEnded records the outcome of an attempt. Attempts that were not sent, were canceled or were immediately
+// rejected by the endpoint are ignored, because they say nothing about the endpoint's recovery.
+func (gate *recoveryGate) attemptEnded(request *request, outcome balance.Outcome) {
+	if gate == nil {
 		return
 	}
-	switch o {
+	switch outcome {
 	case balance.NotSent, balance.Busy, balance.NotEligible, balance.Canceled:
 		return
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) {
-		d.AttemptEnded(now, r.recoveryAttempt, o == balance.Succeeded, now-r.recoveryAskedAt)
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) {
+		decision.AttemptEnded(now, request.recoveryAttempt, outcome == balance.Succeeded, now-request.recoveryAskedAt)
 	})
 }
 
-// retryAfter returns the Retry-After time of a rejected request: spread by the recovery decisions, where settings allow one.
-func (c *recoveryGate) retryAfter(r *request, wait clock.Nanos) clock.Nanos {
-	b := &c.router.config.Settings.Balance
-	if !b.RetryAfterAllowed || r.rejectionReason != nil { // a contract's rejection has a time of its own
+// retryAfter returns the Retry-After time of a rejected request. If the platform allows Retry-After times, the recovery
+// decisions spread them over time.
+func (gate *recoveryGate) retryAfter(request *request, wait clock.Nanos) clock.Nanos {
+	platform := &gate.router.config.Settings.Balance
+	if !platform.RetryAfterAllowed || request.rejectionReason != nil { // rejections by contracts and load shedding have their own Retry-After time
 		return wait
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) {
-		wait = min(d.RetryAfter(now, r.Team, r.Session, r.sheddingVerdict.PriorityClass), b.MaxRetryAfter)
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) {
+		wait = min(decision.RetryAfter(now, request.Team, request.Session, request.sheddingVerdict.PriorityClass), platform.MaxRetryAfter)
 	})
 	return wait
 }
 
-func (c *recoveryGate) listReceived() {
-	if c != nil {
-		c.update(func(d *recovery.Recovery, now clock.Nanos) { d.ListReceived(now) })
+// listReceived records that an endpoint list has been received.
+func (gate *recoveryGate) listReceived() {
+	if gate != nil {
+		gate.update(func(decision *recovery.Recovery, now clock.Nanos) { decision.ListReceived(now) })
 	}
 }
 
-// peersSeen takes over which peers membership sees.
-func (c *recoveryGate) peersSeen(v *membership.View) {
-	if c == nil || v == nil {
+// peersSeen records the peers in the membership view.
+func (gate *recoveryGate) peersSeen(view *membership.View) {
+	if gate == nil || view == nil {
 		return
 	}
-	peers := make([]recovery.Peer, 0, len(v.Members))
-	for i := range v.Members {
-		m := &v.Members[i]
-		peers = append(peers, recovery.Peer{Name: m.Name, Epoch: m.Epoch, Alive: m.State == membership.Alive || m.State == membership.Suspect, HeardDirectly: m.LastHeardAt > 0})
+	peers := make([]recovery.Peer, 0, len(view.Members))
+	for i := range view.Members {
+		member := &view.Members[i]
+		peers = append(peers, recovery.Peer{Name: member.Name, Epoch: member.Epoch, Alive: member.State == membership.Alive || member.State == membership.Suspect, HeardDirectly: member.LastHeardAt > 0})
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.UpdatePeers(now, peers) })
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) { decision.UpdatePeers(now, peers) })
 }
 
-// tickTimer wakes the event loop while this router does not serve yet.
-func (c *recoveryGate) tickTimer() <-chan time.Time {
-	if c == nil {
+// tickTimer returns a timer for the next tick, or nil once the router serves.
+func (gate *recoveryGate) tickTimer() <-chan time.Time {
+	if gate == nil {
 		return nil
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.stage == recovery.Serving {
+	gate.mu.Lock()
+	defer gate.mu.Unlock()
+	if gate.stage == recovery.Serving {
 		return nil
 	}
 	return time.After(tickInterval)
 }
 
-// tick advances the recovery's time.
-func (c *recoveryGate) tick() {
-	if m := c.router.membership; m != nil {
-		c.peersSeen(m.peers.View())
+// tick updates the recovery stage.
+func (gate *recoveryGate) tick() {
+	if members := gate.router.membership; members != nil {
+		gate.peersSeen(members.peers.View())
 		return
 	}
-	c.update(func(d *recovery.Recovery, now clock.Nanos) { d.Tick(now) })
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) { decision.Tick(now) })
 }
 
-// report is the part of the operators' report about recovery.
-func (c *recoveryGate) report() *recovery.Report {
-	if c == nil {
+// report returns the state of the recovery for the admin socket; nil if recovery is disabled.
+func (gate *recoveryGate) report() *recovery.Report {
+	if gate == nil {
 		return nil
 	}
-	var r recovery.Report
-	c.update(func(d *recovery.Recovery, now clock.Nanos) { r = d.Report(now) })
-	return &r
+	var report recovery.Report
+	gate.update(func(decision *recovery.Recovery, now clock.Nanos) { report = decision.Report(now) })
+	return &report
 }
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -8,14 +8,14 @@
 	"lotushook/internal/siteconfig"
 )
 
-// What recovery does not allow never reaches a data server, is refused at once with a time to return, and is not held against
-// the node: the next one goes there.
+// An attempt that the recovery limits do not allow is not sent. The request is rejected immediately with a Retry-After
+// time, and the endpoint receives the next request, as it is not considered failed.
 func TestRecoveryDenies(t *testing.T) {
-	for _, c := range []struct{ guards, own, text string }{
-		{"no send beyond the budget of those that return", `{"sends_per_s":0.001,"proving_ms":60000}`, `
+	for _, c := range []struct{ name, settings, script string }{
+		{"no attempt beyond the send rate of a returning router", `{"sends_per_s":0.001,"proving_ms":60000}`, `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			expect c1 welcome | E 53300 # | Z`},
-		{"once it serves, the module's word goes", `{"sends_per_s":0.001,"proving_ms":1,"ramping_ms":1}`, `
+		{"once the router serves, the decision module decides alone", `{"sends_per_s":0.001,"proving_ms":1,"ramping_ms":1}`, `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			wait s1
 			expect s1 startup
@@ -23,7 +23,7 @@
 			expect s1 Q "/* id=01,c=read,d=#,cluster=1 */ A"
 			send s1 T | D "a" | C | S rank=copy | Z
 			expect c1 welcome | T | D "a" | C | Z`},
-		{"a further attempt that no success pays for is not made; the node takes the next request", `{"sends_per_s":0,"ratio":0,"floor_per_s":0}`, `
+		{"a retry beyond the retry budget is not sent, and the endpoint receives the next request", `{"sends_per_s":0,"ratio":0,"floor_per_s":0}`, `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			wait s1
 			expect s1 startup
@@ -35,24 +35,24 @@
 			expect s1 Q "/* id=02,c=read,d=#,cluster=1 */ B"
 			send s1 T | D "b" | C | S rank=copy | Z
 			expect c1 T | D "b" | C | Z`},
-		{"a dial that has no turn is not made", `{"sends_per_s":0,"dials_per_s":0.01}`, `
+		{"no dial beyond the dial rate", `{"sends_per_s":0,"dials_per_s":0.01}`, `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			expect c1 welcome | E 53300 # | Z`},
 	} {
 		now := make(chan time.Time)
 		close(now)
-		t.Run(c.guards, func(t *testing.T) {
-			own, err := siteconfig.Load(nettest.File(t, `{"recovery":`+c.own+`}`))
+		t.Run(c.name, func(t *testing.T) {
+			config, err := siteconfig.Load(nettest.File(t, `{"recovery":`+c.settings+`}`))
 			if err != nil {
 				t.Fatal(err)
 			}
-			s, r, _, _ := stageOwn(t, own, now, endless)
-			if own.Recovery.RampingMS == 1 {
-				for r.recovery.report().Stage != "serving" {
+			stage, router, _, _ := stageOwn(t, config, now, endless)
+			if config.Recovery.RampingMS == 1 {
+				for router.recovery.report().Stage != "serving" {
 					time.Sleep(time.Millisecond)
 				}
 			}
-			s.Play(c.text)
+			stage.Play(c.script)
 		})
 	}
 }
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -11,87 +11,88 @@
 	"lotushook/policy/shedding"
 )
 
-// reloadPlan is what a reload puts in force, once all of it is known to be valid.
+// reloadPlan contains validated settings that a reload applies.
 type reloadPlan struct {
 	contracts contract.Settings
 	shedding  *shedding.Settings
 	keys      [][]byte
 }
 
-// Reload takes new settings over while the router runs: the configuration's agent, the limits of admission, and the
-// contracts. All else holds from the next start on. The old list serves until the new agent's is in. After an error
-// nothing has changed.
-func (r *Router) Reload(config *platformconfig.Config, own *siteconfig.Config) error {
-	if err := r.checkServices(own); err != nil {
+// Reload applies new settings while the router runs: the address of the discovery agent, the admission limits, the
+// contracts, load shedding, the members' keys and the access log. All other settings apply from the next start. The
+// current endpoint list remains in use until the new agent's list is received. If Reload returns an error, it has
+// changed nothing.
+func (router *Router) Reload(platform *platformconfig.Config, site *siteconfig.Config) error {
+	if err := router.checkServices(site); err != nil {
 		return err
 	}
-	plan, err := r.planReload(own)
+	plan, err := router.planReload(site)
 	if err != nil {
 		return err
 	}
-	if r.acceptor != nil {
-		if err := r.acceptor.reload(own.Admission); err != nil {
+	if router.acceptor != nil {
+		if err := router.acceptor.reload(site.Admission); err != nil {
 			return err
 		}
 	}
-	if r.loop.contracts != nil {
-		if err := r.loop.contracts.reload(plan.contracts, plan.shedding); err != nil {
+	if router.loop.contracts != nil {
+		if err := router.loop.contracts.reload(plan.contracts, plan.shedding); err != nil {
 			return err
 		}
 	}
-	if r.membership != nil {
-		r.membership.peers.SetKeys(plan.keys)
+	if router.membership != nil {
+		router.membership.peers.SetKeys(plan.keys)
 	}
-	r.accessLog.settings.Store(own.Log)
-	slog.Info("reloaded", "discovery", config.Discovery)
-	r.watcher.Move(config.Discovery)
+	router.accessLog.settings.Store(site.Log)
+	slog.Info("reloaded", "discovery", platform.Discovery)
+	router.watcher.Move(platform.Discovery)
 	return nil
 }
 
-// checkServices refuses settings that would switch a service on or off.
-func (r *Router) checkServices(own *siteconfig.Config) error {
-	if (own.Admission != nil) != (r.acceptor != nil) {
-		return errors.New("admission can't be switched on or off in service")
+// checkServices returns an error if the new settings would enable or disable a service.
+func (router *Router) checkServices(site *siteconfig.Config) error {
+	if (site.Admission != nil) != (router.acceptor != nil) {
+		return errors.New("admission can't be enabled or disabled by a reload")
 	}
-	if (own.Contracts != nil) != (r.loop.contracts != nil) {
-		return errors.New("contracts can't be switched on or off in service")
+	if (site.Contracts != nil) != (router.loop.contracts != nil) {
+		return errors.New("contracts can't be enabled or disabled by a reload")
 	}
-	if (own.Members != nil) != (r.membership != nil) {
-		return errors.New("members can't be switched on or off in service")
+	if (site.Members != nil) != (router.membership != nil) {
+		return errors.New("members can't be enabled or disabled by a reload")
 	}
-	if !reflect.DeepEqual(own.Feeds, r.feedSettings()) {
-		return errors.New("feeds can't change in service")
+	if !reflect.DeepEqual(site.Feeds, router.feedSettings()) {
+		return errors.New("feeds can't be changed by a reload")
 	}
-	if (own.Recovery != nil) != (r.recovery != nil) {
-		return errors.New("recovery can't be switched on or off in service")
+	if (site.Recovery != nil) != (router.recovery != nil) {
+		return errors.New("recovery can't be enabled or disabled by a reload")
 	}
 	return nil
 }
 
-// planReload validates all that a reload puts in force.
-func (r *Router) planReload(own *siteconfig.Config) (reloadPlan, error) {
+// planReload validates the settings that a reload applies.
+func (router *Router) planReload(site *siteconfig.Config) (reloadPlan, error) {
 	var plan reloadPlan
 	var err error
-	if r.membership != nil {
-		if plan.keys, err = r.membership.reload(own.Members); err != nil {
+	if router.membership != nil {
+		if plan.keys, err = router.membership.reload(site.Members); err != nil {
 			return plan, err
 		}
 	}
-	if r.loop.contracts != nil {
-		if plan.contracts, err = r.loop.contracts.contractSettings(own.Contracts); err != nil {
+	if router.loop.contracts != nil {
+		if plan.contracts, err = router.loop.contracts.contractSettings(site.Contracts); err != nil {
 			return plan, err
 		}
-		if plan.shedding, err = r.loop.contracts.sheddingSettings(own); err != nil {
+		if plan.shedding, err = router.loop.contracts.sheddingSettings(site); err != nil {
 			return plan, err
 		}
 	}
 	return plan, nil
 }
 
-// feedSettings are the settings in force; nil: there are none.
-func (r *Router) feedSettings() *siteconfig.Feeds {
-	if r.changefeed == nil {
+// feedSettings returns the current change feed settings, or nil.
+func (router *Router) feedSettings() *siteconfig.Feeds {
+	if router.changefeed == nil {
 		return nil
 	}
-	return r.changefeed.settings
+	return router.changefeed.settings
 }
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -16,146 +16,147 @@
 )
 
 const (
-	sheddingInterval    = 50 * time.Millisecond // how soon the peers' reports come into force
-	sheddingLogInterval = time.Second           // one line at most for each group whose threshold moved to another priority class
+	sheddingInterval    = 50 * time.Millisecond // how often the peers' reports are processed
+	sheddingLogInterval = time.Second           // minimum interval between two log lines of the same group
 )
 
-// sheddingService applies load shedding. All of it belongs to the event loop's goroutine, like the contracts. Its reports to the
-// peers travel with the replicated state; nothing waits for them.
+// sheddingService applies load shedding. Like the contracts, only the event loop's goroutine may use it. Its reports to
+// the peers are part of the replicated state; it never waits for reports.
 type sheddingService struct {
 	router    *Router
 	settings  shedding.Settings
 	shedder   *shedding.Shedder
-	lastLines map[int64]thresholdLine
+	lastLines map[int64]thresholdLine // by group
 }
 
-// thresholdLine is the last line logged of a group.
+// thresholdLine is the last log line about a group's threshold.
 type thresholdLine struct {
 	at            clock.Nanos
 	priorityClass string
 }
 
-func newSheddingService(r *Router, own *siteconfig.Config) (*sheddingService, error) {
-	l := &sheddingService{router: r, lastLines: map[int64]thresholdLine{}}
-	s, err := l.settingsFrom(own)
-	if err != nil || s == nil {
+func newSheddingService(router *Router, config *siteconfig.Config) (*sheddingService, error) {
+	service := &sheddingService{router: router, lastLines: map[int64]thresholdLine{}}
+	settings, err := service.settingsFrom(config)
+	if err != nil || settings == nil {
 		return nil, err
 	}
-	l.settings = *s
-	if l.shedder, err = shedding.New(*s); err != nil {
+	service.settings = *settings
+	if service.shedder, err = shedding.New(*settings); err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
-	return l, nil
+	return service, nil
 }
 
-// settingsFrom returns the shedding settings as applied on this platform; nil: shedding is off.
-func (l *sheddingService) settingsFrom(own *siteconfig.Config) (*shedding.Settings, error) {
-	b := &l.router.config.Settings.Balance
-	back := clock.Nanos(0)
-	if b.RetryAfterAllowed {
-		back = b.MaxRetryAfter
+// settingsFrom returns the load shedding settings as they apply on this platform, or nil if load shedding is disabled.
+func (service *sheddingService) settingsFrom(config *siteconfig.Config) (*shedding.Settings, error) {
+	platform := &service.router.config.Settings.Balance
+	maxRetryAfter := clock.Nanos(0)
+	if platform.RetryAfterAllowed {
+		maxRetryAfter = platform.MaxRetryAfter
 	}
-	s, err := own.Contracts.SheddingSettings(siteconfig.Fleet{Router: l.router.config.Name, Boot: uint64(l.router.clock.unix), Routers: b.Routers, Agreed: own.Members != nil && own.Members.Share}, back)
+	settings, err := config.Contracts.SheddingSettings(siteconfig.Fleet{Router: service.router.config.Name, Boot: uint64(service.router.clock.unix), Routers: platform.Routers, Agreed: config.Members != nil && config.Members.Share}, maxRetryAfter)
 	if err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// admit says whether a request is accepted; one that is shed is rejected at once.
-func (l *sheddingService) admit(r *request, team int, now clock.Nanos) bool {
-	set := l.router.config.Settings
-	terms := l.router.loop.contracts
-	q := shedding.Request{Team: team, Account: l.settings.Account(terms.ledger.TeamName(team), r.Session), Group: r.Cluster, Key: r.Key, IsRetry: r.Retry, Share: terms.ledger.ContractShare(r.Cluster)}
-	if set.IsSession(r.Class) && r.Session != "" {
-		q.ReadSession = shedding.Session(r.Cluster, r.Session)
-		q.WroteElsewhere = r.sessionWroteAt > 0 && now-r.sessionWroteAt < l.settings.WriteAffinity
+// admit reports whether a request is admitted. A request that is shed is rejected immediately.
+func (service *sheddingService) admit(request *request, team int, now clock.Nanos) bool {
+	platform := service.router.config.Settings
+	contracts := service.router.loop.contracts
+	sheddingRequest := shedding.Request{Team: team, Account: service.settings.Account(contracts.ledger.TeamName(team), request.Session), Group: request.Cluster, Key: request.Key, IsRetry: request.Retry, Share: contracts.ledger.ContractShare(request.Cluster)}
+	if platform.IsSession(request.Class) && request.Session != "" {
+		sheddingRequest.ReadSession = shedding.Session(request.Cluster, request.Session)
+		sheddingRequest.WroteElsewhere = request.sessionWroteAt > 0 && now-request.sessionWroteAt < service.settings.WriteAffinity
 	}
-	r.sheddingVerdict = l.shedder.Admit(q, now)
-	if r.sheddingVerdict.Reason != shedding.Shed {
+	request.sheddingVerdict = service.shedder.Admit(sheddingRequest, now)
+	if request.sheddingVerdict.Reason != shedding.Shed {
 		return true
 	}
-	l.router.metrics.Add(metrics.RejectedByShedding)
-	r.rejectionReason = &rejectionReason{"lane " + l.shedder.Name(r.sheddingVerdict.PriorityClass) + " is shed at cluster " + strconv.FormatInt(r.Cluster, 10) + ", by all routers (lanes)",
+	service.router.metrics.Add(metrics.RejectedByShedding)
+	request.rejectionReason = &rejectionReason{"lane " + service.shedder.Name(request.sheddingVerdict.PriorityClass) + " is shed at cluster " + strconv.FormatInt(request.Cluster, 10) + ", by all routers (lanes)",
 		"come back after the time in DETAIL, in ms; another router refuses the same"}
-	if !l.settings.Shared {
-		r.rejectionReason.text, r.rejectionReason.hint = "lane "+l.shedder.Name(r.sheddingVerdict.PriorityClass)+" is shed at cluster "+strconv.FormatInt(r.Cluster, 10)+" (lanes)", "come back after the time in DETAIL, in ms"
+	if !service.settings.Shared {
+		request.rejectionReason.text, request.rejectionReason.hint = "lane "+service.shedder.Name(request.sheddingVerdict.PriorityClass)+" is shed at cluster "+strconv.FormatInt(request.Cluster, 10)+" (lanes)", "come back after the time in DETAIL, in ms"
 	}
-	r.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: r.sheddingVerdict.RetryAfter})
+	request.deliver(balance.Action{Kind: balance.RejectRequest, RetryAfter: request.sheddingVerdict.RetryAfter})
 	return false
 }
 
-func (l *sheddingService) latencyObjective(class int) clock.Nanos {
-	if classes := l.router.config.Settings.Balance.Classes; class >= 0 && class < len(classes) {
+// latencyObjective returns the latency objective of a class of requests, or 0 if the class is unknown.
+func (service *sheddingService) latencyObjective(class int) clock.Nanos {
+	if classes := service.router.config.Settings.Balance.Classes; class >= 0 && class < len(classes) {
 		return classes[class].LatencyObjective
 	}
 	return 0
 }
 
-// requestStarted records a request that is passed on or queued.
-func (l *sheddingService) requestStarted(r *request) {
-	l.shedder.RequestStarted(r.Cluster, r.arrivedAt, l.latencyObjective(r.contractRequest.Class))
+// requestStarted records that a request was admitted or queued.
+func (service *sheddingService) requestStarted(request *request) {
+	service.shedder.RequestStarted(request.Cluster, request.arrivedAt, service.latencyObjective(request.contractRequest.Class))
 }
 
-// requestEnded records a request's end.
-func (l *sheddingService) requestEnded(r *request, now clock.Nanos) {
-	e := shedding.Outcome{ArrivedAt: r.arrivedAt, Elapsed: r.end.Elapsed, LatencyObjective: l.latencyObjective(r.contractRequest.Class), Served: r.end.Served, MayHaveRun: r.end.MayHaveRun, Abandoned: r.end.Abandoned || !r.contractReason.Admitted()}
-	if l.router.config.Settings.IsWrite(r.Class) && r.Session != "" {
-		e.SessionWritten = shedding.Session(r.Cluster, r.Session)
+// requestEnded records the outcome of a request.
+func (service *sheddingService) requestEnded(request *request, now clock.Nanos) {
+	outcome := shedding.Outcome{ArrivedAt: request.arrivedAt, Elapsed: request.end.Elapsed, LatencyObjective: service.latencyObjective(request.contractRequest.Class), Served: request.end.Served, MayHaveRun: request.end.MayHaveRun, Abandoned: request.end.Abandoned || !request.contractReason.Admitted()}
+	if service.router.config.Settings.IsWrite(request.Class) && request.Session != "" {
+		outcome.SessionWritten = shedding.Session(request.Cluster, request.Session)
 	}
-	l.shedder.RequestEnded(r.Cluster, r.sheddingVerdict.PriorityClass, r.Key, e, now)
+	service.shedder.RequestEnded(request.Cluster, request.sheddingVerdict.PriorityClass, request.Key, outcome, now)
 }
 
-// tick takes in the peers' reports, and reports the threshold that this router would choose.
-func (l *sheddingService) tick(now clock.Nanos) {
-	m := l.router.membership
-	if !l.settings.Shared || m == nil || m.state == nil || m.peers == nil {
-		l.shedder.Tick(now, shedding.Connectivity{}, nil)
-		l.log(now)
+// tick processes the peers' reports, and reports to the peers the thresholds that this router's own pressure calls for.
+func (service *sheddingService) tick(now clock.Nanos) {
+	members := service.router.membership
+	if !service.settings.Shared || members == nil || members.state == nil || members.peers == nil {
+		service.shedder.Tick(now, shedding.Connectivity{}, nil)
+		service.log(now)
 		return
 	}
-	v := m.peers.View()
-	counts := make(map[string]bool, len(v.Members))
-	for i := range v.Members {
-		counts[v.Members[i].Name] = v.Members[i].State == membership.Alive || v.Members[i].State == membership.Suspect
+	view := members.peers.View()
+	included := make(map[string]bool, len(view.Members))
+	for i := range view.Members {
+		included[view.Members[i].Name] = view.Members[i].State == membership.Alive || view.Members[i].State == membership.Suspect
 	}
 	var reports []shedding.Report
-	m.state.Each(func(store *crdt.Store, now int64) {
-		for _, e := range store.SheddingLevels(now) {
-			if group, err := strconv.ParseInt(e.A, 10, 64); err == nil {
-				load, wish, epoch := e.SheddingLevel()
-				reports = append(reports, shedding.Report{Group: group, Router: e.From.Name, Epoch: e.From.Boot, Seq: e.Seq, Age: e.Age, Load: load, Threshold: wish, SaltEpoch: epoch, Excluded: !counts[e.From.Name]})
+	members.state.Each(func(store *crdt.Store, now int64) {
+		for _, entry := range store.SheddingLevels(now) {
+			if group, err := strconv.ParseInt(entry.A, 10, 64); err == nil {
+				load, threshold, saltEpoch := entry.SheddingLevel()
+				reports = append(reports, shedding.Report{Group: group, Router: entry.From.Name, Epoch: entry.From.Boot, Seq: entry.Seq, Age: entry.Age, Load: load, Threshold: threshold, SaltEpoch: saltEpoch, Excluded: !included[entry.From.Name]})
 			}
 		}
 	})
-	for _, s := range l.shedder.Tick(now, shedding.Connectivity{Majority: v.Majority, Isolated: v.Isolated || v.DuplicateName}, reports) {
-		m.state.Learn(crdt.NewSheddingLevel(strconv.FormatInt(s.Group, 10), s.Load, s.Threshold, s.SaltEpoch))
+	for _, report := range service.shedder.Tick(now, shedding.Connectivity{Majority: view.Majority, Isolated: view.Isolated || view.DuplicateName}, reports) {
+		members.state.Learn(crdt.NewSheddingLevel(strconv.FormatInt(report.Group, 10), report.Load, report.Threshold, report.SaltEpoch))
 	}
-	l.log(now)
+	service.log(now)
 }
 
-// log writes a line when a group's threshold moves to another priority class.
-func (l *sheddingService) log(now clock.Nanos) {
-	for _, s := range l.shedder.States() {
-		if old := l.lastLines[s.Group]; s.PriorityClass != old.priorityClass && now-old.at >= int64(sheddingLogInterval) {
-			if len(l.lastLines) >= l.settings.MaxGroups {
-				clear(l.lastLines)
+// log writes a line for each group whose threshold has moved to another priority class since the group's last line.
+func (service *sheddingService) log(now clock.Nanos) {
+	for _, state := range service.shedder.States() {
+		if last := service.lastLines[state.Group]; state.PriorityClass != last.priorityClass && now-last.at >= int64(sheddingLogInterval) {
+			if len(service.lastLines) >= service.settings.MaxGroups {
+				clear(service.lastLines)
 			}
-			l.lastLines[s.Group] = thresholdLine{now, s.PriorityClass}
-			slog.Info("lanes", "cluster", s.Group, "shed_up_to", s.PriorityClass, "level", s.Threshold, "most", s.MaxThreshold, "epoch", s.SaltEpoch, "heard", s.Reporters, "whole", s.Quorum, "alone", s.Isolated,
-				"pressure", strconv.FormatFloat(s.Pressure, 'f', 3, 64))
+			service.lastLines[state.Group] = thresholdLine{now, state.PriorityClass}
+			slog.Info("lanes", "cluster", state.Group, "shed_up_to", state.PriorityClass, "level", state.Threshold, "most", state.MaxThreshold, "epoch", state.SaltEpoch, "heard", state.Reporters, "whole", state.Quorum, "alone", state.Isolated,
+				"pressure", strconv.FormatFloat(state.Pressure, 'f', 3, 64))
 		}
 	}
 }
 
-// SheddingReport is the operators' report of load shedding.
+// SheddingReport describes the state of load shedding for the admin socket.
 type SheddingReport struct {
-	Groups []shedding.GroupState  `json:"groups"`
-	Lanes  []shedding.ClassCounts `json:"lanes"`
-	Full   uint64                 `json:"full"` // requests that passed because there was no room for their group
+	Groups          []shedding.GroupState  `json:"groups"`
+	PriorityClasses []shedding.ClassCounts `json:"lanes"`
+	Ungrouped       uint64                 `json:"full"` // requests admitted because the limit on groups was reached
 }
 
-// report returns the current state; it is called on the event loop's goroutine.
-func (l *sheddingService) report() *SheddingReport {
-	return &SheddingReport{l.shedder.States(), l.shedder.Counts(), l.shedder.Ungrouped()}
+// report returns the current state. It must be called on the event loop's goroutine.
+func (service *sheddingService) report() *SheddingReport {
+	return &SheddingReport{service.shedder.States(), service.shedder.Counts(), service.shedder.Ungrouped()}
 }
--- a/internal/router/starthold.go
+++ b/internal/router/starthold.go
@@ -8,54 +8,58 @@
 	"lotushook/internal/platformconfig"
 )
 
-// A router that starts asks its own agent before it sends anything: what the agent has counts as notified from the first
-// moment, and the configured list may be old. An agent that is silent is waited for at most maxStartHold, and for one
-// part in startHoldShare of the shortest deadline: unsent requests are charged from half of their time on.
+// A starting router waits for its discovery agent's endpoint list before it sends anything: the list counts as notified
+// from the router's start, and the configured list may be outdated. It waits for at most maxStartHold and
+// 1/startHoldShare of the shortest deadline, because the platform charges requests that are still unsent after half of
+// the time to their deadline.
 const (
 	maxStartHold   = 250 * time.Millisecond
 	startHoldShare = 4
 )
 
-// startHold is the wait of a starting router for its agent's first list.
+// startHold delays a starting router's attempts until its agent's first endpoint list is received.
 type startHold struct {
 	timeout time.Duration
-	over    chan struct{} // closed once the list has come, or the timeout has passed
+	over    chan struct{} // closed once the list is received or the timeout has elapsed
 }
 
 func newStartHold(config *platformconfig.Config) startHold {
 	return startHold{timeout: startHoldTimeout(config), over: make(chan struct{})}
 }
 
-// wait returns once the first list has come. What clients ask meanwhile is read, and waits in the event loop's queue.
-func (h *startHold) wait(ctx context.Context, listed <-chan struct{}) {
-	defer close(h.over)
-	if h.timeout <= 0 {
+// wait returns once the first list is received or the timeout has elapsed. Clients' requests that arrive in the
+// meantime are read and wait in the event loop's queue.
+func (hold *startHold) wait(ctx context.Context, listed <-chan struct{}) {
+	defer close(hold.over)
+	if hold.timeout <= 0 {
 		return
 	}
-	late := time.NewTimer(h.timeout)
-	defer late.Stop()
+	timer := time.NewTimer(hold.timeout)
+	defer timer.Stop()
 	select {
 	case <-listed:
 	case <-ctx.Done():
-	case <-late.C:
-		slog.Warn("discovery has not answered; the configured list is used", "after", h.timeout)
+	case <-timer.C:
+		slog.Warn("discovery has not answered; using the configured endpoint list", "after", hold.timeout)
 	}
 }
 
-// startHoldTimeout is how long a router that starts may wait for its agent's list. Where a shared service is asked, which
-// may have no time for many, nothing is waited for: its changes count as notified later.
+// startHoldTimeout returns how long a starting router waits for its agent's endpoint list. It returns 0 if routers
+// share one discovery service: the service may be too busy to answer many starting routers, and its changes count as
+// notified later.
 func startHoldTimeout(config *platformconfig.Config) time.Duration {
 	if sharedDiscoveryRouters(config) > 0 {
 		return 0
 	}
-	hold := maxStartHold
+	timeout := maxStartHold
 	for _, class := range config.Settings.Balance.Classes {
-		hold = min(hold, time.Duration(class.Deadline)/startHoldShare)
+		timeout = min(timeout, time.Duration(class.Deadline)/startHoldShare)
 	}
-	return hold
+	return timeout
 }
 
-// sharedDiscoveryRouters is how many routers burden one discovery service with their calls: none where lists are pushed.
+// sharedDiscoveryRouters returns how many routers call the same discovery service, or 0 if lists are pushed to the
+// routers.
 func sharedDiscoveryRouters(config *platformconfig.Config) int {
 	if config.Settings.Balance.WatchRequired {
 		return config.Settings.Balance.Routers
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -17,16 +17,16 @@
 	"lotushook/internal/siteconfig"
 	"lotushook/internal/store"
 	"lotushook/policy/crdt"
-	dkeep "lotushook/policy/persistence"
+	"lotushook/policy/persistence"
 )
 
-// writeStore has TestReadsStoreOfFormat1 write the file that it reads. The one in testdata was written by the build of
-// commit 1585d09 and is not to be written again: installations have such files.
+// writeStore makes TestReadsStoreOfFormat1 write the fixture instead of reading it. The file in testdata was written by
+// the build of commit 1585d09 and must not be written again, as installations have files of this format.
 var writeStore = flag.String("write-store", "", "write the store fixture to this file")
 
 const storeFixture = "testdata/format1.db"
 
-// storedEntries has an entry of each kind that is copied to disk.
+// storedEntries returns an entry of each kind that is persisted.
 func storedEntries() []crdt.Entry {
 	from := crdt.Origin{Name: "n1", Boot: 3}
 	return []crdt.Entry{
@@ -39,107 +39,109 @@
 	}
 }
 
-// newStoredCopy returns a copy in a directory, as a router of a fixed name has it, and its end.
+// newStoredCopy opens the persisted state of a router with a fixed name and epoch in a directory. It returns the state
+// and a function that closes it.
 func newStoredCopy(t *testing.T, dir string) (*persistedState, func()) {
 	t.Helper()
-	keys := filepath.Join(t.TempDir(), "keys")
-	if err := os.WriteFile(keys, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
+	keyFile := filepath.Join(t.TempDir(), "keys")
+	if err := os.WriteFile(keyFile, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,
-		"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keys, dir)))
+	config, err := siteconfig.Load(nettest.File(t, fmt.Sprintf(`{"members":{"cluster":"x","key_file":%q,"share":true,
+		"keep":{"dir":%q,"load_ms":20000},"routers":{"n0":{"listen":"127.0.0.1:0"}}}}`, keyFile, dir)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	k, err := newPersistedState(own.Members, crdt.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(began)) })
+	startedAt := time.Now()
+	persisted, err := newPersistedState(config.Members, crdt.Origin{Name: "n0", Boot: 9}, func() int64 { return int64(time.Since(startedAt)) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { k.store.Run(ctx) })
-	<-k.store.Loaded()
-	return k, func() { cancel(); running.Wait() }
+	running.Go(func() { persisted.store.Run(ctx) })
+	<-persisted.store.Loaded()
+	return persisted, func() { cancel(); running.Wait() }
 }
 
-// readStore reads a copy in which nothing expires.
+// readStore reads all records of a store; its settings let none expire.
 func readStore(t *testing.T, dir string) store.Found {
 	t.Helper()
-	began := time.Now()
-	k, err := store.New(store.Settings{Dir: dir, MaxBytes: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: dkeep.DefaultSettings(),
-		Now: func() int64 { return int64(time.Since(began)) }, Wall: func() int64 { return time.Now().UnixNano() }})
+	startedAt := time.Now()
+	opened, err := store.New(store.Settings{Dir: dir, MaxBytes: 16 << 20, Cluster: "x", Name: "n0", Boot: 9, Queue: persistence.DefaultSettings(),
+		Now: func() int64 { return int64(time.Since(startedAt)) }, Wall: func() int64 { return time.Now().UnixNano() }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { k.Run(ctx) })
-	<-k.Loaded()
-	found := k.Found()
+	running.Go(func() { opened.Run(ctx) })
+	<-opened.Loaded()
+	found := opened.Found()
 	cancel()
 	running.Wait()
 	return found
 }
 
-// A copy that an older build wrote is read, record by record: names in the code may change, the file may not.
+// Each record in a file that an older build wrote can still be read. Identifiers in the code may change, the file
+// format may not.
 func TestReadsStoreOfFormat1(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "keep.db")
 	if *writeStore != "" {
-		k, stop := newStoredCopy(t, dir)
-		for _, e := range storedEntries() {
-			k.Put(e, e.From)
+		persisted, stop := newStoredCopy(t, dir)
+		for _, entry := range storedEntries() {
+			persisted.Put(entry, entry.From)
 		}
-		until(t, "all is on the disk", func() bool {
-			r := k.report().(persistedReport)
-			return r.Waiting == 0 && r.Counts.Batches > 0
+		until(t, "all entries are on disk", func() bool {
+			report := persisted.report().(persistedReport)
+			return report.Waiting == 0 && report.Counts.Batches > 0
 		})
 		stop()
-		raw, err := os.ReadFile(path)
+		fixture, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(*writeStore, raw, 0o600); err != nil {
+		if err := os.WriteFile(*writeStore, fixture, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	raw, err := os.ReadFile(storeFixture)
+	fixture, err := os.ReadFile(storeFixture)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
+	if err := os.WriteFile(path, fixture, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	found := readStore(t, dir)
 	if found.Boot != 9 || found.Generation == 0 {
-		t.Errorf("boot %d, generation %d", found.Boot, found.Generation)
+		t.Errorf("epoch %d, generation %d", found.Boot, found.Generation)
 	}
-	read := map[crdt.Kind]crdt.Entry{}
-	boots := map[string]bool{}
+	entries := map[crdt.Kind]crdt.Entry{}
+	memberEpochs := map[string]bool{}
 	for _, record := range found.Records {
 		if record.Kind == memberRecordKind {
-			boots[string(record.Key)] = true
+			memberEpochs[string(record.Key)] = true
 			continue
 		}
-		var e crdt.Entry
-		if err := cbor.Unmarshal(record.Value, &e); err != nil {
+		var entry crdt.Entry
+		if err := cbor.Unmarshal(record.Value, &entry); err != nil {
 			t.Fatalf("kind %d: %v", record.Kind, err)
 		}
-		if string(entryKey(&e)) != string(record.Key) {
-			t.Errorf("%s is under the key %q", e.Kind, record.Key)
+		if string(entryKey(&entry)) != string(record.Key) {
+			t.Errorf("%s is stored under the key %q", entry.Kind, record.Key)
 		}
-		read[e.Kind] = e
+		entries[entry.Kind] = entry
 	}
 	for _, want := range storedEntries() {
-		got := read[want.Kind]
-		got.Age = 0
-		if got != want {
-			t.Errorf("%s: read %+v, written %+v", want.Kind, got, want)
+		read := entries[want.Kind]
+		read.Age = 0
+		if read != want {
+			t.Errorf("%s: read %+v, written %+v", want.Kind, read, want)
 		}
 	}
-	if !boots["n1"] || len(found.Records) != len(storedEntries())+1 {
-		t.Errorf("%d records, members %v", len(found.Records), boots)
+	if !memberEpochs["n1"] || len(found.Records) != len(storedEntries())+1 {
+		t.Errorf("%d records, epochs of members %v", len(found.Records), memberEpochs)
 	}
 }
