--- a/internal/experiment/sends.go
+++ b/internal/experiment/sends.go
@@ -83,7 +83,7 @@
 		s := &sends[i]
 		sent[at{s.ID, s.Server}] = s
 		grounded := false
-		for _, g := range s.BasedOn {
+		for _, g := range s.Used {
 			grounded = grounded || g.Subject == "server" && g.Origin == "own" && g.Value == s.Server
 			switch g.Origin {
 			case "restored":
--- a/internal/experiment/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -65,21 +65,18 @@
 		{"unrecorded", func(_ []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
 		{"unlisted", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[0].Listed = false; return r }},
 		{"blind_writes", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran {
-			s[0].BasedOn = append(s[0].BasedOn, ground("primary", "restored", 9000, "s1"))
-			return r
-		}},
-		{"ungrounded", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran {
-			s[0].BasedOn[0].Value = "s9"
+			s[0].Used = append(s[0].Used, ground("primary", "restored", 9000, "s1"))
 			return r
 		}},
+		{"ungrounded", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[0].Used[0].Value = "s9"; return r }},
 		{"lowered", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[2].MinPosition = 40; return r }},
 		{"below", func(_ []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
-		{"young", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[1].BasedOn[1].AgeMS = 10; return r }},
+		{"young", func(s []router.AttemptRecord, r []emulator.Ran) []emulator.Ran { s[1].Used[1].AgeMS = 10; return r }},
 	} {
 		sends := []router.AttemptRecord{
-			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, BasedOn: []router.Evidence{ground("server", "own", 0, "s1")}},
-			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, MinPosition: 50, BasedOn: []router.Evidence{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
-			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, MinPosition: 50, BasedOn: []router.Evidence{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
+			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, Used: []router.Evidence{ground("server", "own", 0, "s1")}},
+			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, MinPosition: 50, Used: []router.Evidence{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
+			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, MinPosition: 50, Used: []router.Evidence{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
 		}
 		ran := c.doctor(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
 		m := auditSends(sends, ran)
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -31,7 +31,7 @@
 	Write       bool       `json:"write"`
 	Reason      string     `json:"why"`              // why the decision module chose this server
 	MinPosition int64      `json:"floor,omitempty"`  // in ms; a session's read must see the log up to here
-	BasedOn     []Evidence `json:"on"`               // evidence that the decision used
+	Used        []Evidence `json:"on"`               // evidence that the decision used
 	Unused      []Evidence `json:"beside,omitempty"` // evidence that was known but not used
 }
 
@@ -93,7 +93,7 @@
 	_, listed := request.router.directory.Address(action.Endpoint)
 	record := &AttemptRecord{AtMS: (request.router.clock.now() - request.router.clock.unix) / ms, Router: service.detectorSettings.Name, Epoch: service.detectorSettings.Epoch, ID: request.ID, Class: request.Class, Group: request.Cluster,
 		Session: request.Session, Server: host, Listed: listed, Write: request.router.config.Settings.IsWrite(request.Class), Reason: action.Reason.String(),
-		BasedOn: []Evidence{{Subject: "server", Origin: trust.OwnResponse.String(), Proven: true, Value: host}}}
+		Used: []Evidence{{Subject: "server", Origin: trust.OwnResponse.String(), Proven: true, Value: host}}}
 	if request.positionEvidence.at > 0 {
 		evidence := Evidence{Subject: "floor", Origin: request.positionEvidence.fact.Provenance.String(), AgeMS: request.positionEvidence.fact.Age / ms, Proven: request.positionEvidence.fact.Proven, Value: strconv.FormatInt(request.positionEvidence.at/ms, 10)}
 		if request.positionEvidence.fact.Provenance == trust.Unknown {
@@ -101,7 +101,7 @@
 		}
 		verdict := trust.Evaluate(trust.RaisePosition, request.positionEvidence.fact, true, trust.DefaultSettings())
 		invariant.Check(evidence.Origin == "client" || verdict.Allowed, "a minimum position is based on known evidence", "why", verdict.Reason)
-		record.MinPosition, record.BasedOn = request.positionEvidence.at/ms, append(record.BasedOn, evidence)
+		record.MinPosition, record.Used = request.positionEvidence.at/ms, append(record.Used, evidence)
 	}
 	if fact, entry := service.persisted.fact(crdt.Entry{Kind: crdt.PrimaryClaim, A: strconv.FormatInt(request.Cluster, 10)}); record.Write && fact.Provenance != trust.Unknown {
 		record.Unused = append(record.Unused, Evidence{Subject: "primary", Origin: fact.Provenance.String(), AgeMS: fact.Age / ms, Proven: fact.Proven, Value: entry.Server})
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	if count := router.config.Settings.Balance.Routers; count != service.detectorSettings.Configured {
-		return nil, fmt.Errorf("members: routers: %d are listed, but the platform's configuration has %d", service.detectorSettings.Configured, count)
+		return nil, fmt.Errorf("members: routers: %d of them, and the configuration has %d", service.detectorSettings.Configured, count)
 	}
 	service.share = 1 / float64(service.detectorSettings.Configured)
 	if settings.Share {
