--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -44,7 +44,7 @@
 			}
 		}
 		var err error
-		if reply, err = host.Line(line, reply[:0]); err != nil {
+		if reply, err = host.HandleLine(line, reply[:0]); err != nil {
 			return err
 		}
 		if _, err := out.Write(reply); err != nil {
--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -80,7 +80,7 @@
 	}
 	var f file
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &f); err != nil {
-		if where := strictjson.Kinds(raw, &file{}); where != nil && jsoniter.Valid(raw) { // it tells the field
+		if where := strictjson.UnmarshalLenient(raw, &file{}); where != nil && jsoniter.Valid(raw) { // it tells the field
 			return nil, fmt.Errorf("config: %w", where)
 		}
 		return nil, fmt.Errorf("config: not valid JSON: %w", err)
@@ -110,7 +110,7 @@
 	if check("settings", err); err == nil {
 		_, err = balance.New(c.Settings.Balance, c.Seed)
 		check("settings", err)
-		check("settings", c.Settings.Serveable())
+		check("settings", c.Settings.ValidateForServing())
 	}
 	if len(errs) > 0 {
 		return nil, fmt.Errorf("config: %w", oneLine(errs))
--- a/internal/platformsettings/dialect.go
+++ b/internal/platformsettings/dialect.go
@@ -9,7 +9,7 @@
 	"lotushook/policy/balance"
 )
 
-// The words of the platform's settings object, and what each means here.
+// The keywords of the platform's settings object and the corresponding values of package balance.
 var (
 	consistencies = map[string]balance.Consistency{
 		"eventual":  balance.AnyReplica,
@@ -46,16 +46,16 @@
 	}
 )
 
-// LookUp returns the value of a keyword of the dialect. The error names the field and the keywords that it may have.
-func LookUp[T any](table map[string]T, field, word string) (T, error) {
-	value, ok := table[word]
+// LookUp returns the value of a keyword. For an unknown keyword, the error names the field and the valid keywords.
+func LookUp[T any](table map[string]T, field, keyword string) (T, error) {
+	value, ok := table[keyword]
 	if !ok {
-		words := slices.Sorted(maps.Keys(table))
-		words = slices.DeleteFunc(words, func(word string) bool { return word == "" })
+		keywords := slices.Sorted(maps.Keys(table))
+		keywords = slices.DeleteFunc(keywords, func(keyword string) bool { return keyword == "" })
 		return value, &FieldError{
-			Field: field,
-			What:  fmt.Sprintf("unknown word %.40q", word),
-			Do:    "write one of " + strings.Join(words, ", "),
+			Field:   field,
+			Problem: fmt.Sprintf("unknown word %.40q", keyword),
+			Remedy:  "write one of " + strings.Join(keywords, ", "),
 		}
 	}
 	return value, nil
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -7,7 +7,7 @@
 	"lotushook/policy/clock"
 )
 
-// object is the settings object as the platform writes it. Its keys are not ours to change.
+// object is the settings object as the platform writes it. The platform defines its keys.
 type object struct {
 	Balancers   int             `json:"balancers"`
 	Granularity clock.Nanos     `json:"granularity"`
@@ -80,94 +80,95 @@
 	SoftRemoval  bool        `json:"softRemoval"`
 }
 
-// balanceSettings is the object in the decision module's terms.
-func (o *object) balanceSettings() (balance.Settings, error) {
-	settings := balance.Settings{Routers: o.Balancers, BatchInterval: o.Granularity}
-	for _, customer := range o.Customers {
+// balanceSettings converts the object to the decision module's settings.
+func (object *object) balanceSettings() (balance.Settings, error) {
+	settings := balance.Settings{Routers: object.Balancers, BatchInterval: object.Granularity}
+	for _, customer := range object.Customers {
 		settings.Tenants = append(settings.Tenants, balance.Tenant{Name: customer.Name, Quota: customer.Quota})
 	}
-	for i := range o.Classes {
-		class, err := o.class(i)
+	for i := range object.Classes {
+		class, err := object.class(i)
 		if err != nil {
 			return settings, err
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
 	settings.AttemptSettings = balance.AttemptSettings{
-		MaxAttempts:       o.Limits.MaxAttempts,
-		MaxQueued:         o.Limits.MostHeld,
-		CancelAllowed:     o.Limits.Cancel,
-		RetryAfterAllowed: o.Limits.RetryAfter,
-		MaxRetryAfter:     o.Limits.MaxRetryAfter,
-		AnswerSlack:       o.Rules.AnswerSlack,
+		MaxAttempts:       object.Limits.MaxAttempts,
+		MaxQueued:         object.Limits.MostHeld,
+		CancelAllowed:     object.Limits.Cancel,
+		RetryAfterAllowed: object.Limits.RetryAfter,
+		MaxRetryAfter:     object.Limits.MaxRetryAfter,
+		AnswerSlack:       object.Rules.AnswerSlack,
 	}
 	settings.SlowStartSettings = balance.SlowStartSettings{
-		ColdCapacity:     o.Rules.ColdShare,
-		WarmUpTime:       o.Rules.RampTime,
-		OverloadMultiple: o.Rules.FallMultiple,
-		OverloadWindow:   o.Rules.OverloadFor,
+		ColdCapacity:     object.Rules.ColdShare,
+		WarmUpTime:       object.Rules.RampTime,
+		OverloadMultiple: object.Rules.FallMultiple,
+		OverloadWindow:   object.Rules.OverloadFor,
 	}
 	settings.CostSettings = balance.CostSettings{
-		OverQuotaWeight: o.OverShare,
-		LateFailureCost: o.Penalties.LateFail,
-		HandshakeCost:   o.Penalties.Handshake,
+		OverQuotaWeight: object.OverShare,
+		LateFailureCost: object.Penalties.LateFail,
+		HandshakeCost:   object.Penalties.Handshake,
 	}
 	var err error
-	settings.EndpointSettings, err = o.endpointSettings()
+	settings.EndpointSettings, err = object.endpointSettings()
 	return settings, err
 }
 
-func (o *object) endpointSettings() (balance.EndpointSettings, error) {
+// endpointSettings converts the settings about endpoints.
+func (object *object) endpointSettings() (balance.EndpointSettings, error) {
 	settings := balance.EndpointSettings{
-		WatchRequired:        watchRequired[o.Discovery],
-		SoftRemoval:          o.Rules.SoftRemoval,
-		ClientPositions:      clientPositions[o.Domain.Marks],
-		ProbesAllowed:        o.Limits.Probing,
-		ProbesReportPosition: o.Report.hasPosition(),
-		IdleTimeout:          o.Limits.IdleClose,
+		WatchRequired:        watchRequired[object.Discovery],
+		SoftRemoval:          object.Rules.SoftRemoval,
+		ClientPositions:      clientPositions[object.Domain.Marks],
+		ProbesAllowed:        object.Limits.Probing,
+		ProbesReportPosition: object.Report.hasPosition(),
+		IdleTimeout:          object.Limits.IdleClose,
 	}
 	var err error
-	settings.LagHandling, err = LookUp(lagHandlings, "domain.behind", o.Domain.Behind)
+	settings.LagHandling, err = LookUp(lagHandlings, "domain.behind", object.Domain.Behind)
 	if err != nil {
 		return settings, err
 	}
-	settings.RoleVisibility, err = LookUp(roleVisibilities, "domain.showsRole", o.Domain.ShowsRole)
+	settings.RoleVisibility, err = LookUp(roleVisibilities, "domain.showsRole", object.Domain.ShowsRole)
 	return settings, err
 }
 
-// hasPosition says whether a load report holds the position, which the platform calls x0.
-func (r *reportObject) hasPosition() bool {
-	for _, field := range r.Fields {
-		if field == "x0" && r.How != "none" {
+// hasPosition reports whether load reports contain the position, which the platform calls x0.
+func (report *reportObject) hasPosition() bool {
+	for _, field := range report.Fields {
+		if field == "x0" && report.How != "none" {
 			return true
 		}
 	}
 	return false
 }
 
-// class is one class in the decision module's terms.
-func (o *object) class(i int) (balance.Class, error) {
-	c := &o.Classes[i]
+// class converts the class with the given index.
+func (object *object) class(index int) (balance.Class, error) {
+	original := &object.Classes[index]
 	class := balance.Class{
-		Name:              c.Name,
-		LatencyObjective:  c.Objective,
-		Deadline:          c.Deadline,
-		IdempotencyWindow: c.Window,
-		PriorityWeight:    c.Gain,
-		LateWeight:        c.LateWorth,
+		Name:              original.Name,
+		LatencyObjective:  original.Objective,
+		Deadline:          original.Deadline,
+		IdempotencyWindow: original.Window,
+		PriorityWeight:    original.Gain,
+		LateWeight:        original.LateWorth,
 	}
-	if i < len(o.Domain.LagAllowed) {
-		class.StalenessBound = o.Domain.LagAllowed[i]
+	if index < len(object.Domain.LagAllowed) {
+		class.StalenessBound = object.Domain.LagAllowed[index]
 	}
 	var err error
-	class.Consistency, err = LookUp(consistencies, fmt.Sprintf("domain.classRead[%d]", i), o.Domain.ClassRead[i])
+	class.Consistency, err = LookUp(consistencies, fmt.Sprintf("domain.classRead[%d]", index), object.Domain.ClassRead[index])
 	if err != nil {
 		return class, err
 	}
-	class.Idempotency, err = LookUp(idempotencies, fmt.Sprintf("classes[%d].effect", i), c.Effect)
+	class.Idempotency, err = LookUp(idempotencies, fmt.Sprintf("classes[%d].effect", index), original.Effect)
 	if err != nil {
 		return class, err
 	}
-	class.KeyScope, err = LookUp(keyScopes, fmt.Sprintf("classes[%d].keyScope", i), c.KeyScope)
+	class.KeyScope, err = LookUp(keyScopes, fmt.Sprintf("classes[%d].keyScope", index), original.KeyScope)
 	return class, err
 }
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,5 +1,5 @@
-// Package platformsettings turns the platform's settings object, which the simulator's first message and a router's
-// configuration share, into the decision module's types.
+// Package platformsettings converts the platform's settings object into the decision module's types. The simulator's
+// first message and a router's configuration contain the same object.
 package platformsettings
 
 import (
@@ -15,101 +15,102 @@
 	"lotushook/policy/clock"
 )
 
-// Settings is the settings object as one router uses it.
+// Settings is the settings object in the form that routers use.
 type Settings struct {
 	Balance        balance.Settings
-	ReportFields   []string      // what a load report holds, in order
-	PositionZero   clock.Nanos   // the simulator's positions count from here
-	IdleTimeout    time.Duration // data servers close connections that were idle so long
-	ConnectTimeout time.Duration // a connection not up by then has failed
-	DrainGrace     time.Duration // sends to an endpoint stop within it after a drain or removal; 0: not told
+	ReportFields   []string      // fields of a load report, in order
+	PositionZero   clock.Nanos   // zero point of the simulator's positions
+	IdleTimeout    time.Duration // data servers close connections that have been idle for this long
+	ConnectTimeout time.Duration // a connection attempt fails after this time
+	DrainGrace     time.Duration // attempts to an endpoint must stop within this time after it drains or is removed; 0: not specified
 
-	AnswersHavePosition bool   // every answer reports one
-	HedgingAllowed      bool   // two attempts of one request may be in flight together
-	LoadReports         string // where load reports are: "answers", "probe" or "none"
+	AnswersHavePosition bool   // every answer contains a position
+	HedgingAllowed      bool   // two attempts of one request may be in flight at the same time
+	LoadReports         string // where load reports are sent: "answers", "probe" or "none"
 
 	classIndex, tenantIndex map[string]int
 }
 
-// Parse reads a settings object. Keys that it doesn't know are passed over.
+// Parse decodes and validates a settings object. It ignores unknown keys.
 func Parse(raw []byte) (*Settings, error) {
 	if len(raw) == 0 {
 		return nil, errors.New("no settings object")
 	}
-	var o object
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &o); err != nil {
-		if where := strictjson.Kinds(raw, &object{}); where != nil { // it names the field
-			return nil, where
+	var decoded object
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &decoded); err != nil {
+		if fieldErr := strictjson.UnmarshalLenient(raw, &object{}); fieldErr != nil { // this error names the field
+			return nil, fieldErr
 		}
 		return nil, err
 	}
-	if err := o.check(); err != nil {
+	if err := decoded.check(); err != nil {
 		return nil, err
 	}
-	balanceSettings, err := o.balanceSettings()
+	balanceSettings, err := decoded.balanceSettings()
 	if err != nil {
 		return nil, err
 	}
 	settings := &Settings{
 		Balance:             balanceSettings,
-		ReportFields:        o.Report.Fields,
-		PositionZero:        o.Domain.Zero,
-		IdleTimeout:         time.Duration(o.Limits.IdleClose),
-		ConnectTimeout:      time.Duration(o.Limits.ConnectTimeout),
-		DrainGrace:          time.Duration(o.Rules.DrainGrace),
-		AnswersHavePosition: o.Domain.AnswersStamped,
-		HedgingAllowed:      o.Limits.SecondCopies,
-		LoadReports:         cmp.Or(o.Report.How, "none"),
+		ReportFields:        decoded.Report.Fields,
+		PositionZero:        decoded.Domain.Zero,
+		IdleTimeout:         time.Duration(decoded.Limits.IdleClose),
+		ConnectTimeout:      time.Duration(decoded.Limits.ConnectTimeout),
+		DrainGrace:          time.Duration(decoded.Rules.DrainGrace),
+		AnswersHavePosition: decoded.Domain.AnswersStamped,
+		HedgingAllowed:      decoded.Limits.SecondCopies,
+		LoadReports:         cmp.Or(decoded.Report.How, "none"),
 	}
 	settings.indexNames()
 	return settings, nil
 }
 
-func (s *Settings) indexNames() {
-	s.classIndex, s.tenantIndex = map[string]int{}, map[string]int{}
-	for i, class := range s.Balance.Classes {
-		s.classIndex[class.Name] = i
+// indexNames indexes the classes and tenants by name.
+func (settings *Settings) indexNames() {
+	settings.classIndex, settings.tenantIndex = map[string]int{}, map[string]int{}
+	for i, class := range settings.Balance.Classes {
+		settings.classIndex[class.Name] = i
 	}
-	for i, tenant := range s.Balance.Tenants {
-		s.tenantIndex[tenant.Name] = i
+	for i, tenant := range settings.Balance.Tenants {
+		settings.tenantIndex[tenant.Name] = i
 	}
 }
 
-// Class is the index of a class in Balance.Classes, -1 when there is none of that name.
-func (s *Settings) Class(name string) int { return indexOf(s.classIndex, name) }
+// Class returns the index of a class in Balance.Classes, or -1 if there is no class of that name.
+func (settings *Settings) Class(name string) int { return indexOf(settings.classIndex, name) }
 
-// Tenant is the index of a tenant in Balance.Tenants, -1 when there is none of that name.
-func (s *Settings) Tenant(name string) int { return indexOf(s.tenantIndex, name) }
+// Tenant returns the index of a tenant in Balance.Tenants, or -1 if there is no tenant of that name.
+func (settings *Settings) Tenant(name string) int { return indexOf(settings.tenantIndex, name) }
 
 func indexOf(names map[string]int, name string) int {
-	if i, ok := names[name]; ok {
-		return i
+	if index, ok := names[name]; ok {
+		return index
 	}
 	return -1
 }
 
-// Usable says whether a request of a class may be made with an idempotency key: the class is known, and one whose requests
-// are idempotent by key has a key, or a repeat could not be dropped.
-func (s *Settings) Usable(class, key string) error {
-	i := s.Class(class)
-	if i < 0 {
+// ValidateKey returns an error if a class is unknown, or if its requests are idempotent by key and the key is empty:
+// the data servers could not detect a retry of such a request.
+func (settings *Settings) ValidateKey(class, key string) error {
+	index := settings.Class(class)
+	if index < 0 {
 		return fmt.Errorf("unknown class %.40q", class)
 	}
-	if s.Balance.Classes[i].Idempotency == balance.IdempotentByKey && key == "" {
+	if settings.Balance.Classes[index].Idempotency == balance.IdempotentByKey && key == "" {
 		return fmt.Errorf("class %.40q needs a key", class)
 	}
 	return nil
 }
 
-// IsWrite says whether a class of that name is one of writes.
-func (s *Settings) IsWrite(class string) bool { return s.hasConsistency(class, balance.Write) }
+// IsWrite reports whether a class is a class of writes.
+func (settings *Settings) IsWrite(class string) bool { return settings.classIs(class, balance.Write) }
 
-// IsSession says whether a class's reads must see their session's own writes.
-func (s *Settings) IsSession(class string) bool {
-	return s.hasConsistency(class, balance.ReadYourWrites)
+// IsSession reports whether reads of a class must see the writes of their own session.
+func (settings *Settings) IsSession(class string) bool {
+	return settings.classIs(class, balance.ReadYourWrites)
 }
 
-func (s *Settings) hasConsistency(class string, consistency balance.Consistency) bool {
-	i := s.Class(class)
-	return i >= 0 && s.Balance.Classes[i].Consistency == consistency
+func (settings *Settings) classIs(class string, consistency balance.Consistency) bool {
+	index := settings.Class(class)
+	return index >= 0 && settings.Balance.Classes[index].Consistency == consistency
 }
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -11,144 +11,146 @@
 	"lotushook/policy/balance"
 )
 
-// Settings that no router can work with are an error on one line; what is taken makes a module that takes events.
+// Invalid settings are an error. With settings that are accepted, the decision module can be created and processes
+// events.
 func FuzzSettings(f *testing.F) {
 	f.Add(nettest.Settings)
 	for _, c := range [][2]string{{`"balancers":1`, `"balancers":0`}, {`"lateFail":0.042`, `"lateFail":-1`}, {`"coldShare":0.17`, `"coldShare":17`},
 		{`"granularity":5000000`, `"granularity":-1`}, {`"maxAttempts":8`, `"maxAttempts":0`}, {`"deadline":20000000000`, `"deadline":0`}} {
-		bad := strings.Replace(nettest.Settings, c[0], c[1], 1)
-		if bad == nettest.Settings {
-			f.Fatalf("no %s in the settings", c[0])
+		invalid := strings.Replace(nettest.Settings, c[0], c[1], 1)
+		if invalid == nettest.Settings {
+			f.Fatalf("the settings do not contain %s", c[0])
 		}
-		s, err := Parse([]byte(bad))
+		settings, err := Parse([]byte(invalid))
 		if err == nil {
-			_, err = balance.New(s.Balance, 1)
+			_, err = balance.New(settings.Balance, 1)
 		}
 		if err == nil {
-			f.Errorf("%s was taken", c[1])
+			f.Errorf("%s was accepted", c[1])
 		}
-		f.Add(bad)
+		f.Add(invalid)
 	}
 	f.Fuzz(func(_ *testing.T, text string) {
-		s, err := Parse([]byte(text))
+		settings, err := Parse([]byte(text))
 		if err != nil {
 			return
 		}
-		b, err := balance.New(s.Balance, 1)
+		balancer, err := balance.New(settings.Balance, 1)
 		if err != nil {
 			return
 		}
-		b.Step(1, []balance.Event{{Kind: balance.EndpointSnapshot, Endpoints: []balance.Endpoint{{ID: 1, Group: 1, Primary: true, Weight: 1}}},
-			{Kind: balance.RequestArrived, Request: "x", Class: 0, Tenant: -1, Group: 1, Deadline: 2 * s.Balance.Classes[0].Deadline}})
+		balancer.Step(1, []balance.Event{{Kind: balance.EndpointSnapshot, Endpoints: []balance.Endpoint{{ID: 1, Group: 1, Primary: true, Weight: 1}}},
+			{Kind: balance.RequestArrived, Request: "x", Class: 0, Tenant: -1, Group: 1, Deadline: 2 * settings.Balance.Classes[0].Deadline}})
 	})
 }
 
-// Each field that is read, walked through the type that reads it: a value of another kind, one out of range and one that is
-// missing is either taken for what the documents let it be, or an error on one line with the field's path. A key that no
-// router knows is passed over wherever it stands: the platform may add some.
+// The test walks through the fields of the settings object by reflection. For each field, a value of the wrong kind, a
+// value out of range and a missing value must each be either valid according to the documentation or an error on one
+// line with the field's path. Unknown keys must be ignored in every object, because the platform may add some.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
+//nolint:gocognit,funlen // one walk over all fields
 func TestEachField(t *testing.T) {
-	whole := func() map[string]any {
+	complete := func() map[string]any {
 		text := strings.NewReplacer(`"customers":[]`, `"customers":[{"name":"a","quotaPerS":5.5}]`, `"discovery"`, `"overShareWorth":0.2,"discovery"`,
 			`"lateFail"`, `"handshake":0,"lateFail"`, `"rules":{`, `"rules":{"softRemoval":false,`).Replace(nettest.Settings)
-		var m map[string]any
-		if err := json.Unmarshal([]byte(text), &m); err != nil {
+		var object map[string]any
+		if err := json.Unmarshal([]byte(text), &object); err != nil {
 			t.Fatal(err)
 		}
-		return m
+		return object
 	}
-	// What may be left out, and which numbers have no bound to break; all else is named.
+	// optional fields may be missing, numbers in unbounded may have any value, and required fields are an exception of
+	// optional.
 	optional := regexp.MustCompile(`^(discovery|overShareWorth|classes\[0\]\.(keyScope|window|gain|lateWorth)|customers.*|domain\.(answersStamped|behind|sessionMarks|showsRole|zero)|` +
 		`limits\.(cancel|maxRetryAfter|probing|retryAfter|secondCopies)|penalties.*|report.*|rules.*)$`)
-	unbound := regexp.MustCompile(`^domain\.zero$`)
-	needed := regexp.MustCompile(`^customers\[0\](\.name)?$`)
+	unbounded := regexp.MustCompile(`^domain\.zero$`)
+	required := regexp.MustCompile(`^customers\[0\](\.name)?$`)
 
-	parse := func(m map[string]any) error {
-		raw, err := json.Marshal(m)
+	parse := func(object map[string]any) error {
+		raw, err := json.Marshal(object)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := Parse(raw)
+		settings, err := Parse(raw)
 		if err == nil {
-			err = s.Serveable()
+			err = settings.ValidateForServing()
 		}
 		if err == nil {
-			_, err = balance.New(s.Balance, 1)
+			_, err = balance.New(settings.Balance, 1)
 		}
 		return err
 	}
-	if err := parse(whole()); err != nil {
+	if err := parse(complete()); err != nil {
 		t.Fatal(err)
 	}
-	named := func(what, path string, err error) { // or what stands in it
+	expectError := func(problem, path string, err error) { // the path of the field or of a part of it
 		t.Helper()
 		if err == nil || !regexp.MustCompile(`(^|; )`+regexp.QuoteMeta(path)+`[:.\[]`).MatchString(err.Error()) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s %s: %v", path, what, err)
+			t.Errorf("%s %s: %v", path, problem, err)
 		}
 	}
 	fields := 0
-	var walk func(typ reflect.Type, path string, at func(m map[string]any) any, put func(m map[string]any, v any, gone bool))
-	walk = func(typ reflect.Type, path string, at func(map[string]any) any, put func(map[string]any, any, bool)) {
-		with := func(v any, gone bool) error {
-			m := whole()
-			put(m, v, gone)
-			return parse(m)
+	var walk func(typ reflect.Type, path string, get func(object map[string]any) any, set func(object map[string]any, value any, remove bool))
+	walk = func(typ reflect.Type, path string, get func(map[string]any) any, set func(map[string]any, any, bool)) {
+		parseWith := func(value any, remove bool) error {
+			object := complete()
+			set(object, value, remove)
+			return parse(object)
 		}
 		if path != "" {
 			fields++
-			wrong := any("x")
+			wrongKind := any("x")
 			if typ.Kind() == reflect.String {
-				wrong = 7.5
+				wrongKind = 7.5
 			}
-			named("of another kind", path, with(wrong, false))
-			if err := with(nil, true); !optional.MatchString(path) || needed.MatchString(path) {
-				named("missing", path, err)
+			expectError("of the wrong kind", path, parseWith(wrongKind, false))
+			if err := parseWith(nil, true); !optional.MatchString(path) || required.MatchString(path) {
+				expectError("missing", path, err)
 			} else if err != nil {
 				t.Errorf("%s missing: %v", path, err)
 			}
 		}
 		switch typ.Kind() {
 		case reflect.Struct:
-			m := whole()
-			at(m).(map[string]any)["added later"] = map[string]any{"a": []any{1}}
-			if err := parse(m); err != nil {
-				t.Errorf("%s with a key added: %v", path, err)
+			object := complete()
+			get(object).(map[string]any)["added later"] = map[string]any{"a": []any{1}}
+			if err := parse(object); err != nil {
+				t.Errorf("%s with an unknown key: %v", path, err)
 			}
 			for i := range typ.NumField() {
 				key := typ.Field(i).Tag.Get("json")
-				walk(typ.Field(i).Type, strings.TrimPrefix(path+"."+key, "."), func(m map[string]any) any { return at(m).(map[string]any)[key] },
-					func(m map[string]any, v any, gone bool) {
-						at(m).(map[string]any)[key] = v
-						if gone {
-							delete(at(m).(map[string]any), key)
+				walk(typ.Field(i).Type, strings.TrimPrefix(path+"."+key, "."), func(object map[string]any) any { return get(object).(map[string]any)[key] },
+					func(object map[string]any, value any, remove bool) {
+						get(object).(map[string]any)[key] = value
+						if remove {
+							delete(get(object).(map[string]any), key)
 						}
 					})
 			}
 		case reflect.Slice:
-			walk(typ.Elem(), path+"[0]", func(m map[string]any) any { return at(m).([]any)[0] }, func(m map[string]any, v any, gone bool) {
-				if gone { // of a list: empty what stands there
-					v = map[reflect.Kind]any{reflect.String: "", reflect.Int64: 0, reflect.Struct: map[string]any{}}[typ.Elem().Kind()]
+			walk(typ.Elem(), path+"[0]", func(object map[string]any) any { return get(object).([]any)[0] }, func(object map[string]any, value any, remove bool) {
+				if remove { // in a list: replace the value by an empty one
+					value = map[reflect.Kind]any{reflect.String: "", reflect.Int64: 0, reflect.Struct: map[string]any{}}[typ.Elem().Kind()]
 				}
-				at(m).([]any)[0] = v
+				get(object).([]any)[0] = value
 			})
 		case reflect.Int, reflect.Int64, reflect.Float64:
-			if !unbound.MatchString(path) {
-				named("below its range", path, with(-1, false))
+			if !unbounded.MatchString(path) {
+				expectError("below its range", path, parseWith(-1, false))
 			}
 		case reflect.String:
 			if !strings.HasSuffix(path, "name") && !strings.HasPrefix(path, "report.fields") {
-				named("of an unknown word", path, with("no such word", false))
+				expectError("with an unknown keyword", path, parseWith("no such word", false))
 			}
 		}
 	}
-	walk(reflect.TypeFor[object](), "", func(m map[string]any) any { return m }, nil)
+	walk(reflect.TypeFor[object](), "", func(object map[string]any) any { return object }, nil)
 	if fields < 45 {
-		t.Errorf("%d fields were walked", fields)
+		t.Errorf("only %d fields were visited", fields)
 	}
 }
 
-// One line tells two deployments apart.
+// Summaries of different deployments differ.
 func TestSummary(t *testing.T) {
 	first, err := Parse([]byte(nettest.Settings))
 	if err != nil {
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -213,7 +213,7 @@
 	if err != nil {
 		return c.rejectUnusable(tasks, pgwire.CodeSyntax, err)
 	}
-	if err := c.router.config.Settings.Usable(parsed.Class, parsed.Key); err != nil {
+	if err := c.router.config.Settings.ValidateKey(parsed.Class, parsed.Key); err != nil {
 		return c.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
 	}
 	if !c.router.directory.HasGroup(parsed.Cluster) {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire translates between the simulator's JSON dialect and the types
-// of package balance. It decides nothing.
+// Package simwire translates between the simulator's JSON messages and the types of package balance. It makes no
+// decisions.
 package simwire
 
 import (
@@ -26,18 +26,18 @@
 		"draining": balance.Draining, "gone": balance.Removed}
 )
 
-// Host keeps the instances of one process and turns lines into replies.
+// Host contains the router instances of one process and replies to the simulator's messages.
 type Host struct {
 	instances map[int64]*instance
-	pages     map[int64][]entry
+	pages     map[int64][]endpointEntry
 }
 
 type instance struct {
-	router *balance.Balancer
-	set    *platformsettings.Settings
+	balancer *balance.Balancer
+	settings *platformsettings.Settings
 }
 
-type entry struct {
+type endpointEntry struct {
 	Node      balance.EndpointID `json:"node"`
 	Zone      string             `json:"az"`
 	Group     int64              `json:"set"`
@@ -52,7 +52,7 @@
 	Seed        uint64              `json:"initSeed"`
 	Env         jsoniter.RawMessage `json:"env"`
 	Page        int64               `json:"page"`
-	NodesList   []entry             `json:"nodesList"`
+	NodesList   []endpointEntry     `json:"nodesList"`
 	How         string              `json:"how"`
 	Handle      string              `json:"handle"`
 	Band        string              `json:"band"`
@@ -82,27 +82,27 @@
 
 // NewHost returns a host without instances.
 func NewHost() *Host {
-	return &Host{instances: map[int64]*instance{}, pages: map[int64][]entry{}}
+	return &Host{instances: map[int64]*instance{}, pages: map[int64][]endpointEntry{}}
 }
 
-// Line answers one line of the wire, appending the reply to out.
-func (h *Host) Line(line, out []byte) ([]byte, error) {
-	var b batch
-	if err := json.Unmarshal(line, &b); err != nil {
+// HandleLine appends to out the reply to one message, which is a line of JSON.
+func (host *Host) HandleLine(line, out []byte) ([]byte, error) {
+	var message batch
+	if err := json.Unmarshal(line, &message); err != nil {
 		return out, fmt.Errorf("malformed batch: %w", err)
 	}
-	if b.Clock == nil {
+	if message.Clock == nil {
 		return out, errors.New("malformed batch: no clock")
 	}
 	out = append(out, `{"parts":[`...)
 	first := true
-	for i := range b.Parts {
-		p := &b.Parts[i]
-		acts, err := h.step(*b.Clock, p.Who, p.Events)
+	for i := range message.Parts {
+		part := &message.Parts[i]
+		actions, err := host.step(*message.Clock, part.Who, part.Events)
 		if err != nil {
-			return out, fmt.Errorf("instance %d: %w", p.Who, err)
+			return out, fmt.Errorf("instance %d: %w", part.Who, err)
 		}
-		if len(acts) == 0 {
+		if len(actions) == 0 {
 			continue
 		}
 		if !first {
@@ -110,108 +110,109 @@
 		}
 		first = false
 		out = append(out, `{"who":`...)
-		out = strconv.AppendInt(out, p.Who, 10)
+		out = strconv.AppendInt(out, part.Who, 10)
 		out = append(out, `,"outbox":[`...)
-		for j := range acts {
+		for j := range actions {
 			if j > 0 {
 				out = append(out, ',')
 			}
-			out = appendAction(out, &acts[j])
+			out = appendAction(out, &actions[j])
 		}
 		out = append(out, "]}"...)
 	}
 	return append(out, "]}\n"...), nil
 }
 
-// step feeds one instance its events; a restart inside the batch drops what
-// the earlier life would have done.
-func (h *Host) step(now clock.Nanos, who int64, events []event) ([]balance.Action, error) {
-	var in []balance.Event
+// step passes events to an instance and returns the instance's actions. Events before a kill or restart of the instance
+// in the same batch have no effect.
+func (host *Host) step(now clock.Nanos, id int64, events []event) ([]balance.Action, error) {
+	var pending []balance.Event
 	for i := range events {
-		e := &events[i]
-		switch e.What {
+		event := &events[i]
+		switch event.What {
 		case "list":
-			h.pages[e.Page] = e.NodesList
+			host.pages[event.Page] = event.NodesList
 		case "killed":
-			delete(h.instances, who)
-			in = nil
+			delete(host.instances, id)
+			pending = nil
 		case "newInstance":
-			made, err := newInstance(e)
+			created, err := newInstance(event)
 			if err != nil {
 				return nil, err
 			}
-			h.instances[who] = made
-			in = nil
+			host.instances[id] = created
+			pending = nil
 		default:
-			live := h.instances[who]
-			if live == nil {
+			current := host.instances[id]
+			if current == nil {
 				continue
 			}
-			ev, ok, err := live.event(e, h.pages)
+			translated, ok, err := current.event(event, host.pages)
 			if err != nil {
 				return nil, err
 			}
 			if ok {
-				in = append(in, ev)
+				pending = append(pending, translated)
 			}
 		}
 	}
-	live := h.instances[who]
-	if live == nil {
+	current := host.instances[id]
+	if current == nil {
 		return nil, nil
 	}
-	return live.router.Step(now, in), nil
+	return current.balancer.Step(now, pending), nil
 }
 
-func newInstance(e *event) (*instance, error) {
-	set, err := platformsettings.Parse(e.Env)
+func newInstance(event *event) (*instance, error) {
+	settings, err := platformsettings.Parse(event.Env)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	router, err := balance.New(set.Balance, e.Seed)
+	balancer, err := balance.New(settings.Balance, event.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &instance{router: router, set: set}, nil
+	return &instance{balancer: balancer, settings: settings}, nil
 }
 
-// event translates one event; false means that the kind is not known.
-func (in *instance) event(e *event, pages map[int64][]entry) (balance.Event, bool, error) {
+// event translates an event. It returns false for an unknown kind.
+func (instance *instance) event(event *event, pages map[int64][]endpointEntry) (balance.Event, bool, error) {
 	var out balance.Event
 	var err error
-	switch e.What {
+	switch event.What {
 	case "peersKnown":
-		return in.list(e, pages)
+		return instance.listEvent(event, pages)
 	case "incoming":
-		out = balance.Event{Kind: balance.RequestArrived, Request: e.Handle, Class: in.set.Class(e.Band),
-			Tenant: in.set.Tenant(text(e.Owner)), Session: e.ClientKey, Deadline: e.ValidUntil,
-			Group:     int64(e.Cluster),
-			CommitAge: clock.Nanos(e.LastWriteMs * float64(millisecond))}
+		out = balance.Event{Kind: balance.RequestArrived, Request: event.Handle, Class: instance.settings.Class(event.Band),
+			Tenant: instance.settings.Tenant(stringOrEmpty(event.Owner)), Session: event.ClientKey, Deadline: event.ValidUntil,
+			Group:     int64(event.Cluster),
+			CommitAge: clock.Nanos(event.LastWriteMs * float64(millisecond))}
 	case "outcome":
-		out = balance.Event{Kind: balance.AttemptEnded, Request: e.Handle, Attempt: e.SendNo, Endpoint: e.Node,
-			Final: e.Finished}
-		out.Role, out.Position = in.note(e.Note)
-		out.Outcome, err = platformsettings.LookUp(outcomes, "result", e.Result)
+		out = balance.Event{Kind: balance.AttemptEnded, Request: event.Handle, Attempt: event.SendNo, Endpoint: event.Node,
+			Final: event.Finished}
+		out.Role, out.Position = instance.unpackNote(event.Note)
+		out.Outcome, err = platformsettings.LookUp(outcomes, "result", event.Result)
 	case "echo":
-		out = balance.Event{Kind: balance.ProbeEnded, Endpoint: e.Node}
-		in.report(e.Stats, &out)
-		out.Outcome, err = platformsettings.LookUp(outcomes, "result", e.Result)
+		out = balance.Event{Kind: balance.ProbeEnded, Endpoint: event.Node}
+		instance.applyReport(event.Stats, &out)
+		out.Outcome, err = platformsettings.LookUp(outcomes, "result", event.Result)
 	case "abandoned":
-		out = balance.Event{Kind: balance.RequestAbandoned, Request: e.Handle}
+		out = balance.Event{Kind: balance.RequestAbandoned, Request: event.Handle}
 	case "wakeup":
-		out = balance.Event{Kind: balance.TimerFired, TimerID: e.KeyBack}
+		out = balance.Event{Kind: balance.TimerFired, TimerID: event.KeyBack}
 	default:
 		return out, false, nil
 	}
 	if err != nil {
-		return out, false, fmt.Errorf("%s: %w", e.What, err)
+		return out, false, fmt.Errorf("%s: %w", event.What, err)
 	}
 	return out, true, nil
 }
 
-func (in *instance) list(e *event, pages map[int64][]entry) (balance.Event, bool, error) {
+// listEvent translates an event about the endpoint list. It returns false for an unknown kind.
+func (instance *instance) listEvent(event *event, pages map[int64][]endpointEntry) (balance.Event, bool, error) {
 	out := balance.Event{Kind: balance.EndpointSnapshot}
-	switch e.How {
+	switch event.How {
 	case "error":
 		out.Kind = balance.EndpointWatchLost
 		return out, true, nil
@@ -221,102 +222,103 @@
 	default:
 		return out, false, nil
 	}
-	for _, n := range pages[e.Page] {
-		state, err := platformsettings.LookUp(lifecycles, "lifecycle", n.Lifecycle)
+	for _, endpoint := range pages[event.Page] {
+		state, err := platformsettings.LookUp(lifecycles, "lifecycle", endpoint.Lifecycle)
 		if err != nil {
-			return out, false, fmt.Errorf("node %d: %w", n.Node, err)
+			return out, false, fmt.Errorf("node %d: %w", endpoint.Node, err)
 		}
-		out.Endpoints = append(out.Endpoints, balance.Endpoint{ID: n.Node, Group: n.Group, Zone: n.Zone,
-			State: state, Primary: n.Leader == 1, Weight: n.Weight, StartedAt: n.ReadyAt})
+		out.Endpoints = append(out.Endpoints, balance.Endpoint{ID: endpoint.Node, Group: endpoint.Group, Zone: endpoint.Zone,
+			State: state, Primary: endpoint.Leader == 1, Weight: endpoint.Weight, StartedAt: endpoint.ReadyAt})
 	}
 	return out, true, nil
 }
 
-// note unpacks an answer's role and position.
-func (in *instance) note(note int64) (balance.Role, clock.Nanos) {
-	var pos clock.Nanos
+// unpackNote returns the role and position that are packed into an answer's note.
+func (instance *instance) unpackNote(note int64) (balance.Role, clock.Nanos) {
+	var position clock.Nanos
 	if ms := note / 4; ms > 0 {
-		pos = in.set.PositionZero + ms*millisecond
+		position = instance.settings.PositionZero + ms*millisecond
 	}
 	switch note % 4 {
 	case 1:
-		return balance.Primary, pos
+		return balance.Primary, position
 	case 2:
-		return balance.Replica, pos
+		return balance.Replica, position
 	}
-	return balance.RoleUnknown, pos
+	return balance.RoleUnknown, position
 }
 
-// report reads role, position and load from a probe's report.
-func (in *instance) report(stats []float64, out *balance.Event) {
-	told := 0
-	for i, f := range in.set.ReportFields {
-		if i >= len(stats) {
+// applyReport sets the role, position and load of an event from a probe's report.
+func (instance *instance) applyReport(report []float64, out *balance.Event) {
+	loadFields := 0
+	for i, field := range instance.settings.ReportFields {
+		if i >= len(report) {
 			break
 		}
-		switch f {
+		switch field {
 		case "x0":
-			if stats[i] > 0 {
-				out.Position = in.set.PositionZero + clock.Nanos(math.Floor(stats[i]*1e3))*millisecond
+			if report[i] > 0 {
+				out.Position = instance.settings.PositionZero + clock.Nanos(math.Floor(report[i]*1e3))*millisecond
 			}
 		case "x1":
 			out.Role = balance.Replica
-			if stats[i] == 1 {
+			if report[i] == 1 {
 				out.Role = balance.Primary
 			}
 		case "waiting":
-			out.Waiting = int(math.Round(stats[i]))
-			told++
+			out.Waiting = int(math.Round(report[i]))
+			loadFields++
 		case "active":
-			out.Active = int(math.Round(stats[i]))
-			told++
+			out.Active = int(math.Round(report[i]))
+			loadFields++
 		}
 	}
-	out.HasLoad = told == 2
+	out.HasLoad = loadFields == 2
 }
 
-// text reads a name; other JSON, such as the 0 of a site without tenants, is none.
-func text(raw jsoniter.RawMessage) string {
-	var s string
-	if json.Unmarshal(raw, &s) != nil {
+// stringOrEmpty returns a JSON string, or an empty string for any other JSON, such as the 0 of a site without tenants.
+func stringOrEmpty(raw jsoniter.RawMessage) string {
+	var value string
+	if json.Unmarshal(raw, &value) != nil {
 		return ""
 	}
-	return s
+	return value
 }
 
-func appendAction(out []byte, a *balance.Action) []byte {
-	num := func(name string, v int64) {
-		out = append(out, name...)
-		out = strconv.AppendInt(out, v, 10)
+// appendAction appends an action as JSON.
+func appendAction(out []byte, action *balance.Action) []byte {
+	appendNumber := func(prefix string, value int64) {
+		out = append(out, prefix...)
+		out = strconv.AppendInt(out, value, 10)
 	}
-	handle := func(what string) {
-		out = append(out, what...)
-		out = append(out, a.Request...)
+	appendHandle := func(prefix string) {
+		out = append(out, prefix...)
+		out = append(out, action.Request...)
 		out = append(out, '"')
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case balance.SendAttempt:
-		handle(`{"what":"dispatch","handle":"`)
-		num(`,"tryUntil":`, a.AttemptDeadline)
-		num(`,"node":`, int64(a.Endpoint))
+		appendHandle(`{"what":"dispatch","handle":"`)
+		appendNumber(`,"tryUntil":`, action.AttemptDeadline)
+		appendNumber(`,"node":`, int64(action.Endpoint))
 	case balance.RejectRequest:
-		handle(`{"what":"decline","handle":"`)
-		num(`,"wait":`, a.RetryAfter)
+		appendHandle(`{"what":"decline","handle":"`)
+		appendNumber(`,"wait":`, action.RetryAfter)
 	case balance.FailRequest:
-		handle(`{"what":"error","handle":"`)
+		appendHandle(`{"what":"error","handle":"`)
 	case balance.CancelAttempt:
-		handle(`{"what":"abortAttempt","handle":"`)
-		num(`,"sendNo":`, int64(a.Attempt))
+		appendHandle(`{"what":"abortAttempt","handle":"`)
+		appendNumber(`,"sendNo":`, int64(action.Attempt))
 	case balance.SetTimer:
-		num(`{"what":"defer","alarmTime":`, a.TimerAt)
-		num(`,"keyBack":`, a.TimerID)
+		appendNumber(`{"what":"defer","alarmTime":`, action.TimerAt)
+		appendNumber(`,"keyBack":`, action.TimerID)
 	case balance.SendProbe:
-		num(`{"what":"touch","node":`, int64(a.Endpoint))
+		appendNumber(`{"what":"touch","node":`, int64(action.Endpoint))
 	case balance.WatchEndpoints:
 		out = append(out, `{"what":"track","enable":true`...)
 	case balance.WriteLog:
 		out = append(out, `{"what":"emit","reasonText":`...)
-		quoted, _ := json.Marshal(a.Message) // a string always marshals
+		quoted, _ := json.Marshal(action.Message) // encoding a string never fails
 		out = append(out, quoted...)
 	}
 	return append(out, '}')
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -67,7 +67,7 @@
 		Feeds     jsoniter.RawMessage `json:"feeds"`
 		Recovery  jsoniter.RawMessage `json:"recovery"`
 	}
-	err := strictjson.File(path, &parts)
+	err := strictjson.UnmarshalFile(path, &parts)
 	if err == nil { // again, over the defaults of the parts that are there
 		if parts.Admission != nil {
 			s.Admission = defaultAdmission()
@@ -96,7 +96,7 @@
 		if parts.Recovery != nil {
 			s.Recovery = defaultRecovery()
 		}
-		err = strictjson.File(path, s)
+		err = strictjson.UnmarshalFile(path, s)
 	}
 	if err == nil {
 		err = s.check()
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,6 +1,6 @@
-// Package strictjson reads JSON that people are answerable for. Whatever could be a
-// slip is an error with its path: a key that is unknown, written in other
-// letters, or given twice, a null, a value of another kind, bytes behind the end.
+// Package strictjson decodes JSON that people write by hand. Everything that may be a mistake is an error with its
+// path: an unknown key, a key in a different case, a duplicate key, a null, a value of the wrong kind, or data after
+// the end.
 package strictjson
 
 import (
@@ -16,229 +16,233 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// File is Unmarshal of a file's text.
-func File(path string, to any) error {
+// UnmarshalFile decodes the contents of a file with Unmarshal. Errors name the file.
+func UnmarshalFile(path string, target any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	if err := Unmarshal(raw, to); err != nil {
+	if err := Unmarshal(raw, target); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-// Unmarshal reads raw into what to points to. Keys are the fields' json tags;
-// what is not given keeps the value it had. Types may be structs, pointers to
-// them, slices, maps with string keys, strings, numbers, booleans,
-// jsoniter.RawMessage, and what reads itself from text.
-func Unmarshal(raw []byte, to any) error {
-	it := jsoniter.ParseBytes(jsoniter.ConfigDefault, raw)
-	if err := read(it, reflect.ValueOf(to).Elem(), ""); err != nil {
+// Unmarshal decodes raw into the value that target points to. Keys are the fields' json tags; fields without a key in
+// raw keep their values. Supported types are structs, pointers, slices, maps with string keys, strings, int, int64,
+// float64, bool, jsoniter.RawMessage, and types that implement encoding.TextUnmarshaler.
+func Unmarshal(raw []byte, target any) error {
+	iterator := jsoniter.ParseBytes(jsoniter.ConfigDefault, raw)
+	if err := read(iterator, reflect.ValueOf(target).Elem(), ""); err != nil {
 		return err
 	}
-	if it.WhatIsNext(); it.Error == nil {
-		return errors.New("bytes behind the end")
-	} else if !errors.Is(it.Error, io.EOF) {
-		return it.Error
+	if iterator.WhatIsNext(); iterator.Error == nil {
+		return errors.New("data after the end of the JSON value")
+	} else if !errors.Is(iterator.Error, io.EOF) {
+		return iterator.Error
 	}
 	return nil
 }
 
-// Kinds reads raw as Unmarshal does, but lets stand what whoever writes it may add: keys that are unknown, and nulls. It is
-// for objects that are another's, to say where a value of another kind stands.
-func Kinds(raw []byte, to any) error {
-	it := jsoniter.ParseBytes(jsoniter.ConfigDefault, raw)
-	it.Attachment = others{}
-	return read(it, reflect.ValueOf(to).Elem(), "")
+// UnmarshalLenient decodes like Unmarshal, but ignores unknown keys, duplicate keys and nulls. It is intended for
+// objects that another program writes and may extend: its error says where a value of the wrong kind is.
+func UnmarshalLenient(raw []byte, target any) error {
+	iterator := jsoniter.ParseBytes(jsoniter.ConfigDefault, raw)
+	iterator.Attachment = lenientMode{}
+	return read(iterator, reflect.ValueOf(target).Elem(), "")
 }
 
-// others marks the reading of an object that is another's.
-type others struct{}
+// lenientMode is the iterator's attachment while UnmarshalLenient decodes.
+type lenientMode struct{}
 
 var (
 	textType = reflect.TypeFor[encoding.TextUnmarshaler]()
 	rawType  = reflect.TypeFor[jsoniter.RawMessage]()
 )
 
-// at is an error with the path to where it stands.
-func at(path, text string, args ...any) error {
+// errorAt returns an error that starts with the path of the value that it is about.
+func errorAt(path, format string, args ...any) error {
 	if path == "" {
 		path = "top level"
 	}
-	return fmt.Errorf(strings.ReplaceAll(path, "%", "%%")+": "+text, args...)
+	return fmt.Errorf(strings.ReplaceAll(path, "%", "%%")+": "+format, args...)
 }
 
-// malformed returns the iterator's own error, on one line.
-func malformed(it *jsoniter.Iterator, path string) error {
-	if it.Error == nil || errors.Is(it.Error, io.EOF) && it.WhatIsNext() != jsoniter.InvalidValue {
+// malformed returns the iterator's own error, if there is one, on a single line.
+func malformed(iterator *jsoniter.Iterator, path string) error {
+	if iterator.Error == nil || errors.Is(iterator.Error, io.EOF) && iterator.WhatIsNext() != jsoniter.InvalidValue {
 		return nil
 	}
-	text, _, _ := strings.Cut(it.Error.Error(), ", error found in")
-	return at(path, "not valid JSON: %s", strings.ReplaceAll(text, "\n", " "))
+	text, _, _ := strings.Cut(iterator.Error.Error(), ", error found in")
+	return errorAt(path, "not valid JSON: %s", strings.ReplaceAll(text, "\n", " "))
 }
 
+// read decodes the iterator's next value into target.
+//
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func read(it *jsoniter.Iterator, v reflect.Value, path string) error {
-	next := it.WhatIsNext()
-	if it.Attachment == (others{}) && next == jsoniter.NilValue {
-		it.Skip()
-		return malformed(it, path)
+func read(iterator *jsoniter.Iterator, target reflect.Value, path string) error {
+	next := iterator.WhatIsNext()
+	if iterator.Attachment == (lenientMode{}) && next == jsoniter.NilValue {
+		iterator.Skip()
+		return malformed(iterator, path)
 	}
-	want := func(kind jsoniter.ValueType, name string) error {
+	expect := func(kind jsoniter.ValueType, name string) error {
 		if next == kind {
 			return nil
 		}
 		if next == jsoniter.InvalidValue {
-			return at(path, "not valid JSON, or cut off")
+			return errorAt(path, "not valid JSON, or cut off")
 		}
-		return at(path, "%s wanted, got %s", name, kinds[next])
+		return errorAt(path, "%s wanted, got %s", name, kindNames[next])
 	}
 	switch {
-	case v.Type() == rawType:
-		v.SetBytes(it.SkipAndReturnBytes())
-		return malformed(it, path)
-	case v.Kind() == reflect.Pointer:
-		if v.IsNil() {
-			v.Set(reflect.New(v.Type().Elem()))
-		}
-		return read(it, v.Elem(), path)
-	case v.Addr().Type().Implements(textType):
-		if err := want(jsoniter.StringValue, "a string"); err != nil {
+	case target.Type() == rawType:
+		target.SetBytes(iterator.SkipAndReturnBytes())
+		return malformed(iterator, path)
+	case target.Kind() == reflect.Pointer:
+		if target.IsNil() {
+			target.Set(reflect.New(target.Type().Elem()))
+		}
+		return read(iterator, target.Elem(), path)
+	case target.Addr().Type().Implements(textType):
+		if err := expect(jsoniter.StringValue, "a string"); err != nil {
 			return err
 		}
-		if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(it.ReadString())); err != nil {
-			return at(path, "%w", err)
+		if err := target.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(iterator.ReadString())); err != nil {
+			return errorAt(path, "%w", err)
 		}
-		return malformed(it, path)
+		return malformed(iterator, path)
 	}
-	switch v.Kind() {
+	switch target.Kind() {
 	case reflect.Struct:
-		if err := want(jsoniter.ObjectValue, "an object"); err != nil {
+		if err := expect(jsoniter.ObjectValue, "an object"); err != nil {
 			return err
 		}
-		return object(it, path, func(key, path string) error {
-			f, err := field(v, key, path)
-			if err != nil && it.Attachment == (others{}) {
-				it.Skip()
-				return malformed(it, path)
+		return object(iterator, path, func(key, path string) error {
+			destination, err := field(target, key, path)
+			if err != nil && iterator.Attachment == (lenientMode{}) {
+				iterator.Skip()
+				return malformed(iterator, path)
 			}
 			if err != nil {
 				return err
 			}
-			return read(it, f, path)
+			return read(iterator, destination, path)
 		})
 	case reflect.Map:
-		if err := want(jsoniter.ObjectValue, "an object"); err != nil {
+		if err := expect(jsoniter.ObjectValue, "an object"); err != nil {
 			return err
 		}
-		if v.IsNil() {
-			v.Set(reflect.MakeMap(v.Type()))
+		if target.IsNil() {
+			target.Set(reflect.MakeMap(target.Type()))
 		}
-		return object(it, path, func(key, path string) error {
-			e := reflect.New(v.Type().Elem()).Elem()
-			if err := read(it, e, path); err != nil {
+		return object(iterator, path, func(key, path string) error {
+			element := reflect.New(target.Type().Elem()).Elem()
+			if err := read(iterator, element, path); err != nil {
 				return err
 			}
-			v.SetMapIndex(reflect.ValueOf(key).Convert(v.Type().Key()), e)
+			target.SetMapIndex(reflect.ValueOf(key).Convert(target.Type().Key()), element)
 			return nil
 		})
 	case reflect.Slice:
-		if err := want(jsoniter.ArrayValue, "a list"); err != nil {
+		if err := expect(jsoniter.ArrayValue, "a list"); err != nil {
 			return err
 		}
-		list, i := reflect.MakeSlice(v.Type(), 0, 0), 0
+		list, index := reflect.MakeSlice(target.Type(), 0, 0), 0
 		var err error
-		it.ReadArrayCB(func(it *jsoniter.Iterator) bool {
-			e := reflect.New(v.Type().Elem()).Elem()
-			if err = read(it, e, fmt.Sprintf("%s[%d]", path, i)); err != nil {
+		iterator.ReadArrayCB(func(iterator *jsoniter.Iterator) bool {
+			element := reflect.New(target.Type().Elem()).Elem()
+			if err = read(iterator, element, fmt.Sprintf("%s[%d]", path, index)); err != nil {
 				return false
 			}
-			list, i = reflect.Append(list, e), i+1
+			list, index = reflect.Append(list, element), index+1
 			return true
 		})
-		v.Set(list)
+		target.Set(list)
 		if err != nil {
 			return err
 		}
 	case reflect.String:
-		if err := want(jsoniter.StringValue, "a string"); err != nil {
+		if err := expect(jsoniter.StringValue, "a string"); err != nil {
 			return err
 		}
-		v.SetString(it.ReadString())
+		target.SetString(iterator.ReadString())
 	case reflect.Bool:
-		if err := want(jsoniter.BoolValue, "true or false"); err != nil {
+		if err := expect(jsoniter.BoolValue, "true or false"); err != nil {
 			return err
 		}
-		v.SetBool(it.ReadBool())
+		target.SetBool(iterator.ReadBool())
 	case reflect.Int, reflect.Int64:
-		if err := want(jsoniter.NumberValue, "a whole number"); err != nil {
+		if err := expect(jsoniter.NumberValue, "a whole number"); err != nil {
 			return err
 		}
-		text := string(it.ReadNumber())
-		n, err := strconv.ParseInt(text, 10, 64)
+		text := string(iterator.ReadNumber())
+		number, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return at(path, "a whole number wanted, got %.40s", text)
+			return errorAt(path, "a whole number wanted, got %.40s", text)
 		}
-		v.SetInt(n)
+		target.SetInt(number)
 	case reflect.Float64:
-		if err := want(jsoniter.NumberValue, "a number"); err != nil {
+		if err := expect(jsoniter.NumberValue, "a number"); err != nil {
 			return err
 		}
-		v.SetFloat(it.ReadFloat64())
+		target.SetFloat(iterator.ReadFloat64())
 	default:
-		return at(path, "a value that can't be set: %s", v.Type())
+		return errorAt(path, "a value that can't be set: %s", target.Type())
 	}
-	return malformed(it, path)
+	return malformed(iterator, path)
 }
 
-var kinds = map[jsoniter.ValueType]string{jsoniter.StringValue: "a string", jsoniter.NumberValue: "a number",
+var kindNames = map[jsoniter.ValueType]string{jsoniter.StringValue: "a string", jsoniter.NumberValue: "a number",
 	jsoniter.NilValue: "null", jsoniter.BoolValue: "a boolean", jsoniter.ArrayValue: "a list", jsoniter.ObjectValue: "an object"}
 
-// object reads an object's keys, each once.
-func object(it *jsoniter.Iterator, path string, each func(key, path string) error) error {
+// object calls readValue with each key of an object and the path of the key's value. In strict mode, a duplicate key is
+// an error.
+func object(iterator *jsoniter.Iterator, path string, readValue func(key, path string) error) error {
 	seen := map[string]bool{}
 	var err error
-	it.ReadObjectCB(func(_ *jsoniter.Iterator, key string) bool {
-		here := key
-		if q := strconv.Quote(key); q != `"`+key+`"` || key == "" {
-			here = q
+	iterator.ReadObjectCB(func(_ *jsoniter.Iterator, key string) bool {
+		valuePath := key
+		if quoted := strconv.Quote(key); quoted != `"`+key+`"` || key == "" {
+			valuePath = quoted
 		}
 		if path != "" {
-			here = path + "." + here
+			valuePath = path + "." + valuePath
 		}
-		if seen[key] && it.Attachment == nil {
-			err = at(here, "given twice")
+		if seen[key] && iterator.Attachment == nil {
+			err = errorAt(valuePath, "given twice")
 			return false
 		}
 		seen[key] = true
-		err = each(key, here)
+		err = readValue(key, valuePath)
 		return err == nil
 	})
 	if err != nil {
 		return err
 	}
-	return malformed(it, path)
+	return malformed(iterator, path)
 }
 
-// field finds a struct's field by its json tag.
-func field(v reflect.Value, key, path string) (reflect.Value, error) {
-	near := ""
-	for i := range v.NumField() {
-		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
+// field returns the field of a struct with the given json tag. If there is none, the error suggests a tag that differs
+// only in case, underscores and hyphens.
+func field(structure reflect.Value, key, path string) (reflect.Value, error) {
+	similar := ""
+	for i := range structure.NumField() {
+		name, _, _ := strings.Cut(structure.Type().Field(i).Tag.Get("json"), ",")
 		if name == key && name != "" && name != "-" {
-			return v.Field(i), nil
+			return structure.Field(i), nil
 		}
-		if squash(name) == squash(key) {
-			near = name
+		if normalized(name) == normalized(key) {
+			similar = name
 		}
 	}
-	if near != "" {
-		return reflect.Value{}, at(path, "unknown key; is %q meant?", near)
+	if similar != "" {
+		return reflect.Value{}, errorAt(path, "unknown key; is %q meant?", similar)
 	}
-	return reflect.Value{}, at(path, "unknown key")
+	return reflect.Value{}, errorAt(path, "unknown key")
 }
 
-func squash(s string) string {
-	return strings.ToLower(strings.NewReplacer("_", "", "-", "").Replace(s))
+// normalized returns a key in lower case, without underscores and hyphens.
+func normalized(key string) string {
+	return strings.ToLower(strings.NewReplacer("_", "", "-", "").Replace(key))
 }
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -22,10 +22,10 @@
 	One   *inner              `json:"one"`
 	On    bool                `json:"on"`
 	Raw   jsoniter.RawMessage `json:"raw"`
-	inner int                 //nolint:unused // an unexported field, which is passed over
+	inner int                 //nolint:unused // an unexported field, which is ignored
 }
 
-func TestReads(t *testing.T) {
+func TestUnmarshal(t *testing.T) {
 	got := outer{Count: 7}
 	err := Unmarshal([]byte(` {"list":[{"name":"a","nets":["10.0.0.0/8"]},{}],"by":{"x":{"share":0.5}},"one":{"name":"b"},"on":true,"raw":[1, {"a":null}]} `), &got)
 	if err != nil {
@@ -38,11 +38,11 @@
 	}
 }
 
-// Each slip is one line that says where.
-func TestRefuses(t *testing.T) {
-	for text, says := range map[string]string{
+// Each mistake results in an error on a single line that says where it is.
+func TestUnmarshalErrors(t *testing.T) {
+	for text, want := range map[string]string{
 		``: "top level: not valid JSON", `{`: "not valid JSON", `[]`: "top level: an object wanted, got a list",
-		`{} {}`:                          "bytes behind the end",
+		`{} {}`:                          "data after the end of the JSON value",
 		`{"count":1,"count":1}`:          "count: given twice",
 		`{"Count":1}`:                    `Count: unknown key; is "count" meant?`,
 		`{"list":[{},{"nmae":1}]}`:       "list[1].nmae: unknown key",
@@ -60,20 +60,20 @@
 		`{"count":1`:                     "not valid JSON",
 	} {
 		err := Unmarshal([]byte(text), &outer{})
-		if err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, wanted %s", text, err, says)
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v, wanted %s", text, err, want)
 		}
 	}
 }
 
-// In an object of another's, keys may be added; what is of another kind is told as ever.
-func TestKinds(t *testing.T) {
-	for text, says := range map[string]string{
+// UnmarshalLenient ignores unknown keys and nulls, but a value of the wrong kind is an error as in Unmarshal.
+func TestUnmarshalLenient(t *testing.T) {
+	for text, want := range map[string]string{
 		`{"new":{"a":[1]},"count":null,"list":null,"one":{"new":1}}`: "",
 		`{"new":1,"list":[{"new":1,"share":"x"}]}`:                   "list[0].share: a number wanted, got a string",
 	} {
-		if err := Kinds([]byte(text), &outer{}); (says == "") != (err == nil) || err != nil && err.Error() != says {
-			t.Errorf("%s: %v, wanted %s", text, err, says)
+		if err := UnmarshalLenient([]byte(text), &outer{}); (want == "") != (err == nil) || err != nil && err.Error() != want {
+			t.Errorf("%s: %v, wanted %s", text, err, want)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	f.Add([]byte(`{"list":[{"nets":["10.0.0.0/8"]}],"by":{"x":{}},"raw":[1]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if err := Unmarshal(raw, &outer{}); err == nil && !jsoniter.Valid(raw) {
-			t.Errorf("taken: %q", raw)
+			t.Errorf("no error for invalid JSON: %q", raw)
 		}
 	})
 }
