--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -22,7 +22,7 @@
 	PositionZero   clock.Nanos   // zero point of the simulator's positions
 	IdleTimeout    time.Duration // data servers close connections that have been idle for this long
 	ConnectTimeout time.Duration // a connection attempt fails after this time
-	DrainGrace     time.Duration // attempts to an endpoint must stop within this time after it drains or is removed; 0: not specified
+	DrainGrace     time.Duration // after a drain or removal, attempts to the endpoint stop within it; 0: not specified
 
 	AnswersHavePosition bool   // every answer contains a position
 	HedgingAllowed      bool   // two attempts of one request may be in flight at the same time
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -80,9 +80,9 @@
 }
 
 // A client that sends each request after the answer to the previous one never has two open requests, whichever events
-// the event loop processes in one batch. It fails if the event loop counts the ends of requests only after a whole
-// batch: the next request of a team that may have one open request is then rejected if its arrival is in the same batch
-// as the end of the previous one.
+// the event loop processes in one batch. An event loop that counts the ends of requests only after a whole batch
+// rejects the next request of a team that may have one open request, if it arrives in the same batch as the end of the
+// previous one.
 func TestEndFreesAPlaceInItsBatch(t *testing.T) {
 	now := make(chan time.Time)
 	close(now)
@@ -131,9 +131,11 @@
 			t.Fatal("the event loop does not answer")
 		}
 	}
-	onEventLoop(func(service *sheddingService) { // requests of class background are admitted but not served, until the class is shed completely
+	// Requests of class background are admitted but not served, until the class is shed completely. The threshold then
+	// stays for an hour.
+	onEventLoop(func(service *sheddingService) {
 		at := router.clock.now()
-		for i := 0; i < 100_000 && (i == 0 || service.shedder.States()[0].Threshold < 64); i++ { // the threshold then stays for an hour
+		for i := 0; i < 100_000 && (i == 0 || service.shedder.States()[0].Threshold < 64); i++ {
 			at += 600e9
 			if verdict := service.shedder.Admit(shedding.Request{Team: 1, Account: uint64(i), Group: 1, Share: 1}, at); verdict.Reason != shedding.Shed {
 				service.shedder.RequestStarted(1, at, 1e6)
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -47,7 +47,8 @@
 			send c%[1]d startup | Q ""
 			expect c%[1]d welcome | I | Z`, i))
 	}
-	stage.Play(fmt.Sprintf("send c%d startup", maxClients)) // waits in the accept queue, as no descriptor is left for it
+	// This client waits in the accept queue, as no descriptor is left for it.
+	stage.Play(fmt.Sprintf("send c%d startup", maxClients))
 	if _, used := router.descriptors.Clients(); used != maxClients || maxClients < 10 {
 		t.Fatalf("%d of %d clients are connected", used, maxClients)
 	}
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -41,11 +41,11 @@
 	settings         *siteconfig.Members
 	detectorSettings membership.Settings
 	keys             [][]byte
-	peers            *peer.Peers             // nil until listen is called
-	state            *peer.State             // replicated between the routers; nil if replication is disabled
-	suspects         chan balance.EndpointID // endpoints that the decision module suspects, to be announced to the peers
-	probes           bool                    // the decision module probes for log positions, so that positions from peers can replace probes
-	mu               sync.Mutex
+	peers            *peer.Peers                        // nil until listen is called
+	state            *peer.State                        // replicated between the routers; nil if replication is disabled
+	suspects         chan balance.EndpointID            // suspected endpoints, to be announced to the peers
+	probes           bool                               // the decision module probes for positions; peers' positions can replace probes
+	mu               sync.Mutex                         // guards usedPositions
 	usedPositions    map[balance.EndpointID]clock.Nanos // the position from a peer that was last used, by endpoint
 	persisted        *persistedState                    // copy of the state on disk; nil if the state is not persisted
 	attemptLog       *attemptLog                        // nil if attempts are not recorded
@@ -144,9 +144,9 @@
 // Error implements the error interface.
 func (e *ModeError) Error() string {
 	if e.Known {
-		return fmt.Sprintf("members: modes.classes.%s: no class of writes: not started", e.Class)
+		return fmt.Sprintf("members: modes.classes.%s: not a class of writes; the router does not start", e.Class)
 	}
-	return fmt.Sprintf("members: modes.classes.%s: no class of that name: not started", e.Class)
+	return fmt.Sprintf("members: modes.classes.%s: no class of this name; the router does not start", e.Class)
 }
 
 // Kind implements operr.Error.
@@ -154,7 +154,7 @@
 
 // Hint implements operr.Error.
 func (e *ModeError) Hint() string {
-	return "name a class of writes that the configuration has, or take " + e.Class + " out of members.modes.classes"
+	return "name a class of writes that the configuration has, or remove " + e.Class + " from members.modes.classes"
 }
 
 // controls reports whether the accounts' admin socket, which also serves the members, has the given path.
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -20,7 +20,8 @@
 	"lotushook/policy/quotalease"
 )
 
-// The event loop uses the current quota share, and the minimum share once the current one has expired.
+// The event loop uses the current quota share. Once the share has expired, for example because the process was paused,
+// it uses the minimum share.
 func TestQuotaChange(t *testing.T) {
 	service := &membershipService{share: 0.2}
 	for _, c := range []struct {
@@ -31,7 +32,7 @@
 		{10, quotalease.Quota{Share: 0.2, ValidUntil: 20, MinShare: 0.1}, 0},
 		{19, quotalease.Quota{Share: 0.35, ValidUntil: 20, MinShare: 0.1}, 0.35},
 		{19, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0},
-		{40, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0.1}, // not renewed, for example because the process was stopped
+		{40, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0.1}, // not renewed
 		{41, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0},
 		{42, quotalease.Quota{Share: 0.2, ValidUntil: 60, MinShare: 0.1}, 0.2},
 	} {
@@ -72,7 +73,8 @@
 	if at := router.membership.commit(1, written.Session); at != 1767225600000e6 {
 		t.Fatalf("the commit position of session %q is %d", written.Session, at)
 	}
-	idle := newOwnRouter(t, config, nettest.List(1)) // its event loop does not run, so that the test can receive the events
+	// The event loop of this router does not run, so that the test can receive the events.
+	idle := newOwnRouter(t, config, nettest.List(1))
 	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: written.Session, At: 1767225600000e6})
 	for _, c := range []struct {
 		class string
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -35,7 +35,7 @@
 
 	mu             sync.Mutex // guards the fields below; not held during blocking calls
 	ledger         *trust.Ledger
-	previousEpochs map[string]uint64 // the members' epochs as restored from disk: a member that still has its epoch has been up since
+	previousEpochs map[string]uint64 // restored from disk; a member that still has its epoch has been up since
 	currentEpochs  map[string]uint64 // the members' current epochs
 	copyVersion    trust.CopyVersion // version of the last of this router's own entries in the restored copy
 	copyStatus     trust.CopyStatus
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -62,7 +62,8 @@
 			t.Fatalf("%s: %+v", entry.Kind, fact)
 		}
 	}
-	service.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // this peer may have restored the entry from its own disk
+	// A peer that was not up meanwhile may have restored the entry from its own disk.
+	service.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9})
 	if fact, _ := service.persisted.fact(primary); fact.Proven {
 		t.Errorf("proven by a peer that was not up: %+v", fact)
 	}
@@ -82,8 +83,9 @@
 	if report.Restored != 2 || report.Doubted != 0 || report.Old || !report.Writes {
 		t.Errorf("%+v", report)
 	}
+	// An entry of this router from a later epoch than the copy's shows that the copy is outdated.
 	entry := session
-	entry.B, entry.At, entry.From, entry.Seq = "other", 7e9, crdt.Origin{Name: service.detectorSettings.Name, Boot: epoch + 1}, 1 // of an epoch that is later than the copy
+	entry.B, entry.At, entry.From, entry.Seq = "other", 7e9, crdt.Origin{Name: service.detectorSettings.Name, Boot: epoch + 1}, 1
 	if service.persisted.Put(entry, peerUp); !service.persisted.report().(persistedReport).Old {
 		t.Error("the outdated copy was not detected")
 	}
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -28,7 +28,9 @@
 
 func newRecoveryGate(router *Router, config *siteconfig.Recovery) (*recoveryGate, error) {
 	settings := config.Decision(router.config.Name, uint64(router.clock.unix), router.config.Settings.Balance.Routers)
-	settings.SeesPeers = router.membership != nil // without peers, nothing can confirm that the replicated state is complete, and the recovery times out as Empty
+	// Without peers, nothing can confirm that the replicated state is complete, and the recovery ends as Empty on a
+	// timeout.
+	settings.SeesPeers = router.membership != nil
 	decision, err := recovery.New(settings, router.clock.now())
 	if err != nil {
 		return nil, err
@@ -112,7 +114,8 @@
 // decisions spread them over time.
 func (gate *recoveryGate) retryAfter(request *request, wait clock.Nanos) clock.Nanos {
 	platform := &gate.router.config.Settings.Balance
-	if !platform.RetryAfterAllowed || request.rejectionReason != nil { // rejections by contracts and load shedding have their own Retry-After time
+	// Rejections by contracts and load shedding have their own Retry-After time.
+	if !platform.RetryAfterAllowed || request.rejectionReason != nil {
 		return wait
 	}
 	gate.update(func(decision *recovery.Recovery, now clock.Nanos) {
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// newStoredCopy opens the persisted state of a router with a fixed name and epoch in a directory. It returns the state
-// and a function that closes it.
-func newStoredCopy(t *testing.T, dir string) (*persistedState, func()) {
+// openPersistedState opens the persisted state of a router with a fixed name and epoch in a directory. It returns the
+// state and a function that closes it.
+func openPersistedState(t *testing.T, dir string) (*persistedState, func()) {
 	t.Helper()
 	keyFile := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(keyFile, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
@@ -64,7 +64,7 @@
 	return persisted, func() { cancel(); running.Wait() }
 }
 
-// readStore reads all records of a store; its settings let none expire.
+// readStore reads all records of the store in a directory, with settings by which no record expires.
 func readStore(t *testing.T, dir string) store.Found {
 	t.Helper()
 	startedAt := time.Now()
@@ -89,7 +89,7 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "keep.db")
 	if *writeStore != "" {
-		persisted, stop := newStoredCopy(t, dir)
+		persisted, stop := openPersistedState(t, dir)
 		for _, entry := range storedEntries() {
 			persisted.Put(entry, entry.From)
 		}
