--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -79,7 +79,7 @@
 	}
 	var parsed file
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &parsed); err != nil {
-		if kindError := strictjson.Kinds(raw, &file{}); kindError != nil && jsoniter.Valid(raw) { // this error names the field
+		if kindError := strictjson.UnmarshalLenient(raw, &file{}); kindError != nil && jsoniter.Valid(raw) { // this error names the field
 			return nil, fmt.Errorf("config: %w", kindError)
 		}
 		return nil, fmt.Errorf("config: not valid JSON: %w", err)
@@ -109,7 +109,7 @@
 	if check("settings", err); err == nil {
 		_, err = balance.New(config.Settings.Balance, config.Seed)
 		check("settings", err)
-		check("settings", config.Settings.Serveable())
+		check("settings", config.Settings.ValidateForServing())
 	}
 	if len(errs) > 0 {
 		return nil, fmt.Errorf("config: %w", joinOnOneLine(errs))
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -214,7 +214,7 @@
 	if err != nil {
 		return client.rejectUnusable(tasks, pgwire.CodeSyntax, err)
 	}
-	if err := client.router.config.Settings.Usable(parsed.Class, parsed.Key); err != nil {
+	if err := client.router.config.Settings.ValidateKey(parsed.Class, parsed.Key); err != nil {
 		return client.rejectUnusable(tasks, pgwire.CodeInvalidParameter, err)
 	}
 	if !client.router.directory.HasGroup(parsed.Cluster) {
