--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -27,7 +27,7 @@
 		letGo = b.Evicted() > 0
 	})
 	if p.opt.State != nil {
-		p.opt.State.Look(l.text, subscriber, func(s *crdt.Store, now int64) {
+		p.opt.State.WithShard(l.text, subscriber, func(s *crdt.Store, now int64) {
 			e, ok, forgot := s.Cursor(now, l.text, subscriber)
 			letGo = letGo || forgot
 			if told := cursor.FromEntry(e); ok && told.History != (cursor.History{}) {
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -97,9 +97,9 @@
 		sent, bytes = sent+float64(r.Counts.Sent)/span, bytes+float64(r.Counts.SentBytes)/span
 		if c := r.State; c != nil { // answers that waited for another router's word
 			m["waits_came"] += float64(c.Waits.Acknowledged)
-			m["waits_over"] += float64(c.Waits.Over + c.Waits.Full + c.Waits.Alone)
+			m["waits_over"] += float64(c.Waits.TimedOut + c.Waits.LimitReached + c.Waits.NoOtherMember)
 			m["waits_longest_ms"] = max(m["waits_longest_ms"], c.Waits.LongestMS)
-			m["state_differed"] += float64(r.Counts.Differed)
+			m["state_differed"] += float64(r.Counts.MissingEntries)
 		}
 	}
 	if n := float64(len(f.reports)); n > 0 {
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -7,15 +7,16 @@
 	"lotushook/policy/crdt"
 )
 
-// CorruptError reports a corrupt piece of a peer's copy: it was not merged, and is requested again elsewhere.
+// CorruptError reports a catch-up piece whose checksum does not match its entries. The piece was not merged, and is
+// requested again from another member.
 type CorruptError struct {
-	From    string
-	Entries int
+	From string
+	Runs int
 }
 
 // Error implements the error interface.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("a piece of %d runs from %s does not match its sum: not taken, another member is asked", e.Entries, e.From)
+	return fmt.Sprintf("a piece of %d runs from %s does not match its checksum: not merged, requesting it from another member", e.Runs, e.From)
 }
 
 // Kind implements operr.Error.
@@ -23,31 +24,32 @@
 
 // Hint implements operr.Error.
 func (e *CorruptError) Hint() string {
-	return "run the same version on all routers; if it goes on, restart " + e.From
+	return "run the same version on all routers; if the error persists, restart " + e.From
 }
 
-// DiffersError reports an entry that another member has known for longer than its bound and this copy lacked. It was merged now.
-type DiffersError struct {
-	From   string
-	Entry  crdt.Entry
-	Others int // that came with it and were missing too
+// MissingEntryError reports an entry that another member has had for longer than missingAfter and that this copy lacked.
+// The entry has been merged.
+type MissingEntryError struct {
+	From       string
+	Entry      crdt.Entry
+	OtherCount int // other missing entries in the same check
 }
 
 // Error implements the error interface.
-func (e *DiffersError) Error() string {
-	return fmt.Sprintf("%s %s/%s of %s, known to %s for %s, was not here (nor %d others): taken now", e.Entry.Kind, e.Entry.A, e.Entry.B,
-		e.Entry.From.Name, e.From, time.Duration(e.Entry.Age).Round(time.Millisecond), e.Others)
+func (e *MissingEntryError) Error() string {
+	return fmt.Sprintf("%s %s/%s of %s, known to %s for %s, was missing here (as were %d others): merged now", e.Entry.Kind, e.Entry.A, e.Entry.B,
+		e.Entry.From.Name, e.From, time.Duration(e.Entry.Age).Round(time.Millisecond), e.OtherCount)
 }
 
 // Kind implements operr.Error.
-func (*DiffersError) Kind() string { return "state-differs" }
+func (*MissingEntryError) Kind() string { return "state-differs" }
 
 // Hint implements operr.Error.
-func (e *DiffersError) Hint() string {
-	return "look at lost messages between this router and " + e.Entry.From.Name + " (routerctl members); after a split heals some such lines are usual"
+func (e *MissingEntryError) Hint() string {
+	return "check for lost messages between this router and " + e.Entry.From.Name + " (routerctl members); some of these messages are normal after a network partition heals"
 }
 
-// ListenError reports an address that can't be listened on: the router does not start.
+// ListenError reports that the router can't listen on an address. The router does not start.
 type ListenError struct {
 	Address string
 	Err     error
@@ -69,10 +71,11 @@
 	return "give members.routers an address of this machine whose port is free for UDP and TCP"
 }
 
-// KeyError reports a file of keys that can't be used: the keys in force stay, or the router does not start.
+// KeyError reports an invalid or unreadable key file. A running router goes on with its current keys; a starting router
+// exits.
 type KeyError struct {
 	Path string
-	Line int // 0: the whole file
+	Line int // 0 if the error concerns the whole file
 	Err  error
 }
 
@@ -92,5 +95,5 @@
 
 // Hint implements operr.Error.
 func (e *KeyError) Hint() string {
-	return "write one key or two into " + e.Path + ", a line each of at least 64 hex digits (openssl rand -hex 32), readable by the router"
+	return "write one or two keys into " + e.Path + ", one per line, each of at least 64 hex digits (openssl rand -hex 32), readable by the router"
 }
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	minKeyBytes = 32 // bytes
+	minKeyBytes = 32
 	maxKeys     = 2
 )
 
-// ReadKeys reads a key file: one key a line, as at least 64 hex digits; lines that start with # are comments. Messages are
-// signed with the first, and accepted with either. To replace a key without a gap, add the new one as the second
-// everywhere, then put it first everywhere, then drop the old one; the file is read again on SIGHUP.
+// ReadKeys reads a key file: one key per line, of at least 64 hex digits; lines that start with # are comments. Messages
+// are signed with the first key, and accepted with either key. To replace a key without an interruption, add the new key
+// as the second on all routers, then put it first on all routers, then remove the old key. The file is reread on SIGHUP.
 func ReadKeys(path string) ([][]byte, error) {
-	raw, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &KeyError{Path: path, Err: err}
 	}
 	var keys [][]byte
-	for i, line := range strings.Split(string(raw), "\n") {
+	for index, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
 		key, err := hex.DecodeString(line)
 		if err != nil || len(key) < minKeyBytes {
-			return nil, &KeyError{path, i + 1, fmt.Errorf("not %d or more hex digits", 2*minKeyBytes)} // the line itself is a secret
+			return nil, &KeyError{path, index + 1, fmt.Errorf("not %d or more hex digits", 2*minKeyBytes)} // the error omits the line, which is a secret
 		}
 		keys = append(keys, key)
 	}
@@ -39,7 +39,7 @@
 	case len(keys) > maxKeys:
 		return nil, &KeyError{Path: path, Err: fmt.Errorf("%d keys, at most %d", len(keys), maxKeys)}
 	case len(keys) == 2 && string(keys[0]) == string(keys[1]):
-		return nil, &KeyError{Path: path, Err: errors.New("one key twice")}
+		return nil, &KeyError{Path: path, Err: errors.New("the same key twice")}
 	}
 	return keys, nil
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer carries the messages between the routers of an installation: sockets, authentication and bounds. Which members are
-// alive is decided in policy/membership; no request ever waits for this package.
+// Package peer implements the messages between the routers of a cluster: sockets, authentication, size limits, and the
+// replication of state. Package policy/membership decides which members are alive. Client requests wait for this package
+// only in State.LearnDurably, up to a timeout.
 package peer
 
 import (
@@ -15,194 +16,200 @@
 )
 
 const (
-	viewEvery    = 100 * time.Millisecond
-	queued       = 256 // received messages in the queue; more are dropped and counted
-	perSlot      = 40  // datagrams read in a slot; the rest waits in the socket's buffer, which drops
-	slot         = 10 * time.Millisecond
-	socketBytes  = 256 << 10
-	maxSenders   = 4 // long messages being sent at a time; more are dropped
-	maxReceivers = 8 // connections that are read at a time; more wait in the listener's backlog
-	tcpFor       = time.Second
-	maxContacts  = 4096 // addresses whose session is remembered, and sessions whose sequence numbers are
-	maxPending   = 64   // messages to addresses without a known session
-	pendingFor   = int64(time.Second)
+	viewInterval        = 100 * time.Millisecond
+	queueCapacity       = 256 // received messages; when the queue is full, further messages are dropped and counted
+	maxDatagramsPerSlot = 40  // datagrams read per readSlot; the rest waits in the socket's buffer, which drops on overflow
+	readSlot            = 10 * time.Millisecond
+	socketBufferBytes   = 256 << 10
+	maxSenders          = 4 // long messages sent over TCP at the same time; further ones are dropped
+	maxReceivers        = 8 // connections read at the same time; further ones wait in the listener's backlog
+	connectionTimeout   = time.Second
+	maxSessions         = 4096 // limit of addresses with a recorded session, and of sessions with a recorded receive window
+	maxPending          = 64   // limit of messages stored for addresses without a known session
+	pendingLifetime     = int64(time.Second)
 )
 
-// Options are the settings of one router's membership.
+// Options are the settings of Peers.
 type Options struct {
-	Cluster string
-	Listen  string // an address and a port, for UDP and TCP; port 0: any, and the address that others reach is made from it
-	Member  membership.Settings
-	Keys    [][]byte
-	Zones   map[string]string      // of the routers, by name: one that starts empty catches up from its own zone first
-	Changed func(*membership.View) // called on Run's goroutine when the view has changed; must not block
-	State   *State                 // the replicated state; nil: none
-	Now     func() int64           // of this router's own clock, in nanoseconds
+	Cluster      string
+	Listen       string // address and port, for UDP and TCP; with port 0, the system chooses the port, which is then advertised
+	Membership   membership.Settings
+	Keys         [][]byte
+	Zones        map[string]string      // zone by router name; a router that starts empty catches up from its own zone first
+	OnViewChange func(*membership.View) // called on Run's goroutine when the view has changed; must not block
+	State        *State                 // replicated state; nil disables replication
+	Now          func() int64           // this router's clock, in nanoseconds
 }
 
-// Counts count messages since the start.
+// Counts are the numbers of messages since the start.
 type Counts struct {
-	Sent       uint64 `json:"sent"`
-	SentBytes  uint64 `json:"sent_bytes"`
-	Taken      uint64 `json:"taken"`
-	Garbage    uint64 `json:"garbage"`     // not of this protocol, or not parseable
-	Versions   uint64 `json:"versions"`    // of another version
-	Strangers  uint64 `json:"strangers"`   // without a known key
-	Foreign    uint64 `json:"foreign"`     // of another cluster
-	Replayed   uint64 `json:"replayed"`    // received before
-	Outdated   uint64 `json:"outdated"`    // not addressed to this process; answered with its session
-	Full       uint64 `json:"full"`        // the queue was full
-	NotSent    uint64 `json:"not_sent"`    // too many long messages being sent, or the system refused
-	Connection uint64 `json:"connections"` // accepted
-	Malformed  uint64 `json:"spoiled"`     // corrupt pieces of a copy
-	Differed   uint64 `json:"differed"`    // entries that were missing here though another had known them for long
+	Sent            uint64 `json:"sent"`
+	SentBytes       uint64 `json:"sent_bytes"`
+	Accepted        uint64 `json:"taken"`
+	Malformed       uint64 `json:"garbage"`     // not of this protocol, or impossible to decode
+	OtherVersion    uint64 `json:"versions"`    // of another protocol version
+	Unauthenticated uint64 `json:"strangers"`   // not signed with a known key
+	OtherCluster    uint64 `json:"foreign"`     // of another cluster
+	Replayed        uint64 `json:"replayed"`    // duplicates, and messages of this process itself
+	Outdated        uint64 `json:"outdated"`    // addressed to another session; answered with the current one
+	QueueFull       uint64 `json:"full"`        // dropped because the queue was full
+	NotSent         uint64 `json:"not_sent"`    // too many long messages were being sent, or the send failed
+	Connections     uint64 `json:"connections"` // accepted TCP connections
+	CorruptPieces   uint64 `json:"spoiled"`     // catch-up pieces with a wrong checksum
+	MissingEntries  uint64 `json:"differed"`    // entries older than missingAfter that were missing here
 }
 
 type counters struct {
-	sent, sentBytes, taken, garbage, versions, strangers, foreign, replayed, outdated, full, notSent, connections, malformed, differed atomic.Uint64
+	sent, sentBytes, accepted, malformed, otherVersion, unauthenticated, otherCluster, replayed, outdated, queueFull,
+	notSent, connections, corruptPieces, missingEntries atomic.Uint64
 }
 
-// Peers is one router's connection to the others.
+// Peers sends and receives one router's messages to the other members.
 type Peers struct {
-	opt             Options
-	udp             *net.UDPConn
-	tcp             *net.TCPListener
-	session         uint64
-	count           uint64
-	keys            atomic.Pointer[[][]byte]
-	in              chan *envelope
-	calls           chan func()
-	senders         chan struct{}
-	view            atomic.Pointer[membership.View]
-	counts          counters
-	broadcastReport atomic.Pointer[broadcastReport]
+	options           Options
+	udp               *net.UDPConn
+	tcp               *net.TCPListener
+	session           uint64
+	lastSequence      uint64
+	keys              atomic.Pointer[[][]byte]
+	received          chan *envelope
+	calls             chan func()
+	senderSlots       chan struct{}
+	view              atomic.Pointer[membership.View]
+	counts            counters
+	replicationReport atomic.Pointer[replicationReport]
 
 	// Owned by Run's goroutine:
-	members   *membership.Detector
-	sessionAt map[string]uint64 // the session at an address
-	windows   map[uint64]*window
-	pending   map[string]late
-	spread    spread
+	detector         *membership.Detector
+	sessionByAddress map[string]uint64 // the last known session at each address
+	receiveWindows   map[uint64]*receiveWindow
+	pending          map[string]pendingMessage
+	replication      replication
 }
 
-type late struct {
-	at  int64
-	msg membership.Message
+// pendingMessage is a message to an address whose session is not known yet.
+type pendingMessage struct {
+	createdAt int64
+	message   membership.Message
 }
 
-// Listen opens the sockets; nothing is sent before Run.
-func Listen(o Options) (*Peers, error) {
-	at, err := netip.ParseAddrPort(o.Listen)
+// Listen opens the sockets. Nothing is sent before Run.
+func Listen(options Options) (*Peers, error) {
+	listenAddress, err := netip.ParseAddrPort(options.Listen)
 	if err != nil {
-		return nil, &ListenError{o.Listen, err}
+		return nil, &ListenError{options.Listen, err}
 	}
-	p := &Peers{opt: o, session: rand.Uint64() | 1, in: make(chan *envelope, queued), calls: make(chan func()), senders: make(chan struct{}, maxSenders),
-		sessionAt: map[string]uint64{}, windows: map[uint64]*window{}, pending: map[string]late{}}
-	p.keys.Store(&o.Keys)
-	for try := 0; ; try++ { // with port 0 the one that UDP got may be in use for TCP
-		if p.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
-			return nil, &ListenError{o.Listen, err}
+	peers := &Peers{options: options, session: rand.Uint64() | 1, received: make(chan *envelope, queueCapacity),
+		calls: make(chan func()), senderSlots: make(chan struct{}, maxSenders), sessionByAddress: map[string]uint64{},
+		receiveWindows: map[uint64]*receiveWindow{}, pending: map[string]pendingMessage{}}
+	peers.keys.Store(&options.Keys)
+	for attempt := 0; ; attempt++ { // with port 0, the port chosen for UDP may be in use for TCP
+		if peers.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddress)); err != nil {
+			return nil, &ListenError{options.Listen, err}
 		}
-		if p.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(p.udp.LocalAddr().(*net.UDPAddr).AddrPort())); err == nil {
+		if peers.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(peers.udp.LocalAddr().(*net.UDPAddr).AddrPort())); err == nil {
 			break
 		}
-		p.udp.Close()
-		if at.Port() != 0 || try == 10 {
-			return nil, &ListenError{o.Listen, err}
+		peers.udp.Close()
+		if listenAddress.Port() != 0 || attempt == 10 {
+			return nil, &ListenError{options.Listen, err}
 		}
 	}
-	_ = p.udp.SetReadBuffer(socketBytes) // the system may give less
-	if p.opt.Member.Address == "" {
-		p.opt.Member.Address = p.udp.LocalAddr().String()
+	_ = peers.udp.SetReadBuffer(socketBufferBytes) // the system may set a smaller size
+	if peers.options.Membership.Address == "" {
+		peers.options.Membership.Address = peers.udp.LocalAddr().String()
 	}
-	if p.members, err = membership.New(p.opt.Member, rand.Uint64(), o.Now()); err != nil {
-		p.close()
+	if peers.detector, err = membership.New(peers.options.Membership, rand.Uint64(), options.Now()); err != nil {
+		peers.close()
 		return nil, err
 	}
-	if o.State != nil {
-		if p.spread, err = newSpread(o.Now()); err != nil {
-			p.close()
+	if options.State != nil {
+		if peers.replication, err = newReplication(options.Now()); err != nil {
+			peers.close()
 			return nil, err
 		}
 	}
-	v := p.members.View()
-	p.view.Store(&v)
-	return p, nil
+	view := peers.detector.View()
+	peers.view.Store(&view)
+	return peers, nil
 }
 
-func (p *Peers) close() {
-	p.udp.Close()
-	p.tcp.Close()
+func (peers *Peers) close() {
+	peers.udp.Close()
+	peers.tcp.Close()
 }
 
-// Address is where other routers reach this one.
-func (p *Peers) Address() string { return p.opt.Member.Address }
+// Address returns the address at which other routers reach this one.
+func (peers *Peers) Address() string { return peers.options.Membership.Address }
 
-// View is the latest view; it must not be changed.
-func (p *Peers) View() *membership.View { return p.view.Load() }
+// View returns the latest view, which must not be modified.
+func (peers *Peers) View() *membership.View { return peers.view.Load() }
 
-// Counts returns the present counts.
-func (p *Peers) Counts() Counts {
-	c := &p.counts
-	return Counts{c.sent.Load(), c.sentBytes.Load(), c.taken.Load(), c.garbage.Load(), c.versions.Load(), c.strangers.Load(), c.foreign.Load(),
-		c.replayed.Load(), c.outdated.Load(), c.full.Load(), c.notSent.Load(), c.connections.Load(), c.malformed.Load(), c.differed.Load()}
+// Counts returns the current counts.
+func (peers *Peers) Counts() Counts {
+	counts := &peers.counts
+	return Counts{counts.sent.Load(), counts.sentBytes.Load(), counts.accepted.Load(), counts.malformed.Load(),
+		counts.otherVersion.Load(), counts.unauthenticated.Load(), counts.otherCluster.Load(), counts.replayed.Load(),
+		counts.outdated.Load(), counts.queueFull.Load(), counts.notSent.Load(), counts.connections.Load(),
+		counts.corruptPieces.Load(), counts.missingEntries.Load()}
 }
 
-// SetKeys puts new keys in force.
-func (p *Peers) SetKeys(keys [][]byte) { p.keys.Store(&keys) }
+// SetKeys replaces the keys.
+func (peers *Peers) SetKeys(keys [][]byte) { peers.keys.Store(&keys) }
 
-// Run takes part until the context ends.
-func (p *Peers) Run(ctx context.Context) {
+// Run takes part in membership and replication until the context is done, and then closes the sockets.
+func (peers *Peers) Run(ctx context.Context) {
 	var parts sync.WaitGroup
-	parts.Go(func() { p.readAll(ctx) })
-	parts.Go(func() { p.acceptAll(ctx) })
+	parts.Go(func() { peers.readDatagrams(ctx) })
+	parts.Go(func() { peers.acceptConnections(ctx) })
 	defer parts.Wait()
-	defer p.close()
-	// Timeouts are late by half a tick on average, and a gap that is a pause stands out: each tick wakes the process, which is most of
-	// what membership costs.
-	tick := time.NewTicker(time.Duration(min(p.opt.Member.AckTimeout/2, p.opt.Member.MaxTickGap/3)))
-	defer tick.Stop()
-	defer p.spread.stop()
-	seen := p.opt.Now()
+	defer peers.close()
+	// Timeouts fire half a tick late on average, and the tick must be short enough to detect a pause of the process as a
+	// gap between ticks. It is no shorter than needed, because each tick wakes the process, which is most of what
+	// membership costs.
+	ticker := time.NewTicker(time.Duration(min(peers.options.Membership.AckTimeout/2, peers.options.Membership.MaxTickGap/3)))
+	defer ticker.Stop()
+	defer peers.replication.stop()
+	publishedAt := peers.options.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-p.in:
-			p.take(e)
-		case f := <-p.calls:
-			f()
-		case <-p.opt.State.pending():
-			p.scheduleSpread(p.opt.Now())
-		case <-p.spread.due():
-			p.spread.at = 0
-			p.spreadState(p.opt.Now())
-		case <-tick.C:
-			now := p.opt.Now()
-			p.send(p.members.Tick(now))
-			p.spreadState(now)
-			if now-seen >= int64(viewEvery) {
-				seen = now
-				p.look()
+		case message := <-peers.received:
+			peers.receive(message)
+		case call := <-peers.calls:
+			call()
+		case <-peers.options.State.changes():
+			peers.scheduleReplication(peers.options.Now())
+		case <-peers.replication.timerChannel():
+			peers.replication.timerAt = 0
+			peers.replicate(peers.options.Now())
+		case <-ticker.C:
+			now := peers.options.Now()
+			peers.sendMembership(peers.detector.Tick(now))
+			peers.replicate(now)
+			if now-publishedAt >= int64(viewInterval) {
+				publishedAt = now
+				peers.publish()
 			}
 		}
 	}
 }
 
-// look publishes the view.
-func (p *Peers) look() {
-	v := p.members.View()
-	before := p.view.Swap(&v)
-	if p.opt.Changed != nil && differ(before, &v) {
-		p.opt.Changed(&v)
+// publish stores the current view, and calls OnViewChange if it has changed.
+func (peers *Peers) publish() {
+	view := peers.detector.View()
+	previous := peers.view.Swap(&view)
+	if peers.options.OnViewChange != nil && viewChanged(previous, &view) {
+		peers.options.OnViewChange(&view)
 	}
 }
 
-// Leave notifies the others that this router leaves, and sends nothing after it.
-func (p *Peers) Leave(ctx context.Context) {
+// Leave notifies the other members that this router leaves. Nothing is sent afterwards.
+func (peers *Peers) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case p.calls <- func() { p.send(p.members.Leave(p.opt.Now())); p.look(); close(done) }:
+	case peers.calls <- func() { peers.sendMembership(peers.detector.Leave(peers.options.Now())); peers.publish(); close(done) }:
 		<-done
 	case <-ctx.Done():
 	}
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -2,60 +2,61 @@
 
 import "lotushook/policy/membership"
 
-// take processes one message, if it is addressed to this process and was not received before.
-func (p *Peers) take(e *envelope) {
-	now := p.opt.Now()
+// receive processes one authenticated message, if it is addressed to this process's session and is not a duplicate.
+func (peers *Peers) receive(message *envelope) {
+	now := peers.options.Now()
 	switch {
-	case e.Cluster != p.opt.Cluster:
-		p.counts.foreign.Add(1)
+	case message.Cluster != peers.options.Cluster:
+		peers.counts.otherCluster.Add(1)
 		return
-	case e.Session == p.session: // an echo
-		p.counts.replayed.Add(1)
+	case message.Session == peers.session: // sent by this process itself
+		peers.counts.replayed.Add(1)
 		return
-	case e.To != p.session:
-		p.counts.outdated.Add(1)
-		p.post(e.Address, e.Session, nil, nil)
+	case message.To != peers.session:
+		peers.counts.outdated.Add(1)
+		peers.sendMessage(message.Address, message.Session, nil, nil)
 		return
 	}
-	w := p.windows[e.Session]
-	if w == nil {
-		if len(p.windows) >= maxContacts {
-			p.forgetWindow()
+	sessionWindow := peers.receiveWindows[message.Session]
+	if sessionWindow == nil {
+		if len(peers.receiveWindows) >= maxSessions {
+			peers.evictOldestWindow()
 		}
-		w = &window{}
-		p.windows[e.Session] = w
+		sessionWindow = &receiveWindow{}
+		peers.receiveWindows[message.Session] = sessionWindow
 	}
-	if w.at = now; !w.fresh(e.Count) {
-		p.counts.replayed.Add(1)
+	if sessionWindow.lastHeardAt = now; !sessionWindow.accept(message.Sequence) {
+		peers.counts.replayed.Add(1)
 		return
 	}
-	p.counts.taken.Add(1)
-	if len(p.sessionAt) >= maxContacts {
-		clear(p.sessionAt) // each is learned again with its next message
+	peers.counts.accepted.Add(1)
+	if len(peers.sessionByAddress) >= maxSessions {
+		clear(peers.sessionByAddress) // each address's session is recorded again with its next message
 	}
-	p.sessionAt[e.Address] = e.Session
-	if l, ok := p.pending[e.Address]; ok {
-		delete(p.pending, e.Address)
-		if now-l.at < pendingFor {
-			p.send([]membership.Message{l.msg})
+	peers.sessionByAddress[message.Address] = message.Session
+	if pending, isPending := peers.pending[message.Address]; isPending {
+		delete(peers.pending, message.Address)
+		if now-pending.createdAt < pendingLifetime {
+			peers.sendMembership([]membership.Message{pending.message})
 		}
 	}
-	if e.Body != nil {
-		p.send(p.members.Receive(now, e.message()))
+	if message.Membership != nil {
+		peers.sendMembership(peers.detector.Receive(now, message.decodeMembership()))
 	}
-	if e.State != nil {
-		p.takeState(now, e)
+	if message.State != nil {
+		peers.receiveState(now, message)
 	}
 }
 
-// forgetWindow makes room: the session that was silent for longest is dropped. Its recorded messages could then be accepted once
-// more; that this takes as many starts as there are windows, within one life of this process, is accepted.
-func (p *Peers) forgetWindow() {
+// evictOldestWindow removes the receive window of the session that has been silent for longest. Messages of that session
+// that an attacker recorded could then be accepted a second time. This risk is accepted, because it takes maxSessions
+// sessions, each a start of a router, within the lifetime of this process.
+func (peers *Peers) evictOldestWindow() {
 	var oldest uint64
-	for id, w := range p.windows {
-		if o := p.windows[oldest]; o == nil || w.at < o.at {
-			oldest = id
+	for session, candidate := range peers.receiveWindows {
+		if current := peers.receiveWindows[oldest]; current == nil || candidate.lastHeardAt < current.lastHeardAt {
+			oldest = session
 		}
 	}
-	delete(p.windows, oldest)
+	delete(peers.receiveWindows, oldest)
 }
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -2,101 +2,106 @@
 
 import "lotushook/policy/crdt"
 
-// Report is one router's report for operators.
+// Report is one router's report on the cluster for operators.
 type Report struct {
-	Name      string `json:"name"`
-	Cluster   string `json:"cluster"`
-	View      Belief `json:"view"`
-	Members   []Row  `json:"members"`
-	Counts    Counts `json:"messages"`
-	State     *Copy  `json:"state,omitempty"` // the replicated state; none: off
-	Persisted any    `json:"keep,omitempty"`  // the copy of it on disk and what is unconfirmed of it (internal/router); none: off
-	Shedding  any    `json:"lanes,omitempty"` // load shedding, where it is on
+	Name      string         `json:"name"`
+	Cluster   string         `json:"cluster"`
+	View      ViewReport     `json:"view"`
+	Members   []MemberReport `json:"members"`
+	Counts    Counts         `json:"messages"`
+	State     *StateReport   `json:"state,omitempty"` // replicated state; absent where replication is disabled
+	Persisted any            `json:"keep,omitempty"`  // persistence (see internal/router); absent where it is disabled
+	Shedding  any            `json:"lanes,omitempty"` // load shedding; absent where it is disabled
 }
 
-// Belief is the router's view of the members.
-type Belief struct {
-	Counting   int     `json:"counting"`
-	Configured int     `json:"configured"`
-	Majority   bool    `json:"majority"`
-	SinceS     float64 `json:"since_s"`
-	CutOff     bool    `json:"cut_off"`
-	Taken      bool    `json:"taken"` // another process has its name
-	Share      float64 `json:"share"`
-	Holder     bool    `json:"holder"`
-	Gone       int     `json:"gone"`
+// ViewReport is this router's view of the cluster.
+type ViewReport struct {
+	Present       int     `json:"counting"`
+	Configured    int     `json:"configured"`
+	Majority      bool    `json:"majority"`
+	SinceS        float64 `json:"since_s"`
+	Isolated      bool    `json:"cut_off"`
+	DuplicateName bool    `json:"taken"` // another process uses this router's name
+	Share         float64 `json:"share"`
+	IsHolder      bool    `json:"holder"`
+	Excluded      int     `json:"gone"`
 }
 
-// Row is one member.
-type Row struct {
+// MemberReport is the state of one member.
+type MemberReport struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"`
 	State       string  `json:"state"`
-	Boot        uint64  `json:"boot"`
+	Epoch       uint64  `json:"boot"`
 	Incarnation uint32  `json:"incarnation"`
 	SinceS      float64 `json:"since_s"`
-	HeardS      float64 `json:"heard_s"` // since it was last heard directly; -1: never
-	TripMS      float64 `json:"trip_ms"`
-	By          string  `json:"by"` // the accuser, if it is another
+	LastHeardS  float64 `json:"heard_s"` // since the last message from the member itself; -1 if there was none
+	RoundTripMS float64 `json:"trip_ms"`
+	ReportedBy  string  `json:"by"` // the member that reported this state, if it was another one
 }
 
-// Report returns the present report.
-func (p *Peers) Report() Report {
-	v, now := p.View(), p.opt.Now()
-	ago := func(t int64) float64 { return float64(now-t) / 1e9 }
-	out := Report{Name: p.opt.Member.Name, Cluster: p.opt.Cluster, Counts: p.Counts(), View: Belief{Counting: v.Present, Configured: p.opt.Member.Configured,
-		Majority: v.Majority, SinceS: ago(v.MajoritySince), CutOff: v.Isolated, Taken: v.DuplicateName, Share: v.Quota.Share, Holder: v.Quota.IsHolder, Gone: v.Quota.Excluded}}
-	for _, x := range v.Members {
-		r := Row{Name: x.Name, Address: x.Address, State: x.State.String(), Boot: x.Epoch, Incarnation: x.Incarnation, SinceS: ago(x.Since),
-			HeardS: -1, TripMS: float64(x.RoundTrip) / 1e6, By: x.ReportedBy}
-		if x.LastHeardAt > 0 {
-			r.HeardS = ago(x.LastHeardAt)
+// Report returns the current report.
+func (peers *Peers) Report() Report {
+	view, now := peers.View(), peers.options.Now()
+	secondsSince := func(at int64) float64 { return float64(now-at) / 1e9 }
+	report := Report{Name: peers.options.Membership.Name, Cluster: peers.options.Cluster, Counts: peers.Counts(),
+		View: ViewReport{Present: view.Present, Configured: peers.options.Membership.Configured, Majority: view.Majority,
+			SinceS: secondsSince(view.MajoritySince), Isolated: view.Isolated, DuplicateName: view.DuplicateName,
+			Share: view.Quota.Share, IsHolder: view.Quota.IsHolder, Excluded: view.Quota.Excluded}}
+	for _, member := range view.Members {
+		row := MemberReport{Name: member.Name, Address: member.Address, State: member.State.String(), Epoch: member.Epoch,
+			Incarnation: member.Incarnation, SinceS: secondsSince(member.Since), LastHeardS: -1,
+			RoundTripMS: float64(member.RoundTrip) / 1e6, ReportedBy: member.ReportedBy}
+		if member.LastHeardAt > 0 {
+			row.LastHeardS = secondsSince(member.LastHeardAt)
 		}
-		out.Members = append(out.Members, r)
+		report.Members = append(report.Members, row)
 	}
-	out.State = p.opt.State.copy(p.broadcastReport.Load())
-	return out
+	report.State = peers.options.State.copy(peers.replicationReport.Load())
+	return report
 }
 
-// Copy is a router's copy of the replicated state, by kind.
-type Copy struct {
-	Size      map[string]int       `json:"size"`
-	Digest    map[string]uint64    `json:"digest"` // equal where two copies are
-	Refused   uint64               `json:"refused"`
-	Withheld  uint64               `json:"withheld"`  // claims of completeness that did not count: what came with them could not be taken
-	Caught    bool                 `json:"caught_up"` // since its start it once had all of some member's entries
-	Fed       int                  `json:"fed"`       // members that it serves catch-up to
-	Broadcast crdt.BroadcastCounts `json:"told"`
-	Waits     Waits                `json:"waits"`
+// StateReport describes a router's copy of the replicated state. Size and Digest are by kind of entry.
+type StateReport struct {
+	Size           map[string]int       `json:"size"`
+	Digest         map[string]uint64    `json:"digest"` // equal for equal copies
+	Rejected       uint64               `json:"refused"`
+	WithheldClaims uint64               `json:"withheld"`  // completeness claims ignored because entries with them were rejected
+	CaughtUp       bool                 `json:"caught_up"` // the copy has caught up with other members since the start
+	CatchUpClients int                  `json:"fed"`       // members that are catching up from this router
+	Broadcast      crdt.BroadcastCounts `json:"told"`
+	Waits          WaitCounts           `json:"waits"`
 }
 
-// Waits are the outcomes of answers that waited for another member's acknowledgement.
-type Waits struct {
-	Acknowledged uint64  `json:"came"`
-	Over         uint64  `json:"over"`  // sent without: the wait timed out, or the client left
-	Full         uint64  `json:"full"`  // sent without: too many waited, or there was no room for the entry
-	Alone        uint64  `json:"alone"` // sent without: no other member was present
-	LongestMS    float64 `json:"longest_ms"`
+// WaitCounts are the outcomes of the waits for another member's acknowledgement of an entry.
+type WaitCounts struct {
+	Acknowledged  uint64  `json:"came"`
+	TimedOut      uint64  `json:"over"`  // not acknowledged: the wait timed out, or the client left
+	LimitReached  uint64  `json:"full"`  // not waited: there were too many waits, or the entry was rejected
+	NoOtherMember uint64  `json:"alone"` // not waited: no other member was present
+	LongestMS     float64 `json:"longest_ms"`
 }
 
-func (s *State) copy(t *broadcastReport) *Copy {
-	if s == nil {
+// copy returns the report on this copy; it is nil for a nil State.
+func (state *State) copy(replication *replicationReport) *StateReport {
+	if state == nil {
 		return nil
 	}
-	c := &Copy{Size: map[string]int{}, Digest: map[string]uint64{}}
-	if t != nil {
-		c.Caught, c.Fed, c.Broadcast = t.Caught, t.Fed, t.BroadcastCounts
+	report := &StateReport{Size: map[string]int{}, Digest: map[string]uint64{}}
+	if replication != nil {
+		report.CaughtUp, report.CatchUpClients, report.Broadcast = replication.CaughtUp, replication.CatchUpClients, replication.BroadcastCounts
 	}
-	s.Each(func(store *crdt.Store, _ int64) {
-		for k := crdt.SessionCommit; k <= crdt.LastKind; k++ {
-			c.Size[k.String()] += store.Size(k)
-			c.Digest[k.String()] += store.Digest(k)
+	state.EachShard(func(store *crdt.Store, _ int64) {
+		for kind := crdt.SessionCommit; kind <= crdt.LastKind; kind++ {
+			report.Size[kind.String()] += store.Size(kind)
+			report.Digest[kind.String()] += store.Digest(kind)
 		}
-		c.Refused += store.Rejected()
-		c.Withheld += store.WithheldClaims()
+		report.Rejected += store.Rejected()
+		report.WithheldClaims += store.WithheldClaims()
 	})
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c.Waits = Waits{s.counts.Acknowledged, s.counts.Over, s.counts.Full, s.counts.Alone, float64(s.counts.longest) / 1e6}
-	return c
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	report.Waits = WaitCounts{state.waitCounts.acknowledged, state.waitCounts.timedOut, state.waitCounts.limitReached,
+		state.waitCounts.noOtherMember, float64(state.waitCounts.longest) / 1e6}
+	return report
 }
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -10,220 +10,223 @@
 )
 
 const (
-	pieces   = 16   // shards of a copy; the same in all routers, as sequence numbers are counted in each
-	maxWaits = 1024 // writes that wait for another member's acknowledgement; more go on at once, and are counted
+	shardCount = 16 // shards of a copy; the same on all routers, because each shard has its own sequence numbers
+	// Limit of writes that wait for another member's acknowledgement. Further writes go on without waiting, and are counted.
+	maxWaits = 1024
 )
 
-// State is a router's copy of the replicated state, in shards by the entries' keys: a query for a session's commit
-// does not wait for one that uses another shard. It is safe for concurrent use.
+// State is a router's copy of the replicated state. It is sharded by the entries' keys, so that lookups in different
+// shards don't wait for each other. It is safe for concurrent use.
 //
-// Each shard is a store of its own, with its own sequence numbers for each origin. Global is only the greatest
-// position that this router learned by itself; a shard is given it when it is next used.
+// Each shard is a crdt.Store of its own, with its own sequence numbers for each origin. The shards share only the greatest
+// position that this router learned by itself: each shard receives it when it is next used.
 type State struct {
-	shards *sharded.Shards[crdt.Store]
-	now    func() int64
-	self   crdt.Origin
-	fresh  chan struct{} // signals new entries to broadcast
-	top    atomic.Int64
-	keeper Keeper // nil: none; set before the first use
-
-	mu     sync.Mutex
-	waits  map[uint64]*wait // by number
-	number uint64
-	urgent []urgent // to be broadcast at once
-	counts waits
-	alone  atomic.Bool // no other member is present that could acknowledge
-}
-
-// wait is one write's wait for the first acknowledgement of its entry.
-type wait struct {
+	shards         *sharded.Shards[crdt.Store]
+	now            func() int64
+	self           crdt.Origin
+	changed        chan struct{} // signals that there are new entries to broadcast
+	ownMaxPosition atomic.Int64
+	persister      Persister // nil without persistence; set before the first use
+
+	mu             sync.Mutex
+	waits          map[uint64]*ackWait // by wait number
+	lastWaitNumber uint64
+	urgentEntries  []urgentEntry // to be broadcast immediately
+	waitCounts     waitTotals
+	noOtherMember  atomic.Bool // no other member is present to acknowledge an entry
+}
+
+// ackWait is one write's wait for the first acknowledgement of its entry.
+type ackWait struct {
 	acknowledged chan struct{}
-	at           int64
+	startedAt    int64
 }
 
-type urgent struct {
-	entry crdt.Entry
-	wait  uint64
+// urgentEntry is an entry to be broadcast immediately, with the number of the wait for its acknowledgement; 0: none waits.
+type urgentEntry struct {
+	entry      crdt.Entry
+	waitNumber uint64
 }
 
-type waits struct {
-	Acknowledged, Over, Full, Alone uint64
-	longest                         int64
+type waitTotals struct {
+	acknowledged, timedOut, limitReached, noOtherMember uint64
+	longest                                             int64
 }
 
-// NewState returns an empty copy on a clock.
-func NewState(s crdt.Settings, now func() int64) (*State, error) { return newState(s, now, pieces) }
+// NewState returns an empty copy that uses the given clock.
+func NewState(s crdt.Settings, now func() int64) (*State, error) { return newState(s, now, shardCount) }
 
-func newState(s crdt.Settings, now func() int64, n int) (*State, error) {
-	if _, err := crdt.New(s); err != nil {
+func newState(settings crdt.Settings, now func() int64, shards int) (*State, error) {
+	if _, err := crdt.New(settings); err != nil {
 		return nil, err
 	}
-	s = s.Shard(n)
-	return &State{now: now, self: s.Self, fresh: make(chan struct{}, 1), waits: map[uint64]*wait{}, shards: sharded.New(n, func(int) crdt.Store {
-		store, _ := crdt.New(s) // the settings were checked
+	settings = settings.Shard(shards)
+	return &State{now: now, self: settings.Self, changed: make(chan struct{}, 1), waits: map[uint64]*ackWait{}, shards: sharded.New(shards, func(int) crdt.Store {
+		store, _ := crdt.New(settings) // the settings were checked above
 		return *store
 	})}, nil
 }
 
-// at calls a function with a shard, which it must not keep.
-func (s *State) at(i int, f func(store *crdt.Store, now int64)) {
-	now, top := s.now(), s.top.Load()
-	s.shards.At(i, func(store *crdt.Store) {
-		store.ObservePosition(top)
-		f(store, now)
+// withShardAt calls use with a shard, which use must not retain.
+func (state *State) withShardAt(index int, use func(store *crdt.Store, now int64)) {
+	now, position := state.now(), state.ownMaxPosition.Load()
+	state.shards.At(index, func(store *crdt.Store) {
+		store.ObservePosition(position)
+		use(store, now)
 	})
 }
 
-// Look calls a function with the shard of a key, see crdt.Entry.Key: the shard's lock is held meanwhile.
-func (s *State) Look(a, b string, f func(store *crdt.Store, now int64)) {
-	s.at(s.shards.Index(a, b), f)
+// WithShard calls use with the shard of a key (see crdt.Entry.Key) while it holds the shard's lock.
+func (state *State) WithShard(a, b string, use func(store *crdt.Store, now int64)) {
+	state.withShardAt(state.shards.Index(a, b), use)
 }
 
-// Each calls a function with all shards, one by one: between two of them anything may change.
-func (s *State) Each(f func(store *crdt.Store, now int64)) {
-	for i := range s.shards.Len() {
-		s.at(i, f)
+// EachShard calls use with each shard in turn. It holds one lock at a time: the state may change between two calls.
+func (state *State) EachShard(use func(store *crdt.Store, now int64)) {
+	for index := range state.shards.Len() {
+		state.withShardAt(index, use)
 	}
 }
 
-func (s *State) index(e *crdt.Entry) int { return s.shards.Index(e.Key()) }
+func (state *State) shardIndex(entry *crdt.Entry) int { return state.shards.Index(entry.Key()) }
 
-// know raises the greatest position that this router has learned by itself.
-func (s *State) know(e *crdt.Entry) {
-	if e.Kind > crdt.ServerPosition || e.Kind == crdt.PendingWrite {
+// observeOwnPosition raises the greatest position that this router has learned by itself to that of the entry.
+func (state *State) observeOwnPosition(entry *crdt.Entry) {
+	if entry.Kind > crdt.ServerPosition || entry.Kind == crdt.PendingWrite {
 		return
 	}
-	top := s.top.Load()
-	for e.At > top && !s.top.CompareAndSwap(top, e.At) {
-		top = s.top.Load()
+	position := state.ownMaxPosition.Load()
+	for entry.At > position && !state.ownMaxPosition.CompareAndSwap(position, entry.At) {
+		position = state.ownMaxPosition.Load()
 	}
 }
 
-// Learn stores what this router itself has learned just now.
-func (s *State) Learn(e crdt.Entry) (learned bool) {
-	s.know(&e)
-	s.at(s.index(&e), func(store *crdt.Store, now int64) {
-		if learned = store.Learn(now, e); learned {
-			e.Age = 0
-			e.From, e.Seq = store.LastLearned()
+// Learn stores an entry that this router has just learned by itself, and reports whether it changed the copy.
+func (state *State) Learn(entry crdt.Entry) (learned bool) {
+	state.observeOwnPosition(&entry)
+	state.withShardAt(state.shardIndex(&entry), func(store *crdt.Store, now int64) {
+		if learned = store.Learn(now, entry); learned {
+			entry.Age = 0
+			entry.From, entry.Seq = store.LastLearned()
 		}
 	})
-	if learned && s.keeper != nil {
-		s.keeper.Put(e, crdt.Origin{})
+	if learned && state.persister != nil {
+		state.persister.Persist(entry, crdt.Origin{})
 	}
 	if learned {
-		s.poke()
+		state.signalChange()
 	}
 	return learned
 }
 
-// poke wakes Run's goroutine.
-func (s *State) poke() {
+// signalChange wakes Run's goroutine.
+func (state *State) signalChange() {
 	select {
-	case s.fresh <- struct{}{}:
+	case state.changed <- struct{}{}:
 	default:
 	}
 }
 
-// pending signals that there are entries to broadcast; a nil State never does.
-func (s *State) pending() <-chan struct{} {
-	if s == nil {
+// changes returns the channel that signals new entries to broadcast. It is nil for a nil State.
+func (state *State) changes() <-chan struct{} {
+	if state == nil {
 		return nil
 	}
-	return s.fresh
-}
-
-// LearnDurably is Learn that waits until one other member has acknowledged the entry, or one that supersedes it; at most so
-// long, and not beyond the end of gone. It says whether it was acknowledged. Where no other member is present it does not wait.
-func (s *State) LearnDurably(e crdt.Entry, most time.Duration, gone <-chan struct{}) bool {
-	s.know(&e)
-	ok := false
-	var tell crdt.Entry
-	s.at(s.index(&e), func(store *crdt.Store, now int64) { tell, ok = store.LearnDurably(now, e) })
-	if ok && s.keeper != nil && tell.From == s.self {
-		s.keeper.Put(tell, crdt.Origin{})
+	return state.changed
+}
+
+// LearnDurably stores an entry like Learn, and waits until one other member has acknowledged it or an entry that supersedes
+// it. The wait ends at the timeout or when canceled is closed. LearnDurably reports whether the entry was acknowledged.
+// It does not wait if no other member is present.
+func (state *State) LearnDurably(entry crdt.Entry, timeout time.Duration, canceled <-chan struct{}) bool {
+	state.observeOwnPosition(&entry)
+	accepted := false
+	var learned crdt.Entry
+	state.withShardAt(state.shardIndex(&entry), func(store *crdt.Store, now int64) { learned, accepted = store.LearnDurably(now, entry) })
+	if accepted && state.persister != nil && learned.From == state.self {
+		state.persister.Persist(learned, crdt.Origin{})
 	}
-	s.mu.Lock()
-	if alone := s.alone.Load(); !ok || alone || len(s.waits) >= maxWaits {
-		if alone {
-			s.counts.Alone++
+	state.mu.Lock()
+	if noOtherMember := state.noOtherMember.Load(); !accepted || noOtherMember || len(state.waits) >= maxWaits {
+		if noOtherMember {
+			state.waitCounts.noOtherMember++
 		} else {
-			s.counts.Full++
+			state.waitCounts.limitReached++
 		}
-		if ok && len(s.urgent) < maxWaits {
-			s.urgent = append(s.urgent, urgent{tell, 0})
+		if accepted && len(state.urgentEntries) < maxWaits {
+			state.urgentEntries = append(state.urgentEntries, urgentEntry{learned, 0})
 		}
-		s.mu.Unlock()
-		s.poke()
+		state.mu.Unlock()
+		state.signalChange()
 		return false
 	}
-	s.number++
-	number, w := s.number, &wait{make(chan struct{}), s.now()}
-	s.waits[number] = w
-	s.urgent = append(s.urgent, urgent{tell, number})
-	s.mu.Unlock()
-	s.poke()
-	timer := time.NewTimer(most)
+	state.lastWaitNumber++
+	number, pending := state.lastWaitNumber, &ackWait{make(chan struct{}), state.now()}
+	state.waits[number] = pending
+	state.urgentEntries = append(state.urgentEntries, urgentEntry{learned, number})
+	state.mu.Unlock()
+	state.signalChange()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-w.acknowledged:
-	case <-gone:
+	case <-pending.acknowledged:
+	case <-canceled:
 	case <-timer.C:
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if _, open := s.waits[number]; open { // not acknowledged by now, whatever ended the wait
-		delete(s.waits, number)
-		s.counts.Over++
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	if _, unacknowledged := state.waits[number]; unacknowledged { // not acknowledged, whatever ended the wait
+		delete(state.waits, number)
+		state.waitCounts.timedOut++
 		return false
 	}
 	return true
 }
 
-// pressed says whether entries wait to be broadcast at once.
-func (s *State) pressed() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.urgent) > 0
+// hasUrgent reports whether there are entries to be broadcast immediately.
+func (state *State) hasUrgent() bool {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	return len(state.urgentEntries) > 0
 }
 
-// takeUrgent removes and returns the entries to broadcast at once.
-func (s *State) takeUrgent() []urgent {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := s.urgent
-	s.urgent = nil
-	return out
+// takeUrgent removes and returns the entries to be broadcast immediately.
+func (state *State) takeUrgent() []urgentEntry {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	entries := state.urgentEntries
+	state.urgentEntries = nil
+	return entries
 }
 
-// ended ends the waits of acknowledged entries.
-func (s *State) ended(numbers []uint64) {
+// endWaits ends the waits for acknowledged entries.
+func (state *State) endWaits(numbers []uint64) {
 	if len(numbers) == 0 {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, n := range numbers {
-		if w := s.waits[n]; w != nil {
-			delete(s.waits, n)
-			s.counts.Acknowledged++
-			s.counts.longest = max(s.counts.longest, s.now()-w.at)
-			close(w.acknowledged)
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	for _, number := range numbers {
+		if pending := state.waits[number]; pending != nil {
+			delete(state.waits, number)
+			state.waitCounts.acknowledged++
+			state.waitCounts.longest = max(state.waitCounts.longest, state.now()-pending.startedAt)
+			close(pending.acknowledged)
 		}
 	}
 }
 
-// take merges an entry of a peer, says whether it changed anything, and whether this copy needs nothing more for it.
-func (s *State) take(e *crdt.Entry) (changed, covered bool) {
-	s.at(s.index(e), func(store *crdt.Store, now int64) { changed, covered = store.Merge(now, *e), store.Covers(now, e) })
+// merge merges an entry from a peer. It reports whether the entry changed the copy, and whether the copy now covers it.
+func (state *State) merge(e *crdt.Entry) (changed, covered bool) {
+	state.withShardAt(state.shardIndex(e), func(store *crdt.Store, now int64) { changed, covered = store.Merge(now, *e), store.Covers(now, e) })
 	return changed, covered
 }
 
-// takePending removes and returns what was learned since the last call, for the broadcaster.
-func (s *State) takePending() (out []crdt.Entry) {
-	s.Each(func(store *crdt.Store, now int64) {
+// takePending removes and returns the entries learned since the last call, for the broadcaster. It also expires entries.
+func (state *State) takePending() (entries []crdt.Entry) {
+	state.EachShard(func(store *crdt.Store, now int64) {
 		store.Expire(now)
-		out = append(out, store.TakePending(now, 1<<20)...)
+		entries = append(entries, store.TakePending(now, 1<<20)...)
 	})
-	return out
+	return entries
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -13,159 +13,164 @@
 	"lotushook/policy/membership"
 )
 
-func (p *Peers) send(list []membership.Message) {
-	now := p.opt.Now()
-	for i := range list {
-		m := &list[i]
-		to, ok := p.sessionAt[m.To]
-		if !ok {
-			if len(p.pending) >= maxPending {
-				clear(p.pending)
+// sendMembership sends membership messages. A message to an address without a known session announces only this process's
+// session there; the message itself is stored, and sent when the session is known.
+func (peers *Peers) sendMembership(messages []membership.Message) {
+	now := peers.options.Now()
+	for index := range messages {
+		message := &messages[index]
+		session, known := peers.sessionByAddress[message.To]
+		if !known {
+			if len(peers.pending) >= maxPending {
+				clear(peers.pending)
 			}
-			p.pending[m.To] = late{now, *m}
+			peers.pending[message.To] = pendingMessage{now, *message}
 		}
-		p.post(m.To, to, wrap(m), nil)
+		peers.sendMessage(message.To, session, encodeMembership(message), nil)
 	}
 }
 
-// postState sends to a member whose session is known; others are contacted by membership first.
-func (p *Peers) postState(address string, s *state) {
-	if to, ok := p.sessionAt[address]; ok {
-		p.post(address, to, nil, s)
+// sendState sends a state message, if the session at the address is known. Other addresses are contacted by membership
+// messages first.
+func (peers *Peers) sendState(address string, message *stateMessage) {
+	if session, known := peers.sessionByAddress[address]; known {
+		peers.sendMessage(address, session, nil, message)
 	}
 }
 
-// post sends one message to an address: as a datagram, or over a connection where it is too long for one.
-func (p *Peers) post(address string, to uint64, b *body, s *state) {
-	at, err := netip.ParseAddrPort(address)
+// sendMessage sends one message to an address: as a datagram, or over a TCP connection if it is too long for a datagram.
+func (peers *Peers) sendMessage(address string, session uint64, membershipPart *membershipMessage, statePart *stateMessage) {
+	addressPort, err := netip.ParseAddrPort(address)
 	if err != nil {
-		p.counts.notSent.Add(1)
+		peers.counts.notSent.Add(1)
 		return
 	}
-	p.count++
-	raw, err := seal(&envelope{Cluster: p.opt.Cluster, From: p.opt.Member.Name, Address: p.opt.Member.Address, Session: p.session, To: to, Count: p.count, Body: b, State: s},
-		(*p.keys.Load())[0])
-	if err != nil || len(raw) > maxTCPBytes {
-		p.counts.notSent.Add(1)
+	peers.lastSequence++
+	sealed, err := seal(&envelope{Cluster: peers.options.Cluster, From: peers.options.Membership.Name,
+		Address: peers.options.Membership.Address, Session: peers.session, To: session, Sequence: peers.lastSequence,
+		Membership: membershipPart, State: statePart}, (*peers.keys.Load())[0])
+	if err != nil || len(sealed) > maxTCPBytes {
+		peers.counts.notSent.Add(1)
 		return
 	}
-	p.counts.sent.Add(1)
-	p.counts.sentBytes.Add(uint64(len(raw)))
-	if len(raw) <= maxUDPBytes {
-		if _, err := p.udp.WriteToUDPAddrPort(raw, at); err != nil {
-			p.counts.notSent.Add(1)
+	peers.counts.sent.Add(1)
+	peers.counts.sentBytes.Add(uint64(len(sealed)))
+	if len(sealed) <= maxUDPBytes {
+		if _, err := peers.udp.WriteToUDPAddrPort(sealed, addressPort); err != nil {
+			peers.counts.notSent.Add(1)
 		}
 		return
 	}
 	select {
-	case p.senders <- struct{}{}:
+	case peers.senderSlots <- struct{}{}:
 		go func() {
-			defer func() { <-p.senders }()
-			if p.connectAndSend(at, raw) != nil {
-				p.counts.notSent.Add(1)
+			defer func() { <-peers.senderSlots }()
+			if peers.sendOverConnection(addressPort, sealed) != nil {
+				peers.counts.notSent.Add(1)
 			}
 		}()
 	default:
-		p.counts.notSent.Add(1)
+		peers.counts.notSent.Add(1)
 	}
 }
 
-// connectAndSend sends one message behind its length. It comes from the address that is listened on, as datagrams do.
-func (p *Peers) connectAndSend(at netip.AddrPort, raw []byte) error {
-	from := p.udp.LocalAddr().(*net.UDPAddr).AddrPort().Addr()
-	d := net.Dialer{Timeout: tcpFor}
-	if !from.IsUnspecified() {
-		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(from, 0))
+// sendOverConnection sends one message, prefixed with its length, over a new TCP connection. Like datagrams, the connection
+// uses the listening address as its source.
+func (peers *Peers) sendOverConnection(addressPort netip.AddrPort, sealed []byte) error {
+	localAddress := peers.udp.LocalAddr().(*net.UDPAddr).AddrPort().Addr()
+	dialer := net.Dialer{Timeout: connectionTimeout}
+	if !localAddress.IsUnspecified() {
+		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(localAddress, 0))
 	}
-	conn, err := d.Dial("tcp", at.String())
+	conn, err := dialer.Dial("tcp", addressPort.String())
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(tcpFor))
-	_, err = conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...))
+	conn.SetDeadline(time.Now().Add(connectionTimeout))
+	_, err = conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sealed))), sealed...))
 	return err
 }
 
-// readAll reads datagrams. It reads so many in a slot and leaves others in the socket, so that a flood takes little of
-// the router's core.
-func (p *Peers) readAll(ctx context.Context) {
-	buf := make([]byte, maxUDPBytes+1) // a longer datagram is cut, and its key does not match
-	began, looked := time.Now(), 0
+// readDatagrams reads datagrams. It reads at most maxDatagramsPerSlot per readSlot and leaves the others in the socket, so
+// that a flood of datagrams uses little of the router's CPU time.
+func (peers *Peers) readDatagrams(ctx context.Context) {
+	buffer := make([]byte, maxUDPBytes+1) // a longer datagram is truncated, and its MAC does not match
+	slotStart, datagrams := time.Now(), 0
 	for {
-		n, _, err := p.udp.ReadFromUDPAddrPort(buf)
+		size, _, err := peers.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			time.Sleep(slot)
+			time.Sleep(readSlot)
 			continue
 		}
-		p.enter(buf[:n])
-		if looked++; looked >= perSlot {
-			if left := slot - time.Since(began); left > 0 {
-				time.Sleep(left)
+		peers.authenticate(buffer[:size])
+		if datagrams++; datagrams >= maxDatagramsPerSlot {
+			if remaining := readSlot - time.Since(slotStart); remaining > 0 {
+				time.Sleep(remaining)
 			}
-			began, looked = time.Now(), 0
+			slotStart, datagrams = time.Now(), 0
 		}
 	}
 }
 
-// enter authenticates a message and queues it.
-func (p *Peers) enter(raw []byte) {
-	e, err := open(raw, *p.keys.Load())
+// authenticate verifies a received message, and queues it for Run.
+func (peers *Peers) authenticate(sealed []byte) {
+	message, err := open(sealed, *peers.keys.Load())
 	switch {
 	case errors.Is(err, errVersion):
-		p.counts.versions.Add(1)
+		peers.counts.otherVersion.Add(1)
 	case errors.Is(err, errMAC):
-		p.counts.strangers.Add(1)
+		peers.counts.unauthenticated.Add(1)
 	case err != nil:
-		p.counts.garbage.Add(1)
+		peers.counts.malformed.Add(1)
 	default:
 		select {
-		case p.in <- e:
+		case peers.received <- message:
 		default:
-			p.counts.full.Add(1)
+			peers.counts.queueFull.Add(1)
 		}
 	}
 }
 
-// acceptAll receives long messages, one a connection.
-func (p *Peers) acceptAll(ctx context.Context) {
+// acceptConnections receives long messages, one per TCP connection.
+func (peers *Peers) acceptConnections(ctx context.Context) {
 	slots := make(chan struct{}, maxReceivers)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for {
-		conn, err := p.tcp.Accept()
+		conn, err := peers.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		}
-		if err != nil { // out of descriptors: clients come first
+		if err != nil { // out of file descriptors: waits, because client connections have priority
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		p.counts.connections.Add(1)
+		peers.counts.connections.Add(1)
 		slots <- struct{}{}
-		all.Go(func() {
+		connections.Go(func() {
 			defer func() { <-slots }()
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(tcpFor))
-			var size [4]byte
-			if _, err := io.ReadFull(conn, size[:]); err != nil {
-				p.counts.garbage.Add(1)
+			conn.SetDeadline(time.Now().Add(connectionTimeout))
+			var prefix [4]byte
+			if _, err := io.ReadFull(conn, prefix[:]); err != nil {
+				peers.counts.malformed.Add(1)
 				return
 			}
-			n := binary.BigEndian.Uint32(size[:])
-			if n > maxTCPBytes {
-				p.counts.garbage.Add(1)
+			size := binary.BigEndian.Uint32(prefix[:])
+			if size > maxTCPBytes {
+				peers.counts.malformed.Add(1)
 				return
 			}
-			raw, err := io.ReadAll(io.LimitReader(conn, int64(n))) // grows with the received bytes, not with the announced length
-			if err != nil || len(raw) != int(n) {
-				p.counts.garbage.Add(1)
+			sealed, err := io.ReadAll(io.LimitReader(conn, int64(size))) // allocates as bytes arrive, not by the announced length
+			if err != nil || len(sealed) != int(size) {
+				peers.counts.malformed.Add(1)
 				return
 			}
-			p.enter(raw)
+			peers.authenticate(sealed)
 		})
 	}
 }
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	version         = 2  // 1 had no cursors and no shedding levels
-	macSize         = 16 // of SHA-256's 32: forging one needs 2^128 tries
-	header          = 3  // two letters, and the version
+	protocolVersion = 2  // version 1 had no cursors and no shedding levels
+	macBytes        = 16 // of SHA-256's 32 bytes; guessing a valid MAC takes 2^128 attempts
+	headerBytes     = 3  // magic, and the version
 	maxUDPBytes     = 1200
 	maxTCPBytes     = 256 << 10
 	maxNameBytes    = 63
@@ -24,183 +24,194 @@
 
 var magic = [2]byte{'l', 'h'}
 
-// Why a message was not accepted.
+// Reasons to reject a message.
 var (
-	errShort   = errors.New("too short, or not of this protocol")
-	errVersion = errors.New("of another version")
-	errMAC     = errors.New("of no key that is known here")
-	errBody    = errors.New("not to be understood")
+	errShort   = errors.New("peer: message too short, or of another protocol")
+	errVersion = errors.New("peer: message of another protocol version")
+	errMAC     = errors.New("peer: message not signed with a known key")
+	errBody    = errors.New("peer: message cannot be decoded")
 )
 
-// envelope is a message on the wire. The receiver's session shows that it was written for this very process: nothing that was
-// recorded before a start is accepted after it, and the sequence number prevents duplicates.
+// envelope is a message on the wire. To contains the session of the receiving process, so that messages recorded before a
+// restart are rejected after it. The sequence number detects duplicates within a session.
 type envelope struct {
-	Cluster string `cbor:"1,keyasint"`
-	From    string `cbor:"2,keyasint"`
-	Address string `cbor:"3,keyasint"` // where the sender is reached
-	Session uint64 `cbor:"4,keyasint"` // drawn at the sender's start
-	To      uint64 `cbor:"5,keyasint"` // the receiver's, if it is known
-	Count   uint64 `cbor:"6,keyasint"`
-	Body    *body  `cbor:"7,keyasint,omitempty"` // neither this nor the next: it announces the sender's session
-	State   *state `cbor:"8,keyasint,omitempty"`
+	Cluster    string             `cbor:"1,keyasint"`
+	From       string             `cbor:"2,keyasint"`
+	Address    string             `cbor:"3,keyasint"` // where other routers reach the sender
+	Session    uint64             `cbor:"4,keyasint"` // random number drawn at the sender's start
+	To         uint64             `cbor:"5,keyasint"` // the receiver's session; 0 if the sender does not know it
+	Sequence   uint64             `cbor:"6,keyasint"`
+	Membership *membershipMessage `cbor:"7,keyasint,omitempty"` // without it and State, only announces Session
+	State      *stateMessage      `cbor:"8,keyasint,omitempty"`
 }
 
-type body struct {
-	Kind          uint8    `cbor:"1,keyasint"`
-	Boot          uint64   `cbor:"2,keyasint"`
-	Seq           uint32   `cbor:"3,keyasint,omitempty"`
-	Target        string   `cbor:"4,keyasint,omitempty"`
-	TargetAddress string   `cbor:"5,keyasint,omitempty"`
-	Deaf          bool     `cbor:"6,keyasint,omitempty"`
-	News          []update `cbor:"7,keyasint,omitempty"`
-	Row           *promise `cbor:"8,keyasint,omitempty"`
+// membershipMessage is the encoded form of a membership.Message.
+type membershipMessage struct {
+	Kind          uint8        `cbor:"1,keyasint"`
+	Epoch         uint64       `cbor:"2,keyasint"`
+	Seq           uint32       `cbor:"3,keyasint,omitempty"`
+	Target        string       `cbor:"4,keyasint,omitempty"`
+	TargetAddress string       `cbor:"5,keyasint,omitempty"`
+	Isolated      bool         `cbor:"6,keyasint,omitempty"`
+	Updates       []wireUpdate `cbor:"7,keyasint,omitempty"`
+	Vote          *wireVote    `cbor:"8,keyasint,omitempty"`
 }
 
-type update struct {
+// wireUpdate is the encoded form of a membership.Update.
+type wireUpdate struct {
 	_             struct{} `cbor:",toarray"`
 	Name, Address string
-	Boot          uint64
+	Epoch         uint64
 	Incarnation   uint32
 	State         uint8
-	By            string
+	ReportedBy    string
 }
 
-type promise struct {
-	_     struct{} `cbor:",toarray"`
-	List  uint64
-	Grant bool
-	Gone  []byte
+// wireVote is the encoded form of a quotalease.Vote.
+type wireVote struct {
+	_         struct{} `cbor:",toarray"`
+	NamesHash uint64
+	Granted   bool
+	Excluded  []byte
 }
 
 var (
-	enc = must(cbor.CoreDetEncOptions().EncMode())
-	dec = must(cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 12, MaxMapPairs: 64, IndefLength: cbor.IndefLengthForbidden,
+	encoder = must(cbor.CoreDetEncOptions().EncMode())
+	decoder = must(cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 12, MaxMapPairs: 64, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF, UTF8: cbor.UTF8RejectInvalid}.DecMode())
 )
 
-func must[T any](v T, err error) T {
+func must[T any](value T, err error) T {
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // unreachable: the options are constant
 	}
-	return v
+	return value
 }
 
 // seal encodes an envelope and signs it with a key.
-func seal(e *envelope, key []byte) ([]byte, error) {
-	raw, err := enc.Marshal(e)
+func seal(message *envelope, key []byte) ([]byte, error) {
+	encoded, err := encoder.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	out := make([]byte, 0, header+macSize+len(raw))
-	out = append(out, magic[0], magic[1], version)
-	out = append(out, mac(key, raw)...)
-	return append(out, raw...), nil
+	sealed := make([]byte, 0, headerBytes+macBytes+len(encoded))
+	sealed = append(sealed, magic[0], magic[1], protocolVersion)
+	sealed = append(sealed, computeMAC(key, encoded)...)
+	return append(sealed, encoded...), nil
 }
 
-// mac covers the version too.
-func mac(key, raw []byte) []byte {
-	h := hmac.New(sha256.New, key)
-	h.Write([]byte{version})
-	h.Write(raw)
-	return h.Sum(nil)[:macSize]
+// computeMAC returns the MAC of an encoded envelope and of the protocol version.
+func computeMAC(key, encoded []byte) []byte {
+	hash := hmac.New(sha256.New, key)
+	hash.Write([]byte{protocolVersion})
+	hash.Write(encoded)
+	return hash.Sum(nil)[:macBytes]
 }
 
-// open decodes and verifies a message with any of the keys. Its result is bounded, and from an owner of a key.
-func open(raw []byte, keys [][]byte) (*envelope, error) {
+// open verifies a message with any of the keys, and decodes it. The sizes of the returned envelope are within bounds.
+func open(sealed []byte, keys [][]byte) (*envelope, error) {
 	switch {
-	case len(raw) < header+macSize || raw[0] != magic[0] || raw[1] != magic[1]:
+	case len(sealed) < headerBytes+macBytes || sealed[0] != magic[0] || sealed[1] != magic[1]:
 		return nil, errShort
-	case raw[2] != version:
+	case sealed[2] != protocolVersion:
 		return nil, errVersion
 	}
-	sum, text := raw[header:header+macSize], raw[header+macSize:]
-	known := false
+	receivedMAC, encoded := sealed[headerBytes:headerBytes+macBytes], sealed[headerBytes+macBytes:]
+	authentic := false
 	for _, key := range keys {
-		known = known || hmac.Equal(sum, mac(key, text))
+		authentic = authentic || hmac.Equal(receivedMAC, computeMAC(key, encoded))
 	}
-	if !known {
+	if !authentic {
 		return nil, errMAC
 	}
-	var e envelope
-	if err := dec.Unmarshal(text, &e); err != nil || !e.sound() {
+	var message envelope
+	if err := decoder.Unmarshal(encoded, &message); err != nil || !message.withinBounds() {
 		return nil, errBody
 	}
-	return &e, nil
+	return &message, nil
 }
 
-// sound says whether the sizes of all its parts are within bounds.
-func (e *envelope) sound() bool {
-	if e.From == "" || len(e.From) > maxNameBytes || e.Address == "" || len(e.Address) > maxAddressBytes || len(e.Cluster) > maxNameBytes {
+// withinBounds reports whether the sizes of all parts of the envelope are within bounds.
+func (message *envelope) withinBounds() bool {
+	if message.From == "" || len(message.From) > maxNameBytes || message.Address == "" ||
+		len(message.Address) > maxAddressBytes || len(message.Cluster) > maxNameBytes {
 		return false
 	}
-	b := e.Body
-	if e.State != nil && !e.State.sound() {
+	part := message.Membership
+	if message.State != nil && !message.State.withinBounds() {
 		return false
 	}
-	if b == nil {
+	if part == nil {
 		return true
 	}
-	if len(b.Target) > maxNameBytes || len(b.TargetAddress) > maxAddressBytes || b.Row != nil && len(b.Row.Gone) > maxUDPBytes {
+	if len(part.Target) > maxNameBytes || len(part.TargetAddress) > maxAddressBytes ||
+		part.Vote != nil && len(part.Vote.Excluded) > maxUDPBytes {
 		return false
 	}
-	for i := range b.News {
-		if u := &b.News[i]; len(u.Name) > maxNameBytes || len(u.Address) > maxAddressBytes || len(u.By) > maxNameBytes {
+	for index := range part.Updates {
+		if update := &part.Updates[index]; len(update.Name) > maxNameBytes || len(update.Address) > maxAddressBytes ||
+			len(update.ReportedBy) > maxNameBytes {
 			return false
 		}
 	}
 	return true
 }
 
-// wrap encodes a membership message.
-func wrap(m *membership.Message) *body {
-	b := &body{Kind: uint8(m.Kind), Boot: m.Epoch, Seq: m.Seq, Target: m.Target, TargetAddress: m.TargetAddress, Deaf: m.Isolated}
-	for _, u := range m.Updates {
-		b.News = append(b.News, update{Name: u.Name, Address: u.Address, Boot: u.Epoch, Incarnation: u.Incarnation, State: uint8(u.State), By: u.ReportedBy})
+// encodeMembership returns the encoded form of a membership message.
+func encodeMembership(message *membership.Message) *membershipMessage {
+	encoded := &membershipMessage{Kind: uint8(message.Kind), Epoch: message.Epoch, Seq: message.Seq, Target: message.Target,
+		TargetAddress: message.TargetAddress, Isolated: message.Isolated}
+	for _, update := range message.Updates {
+		encoded.Updates = append(encoded.Updates, wireUpdate{Name: update.Name, Address: update.Address, Epoch: update.Epoch,
+			Incarnation: update.Incarnation, State: uint8(update.State), ReportedBy: update.ReportedBy})
 	}
-	if m.Vote != nil {
-		b.Row = &promise{List: m.Vote.NamesHash, Grant: m.Vote.Granted, Gone: m.Vote.Excluded}
+	if message.Vote != nil {
+		encoded.Vote = &wireVote{NamesHash: message.Vote.NamesHash, Granted: message.Vote.Granted, Excluded: message.Vote.Excluded}
 	}
-	return b
+	return encoded
 }
 
-// message decodes a membership message.
-func (e *envelope) message() membership.Message {
-	b := e.Body
-	m := membership.Message{Kind: membership.Kind(b.Kind), From: e.From, Address: e.Address, Epoch: b.Boot, Seq: b.Seq, Target: b.Target,
-		TargetAddress: b.TargetAddress, Isolated: b.Deaf}
-	for _, u := range b.News {
-		m.Updates = append(m.Updates, membership.Update{Name: u.Name, Address: u.Address, Epoch: u.Boot, Incarnation: u.Incarnation, State: membership.State(u.State), ReportedBy: u.By})
+// decodeMembership returns the membership message of an envelope that has one.
+func (message *envelope) decodeMembership() membership.Message {
+	encoded := message.Membership
+	decoded := membership.Message{Kind: membership.Kind(encoded.Kind), From: message.From, Address: message.Address,
+		Epoch: encoded.Epoch, Seq: encoded.Seq, Target: encoded.Target, TargetAddress: encoded.TargetAddress,
+		Isolated: encoded.Isolated}
+	for _, update := range encoded.Updates {
+		decoded.Updates = append(decoded.Updates, membership.Update{Name: update.Name, Address: update.Address, Epoch: update.Epoch,
+			Incarnation: update.Incarnation, State: membership.State(update.State), ReportedBy: update.ReportedBy})
 	}
-	if b.Row != nil {
-		m.Vote = &quotalease.Vote{NamesHash: b.Row.List, Granted: b.Row.Grant, Excluded: b.Row.Gone}
+	if encoded.Vote != nil {
+		decoded.Vote = &quotalease.Vote{NamesHash: encoded.Vote.NamesHash, Granted: encoded.Vote.Granted, Excluded: encoded.Vote.Excluded}
 	}
-	return m
+	return decoded
 }
 
-// window records which sequence numbers of one session were received: the greatest, and which of the 64 up to it.
-type window struct {
-	top  uint64
-	bits uint64
-	at   int64 // when the session was last heard
+// receiveWindow records which sequence numbers of one session were received: the greatest, and a bit for each of the 64 up
+// to it.
+type receiveWindow struct {
+	maxSequence uint64
+	seenBits    uint64
+	lastHeardAt int64 // when the last message of the session arrived
 }
 
-// fresh records a sequence number, and says whether it is new.
-func (w *window) fresh(count uint64) bool {
+// accept records a sequence number, and reports whether it is new.
+func (window *receiveWindow) accept(sequence uint64) bool {
 	switch {
-	case count > w.top:
-		if shift := count - w.top; shift < 64 {
-			w.bits <<= shift
+	case sequence > window.maxSequence:
+		if shift := sequence - window.maxSequence; shift < 64 {
+			window.seenBits <<= shift
 		} else {
-			w.bits = 0
+			window.seenBits = 0
 		}
-		w.top = count
-	case w.top-count >= 64:
+		window.maxSequence = sequence
+	case window.maxSequence-sequence >= 64:
 		return false
 	}
-	bit := uint64(1) << (w.top - count)
-	if w.bits&bit != 0 {
+	bit := uint64(1) << (window.maxSequence - sequence)
+	if window.seenBits&bit != 0 {
 		return false
 	}
-	w.bits |= bit
+	window.seenBits |= bit
 	return true
 }
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -85,7 +85,7 @@
 		if m.persisted, err = newPersistedState(own, crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch}, r.clock.now); err != nil {
 			return nil, err
 		}
-		m.state.SetKeeper(m.persisted)
+		m.state.SetPersister(m.persisted)
 	}
 	m.keys, err = peer.ReadKeys(own.KeyFile)
 	return m, err
@@ -99,7 +99,7 @@
 			return err
 		}
 	}
-	m.peers, err = peer.Listen(peer.Options{Cluster: m.settings.Cluster, Listen: m.settings.Routers[m.detectorSettings.Name].Listen, Member: m.detectorSettings, Keys: m.keys, State: m.state, Zones: m.settings.Zones(), Changed: m.changed,
+	m.peers, err = peer.Listen(peer.Options{Cluster: m.settings.Cluster, Listen: m.settings.Routers[m.detectorSettings.Name].Listen, Membership: m.detectorSettings, Keys: m.keys, State: m.state, Zones: m.settings.Zones(), OnViewChange: m.changed,
 		Now: m.router.clock.now})
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 	force := v.Quota
 	m.quota.Store(&force)
 	m.router.recovery.peersSeen(v)
-	peer.Log(m.loggedView, v)
+	peer.LogViewChanges(m.loggedView, v)
 	m.loggedView = v
 }
 
@@ -242,7 +242,7 @@
 		return 0
 	}
 	host, born := m.router.directory.StartOf(node)
-	m.state.Look(host, "", func(s *crdt.Store, now int64) {
+	m.state.WithShard(host, "", func(s *crdt.Store, now int64) {
 		if reported, age, own := s.AppliedPosition(now, host, born); !own && age < maxPositionAge {
 			at = reported
 		}
@@ -275,7 +275,7 @@
 func (m *membershipService) commit(group int64, session string) (at clock.Nanos) {
 	if m != nil && m.state != nil && session != "" {
 		name := strconv.FormatInt(group, 10)
-		m.state.Look(name, session, func(s *crdt.Store, _ int64) { at, _ = s.CommitPosition(name, session) })
+		m.state.WithShard(name, session, func(s *crdt.Store, _ int64) { at, _ = s.CommitPosition(name, session) })
 	}
 	return at
 }
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -118,7 +118,7 @@
 	e := r.directory.Apply(&discovery.List{Complete: true, Hosts: []discovery.Host{{Name: "h", Group: 1, StartedMS: 5}}})
 	node := e.Endpoints[0].ID
 	tell := func(born, at, age int64) {
-		m.state.Look("h", "", func(s *crdt.Store, now int64) {
+		m.state.WithShard("h", "", func(s *crdt.Store, now int64) {
 			s.Merge(now, crdt.Entry{Kind: crdt.ServerPosition, A: "h", Born: born, At: at, Age: age, From: crdt.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
 		})
 	}
@@ -138,7 +138,7 @@
 	if at := m.position(node); at != 0 {
 		t.Errorf("%d is this router's own", at)
 	}
-	m.state.Look("1", "", func(s *crdt.Store, _ int64) {
+	m.state.WithShard("1", "", func(s *crdt.Store, _ int64) {
 		if server, born, at := s.Primary("1"); server != "h" || born != 5e6 || at != 80 {
 			t.Errorf("primary %s %d %d", server, born, at)
 		}
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -26,7 +26,7 @@
 )
 
 // persistedState connects the replicated state to its copy on disk: it writes the entries, restores them at a start, and knows
-// which of them are confirmed. It implements peer.Keeper.
+// which of them are confirmed. It implements peer.Persister.
 type persistedState struct {
 	store       *store.Store
 	loadTimeout time.Duration
@@ -115,9 +115,9 @@
 	}
 }
 
-// Put stores an entry that the state holds now. Feed cursors and shedding levels are not stored: no rule says yet how
+// Persist stores an entry that the state holds now. Feed cursors and shedding levels are not stored: no rule says yet how
 // a restored cursor may be used, and a level expires after two seconds.
-func (k *persistedState) Put(e crdt.Entry, by crdt.Origin) {
+func (k *persistedState) Persist(e crdt.Entry, by crdt.Origin) {
 	if e.Kind > crdt.Hint {
 		return
 	}
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -43,7 +43,7 @@
 	m.state.Learn(crdt.NewSheddingLevel("1", 100, 7, 1)) // neither this nor a cursor is copied
 	m.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, A: "f", B: "mine", Count: 1, At: 5})
 	steady := crdt.Origin{Name: "n1", Boot: 3}
-	m.persisted.Put(primary, steady)
+	m.persisted.Persist(primary, steady)
 	boot := m.detectorSettings.Epoch
 	until(t, "all is on the disk: a stop waits for it for a second only", func() bool {
 		r := m.persisted.report().(persistedReport)
@@ -61,11 +61,11 @@
 			t.Fatalf("%s: %+v", e.Kind, f)
 		}
 	}
-	m.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
+	m.persisted.Persist(primary, crdt.Origin{Name: "n2", Boot: 9}) // it may have it from its own disk
 	if f, _ := m.persisted.fact(primary); f.Proven {
 		t.Errorf("proven by who was not up: %+v", f)
 	}
-	m.persisted.Put(primary, steady)
+	m.persisted.Persist(primary, steady)
 	if f, _ := m.persisted.fact(primary); !f.Proven {
 		t.Errorf("not proven by who was up all the while: %+v", f)
 	}
@@ -83,7 +83,7 @@
 	}
 	e := session
 	e.B, e.At, e.From, e.Seq = "other", 7e9, crdt.Origin{Name: m.detectorSettings.Name, Boot: boot + 1}, 1 // of a start that the copy has not seen
-	if m.persisted.Put(e, steady); !m.persisted.report().(persistedReport).Old {
+	if m.persisted.Persist(e, steady); !m.persisted.report().(persistedReport).Old {
 		t.Error("an old copy was not noticed")
 	}
 	if f, _ := m.persisted.fact(primary); !f.MinAgeOnly || f.Proven {
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -120,7 +120,7 @@
 		counts[v.Members[i].Name] = v.Members[i].State == membership.Alive || v.Members[i].State == membership.Suspect
 	}
 	var reports []shedding.Report
-	m.state.Each(func(store *crdt.Store, now int64) {
+	m.state.EachShard(func(store *crdt.Store, now int64) {
 		for _, e := range store.SheddingLevels(now) {
 			if group, err := strconv.ParseInt(e.A, 10, 64); err == nil {
 				load, wish, epoch := e.SheddingLevel()
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -89,7 +89,7 @@
 	if *writeStore != "" {
 		k, stop := newStoredCopy(t, dir)
 		for _, e := range storedEntries() {
-			k.Put(e, e.From)
+			k.Persist(e, e.From)
 		}
 		until(t, "all is on the disk", func() bool {
 			r := k.report().(persistedReport)
