--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -9,234 +9,250 @@
 	"lotushook/policy/cursor"
 )
 
-// Subscription is a client connection's state: the feed that it last read, and under which generation.
+// Subscription is the state of a client connection: the feed that it last read, and the generation of its cursor.
 type Subscription struct {
 	mu         sync.Mutex
-	log        *log
+	log        *feedLog
 	subscriber string
-	held       cursor.Generation
-	point      cursor.Position // of the last answer
+	generation cursor.Generation
+	position   cursor.Position // after the last answer
 	busy       bool
 }
 
-// known is what the routers know of a subscriber.
-func (p *Feeds) known(l *log, subscriber string) (c cursor.Cursor, letGo bool) {
-	now := p.opt.Now()
-	p.do(subscriber, func(b *cursor.Registry) {
-		c, _ = b.Get(now, l.number, subscriber)
-		letGo = b.Evicted() > 0
+// knownCursor returns the subscriber's latest cursor that is recorded here or was replicated by another router, and
+// whether cursors have been evicted, so that an unknown subscriber may have had one.
+func (feeds *Feeds) knownCursor(log *feedLog, subscriber string) (known cursor.Cursor, evicted bool) {
+	now := feeds.options.Now()
+	feeds.withRegistry(subscriber, func(registry *cursor.Registry) {
+		known, _ = registry.Get(now, log.number, subscriber)
+		evicted = registry.Evicted() > 0
 	})
-	if p.opt.State != nil {
-		p.opt.State.WithShard(l.text, subscriber, func(s *crdt.Store, now int64) {
-			e, ok, forgot := s.Cursor(now, l.text, subscriber)
-			letGo = letGo || forgot
-			if told := cursor.FromEntry(e); ok && told.History != (cursor.History{}) {
-				c = c.Join(told)
+	if feeds.options.State != nil {
+		feeds.options.State.WithShard(log.label, subscriber, func(store *crdt.Store, now int64) {
+			entry, isStored, forgotten := store.Cursor(now, log.label, subscriber)
+			evicted = evicted || forgotten
+			if replicated := cursor.FromEntry(entry); isStored && replicated.History != (cursor.History{}) {
+				known = known.Join(replicated)
 			}
 		})
 	}
-	return c, letGo
+	return known, evicted
 }
 
-// Answer answers a request: one value, or a typed error after which the subscriber's cursor is unchanged.
-func (p *Feeds) Answer(seat *Subscription, q *Request) ([]byte, error) {
-	value, row, n, err := p.answer(seat, q)
-	p.count.Lock()
-	p.count.rows[row]++
+// Answer returns the encoded Batch for a request, or a typed error. After an error, the subscriber's cursor is unchanged.
+func (feeds *Feeds) Answer(subscription *Subscription, request *Request) ([]byte, error) {
+	value, outcome, eventCount, err := feeds.answer(subscription, request)
+	feeds.counts.Lock()
+	feeds.counts.outcomes[outcome]++
 	if err == nil {
-		p.count.Answers++
-		p.count.Events += uint64(n)
+		feeds.counts.Answers++
+		feeds.counts.Events += uint64(eventCount)
 	} else {
-		p.count.Refused++
+		feeds.counts.Rejected++
 	}
-	p.count.Unlock()
+	feeds.counts.Unlock()
 	return value, err
 }
 
+// answer decides a request, and reads from endpoints until the answer is complete or the request fails. It also returns the
+// outcome and the number of events, for Counts.
+//
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (p *Feeds) answer(seat *Subscription, q *Request) (value []byte, row cursor.Outcome, n int, err error) {
-	l := p.log(q.Class, q.Group)
-	crowded := func(why string, wait int64) error {
-		return &cursor.OverloadedError{Reason: why, Feed: l.text, Subscriber: q.Subscriber, RetryAfter: wait}
+func (feeds *Feeds) answer(subscription *Subscription, request *Request) (value []byte, outcome cursor.Outcome, eventCount int, err error) {
+	log := feeds.logOf(request.Class, request.Group)
+	overloaded := func(reason string, retryAfter int64) error {
+		return &cursor.OverloadedError{Reason: reason, Feed: log.label, Subscriber: request.Subscriber, RetryAfter: retryAfter}
 	}
-	seat.mu.Lock()
-	if seat.busy {
-		seat.mu.Unlock()
-		return nil, cursor.Wait, 0, crowded(cursor.ReasonBusy, 0)
+	subscription.mu.Lock()
+	if subscription.busy {
+		subscription.mu.Unlock()
+		return nil, cursor.Wait, 0, overloaded(cursor.ReasonBusy, 0)
 	}
-	seat.busy = true
-	goesOn, held, point := seat.log == l && seat.subscriber == q.Subscriber, seat.held, seat.point
-	seat.mu.Unlock()
+	subscription.busy = true
+	continues, generation, position := subscription.log == log && subscription.subscriber == request.Subscriber,
+		subscription.generation, subscription.position
+	subscription.mu.Unlock()
 	defer func() {
-		seat.mu.Lock()
-		seat.busy = false
-		seat.mu.Unlock()
+		subscription.mu.Lock()
+		subscription.busy = false
+		subscription.mu.Unlock()
 	}()
 
-	asked := cursor.Request{Connection: cursor.NewConnection, Client: q.After}
-	carries := q.After.History != (cursor.History{})
-	if goesOn {
-		if asked.Connection = cursor.SameConnection; !carries { // this request shows that the last answer arrived
-			asked.Client = point
+	decisionRequest := cursor.Request{Connection: cursor.NewConnection, Client: request.After}
+	hasCursor := request.After.History != (cursor.History{})
+	if continues {
+		// The next request on a connection implies that the last answer arrived.
+		if decisionRequest.Connection = cursor.SameConnection; !hasCursor {
+			decisionRequest.Client = position
 		}
 	} else {
-		p.pace.Lock()
-		wait, ok := p.pace.AllowReconnect(p.opt.Now(), q.Subscriber)
-		p.pace.Unlock()
-		if !ok {
-			return nil, cursor.Wait, 0, crowded(cursor.ReasonReconnects, wait)
+		feeds.limiter.Lock()
+		retryAfter, allowed := feeds.limiter.AllowReconnect(feeds.options.Now(), request.Subscriber)
+		feeds.limiter.Unlock()
+		if !allowed {
+			return nil, cursor.Wait, 0, overloaded(cursor.ReasonReconnects, retryAfter)
 		}
 	}
-	var far *reading
-	for try := 0; ; try++ {
-		known, letGo := p.known(l, q.Subscriber)
-		now := p.opt.Now()
-		l.mu.Lock()
-		if _, read := l.feed.End(); read && known.Gen > l.feed.Head().At+maxGeneration { // no router raised it so far: it is invalid
+	var catchUp *read
+	for attempt := 0; ; attempt++ {
+		known, evicted := feeds.knownCursor(log, request.Subscriber)
+		now := feeds.options.Now()
+		log.mu.Lock()
+		// A generation beyond maxGeneration is invalid: no router raises one that far.
+		if _, hasBeenRead := log.feed.End(); hasBeenRead && known.Gen > log.feed.Head().At+maxGeneration {
 			known = cursor.Cursor{}
 		}
-		asked.Known, asked.IssuedHere, asked.Evicted = known, known.RaisedBy == p.opt.Self, letGo
-		if goesOn && known.Generation.Compare(held) > 0 {
-			asked.Connection = cursor.SupersededConnection
+		decisionRequest.Known, decisionRequest.IssuedHere, decisionRequest.Evicted = known, known.RaisedBy == feeds.options.Self, evicted
+		if continues && known.Generation.Compare(generation) > 0 {
+			decisionRequest.Connection = cursor.SupersededConnection
 		}
-		v := l.feed.Decide(now, asked, try < maxTries)
-		row = v.Outcome
-		invariant.Check(row != cursor.Impossible, "no request stands as none can", "turn", asked.Connection, "client", q.After, "known", known)
-		switch row {
+		decision := log.feed.Decide(now, decisionRequest, attempt < maxReads)
+		outcome = decision.Outcome
+		invariant.Check(outcome != cursor.Impossible, "cursor decision has an impossible outcome", "turn", decisionRequest.Connection,
+			"client", request.After, "known", known)
+		switch outcome {
 		case cursor.Fenced, cursor.Snapshot, cursor.Future, cursor.Impossible:
-			begin := l.feed.Head()
-			l.mu.Unlock()
-			return nil, row, 0, &cursor.RejectedError{Outcome: row, Forgotten: row == cursor.Snapshot && q.After.History == (cursor.History{}) && known.Gen == 0,
-				Feed: l.text, Subscriber: q.Subscriber, Received: v.Start, SnapshotPosition: begin}
+			snapshotPosition := log.feed.Head()
+			log.mu.Unlock()
+			return nil, outcome, 0, &cursor.RejectedError{Outcome: outcome,
+				Forgotten: outcome == cursor.Snapshot && request.After.History == (cursor.History{}) && known.Gen == 0,
+				Feed:      log.label, Subscriber: request.Subscriber, Received: decision.Start, SnapshotPosition: snapshotPosition}
 		}
-		var r *reading
-		here := v.RequiredRead == cursor.NoRead || v.RequiredRead == cursor.ReadCatchUp && far.serves(v.Start)
+		var pending *read
+		available := decision.RequiredRead == cursor.NoRead || decision.RequiredRead == cursor.ReadCatchUp && catchUp.covers(decision.Start)
 		switch {
-		case here:
-		case v.RequiredRead == cursor.ReadEnd:
-			r = l.end
+		case available:
+		case decision.RequiredRead == cursor.ReadEnd:
+			pending = log.headRead
 		default:
-			r = l.far[v.Start]
+			pending = log.catchUpReads[decision.Start]
 		}
-		begin := r == nil && !here
+		mustRead := pending == nil && !available
 		switch {
-		case begin && try >= maxTries:
+		case mustRead && attempt >= maxReads:
 			cause := errors.New("members that are behind, or forked off")
-			if far != nil && far.err != nil {
-				cause = far.err
+			if catchUp != nil && catchUp.err != nil {
+				cause = catchUp.err
 			}
-			l.mu.Unlock()
-			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: l.text, RetryAfter: l.set.PollInterval, Cause: cause}
-		case begin && v.RequiredRead == cursor.ReadCatchUp:
-			p.pace.Lock()
-			wait, ok := p.pace.AllowCatchUp(now, q.Subscriber)
-			p.pace.Unlock()
-			if !ok {
-				l.mu.Unlock()
-				return nil, cursor.Wait, 0, crowded(cursor.ReasonCatchUp, wait)
+			log.mu.Unlock()
+			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: log.label,
+				RetryAfter: log.settings.PollInterval, Cause: cause}
+		case mustRead && decision.RequiredRead == cursor.ReadCatchUp:
+			feeds.limiter.Lock()
+			retryAfter, allowed := feeds.limiter.AllowCatchUp(now, request.Subscriber)
+			feeds.limiter.Unlock()
+			if !allowed {
+				log.mu.Unlock()
+				return nil, cursor.Wait, 0, overloaded(cursor.ReasonCatchUp, retryAfter)
 			}
-			r = p.read(l, v.Start, false, q.Who)
-		case begin:
-			after, _ := l.feed.End()
-			r = p.read(l, after, true, q.Who)
+			pending = feeds.startRead(log, decision.Start, false, request.Identity)
+		case mustRead:
+			after, _ := log.feed.End()
+			pending = feeds.startRead(log, after, true, request.Identity)
 		}
-		if r == nil { // nothing more to read: the answer
-			var from []cursor.Event
-			if v.RequiredRead == cursor.ReadCatchUp {
-				from = far.answer.Events
+		if pending == nil { // no read is needed: builds the answer
+			var catchUpEvents []cursor.Event
+			if decision.RequiredRead == cursor.ReadCatchUp {
+				catchUpEvents = catchUp.response.Events
 			}
-			list, next, more := []cursor.Event(nil), v.Start, false
-			if head := l.feed.Head(); row != cursor.Wait || v.Start.Compare(head) <= 0 && v.Start.At <= head.At {
-				list, next, more = l.feed.Batch(v.Start, from)
+			eventList, next, more := []cursor.Event(nil), decision.Start, false
+			if head := log.feed.Head(); outcome != cursor.Wait || decision.Start.Compare(head) <= 0 && decision.Start.At <= head.At {
+				eventList, next, more = log.feed.Batch(decision.Start, catchUpEvents)
 			}
-			head := l.feed.Head()
-			l.mu.Unlock()
-			b := &Batch{Events: events(list), Next: Place{After: next.At, History: next.String()}, Began: row == cursor.BeginAtHead}
-			if row == cursor.Rewind {
-				b.Rewound = &Rewound{History: v.Stale.String(), From: v.Stale.At, To: v.Start.At}
+			head := log.feed.Head()
+			log.mu.Unlock()
+			batch := &Batch{Events: encodeEvents(eventList), Next: ClientCursor{After: next.At, History: next.String()},
+				StartedAtHead: outcome == cursor.BeginAtHead}
+			if outcome == cursor.Rewind {
+				batch.Rewound = &Rewound{History: decision.Stale.String(), From: decision.Stale.At, To: decision.Start.At}
 			}
 			if !more {
-				b.AgainMS = l.set.PollInterval / 1e6
+				batch.RetryAfterMS = log.settings.PollInterval / 1e6
 			}
-			kept := cursor.Cursor{Generation: held, Position: next, Acked: min(v.Start.At, next.At)}
+			recorded := cursor.Cursor{Generation: generation, Position: next, Acked: min(decision.Start.At, next.At)}
 			switch {
-			case row == cursor.BeginAtHead:
-				kept.Acked = cursor.NotAcknowledged
-			case row == cursor.Rewind && !carries: // until it is known to have received it, it is notified again
-				if kept.Position, kept.Acked = v.Stale, min(known.Acked, v.Stale.At); known.Gen == 0 {
-					kept.Acked = cursor.NotAcknowledged
+			case outcome == cursor.BeginAtHead:
+				recorded.Acked = cursor.NotAcknowledged
+			case outcome == cursor.Rewind && !hasCursor: // the client is notified of the rewind until it confirms it by sending a cursor
+				if recorded.Position, recorded.Acked = decision.Stale, min(known.Acked, decision.Stale.At); known.Gen == 0 {
+					recorded.Acked = cursor.NotAcknowledged
 				}
 			}
-			if !carries && kept.Position.Compare(known.Position) < 0 { // it may have received these: they stay recorded
-				kept.Position = known.Position
+			// The client may have received these events: the recorded position does not move back.
+			if !hasCursor && recorded.Position.Compare(known.Position) < 0 {
+				recorded.Position = known.Position
 			}
-			gen, ok := p.deliver(seat, l, q, goesOn, kept, next, head)
-			if !ok {
-				return nil, cursor.Fenced, 0, &cursor.RejectedError{Outcome: cursor.Fenced, Feed: l.text, Subscriber: q.Subscriber}
+			newGeneration, allowed := feeds.recordDelivery(subscription, log, request, continues, recorded, next, head)
+			if !allowed {
+				return nil, cursor.Fenced, 0, &cursor.RejectedError{Outcome: cursor.Fenced, Feed: log.label, Subscriber: request.Subscriber}
 			}
-			b.Next.Gen = gen
-			value, err = json.Marshal(b)
-			return value, row, len(list), err
+			batch.Next.Generation = newGeneration
+			value, err = json.Marshal(batch)
+			return value, outcome, len(eventList), err
 		}
-		l.mu.Unlock()
-		if err := p.await(l, r, q); err != nil {
+		log.mu.Unlock()
+		if err := feeds.awaitRead(log, pending, request); err != nil {
 			return nil, cursor.Wait, 0, err
 		}
-		if r.err != nil && try+1 >= maxTries {
-			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: l.text, RetryAfter: max(r.wait, l.set.PollInterval), Cause: r.err}
+		if pending.err != nil && attempt+1 >= maxReads {
+			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: log.label,
+				RetryAfter: max(pending.retryAfter, log.settings.PollInterval), Cause: pending.err}
 		}
-		if r.err != nil && r.wait > 0 { // the module says when: an earlier try would add load
-			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: l.text, RetryAfter: r.wait, Cause: r.err}
+		if pending.err != nil && pending.retryAfter > 0 { // the error has a retry delay: an earlier retry would add load
+			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: log.label, RetryAfter: pending.retryAfter, Cause: pending.err}
 		}
-		if far = nil; v.RequiredRead == cursor.ReadCatchUp {
-			far = r
+		if catchUp = nil; decision.RequiredRead == cursor.ReadCatchUp {
+			catchUp = pending
 		}
 	}
 }
 
-// deliver records what is sent, unless the connection was superseded meanwhile, and returns its generation.
-func (p *Feeds) deliver(seat *Subscription, l *log, q *Request, goesOn bool, c cursor.Cursor, next, head cursor.Position) (gen int64, ok bool) {
-	held := c.Generation
-	known, _ := p.known(l, q.Subscriber)
+// recordDelivery records the cursor of an answer, and returns its generation. It returns false if the connection has been
+// superseded in the meantime, in which case the answer must not be sent.
+func (feeds *Feeds) recordDelivery(subscription *Subscription, log *feedLog, request *Request, continues bool, delivered cursor.Cursor,
+	next, head cursor.Position) (newGeneration int64, ok bool) {
+	generation := delivered.Generation
+	known, _ := feeds.knownCursor(log, request.Subscriber)
 	if known.Gen > head.At+maxGeneration {
 		known = cursor.Cursor{}
 	}
-	if goesOn && known.Generation.Compare(held) > 0 {
+	if continues && known.Generation.Compare(generation) > 0 {
 		return 0, false
 	}
-	if !goesOn {
-		client := q.Gen
-		if client > head.At+maxGeneration {
-			client = 0
+	if !continues {
+		clientGeneration := request.Generation
+		if clientGeneration > head.At+maxGeneration {
+			clientGeneration = 0
 		}
-		held = cursor.Generation{Gen: max(known.Gen, client, head.At) + 1, RaisedBy: p.opt.Self}
+		generation = cursor.Generation{Gen: max(known.Gen, clientGeneration, head.At) + 1, RaisedBy: feeds.options.Self}
 	}
-	c.Generation = held
-	kept := next.At <= head.At // a cursor that is ahead is the client's claim alone
-	put := true
-	if kept {
-		now := p.opt.Now()
-		p.do(q.Subscriber, func(b *cursor.Registry) {
-			old, had := b.Get(now, l.number, q.Subscriber)
-			if had && !goesOn && old.Gen >= held.Gen { // two reconnect here at once: the later prevails
-				held.Gen = old.Gen + 1
-				c.Generation = held
+	delivered.Generation = generation
+	record := next.At <= head.At // a cursor ahead of the known head is only the client's claim
+	current := true
+	if record {
+		now := feeds.options.Now()
+		feeds.withRegistry(request.Subscriber, func(registry *cursor.Registry) {
+			stored, isStored := registry.Get(now, log.number, request.Subscriber)
+			// Of two concurrent reconnects at this router, the later one prevails.
+			if isStored && !continues && stored.Gen >= generation.Gen {
+				generation.Gen = stored.Gen + 1
+				delivered.Generation = generation
 			}
-			if had && old.Generation.Compare(held) > 0 { // since the first check
-				put = false
+			if isStored && stored.Generation.Compare(generation) > 0 { // superseded since the check above
+				current = false
 				return
 			}
-			b.Put(now, l.number, q.Subscriber, c)
+			registry.Put(now, log.number, request.Subscriber, delivered)
 		})
-		if put && p.opt.State != nil {
-			p.opt.State.Learn(c.Entry(l.text, q.Subscriber))
+		if current && feeds.options.State != nil {
+			feeds.options.State.Learn(delivered.Entry(log.label, request.Subscriber))
 		}
 	}
-	if !put {
+	if !current {
 		return 0, false
 	}
-	seat.mu.Lock()
-	seat.log, seat.subscriber, seat.held, seat.point = l, q.Subscriber, held, next
-	seat.mu.Unlock()
-	return held.Gen, true
+	subscription.mu.Lock()
+	subscription.log, subscription.subscriber, subscription.generation, subscription.position = log, request.Subscriber, generation, next
+	subscription.mu.Unlock()
+	return generation.Gen, true
 }
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,5 +1,6 @@
-// Package changefeed answers subscribers of feeds. policy/cursor decides; this package keeps the state in shards, reads
-// data servers through the router, once for all requests that need the same, and writes the answers.
+// Package changefeed answers the requests of change feed subscribers. Package policy/cursor makes the decisions. This
+// package stores the cursors in shards, reads endpoints through the router, with one read for all requests that need the
+// same events, and encodes the answers.
 package changefeed
 
 import (
@@ -16,38 +17,38 @@
 )
 
 const (
-	shards        = 64
-	maxTries      = 3       // reads for one answer: a fork that shows needs a second, a forked member a third
-	maxGeneration = 1 << 32 // a generation so far beyond the head was not raised by reconnects
+	shardCount    = 64
+	maxReads      = 3       // limit of reads for one answer: detecting a fork takes a second read, a forked endpoint a third
+	maxGeneration = 1 << 32 // a generation further than this beyond the head cannot result from reconnects
 )
 
 // Options are the settings of Feeds.
 type Options struct {
-	Settings cursor.Settings            // of classes that have none of their own
-	Classes  map[string]cursor.Settings // by name; only the intervals and the batches may differ
-	Waiting  int                        // requests that wait for data servers at a time; more are delayed
-	ReadFor  time.Duration              // a read's timeout
-	Self     crdt.Origin
-	State    *peer.State // where cursors are replicated; nil: nowhere
-	Now      func() int64
-	Read     func(ReadRequest) ReadResult // reads from some member; returns by ReadRequest.Until
+	Settings    cursor.Settings            // for limits that all classes share
+	Classes     map[string]cursor.Settings // by class name; only intervals and batch sizes may differ from Settings
+	MaxWaiting  int                        // limit of requests that wait for reads; further ones are asked to retry later
+	ReadTimeout time.Duration
+	Self        crdt.Origin
+	State       *peer.State // the state that replicates cursors; nil disables their replication
+	Now         func() int64
+	Read        func(ReadRequest) ReadResult // reads from an endpoint of the group; returns by the request's deadline
 }
 
-// ReadRequest is one read: of what follows a position, or of the last events where it has no history.
+// ReadRequest describes a read of the events after a position, or of the last events if the position has no history.
 type ReadRequest struct {
 	Class     string
 	Group     int64
 	After     cursor.Position
 	MaxEvents int
-	Until     int64
-	Who       contract.Identity // the first of those that it is for
+	Deadline  int64
+	Identity  contract.Identity // the client of the request that caused the read
 }
 
-// ReadResult is the result of a read: a value, or an error with a Retry-After time if there is one.
+// ReadResult is the result of a read: a value, or an error with an optional retry delay.
 type ReadResult struct {
-	Value []byte
-	Wait  int64
-	Err   error
+	Value      []byte
+	RetryAfter int64
+	Err        error
 }
 
 // Request is one subscriber's request.
@@ -55,140 +56,142 @@
 	Class      string
 	Group      int64
 	Subscriber string
-	After      cursor.Position // its cursor; none: without a history
-	Gen        int64           // of its cursor
-	Until      int64
-	Who        contract.Identity
-	Left       <-chan struct{} // closed when the client has gone
+	After      cursor.Position // the client's cursor; without a history if it sent none
+	Generation int64           // of the client's cursor
+	Deadline   int64
+	Identity   contract.Identity
+	ClientLeft <-chan struct{} // closed when the client has disconnected
 }
 
-// Counts are since the start.
+// Counts are the numbers of requests, events and reads since the start.
 type Counts struct {
-	Cursors  int               `json:"cursors"` // held now
-	Answers  uint64            `json:"answers"`
-	Events   uint64            `json:"events"`
-	EndReads uint64            `json:"end_reads"` // of feeds' ends
-	FarReads uint64            `json:"far_reads"` // for subscribers behind the ring
-	Refused  uint64            `json:"refused"`
-	Rows     map[string]uint64 `json:"rows"` // of the table, by name
-	rows     [cursor.OutcomeCount]uint64
+	Cursors      int               `json:"cursors"` // stored at present
+	Answers      uint64            `json:"answers"`
+	Events       uint64            `json:"events"`
+	HeadReads    uint64            `json:"end_reads"` // reads of the last events of a feed
+	CatchUpReads uint64            `json:"far_reads"` // reads for subscribers behind the ring of recent events
+	Rejected     uint64            `json:"refused"`
+	Outcomes     map[string]uint64 `json:"rows"` // requests by the name of their outcome
+	outcomes     [cursor.OutcomeCount]uint64
 }
 
-// Feeds answers subscribers. It is safe for concurrent use.
+// Feeds answers the requests of subscribers. It is safe for concurrent use.
 type Feeds struct {
-	opt    Options
-	seed   maphash.Seed
-	shards [shards]shard
-	pace   struct {
+	options Options
+	seed    maphash.Seed
+	shards  [shardCount]shard
+	limiter struct {
 		sync.Mutex
 		*cursor.Limiter
 	}
 	logs struct {
 		sync.Mutex
-		by map[name]*log
+		byName map[logName]*feedLog
 	}
-	waiting  atomic.Int64
-	readings sync.WaitGroup
-	count    struct {
+	waiting atomic.Int64
+	reads   sync.WaitGroup
+	counts  struct {
 		sync.Mutex
 		Counts
 	}
 }
 
-// shard is a part of the subscribers' cursors under a lock of its own.
+// shard is a part of the subscribers' cursors, with its own lock.
 type shard struct {
 	mu       sync.Mutex
 	registry *cursor.Registry
 }
 
-// do calls a function with the cursors of a key's shard. It must not block.
-func (p *Feeds) do(key string, f func(*cursor.Registry)) {
-	s := &p.shards[maphash.String(p.seed, key)%shards]
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f(s.registry)
+// withRegistry calls use with the cursors of the key's shard while it holds the shard's lock; use must not block.
+func (feeds *Feeds) withRegistry(key string, use func(*cursor.Registry)) {
+	shard := &feeds.shards[maphash.String(feeds.seed, key)%shardCount]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	use(shard.registry)
 }
 
-type name struct {
+type logName struct {
 	class string
 	group int64
 }
 
-// log is one group's log, as a class reads it.
-type log struct {
-	name
-	text   string // as routers write it
-	number uint32
-	set    cursor.Settings
-
-	mu   sync.Mutex
-	feed *cursor.Feed
-	end  *reading
-	far  map[cursor.Position]*reading
+// feedLog is the log of one group, as one feed class reads it.
+type feedLog struct {
+	logName
+	label    string // name of the feed in messages and in replicated entries
+	number   uint32
+	settings cursor.Settings
+
+	mu           sync.Mutex
+	feed         *cursor.Feed
+	headRead     *read
+	catchUpReads map[cursor.Position]*read
 }
 
-// New returns Feeds without any cursor.
-func New(o Options) (*Feeds, error) {
-	if err := o.Settings.Check(); err != nil {
+// New returns Feeds without any cursors.
+func New(options Options) (*Feeds, error) {
+	if err := options.Settings.Check(); err != nil {
 		return nil, err
 	}
-	p := &Feeds{opt: o, seed: maphash.MakeSeed()}
-	for i := range p.shards {
-		p.shards[i].registry = cursor.NewRegistry(o.Self, (o.Settings.MaxCursors+shards-1)/shards)
+	feeds := &Feeds{options: options, seed: maphash.MakeSeed()}
+	for i := range feeds.shards {
+		feeds.shards[i].registry = cursor.NewRegistry(options.Self, (options.Settings.MaxCursors+shardCount-1)/shardCount)
 	}
-	p.pace.Limiter = cursor.NewLimiter(&o.Settings, o.Now())
-	p.logs.by = map[name]*log{}
-	for _, s := range o.Classes {
-		if err := s.Check(); err != nil {
+	feeds.limiter.Limiter = cursor.NewLimiter(&options.Settings, options.Now())
+	feeds.logs.byName = map[logName]*feedLog{}
+	for _, settings := range options.Classes {
+		if err := settings.Check(); err != nil {
 			return nil, err
 		}
 	}
-	return p, nil
+	return feeds, nil
 }
 
-// Serves says whether a class is a feed.
-func (p *Feeds) Serves(class string) bool {
-	_, ok := p.opt.Classes[class]
+// Serves reports whether a class is a feed.
+func (feeds *Feeds) Serves(class string) bool {
+	_, ok := feeds.options.Classes[class]
 	return ok
 }
 
 // Close waits for the reads in progress.
-func (p *Feeds) Close() { p.readings.Wait() }
-
-// Counts returns the present counts.
-func (p *Feeds) Counts() Counts {
-	p.count.Lock()
-	c := p.count.Counts
-	p.count.Unlock()
-	c.Cursors, c.Rows = p.cursors(), map[string]uint64{}
-	for row, n := range c.rows {
-		if n > 0 {
-			c.Rows[cursor.Outcome(row).String()] = n
+func (feeds *Feeds) Close() { feeds.reads.Wait() }
+
+// Counts returns the current counts.
+func (feeds *Feeds) Counts() Counts {
+	feeds.counts.Lock()
+	counts := feeds.counts.Counts
+	feeds.counts.Unlock()
+	counts.Cursors, counts.Outcomes = feeds.cursorCount(), map[string]uint64{}
+	for outcome, count := range counts.outcomes {
+		if count > 0 {
+			counts.Outcomes[cursor.Outcome(outcome).String()] = count
 		}
 	}
-	return c
+	return counts
 }
 
-// cursors is how many this router holds.
-func (p *Feeds) cursors() (n int) {
-	for i := range p.shards {
-		p.shards[i].mu.Lock()
-		n += p.shards[i].registry.Size()
-		p.shards[i].mu.Unlock()
+// cursorCount returns the number of cursors that this router stores.
+func (feeds *Feeds) cursorCount() (count int) {
+	for i := range feeds.shards {
+		feeds.shards[i].mu.Lock()
+		count += feeds.shards[i].registry.Size()
+		feeds.shards[i].mu.Unlock()
 	}
-	return n
+	return count
 }
 
-// log returns a request's log. There are as many as classes times listed groups.
-func (p *Feeds) log(class string, group int64) *log {
-	p.logs.Lock()
-	defer p.logs.Unlock()
-	n := name{class, group}
-	l := p.logs.by[n]
-	if l == nil {
-		l = &log{name: n, text: class + "/" + strconv.FormatInt(group, 10), number: uint32(len(p.logs.by)), set: p.opt.Classes[class], far: map[cursor.Position]*reading{}}
-		l.feed = cursor.NewFeed(&l.set)
-		p.logs.by[n] = l
+// logOf returns the log that a class reads from a group. Logs are never removed: there are at most as many as feed
+// classes times listed groups.
+func (feeds *Feeds) logOf(class string, group int64) *feedLog {
+	feeds.logs.Lock()
+	defer feeds.logs.Unlock()
+	key := logName{class, group}
+	found := feeds.logs.byName[key]
+	if found == nil {
+		found = &feedLog{logName: key, label: class + "/" + strconv.FormatInt(group, 10), number: uint32(len(feeds.logs.byName)),
+			settings: feeds.options.Classes[class], catchUpReads: map[cursor.Position]*read{}}
+		found.feed = cursor.NewFeed(&found.settings)
+		feeds.logs.byName[key] = found
 	}
-	return l
+	return found
 }
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -16,118 +16,120 @@
 	"lotushook/policy/cursor"
 )
 
-var one = cursor.History{Era: 1, ID: 7}
+var firstHistory = cursor.History{Era: 1, ID: 7}
 
-// member is a data server's log, which counts who reads it.
-type member struct {
-	mu     sync.Mutex
-	line   cursor.Lineage
-	events []cursor.Event
-	reads  int
-	fail   error
-	hold   chan struct{} // a reading waits for it; nil: it does not
+// endpoint is a data server with a log. It counts the reads of the log.
+type endpoint struct {
+	mu        sync.Mutex
+	lineage   cursor.Lineage
+	events    []cursor.Event
+	readCount int
+	readError error
+	resume    chan struct{} // if not nil, reads wait until it is closed
 }
 
-func (m *member) read(a ReadRequest) ReadResult {
-	if m.hold != nil {
-		<-m.hold
+func (endpoint *endpoint) read(request ReadRequest) ReadResult {
+	if endpoint.resume != nil {
+		<-endpoint.resume
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.reads++; m.fail != nil {
-		return ReadResult{Err: m.fail}
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	if endpoint.readCount++; endpoint.readError != nil {
+		return ReadResult{Err: endpoint.readError}
 	}
-	out := &cursor.Response{Lineage: m.line, From: a.After.At}
-	if end, on := m.line.End(a.After.History); on {
-		out.From = min(a.After.At, end)
-	} else if n := len(m.events) - a.MaxEvents; n > 0 {
-		out.From = m.events[n-1].At
+	response := &cursor.Response{Lineage: endpoint.lineage, From: request.After.At}
+	if forkEnd, inLineage := endpoint.lineage.End(request.After.History); inLineage {
+		response.From = min(request.After.At, forkEnd)
+	} else if omitted := len(endpoint.events) - request.MaxEvents; omitted > 0 {
+		response.From = endpoint.events[omitted-1].At
 	}
-	for _, e := range m.events {
-		if out.Head = e.At; e.At > out.From && len(out.Events) < a.MaxEvents {
-			out.Events = append(out.Events, e)
+	for _, event := range endpoint.events {
+		if response.Head = event.At; event.At > response.From && len(response.Events) < request.MaxEvents {
+			response.Events = append(response.Events, event)
 		}
 	}
-	out.More = len(out.Events) > 0 && out.Events[len(out.Events)-1].At < out.Head
-	raw, err := AppendAnswer(out)
-	return ReadResult{Value: raw, Err: err}
+	response.More = len(response.Events) > 0 && response.Events[len(response.Events)-1].At < response.Head
+	encoded, err := EncodeResponse(response)
+	return ReadResult{Value: encoded, Err: err}
 }
 
-func (m *member) commit(at int64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.events = append(m.events, cursor.Event{At: at, Text: fmt.Sprint("e", at)})
+func (endpoint *endpoint) commit(at int64) {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	endpoint.events = append(endpoint.events, cursor.Event{At: at, Text: fmt.Sprint("e", at)})
 }
 
-// part is a Part before one member, on a clock that the test moves.
-func part(tb testing.TB, m *member, change func(*cursor.Settings)) (*Feeds, *atomic.Int64) {
+// newFeeds returns Feeds that read from one endpoint, and their clock, which the test advances.
+func newFeeds(tb testing.TB, endpoint *endpoint, adjust func(*cursor.Settings)) (*Feeds, *atomic.Int64) {
 	tb.Helper()
 	now := &atomic.Int64{}
 	now.Store(1e9)
-	set := cursor.DefaultSettings()
-	if change != nil {
-		change(&set)
+	settings := cursor.DefaultSettings()
+	if adjust != nil {
+		adjust(&settings)
 	}
-	p, err := New(Options{Settings: set, Classes: map[string]cursor.Settings{"f": set}, Waiting: 20_000, ReadFor: time.Second, Self: crdt.Origin{Name: "r", Boot: 1}, Now: now.Load, Read: m.read})
+	feeds, err := New(Options{Settings: settings, Classes: map[string]cursor.Settings{"f": settings}, MaxWaiting: 20_000,
+		ReadTimeout: time.Second, Self: crdt.Origin{Name: "r", Boot: 1}, Now: now.Load, Read: endpoint.read})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(p.Close)
-	return p, now
+	tb.Cleanup(feeds.Close)
+	return feeds, now
 }
 
-func ask(p *Feeds, seat *Subscription, who string, after cursor.Position) (*Batch, error) {
-	raw, err := p.Answer(seat, &Request{Class: "f", Group: 1, Subscriber: who, After: after, Until: p.opt.Now() + 20e9})
+func sendRequest(feeds *Feeds, subscription *Subscription, subscriber string, after cursor.Position) (*Batch, error) {
+	encoded, err := feeds.Answer(subscription, &Request{Class: "f", Group: 1, Subscriber: subscriber, After: after, Deadline: feeds.options.Now() + 20e9})
 	if err != nil {
 		return nil, err
 	}
-	return ParseBatch(raw)
+	return ParseBatch(encoded)
 }
 
-// A router died with 10,000 subscribers, who all come here, eight at a time under the race detector: whatever is told to come again
-// comes again, each gets the same events once, and the member sees a reading for each quarter of a second and no more.
+// After a router failure, 10,000 subscribers reconnect to this router, in eight goroutines. Some are asked to retry later,
+// and do so. Each receives the same events exactly once, and the endpoint is read at most once per quarter of a second.
 //
-//nolint:gocognit,funlen // one history or table of cases, told in order
-func TestFanOut(t *testing.T) {
-	m := &member{line: cursor.Lineage{{History: one}}}
+//nolint:gocognit,funlen // one scenario, step by step
+func TestMassReconnect(t *testing.T) {
+	endpoint := &endpoint{lineage: cursor.Lineage{{History: firstHistory}}}
 	for at := int64(1); at <= 50; at++ {
-		m.commit(at)
+		endpoint.commit(at)
 	}
-	p, now := part(t, m, nil)
-	var late, given atomic.Int64
-	type back struct {
-		who  int
-		from int64
-		due  int64
+	feeds, now := newFeeds(t, endpoint, nil)
+	var delayed, answered atomic.Int64
+	type reconnect struct {
+		subscriber int
+		position   int64
+		dueAt      int64
 	}
-	todo := make([]back, 10_000)
-	for i := range todo {
-		todo[i] = back{who: i, from: int64(i % 50)}
+	pending := make([]reconnect, 10_000)
+	for i := range pending {
+		pending[i] = reconnect{subscriber: i, position: int64(i % 50)}
 	}
-	began := now.Load()
-	for rounds := 0; len(todo) > 0; rounds++ {
-		if rounds > 1000 {
-			t.Fatalf("%d are left", len(todo))
+	startedAt := now.Load()
+	for round := 0; len(pending) > 0; round++ {
+		if round > 1000 {
+			t.Fatalf("%d subscribers have no answer yet", len(pending))
 		}
 		var mu sync.Mutex
-		var again []back
-		var all sync.WaitGroup
-		for part := range slices.Chunk(todo, max(1, (len(todo)+7)/8)) {
-			all.Go(func() {
-				for _, c := range part {
-					if c.due > now.Load() {
+		var remaining []reconnect
+		var workers sync.WaitGroup
+		for chunk := range slices.Chunk(pending, max(1, (len(pending)+7)/8)) {
+			workers.Go(func() {
+				for _, client := range chunk {
+					if client.dueAt > now.Load() {
 						mu.Lock()
-						again = append(again, c)
+						remaining = append(remaining, client)
 						mu.Unlock()
 						continue
 					}
-					b, err := ask(p, &Subscription{}, fmt.Sprint("s", c.who), cursor.Position{History: one, At: c.from})
-					var crowded *cursor.OverloadedError
-					if errors.As(err, &crowded) && crowded.Reason == cursor.ReasonReconnects && crowded.RetryAfter > 0 && crowded.RetryAfter <= p.opt.Settings.MaxRetryAfter {
-						late.Add(1)
-						c.due = now.Load() + crowded.RetryAfter
+					batch, err := sendRequest(feeds, &Subscription{}, fmt.Sprint("s", client.subscriber), cursor.Position{History: firstHistory, At: client.position})
+					var overloaded *cursor.OverloadedError
+					if errors.As(err, &overloaded) && overloaded.Reason == cursor.ReasonReconnects &&
+						overloaded.RetryAfter > 0 && overloaded.RetryAfter <= feeds.options.Settings.MaxRetryAfter {
+						delayed.Add(1)
+						client.dueAt = now.Load() + overloaded.RetryAfter
 						mu.Lock()
-						again = append(again, c)
+						remaining = append(remaining, client)
 						mu.Unlock()
 						continue
 					}
@@ -135,182 +137,184 @@
 						t.Error(err)
 						return
 					}
-					for i, e := range b.Events {
-						if e.At != c.from+int64(i)+1 {
-							t.Errorf("%d: event %d at %d", c.who, i, e.At)
+					for i, event := range batch.Events {
+						if event.At != client.position+int64(i)+1 {
+							t.Errorf("%d: event %d at %d", client.subscriber, i, event.At)
 						}
 					}
-					if given.Add(1); b.Next.After != 50 || b.Rewound != nil || b.Began {
-						t.Errorf("%d: %+v", c.who, b)
+					if answered.Add(1); batch.Next.After != 50 || batch.Rewound != nil || batch.StartedAtHead {
+						t.Errorf("%d: %+v", client.subscriber, batch)
 					}
 				}
 			})
 		}
-		all.Wait()
-		todo = again
+		workers.Wait()
+		pending = remaining
 		now.Add(4e8)
 	}
-	span := float64(now.Load()-began) / 1e9
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	t.Logf("%d answers in %.1f s of the router's clock, %d told to come again, %d reads", given.Load(), span, late.Load(), m.reads)
-	if given.Load() != 10_000 || float64(m.reads) > 2+span/0.25 || late.Load() == 0 {
-		t.Errorf("%d answers, %d reads", given.Load(), m.reads)
+	elapsedSeconds := float64(now.Load()-startedAt) / 1e9
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	t.Logf("%d answers in %.1f s of the router's clock, %d requests asked to retry later, %d reads", answered.Load(), elapsedSeconds, delayed.Load(), endpoint.readCount)
+	if answered.Load() != 10_000 || float64(endpoint.readCount) > 2+elapsedSeconds/0.25 || delayed.Load() == 0 {
+		t.Errorf("%d answers, %d reads", answered.Load(), endpoint.readCount)
 	}
-	if c := p.Counts(); c.FarReads != 0 || c.Cursors != 10_000 {
-		t.Errorf("%+v", c)
+	if counts := feeds.Counts(); counts.CatchUpReads != 0 || counts.Cursors != 10_000 {
+		t.Errorf("%+v", counts)
 	}
 }
 
-// Those behind the ring share readings of the same range, under a budget; who is over it is told so, and goes on where it was.
-func TestFarBehind(t *testing.T) {
-	m := &member{line: cursor.Lineage{{History: one}}}
+// Subscribers behind the ring of recent events share reads of the same range. These reads have a limited rate: a request
+// over it is asked to retry later, and then continues from the same position.
+func TestSharedCatchUp(t *testing.T) {
+	endpoint := &endpoint{lineage: cursor.Lineage{{History: firstHistory}}}
 	for at := int64(1); at <= 100; at++ {
-		m.commit(at)
+		endpoint.commit(at)
 	}
-	p, now := part(t, m, func(s *cursor.Settings) { s.RingEvents, s.BatchEvents, s.CatchUpReadsPerSecond = 10, 20, 2 })
-	if b, err := ask(p, &Subscription{}, "warm", cursor.Position{}); err != nil || !b.Began {
-		t.Fatal(b, err)
+	feeds, now := newFeeds(t, endpoint, func(s *cursor.Settings) { s.RingEvents, s.BatchEvents, s.CatchUpReadsPerSecond = 10, 20, 2 })
+	if batch, err := sendRequest(feeds, &Subscription{}, "warm", cursor.Position{}); err != nil || !batch.StartedAtHead {
+		t.Fatal(batch, err)
 	}
-	for b, err := ask(p, &Subscription{}, "near", cursor.Position{History: one, At: 95}); err != nil || len(b.Events) != 5; {
-		t.Fatal(b, err)
+	for batch, err := sendRequest(feeds, &Subscription{}, "near", cursor.Position{History: firstHistory, At: 95}); err != nil || len(batch.Events) != 5; {
+		t.Fatal(batch, err)
 	}
-	m.hold = make(chan struct{})
-	before := m.reads
-	var all sync.WaitGroup
-	for i := range 5 { // the same range: one reading
-		all.Go(func() {
-			if b, err := ask(p, &Subscription{}, fmt.Sprint("s", i), cursor.Position{History: one, At: 30}); err != nil || len(b.Events) != 20 || b.Events[0].At != 31 || b.AgainMS != 0 {
-				t.Error(b, err)
+	endpoint.resume = make(chan struct{})
+	readsBefore := endpoint.readCount
+	var clients sync.WaitGroup
+	for i := range 5 { // the same range: one read
+		clients.Go(func() {
+			if batch, err := sendRequest(feeds, &Subscription{}, fmt.Sprint("s", i), cursor.Position{History: firstHistory, At: 30}); err != nil || len(batch.Events) != 20 || batch.Events[0].At != 31 || batch.RetryAfterMS != 0 {
+				t.Error(batch, err)
 			}
 		})
 	}
-	for p.waiting.Load() < 5 {
+	for feeds.waiting.Load() < 5 {
 		time.Sleep(time.Millisecond)
 	}
-	close(m.hold)
-	all.Wait()
-	if m.reads != before+1 {
-		t.Errorf("%d readings of one range", m.reads-before)
+	close(endpoint.resume)
+	clients.Wait()
+	if endpoint.readCount != readsBefore+1 {
+		t.Errorf("%d reads of one range, expected 1", endpoint.readCount-readsBefore)
 	}
-	seat, place, got, refused := &Subscription{}, cursor.Position{History: one}, []int64{}, 0
-	for place.At < 100 {
-		b, err := ask(p, seat, "slow", place)
-		var crowded *cursor.OverloadedError
-		if errors.As(err, &crowded) && crowded.Reason == cursor.ReasonCatchUp {
-			refused++
-			now.Add(crowded.RetryAfter)
+	subscription, position, received, delayed := &Subscription{}, cursor.Position{History: firstHistory}, []int64{}, 0
+	for position.At < 100 {
+		batch, err := sendRequest(feeds, subscription, "slow", position)
+		var overloaded *cursor.OverloadedError
+		if errors.As(err, &overloaded) && overloaded.Reason == cursor.ReasonCatchUp {
+			delayed++
+			now.Add(overloaded.RetryAfter)
 			continue
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range b.Events {
-			got = append(got, e.At)
+		for _, event := range batch.Events {
+			received = append(received, event.At)
 		}
-		place.At = b.Next.After
+		position.At = batch.Next.After
 	}
-	if len(got) != 100 || !slices.IsSorted(got) || refused == 0 {
-		t.Errorf("%d events, %d times told to come again", len(got), refused)
+	if len(received) != 100 || !slices.IsSorted(received) || delayed == 0 {
+		t.Errorf("%d events, %d requests asked to retry later", len(received), delayed)
 	}
 }
 
-// Two connections of one subscriber at one router: the later holds. A take-over is told; a member that is forked off is not
-// believed, and each refusal says what to do.
+// Of two connections of one subscriber at one router, the later one prevails. After a failover to another history, the
+// subscriber is notified of the rewind. Events of an endpoint on a forked history are ignored. Each error has a kind and a
+// hint.
 func TestFenceAndFork(t *testing.T) {
-	m := &member{line: cursor.Lineage{{History: one}}}
-	m.commit(10)
-	m.commit(20)
-	p, now := part(t, m, nil)
+	endpoint := &endpoint{lineage: cursor.Lineage{{History: firstHistory}}}
+	endpoint.commit(10)
+	endpoint.commit(20)
+	feeds, now := newFeeds(t, endpoint, nil)
 	first, second := &Subscription{}, &Subscription{}
-	a, err := ask(p, first, "x", cursor.Position{History: one, At: 10})
-	if err != nil || len(a.Events) != 1 {
-		t.Fatal(a, err)
+	firstBatch, err := sendRequest(feeds, first, "x", cursor.Position{History: firstHistory, At: 10})
+	if err != nil || len(firstBatch.Events) != 1 {
+		t.Fatal(firstBatch, err)
 	}
-	b, err := ask(p, second, "x", cursor.Position{History: one, At: 20})
-	if err != nil || b.Next.Gen <= a.Next.Gen || len(b.Events) != 0 {
-		t.Fatal(b, err)
+	batch, err := sendRequest(feeds, second, "x", cursor.Position{History: firstHistory, At: 20})
+	if err != nil || batch.Next.Generation <= firstBatch.Next.Generation || len(batch.Events) != 0 {
+		t.Fatal(batch, err)
 	}
-	_, err = ask(p, first, "x", cursor.Position{History: one, At: 20})
-	if r := operr.Of(err); r == nil || r.Kind() != "cursor-fenced" || !strings.Contains(r.Hint(), "connect again") {
+	_, err = sendRequest(feeds, first, "x", cursor.Position{History: firstHistory, At: 20})
+	if typed := operr.Of(err); typed == nil || typed.Kind() != "cursor-fenced" || !strings.Contains(typed.Hint(), "connect again") {
 		t.Error(err)
 	}
-	two := cursor.History{Era: 2, ID: 1}
-	m.mu.Lock()
-	m.line, m.events = cursor.Lineage{{History: one}, {History: two, From: 10}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "other"}}
-	m.mu.Unlock()
+	secondHistory := cursor.History{Era: 2, ID: 1}
+	endpoint.mu.Lock()
+	endpoint.lineage, endpoint.events = cursor.Lineage{{History: firstHistory}, {History: secondHistory, From: 10}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "other"}}
+	endpoint.mu.Unlock()
 	now.Add(1e9)
-	b, err = ask(p, second, "x", cursor.Position{History: one, At: 20})
-	if err != nil || b.Rewound == nil || b.Rewound.To != 10 || len(b.Events) != 1 || b.Events[0].Text != "other" || b.Next.History != two.String() {
-		t.Errorf("%+v, %v", b, err)
+	batch, err = sendRequest(feeds, second, "x", cursor.Position{History: firstHistory, At: 20})
+	if err != nil || batch.Rewound == nil || batch.Rewound.To != 10 || len(batch.Events) != 1 || batch.Events[0].Text != "other" || batch.Next.History != secondHistory.String() {
+		t.Errorf("%+v, %v", batch, err)
 	}
-	m.mu.Lock()
-	m.line, m.events = cursor.Lineage{{History: one}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "e20"}, {At: 30, Text: "forked"}}
-	m.mu.Unlock()
+	endpoint.mu.Lock()
+	endpoint.lineage, endpoint.events = cursor.Lineage{{History: firstHistory}}, []cursor.Event{{At: 10, Text: "e10"}, {At: 20, Text: "e20"}, {At: 30, Text: "forked"}}
+	endpoint.mu.Unlock()
 	now.Add(1e9)
-	if b, err = ask(p, second, "x", cursor.Position{History: two, At: 20}); err == nil && len(b.Events) > 0 {
-		t.Errorf("a forked member's events: %+v", b)
+	if batch, err = sendRequest(feeds, second, "x", cursor.Position{History: secondHistory, At: 20}); err == nil && len(batch.Events) > 0 {
+		t.Errorf("received events of a forked endpoint: %+v", batch)
 	}
-	m.fail = errors.New("no member")
+	endpoint.readError = errors.New("no member")
 	now.Add(1e9)
-	_, err = ask(p, second, "x", cursor.Position{History: two, At: 20})
-	if r := operr.Of(err); r == nil || r.Kind() != "feed-unread" || !errors.Is(err, m.fail) {
+	_, err = sendRequest(feeds, second, "x", cursor.Position{History: secondHistory, At: 20})
+	if typed := operr.Of(err); typed == nil || typed.Kind() != "feed-unread" || !errors.Is(err, endpoint.readError) {
 		t.Error(err)
 	}
-	for _, e := range []operr.Error{&cursor.RejectedError{Outcome: cursor.Future}, &cursor.RejectedError{Outcome: cursor.Snapshot}, &cursor.RejectedError{Outcome: cursor.Snapshot, Forgotten: true}, &cursor.OverloadedError{Reason: cursor.ReasonWaiting},
+	for _, typedError := range []operr.Error{&cursor.RejectedError{Outcome: cursor.Future}, &cursor.RejectedError{Outcome: cursor.Snapshot}, &cursor.RejectedError{Outcome: cursor.Snapshot, Forgotten: true}, &cursor.OverloadedError{Reason: cursor.ReasonWaiting},
 		&cursor.OverloadedError{Reason: cursor.ReasonBusy}, &cursor.OverloadedError{Reason: cursor.ReasonCatchUp}, &cursor.OverloadedError{Reason: cursor.ReasonReconnects}} {
-		if e.Kind() == "" || e.Hint() == "" || strings.Contains(e.Error(), "%!") {
-			t.Errorf("%T: %s, %s, %s", e, e.Kind(), e.Hint(), e.Error())
+		if typedError.Kind() == "" || typedError.Hint() == "" || strings.Contains(typedError.Error(), "%!") {
+			t.Errorf("%T: %s, %s, %s", typedError, typedError.Kind(), typedError.Hint(), typedError.Error())
 		}
 	}
 }
 
-// Whatever a client says of its cursor: no panic; what it gets follows what it said it had, in order, and leads to a cursor with
-// which it has all.
+// For any cursor fields that a client sends, Answer returns a typed error, or events in order after the client's position
+// and a valid generation, without a panic.
 func FuzzCursor(f *testing.F) {
-	for _, s := range []string{"after=10,history=1-00000007", "after=25,history=1-00000007,gen=5", "after=20,history=2-00000001,gen=9007199254740992", "after=0,history=9-ffffffff", "after=8796093022208,history=2-00000001",
+	for _, fields := range []string{"after=10,history=1-00000007", "after=25,history=1-00000007,gen=5", "after=20,history=2-00000001,gen=9007199254740992", "after=0,history=9-ffffffff", "after=8796093022208,history=2-00000001",
 		"history=1-00000007", "after=5", "after=-1,history=x", "gen=-1", "after=1,history=01-00000007", "after=1,history=0-00000000"} {
-		f.Add(s)
+		f.Add(fields)
 	}
-	two := cursor.History{Era: 2, ID: 1}
-	m := &member{line: cursor.Lineage{{History: one}, {History: two, From: 20}}, events: []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "c"}}}
-	p, now := part(f, m, nil)
+	secondHistory := cursor.History{Era: 2, ID: 1}
+	endpoint := &endpoint{lineage: cursor.Lineage{{History: firstHistory}, {History: secondHistory, From: 20}}, events: []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 30, Text: "c"}}}
+	feeds, now := newFeeds(f, endpoint, nil)
 	f.Fuzz(func(t *testing.T, fields string) {
 		now.Add(1e9)
-		r, err := pgwire.ParseRequest("/* id=1,c=f,d=1,cluster=1," + fields + " */ SELECT feed('s')")
-		if err != nil || r.Cluster != 1 || r.Class != "f" {
+		parsed, err := pgwire.ParseRequest("/* id=1,c=f,d=1,cluster=1," + fields + " */ SELECT feed('s')")
+		if err != nil || parsed.Cluster != 1 || parsed.Class != "f" {
 			return
 		}
-		q := &Request{Class: "f", Group: 1, Subscriber: r.Session, Gen: r.Gen, Until: now.Load() + 20e9}
-		if h, err := cursor.ParseHistory(r.History); err == nil && r.HasPos {
-			q.After = cursor.Position{History: h, At: r.After}
-		} else if r.History != "" && err == nil {
+		request := &Request{Class: "f", Group: 1, Subscriber: parsed.Session, Generation: parsed.Gen, Deadline: now.Load() + 20e9}
+		if history, err := cursor.ParseHistory(parsed.History); err == nil && parsed.HasPos {
+			request.After = cursor.Position{History: history, At: parsed.After}
+		} else if parsed.History != "" && err == nil {
 			return
 		}
-		seat := &Subscription{}
-		raw, err := p.Answer(seat, q)
+		subscription := &Subscription{}
+		encoded, err := feeds.Answer(subscription, request)
 		if err != nil {
 			if operr.Of(err) == nil {
-				t.Fatalf("%v has no remedy", err)
+				t.Fatalf("%v is not a typed error", err)
 			}
 			return
 		}
-		b, err := ParseBatch(raw)
+		batch, err := ParseBatch(encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		last := q.After.At
-		if b.Rewound != nil {
-			last = b.Rewound.To
+		lastPosition := request.After.At
+		if batch.Rewound != nil {
+			lastPosition = batch.Rewound.To
 		}
-		for _, e := range b.Events {
-			if q.After.History != (cursor.History{}) && e.At <= last {
-				t.Fatalf("%d after %d", e.At, last)
+		for _, event := range batch.Events {
+			if request.After.History != (cursor.History{}) && event.At <= lastPosition {
+				t.Fatalf("%d after %d", event.At, lastPosition)
 			}
-			last = e.At
+			lastPosition = event.At
 		}
-		if b.Next.Gen <= 0 || b.Next.Gen > 1<<54 {
-			t.Fatalf("generation %d", b.Next.Gen)
+		if batch.Next.Generation <= 0 || batch.Next.Generation > 1<<54 {
+			t.Fatalf("generation %d", batch.Next.Generation)
 		}
 	})
 }
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -9,100 +9,103 @@
 	"lotushook/policy/cursor"
 )
 
-// json is strict about a member's answer: one with unknown keys is of another version.
+// json rejects unknown keys, which show that an endpoint's response is of another version.
 var json = jsoniter.Config{EscapeHTML: false, DisallowUnknownFields: true, CaseSensitive: true}.Froze()
 
-// ErrMalformed is wrapped by all errors about a member's answer.
+// ErrMalformed is wrapped by all errors about an endpoint's response.
 var ErrMalformed = errors.New("member's log")
 
-// memberAnswer is a member's answer on the wire: one value.
-type memberAnswer struct {
-	Line          []history `json:"line"`
-	RemovedBefore int64     `json:"gone"`
-	Head          int64     `json:"head"`
-	From          int64     `json:"from"`
-	Events        []event   `json:"events"`
-	More          bool      `json:"more,omitempty"`
+// endpointResponse is the encoded form of an endpoint's response, which is a single value.
+type endpointResponse struct {
+	Lineage       []fork      `json:"line"`
+	TruncatedUpTo int64       `json:"gone"`
+	Head          int64       `json:"head"`
+	From          int64       `json:"from"`
+	Events        []wireEvent `json:"events"`
+	More          bool        `json:"more,omitempty"`
 }
 
-type history struct {
+// fork is the encoded form of a cursor.Fork.
+type fork struct {
 	Name string `json:"history"`
 	From int64  `json:"from"`
 }
 
-type event struct {
+type wireEvent struct {
 	At   int64  `json:"at"`
 	Text string `json:"text"`
 }
 
-// AppendAnswer encodes a member's answer.
-func AppendAnswer(a *cursor.Response) ([]byte, error) {
-	t := memberAnswer{RemovedBefore: a.TruncatedUpTo, Head: a.Head, From: a.From, More: a.More, Events: events(a.Events)}
-	for _, f := range a.Lineage {
-		t.Line = append(t.Line, history{f.String(), f.From})
+// EncodeResponse encodes an endpoint's response.
+func EncodeResponse(response *cursor.Response) ([]byte, error) {
+	encoded := endpointResponse{TruncatedUpTo: response.TruncatedUpTo, Head: response.Head, From: response.From,
+		More: response.More, Events: encodeEvents(response.Events)}
+	for _, lineageFork := range response.Lineage {
+		encoded.Lineage = append(encoded.Lineage, fork{lineageFork.String(), lineageFork.From})
 	}
-	return json.Marshal(t)
+	return json.Marshal(encoded)
 }
 
-// ParseAnswer decodes it, and rejects an invalid one.
-func ParseAnswer(raw []byte) (*cursor.Response, error) {
-	var t memberAnswer
-	if err := json.Unmarshal(raw, &t); err != nil {
+// ParseResponse decodes an endpoint's response, and returns an error for an invalid one.
+func ParseResponse(text []byte) (*cursor.Response, error) {
+	var encoded endpointResponse
+	if err := json.Unmarshal(text, &encoded); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	a := &cursor.Response{TruncatedUpTo: t.RemovedBefore, Head: t.Head, From: t.From, More: t.More}
-	for _, h := range t.Line {
-		one, err := cursor.ParseHistory(h.Name)
+	response := &cursor.Response{TruncatedUpTo: encoded.TruncatedUpTo, Head: encoded.Head, From: encoded.From,
+		More: encoded.More}
+	for _, encodedFork := range encoded.Lineage {
+		history, err := cursor.ParseHistory(encodedFork.Name)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
-		a.Lineage = append(a.Lineage, cursor.Fork{History: one, From: h.From})
+		response.Lineage = append(response.Lineage, cursor.Fork{History: history, From: encodedFork.From})
 	}
-	for _, e := range t.Events {
-		a.Events = append(a.Events, cursor.Event(e))
+	for _, event := range encoded.Events {
+		response.Events = append(response.Events, cursor.Event(event))
 	}
-	if err := a.Check(); err != nil {
+	if err := response.Check(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	return a, nil
+	return response, nil
 }
 
-func events(list []cursor.Event) []event {
-	out := make([]event, 0, len(list))
-	for _, e := range list {
-		out = append(out, event(e))
+func encodeEvents(decoded []cursor.Event) []wireEvent {
+	encoded := make([]wireEvent, 0, len(decoded))
+	for _, event := range decoded {
+		encoded = append(encoded, wireEvent(event))
 	}
-	return out
+	return encoded
 }
 
-// Batch is a subscriber's answer, as one value.
+// Batch is the answer to a subscriber's request, which is a single value.
 type Batch struct {
-	Events  []event  `json:"events"`
-	Next    Place    `json:"next"`              // its cursor from here on
-	AgainMS int64    `json:"again_ms"`          // when to return; 0: at once, there is more
-	Began   bool     `json:"began,omitempty"`   // it was unknown: it starts here, and earlier events are not sent
-	Rewound *Rewound `json:"rewound,omitempty"` // what it received after To was lost by a take-over, and is void
+	Events        []wireEvent  `json:"events"`
+	Next          ClientCursor `json:"next"`              // the subscriber's new cursor
+	RetryAfterMS  int64        `json:"again_ms"`          // delay until the next request; 0 if there are more events
+	StartedAtHead bool         `json:"began,omitempty"`   // an unknown subscriber starts at the head, without earlier events
+	Rewound       *Rewound     `json:"rewound,omitempty"` // set if events that the subscriber received were lost in a failover
 }
 
-// Place is a cursor as clients send it: in the fields after, history and gen.
-type Place struct {
-	After   int64  `json:"after"`
-	History string `json:"history"`
-	Gen     int64  `json:"gen"`
+// ClientCursor is a cursor as clients send it, in the fields after, history and gen.
+type ClientCursor struct {
+	After      int64  `json:"after"`
+	History    string `json:"history"`
+	Generation int64  `json:"gen"`
 }
 
-// Rewound says which events are void: those of History after To, up to From.
+// Rewound describes the events that are void after a failover: those of History after To, up to From.
 type Rewound struct {
 	History string `json:"history"`
 	From    int64  `json:"from"`
 	To      int64  `json:"to"`
 }
 
-// ParseBatch decodes a subscriber's answer.
-func ParseBatch(raw []byte) (*Batch, error) {
-	b := &Batch{}
-	if err := json.Unmarshal(raw, b); err != nil {
+// ParseBatch decodes the answer to a subscriber's request.
+func ParseBatch(text []byte) (*Batch, error) {
+	batch := &Batch{}
+	if err := json.Unmarshal(text, batch); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
 	}
-	return b, nil
+	return batch, nil
 }
--- a/internal/emulator/feed.go
+++ b/internal/emulator/feed.go
@@ -164,7 +164,7 @@
 	if len(a.Events) > most {
 		a.Events, a.More = a.Events[:most], true
 	}
-	value, err := changefeed.AppendAnswer(a)
+	value, err := changefeed.EncodeResponse(a)
 	if err != nil {
 		panic(err) // numbers and strings alone
 	}
--- a/internal/experiment/feeds_test.go
+++ b/internal/experiment/feeds_test.go
@@ -97,7 +97,7 @@
 		}
 	}
 	r := &record{events: []cursor.Event{{At: 10, Text: "a"}, {At: 20, Text: "b"}, {At: 25, Text: "lost"}}}
-	voided, err := r.take(&changefeed.Batch{Next: changefeed.Place{After: 20, History: h.String()}, Rewound: &changefeed.Rewound{From: 25, To: 20}})
+	voided, err := r.take(&changefeed.Batch{Next: changefeed.ClientCursor{After: 20, History: h.String()}, Rewound: &changefeed.Rewound{From: 25, To: 20}})
 	if err != nil || voided != 1 || r.against(log) != (wrongs{}) {
 		t.Errorf("%d voided, %v, %+v", voided, err, r.against(log))
 	}
--- a/internal/experiment/readers.go
+++ b/internal/experiment/readers.go
@@ -55,7 +55,7 @@
 			r.events = r.events[:i]
 		}
 	}
-	if b.Began {
+	if b.StartedAtHead {
 		r.began, r.events = b.Next.After, nil
 	}
 	if len(b.Events) > 0 { // without a cursor: another router may know it from before it began at one that did not
@@ -110,7 +110,7 @@
 	of     *Readers
 	name   string
 	conn   *client
-	place  changefeed.Place
+	place  changefeed.ClientCursor
 	broken time.Time // since when it has been without an answer; zero: it is not
 	count  int
 }
@@ -200,11 +200,11 @@
 		if b.Rewound != nil {
 			f.counts.rewound++
 		}
-		if b.Began {
+		if b.StartedAtHead {
 			f.counts.began++
 		}
 		c.place = b.Next
-		return ms(float64(b.AgainMS))
+		return ms(float64(b.RetryAfterMS))
 	case failed:
 		if place != c.place && strings.HasPrefix(a.text, "cursor-future") {
 			f.counts.future++
@@ -212,7 +212,7 @@
 		}
 		if at, from, ok := snapshot(a.text); ok {
 			f.counts.snapshots++
-			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Position{At: at}, changefeed.Place{After: at, History: from}
+			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Position{At: at}, changefeed.ClientCursor{After: at, History: from}
 			return 0
 		}
 	}
@@ -238,7 +238,7 @@
 }
 
 // query sends one request, on a new connection where there is none.
-func (c *subscriber) query(place changefeed.Place, until time.Time) answer {
+func (c *subscriber) query(place changefeed.ClientCursor, until time.Time) answer {
 	for dials := 0; dials < 2; dials++ {
 		kept := c.conn != nil
 		if !kept {
@@ -254,7 +254,7 @@
 		var b strings.Builder
 		fmt.Fprintf(&b, "/* id=%s-%d,c=%s,d=%d,cluster=%d", c.name, c.count, c.of.Class, max(1, time.Until(until).Milliseconds()), c.rec.group+1)
 		if c.of.Carry && place.History != "" {
-			fmt.Fprintf(&b, ",after=%d,history=%s,gen=%d", place.After, place.History, place.Gen)
+			fmt.Fprintf(&b, ",after=%d,history=%s,gen=%d", place.After, place.History, place.Generation)
 		}
 		fmt.Fprintf(&b, " */ SELECT feed('%s')", c.name)
 		a, err := c.conn.query(pgwire.AppendQuery(nil, b.String()), until)
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -41,7 +41,7 @@
 			return nil, fmt.Errorf("feeds: classes.%s: not one of reads that may be repeated", name)
 		}
 	}
-	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MaxWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
+	o := changefeed.Options{Settings: all, Classes: by, MaxWaiting: own.MaxWaiting, ReadTimeout: time.Duration(own.ReadForMS) * time.Millisecond,
 		Self: crdt.Origin{Name: r.config.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
 	if r.membership != nil {
 		o.State = r.membership.state
@@ -55,8 +55,8 @@
 
 // answer answers a subscriber. Its connection's reader set the seat before any of its tasks began.
 func (f *changefeedService) answer(c *client, q *pgwire.Request, seat *changefeed.Subscription, came clock.Nanos) []byte {
-	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Gen: q.Gen, Who: c.identity, Left: c.left,
-		Until: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
+	r := &changefeed.Request{Class: q.Class, Group: q.Cluster, Subscriber: q.Session, Generation: q.Gen, Identity: c.identity, ClientLeft: c.left,
+		Deadline: came + int64(max(q.Wait-deadlineMargin, q.Wait/2))}
 	if q.Session == "" {
 		return errorAnswer(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
 	}
@@ -101,7 +101,7 @@
 func (f *changefeedService) read(ask changefeed.ReadRequest) changefeed.ReadResult {
 	now := f.router.clock.now()
 	var text strings.Builder
-	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.requestCount.Add(1), ask.Class, max(1, (ask.Until-now)/1e6), ask.Group)
+	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(f.router.clock.unix>>10), f.requestCount.Add(1), ask.Class, max(1, (ask.Deadline-now)/1e6), ask.Group)
 	if ask.After.History != (cursor.History{}) {
 		text.WriteString(",after=" + strconv.FormatInt(ask.After.At, 10) + ",history=" + ask.After.String())
 	}
@@ -111,13 +111,13 @@
 		return changefeed.ReadResult{Err: err}
 	}
 	end := &internalResult{}
-	r := &request{Request: parsed, router: f.router, client: f.internalClient, identity: ask.Who, actions: make(chan balance.Action, actionQueueSize), deadline: ask.Until, result: end}
+	r := &request{Request: parsed, router: f.router, client: f.internalClient, identity: ask.Identity, actions: make(chan balance.Action, actionQueueSize), deadline: ask.Deadline, result: end}
 	r.run()
 	switch {
 	case end.served:
 		return changefeed.ReadResult{Value: end.value}
 	case end.retryAfter > 0:
-		return changefeed.ReadResult{Wait: end.retryAfter, Err: errors.New("refused by this router's own decisions")}
+		return changefeed.ReadResult{RetryAfter: end.retryAfter, Err: errors.New("refused by this router's own decisions")}
 	}
 	return changefeed.ReadResult{Err: context.DeadlineExceeded}
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -38,8 +38,8 @@
 	if r.changefeed != nil {
 		counts := r.changefeed.feeds.Counts()
 		slog.Info("feeds", "name", r.config.Name, "cursors", counts.Cursors, "answers", counts.Answers,
-			"events", counts.Events, "end_reads", counts.EndReads, "far_reads", counts.FarReads,
-			"refused", counts.Refused, "rows", counts.Rows)
+			"events", counts.Events, "end_reads", counts.HeadReads, "far_reads", counts.CatchUpReads,
+			"refused", counts.Rejected, "rows", counts.Outcomes)
 	}
 }
 
