--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -173,7 +173,8 @@
 			switch {
 			case outcome == cursor.BeginAtHead:
 				recorded.Acked = cursor.NotAcknowledged
-			case outcome == cursor.Rewind && !hasCursor: // the client is notified of the rewind until it confirms it by sending a cursor
+			case outcome == cursor.Rewind && !hasCursor:
+				// The client is notified of the rewind until it confirms it by sending a cursor.
 				if recorded.Position, recorded.Acked = decision.Stale, min(known.Acked, decision.Stale.At); known.Gen == 0 {
 					recorded.Acked = cursor.NotAcknowledged
 				}
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -18,7 +18,7 @@
 
 const (
 	shardCount    = 64
-	maxReads      = 3       // limit of reads for one answer: detecting a fork takes a second read, a forked endpoint a third
+	maxReads      = 3       // reads per answer: detecting a fork takes a second read, a forked endpoint a third
 	maxGeneration = 1 << 32 // a generation further than this beyond the head cannot result from reconnects
 )
 
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -83,8 +83,8 @@
 	Events        []wireEvent  `json:"events"`
 	Next          ClientCursor `json:"next"`              // the subscriber's new cursor
 	RetryAfterMS  int64        `json:"again_ms"`          // delay until the next request; 0 if there are more events
-	StartedAtHead bool         `json:"began,omitempty"`   // an unknown subscriber starts at the head, without earlier events
-	Rewound       *Rewound     `json:"rewound,omitempty"` // set if events that the subscriber received were lost in a failover
+	StartedAtHead bool         `json:"began,omitempty"`   // unknown subscriber: starts at the head, without earlier events
+	Rewound       *Rewound     `json:"rewound,omitempty"` // set if events that the subscriber received are void
 }
 
 // ClientCursor is a cursor as clients send it, in the fields after, history and gen.
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -29,7 +29,8 @@
 		}
 		key, err := hex.DecodeString(line)
 		if err != nil || len(key) < minKeyBytes {
-			return nil, &KeyError{path, index + 1, fmt.Errorf("not %d or more hex digits", 2*minKeyBytes)} // the error omits the line, which is a secret
+			// The error omits the line, which is a secret.
+			return nil, &KeyError{path, index + 1, fmt.Errorf("not %d or more hex digits", 2*minKeyBytes)}
 		}
 		keys = append(keys, key)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
 // Package peer implements the messages between the routers of a cluster: sockets, authentication, size limits, and the
-// replication of state. Package policy/membership decides which members are alive. Client requests wait for this package
-// only in State.LearnDurably, up to a timeout.
+// replication of state. Package policy/membership decides which members are alive. A client request waits for messages of
+// other members only in State.LearnDurably, up to a timeout.
 package peer
 
 import (
@@ -32,10 +32,10 @@
 // Options are the settings of Peers.
 type Options struct {
 	Cluster      string
-	Listen       string // address and port, for UDP and TCP; with port 0, the system chooses the port, which is then advertised
+	Listen       string // address and port, for UDP and TCP; with port 0, the system chooses the port
 	Membership   membership.Settings
 	Keys         [][]byte
-	Zones        map[string]string      // zone by router name; a router that starts empty catches up from its own zone first
+	Zones        map[string]string      // zones by router name; a router prefers to catch up from its own zone
 	OnViewChange func(*membership.View) // called on Run's goroutine when the view has changed; must not block
 	State        *State                 // replicated state; nil disables replication
 	Now          func() int64           // this router's clock, in nanoseconds
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -120,7 +120,8 @@
 		counts := a.Counts()
 		return counts.Unauthenticated == 2 && counts.OtherCluster == 1 && counts.Outdated >= 1 && counts.Replayed == 1 && counts.OtherVersion == 1 && counts.Malformed == 3
 	})
-	for _, stream := range []string{"", "\xff\xff\xff\xff", "\x00\x00\x00\x09half"} { // over TCP: empty, too long, truncated
+	// Over TCP: an empty stream, too long a message, a truncated message.
+	for _, stream := range []string{"", "\xff\xff\xff\xff", "\x00\x00\x00\x09half"} {
 		conn, err := net.Dial("tcp", a.Address())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/peer/replication.go
+++ b/internal/peer/replication.go
@@ -18,7 +18,7 @@
 	checkInterval       = 5 * time.Second
 	missingAfter        = 10 * time.Second // an entry that is older than this and missing on another member is logged
 	maxCheckEntries     = 8                // entries per check message
-	requestBytes        = 800              // version vectors in one request, so that the request fits into a datagram
+	requestBytes        = 800              // limit of the version vectors in one request, so that it fits into a datagram
 )
 
 // replication is the state of the replication protocol. It is owned by Run's goroutine.
@@ -32,10 +32,10 @@
 	firstShard     int              // first shard of the next request
 	failedAttempts int              // consecutive requests that timed out, were deferred, or returned a corrupt piece
 	requestCount   int
-	coveredShards  int  // consecutive shards for which a member had nothing more to send
-	caughtUp       bool // all shards have been covered since the start
-	startedAt      int64
-	mergedEntries  int // entries merged by catch-up, for the log line
+	coveredShards  int   // consecutive shards for which a member had nothing more to send
+	caughtUp       bool  // all shards have been covered since the start
+	startedAt      int64 // when the first request was sent
+	mergedEntries  int   // entries merged by catch-up, for the log line
 	mergedPieces   int
 	checkedAt      int64
 	checkShard     int   // shard of the next check
@@ -161,7 +161,9 @@
 	replication.requestCount++
 	source, _ := crdt.ChoosePeer(candidates, peers.options.Zones[peers.options.Membership.Name], !replication.caughtUp,
 		replication.failedAttempts, replication.requestCount)
-	if addresses[replication.continueWith] != "" { // continues with the same source; if it stops answering, the next request goes to another member
+	// Continues with a source that has more pieces. If it stops answering, the next request goes to another member, which
+	// continues from the same position.
+	if addresses[replication.continueWith] != "" {
 		source.Name = replication.continueWith
 	}
 	request := &stateRequest{FirstShard: replication.firstShard, Recovering: !replication.caughtUp}
@@ -314,7 +316,8 @@
 		return
 	}
 	sum := uint64(0)
-	runs := map[int][]crdt.OriginRun{} // by shard: the version range that one run claims may depend on entries of another run
+	// Runs are merged by shard, because the version range that one run claims may depend on entries of another run.
+	runs := map[int][]crdt.OriginRun{}
 	for i := range piece.Runs {
 		received := piece.Runs[i].decode()
 		for j := range received.Entries {
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -66,7 +66,7 @@
 	Size           map[string]int       `json:"size"`
 	Digest         map[string]uint64    `json:"digest"` // equal for equal copies
 	Rejected       uint64               `json:"refused"`
-	WithheldClaims uint64               `json:"withheld"`  // completeness claims ignored because entries with them were rejected
+	WithheldClaims uint64               `json:"withheld"`  // completeness claims ignored because of rejected entries
 	CaughtUp       bool                 `json:"caught_up"` // the copy has caught up with other members since the start
 	CatchUpClients int                  `json:"fed"`       // members that are catching up from this router
 	Broadcast      crdt.BroadcastCounts `json:"told"`
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -11,7 +11,7 @@
 
 const (
 	shardCount = 16 // shards of a copy; the same on all routers, because each shard has its own sequence numbers
-	// Limit of writes that wait for another member's acknowledgement. Further writes go on without waiting, and are counted.
+	// Limit of writes that wait for another member's acknowledgement. Further writes don't wait, and are counted.
 	maxWaits = 1024
 )
 
@@ -42,7 +42,7 @@
 	startedAt    int64
 }
 
-// urgentEntry is an entry to be broadcast immediately, with the number of the wait for its acknowledgement; 0: none waits.
+// urgentEntry is an entry to be broadcast immediately. waitNumber is the wait for its acknowledgement; 0 if none.
 type urgentEntry struct {
 	entry      crdt.Entry
 	waitNumber uint64
@@ -50,7 +50,7 @@
 
 type waitTotals struct {
 	acknowledged, timedOut, limitReached, noOtherMember uint64
-	longest                                             int64
+	longest                                             int64 // nanoseconds
 }
 
 // NewState returns an empty copy that uses the given clock.
@@ -61,10 +61,11 @@
 		return nil, err
 	}
 	settings = settings.Shard(shards)
-	return &State{now: now, self: settings.Self, changed: make(chan struct{}, 1), waits: map[uint64]*ackWait{}, shards: sharded.New(shards, func(int) crdt.Store {
-		store, _ := crdt.New(settings) // the settings were checked above
-		return *store
-	})}, nil
+	return &State{now: now, self: settings.Self, changed: make(chan struct{}, 1), waits: map[uint64]*ackWait{},
+		shards: sharded.New(shards, func(int) crdt.Store {
+			store, _ := crdt.New(settings) // the settings were checked above
+			return *store
+		})}, nil
 }
 
 // withShardAt calls use with a shard, which use must not retain.
--- a/internal/peer/statemessage.go
+++ b/internal/peer/statemessage.go
@@ -43,10 +43,11 @@
 	FirstShard int      // the request covers one shard per digest from this one on, and wraps around after the last shard
 	Digests    []uint64
 	Origins    []wireOrigin
-	UpTo       [][]uint64 // received sequence number by shard and origin; for the origin without a name: start of the next piece
+	UpTo       [][]uint64 // by shard and origin: received sequence number; for the origin without a name: start of next piece
 	Recovering bool       // the sender has not caught up since its start
 }
 
+// wireOrigin is the encoded form of a crdt.Origin.
 type wireOrigin struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -165,7 +165,8 @@
 				peers.counts.malformed.Add(1)
 				return
 			}
-			sealed, err := io.ReadAll(io.LimitReader(conn, int64(size))) // allocates as bytes arrive, not by the announced length
+			// ReadAll allocates memory as bytes arrive, not by the announced length.
+			sealed, err := io.ReadAll(io.LimitReader(conn, int64(size)))
 			if err != nil || len(sealed) != int(size) {
 				peers.counts.malformed.Add(1)
 				return
--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -58,7 +58,7 @@
 const (
 	fanout          = 16
 	tickInterval    = 100 * ms
-	bytesPerMessage = 131 // of one report with its envelope on the wire, as measured by TestLevelBytes of internal/peer
+	bytesPerMessage = 131 // of one report with its envelope on the wire, as measured by TestSheddingLevelFitsShortDatagram of internal/peer
 )
 
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
