--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -42,7 +42,7 @@
 			return nil, fmt.Errorf("feeds: classes.%s: not a class of idempotent reads", name)
 		}
 	}
-	options := changefeed.Options{Settings: defaults, Classes: byClass, Waiting: settings.MaxWaiting, ReadFor: time.Duration(settings.ReadForMS) * time.Millisecond,
+	options := changefeed.Options{Settings: defaults, Classes: byClass, MaxWaiting: settings.MaxWaiting, ReadTimeout: time.Duration(settings.ReadForMS) * time.Millisecond,
 		Self: crdt.Origin{Name: router.config.Name, Boot: uint64(router.clock.unix)}, Now: router.clock.now, Read: service.read}
 	if router.membership != nil {
 		options.State = router.membership.state
@@ -57,8 +57,8 @@
 // answer returns the answer to a subscriber's request. The reader of the client's connection created the subscription
 // before it started any task that uses it.
 func (service *changefeedService) answer(client *client, parsed *pgwire.Request, subscription *changefeed.Subscription, arrivedAt clock.Nanos) []byte {
-	request := &changefeed.Request{Class: parsed.Class, Group: parsed.Cluster, Subscriber: parsed.Session, Gen: parsed.Generation, Who: client.identity, Left: client.left,
-		Until: arrivedAt + int64(max(parsed.Timeout-deadlineMargin, parsed.Timeout/2))}
+	request := &changefeed.Request{Class: parsed.Class, Group: parsed.Cluster, Subscriber: parsed.Session, Generation: parsed.Generation, Identity: client.identity, ClientLeft: client.left,
+		Deadline: arrivedAt + int64(max(parsed.Timeout-deadlineMargin, parsed.Timeout/2))}
 	if parsed.Session == "" {
 		return errorAnswer(pgwire.CodeInvalidParameter, "a feed needs a subscriber: the quoted key of the statement")
 	}
@@ -104,7 +104,7 @@
 func (service *changefeedService) read(readRequest changefeed.ReadRequest) changefeed.ReadResult {
 	now := service.router.clock.now()
 	var text strings.Builder
-	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(service.router.clock.unix>>10), service.requestCount.Add(1), readRequest.Class, max(1, (readRequest.Until-now)/1e6), readRequest.Group)
+	fmt.Fprintf(&text, "/* id=feed-%x-%d,c=%s,d=%d,cluster=%d", uint32(service.router.clock.unix>>10), service.requestCount.Add(1), readRequest.Class, max(1, (readRequest.Deadline-now)/1e6), readRequest.Group)
 	if readRequest.After.History != (cursor.History{}) {
 		text.WriteString(",after=" + strconv.FormatInt(readRequest.After.At, 10) + ",history=" + readRequest.After.String())
 	}
@@ -114,13 +114,13 @@
 		return changefeed.ReadResult{Err: err}
 	}
 	result := &internalResult{}
-	request := &request{Request: parsed, router: service.router, client: service.internalClient, identity: readRequest.Who, actions: make(chan balance.Action, actionQueueSize), deadline: readRequest.Until, result: result}
+	request := &request{Request: parsed, router: service.router, client: service.internalClient, identity: readRequest.Identity, actions: make(chan balance.Action, actionQueueSize), deadline: readRequest.Deadline, result: result}
 	request.run()
 	switch {
 	case result.served:
 		return changefeed.ReadResult{Value: result.value}
 	case result.retryAfter > 0:
-		return changefeed.ReadResult{Wait: result.retryAfter, Err: errors.New("refused by this router's own decisions")}
+		return changefeed.ReadResult{RetryAfter: result.retryAfter, Err: errors.New("refused by this router's own decisions")}
 	}
 	return changefeed.ReadResult{Err: context.DeadlineExceeded}
 }
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -85,7 +85,7 @@
 		if service.persisted, err = newPersistedState(settings, crdt.Origin{Name: service.detectorSettings.Name, Boot: service.detectorSettings.Epoch}, router.clock.now); err != nil {
 			return nil, err
 		}
-		service.state.SetKeeper(service.persisted)
+		service.state.SetPersister(service.persisted)
 	}
 	service.keys, err = peer.ReadKeys(settings.KeyFile)
 	return service, err
@@ -99,7 +99,7 @@
 			return err
 		}
 	}
-	service.peers, err = peer.Listen(peer.Options{Cluster: service.settings.Cluster, Listen: service.settings.Routers[service.detectorSettings.Name].Listen, Member: service.detectorSettings, Keys: service.keys, State: service.state, Zones: service.settings.Zones(), Changed: service.changed,
+	service.peers, err = peer.Listen(peer.Options{Cluster: service.settings.Cluster, Listen: service.settings.Routers[service.detectorSettings.Name].Listen, Membership: service.detectorSettings, Keys: service.keys, State: service.state, Zones: service.settings.Zones(), OnViewChange: service.changed,
 		Now: service.router.clock.now})
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 	quota := view.Quota
 	service.quota.Store(&quota)
 	service.router.recovery.peersSeen(view)
-	peer.Log(service.loggedView, view)
+	peer.LogViewChanges(service.loggedView, view)
 	service.loggedView = view
 }
 
@@ -246,7 +246,7 @@
 		return 0
 	}
 	host, startedAt := service.router.directory.StartOf(endpoint)
-	service.state.Look(host, "", func(store *crdt.Store, now int64) {
+	service.state.WithShard(host, "", func(store *crdt.Store, now int64) {
 		if reported, age, own := store.AppliedPosition(now, host, startedAt); !own && age < maxPositionAge {
 			position = reported
 		}
@@ -280,7 +280,7 @@
 func (service *membershipService) commit(group int64, session string) (position clock.Nanos) {
 	if service != nil && service.state != nil && session != "" {
 		groupName := strconv.FormatInt(group, 10)
-		service.state.Look(groupName, session, func(store *crdt.Store, _ int64) { position, _ = store.CommitPosition(groupName, session) })
+		service.state.WithShard(groupName, session, func(store *crdt.Store, _ int64) { position, _ = store.CommitPosition(groupName, session) })
 	}
 	return position
 }
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -120,7 +120,7 @@
 	update := router.directory.Apply(&discovery.List{Complete: true, Hosts: []discovery.Host{{Name: "h", Group: 1, StartedMS: 5}}})
 	endpoint := update.Endpoints[0].ID
 	receive := func(startedAt, at, age int64) {
-		service.state.Look("h", "", func(store *crdt.Store, now int64) {
+		service.state.WithShard("h", "", func(store *crdt.Store, now int64) {
 			store.Merge(now, crdt.Entry{Kind: crdt.ServerPosition, A: "h", Born: startedAt, At: at, Age: age, From: crdt.Origin{Name: "n9", Boot: 1}, Seq: uint64(at)})
 		})
 	}
@@ -140,7 +140,7 @@
 	if at := service.position(endpoint); at != 0 {
 		t.Errorf("position %d was received by this router itself", at)
 	}
-	service.state.Look("1", "", func(store *crdt.Store, _ int64) {
+	service.state.WithShard("1", "", func(store *crdt.Store, _ int64) {
 		if server, startedAt, at := store.Primary("1"); server != "h" || startedAt != 5e6 || at != 80 {
 			t.Errorf("primary %s, started at %d, position %d", server, startedAt, at)
 		}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -39,8 +39,8 @@
 	if router.changefeed != nil {
 		counts := router.changefeed.feeds.Counts()
 		slog.Info("feeds", "name", router.config.Name, "cursors", counts.Cursors, "answers", counts.Answers,
-			"events", counts.Events, "end_reads", counts.EndReads, "far_reads", counts.FarReads,
-			"refused", counts.Refused, "rows", counts.Rows)
+			"events", counts.Events, "end_reads", counts.HeadReads, "far_reads", counts.CatchUpReads,
+			"refused", counts.Rejected, "rows", counts.Outcomes)
 	}
 }
 
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Put stores an entry that the replicated state now contains. Feed cursors and shedding levels are not stored: no rule
+// Persist stores an entry that the replicated state now contains. Feed cursors and shedding levels are not stored: no rule
 // defines yet how a restored cursor may be used, and a level expires after two seconds.
-func (persisted *persistedState) Put(entry crdt.Entry, peer crdt.Origin) {
+func (persisted *persistedState) Persist(entry crdt.Entry, peer crdt.Origin) {
 	if entry.Kind > crdt.Hint {
 		return
 	}
--- a/internal/router/persistence_test.go
+++ b/internal/router/persistence_test.go
@@ -44,7 +44,7 @@
 	service.state.Learn(crdt.NewSheddingLevel("1", 100, 7, 1)) // shedding levels and cursors are not persisted
 	service.state.Learn(crdt.Entry{Kind: crdt.FeedCursor, A: "f", B: "mine", Count: 1, At: 5})
 	peerUp := crdt.Origin{Name: "n1", Boot: 3}
-	service.persisted.Put(primary, peerUp)
+	service.persisted.Persist(primary, peerUp)
 	epoch := service.detectorSettings.Epoch
 	waitUntil(t, "all entries are on disk (a stopping router waits for the disk for a second only)", func() bool {
 		report := service.persisted.report().(persistedReport)
@@ -63,11 +63,11 @@
 		}
 	}
 	// A peer that was not up meanwhile may have restored the entry from its own disk.
-	service.persisted.Put(primary, crdt.Origin{Name: "n2", Boot: 9})
+	service.persisted.Persist(primary, crdt.Origin{Name: "n2", Boot: 9})
 	if fact, _ := service.persisted.fact(primary); fact.Proven {
 		t.Errorf("proven by a peer that was not up: %+v", fact)
 	}
-	service.persisted.Put(primary, peerUp)
+	service.persisted.Persist(primary, peerUp)
 	if fact, _ := service.persisted.fact(primary); !fact.Proven {
 		t.Errorf("not proven by a peer that has been up since: %+v", fact)
 	}
@@ -86,7 +86,7 @@
 	// An entry of this router from a later epoch than the copy's shows that the copy is outdated.
 	entry := session
 	entry.B, entry.At, entry.From, entry.Seq = "other", 7e9, crdt.Origin{Name: service.detectorSettings.Name, Boot: epoch + 1}, 1
-	if service.persisted.Put(entry, peerUp); !service.persisted.report().(persistedReport).Old {
+	if service.persisted.Persist(entry, peerUp); !service.persisted.report().(persistedReport).Old {
 		t.Error("the outdated copy was not detected")
 	}
 	if fact, _ := service.persisted.fact(primary); !fact.MinAgeOnly || fact.Proven {
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -121,7 +121,7 @@
 		included[view.Members[i].Name] = view.Members[i].State == membership.Alive || view.Members[i].State == membership.Suspect
 	}
 	var reports []shedding.Report
-	members.state.Each(func(store *crdt.Store, now int64) {
+	members.state.EachShard(func(store *crdt.Store, now int64) {
 		for _, entry := range store.SheddingLevels(now) {
 			if group, err := strconv.ParseInt(entry.A, 10, 64); err == nil {
 				load, threshold, saltEpoch := entry.SheddingLevel()
--- a/internal/router/storeformat_test.go
+++ b/internal/router/storeformat_test.go
@@ -91,7 +91,7 @@
 	if *writeStore != "" {
 		persisted, stop := openPersistedState(t, dir)
 		for _, entry := range storedEntries() {
-			persisted.Put(entry, entry.From)
+			persisted.Persist(entry, entry.From)
 		}
 		waitUntil(t, "all entries are on disk", func() bool {
 			report := persisted.report().(persistedReport)
