--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -46,7 +46,7 @@
 	if s.Contracts == nil {
 		return nil, none, errors.New("the settings have no contracts")
 	}
-	b, err := s.Contracts.LedgerSettings(s.Contracts.Named(), 1, 0)
+	b, err := s.Contracts.LedgerSettings(s.Contracts.NamedClasses(), 1, 0)
 	return s.Contracts, b, err
 }
 
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	found := book.CheckCapacity(contract.Capacity{Groups: conf.Fleet.Groups, PrimaryWorkPerSecond: conf.Fleet.PrimaryPerS, PromisableShare: conf.Fleet.PrimaryUse})
+	found := book.CheckCapacity(contract.Capacity{Groups: conf.Fleet.Groups, PrimaryWorkPerSecond: conf.Fleet.PrimaryWorkPerS, PromisableShare: conf.Fleet.PromisableShare})
 	for _, f := range found {
 		fmt.Fprintf(c.Root().Writer, "contracts.%s: %s\n", f.Path, f.Text)
 	}
@@ -93,7 +93,7 @@
 			known = append(known, p.String())
 		}
 		for _, h := range t.Hours {
-			hours = append(hours, fmt.Sprintf("%s %s-%s x%v", strings.Join(h.Days, "+"), h.From, h.To, h.Times))
+			hours = append(hours, fmt.Sprintf("%s %s-%s x%v", strings.Join(h.Days, "+"), h.From, h.To, h.Factor))
 		}
 		names := make([]string, 0, len(t.Classes))
 		for n := range t.Classes {
@@ -106,13 +106,13 @@
 				team, who = "", ""
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%v\t%d\t%v\t%v\t%s\n", team, who, n, t.Classes[n].PerS, t.Classes[n].Burst,
-				t.PrimaryShare, t.Open, t.RetryShare, t.Weight, strings.Join(hours, ", "))
+				t.PrimaryShare, t.MaxOpen, t.RetryShare, t.Weight, strings.Join(hours, ", "))
 		}
 	}
-	if conf.None == "" {
+	if conf.DefaultTeam == "" {
 		fmt.Fprintln(w, "(none of them)\trefused")
 	} else {
-		fmt.Fprintln(w, "(none of them)\tteam "+conf.None)
+		fmt.Fprintln(w, "(none of them)\tteam "+conf.DefaultTeam)
 	}
 	return w.Flush()
 }
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -80,7 +80,7 @@
 	if err := os.WriteFile(path, []byte(hex.EncodeToString(key[:])+"\n"), 0o600); err != nil {
 		return f, err
 	}
-	places, seeds := map[string]siteconfig.Place{}, []string{}
+	places, seeds := map[string]siteconfig.RouterAddress{}, []string{}
 	for n := range f.count {
 		at, err := freeOn(memberHostOf(run, n))
 		if err != nil {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return f, err
 		}
-		places[routerName(n)] = siteconfig.Place{Listen: at.String(), Advertise: out.String()}
+		places[routerName(n)] = siteconfig.RouterAddress{Listen: at.String(), Advertise: out.String()}
 		if n < 2 {
 			seeds = append(seeds, out.String())
 		}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m, err := s.Members.Member(routerName(n), 1)
+	m, err := s.Members.MembershipSettings(routerName(n), 1)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -51,7 +51,7 @@
 	omitted   int64 // lines that found none
 }
 
-func newAttemptLog(s *siteconfig.Sends) (*attemptLog, error) {
+func newAttemptLog(s *siteconfig.DecisionLog) (*attemptLog, error) {
 	f, err := os.OpenFile(s.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("members: decisions: %w", err)
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -31,7 +31,7 @@
 
 func newChangefeedService(r *Router, own *siteconfig.Feeds) (*changefeedService, error) {
 	f := &changefeedService{router: r, settings: own, internalClient: &client{left: make(chan struct{})}}
-	all, by := own.Cursor()
+	all, by := own.CursorSettings()
 	for name := range by {
 		i := r.config.Settings.Class(name)
 		if i < 0 {
@@ -41,7 +41,7 @@
 			return nil, fmt.Errorf("feeds: classes.%s: not one of reads that may be repeated", name)
 		}
 	}
-	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MaxWaiting, ReadFor: time.Duration(own.ReadForMS) * time.Millisecond,
+	o := changefeed.Options{Settings: all, Classes: by, Waiting: own.MaxWaiting, ReadFor: time.Duration(own.ReadTimeoutMS) * time.Millisecond,
 		Self: crdt.Origin{Name: r.config.Name, Boot: uint64(r.clock.unix)}, Now: r.clock.now, Read: f.read}
 	if r.membership != nil {
 		o.State = r.membership.state
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -337,8 +337,8 @@
 			defer stop()
 		}
 	}
-	if t.settings != nil && t.settings.EveryS > 0 {
-		tick := time.NewTicker(time.Duration(t.settings.EveryS) * time.Second)
+	if t.settings != nil && t.settings.LogIntervalS > 0 {
+		tick := time.NewTicker(time.Duration(t.settings.LogIntervalS) * time.Second)
 		defer tick.Stop()
 		logTick = tick.C
 	}
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -57,14 +57,14 @@
 func newMembershipService(r *Router, own *siteconfig.Members) (*membershipService, error) {
 	m := &membershipService{router: r, settings: own}
 	var err error
-	if m.detectorSettings, err = own.Member(r.config.Name, uint64(r.clock.unix)); err != nil {
+	if m.detectorSettings, err = own.MembershipSettings(r.config.Name, uint64(r.clock.unix)); err != nil {
 		return nil, err
 	}
 	if n := r.config.Settings.Balance.Routers; n != m.detectorSettings.Configured {
 		return nil, fmt.Errorf("members: routers: %d of them, and the configuration has %d", m.detectorSettings.Configured, n)
 	}
 	m.share = 1 / float64(m.detectorSettings.Configured)
-	if own.Share {
+	if own.ShareCommits {
 		set := crdt.DefaultSettings(crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch})
 		if b := &r.config.Settings.Balance; b.ProbesAllowed && b.ProbesReportPosition && b.LagHandling == balance.LagUnchecked {
 			m.probes, m.givenPositions = true, map[balance.EndpointID]clock.Nanos{}
@@ -75,13 +75,13 @@
 			return nil, err
 		}
 		m.suspects = make(chan balance.EndpointID, maxSuspects)
-		for _, class := range slices.Sorted(maps.Keys(own.Modes.Classes)) {
+		for _, class := range slices.Sorted(maps.Keys(own.CommitModes.Classes)) {
 			if !r.config.Settings.IsWrite(class) {
 				return nil, &ModeError{class, r.config.Settings.Class(class) >= 0}
 			}
 		}
 	}
-	if own.Keep != nil {
+	if own.Persistence != nil {
 		if m.persisted, err = newPersistedState(own, crdt.Origin{Name: m.detectorSettings.Name, Boot: m.detectorSettings.Epoch}, r.clock.now); err != nil {
 			return nil, err
 		}
@@ -94,8 +94,8 @@
 // listen opens the sockets, and the attempt log if one is configured.
 func (m *membershipService) listen() error {
 	var err error
-	if m.settings.Sends != nil {
-		if m.attemptLog, err = newAttemptLog(m.settings.Sends); err != nil {
+	if m.settings.DecisionLog != nil {
+		if m.attemptLog, err = newAttemptLog(m.settings.DecisionLog); err != nil {
 			return err
 		}
 	}
@@ -177,11 +177,11 @@
 		return
 	}
 	e := crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(r.Cluster, 10), B: r.Session, At: at}
-	switch m.settings.Modes.Of(r.Class) {
+	switch m.settings.CommitModes.ForClass(r.Class) {
 	case siteconfig.ModeAsync:
 		m.state.Learn(e)
 	case siteconfig.ModeOne:
-		most := min(time.Duration(m.settings.Modes.WaitMS)*time.Millisecond, time.Duration(r.deadline-m.router.clock.now()))
+		most := min(time.Duration(m.settings.CommitModes.MaxWaitMS)*time.Millisecond, time.Duration(r.deadline-m.router.clock.now()))
 		m.state.LearnDurably(e, most, r.client.left)
 	}
 }
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -45,7 +45,7 @@
 	w := logged(t)
 	now := make(chan time.Time)
 	close(now)
-	own := &siteconfig.Config{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
+	own := &siteconfig.Config{Log: &siteconfig.Log{TotalsIntervalMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
 	s, _, stop, done := startRouterWithConfig(t, own, now, noTimeouts)
 	s.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	q := dkeep.DefaultSettings()
-	q.QueueBytes, q.FsyncsPerSecond = own.Keep.QueueKB<<10, own.Keep.FsyncsPer
-	s := store.Settings{Dir: own.Keep.Dir, MaxBytes: own.Keep.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
+	q.QueueBytes, q.FsyncsPerSecond = own.Persistence.QueueKB<<10, own.Persistence.FsyncsPerS
+	s := store.Settings{Dir: own.Persistence.Dir, MaxBytes: own.Persistence.MaxMB << 20, Cluster: own.Cluster, Name: self.Name, Boot: self.Boot, Queue: q, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
 	u := crdt.DefaultSettings(self)
 	s.Windows[crdt.PendingWrite], s.Windows[crdt.Hint] = u.WriteWindow, u.HintLifetime
-	k := &persistedState{loadTimeout: time.Duration(own.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: ledger, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
+	k := &persistedState{loadTimeout: time.Duration(own.Persistence.LoadTimeoutMS) * time.Millisecond, self: self, now: now, ledger: ledger, steadyEpochs: map[string]uint64{}, seenEpochs: map[string]uint64{}}
 	k.store, err = store.New(s)
 	return k, err
 }
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -27,7 +27,7 @@
 }
 
 func newRecoveryGate(r *Router, own *siteconfig.Recovery) (*recoveryGate, error) {
-	s := own.Decision(r.config.Name, uint64(r.clock.unix), r.config.Settings.Balance.Routers)
+	s := own.RouterSettings(r.config.Name, uint64(r.clock.unix), r.config.Settings.Balance.Routers)
 	s.SeesPeers = r.membership != nil // without peers nothing can say that the replicated state is complete: the wait ends as Empty
 	d, err := recovery.New(s, r.clock.now())
 	if err != nil {
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			s, r, _, _ := startRouterWithConfig(t, own, now, noTimeouts)
-			if own.Recovery.RampingMS == 1 {
+			if own.Recovery.RampingTimeoutMS == 1 {
 				for r.recovery.report().Stage != "serving" {
 					time.Sleep(time.Millisecond)
 				}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -114,7 +114,7 @@
 // observe enables the metrics and logs that the settings ask for.
 func (router *Router) observe(settings *siteconfig.Log) {
 	router.logSettings = settings
-	if settings != nil && settings.TotalsMS > 0 {
+	if settings != nil && settings.TotalsIntervalMS > 0 {
 		router.metrics = metrics.New()
 	}
 	router.accessLog.settings.Store(settings)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -73,7 +73,7 @@
 		running.Go(func() { router.loop.contracts.run(ctx) })
 	}
 	if router.metrics != nil {
-		interval := time.Duration(router.logSettings.TotalsMS) * time.Millisecond
+		interval := time.Duration(router.logSettings.TotalsIntervalMS) * time.Millisecond
 		running.Go(func() { router.writeTotalsEvery(ctx, interval) })
 	}
 	return nil
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -55,7 +55,7 @@
 	if b.RetryAfterAllowed {
 		back = b.MaxRetryAfter
 	}
-	s, err := own.Contracts.SheddingSettings(siteconfig.Fleet{Router: l.router.config.Name, Boot: uint64(l.router.clock.unix), Routers: b.Routers, Agreed: own.Members != nil && own.Members.Share}, back)
+	s, err := own.Contracts.SheddingSettings(siteconfig.SheddingRouter{Router: l.router.config.Name, Epoch: uint64(l.router.clock.unix), Routers: b.Routers, Shared: own.Members != nil && own.Members.ShareCommits}, back)
 	if err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
--- a/internal/siteconfig/changefeed.go
+++ b/internal/siteconfig/changefeed.go
@@ -9,81 +9,81 @@
 	"lotushook/policy/cursor"
 )
 
-// Feeds says which classes are read as feeds of changes, and what they may take. Nothing of it changes on SIGHUP.
+// Feeds configures the classes that are read as change feeds, and their limits. SIGHUP changes none of it.
 type Feeds struct {
-	Classes     map[string]FeedClass `json:"classes"`      // by the platform's names
-	MaxCursors  int                  `json:"most_cursors"` // that this router remembers; whoever is let go must bring its own, or take a snapshot
-	RingEvents  int                  `json:"ring_events"`  // recent events of each feed: who is behind them is read for by itself
-	RingBytes   int                  `json:"ring_bytes"`   // of their texts
-	BatchEvents int                  `json:"batch_events"` // in one answer
-	BatchBytes  int                  `json:"batch_bytes"`
-	FreshMS     int64                `json:"fresh_ms"`       // a feed's end is asked for at most so often
-	AgainMS     int64                `json:"again_ms"`       // a subscriber that has all is told to come again after it
-	FutureMS    int64                `json:"future_ms"`      // a cursor so far beyond the newest position is refused
-	CatchUpPerS float64              `json:"catch_up_per_s"` // readings for those behind the ring
-	ReturnPerS  float64              `json:"return_per_s"`   // subscribers that may come back, or come new
-	SpreadMS    int64                `json:"spread_ms"`      // the longest time to return that the others are told
-	MaxWaiting  int                  `json:"most_waiting"`   // requests that wait for data servers
-	ReadForMS   int64                `json:"read_for_ms"`    // a reading is given up after it
+	Classes           map[string]FeedClass `json:"classes"`      // by the platform's class names
+	MaxCursors        int                  `json:"most_cursors"` // remembered by this router; a subscriber whose cursor was evicted must send its own or take a snapshot
+	RingEvents        int                  `json:"ring_events"`  // recent events buffered per feed; a subscriber behind them causes reads of its own
+	RingBytes         int                  `json:"ring_bytes"`   // total size of the buffered event texts per feed
+	BatchEvents       int                  `json:"batch_events"` // per answer
+	BatchBytes        int                  `json:"batch_bytes"`  // per answer
+	EndReadIntervalMS int64                `json:"fresh_ms"`     // min time between two reads of a feed's end
+	PollIntervalMS    int64                `json:"again_ms"`     // poll delay advised to a subscriber that has all events
+	MaxAheadMS        int64                `json:"future_ms"`    // a cursor further ahead of the newest position is rejected
+	CatchUpReadsPerS  float64              `json:"catch_up_per_s"`
+	ReconnectsPerS    float64              `json:"return_per_s"` // subscribers, returning or new, that are admitted each second
+	MaxRetryAfterMS   int64                `json:"spread_ms"`    // max retry delay advised to subscribers beyond ReconnectsPerS
+	MaxWaiting        int                  `json:"most_waiting"` // requests that wait for data servers
+	ReadTimeoutMS     int64                `json:"read_for_ms"`
 }
 
-// FeedClass is one class; what is 0 is as for all.
+// FeedClass configures the feed of one class; a 0 inherits the value of Feeds.
 type FeedClass struct {
-	Kind    string `json:"kind"` // feed
-	FreshMS int64  `json:"fresh_ms,omitempty"`
-	AgainMS int64  `json:"again_ms,omitempty"`
+	Kind              string `json:"kind"` // always "feed"
+	EndReadIntervalMS int64  `json:"fresh_ms,omitempty"`
+	PollIntervalMS    int64  `json:"again_ms,omitempty"`
 }
 
 func defaultFeeds() *Feeds {
-	const ms = 1e6
-	u := cursor.DefaultSettings()
-	return &Feeds{Classes: map[string]FeedClass{}, MaxCursors: u.MaxCursors, RingEvents: u.RingEvents, RingBytes: u.RingBytes, BatchEvents: u.BatchEvents, BatchBytes: u.BatchBytes,
-		FreshMS: u.EndReadInterval / ms, AgainMS: u.PollInterval / ms, FutureMS: u.MaxAhead, CatchUpPerS: u.CatchUpReadsPerSecond, ReturnPerS: u.ReconnectsPerSecond, SpreadMS: u.MaxRetryAfter / ms, MaxWaiting: 2000, ReadForMS: 800}
+	const nanosPerMS = 1e6
+	defaults := cursor.DefaultSettings()
+	return &Feeds{Classes: map[string]FeedClass{}, MaxCursors: defaults.MaxCursors, RingEvents: defaults.RingEvents, RingBytes: defaults.RingBytes, BatchEvents: defaults.BatchEvents, BatchBytes: defaults.BatchBytes,
+		EndReadIntervalMS: defaults.EndReadInterval / nanosPerMS, PollIntervalMS: defaults.PollInterval / nanosPerMS, MaxAheadMS: defaults.MaxAhead, CatchUpReadsPerS: defaults.CatchUpReadsPerSecond, ReconnectsPerS: defaults.ReconnectsPerSecond, MaxRetryAfterMS: defaults.MaxRetryAfter / nanosPerMS, MaxWaiting: 2000, ReadTimeoutMS: 800}
 }
 
-// Cursor are the settings of the decision, for all classes and for each.
-func (f *Feeds) Cursor() (all cursor.Settings, by map[string]cursor.Settings) {
-	const ms = 1e6
-	all = cursor.Settings{MaxCursors: f.MaxCursors, RingEvents: f.RingEvents, RingBytes: f.RingBytes, BatchEvents: f.BatchEvents, BatchBytes: f.BatchBytes, EndReadInterval: f.FreshMS * ms, PollInterval: f.AgainMS * ms,
-		MaxAhead: f.FutureMS, CatchUpReadsPerSecond: f.CatchUpPerS, ReconnectsPerSecond: f.ReturnPerS, MaxRetryAfter: f.SpreadMS * ms}
-	by = map[string]cursor.Settings{}
-	for name, c := range f.Classes {
-		one := all
-		if c.FreshMS != 0 {
-			one.EndReadInterval = c.FreshMS * ms
+// CursorSettings returns the settings of package cursor: the common ones, and those of each class.
+func (feeds *Feeds) CursorSettings() (common cursor.Settings, byClass map[string]cursor.Settings) {
+	const nanosPerMS = 1e6
+	common = cursor.Settings{MaxCursors: feeds.MaxCursors, RingEvents: feeds.RingEvents, RingBytes: feeds.RingBytes, BatchEvents: feeds.BatchEvents, BatchBytes: feeds.BatchBytes, EndReadInterval: feeds.EndReadIntervalMS * nanosPerMS, PollInterval: feeds.PollIntervalMS * nanosPerMS,
+		MaxAhead: feeds.MaxAheadMS, CatchUpReadsPerSecond: feeds.CatchUpReadsPerS, ReconnectsPerSecond: feeds.ReconnectsPerS, MaxRetryAfter: feeds.MaxRetryAfterMS * nanosPerMS}
+	byClass = map[string]cursor.Settings{}
+	for name, class := range feeds.Classes {
+		settings := common
+		if class.EndReadIntervalMS != 0 {
+			settings.EndReadInterval = class.EndReadIntervalMS * nanosPerMS
 		}
-		if c.AgainMS != 0 {
-			one.PollInterval = c.AgainMS * ms
+		if class.PollIntervalMS != 0 {
+			settings.PollInterval = class.PollIntervalMS * nanosPerMS
 		}
-		by[name] = one
+		byClass[name] = settings
 	}
-	return all, by
+	return common, byClass
 }
 
-func (f *Feeds) check() error {
-	if len(f.Classes) == 0 {
+func (feeds *Feeds) check() error {
+	if len(feeds.Classes) == 0 {
 		return errors.New("classes: none")
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.Classes)) {
-		c := f.Classes[name]
-		if c.Kind != "feed" {
-			return fmt.Errorf("classes.%s.kind: %q is not feed", name, c.Kind)
+	for _, name := range slices.Sorted(maps.Keys(feeds.Classes)) {
+		class := feeds.Classes[name]
+		if class.Kind != "feed" {
+			return fmt.Errorf("classes.%s.kind: %q is not feed", name, class.Kind)
 		}
-		if c.FreshMS < 0 || c.FreshMS > 3600e3 || c.AgainMS < 0 || c.AgainMS > 3600e3 {
+		if class.EndReadIntervalMS < 0 || class.EndReadIntervalMS > 3600e3 || class.PollIntervalMS < 0 || class.PollIntervalMS > 3600e3 {
 			return fmt.Errorf("classes.%s: fresh_ms or again_ms is not between 0 and an hour", name)
 		}
 	}
-	for _, s := range []struct {
+	for _, field := range []struct {
 		name string
 		ms   int64
-	}{{"fresh_ms", f.FreshMS}, {"again_ms", f.AgainMS}, {"future_ms", f.FutureMS}, {"spread_ms", f.SpreadMS}, {"read_for_ms", f.ReadForMS}} {
-		if s.ms < 1 || s.ms > 3600e3 {
-			return fmt.Errorf("%s: %d is not between 1 and an hour", s.name, s.ms)
+	}{{"fresh_ms", feeds.EndReadIntervalMS}, {"again_ms", feeds.PollIntervalMS}, {"future_ms", feeds.MaxAheadMS}, {"spread_ms", feeds.MaxRetryAfterMS}, {"read_for_ms", feeds.ReadTimeoutMS}} {
+		if field.ms < 1 || field.ms > 3600e3 {
+			return fmt.Errorf("%s: %d is not between 1 and an hour", field.name, field.ms)
 		}
 	}
-	if f.MaxWaiting < 1 || f.MaxWaiting > 1<<20 {
-		return fmt.Errorf("most_waiting: %d is not between 1 and a million", f.MaxWaiting)
+	if feeds.MaxWaiting < 1 || feeds.MaxWaiting > 1<<20 {
+		return fmt.Errorf("most_waiting: %d is not between 1 and a million", feeds.MaxWaiting)
 	}
-	all, _ := f.Cursor()
-	return all.Check()
+	common, _ := feeds.CursorSettings()
+	return common.Check()
 }
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -11,63 +11,63 @@
 	"lotushook/policy/membership"
 )
 
-// Members says how the routers of the installation find each other. One file serves all of them: each looks itself up
-// by its name. Nothing of it but the key file's keys changes on SIGHUP.
+// Members configures the cluster of the installation's routers. One file serves all of them: each router finds its entry by its
+// name. SIGHUP changes only the keys in the key file.
 type Members struct {
-	Cluster string           `json:"cluster"`             // routers of another one are not taken
-	Routers map[string]Place `json:"routers"`             // all of them, by name: what is shared is divided by these
-	Seeds   []string         `json:"seeds"`               // addresses that a router asks at its start
-	KeyFile string           `json:"key_file"`            // one key or two, see internal/peer
-	Socket  string           `json:"socket"`              // a Unix socket on which the members can be read; "": none
-	Share   bool             `json:"share"`               // routers tell each other the last commits of sessions that they have seen
-	Modes   Modes            `json:"modes"`               // which writes' commits, and whether their answers wait for it
-	Keep    *Persistence     `json:"keep,omitempty"`      // a copy of that on the router's disk; needs share
-	Sends   *Sends           `json:"decisions,omitempty"` // a line for each send: for experiments
-	Alone   float64          `json:"alone"`               // what a router keeps of its even part while others may have left it out; 1: parts are fixed
-
-	PeriodMS       int64 `json:"period_ms"` // one router is asked in each
-	WaitMS         int64 `json:"wait_ms"`   // for its answer, before others are asked to try
-	Helpers        int   `json:"helpers"`
-	MinSuspicionMS int64 `json:"least_doubt_ms"` // one that several doubt is dead after so long
-	MaxSuspicionMS int64 `json:"most_doubt_ms"`  // and one that only one doubts
-	PauseMS        int64 `json:"pause_ms"`       // a router whose clock jumps so far was stopped, and trusts no timer of its own
-	ForgetS        int64 `json:"forget_s"`       // who is dead is remembered so long
-	Corrections    bool  `json:"corrections"`    // without, it is plain SWIM: for experiments
+	Cluster       string                   `json:"cluster"`             // messages of other clusters are ignored
+	Routers       map[string]RouterAddress `json:"routers"`             // all routers, by name; shared limits are divided by their number
+	Seeds         []string                 `json:"seeds"`               // addresses that a router contacts when it starts
+	KeyFile       string                   `json:"key_file"`            // one key or two, see internal/peer
+	Socket        string                   `json:"socket"`              // a Unix socket that serves the member list; "": none
+	ShareCommits  bool                     `json:"share"`               // routers propagate the last commits of sessions
+	CommitModes   CommitModes              `json:"modes"`               // which writes' commits, and whether their answers wait for it
+	Persistence   *Persistence             `json:"keep,omitempty"`      // of the shared state on the router's disk; requires share
+	DecisionLog   *DecisionLog             `json:"decisions,omitempty"` // of each send, for experiments
+	IsolatedShare float64                  `json:"alone"`               // part of its even share that a router uses while others may have declared it dead; 1: fixed shares
+
+	ProbeIntervalMS int64 `json:"period_ms"`      // one router is probed in each interval
+	AckTimeoutMS    int64 `json:"wait_ms"`        // after it, other routers are asked to probe
+	IndirectChecks  int   `json:"helpers"`        // the number of those other routers
+	MinSuspicionMS  int64 `json:"least_doubt_ms"` // from suspected to dead, if several routers suspect the member
+	MaxSuspicionMS  int64 `json:"most_doubt_ms"`  // the same, if only one router suspects it
+	MaxTickGapMS    int64 `json:"pause_ms"`       // after a larger jump of its clock a router assumes that it was stopped, and ignores its expired timers
+	ForgetAfterS    int64 `json:"forget_s"`       // how long a dead member is remembered
+	Lifeguard       bool  `json:"corrections"`    // the Lifeguard extensions of SWIM; false: plain SWIM, for experiments
 }
 
-// Place is where a router is reached.
-type Place struct {
+// RouterAddress is where a router is reached.
+type RouterAddress struct {
 	Listen    string `json:"listen"`              // its own address and port, for UDP and TCP
-	Advertise string `json:"advertise,omitempty"` // what others are to use; "": the same
-	Hall      string `json:"hall,omitempty"`      // one that starts empty is fed by routers of its own hall first
+	Advertise string `json:"advertise,omitempty"` // the address that others use; "": the same
+	Zone      string `json:"hall,omitempty"`      // a router that starts without state fetches it from routers of its own zone first
 }
 
-// Modes say how a write's commit is shared, by the class of its request.
-type Modes struct {
-	Default string            `json:"default"` // of classes that are not named
-	Classes map[string]string `json:"classes"`
-	WaitMS  int64             `json:"wait_ms"` // in mode "one" an answer goes out after it in any case, and is counted
+// CommitModes set how the commit of a write is propagated, by the class of its request.
+type CommitModes struct {
+	Default   string            `json:"default"` // of classes that are not named
+	Classes   map[string]string `json:"classes"`
+	MaxWaitMS int64             `json:"wait_ms"` // in mode "one" the answer is sent after it in any case, and the timeout is counted
 }
 
-// How a commit is shared.
+// How a commit is propagated.
 const (
 	ModeOff   = "off"   // not at all
-	ModeAsync = "async" // it is told once the answer is on its way
-	ModeOne   = "one"   // the answer waits until one other router has it
+	ModeAsync = "async" // once the answer has been sent
+	ModeOne   = "one"   // before the answer, which waits until one other router has it
 )
 
-// Of is a class's mode.
-func (m *Modes) Of(class string) string { return cmp.Or(m.Classes[class], m.Default) }
+// For returns the mode of a class.
+func (m *CommitModes) ForClass(class string) string { return cmp.Or(m.Classes[class], m.Default) }
 
-func (m *Modes) check(share bool) error {
+func (m *CommitModes) check(shareCommits bool) error {
 	known := func(mode string) bool { return mode == ModeOff || mode == ModeAsync || mode == ModeOne }
 	switch {
 	case !known(m.Default):
 		return fmt.Errorf("modes.default: %q is not off, async or one", m.Default)
-	case m.WaitMS < 1 || m.WaitMS > 10_000:
-		return fmt.Errorf("modes.wait_ms: %d is not between 1 and 10000", m.WaitMS)
-	case !share && (m.Default != ModeAsync || len(m.Classes) > 0):
-		return errors.New("modes: nothing is shared (share)")
+	case m.MaxWaitMS < 1 || m.MaxWaitMS > 10_000:
+		return fmt.Errorf("modes.wait_ms: %d is not between 1 and 10000", m.MaxWaitMS)
+	case !shareCommits && (m.Default != ModeAsync || len(m.Classes) > 0):
+		return errors.New("modes: requires share")
 	}
 	for _, class := range slices.Sorted(maps.Keys(m.Classes)) {
 		if !known(m.Classes[class]) {
@@ -77,136 +77,136 @@
 	return nil
 }
 
-// Zones are those of the routers, by name.
-func (m *Members) Zones() map[string]string {
-	halls := map[string]string{}
-	for name, p := range m.Routers {
-		halls[name] = p.Hall
+// Zones returns the zone of each router, by name.
+func (members *Members) Zones() map[string]string {
+	zones := map[string]string{}
+	for name, router := range members.Routers {
+		zones[name] = router.Zone
 	}
-	return halls
+	return zones
 }
 
-// Persistence says where a router keeps a copy of what all share, and what it may cost.
+// Persistence sets where a router persists the shared state, and its limits.
 type Persistence struct {
-	Dir       string  `json:"dir"`          // the router's own
-	MaxMB     int64   `json:"most_mb"`      // of the file, rounded down to a power of two; records take a sixth of it
-	QueueKB   int     `json:"queue_kb"`     // of what waits to be written; as much again may be on its way
-	FsyncsPer float64 `json:"fsyncs_per_s"` // at the most; a batch takes two or three
-	LoadMS    int64   `json:"load_ms"`      // a start waits so long for the disk
+	Dir           string  `json:"dir"`          // used by this router only
+	MaxMB         int64   `json:"most_mb"`      // size of the file, rounded down to a power of two; records take a sixth of it
+	QueueKB       int     `json:"queue_kb"`     // size of the write queue; a batch of the same size may be in flight
+	FsyncsPerS    float64 `json:"fsyncs_per_s"` // max rate; a batch takes two or three
+	LoadTimeoutMS int64   `json:"load_ms"`      // how long a start waits for the disk
 }
 
-// Sends says where a router writes, for each send, on what evidence it was made.
-type Sends struct {
+// DecisionLog sets where a router records the evidence for each send.
+type DecisionLog struct {
 	File  string `json:"file"`    // appended to
-	MaxMB int64  `json:"most_mb"` // of what one process writes; what comes beyond is left out and counted
+	MaxMB int64  `json:"most_mb"` // written by one process; further records are dropped and counted
 }
 
-func (k *Persistence) setDefaults() {
-	k.MaxMB, k.QueueKB, k.FsyncsPer, k.LoadMS = cmp.Or(k.MaxMB, 32), cmp.Or(k.QueueKB, 1024), cmp.Or(k.FsyncsPer, 4), cmp.Or(k.LoadMS, 500)
+func (persistence *Persistence) setDefaults() {
+	persistence.MaxMB, persistence.QueueKB, persistence.FsyncsPerS, persistence.LoadTimeoutMS = cmp.Or(persistence.MaxMB, 32), cmp.Or(persistence.QueueKB, 1024), cmp.Or(persistence.FsyncsPerS, 4), cmp.Or(persistence.LoadTimeoutMS, 500)
 }
 
-func (k *Persistence) check() error {
+func (persistence *Persistence) check() error {
 	switch {
-	case k.Dir == "":
+	case persistence.Dir == "":
 		return errors.New("dir: missing")
-	case k.MaxMB < 1 || k.MaxMB > 1024:
-		return fmt.Errorf("most_mb: %d is not between 1 and 1024", k.MaxMB)
-	case k.QueueKB < 16 || k.QueueKB > 64<<10:
-		return fmt.Errorf("queue_kb: %d is not between 16 and 65536", k.QueueKB)
-	case !(k.FsyncsPer >= 0.1 && k.FsyncsPer <= 1000):
-		return fmt.Errorf("fsyncs_per_s: %v is not between 0.1 and 1000", k.FsyncsPer)
-	case k.LoadMS < 1 || k.LoadMS > 60e3:
-		return fmt.Errorf("load_ms: %d is not between 1 and 60000", k.LoadMS)
+	case persistence.MaxMB < 1 || persistence.MaxMB > 1024:
+		return fmt.Errorf("most_mb: %d is not between 1 and 1024", persistence.MaxMB)
+	case persistence.QueueKB < 16 || persistence.QueueKB > 64<<10:
+		return fmt.Errorf("queue_kb: %d is not between 16 and 65536", persistence.QueueKB)
+	case !(persistence.FsyncsPerS >= 0.1 && persistence.FsyncsPerS <= 1000):
+		return fmt.Errorf("fsyncs_per_s: %v is not between 0.1 and 1000", persistence.FsyncsPerS)
+	case persistence.LoadTimeoutMS < 1 || persistence.LoadTimeoutMS > 60e3:
+		return fmt.Errorf("load_ms: %d is not between 1 and 60000", persistence.LoadTimeoutMS)
 	}
 	return nil
 }
 
 func defaultMembers() *Members {
-	const ms = 1e6
-	u := membership.DefaultSettings("-", "-", 0, 1)
-	return &Members{Seeds: []string{}, Modes: Modes{Default: ModeAsync, Classes: map[string]string{}, WaitMS: 20}, Alone: 0.5, PeriodMS: u.ProbeInterval / ms, WaitMS: u.AckTimeout / ms, Helpers: u.IndirectChecks, MinSuspicionMS: u.MinSuspicion / ms,
-		MaxSuspicionMS: u.MaxSuspicion / ms, PauseMS: u.MaxTickGap / ms, ForgetS: u.ForgetAfter / 1e9, Corrections: u.Lifeguard}
+	const nanosPerMS = 1e6
+	defaults := membership.DefaultSettings("-", "-", 0, 1)
+	return &Members{Seeds: []string{}, CommitModes: CommitModes{Default: ModeAsync, Classes: map[string]string{}, MaxWaitMS: 20}, IsolatedShare: 0.5, ProbeIntervalMS: defaults.ProbeInterval / nanosPerMS, AckTimeoutMS: defaults.AckTimeout / nanosPerMS, IndirectChecks: defaults.IndirectChecks, MinSuspicionMS: defaults.MinSuspicion / nanosPerMS,
+		MaxSuspicionMS: defaults.MaxSuspicion / nanosPerMS, MaxTickGapMS: defaults.MaxTickGap / nanosPerMS, ForgetAfterS: defaults.ForgetAfter / 1e9, Lifeguard: defaults.Lifeguard}
 }
 
-// Member are the settings of the decision for one router.
-func (m *Members) Member(name string, boot uint64) (membership.Settings, error) {
-	const ms = 1e6
-	place, ok := m.Routers[name]
+// MembershipSettings returns the settings of package membership for one router.
+func (members *Members) MembershipSettings(name string, epoch uint64) (membership.Settings, error) {
+	const nanosPerMS = 1e6
+	router, ok := members.Routers[name]
 	if !ok {
 		return membership.Settings{}, fmt.Errorf("members: routers: %q is not among them", name)
 	}
-	s := membership.DefaultSettings(name, place.Advertise, boot, len(m.Routers))
-	s.Seeds, s.AllowedNames, s.IsolatedShare = m.Seeds, slices.Sorted(maps.Keys(m.Routers)), m.Alone
-	s.ProbeInterval, s.AckTimeout, s.IndirectChecks = m.PeriodMS*ms, m.WaitMS*ms, m.Helpers
-	s.MinSuspicion, s.MaxSuspicion, s.MaxTickGap, s.ForgetAfter = m.MinSuspicionMS*ms, m.MaxSuspicionMS*ms, m.PauseMS*ms, m.ForgetS*1e9
-	s.Lifeguard = m.Corrections
-	return s, nil
+	settings := membership.DefaultSettings(name, router.Advertise, epoch, len(members.Routers))
+	settings.Seeds, settings.AllowedNames, settings.IsolatedShare = members.Seeds, slices.Sorted(maps.Keys(members.Routers)), members.IsolatedShare
+	settings.ProbeInterval, settings.AckTimeout, settings.IndirectChecks = members.ProbeIntervalMS*nanosPerMS, members.AckTimeoutMS*nanosPerMS, members.IndirectChecks
+	settings.MinSuspicion, settings.MaxSuspicion, settings.MaxTickGap, settings.ForgetAfter = members.MinSuspicionMS*nanosPerMS, members.MaxSuspicionMS*nanosPerMS, members.MaxTickGapMS*nanosPerMS, members.ForgetAfterS*1e9
+	settings.Lifeguard = members.Lifeguard
+	return settings, nil
 }
 
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (m *Members) check() error {
-	if m.Keep != nil {
-		m.Keep.setDefaults()
-		if err := m.Keep.check(); err != nil {
+func (members *Members) check() error {
+	if members.Persistence != nil {
+		members.Persistence.setDefaults()
+		if err := members.Persistence.check(); err != nil {
 			return fmt.Errorf("keep.%w", err)
 		}
-		if !m.Share {
-			return errors.New("keep: there is nothing to keep without share")
+		if !members.ShareCommits {
+			return errors.New("keep: requires share")
 		}
 	}
-	if m.Sends != nil {
-		m.Sends.MaxMB = cmp.Or(m.Sends.MaxMB, 64)
-		if m.Sends.File == "" || m.Sends.MaxMB < 1 || m.Sends.MaxMB > 4096 {
+	if members.DecisionLog != nil {
+		members.DecisionLog.MaxMB = cmp.Or(members.DecisionLog.MaxMB, 64)
+		if members.DecisionLog.File == "" || members.DecisionLog.MaxMB < 1 || members.DecisionLog.MaxMB > 4096 {
 			return errors.New("decisions: file is missing, or most_mb is not between 1 and 4096")
 		}
 	}
 	switch {
-	case m.Cluster == "" || len(m.Cluster) > 63:
-		return errors.New("cluster: missing, or longer than 63")
-	case m.KeyFile == "":
+	case members.Cluster == "" || len(members.Cluster) > 63:
+		return errors.New("cluster: missing, or longer than 63 bytes")
+	case members.KeyFile == "":
 		return errors.New("key_file: missing")
-	case len(m.Routers) == 0 || len(m.Routers) > 1000:
-		return fmt.Errorf("routers: %d, not between 1 and 1000", len(m.Routers))
-	case len(m.Socket) > 100:
-		return errors.New("socket: longer than a Unix socket's path may be")
-	case !(m.Alone >= 0.01 && m.Alone <= 1):
-		return fmt.Errorf("alone: %v is not between 0.01 and 1", m.Alone)
+	case len(members.Routers) == 0 || len(members.Routers) > 1000:
+		return fmt.Errorf("routers: %d is not between 1 and 1000", len(members.Routers))
+	case len(members.Socket) > 100:
+		return errors.New("socket: longer than the 100 bytes allowed for a Unix socket path")
+	case !(members.IsolatedShare >= 0.01 && members.IsolatedShare <= 1):
+		return fmt.Errorf("alone: %v is not between 0.01 and 1", members.IsolatedShare)
 	}
-	if err := m.Modes.check(m.Share); err != nil {
+	if err := members.CommitModes.check(members.ShareCommits); err != nil {
 		return err
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name  string
 		value int64
 		min   int64
-	}{{"period_ms", m.PeriodMS, 20}, {"wait_ms", m.WaitMS, 5}, {"least_doubt_ms", m.MinSuspicionMS, 20}, {"most_doubt_ms", m.MaxSuspicionMS, m.MinSuspicionMS},
-		{"pause_ms", m.PauseMS, 50}, {"forget_s", m.ForgetS, 1}, {"helpers", int64(m.Helpers), 0}} {
-		if f.value < f.min || f.value > 3600e3 {
-			return fmt.Errorf("%s: %d is not between %d and 3600000", f.name, f.value, f.min)
+	}{{"period_ms", members.ProbeIntervalMS, 20}, {"wait_ms", members.AckTimeoutMS, 5}, {"least_doubt_ms", members.MinSuspicionMS, 20}, {"most_doubt_ms", members.MaxSuspicionMS, members.MinSuspicionMS},
+		{"pause_ms", members.MaxTickGapMS, 50}, {"forget_s", members.ForgetAfterS, 1}, {"helpers", int64(members.IndirectChecks), 0}} {
+		if field.value < field.min || field.value > 3600e3 {
+			return fmt.Errorf("%s: %d is not between %d and 3600000", field.name, field.value, field.min)
 		}
 	}
-	if m.WaitMS >= m.PeriodMS || m.Helpers > 8 || m.ForgetS*1000 <= m.MaxSuspicionMS {
-		return errors.New("wait_ms must be under period_ms, most_doubt_ms under forget_s, and helpers at most 8")
+	if members.AckTimeoutMS >= members.ProbeIntervalMS || members.IndirectChecks > 8 || members.ForgetAfterS*1000 <= members.MaxSuspicionMS {
+		return errors.New("wait_ms must be below period_ms, most_doubt_ms below forget_s, and helpers at most 8")
 	}
-	for _, seed := range m.Seeds {
+	for _, seed := range members.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			return fmt.Errorf("seeds: %q is no address with a port", seed)
+			return fmt.Errorf("seeds: %q is not an IP address with a port", seed)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.Routers)) {
-		p := m.Routers[name]
+	for _, name := range slices.Sorted(maps.Keys(members.Routers)) {
+		router := members.Routers[name]
 		if name == "" || len(name) > 63 {
-			return fmt.Errorf("routers: %q is empty, or longer than 63", name)
+			return fmt.Errorf("routers: %q is empty, or longer than 63 bytes", name)
 		}
-		at, err := netip.ParseAddrPort(p.Listen)
+		listen, err := netip.ParseAddrPort(router.Listen)
 		if err != nil {
-			return fmt.Errorf("routers.%s.listen: %q is no address with a port", name, p.Listen)
+			return fmt.Errorf("routers.%s.listen: %q is not an IP address with a port", name, router.Listen)
 		}
-		if p.Advertise == "" && at.Addr().IsUnspecified() {
-			return fmt.Errorf("routers.%s: listens on all addresses, so others must be told one (advertise)", name)
+		if router.Advertise == "" && listen.Addr().IsUnspecified() {
+			return fmt.Errorf("routers.%s: listens on all addresses, so advertise is required", name)
 		}
-		if out, err := netip.ParseAddrPort(p.Advertise); p.Advertise != "" && (err != nil || out.Port() == 0 || out.Addr().IsUnspecified()) {
-			return fmt.Errorf("routers.%s.advertise: %q is no address that others can use", name, p.Advertise)
+		if advertise, err := netip.ParseAddrPort(router.Advertise); router.Advertise != "" && (err != nil || advertise.Port() == 0 || advertise.Addr().IsUnspecified()) {
+			return fmt.Errorf("routers.%s.advertise: %q is not an address that other routers can use", name, router.Advertise)
 		}
 	}
 	return nil
--- a/internal/siteconfig/recovery.go
+++ b/internal/siteconfig/recovery.go
@@ -8,63 +8,63 @@
 	"lotushook/policy/recovery"
 )
 
-// Recovery says what a router may do while it, or others with it, come back. One file serves all routers: budgets are for all
-// of them together, and 0 does not bind. Nothing of it changes on SIGHUP.
+// Recovery limits what a router may do while it, or other routers, restart. One file serves all routers: budgets apply to all of
+// them together, and 0 means no limit. SIGHUP changes none of it.
 type Recovery struct {
-	DialsPerS    float64 `json:"dials_per_s"`     // new connections to data servers
-	ProbesPerS   float64 `json:"probes_per_s"`    // questions to data servers beside requests
-	ListsPerS    float64 `json:"lists_per_s"`     // calls of discovery for the whole list
-	CatchUpsPerS float64 `json:"catch_ups_per_s"` // pieces of state that peers are asked for
-	SendsPerS    float64 `json:"sends_per_s"`     // requests sent in the first second by routers that do not serve yet
-	Slack        float64 `json:"slack"`           // from 1 to 4: what all together may spend of a budget, however wrong they see each other
-	Keep         float64 `json:"keep"`            // from 0 to 1: of its even part, what a router that serves spends while others return
+	DialsPerS      float64 `json:"dials_per_s"`     // new connections to data servers
+	ProbesPerS     float64 `json:"probes_per_s"`    // health checks of data servers, beside requests
+	ListCallsPerS  float64 `json:"lists_per_s"`     // calls of discovery for the whole endpoint list
+	CatchUpsPerS   float64 `json:"catch_ups_per_s"` // chunks of shared state fetched from peers
+	SendsPerS      float64 `json:"sends_per_s"`     // requests sent in the first second by routers that are not yet in service
+	MaxShareFactor float64 `json:"slack"`           // 1 to 4: the max multiple of a budget that all routers together may spend, however wrong their views
+	ServingShare   float64 `json:"keep"`            // 0 to 1: part of its even share that a router in service spends while others restart
 
-	TogetherMS int64 `json:"together_ms"` // starts so close to each other are one return
-	EmptyMS    int64 `json:"empty_ms"`    // the longest wait for a list and for what peers feed
-	FedMS      int64 `json:"fed_ms"`      // for a view of who returns
-	ProvingMS  int64 `json:"proving_ms"`  // for the first answers
-	RampingMS  int64 `json:"ramping_ms"`  // until whatever is asked is sent
+	RestartWindowMS   int64 `json:"together_ms"` // starts within this time of each other count as one restart
+	StartingTimeoutMS int64 `json:"empty_ms"`    // max wait for an endpoint list and for the peers' state
+	RestoredTimeoutMS int64 `json:"fed_ms"`      // max wait for a view of the routers that restart
+	ProvingTimeoutMS  int64 `json:"proving_ms"`  // max wait for the first answers
+	RampingTimeoutMS  int64 `json:"ramping_ms"`  // max time until every request is sent
 
-	Ratio     float64 `json:"ratio"`       // further attempts for each success of the last second; under 0.2
-	FloorPerS float64 `json:"floor_per_s"` // further attempts that need no success, over all routers
-	SoonestMS int64   `json:"soonest_ms"`  // the soonest that a client which is turned away is told to come again
-	LatestMS  int64   `json:"latest_ms"`   // and the latest
+	RetryRatio      float64 `json:"ratio"`       // further attempts per success of the last second; below 0.2
+	MinRetriesPerS  float64 `json:"floor_per_s"` // further attempts allowed without any success, over all routers
+	MinRetryAfterMS int64   `json:"soonest_ms"`  // min retry delay advised to a rejected client
+	MaxRetryAfterMS int64   `json:"latest_ms"`   // max retry delay advised to a rejected client
 }
 
 func defaultRecovery() *Recovery {
-	const ms = 1e6
-	u := recovery.DefaultSettings("-", 0, 1)
-	b := u.Budgets
-	return &Recovery{DialsPerS: b[recovery.Dial], ProbesPerS: b[recovery.Probe], ListsPerS: b[recovery.ListCall], CatchUpsPerS: b[recovery.CatchUp],
-		SendsPerS: b[recovery.Send], Slack: u.MaxShareFactor, Keep: u.ServingShare, TogetherMS: u.RestartWindow / ms, EmptyMS: u.StageTimeouts[recovery.Starting] / ms,
-		FedMS: u.StageTimeouts[recovery.Restored] / ms, ProvingMS: u.StageTimeouts[recovery.Proving] / ms, RampingMS: u.StageTimeouts[recovery.Ramping] / ms,
-		Ratio: u.RetryRatio, FloorPerS: u.MinRetryRate, SoonestMS: u.RetryAfterRange[0] / ms, LatestMS: u.RetryAfterRange[1] / ms}
+	const nanosPerMS = 1e6
+	defaults := recovery.DefaultSettings("-", 0, 1)
+	budgets := defaults.Budgets
+	return &Recovery{DialsPerS: budgets[recovery.Dial], ProbesPerS: budgets[recovery.Probe], ListCallsPerS: budgets[recovery.ListCall], CatchUpsPerS: budgets[recovery.CatchUp],
+		SendsPerS: budgets[recovery.Send], MaxShareFactor: defaults.MaxShareFactor, ServingShare: defaults.ServingShare, RestartWindowMS: defaults.RestartWindow / nanosPerMS, StartingTimeoutMS: defaults.StageTimeouts[recovery.Starting] / nanosPerMS,
+		RestoredTimeoutMS: defaults.StageTimeouts[recovery.Restored] / nanosPerMS, ProvingTimeoutMS: defaults.StageTimeouts[recovery.Proving] / nanosPerMS, RampingTimeoutMS: defaults.StageTimeouts[recovery.Ramping] / nanosPerMS,
+		RetryRatio: defaults.RetryRatio, MinRetriesPerS: defaults.MinRetryRate, MinRetryAfterMS: defaults.RetryAfterRange[0] / nanosPerMS, MaxRetryAfterMS: defaults.RetryAfterRange[1] / nanosPerMS}
 }
 
-// Decision are the settings of the decision for one router.
-func (r *Recovery) Decision(name string, boot uint64, routers int) recovery.Settings {
-	const ms = 1e6
-	s := recovery.DefaultSettings(name, boot, routers)
-	s.Budgets = [recovery.KindCount]float64{recovery.Dial: r.DialsPerS, recovery.Probe: r.ProbesPerS, recovery.ListCall: r.ListsPerS,
-		recovery.CatchUp: r.CatchUpsPerS, recovery.Send: r.SendsPerS}
-	s.MaxShareFactor, s.ServingShare, s.RestartWindow, s.RetryRatio, s.MinRetryRate = r.Slack, r.Keep, r.TogetherMS*ms, r.Ratio, r.FloorPerS
-	s.StageTimeouts = [recovery.Serving]clock.Nanos{r.EmptyMS * ms, r.FedMS * ms, r.ProvingMS * ms, r.RampingMS * ms}
-	s.RetryAfterRange = [2]clock.Nanos{r.SoonestMS * ms, r.LatestMS * ms}
-	return s
+// RouterSettings returns the settings of package recovery for one router.
+func (config *Recovery) RouterSettings(name string, epoch uint64, routers int) recovery.Settings {
+	const nanosPerMS = 1e6
+	settings := recovery.DefaultSettings(name, epoch, routers)
+	settings.Budgets = [recovery.KindCount]float64{recovery.Dial: config.DialsPerS, recovery.Probe: config.ProbesPerS, recovery.ListCall: config.ListCallsPerS,
+		recovery.CatchUp: config.CatchUpsPerS, recovery.Send: config.SendsPerS}
+	settings.MaxShareFactor, settings.ServingShare, settings.RestartWindow, settings.RetryRatio, settings.MinRetryRate = config.MaxShareFactor, config.ServingShare, config.RestartWindowMS*nanosPerMS, config.RetryRatio, config.MinRetriesPerS
+	settings.StageTimeouts = [recovery.Serving]clock.Nanos{config.StartingTimeoutMS * nanosPerMS, config.RestoredTimeoutMS * nanosPerMS, config.ProvingTimeoutMS * nanosPerMS, config.RampingTimeoutMS * nanosPerMS}
+	settings.RetryAfterRange = [2]clock.Nanos{config.MinRetryAfterMS * nanosPerMS, config.MaxRetryAfterMS * nanosPerMS}
+	return settings
 }
 
-func (r *Recovery) check() error {
-	for _, f := range []struct {
+func (config *Recovery) check() error {
+	for _, field := range []struct {
 		name     string
 		value    float64
 		min, max float64
-	}{{"dials_per_s", r.DialsPerS, 0, 1e7}, {"probes_per_s", r.ProbesPerS, 0, 1e7}, {"lists_per_s", r.ListsPerS, 0, 1e7},
-		{"catch_ups_per_s", r.CatchUpsPerS, 0, 1e7}, {"sends_per_s", r.SendsPerS, 0, 1e7}, {"slack", r.Slack, 1, 4}, {"keep", r.Keep, 0, 1},
-		{"together_ms", float64(r.TogetherMS), 1, 600e3}, {"empty_ms", float64(r.EmptyMS), 1, 60e3}, {"fed_ms", float64(r.FedMS), 1, 60e3},
-		{"proving_ms", float64(r.ProvingMS), 1, 60e3}, {"ramping_ms", float64(r.RampingMS), 1, 60e3}, {"ratio", r.Ratio, 0, 0.199},
-		{"floor_per_s", r.FloorPerS, 0, 1e6}, {"soonest_ms", float64(r.SoonestMS), 1, 60e3}, {"latest_ms", float64(r.LatestMS), float64(r.SoonestMS), 60e3}} {
-		if math.IsNaN(f.value) || f.value < f.min || f.value > f.max {
-			return fmt.Errorf("%s: %v is not between %v and %v", f.name, f.value, f.min, f.max)
+	}{{"dials_per_s", config.DialsPerS, 0, 1e7}, {"probes_per_s", config.ProbesPerS, 0, 1e7}, {"lists_per_s", config.ListCallsPerS, 0, 1e7},
+		{"catch_ups_per_s", config.CatchUpsPerS, 0, 1e7}, {"sends_per_s", config.SendsPerS, 0, 1e7}, {"slack", config.MaxShareFactor, 1, 4}, {"keep", config.ServingShare, 0, 1},
+		{"together_ms", float64(config.RestartWindowMS), 1, 600e3}, {"empty_ms", float64(config.StartingTimeoutMS), 1, 60e3}, {"fed_ms", float64(config.RestoredTimeoutMS), 1, 60e3},
+		{"proving_ms", float64(config.ProvingTimeoutMS), 1, 60e3}, {"ramping_ms", float64(config.RampingTimeoutMS), 1, 60e3}, {"ratio", config.RetryRatio, 0, 0.199},
+		{"floor_per_s", config.MinRetriesPerS, 0, 1e6}, {"soonest_ms", float64(config.MinRetryAfterMS), 1, 60e3}, {"latest_ms", float64(config.MaxRetryAfterMS), float64(config.MinRetryAfterMS), 60e3}} {
+		if math.IsNaN(field.value) || field.value < field.min || field.value > field.max {
+			return fmt.Errorf("%s: %v is not between %v and %v", field.name, field.value, field.min, field.max)
 		}
 	}
 	return nil
--- a/internal/siteconfig/shedding.go
+++ b/internal/siteconfig/shedding.go
@@ -8,85 +8,85 @@
 	"lotushook/policy/shedding"
 )
 
-// Shedding are who is shed before whom when a group of data servers has more to do than it can. They are a part of the contracts
-// and change on SIGHUP with them; they can't be switched on or off in service.
+// Shedding sets the order in which accounts are shed when a group of data servers is overloaded. It is a part of the contracts
+// and changes with them on SIGHUP, but can't be switched on or off without a restart.
 type Shedding struct {
-	PriorityClasses []PriorityClass `json:"lanes"` // the best first; whoever's contract names none is in the last
-	By              string          `json:"by"`    // what an account is: "team", "session" or "both"
-	Least           float64         `json:"least"` // of each lane that says none of its own
-	High            float64         `json:"high"`  // answers take this share of their aims in the mean: above, more is shed
-	Low             float64         `json:"low"`   // below, less is
-	LookMS          int64           `json:"look_ms"`
-	FreshMS         int64           `json:"fresh_ms"` // an older report of another router says nothing
-	AloneMS         int64           `json:"alone_ms"` // a router that hears too few others for so long goes by its own pressure
-	EpochMS         int64           `json:"epoch_ms"` // until other accounts are the first to be shed
-	MaxRetryAfterMS int64           `json:"come_back_ms"`
-	OweMS           int64           `json:"owe_ms"` // a repeat of a write that may have run, and a read after a write, are in the write's lane for so long
-	Accounts        int             `json:"accounts"`
-	Owed            int             `json:"owed"`
-	Groups          int             `json:"groups"`
+	PriorityClasses      []PriorityClass `json:"lanes"` // highest priority first; a contract that names none belongs to the last
+	AccountKey           string          `json:"by"`    // what identifies an account: "team", "session" or "both"
+	DefaultReservedShare float64         `json:"least"` // of each priority class that sets none
+	HighPressure         float64         `json:"high"`  // above this mean ratio of latency to its objective, more is shed
+	LowPressure          float64         `json:"low"`   // below it, less is shed
+	IntervalMS           int64           `json:"look_ms"`
+	MaxReportAgeMS       int64           `json:"fresh_ms"` // an older report of another router is ignored
+	IsolationTimeoutMS   int64           `json:"alone_ms"` // a router that hears from too few others for this long uses its own pressure only
+	SaltPeriodMS         int64           `json:"epoch_ms"` // after it, the order of accounts within a priority class is drawn anew
+	MaxRetryAfterMS      int64           `json:"come_back_ms"`
+	WriteAffinityMS      int64           `json:"owe_ms"` // how long a retry of a write that may have been applied, and a read after a write, stay in the write's priority class
+	MaxAccounts          int             `json:"accounts"`
+	MaxWriteAffinities   int             `json:"owed"`
+	MaxGroups            int             `json:"groups"`
 }
 
-// PriorityClass is a class of accounts.
+// PriorityClass is a class of accounts that are shed together.
 type PriorityClass struct {
 	Name          string   `json:"name"`
-	PerS          float64  `json:"per_s,omitempty"` // requests a second of one account, over all routers; what is beyond falls to the next lane. 0: any
+	PerS          float64  `json:"per_s,omitempty"` // requests per second of one account over all routers; what exceeds it drops to the next priority class; 0: no limit
 	Burst         float64  `json:"burst,omitempty"`
-	ReservedShare *float64 `json:"least,omitempty"` // share of its accounts that are shed only when the best lane would be otherwise
+	ReservedShare *float64 `json:"least,omitempty"` // share of its accounts that are shed only when the highest priority class would be shed otherwise
 }
 
 func defaultShedding() *Shedding {
-	u := shedding.DefaultSettings()
-	const ms = 1e6
-	return &Shedding{PriorityClasses: []PriorityClass{}, By: string(u.AccountKey), Least: 0.05, High: u.HighPressure, Low: u.LowPressure, LookMS: u.Interval / ms, FreshMS: u.MaxReportAge / ms, AloneMS: u.IsolationTimeout / ms, EpochMS: u.SaltPeriod / ms,
-		MaxRetryAfterMS: u.MaxRetryAfter / ms, OweMS: u.WriteAffinity / ms, Accounts: u.MaxAccounts, Owed: u.MaxWriteAffinities, Groups: u.MaxGroups}
+	defaults := shedding.DefaultSettings()
+	const nanosPerMS = 1e6
+	return &Shedding{PriorityClasses: []PriorityClass{}, AccountKey: string(defaults.AccountKey), DefaultReservedShare: 0.05, HighPressure: defaults.HighPressure, LowPressure: defaults.LowPressure, IntervalMS: defaults.Interval / nanosPerMS, MaxReportAgeMS: defaults.MaxReportAge / nanosPerMS, IsolationTimeoutMS: defaults.IsolationTimeout / nanosPerMS, SaltPeriodMS: defaults.SaltPeriod / nanosPerMS,
+		MaxRetryAfterMS: defaults.MaxRetryAfter / nanosPerMS, WriteAffinityMS: defaults.WriteAffinity / nanosPerMS, MaxAccounts: defaults.MaxAccounts, MaxWriteAffinities: defaults.MaxWriteAffinities, MaxGroups: defaults.MaxGroups}
 }
 
-// Fleet is who shares the lanes.
-type Fleet struct {
+// SheddingRouter describes the router that sheds, and the routers that share the priority classes with it.
+type SheddingRouter struct {
 	Router  string
-	Boot    uint64
+	Epoch   uint64
 	Routers int
-	Agreed  bool // the routers tell each other
+	Shared  bool // the routers exchange their pressure
 }
 
-// SheddingSettings returns the settings of load shedding for one router; nil where no priority classes are set.
-func (c *Contracts) SheddingSettings(f Fleet, longestBack clock.Nanos) (*shedding.Settings, error) {
-	if c.Shedding == nil {
-		for _, t := range c.Teams {
-			if t.Lane != "" || t.LanePerS != 0 {
-				return nil, fmt.Errorf("teams.%s.lane: there are no lanes", t.Name)
+// SheddingSettings returns the settings of load shedding for one router; nil if no priority classes are set.
+func (contracts *Contracts) SheddingSettings(router SheddingRouter, maxRetryAfter clock.Nanos) (*shedding.Settings, error) {
+	if contracts.Shedding == nil {
+		for _, team := range contracts.Teams {
+			if team.PriorityClass != "" || team.PriorityClassPerS != 0 {
+				return nil, fmt.Errorf("teams.%s.lane: no lanes are configured", team.Name)
 			}
 		}
 		return nil, nil
 	}
-	const ms = 1e6
-	l := c.Shedding
-	for _, v := range []struct {
+	const nanosPerMS = 1e6
+	config := contracts.Shedding
+	for _, duration := range []struct {
 		field string
 		ms    int64
-	}{{"look_ms", l.LookMS}, {"fresh_ms", l.FreshMS}, {"alone_ms", l.AloneMS}, {"epoch_ms", l.EpochMS}, {"come_back_ms", l.MaxRetryAfterMS}, {"owe_ms", l.OweMS}} {
-		if v.ms < 0 || v.ms > 7*24*3600e3 {
-			return nil, fmt.Errorf("lanes.%s: %d is not between 0 and a week", v.field, v.ms)
+	}{{"look_ms", config.IntervalMS}, {"fresh_ms", config.MaxReportAgeMS}, {"alone_ms", config.IsolationTimeoutMS}, {"epoch_ms", config.SaltPeriodMS}, {"come_back_ms", config.MaxRetryAfterMS}, {"owe_ms", config.WriteAffinityMS}} {
+		if duration.ms < 0 || duration.ms > 7*24*3600e3 {
+			return nil, fmt.Errorf("lanes.%s: %d is not between 0 and a week", duration.field, duration.ms)
 		}
 	}
-	s := &shedding.Settings{AccountKey: shedding.AccountKey(l.By), Router: f.Router, Epoch: f.Boot, Routers: f.Routers, Shared: f.Agreed, HighPressure: l.High, LowPressure: l.Low, Interval: l.LookMS * ms, MaxReportAge: l.FreshMS * ms,
-		IsolationTimeout: l.AloneMS * ms, SaltPeriod: l.EpochMS * ms, MaxRetryAfter: l.MaxRetryAfterMS * ms, PlatformMaxRetryAfter: longestBack, WriteAffinity: l.OweMS * ms, MaxAccounts: l.Accounts, MaxWriteAffinities: l.Owed, MaxGroups: l.Groups}
-	for _, one := range l.PriorityClasses {
-		least := l.Least
-		if one.ReservedShare != nil {
-			least = *one.ReservedShare
+	settings := &shedding.Settings{AccountKey: shedding.AccountKey(config.AccountKey), Router: router.Router, Epoch: router.Epoch, Routers: router.Routers, Shared: router.Shared, HighPressure: config.HighPressure, LowPressure: config.LowPressure, Interval: config.IntervalMS * nanosPerMS, MaxReportAge: config.MaxReportAgeMS * nanosPerMS,
+		IsolationTimeout: config.IsolationTimeoutMS * nanosPerMS, SaltPeriod: config.SaltPeriodMS * nanosPerMS, MaxRetryAfter: config.MaxRetryAfterMS * nanosPerMS, PlatformMaxRetryAfter: maxRetryAfter, WriteAffinity: config.WriteAffinityMS * nanosPerMS, MaxAccounts: config.MaxAccounts, MaxWriteAffinities: config.MaxWriteAffinities, MaxGroups: config.MaxGroups}
+	for _, class := range config.PriorityClasses {
+		reservedShare := config.DefaultReservedShare
+		if class.ReservedShare != nil {
+			reservedShare = *class.ReservedShare
 		}
-		s.PriorityClasses = append(s.PriorityClasses, shedding.PriorityClass{Name: one.Name, RequestsPerSecond: one.PerS, Burst: one.Burst, ReservedShare: least})
+		settings.PriorityClasses = append(settings.PriorityClasses, shedding.PriorityClass{Name: class.Name, RequestsPerSecond: class.PerS, Burst: class.Burst, ReservedShare: reservedShare})
 	}
-	for _, t := range c.Teams {
-		i := len(l.PriorityClasses) - 1
-		if t.Lane != "" {
-			if i = slices.IndexFunc(l.PriorityClasses, func(one PriorityClass) bool { return one.Name == t.Lane }); i < 0 {
-				return nil, fmt.Errorf("teams.%s.lane: no lane %q", t.Name, t.Lane)
+	for _, team := range contracts.Teams {
+		index := len(config.PriorityClasses) - 1
+		if team.PriorityClass != "" {
+			if index = slices.IndexFunc(config.PriorityClasses, func(class PriorityClass) bool { return class.Name == team.PriorityClass }); index < 0 {
+				return nil, fmt.Errorf("teams.%s.lane: no lane %q", team.Name, team.PriorityClass)
 			}
 		}
-		s.Teams = append(s.Teams, shedding.Team{Name: t.Name, PriorityClass: max(0, i), RequestsPerSecond: t.LanePerS, Burst: t.LaneBurst})
+		settings.Teams = append(settings.Teams, shedding.Team{Name: team.Name, PriorityClass: max(0, index), RequestsPerSecond: team.PriorityClassPerS, Burst: team.PriorityClassBurst})
 	}
-	return s, s.Check()
+	return settings, settings.Check()
 }
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,6 +1,5 @@
-// Package siteconfig reads an installation's own settings: the file that people write
-// for their routers, beside the configuration that the platform gives to each.
-// Every subsystem has one part in it; a part that is not there is off.
+// Package siteconfig reads an installation's own settings: a file that its operators write for their routers, in addition to
+// the configuration that the platform gives to each. Each subsystem has one section; without its section it is off.
 package siteconfig
 
 import (
@@ -16,49 +15,49 @@
 	"lotushook/policy/clock"
 )
 
-// Config is the file.
+// Config is the content of the settings file.
 type Config struct {
-	Admission *Admission `json:"admission,omitempty"` // a reload changes its limits, and can't switch it on or off
-	Contracts *Contracts `json:"contracts,omitempty"` // likewise
-	Accounts  *Accounts  `json:"accounts,omitempty"`  // needs contracts
+	Admission *Admission `json:"admission,omitempty"` // SIGHUP changes its limits, but can't switch it on or off
+	Contracts *Contracts `json:"contracts,omitempty"` // as for Admission
+	Accounts  *Accounts  `json:"accounts,omitempty"`  // requires Contracts
 	Log       *Log       `json:"log,omitempty"`
-	Members   *Members   `json:"members,omitempty"` // of what changes in service only its keys
-	Feeds     *Feeds     `json:"feeds,omitempty"`   // nothing of it changes in service
+	Members   *Members   `json:"members,omitempty"` // SIGHUP changes only its keys
+	Feeds     *Feeds     `json:"feeds,omitempty"`   // SIGHUP changes none of it
 	Recovery  *Recovery  `json:"recovery,omitempty"`
 }
 
-// Log says what a router writes of its work, beside what happens to it.
+// Log sets what a router logs about its requests.
 type Log struct {
-	TotalsMS  int64  `json:"totals_ms"`   // a line of totals so often, and one at the end; 0: none
-	Trace     string `json:"trace"`       // whose way is written: off, wrong (not served), all. Changes on SIGHUP
-	TracePerS int    `json:"trace_per_s"` // of those lines at most so many a second; the rest are counted. Changes on SIGHUP
+	TotalsIntervalMS int64  `json:"totals_ms"`   // between log lines of totals; one more is written at shutdown; 0: none
+	Trace            string `json:"trace"`       // which requests are traced: off, wrong (those not served), all; SIGHUP changes it
+	TracePerS        int    `json:"trace_per_s"` // max traced requests per second; the others are only counted; SIGHUP changes it
 }
 
-// Whose way is written.
+// Which requests are traced.
 const (
 	TraceOff   = "off"
 	TraceWrong = "wrong"
 	TraceAll   = "all"
 )
 
-func defaultLog() *Log { return &Log{TotalsMS: 10000, Trace: TraceOff, TracePerS: 100} }
+func defaultLog() *Log { return &Log{TotalsIntervalMS: 10000, Trace: TraceOff, TracePerS: 100} }
 
-func (l *Log) check() error {
+func (log *Log) check() error {
 	switch {
-	case l.TotalsMS != 0 && (l.TotalsMS < 100 || l.TotalsMS > 3600e3):
-		return fmt.Errorf("totals_ms: %d is not 0 or between 100 and an hour", l.TotalsMS)
-	case l.Trace != TraceOff && l.Trace != TraceWrong && l.Trace != TraceAll:
-		return fmt.Errorf("trace: %q is not off, wrong or all", l.Trace)
-	case l.TracePerS < 1 || l.TracePerS > 1e6:
-		return fmt.Errorf("trace_per_s: %d is not between 1 and a million", l.TracePerS)
+	case log.TotalsIntervalMS != 0 && (log.TotalsIntervalMS < 100 || log.TotalsIntervalMS > 3600e3):
+		return fmt.Errorf("totals_ms: %d is not 0 or between 100 and an hour", log.TotalsIntervalMS)
+	case log.Trace != TraceOff && log.Trace != TraceWrong && log.Trace != TraceAll:
+		return fmt.Errorf("trace: %q is not off, wrong or all", log.Trace)
+	case log.TracePerS < 1 || log.TracePerS > 1e6:
+		return fmt.Errorf("trace_per_s: %d is not between 1 and a million", log.TracePerS)
 	}
 	return nil
 }
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Config, error) {
-	s := &Config{}
-	var parts struct {
+	config := &Config{}
+	var sections struct {
 		Admission jsoniter.RawMessage `json:"admission"`
 		Contracts jsoniter.RawMessage `json:"contracts"`
 		Accounts  jsoniter.RawMessage `json:"accounts"`
@@ -67,76 +66,76 @@
 		Feeds     jsoniter.RawMessage `json:"feeds"`
 		Recovery  jsoniter.RawMessage `json:"recovery"`
 	}
-	err := strictjson.File(path, &parts)
-	if err == nil { // again, over the defaults of the parts that are there
-		if parts.Admission != nil {
-			s.Admission = defaultAdmission()
+	err := strictjson.File(path, &sections)
+	if err == nil { // decode again, over the defaults of the sections that are set
+		if sections.Admission != nil {
+			config.Admission = defaultAdmission()
 		}
-		if parts.Contracts != nil {
-			s.Contracts = defaultContracts()
-			var has struct {
+		if sections.Contracts != nil {
+			config.Contracts = defaultContracts()
+			var contracts struct {
 				Lanes jsoniter.RawMessage `json:"lanes"`
 			}
-			if jsoniter.Unmarshal(parts.Contracts, &has) == nil && has.Lanes != nil { // what is wrong otherwise is found below
-				s.Contracts.Shedding = defaultShedding()
+			if jsoniter.Unmarshal(sections.Contracts, &contracts) == nil && contracts.Lanes != nil { // other errors are reported by the second decoding
+				config.Contracts.Shedding = defaultShedding()
 			}
 		}
-		if parts.Accounts != nil {
-			s.Accounts = defaultAccounts()
+		if sections.Accounts != nil {
+			config.Accounts = defaultAccounts()
 		}
-		if parts.Log != nil {
-			s.Log = defaultLog()
+		if sections.Log != nil {
+			config.Log = defaultLog()
 		}
-		if parts.Members != nil {
-			s.Members = defaultMembers()
+		if sections.Members != nil {
+			config.Members = defaultMembers()
 		}
-		if parts.Feeds != nil {
-			s.Feeds = defaultFeeds()
+		if sections.Feeds != nil {
+			config.Feeds = defaultFeeds()
 		}
-		if parts.Recovery != nil {
-			s.Recovery = defaultRecovery()
+		if sections.Recovery != nil {
+			config.Recovery = defaultRecovery()
 		}
-		err = strictjson.File(path, s)
+		err = strictjson.File(path, config)
 	}
 	if err == nil {
-		err = s.check()
+		err = config.check()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return s, nil
+	return config, nil
 }
 
-func (s *Config) check() error {
+func (config *Config) check() error {
 	var errs []error
-	part := func(name string, err error) {
+	add := func(name string, err error) {
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %s", name, strings.ReplaceAll(err.Error(), "\n", "; ")))
 		}
 	}
-	if s.Admission != nil {
-		part("admission", s.Admission.check())
+	if config.Admission != nil {
+		add("admission", config.Admission.check())
 	}
-	if s.Contracts != nil {
-		part("contracts", s.Contracts.check())
+	if config.Contracts != nil {
+		add("contracts", config.Contracts.check())
 	}
-	if s.Accounts != nil {
-		part("accounts", s.Accounts.check())
-		if s.Contracts == nil {
-			part("accounts", errors.New("there are none without contracts"))
+	if config.Accounts != nil {
+		add("accounts", config.Accounts.check())
+		if config.Contracts == nil {
+			add("accounts", errors.New("requires contracts"))
 		}
 	}
-	if s.Log != nil {
-		part("log", s.Log.check())
+	if config.Log != nil {
+		add("log", config.Log.check())
 	}
-	if s.Members != nil {
-		part("members", s.Members.check())
+	if config.Members != nil {
+		add("members", config.Members.check())
 	}
-	if s.Feeds != nil {
-		part("feeds", s.Feeds.check())
+	if config.Feeds != nil {
+		add("feeds", config.Feeds.check())
 	}
-	if s.Recovery != nil {
-		part("recovery", s.Recovery.check())
+	if config.Recovery != nil {
+		add("recovery", config.Recovery.check())
 	}
 	if len(errs) == 0 {
 		return nil
@@ -144,35 +143,33 @@
 	return errors.New(strings.ReplaceAll(errors.Join(errs...).Error(), "\n", "; "))
 }
 
-// Print is the file as it is in force, defaults and all.
-func (s *Config) Print() (string, error) {
-	out, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(s, "", "  ")
+// Print returns the effective settings, including defaults, as JSON.
+func (config *Config) Print() (string, error) {
+	out, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(config, "", "  ")
 	return string(out), err
 }
 
-// Admission limits which client connections the router holds. All of it changes
-// on SIGHUP. A cap of 0 does not bind.
+// Admission limits the client connections that the router holds. SIGHUP changes all of it. A limit of 0 does not apply.
 type Admission struct {
-	PerAddress    int            `json:"per_address"`      // connections of one address
-	PerPrefix     int            `json:"per_prefix"`       // connections of one prefix: IPv4 /24, IPv6 /64
-	NewPerS       int            `json:"new_per_s"`        // new connections of one address within any second
-	NewPerSPrefix int            `json:"new_per_s_prefix"` // of one prefix
-	NewPerSTotal  int            `json:"new_per_s_total"`  // of all but the reserves' addresses
-	Shared        []netip.Prefix `json:"shared"`           // addresses that many clients share, fronts and gateways: no caps of their own
-	Reserve       []Reserve      `json:"reserve"`          // room for those who are known
-	Pressure      Pressure       `json:"pressure"`         // when and how far the router tightens
-	GreenMS       int64          `json:"green_ms"`         // one that has said nothing for so long may be closed for another; a quarter of it under pressure
-	SpareMS       int64          `json:"spare_ms"`         // one that has idled for so long may be closed for another
-	SilenceMS     int64          `json:"silence_ms"`       // under pressure, one that has said nothing for so long is closed
-	EarlyIdleMS   int64          `json:"early_idle_ms"`    // in a crowd, one that has idled for so long is closed for each that comes
-	CrowdShare    float64        `json:"crowd_share"`      // a crowd is this share of the connections; 0: there is none
-	ComeBackMS    int64          `json:"come_back_ms"`     // the time to return where no better one is known
-	Remembered    int            `json:"remembered"`       // addresses, and prefixes, whose rates are remembered without a connection
-	LingerMS      int64          `json:"linger_ms"`        // a refused client has so long to read why
+	PerAddress           int            `json:"per_address"`      // connections of one address
+	PerPrefix            int            `json:"per_prefix"`       // connections of one prefix: IPv4 /24, IPv6 /64
+	NewPerS              int            `json:"new_per_s"`        // new connections of one address within one second
+	NewPerSPrefix        int            `json:"new_per_s_prefix"` // new connections of one prefix within one second
+	NewPerSTotal         int            `json:"new_per_s_total"`  // new connections of all addresses except those of reserves
+	SharedAddresses      []netip.Prefix `json:"shared"`           // addresses of proxies and gateways, exempt from limits per address and prefix
+	Reserves             []Reserve      `json:"reserve"`          // capacity for known clients
+	Pressure             Pressure       `json:"pressure"`         // when and how far the router tightens its limits
+	EvictableSilenceMS   int64          `json:"green_ms"`         // a client that has sent nothing for so long may be closed to admit another; a quarter of it under pressure
+	EvictableIdleMS      int64          `json:"spare_ms"`         // a client that has been idle for so long may be closed to admit another
+	SilenceTimeoutMS     int64          `json:"silence_ms"`       // under pressure, a client that has sent nothing for so long is closed
+	CrowdedIdleTimeoutMS int64          `json:"early_idle_ms"`    // above CrowdedShare, each new connection closes one that has been idle for so long
+	CrowdedShare         float64        `json:"crowd_share"`      // share of the connections in use; 0: never
+	RetryAfterMS         int64          `json:"come_back_ms"`     // advised retry delay if no better one is known
+	MaxSources           int            `json:"remembered"`       // addresses, and prefixes, whose rates are remembered without a connection
+	LingerMS             int64          `json:"linger_ms"`        // how long a rejected client may read the error
 }
 
-// Reserve is room that only its members can take. Whoever has one of the
-// addresses, or says one of the names at the start, is a member.
+// Reserve is capacity for certain clients only: those from one of its addresses, or whose startup message has one of its names.
 type Reserve struct {
 	Name         string         `json:"name"`
 	Addresses    []netip.Prefix `json:"addresses,omitempty"`
@@ -182,59 +179,58 @@
 	Connections  int            `json:"connections"`
 }
 
-// Pressure is when the router is short of something: from Enter on, until all is
-// under Leave again and HoldMS have passed.
+// Pressure sets when the router is short of a resource: from a use of Enter on, until all use is below Leave
+// and MinDurationMS have passed.
 type Pressure struct {
-	Enter   float64 `json:"enter"`     // share of the connections or of the memory
-	Leave   float64 `json:"leave"`     // share
-	NewPerS int     `json:"new_per_s"` // arrivals within a second, refused ones too; 0: they don't count
-	HoldMS  int64   `json:"hold_ms"`
-	Caps    float64 `json:"caps"` // what is left of the caps for each address and prefix, as a share
+	Enter         float64 `json:"enter"`     // share of the connections or of the memory
+	Leave         float64 `json:"leave"`     // share
+	ArrivalsPerS  int     `json:"new_per_s"` // new connections within one second, rejected ones included; 0: they don't count
+	MinDurationMS int64   `json:"hold_ms"`
+	CapFactor     float64 `json:"caps"` // factor on the limits per address and prefix under pressure
 }
 
-// defaultAdmission are the defaults: no cap binds, and what was always done against
-// silent and idle clients is done.
+// defaultAdmission sets no limits, and treats silent and idle clients as a router without an admission section does.
 func defaultAdmission() *Admission {
-	return &Admission{Shared: []netip.Prefix{}, Reserve: []Reserve{}, Pressure: Pressure{Enter: 0.9, Leave: 0.7, HoldMS: 1000, Caps: 0.5}, GreenMS: 20, SpareMS: 100,
-		SilenceMS: 500, EarlyIdleMS: 500, CrowdShare: 0.35, ComeBackMS: 1000, Remembered: 4096, LingerMS: 20}
+	return &Admission{SharedAddresses: []netip.Prefix{}, Reserves: []Reserve{}, Pressure: Pressure{Enter: 0.9, Leave: 0.7, MinDurationMS: 1000, CapFactor: 0.5}, EvictableSilenceMS: 20, EvictableIdleMS: 100,
+		SilenceTimeoutMS: 500, CrowdedIdleTimeoutMS: 500, CrowdedShare: 0.35, RetryAfterMS: 1000, MaxSources: 4096, LingerMS: 20}
 }
 
-const anyConnections = 1 << 30 // a whole that no reserve exceeds
+const unlimitedConnections = 1 << 30 // more than the sum of all valid reserves
 
-func (a *Admission) check() error {
-	for _, f := range []struct {
+func (config *Admission) check() error {
+	for _, field := range []struct {
 		name string
 		ms   int64
 		min  int64
-	}{{"green_ms", a.GreenMS, 0}, {"spare_ms", a.SpareMS, 0}, {"silence_ms", a.SilenceMS, 1}, {"early_idle_ms", a.EarlyIdleMS, 0},
-		{"come_back_ms", a.ComeBackMS, 0}, {"linger_ms", a.LingerMS, 0}, {"pressure.hold_ms", a.Pressure.HoldMS, 0}} {
-		if f.ms < f.min || f.ms > 3600e3 {
-			return fmt.Errorf("%s: %d is not between %d and an hour", f.name, f.ms, f.min)
+	}{{"green_ms", config.EvictableSilenceMS, 0}, {"spare_ms", config.EvictableIdleMS, 0}, {"silence_ms", config.SilenceTimeoutMS, 1}, {"early_idle_ms", config.CrowdedIdleTimeoutMS, 0},
+		{"come_back_ms", config.RetryAfterMS, 0}, {"linger_ms", config.LingerMS, 0}, {"pressure.hold_ms", config.Pressure.MinDurationMS, 0}} {
+		if field.ms < field.min || field.ms > 3600e3 {
+			return fmt.Errorf("%s: %d is not between %d and an hour", field.name, field.ms, field.min)
 		}
 	}
-	if !(a.CrowdShare >= 0 && a.CrowdShare <= 1) {
-		return fmt.Errorf("crowd_share: %v is not between 0 and 1", a.CrowdShare)
+	if !(config.CrowdedShare >= 0 && config.CrowdedShare <= 1) {
+		return fmt.Errorf("crowd_share: %v is not between 0 and 1", config.CrowdedShare)
 	}
-	if a.Remembered > 1<<20 {
+	if config.MaxSources > 1<<20 {
 		return errors.New("remembered: more than a million")
 	}
-	set := a.Limits(anyConnections, 0)
-	return set.Check()
+	settings := config.Limits(unlimitedConnections, 0)
+	return settings.Check()
 }
 
-// Limits are the settings of the decision for a router that may hold so many
-// client connections, and may tell times to return up to longestBack.
-func (a *Admission) Limits(connections int, longestBack clock.Nanos) admission.Settings {
-	const ms = 1e6
-	s := admission.Settings{MaxConnections: connections, MaxPerAddress: a.PerAddress, MaxPerPrefix: a.PerPrefix,
-		AddressRateLimit: a.NewPerS, PrefixRateLimit: a.NewPerSPrefix, TotalRateLimit: a.NewPerSTotal, SharedAddresses: a.Shared,
-		CrowdedThreshold: int(a.CrowdShare * float64(connections)), CrowdedIdleTimeout: a.EarlyIdleMS * ms, EvictableIdle: a.SpareMS * ms, EvictableSilence: a.GreenMS * ms,
-		SilenceTimeout: a.SilenceMS * ms, MaxSources: a.Remembered, RetryAfter: a.ComeBackMS * ms, MaxRetryAfter: longestBack,
-		Pressure: admission.Pressure{Enter: a.Pressure.Enter, Leave: a.Pressure.Leave, ArrivalsPerSecond: a.Pressure.NewPerS,
-			MinDuration: a.Pressure.HoldMS * ms, CapFactor: a.Pressure.Caps}}
-	for _, r := range a.Reserve {
-		s.Reserves = append(s.Reserves, admission.Reserve{Name: r.Name, Addresses: r.Addresses, Users: r.Users,
-			Databases: r.Databases, Applications: r.Applications, Capacity: r.Connections})
-	}
-	return s
+// Limits returns the settings of package admission for a router with that max number of client connections and that max
+// retry delay.
+func (config *Admission) Limits(connections int, maxRetryAfter clock.Nanos) admission.Settings {
+	const nanosPerMS = 1e6
+	settings := admission.Settings{MaxConnections: connections, MaxPerAddress: config.PerAddress, MaxPerPrefix: config.PerPrefix,
+		AddressRateLimit: config.NewPerS, PrefixRateLimit: config.NewPerSPrefix, TotalRateLimit: config.NewPerSTotal, SharedAddresses: config.SharedAddresses,
+		CrowdedThreshold: int(config.CrowdedShare * float64(connections)), CrowdedIdleTimeout: config.CrowdedIdleTimeoutMS * nanosPerMS, EvictableIdle: config.EvictableIdleMS * nanosPerMS, EvictableSilence: config.EvictableSilenceMS * nanosPerMS,
+		SilenceTimeout: config.SilenceTimeoutMS * nanosPerMS, MaxSources: config.MaxSources, RetryAfter: config.RetryAfterMS * nanosPerMS, MaxRetryAfter: maxRetryAfter,
+		Pressure: admission.Pressure{Enter: config.Pressure.Enter, Leave: config.Pressure.Leave, ArrivalsPerSecond: config.Pressure.ArrivalsPerS,
+			MinDuration: config.Pressure.MinDurationMS * nanosPerMS, CapFactor: config.Pressure.CapFactor}}
+	for _, reserve := range config.Reserves {
+		settings.Reserves = append(settings.Reserves, admission.Reserve{Name: reserve.Name, Addresses: reserve.Addresses, Users: reserve.Users,
+			Databases: reserve.Databases, Applications: reserve.Applications, Capacity: reserve.Connections})
+	}
+	return settings
 }
