--- a/cmd/routerctl/contracts.go
+++ b/cmd/routerctl/contracts.go
@@ -20,161 +20,161 @@
 	"lotushook/policy/contract"
 )
 
-// contractsOf reads the contracts of a settings file, as JSON or Jsonnet.
-func contractsOf(path string) (*siteconfig.Contracts, contract.Settings, error) {
+// loadContracts reads the contracts of a settings file in JSON or Jsonnet.
+func loadContracts(path string) (*siteconfig.Contracts, contract.Settings, error) {
 	var none contract.Settings
 	if strings.HasSuffix(path, ".jsonnet") {
 		text, err := render(path)
 		if err != nil {
 			return nil, none, err
 		}
-		f, err := os.CreateTemp("", "settings-*.json")
+		file, err := os.CreateTemp("", "settings-*.json")
 		if err != nil {
 			return nil, none, err
 		}
-		defer os.Remove(f.Name())
-		_, err = io.WriteString(f, text)
-		if err = errors.Join(err, f.Close()); err != nil {
+		defer os.Remove(file.Name())
+		_, err = io.WriteString(file, text)
+		if err = errors.Join(err, file.Close()); err != nil {
 			return nil, none, err
 		}
-		path = f.Name()
+		path = file.Name()
 	}
-	s, err := siteconfig.Load(path)
+	config, err := siteconfig.Load(path)
 	if err != nil {
 		return nil, none, err
 	}
-	if s.Contracts == nil {
-		return nil, none, errors.New("the settings have no contracts")
+	if config.Contracts == nil {
+		return nil, none, errors.New("the settings file has no contracts section")
 	}
-	b, err := s.Contracts.LedgerSettings(s.Contracts.NamedClasses(), 1, 0)
-	return s.Contracts, b, err
+	settings, err := config.Contracts.LedgerSettings(config.Contracts.NamedClasses(), 1, 0)
+	return config.Contracts, settings, err
 }
 
-// checkContracts holds the contracts against the fleet that they name.
-func checkContracts(_ context.Context, c *cli.Command) error {
-	if c.Args().Len() != 1 {
+// checkContracts checks whether the fleet that the contracts name has the capacity that they promise.
+func checkContracts(_ context.Context, cmd *cli.Command) error {
+	if cmd.Args().Len() != 1 {
 		return errors.New("contracts check takes one settings file")
 	}
-	conf, book, err := contractsOf(c.Args().First())
+	contracts, settings, err := loadContracts(cmd.Args().First())
 	if err != nil {
 		return err
 	}
-	found := book.CheckCapacity(contract.Capacity{Groups: conf.Fleet.Groups, PrimaryWorkPerSecond: conf.Fleet.PrimaryWorkPerS, PromisableShare: conf.Fleet.PromisableShare})
-	for _, f := range found {
-		fmt.Fprintf(c.Root().Writer, "contracts.%s: %s\n", f.Path, f.Text)
+	findings := settings.CheckCapacity(contract.Capacity{Groups: contracts.Fleet.Groups, PrimaryWorkPerSecond: contracts.Fleet.PrimaryWorkPerS, PromisableShare: contracts.Fleet.PromisableShare})
+	for _, finding := range findings {
+		fmt.Fprintf(cmd.Root().Writer, "contracts.%s: %s\n", finding.Path, finding.Text)
 	}
-	if len(found) > 0 {
-		return fmt.Errorf("%d findings", len(found))
+	if len(findings) > 0 {
+		return fmt.Errorf("%d findings", len(findings))
 	}
-	fmt.Fprintf(c.Root().Writer, "%d teams: nothing is promised that is not there\n", len(book.Teams))
+	fmt.Fprintf(cmd.Root().Writer, "%d teams: the fleet has the capacity that their contracts promise\n", len(settings.Teams))
 	return nil
 }
 
-// showContracts prints who may do what.
-func showContracts(_ context.Context, c *cli.Command) error {
-	if c.Args().Len() != 1 {
+// showContracts prints each team's contract as a table.
+func showContracts(_ context.Context, cmd *cli.Command) error {
+	if cmd.Args().Len() != 1 {
 		return errors.New("contracts show takes one settings file")
 	}
-	conf, _, err := contractsOf(c.Args().First())
+	contracts, _, err := loadContracts(cmd.Args().First())
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "team\tknown by\tclass\ta second\tat once\tprimaries\topen\trepeats\tworth\thours")
-	for _, t := range conf.Teams {
-		var known, hours []string
-		for kind, list := range map[string][]string{"user": t.Users, "database": t.Databases, "application": t.Applications} {
-			for _, n := range list {
-				known = append(known, kind+" "+n)
+	table := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "team\tidentified by\tclass\tper second\tburst\tprimary share\topen\tretry share\tweight\thours")
+	for _, team := range contracts.Teams {
+		var identities, hours []string
+		for kind, list := range map[string][]string{"user": team.Users, "database": team.Databases, "application": team.Applications} {
+			for _, name := range list {
+				identities = append(identities, kind+" "+name)
 			}
 		}
-		slices.Sort(known)
-		for _, p := range t.Addresses {
-			known = append(known, p.String())
+		slices.Sort(identities)
+		for _, prefix := range team.Addresses {
+			identities = append(identities, prefix.String())
 		}
-		for _, h := range t.Hours {
-			hours = append(hours, fmt.Sprintf("%s %s-%s x%v", strings.Join(h.Days, "+"), h.From, h.To, h.Factor))
+		for _, interval := range team.Hours {
+			hours = append(hours, fmt.Sprintf("%s %s-%s x%v", strings.Join(interval.Days, "+"), interval.From, interval.To, interval.Factor))
 		}
-		names := make([]string, 0, len(t.Classes))
-		for n := range t.Classes {
-			names = append(names, n)
+		names := make([]string, 0, len(team.Classes))
+		for name := range team.Classes {
+			names = append(names, name)
 		}
 		slices.Sort(names)
-		for i, n := range names {
-			team, who := t.Name, strings.Join(known, ", ")
+		for i, name := range names {
+			teamCell, identityCell := team.Name, strings.Join(identities, ", ")
 			if i > 0 {
-				team, who = "", ""
+				teamCell, identityCell = "", ""
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%v\t%d\t%v\t%v\t%s\n", team, who, n, t.Classes[n].PerS, t.Classes[n].Burst,
-				t.PrimaryShare, t.MaxOpen, t.RetryShare, t.Weight, strings.Join(hours, ", "))
+			fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%v\t%v\t%d\t%v\t%v\t%s\n", teamCell, identityCell, name, team.Classes[name].PerS, team.Classes[name].Burst,
+				team.PrimaryShare, team.MaxOpen, team.RetryShare, team.Weight, strings.Join(hours, ", "))
 		}
 	}
-	if conf.DefaultTeam == "" {
-		fmt.Fprintln(w, "(none of them)\trefused")
+	if contracts.DefaultTeam == "" {
+		fmt.Fprintln(table, "(no team)\trejected")
 	} else {
-		fmt.Fprintln(w, "(none of them)\tteam "+conf.DefaultTeam)
+		fmt.Fprintln(table, "(no team)\tteam "+contracts.DefaultTeam)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// readAccounts prints a router's accounts as a table, or as metrics.
-func readAccounts(_ context.Context, c *cli.Command) error {
-	if c.Args().Len() != 1 {
-		return errors.New("accounts takes the socket that the router's settings name")
+// showAccounts prints a router's accounts as a table, or as Prometheus metrics.
+func showAccounts(_ context.Context, cmd *cli.Command) error {
+	if cmd.Args().Len() != 1 {
+		return errors.New("accounts takes the path of the accounts socket in the router's settings")
 	}
 	var rows []accounting.Row
-	if err := admin.Query(c.Args().First(), "accounts", &rows); err != nil {
+	if err := admin.Query(cmd.Args().First(), "accounts", &rows); err != nil {
 		return err
 	}
-	if c.Bool("metrics") {
-		return metrics(c.Root().Writer, rows)
+	if cmd.Bool("metrics") {
+		return writeMetrics(cmd.Root().Writer, rows)
 	}
-	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "team\tclass\tasked\twithin\tborrowed\trefused\tserved\tin aim\tturned away\tfailed\tworth\tp50 ms\tp99 ms\t")
-	for _, r := range rows {
-		refused := uint64(0)
-		for _, n := range r.Refused {
-			refused += n
+	table := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "team\tclass\trequested\twithin\tborrowed\tdenied\tserved\tin objective\trejected\tfailed\tweight\tp50 ms\tp99 ms\t")
+	for _, row := range rows {
+		denied := uint64(0)
+		for _, count := range row.Refused {
+			denied += count
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t\n", r.Team, r.Class, r.Requested, r.Grounds["within"]+r.Grounds["repeat"],
-			r.Grounds["borrowed"], refused, r.Served, r.InObjective, r.Rejected, r.Failed, r.Weight, r.P50MS, r.P99MS)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t\n", row.Team, row.Class, row.Requested, row.Grounds["within"]+row.Grounds["repeat"],
+			row.Grounds["borrowed"], denied, row.Served, row.InObjective, row.Rejected, row.Failed, row.Weight, row.P50MS, row.P99MS)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// metrics writes rows in the text format that Prometheus reads.
-func metrics(out io.Writer, rows []accounting.Row) error {
-	reg := prometheus.NewRegistry()
+// writeMetrics writes accounts in the Prometheus text format.
+func writeMetrics(out io.Writer, rows []accounting.Row) error {
+	registry := prometheus.NewRegistry()
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
-		v := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "lotushook", Name: name, Help: help}, append([]string{"team", "class"}, labels...))
-		reg.MustRegister(v)
-		return v
+		vector := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "lotushook", Name: name, Help: help}, append([]string{"team", "class"}, labels...))
+		registry.MustRegister(vector)
+		return vector
 	}
-	asked := counter("requests_asked_total", "Requests that came.")
+	requested := counter("requests_asked_total", "Requests that came.")
 	decided := counter("requests_decided_total", "Requests by what the contract said of them.", "reason")
 	served := counter("requests_served_total", "Requests that were answered.")
-	inAim := counter("requests_in_aim_total", "Requests that were answered within their aim.")
+	inObjective := counter("requests_in_aim_total", "Requests that were answered within their aim.")
 	failed := counter("requests_failed_total", "Requests that were taken and not answered.", "how")
-	worth := counter("worth_total", "Worth of what was answered within its aim.")
-	for _, r := range rows {
-		asked.WithLabelValues(r.Team, r.Class).Add(float64(r.Requested))
-		served.WithLabelValues(r.Team, r.Class).Add(float64(r.Served))
-		inAim.WithLabelValues(r.Team, r.Class).Add(float64(r.InObjective))
-		worth.WithLabelValues(r.Team, r.Class).Add(r.Weight)
-		failed.WithLabelValues(r.Team, r.Class, "failed").Add(float64(r.Failed))
-		failed.WithLabelValues(r.Team, r.Class, "turned_away").Add(float64(r.Rejected))
-		for _, by := range []map[string]uint64{r.Grounds, r.Refused} {
-			for reason, n := range by {
-				decided.WithLabelValues(r.Team, r.Class, reason).Add(float64(n))
+	weight := counter("worth_total", "Worth of what was answered within its aim.")
+	for _, row := range rows {
+		requested.WithLabelValues(row.Team, row.Class).Add(float64(row.Requested))
+		served.WithLabelValues(row.Team, row.Class).Add(float64(row.Served))
+		inObjective.WithLabelValues(row.Team, row.Class).Add(float64(row.InObjective))
+		weight.WithLabelValues(row.Team, row.Class).Add(row.Weight)
+		failed.WithLabelValues(row.Team, row.Class, "failed").Add(float64(row.Failed))
+		failed.WithLabelValues(row.Team, row.Class, "turned_away").Add(float64(row.Rejected))
+		for _, counts := range []map[string]uint64{row.Grounds, row.Refused} {
+			for reason, count := range counts {
+				decided.WithLabelValues(row.Team, row.Class, reason).Add(float64(count))
 			}
 		}
 	}
-	families, err := reg.Gather()
+	families, err := registry.Gather()
 	if err != nil {
 		return err
 	}
-	for _, f := range families {
-		if _, err := expfmt.MetricFamilyToText(out, f); err != nil {
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(out, family); err != nil {
 			return err
 		}
 	}
--- a/cmd/routerctl/fleet.go
+++ b/cmd/routerctl/fleet.go
@@ -17,103 +17,103 @@
 	"lotushook/internal/fleetreport"
 )
 
-const maxRows = 25 // of data servers and of outliers: those that stand out most
+const maxRows = 25 // of the tables of data servers and outliers, the most conspicuous first
 
-// columns are what the table over time shows; the sums have all.
+// columns are the counts in the table over time; the table of sums has all counts.
 var columns = []string{"asked", "served", "refused", "failed", "gone", "first", "repeated", "dial_up", "dial_unheard", "probes", "no_list", "node_suspected"}
 
-// showFleet prints what the logs of a folder say of the whole fleet.
-func showFleet(_ context.Context, c *cli.Command) error {
-	if c.Args().Len() != 1 {
-		return errors.New("fleet takes one folder of logs")
+// showFleet prints a report on all routers whose logs are in a folder.
+func showFleet(_ context.Context, cmd *cli.Command) error {
+	if cmd.Args().Len() != 1 {
+		return errors.New("fleet takes one folder of log files")
 	}
-	f, err := fleetreport.Read(c.Args().First(), fleetreport.Options{Span: c.Duration("span"), Request: c.String("request")})
+	fleet, err := fleetreport.Read(cmd.Args().First(), fleetreport.Options{Span: cmd.Duration("span"), Request: cmd.String("request")})
 	if err != nil {
 		return err
 	}
-	out := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
-	if c.IsSet("request") {
-		if len(f.Lines) == 0 {
-			return fmt.Errorf("no line of request %q: are ways written (log.trace)?", c.String("request"))
+	out := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
+	if cmd.IsSet("request") {
+		if len(fleet.Lines) == 0 {
+			return fmt.Errorf("no log line of request %q: is tracing on (log.trace)?", cmd.String("request"))
 		}
-		for _, l := range f.Lines {
-			fmt.Fprintf(out, "%s\t%s\t%s\n", time.UnixMilli(l.CameMS).UTC().Format("15:04:05.000"), l.Router, l.Text)
+		for _, line := range fleet.Lines {
+			fmt.Fprintf(out, "%s\t%s\t%s\n", time.UnixMilli(line.CameMS).UTC().Format("15:04:05.000"), line.Router, line.Text)
 		}
 		return out.Flush()
 	}
-	if len(f.Routers) == 0 && len(f.Ends) == 0 {
-		return errors.New("no line of totals in these logs: are they written (log.totals_ms)?")
+	if len(fleet.Routers) == 0 && len(fleet.Ends) == 0 {
+		return errors.New("no line of totals in these logs: are totals on (log.totals_ms)?")
 	}
-	fmt.Fprintf(out, "%d routers, %d data servers met, %d lines or parts not read\n", len(f.Routers), len(f.Servers), f.Skipped)
-	sums(out, f)
-	overTime(out, f)
-	servers(out, f)
-	outliers(out, f)
-	ends(out, f)
+	fmt.Fprintf(out, "%d routers, %d data servers seen, %d lines or parts of lines skipped\n", len(fleet.Routers), len(fleet.Servers), fleet.Skipped)
+	writeSums(out, fleet)
+	writeOverTime(out, fleet)
+	writeServers(out, fleet)
+	writeOutliers(out, fleet)
+	writeEnds(out, fleet)
 	return out.Flush()
 }
 
-// grouped is a count, or the sum of all whose names go on behind it.
-func grouped(row map[string]int64, name string) (n int64) {
-	for key, v := range row {
+// sumWithReasons adds up a count and those of its reasons, which are named NAME_REASON.
+func sumWithReasons(row map[string]int64, name string) (sum int64) {
+	for key, count := range row {
 		if key == name || strings.HasPrefix(key, name+"_") {
-			n += v
+			sum += count
 		}
 	}
-	return n
+	return sum
 }
 
-func sums(out io.Writer, f *fleetreport.Fleet) {
-	sum := f.Sum()
-	fmt.Fprint(out, "\ncount\tall\ta router\n")
+func writeSums(out io.Writer, fleet *fleetreport.Fleet) {
+	sum := fleet.Sum()
+	fmt.Fprint(out, "\ncount\tsum\tper router\n")
 	for _, key := range slices.Sorted(maps.Keys(sum)) {
-		fmt.Fprintf(out, "%s\t%d\t%.1f\n", key, sum[key], float64(sum[key])/float64(len(f.Routers)))
+		fmt.Fprintf(out, "%s\t%d\t%.1f\n", key, sum[key], float64(sum[key])/float64(len(fleet.Routers)))
 	}
 }
 
-func overTime(out io.Writer, f *fleetreport.Fleet) {
+func writeOverTime(out io.Writer, fleet *fleetreport.Fleet) {
 	fmt.Fprintf(out, "\nfrom\t%s\n", strings.Join(columns, "\t"))
-	for _, at := range f.Spans() {
-		fmt.Fprint(out, time.Unix(0, at*int64(f.Span)).UTC().Format("15:04:05"))
+	for _, span := range fleet.Spans() {
+		fmt.Fprint(out, time.Unix(0, span*int64(fleet.Span)).UTC().Format("15:04:05"))
 		for _, name := range columns {
-			fmt.Fprintf(out, "\t%d", grouped(f.Times[at], name))
+			fmt.Fprintf(out, "\t%d", sumWithReasons(fleet.Times[span], name))
 		}
 		fmt.Fprintln(out)
 	}
 }
 
-func servers(out io.Writer, f *fleetreport.Fleet) {
+func writeServers(out io.Writer, fleet *fleetreport.Fleet) {
 	fmt.Fprint(out, "\ndata server\trouters\tdone\tmiss\tbusy\tfailed\tlost\tunsent\n")
-	bad := func(host string) int64 { s := f.Servers[host]; return s.Busy + s.Failed + s.Lost + s.Unsent }
-	hosts := slices.SortedFunc(maps.Keys(f.Servers), func(x, y string) int {
-		return cmp.Or(cmp.Compare(bad(y), bad(x)), strings.Compare(x, y))
+	failures := func(host string) int64 { s := fleet.Servers[host]; return s.Busy + s.Failed + s.Lost + s.Unsent }
+	hosts := slices.SortedFunc(maps.Keys(fleet.Servers), func(x, y string) int {
+		return cmp.Or(cmp.Compare(failures(y), failures(x)), strings.Compare(x, y))
 	})
 	for _, host := range hosts[:min(len(hosts), maxRows)] {
-		s := f.Servers[host]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", host, len(s.Routers), s.Done, s.Miss, s.Busy, s.Failed, s.Lost, s.Unsent)
+		seen := fleet.Servers[host]
+		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", host, len(seen.Routers), seen.Done, seen.Miss, seen.Busy, seen.Failed, seen.Lost, seen.Unsent)
 	}
 	if more := len(hosts) - maxRows; more > 0 {
-		fmt.Fprintf(out, "and %d with less that went wrong\n", more)
+		fmt.Fprintf(out, "and %d with fewer failures\n", more)
 	}
 }
 
-func outliers(out io.Writer, f *fleetreport.Fleet) {
-	all := f.Outliers()
-	if len(all) == 0 {
+func writeOutliers(out io.Writer, fleet *fleetreport.Fleet) {
+	found := fleet.Outliers()
+	if len(found) == 0 {
 		return
 	}
-	fmt.Fprint(out, "\nstands out\tcount\tits\tmedian\n")
-	for _, o := range all[:min(len(all), maxRows)] {
-		fmt.Fprintf(out, "%s\t%s\t%d\t%d\n", o.Router, o.Counter, o.Count, o.Median)
+	fmt.Fprint(out, "\noutlier\tcount\tvalue\tmedian\n")
+	for _, outlier := range found[:min(len(found), maxRows)] {
+		fmt.Fprintf(out, "%s\t%s\t%d\t%d\n", outlier.Router, outlier.Counter, outlier.Count, outlier.Median)
 	}
 }
 
-func ends(out io.Writer, f *fleetreport.Fleet) {
-	if len(f.Ends) == 0 {
+func writeEnds(out io.Writer, fleet *fleetreport.Fleet) {
+	if len(fleet.Ends) == 0 {
 		return
 	}
-	fmt.Fprint(out, "\nclass\tend\twhy\trequests\n")
-	for _, e := range slices.SortedFunc(maps.Keys(f.Ends), func(x, y fleetreport.End) int { return cmp.Compare(f.Ends[y], f.Ends[x]) }) {
-		fmt.Fprintf(out, "%s\t%s\t%s\t%d\n", e.Class, e.End, e.Why, f.Ends[e])
+	fmt.Fprint(out, "\nclass\toutcome\treason\trequests\n")
+	for _, end := range slices.SortedFunc(maps.Keys(fleet.Ends), func(x, y fleetreport.End) int { return cmp.Compare(fleet.Ends[y], fleet.Ends[x]) }) {
+		fmt.Fprintf(out, "%s\t%s\t%s\t%d\n", end.Class, end.End, end.Why, fleet.Ends[end])
 	}
 }
--- a/cmd/routerctl/main.go
+++ b/cmd/routerctl/main.go
@@ -1,5 +1,5 @@
-// Command routerctl is the operators' tool: it renders settings, checks what is
-// committed, and runs experiments against routers on this machine.
+// Command routerctl is the operators' tool: it renders settings, checks contracts, queries running routers, evaluates logs, and
+// runs experiments with routers on this machine.
 package main
 
 import (
@@ -31,36 +31,36 @@
 }
 
 func command() *cli.Command {
-	usage := func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
-	out := &cli.StringFlag{Name: "out", Usage: "the folder for results; none: a new one under found/"}
-	seed := &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what is drawn follows from it"}
-	seeds := &cli.Uint64Flag{Name: "seeds", Value: 1, Usage: "of a soak: play so many, from --seed on"}
-	router := &cli.StringFlag{Name: "router", Usage: "the router's program; none: lotushook beside this one"}
+	returnUsageError := func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
+	out := &cli.StringFlag{Name: "out", Usage: "folder for results (default: a new one under found/)"}
+	seed := &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of all random choices"}
+	seeds := &cli.Uint64Flag{Name: "seeds", Value: 1, Usage: "number of seeds that a soak runs, starting at --seed"}
+	router := &cli.StringFlag{Name: "router", Usage: "path of the router's program (default: router in this program's folder)"}
 	return &cli.Command{
 		Name:         "routerctl",
 		Usage:        "render settings and run experiments for lotushook routers",
-		OnUsageError: usage,
+		OnUsageError: returnUsageError,
 		Action: func(_ context.Context, c *cli.Command) error {
 			return fmt.Errorf("no such command %q; see routerctl help", c.Args().First())
 		},
 		Commands: []*cli.Command{
-			{Name: "render", Usage: "render Jsonnet files to the JSON beside them", ArgsUsage: "FILE.jsonnet...", OnUsageError: usage, Action: renderAll,
-				Flags: []cli.Flag{&cli.BoolFlag{Name: "check", Usage: "write nothing; fail where the JSON differs"}}},
-			{Name: "contracts", Usage: "the teams' contracts in a settings file", OnUsageError: usage, Commands: []*cli.Command{
-				{Name: "check", Usage: "hold them against the fleet that they name; fails where there are findings", ArgsUsage: "FILE", OnUsageError: usage, Action: checkContracts},
-				{Name: "show", Usage: "print who may do what", ArgsUsage: "FILE", OnUsageError: usage, Action: showContracts},
+			{Name: "render", Usage: "render Jsonnet files to the JSON beside them", ArgsUsage: "FILE.jsonnet...", OnUsageError: returnUsageError, Action: renderAll,
+				Flags: []cli.Flag{&cli.BoolFlag{Name: "check", Usage: "write nothing; fail if the JSON differs"}}},
+			{Name: "contracts", Usage: "check or show the teams' contracts in a settings file", OnUsageError: returnUsageError, Commands: []*cli.Command{
+				{Name: "check", Usage: "check that the fleet has the capacity that the contracts promise; fail if there are findings", ArgsUsage: "FILE", OnUsageError: returnUsageError, Action: checkContracts},
+				{Name: "show", Usage: "print each team's contract", ArgsUsage: "FILE", OnUsageError: returnUsageError, Action: showContracts},
 			}},
-			{Name: "accounts", Usage: "what teams asked of a router and got", ArgsUsage: "SOCKET", OnUsageError: usage, Action: readAccounts,
-				Flags: []cli.Flag{&cli.BoolFlag{Name: "metrics", Usage: "in the text format that Prometheus reads"}}},
-			{Name: "members", Usage: "what a router knows of the other routers", ArgsUsage: "SOCKET", OnUsageError: usage, Action: showMembers},
-			{Name: "fleet", Usage: "what the logs of many routers say of all of them, or of one request", ArgsUsage: "DIR", OnUsageError: usage, Action: showFleet,
-				Flags: []cli.Flag{&cli.DurationFlag{Name: "span", Value: 10 * time.Second, Usage: "one row over time"},
-					&cli.StringFlag{Name: "request", Usage: "print the way of the requests with this `ID` or key"}}},
-			{Name: "lab", Usage: "experiments on this machine", OnUsageError: usage, Commands: []*cli.Command{
-				{Name: "run", Usage: "run an experiment; fails unless all its checks hold", ArgsUsage: "FILE.jsonnet", OnUsageError: usage,
+			{Name: "accounts", Usage: "print what teams requested from a router and got", ArgsUsage: "SOCKET", OnUsageError: returnUsageError, Action: showAccounts,
+				Flags: []cli.Flag{&cli.BoolFlag{Name: "metrics", Usage: "in the Prometheus text format"}}},
+			{Name: "members", Usage: "print a router's view of the other routers", ArgsUsage: "SOCKET", OnUsageError: returnUsageError, Action: showMembers},
+			{Name: "fleet", Usage: "report on all routers, or trace one request, from the logs of many routers", ArgsUsage: "DIR", OnUsageError: returnUsageError, Action: showFleet,
+				Flags: []cli.Flag{&cli.DurationFlag{Name: "span", Value: 10 * time.Second, Usage: "length of one row of the table over time"},
+					&cli.StringFlag{Name: "request", Usage: "print only the requests with this `ID` or key"}}},
+			{Name: "lab", Usage: "run and compare experiments on this machine", OnUsageError: returnUsageError, Commands: []*cli.Command{
+				{Name: "run", Usage: "run an experiment; fail unless all its checks hold", ArgsUsage: "FILE.jsonnet", OnUsageError: returnUsageError,
 					Flags: []cli.Flag{seed, seeds, out, router}, Action: func(ctx context.Context, c *cli.Command) error {
 						if c.Args().Len() != 1 {
-							return errors.New("lab run takes one experiment")
+							return errors.New("lab run takes one experiment file")
 						}
 						text, err := render(c.Args().First())
 						if err != nil {
@@ -68,11 +68,11 @@
 						}
 						return runExperiment(ctx, c, []byte(text))
 					}},
-				{Name: "report", Usage: "set runs of one experiment side by side", ArgsUsage: "DIR...", OnUsageError: usage, Action: report,
-					Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "the folder for tables and charts; none: tables on standard output"}}},
-				{Name: "demo", Usage: "a fleet, three routers, a load of 20 s, a router that dies, and a report", OnUsageError: usage,
+				{Name: "report", Usage: "compare runs of one experiment", ArgsUsage: "DIR...", OnUsageError: returnUsageError, Action: report,
+					Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "folder for tables and charts (default: tables on standard output)"}}},
+				{Name: "demo", Usage: "run three routers in front of a fleet under load for 20 s, kill one router, and report", OnUsageError: returnUsageError,
 					Flags: []cli.Flag{seed, out, router}, Action: func(ctx context.Context, c *cli.Command) error {
-						text, err := renderOwn("lab/demo.jsonnet")
+						text, err := renderEmbedded("lab/demo.jsonnet")
 						if err != nil {
 							return err
 						}
@@ -83,95 +83,95 @@
 	}
 }
 
-// runExperiment runs one and writes what it showed.
-func runExperiment(ctx context.Context, c *cli.Command, text []byte) error {
-	e, err := experiment.Parse(text)
+// runExperiment runs an experiment and writes its results.
+func runExperiment(ctx context.Context, cmd *cli.Command, text []byte) error {
+	config, err := experiment.Parse(text)
 	if err != nil {
 		return err
 	}
-	build := c.String("router")
-	if build == "" {
+	program := cmd.String("router")
+	if program == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		build = filepath.Join(filepath.Dir(self), "router")
+		program = filepath.Join(filepath.Dir(self), "router")
 	}
-	if _, err := os.Stat(build); err != nil {
+	if _, err := os.Stat(program); err != nil {
 		return fmt.Errorf("the router's program: %w", err)
 	}
-	dir := c.String("out")
+	dir := cmd.String("out")
 	if dir == "" {
-		dir = filepath.Join("found", fmt.Sprintf("%s-%s", e.Name, time.Now().Format("150405")))
+		dir = filepath.Join("found", fmt.Sprintf("%s-%s", config.Name, time.Now().Format("150405")))
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	o := experiment.Options{Seed: c.Uint64("seed"), Dir: dir, Build: build}
-	if e.Soak != nil {
-		return runSoak(ctx, c, e, o)
+	options := experiment.Options{Seed: cmd.Uint64("seed"), Dir: dir, Build: program}
+	if config.Soak != nil {
+		return runSoak(ctx, cmd, config, options)
 	}
-	if st, err := os.Stderr.Stat(); err == nil && st.Mode()&os.ModeCharDevice != 0 {
-		o.Tell = func(arm string, done, whole time.Duration) {
-			n := int(30 * done / max(whole, 1))
-			fmt.Fprintf(os.Stderr, "\r%-16s [%s%s] %3.0f of %.0f s ", arm, strings.Repeat("=", n), strings.Repeat(" ", 30-n), done.Seconds(), whole.Seconds())
+	if status, err := os.Stderr.Stat(); err == nil && status.Mode()&os.ModeCharDevice != 0 {
+		options.Tell = func(arm string, done, whole time.Duration) {
+			filled := int(30 * done / max(whole, 1))
+			fmt.Fprintf(os.Stderr, "\r%-16s [%s%s] %3.0f of %.0f s ", arm, strings.Repeat("=", filled), strings.Repeat(" ", 30-filled), done.Seconds(), whole.Seconds())
 			if done >= whole {
 				fmt.Fprintln(os.Stderr)
 			}
 		}
 	}
-	res, err := experiment.Run(ctx, e, o)
+	result, err := experiment.Run(ctx, config, options)
 	if err != nil {
 		return err
 	}
-	if err := res.Write(dir); err != nil {
+	if err := result.Write(dir); err != nil {
 		return err
 	}
 	fmt.Printf("%-58s %12s %14s\n", "check", "value", "bound")
-	for _, j := range res.Checks {
-		word := "held"
-		if !j.Passed {
-			word = "NOT HELD " + j.Note
+	for _, check := range result.Checks {
+		verdict := "held"
+		if !check.Passed {
+			verdict = "NOT HELD " + check.Note
 		}
-		fmt.Printf("%-58s %12.4g %4s %9.4g %s\n", j.Name, j.Value, j.Relation, j.Bound, word)
+		fmt.Printf("%-58s %12.4g %4s %9.4g %s\n", check.Name, check.Value, check.Relation, check.Bound, verdict)
 	}
 	fmt.Println("report:", filepath.Join(dir, "report.md"))
-	if !res.Passed {
+	if !result.Passed {
 		return errors.New("not all checks held")
 	}
 	return nil
 }
 
-// runSoak plays one or more seeds of a soak and prints a table of them.
-func runSoak(ctx context.Context, c *cli.Command, e *experiment.Experiment, o experiment.Options) error {
-	const shorteningPlays = 12
+// runSoak runs one or more seeds of a soak and prints a row for each.
+func runSoak(ctx context.Context, cmd *cli.Command, config *experiment.Experiment, options experiment.Options) error {
+	const maxShorteningRuns = 12
 	fmt.Println(experiment.SoakHead)
-	broken := 0
-	top := o.Dir
-	for i := range max(c.Uint64("seeds"), 1) {
-		o.Seed = c.Uint64("seed") + i
-		o.Dir = filepath.Join(top, fmt.Sprintf("seed-%d", o.Seed))
-		res, err := experiment.RunSoak(ctx, e, o)
+	failed := 0
+	dir := options.Dir
+	for i := range max(cmd.Uint64("seeds"), 1) {
+		options.Seed = cmd.Uint64("seed") + i
+		options.Dir = filepath.Join(dir, fmt.Sprintf("seed-%d", options.Seed))
+		result, err := experiment.RunSoak(ctx, config, options)
 		if err != nil {
-			return fmt.Errorf("seed %d: %w", o.Seed, err)
+			return fmt.Errorf("seed %d: %w", options.Seed, err)
 		}
-		fmt.Println(res.Row())
-		if err := res.Write(o.Dir); err != nil {
+		fmt.Println(result.Row())
+		if err := result.Write(options.Dir); err != nil {
 			return err
 		}
-		if res.Passed() {
+		if result.Passed() {
 			continue
 		}
-		broken++
-		res.Explain(os.Stderr, o.Dir)
-		if c.Uint64("seeds") <= 1 {
+		failed++
+		result.Explain(os.Stderr, options.Dir)
+		if cmd.Uint64("seeds") <= 1 {
 			fmt.Fprintln(os.Stderr, "shortest schedule that still fails:")
-			shortest := experiment.ShortenSoak(ctx, e, res, o, shorteningPlays)
-			shortest.Explain(os.Stderr, o.Dir)
+			shortest := experiment.ShortenSoak(ctx, config, result, options, maxShorteningRuns)
+			shortest.Explain(os.Stderr, options.Dir)
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d seeds broke a rule", broken)
+	if failed > 0 {
+		return fmt.Errorf("%d seeds violated an invariant", failed)
 	}
 	return nil
 }
--- a/cmd/routerctl/members.go
+++ b/cmd/routerctl/members.go
@@ -12,46 +12,46 @@
 	"lotushook/internal/peer"
 )
 
-// showMembers prints what a router knows of the others.
-func showMembers(_ context.Context, c *cli.Command) error {
-	if c.Args().Len() != 1 {
-		return errors.New("members takes the socket that the router's settings name")
+// showMembers prints a router's view of the cluster.
+func showMembers(_ context.Context, cmd *cli.Command) error {
+	if cmd.Args().Len() != 1 {
+		return errors.New("members takes the path of the members socket in the router's settings")
 	}
-	var m peer.Report
-	if err := admin.Query(c.Args().First(), "members", &m); err != nil {
+	var report peer.Report
+	if err := admin.Query(cmd.Args().First(), "members", &report); err != nil {
 		return err
 	}
-	out, v := c.Root().Writer, m.View
-	side := "not more than half: no part grows"
-	if v.Majority {
-		side = "a majority"
+	out, view := cmd.Root().Writer, report.View
+	quorum := "no majority: its share does not grow"
+	if view.Majority {
+		quorum = "a majority"
 	}
-	fmt.Fprintf(out, "%s of %s: counts %d of %d, %s, for %.0f s\n", m.Name, m.Cluster, v.Counting, v.Configured, side, v.SinceS)
-	held := "may have been left out"
-	if v.Holder {
-		held = fmt.Sprintf("held; %d are gone and divided", v.Gone)
+	fmt.Fprintf(out, "%s of cluster %s: %d of %d routers alive, %s, for %.0f s\n", report.Name, report.Cluster, view.Counting, view.Configured, quorum, view.SinceS)
+	lease := "lease expired: others may have declared this router dead"
+	if view.Holder {
+		lease = fmt.Sprintf("lease held; the shares of %d dead routers are divided among the others", view.Gone)
 	}
-	fmt.Fprintf(out, "part %.4f (even %.4f), %s\n", v.Share, 1/float64(max(v.Configured, 1)), held)
-	if v.CutOff {
-		fmt.Fprintln(out, "cut off: hears hardly anybody, or is not heard")
+	fmt.Fprintf(out, "share %.4f (even share %.4f), %s\n", view.Share, 1/float64(max(view.Configured, 1)), lease)
+	if view.CutOff {
+		fmt.Fprintln(out, "isolated: this router hears from almost no other, or is not heard")
 	}
-	if v.Taken {
-		fmt.Fprintln(out, "another, older process has this name: this one takes no part")
+	if view.Taken {
+		fmt.Fprintln(out, "an older process uses the same name: this one does not take part")
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "name\tstate\tsince s\theard s ago\ttrip ms\tincarnation\tboot\taddress\tsaid by")
-	for _, r := range m.Members {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "name\tstate\tsince s\theard s ago\tround trip ms\tincarnation\tepoch\taddress\treported by")
+	for _, member := range report.Members {
 		heard := "never"
-		if r.HeardS >= 0 {
-			heard = fmt.Sprintf("%.1f", r.HeardS)
+		if member.HeardS >= 0 {
+			heard = fmt.Sprintf("%.1f", member.HeardS)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%s\t%.2f\t%d\t%d\t%s\t%s\n", r.Name, r.State, r.SinceS, heard, r.TripMS, r.Incarnation, r.Boot, r.Address, r.By)
+		fmt.Fprintf(table, "%s\t%s\t%.0f\t%s\t%.2f\t%d\t%d\t%s\t%s\n", member.Name, member.State, member.SinceS, heard, member.TripMS, member.Incarnation, member.Boot, member.Address, member.By)
 	}
-	if err := w.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	n := m.Counts
-	_, err := fmt.Fprintf(out, "messages: sent %d (%d bytes, %d not), taken %d; not taken: garbage %d, other version %d, no known key %d, other cluster %d, had before %d, for an earlier process %d, queue full %d\n",
-		n.Sent, n.SentBytes, n.NotSent, n.Taken, n.Garbage, n.Versions, n.Strangers, n.Foreign, n.Replayed, n.Outdated, n.Full)
+	counts := report.Counts
+	_, err := fmt.Fprintf(out, "messages: sent %d (%d bytes, %d failed), accepted %d; dropped: malformed %d, other version %d, unknown key %d, other cluster %d, replayed %d, for an earlier process %d, queue full %d\n",
+		counts.Sent, counts.SentBytes, counts.NotSent, counts.Taken, counts.Garbage, counts.Versions, counts.Strangers, counts.Foreign, counts.Replayed, counts.Outdated, counts.Full)
 	return err
 }
--- a/cmd/routerctl/render.go
+++ b/cmd/routerctl/render.go
@@ -14,7 +14,7 @@
 	"lotushook/deploy"
 )
 
-// render is a Jsonnet file as JSON.
+// render evaluates a Jsonnet file to JSON.
 func render(path string) (string, error) {
 	out, err := jsonnet.MakeVM().EvaluateFile(path)
 	if err != nil {
@@ -23,16 +23,16 @@
 	return out, nil
 }
 
-// renderOwn is a Jsonnet file that this program carries, as JSON.
-func renderOwn(name string) (string, error) {
+// renderEmbedded evaluates a Jsonnet file embedded in this program to JSON.
+func renderEmbedded(name string) (string, error) {
 	vm, files := jsonnet.MakeVM(), map[string]jsonnet.Contents{}
-	err := fs.WalkDir(deploy.Files, ".", func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() {
+	err := fs.WalkDir(deploy.Files, ".", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
 			return err
 		}
 		raw, err := deploy.Files.ReadFile(path)
-		for _, as := range []string{path, d.Name(), "../" + path} { // as its neighbours import it, and those below it
-			files[as] = jsonnet.MakeContentsRaw(raw)
+		for _, importPath := range []string{path, entry.Name(), "../" + path} { // as imported from the same folder, and from a subfolder
+			files[importPath] = jsonnet.MakeContentsRaw(raw)
 		}
 		return err
 	})
@@ -51,12 +51,12 @@
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
 
-// renderAll writes the JSON beside each Jsonnet file, or compares it.
-func renderAll(_ context.Context, c *cli.Command) error {
-	if !c.Args().Present() {
-		return errors.New("render takes one file or more")
+// renderAll writes each Jsonnet file as JSON next to it, or with --check compares that JSON.
+func renderAll(_ context.Context, cmd *cli.Command) error {
+	if !cmd.Args().Present() {
+		return errors.New("render takes one or more files")
 	}
-	for _, path := range c.Args().Slice() {
+	for _, path := range cmd.Args().Slice() {
 		base, ok := strings.CutSuffix(path, ".jsonnet")
 		if !ok {
 			return fmt.Errorf("%s: not a .jsonnet file", path)
@@ -65,13 +65,13 @@
 		if err != nil {
 			return err
 		}
-		if c.Bool("check") {
+		if cmd.Bool("check") {
 			old, err := os.ReadFile(base + ".json")
 			if err != nil {
 				return err
 			}
 			if string(old) != text {
-				return fmt.Errorf("%s.json is not what %s renders to: routerctl render %s", base, path, path)
+				return fmt.Errorf("%s.json is not what %s renders to; run routerctl render %s", base, path, path)
 			}
 			continue
 		}
--- a/cmd/routerctl/report.go
+++ b/cmd/routerctl/report.go
@@ -12,26 +12,26 @@
 	"lotushook/internal/experiment"
 )
 
-// report sets the results of several runs side by side.
-func report(_ context.Context, c *cli.Command) error {
-	if !c.Args().Present() {
-		return errors.New("lab report takes the folders of one run or more")
+// report compares the results of several runs.
+func report(_ context.Context, cmd *cli.Command) error {
+	if !cmd.Args().Present() {
+		return errors.New("lab report takes the folders of one or more runs")
 	}
 	var runs []*experiment.Result
-	for _, dir := range c.Args().Slice() {
-		r, err := experiment.Read(filepath.Join(dir, "result.json"))
+	for _, dir := range cmd.Args().Slice() {
+		result, err := experiment.Read(filepath.Join(dir, "result.json"))
 		if err != nil {
 			return err
 		}
-		runs = append(runs, r)
+		runs = append(runs, result)
 	}
 	text, err := experiment.Compare(runs)
 	if err != nil {
 		return err
 	}
-	dir := c.String("out")
+	dir := cmd.String("out")
 	if dir == "" {
-		_, err := fmt.Fprint(c.Root().Writer, text)
+		_, err := fmt.Fprint(cmd.Root().Writer, text)
 		return err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -56,7 +56,7 @@
 	ModeOne   = "one"   // before the answer, which waits until one other router has it
 )
 
-// For returns the mode of a class.
+// ForClass returns the mode of a class.
 func (m *CommitModes) ForClass(class string) string { return cmp.Or(m.Classes[class], m.Default) }
 
 func (m *CommitModes) check(shareCommits bool) error {
