--- a/cmd/routerctl/fleet.go
+++ b/cmd/routerctl/fleet.go
@@ -37,11 +37,11 @@
 			return fmt.Errorf("no log line of request %q: is tracing on (log.trace)?", cmd.String("request"))
 		}
 		for _, line := range fleet.Lines {
-			fmt.Fprintf(out, "%s\t%s\t%s\n", time.UnixMilli(line.CameMS).UTC().Format("15:04:05.000"), line.Router, line.Text)
+			fmt.Fprintf(out, "%s\t%s\t%s\n", time.UnixMilli(line.ArrivedAtMS).UTC().Format("15:04:05.000"), line.Router, line.Text)
 		}
 		return out.Flush()
 	}
-	if len(fleet.Routers) == 0 && len(fleet.Ends) == 0 {
+	if len(fleet.Routers) == 0 && len(fleet.Outcomes) == 0 {
 		return errors.New("no line of totals in these logs: are totals on (log.totals_ms)?")
 	}
 	fmt.Fprintf(out, "%d routers, %d data servers seen, %d lines or parts of lines skipped\n", len(fleet.Routers), len(fleet.Servers), fleet.Skipped)
@@ -49,7 +49,7 @@
 	writeOverTime(out, fleet)
 	writeServers(out, fleet)
 	writeOutliers(out, fleet)
-	writeEnds(out, fleet)
+	writeOutcomes(out, fleet)
 	return out.Flush()
 }
 
@@ -108,12 +108,12 @@
 	}
 }
 
-func writeEnds(out io.Writer, fleet *fleetreport.Fleet) {
-	if len(fleet.Ends) == 0 {
+func writeOutcomes(out io.Writer, fleet *fleetreport.Fleet) {
+	if len(fleet.Outcomes) == 0 {
 		return
 	}
 	fmt.Fprint(out, "\nclass\toutcome\treason\trequests\n")
-	for _, end := range slices.SortedFunc(maps.Keys(fleet.Ends), func(x, y fleetreport.End) int { return cmp.Compare(fleet.Ends[y], fleet.Ends[x]) }) {
-		fmt.Fprintf(out, "%s\t%s\t%s\t%d\n", end.Class, end.End, end.Why, fleet.Ends[end])
+	for _, outcome := range slices.SortedFunc(maps.Keys(fleet.Outcomes), func(x, y fleetreport.Outcome) int { return cmp.Compare(fleet.Outcomes[y], fleet.Outcomes[x]) }) {
+		fmt.Fprintf(out, "%s\t%s\t%s\t%d\n", outcome.Class, outcome.End, outcome.Why, fleet.Outcomes[outcome])
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts router instances on the simulator's wire: one
-// batch a line on standard input, one reply a line on standard output.
+// Command simadapter runs router instances for the simulator: it reads one batch per line from standard input and writes one reply
+// per line to standard output.
 package main
 
 import (
@@ -19,17 +19,17 @@
 	}
 }
 
-// run answers lines until the input ends.
+// run answers each line until the end of the input.
 func run(in io.Reader, out io.Writer) error {
-	const buffer = 1 << 20
-	r := bufio.NewReaderSize(in, buffer)
+	const bufferBytes = 1 << 20
+	reader := bufio.NewReaderSize(in, bufferBytes)
 	host := simwire.NewHost()
 	var line, reply []byte
 	for {
 		line = line[:0]
 		for {
-			part, err := r.ReadSlice('\n')
-			line = append(line, part...)
+			chunk, err := reader.ReadSlice('\n')
+			line = append(line, chunk...)
 			if err == nil {
 				break
 			}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRun(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		in, out string
 		fails   bool
 	}{
@@ -17,9 +17,9 @@
 		{"{\"clock\":1,", "", true},
 	} {
 		var out bytes.Buffer
-		err := run(strings.NewReader(c.in), &out)
-		if out.String() != c.out || (err != nil) != c.fails {
-			t.Errorf("%q: %q, %v", c.in, out.String(), err)
+		err := run(strings.NewReader(test.in), &out)
+		if out.String() != test.out || (err != nil) != test.fails {
+			t.Errorf("%q: %q, %v", test.in, out.String(), err)
 		}
 	}
 }
--- a/internal/fleetreport/fleetreport.go
+++ b/internal/fleetreport/fleetreport.go
@@ -1,5 +1,5 @@
-// Package fleetreport reads the logs of many routers into one picture: what all of them did over time, which data
-// servers and which routers stand out, and one request's way through all of them.
+// Package fleetreport summarizes the logs of many routers: counts over time, outliers among data servers and routers, and the trace
+// of one request across all routers.
 package fleetreport
 
 import (
@@ -21,51 +21,51 @@
 	"lotushook/internal/metrics"
 )
 
-// Bounds: what a reader keeps does not grow with the length of the logs but by these.
+// Limits on what Read holds in memory, whatever the length of the logs.
 const (
-	longestLine = 1 << 20
-	maxNames    = 4096  // counters, data servers, and ends of requests, each
-	maxSpans    = 10000 // spans of time
-	maxLines    = 10000 // of one request
+	maxLineBytes = 1 << 20
+	maxNames     = 4096  // each of counters, data servers and outcomes
+	maxSpans     = 10000 // rows over time
+	maxLines     = 10000 // about the selected request
 )
 
-// Fleet is what the logs of a folder say.
+// Fleet summarizes the logs of a folder.
 type Fleet struct {
-	Span    time.Duration               // of one row over time
-	Start   time.Time                   // of the first span
-	Routers map[string]map[string]int64 // by router: its counts
-	Servers map[string]*Seen
-	Times   map[int64]map[string]int64 // by span since the Unix epoch: counts of all routers
-	Ends    map[End]int64              // of requests whose way was written
-	Lines   []Line                     // of the one request that was asked for
-	Skipped int                        // lines, or parts of them, that could not be read or had no room
+	Span     time.Duration               // length of one row over time
+	Start    time.Time                   // start of the first span
+	Routers  map[string]map[string]int64 // counts by router
+	Servers  map[string]*Server
+	Times    map[int64]map[string]int64 // counts of all routers, by the number of spans since the Unix epoch
+	Outcomes map[Outcome]int64          // outcomes of traced requests
+	Lines    []Line                     // about the selected request
+	Skipped  int                        // lines, or parts of lines, that could not be parsed or exceeded a limit
 }
 
-// Seen is a data server as the fleet met it.
-type Seen struct {
+// Server sums up what all routers counted for one data server.
+type Server struct {
 	metrics.Server
 	Routers map[string]struct{}
 }
 
-// End is how requests of a class ended, and why.
-type End struct{ Class, End, Why string }
+// Outcome is how requests of a class ended, and the reason.
+type Outcome struct{ Class, End, Why string }
 
-// Line is one line about a request.
+// Line is one log line about a request.
 type Line struct {
-	Router string
-	CameMS int64
-	Text   string
+	Router      string
+	ArrivedAtMS int64
+	Text        string
 }
 
-// Options say what is read.
+// Options select what Read reports.
 type Options struct {
-	Span    time.Duration // of one row over time; above 0
-	Request string        // an id or a key, whose lines are kept; empty: none
+	Span    time.Duration // length of one row over time; above 0
+	Request string        // an id or idempotency key whose lines are reported; empty: none
 }
 
-// Read reads all files *.log of a folder; a router is named by what its lines say, else by its file.
-func Read(dir string, o Options) (*Fleet, error) {
-	if o.Span <= 0 {
+// Read reads all *.log files of a folder; each file is the log of the router that it is named after.
+func Read(dir string, options Options) (*Fleet, error) {
+	if options.Span <= 0 {
 		return nil, errors.New("fleet: the span of a row is not above 0")
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -75,105 +75,105 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f := &Fleet{Span: o.Span, Routers: map[string]map[string]int64{}, Servers: map[string]*Seen{},
-		Times: map[int64]map[string]int64{}, Ends: map[End]int64{}}
+	fleet := &Fleet{Span: options.Span, Routers: map[string]map[string]int64{}, Servers: map[string]*Server{},
+		Times: map[int64]map[string]int64{}, Outcomes: map[Outcome]int64{}}
 	for _, path := range files {
-		if err := f.file(path, o.Request); err != nil {
+		if err := fleet.readFile(path, options.Request); err != nil {
 			return nil, fmt.Errorf("fleet: %s: %w", path, err)
 		}
 	}
-	slices.SortFunc(f.Lines, func(x, y Line) int {
-		return cmp.Or(cmp.Compare(x.CameMS, y.CameMS), strings.Compare(x.Router, y.Router))
+	slices.SortFunc(fleet.Lines, func(x, y Line) int {
+		return cmp.Or(cmp.Compare(x.ArrivedAtMS, y.ArrivedAtMS), strings.Compare(x.Router, y.Router))
 	})
-	return f, nil
+	return fleet, nil
 }
 
-func (f *Fleet) file(path, request string) error {
-	raw, err := os.Open(path)
+func (f *Fleet) readFile(path, request string) error {
+	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer raw.Close()
+	defer file.Close()
 	name := strings.TrimSuffix(filepath.Base(path), ".log")
-	lines := bufio.NewScanner(raw)
-	lines.Buffer(nil, longestLine)
-	for lines.Scan() { // each by itself: half a line of a router that was killed must not end the reading
-		d := logfmt.NewDecoder(bytes.NewReader(lines.Bytes()))
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, maxLineBytes)
+	for lines.Scan() { // with a decoder for each line, so that the truncated line of a killed router does not stop the reading
+		decoder := logfmt.NewDecoder(bytes.NewReader(lines.Bytes()))
 		var keys []string
 		fields := map[string]string{}
-		for d.ScanRecord() {
-			for d.ScanKeyval() {
-				key := string(d.Key())
+		for decoder.ScanRecord() {
+			for decoder.ScanKeyval() {
+				key := string(decoder.Key())
 				keys = append(keys, key)
-				fields[key] = string(d.Value())
+				fields[key] = string(decoder.Value())
 			}
 		}
-		if d.Err() != nil {
+		if decoder.Err() != nil {
 			f.Skipped++
 			continue
 		}
-		f.line(name, keys, fields, request)
+		f.addLine(name, keys, fields, request)
 	}
 	return lines.Err()
 }
 
-// line takes one line of one router.
-func (f *Fleet) line(router string, keys []string, fields map[string]string, request string) {
-	at, err := time.Parse(time.RFC3339Nano, fields["time"])
-	if err != nil { // another program's line
+// addLine adds one log line of one router.
+func (f *Fleet) addLine(router string, keys []string, fields map[string]string, request string) {
+	loggedAt, err := time.Parse(time.RFC3339Nano, fields["time"])
+	if err != nil { // not a line of a router's log
 		return
 	}
 	switch fields["msg"] {
 	case "totals":
-		span := at.UnixNano() / int64(f.Span)
+		span := loggedAt.UnixNano() / int64(f.Span)
 		for _, key := range keys {
-			f.total(router, span, key, fields[key])
+			f.addCount(router, span, key, fields[key])
 		}
 	case "request":
-		end := End{fields["class"], fields["end"], fields["why"]}
-		if len(f.Ends) < maxNames || f.Ends[end] > 0 {
-			f.Ends[end]++
+		outcome := Outcome{fields["class"], fields["end"], fields["why"]}
+		if len(f.Outcomes) < maxNames || f.Outcomes[outcome] > 0 {
+			f.Outcomes[outcome]++
 		}
 		if request != "" && (fields["id"] == request || fields["key"] == request) && len(f.Lines) < maxLines {
-			came, err := strconv.ParseInt(fields["came_ms"], 10, 64)
+			arrivedAtMS, err := strconv.ParseInt(fields["came_ms"], 10, 64)
 			if err != nil {
 				f.Skipped++
 			}
-			f.Lines = append(f.Lines, Line{router, came, fmt.Sprintf("%s %s cluster %s, %s ms left: %s (%s) after %s ms: %s", fields["class"], fields["id"],
+			f.Lines = append(f.Lines, Line{router, arrivedAtMS, fmt.Sprintf("%s %s cluster %s, %s ms left: %s (%s) after %s ms: %s", fields["class"], fields["id"],
 				fields["cluster"], fields["left_ms"], fields["end"], fields["why"], fields["took_ms"], fields["way"])})
 		}
 	}
 }
 
-// total takes one count of a line of totals.
-func (f *Fleet) total(router string, span int64, key, value string) {
+// addCount adds one count of a line of totals.
+func (f *Fleet) addCount(router string, span int64, key, value string) {
 	if host, ok := strings.CutPrefix(key, metrics.ServerPrefix); ok {
-		got, err := metrics.ParseServer(value)
+		counts, err := metrics.ParseServer(value)
 		if err != nil {
 			f.Skipped++
 			return
 		}
-		s := f.Servers[host]
-		if s == nil {
+		server := f.Servers[host]
+		if server == nil {
 			if len(f.Servers) >= maxNames {
 				f.Skipped++
 				return
 			}
-			s = &Seen{Routers: map[string]struct{}{}}
-			f.Servers[host] = s
+			server = &Server{Routers: map[string]struct{}{}}
+			f.Servers[host] = server
 		}
-		s.Add(got)
-		s.Routers[router] = struct{}{}
+		server.Add(counts)
+		server.Routers[router] = struct{}{}
 		return
 	}
-	n, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || slices.Contains([]string{"resident_kb", "clients", "open", "idle"}, key) { // what is there at the moment has no sum
+	count, err := strconv.ParseInt(value, 10, 64)
+	if err != nil || slices.Contains([]string{"resident_kb", "clients", "open", "idle"}, key) { // current values can't be added up
 		return
 	}
-	of := f.Routers[router]
-	if of == nil {
-		of = map[string]int64{}
-		f.Routers[router] = of
+	byKey := f.Routers[router]
+	if byKey == nil {
+		byKey = map[string]int64{}
+		f.Routers[router] = byKey
 	}
 	row := f.Times[span]
 	if row == nil {
@@ -184,68 +184,68 @@
 		row = map[string]int64{}
 		f.Times[span] = row
 	}
-	if len(of) < maxNames {
-		of[key] += n
-		row[key] += n
+	if len(byKey) < maxNames {
+		byKey[key] += count
+		row[key] += count
 	}
 }
 
-// Sum is what all routers counted together.
+// Sum adds up the counts of all routers.
 func (f *Fleet) Sum() map[string]int64 {
 	sum := map[string]int64{}
-	for _, of := range f.Routers {
-		for key, n := range of {
-			sum[key] += n
+	for _, counts := range f.Routers {
+		for key, count := range counts {
+			sum[key] += count
 		}
 	}
 	return sum
 }
 
-// Outlier is a router that counted far more of something than most do.
+// Outlier is a router with a far larger count than most routers.
 type Outlier struct {
 	Router, Counter string
 	Count           int64
 	Median          int64
-	Times           float64 // its distance from the median, in median distances
+	Distance        float64 // of the count from the median, as a multiple of the median absolute deviation
 }
 
-// standsOut is how many median distances from the median stand out, and leastOut how many of a thing do: 2 of
-// something that nearly nobody has are no news.
+// A count is an outlier if its distance from the median is at least minOutlierDistance median absolute deviations and minOutlierCount:
+// a count of 2 where most routers have none is not worth reporting.
 const (
-	standsOut = 12
-	minOut    = 20
+	minOutlierDistance = 12
+	minOutlierCount    = 20
 )
 
-// Outliers are the routers that stand out, the farthest first.
+// Outliers returns the outliers, the most distant first.
 func (f *Fleet) Outliers() []Outlier {
-	var out []Outlier
+	var outliers []Outlier
 	for key := range f.Sum() {
-		var all []int64
-		for _, of := range f.Routers {
-			all = append(all, of[key])
+		var counts []int64
+		for _, byKey := range f.Routers {
+			counts = append(counts, byKey[key])
 		}
-		mid := median(all)
-		var far []int64
-		for _, n := range all {
-			far = append(far, max(n-mid, mid-n))
+		middle := median(counts)
+		var distances []int64
+		for _, count := range counts {
+			distances = append(distances, max(count-middle, middle-count))
 		}
-		spread := max(median(far), 1)
-		for name, of := range f.Routers {
-			if over := of[key] - mid; over >= minOut && over >= standsOut*spread {
-				out = append(out, Outlier{name, key, of[key], mid, float64(over) / float64(spread)})
+		deviation := max(median(distances), 1)
+		for name, byKey := range f.Routers {
+			if excess := byKey[key] - middle; excess >= minOutlierCount && excess >= minOutlierDistance*deviation {
+				outliers = append(outliers, Outlier{name, key, byKey[key], middle, float64(excess) / float64(deviation)})
 			}
 		}
 	}
-	slices.SortFunc(out, func(x, y Outlier) int {
-		return cmp.Or(cmp.Compare(y.Times, x.Times), strings.Compare(x.Counter, y.Counter), strings.Compare(x.Router, y.Router))
+	slices.SortFunc(outliers, func(x, y Outlier) int {
+		return cmp.Or(cmp.Compare(y.Distance, x.Distance), strings.Compare(x.Counter, y.Counter), strings.Compare(x.Router, y.Router))
 	})
-	return out
+	return outliers
 }
 
-func median(all []int64) int64 {
-	all = slices.Sorted(slices.Values(all))
-	return all[len(all)/2]
+func median(values []int64) int64 {
+	values = slices.Sorted(slices.Values(values))
+	return values[len(values)/2]
 }
 
-// Spans are the rows over time in order.
+// Spans returns the keys of Times in order.
 func (f *Fleet) Spans() []int64 { return slices.Sorted(maps.Keys(f.Times)) }
