--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -113,7 +113,7 @@
 	if err := rejectArguments(cmd); err != nil {
 		return err
 	}
-	// Signals are caught before the files are read, because they would end the program otherwise. Further SIGTERMs
+	// Signals are caught before the files are read, because an uncaught signal ends the program. Further SIGTERMs
 	// during the shutdown are ignored: requests in flight are completed.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/internal/siteconfig/changefeed.go
+++ b/internal/siteconfig/changefeed.go
@@ -11,20 +11,21 @@
 
 // Feeds configures the classes that are read as change feeds, and their limits. SIGHUP changes none of it.
 type Feeds struct {
-	Classes           map[string]FeedClass `json:"classes"`      // by the platform's class names
-	MaxCursors        int                  `json:"most_cursors"` // remembered by this router; a subscriber whose cursor was evicted must send its own or take a snapshot
-	RingEvents        int                  `json:"ring_events"`  // recent events buffered per feed; a subscriber behind them causes reads of its own
-	RingBytes         int                  `json:"ring_bytes"`   // total size of the buffered event texts per feed
-	BatchEvents       int                  `json:"batch_events"` // per answer
-	BatchBytes        int                  `json:"batch_bytes"`  // per answer
-	EndReadIntervalMS int64                `json:"fresh_ms"`     // min time between two reads of a feed's end
-	PollIntervalMS    int64                `json:"again_ms"`     // poll delay advised to a subscriber that has all events
-	MaxAheadMS        int64                `json:"future_ms"`    // a cursor further ahead of the newest position is rejected
-	CatchUpReadsPerS  float64              `json:"catch_up_per_s"`
-	ReconnectsPerS    float64              `json:"return_per_s"` // subscribers, returning or new, that are admitted each second
-	MaxRetryAfterMS   int64                `json:"spread_ms"`    // max retry delay advised to subscribers beyond ReconnectsPerS
-	MaxWaiting        int                  `json:"most_waiting"` // requests that wait for data servers
-	ReadTimeoutMS     int64                `json:"read_for_ms"`
+	Classes map[string]FeedClass `json:"classes"` // by the platform's class names
+	// remembered by this router; a subscriber whose cursor was evicted must send its own or take a snapshot
+	MaxCursors        int     `json:"most_cursors"`
+	RingEvents        int     `json:"ring_events"`  // recent events buffered per feed; a subscriber behind them causes reads of its own
+	RingBytes         int     `json:"ring_bytes"`   // total size of the buffered event texts per feed
+	BatchEvents       int     `json:"batch_events"` // per answer
+	BatchBytes        int     `json:"batch_bytes"`  // per answer
+	EndReadIntervalMS int64   `json:"fresh_ms"`     // min time between two reads of a feed's end
+	PollIntervalMS    int64   `json:"again_ms"`     // poll delay advised to a subscriber that has all events
+	MaxAheadMS        int64   `json:"future_ms"`    // a cursor further ahead of the newest position is rejected
+	CatchUpReadsPerS  float64 `json:"catch_up_per_s"`
+	ReconnectsPerS    float64 `json:"return_per_s"` // subscribers, returning or new, that are admitted each second
+	MaxRetryAfterMS   int64   `json:"spread_ms"`    // max retry delay advised to subscribers beyond ReconnectsPerS
+	MaxWaiting        int     `json:"most_waiting"` // requests that wait for data servers
+	ReadTimeoutMS     int64   `json:"read_for_ms"`
 }
 
 // FeedClass configures the feed of one class; a 0 inherits the value of Feeds.
--- a/internal/siteconfig/contracts.go
+++ b/internal/siteconfig/contracts.go
@@ -31,20 +31,22 @@
 
 // Team is the contract of one team.
 type Team struct {
-	Name               string           `json:"name"`
-	Weight             float64          `json:"worth"` // share of the spare capacity among teams over their contracts
-	Users              []string         `json:"users,omitempty"`
-	Databases          []string         `json:"databases,omitempty"`
-	Applications       []string         `json:"applications,omitempty"`
-	Addresses          []netip.Prefix   `json:"addresses,omitempty"`
-	Classes            map[string]Limit `json:"classes"`       // the team may not use other classes
-	PrimaryShare       float64          `json:"primary_share"` // of each group's primary; 0: only the classes' rates limit it
-	MaxOpen            int              `json:"open"`          // open requests over all routers; 0: no limit
-	RetryShare         float64          `json:"retry_share"`   // clients' retries, as a share of first attempts
-	Hours              []Hours          `json:"hours,omitempty"`
-	PriorityClass      string           `json:"lane,omitempty"`       // of the team's accounts, where priority classes are set; "": the last
-	PriorityClassPerS  float64          `json:"lane_per_s,omitempty"` // requests per second of all its accounts over all routers; what exceeds it drops to the next class; 0: no limit
-	PriorityClassBurst float64          `json:"lane_burst,omitempty"`
+	Name          string           `json:"name"`
+	Weight        float64          `json:"worth"` // share of the spare capacity among teams over their contracts
+	Users         []string         `json:"users,omitempty"`
+	Databases     []string         `json:"databases,omitempty"`
+	Applications  []string         `json:"applications,omitempty"`
+	Addresses     []netip.Prefix   `json:"addresses,omitempty"`
+	Classes       map[string]Limit `json:"classes"`       // the team may not use other classes
+	PrimaryShare  float64          `json:"primary_share"` // of each group's primary; 0: only the classes' rates limit it
+	MaxOpen       int              `json:"open"`          // open requests over all routers; 0: no limit
+	RetryShare    float64          `json:"retry_share"`   // clients' retries, as a share of first attempts
+	Hours         []Hours          `json:"hours,omitempty"`
+	PriorityClass string           `json:"lane,omitempty"` // of the team's accounts, where priority classes are set; "": the last
+	// requests per second of all its accounts over all routers; requests beyond it drop to the next priority class; 0:
+	// no limit
+	PriorityClassPerS  float64 `json:"lane_per_s,omitempty"`
+	PriorityClassBurst float64 `json:"lane_burst,omitempty"`
 }
 
 // Limit applies to all routers together.
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// NamedClasses returns the classes that contracts name, with what this file alone says of them.
+// NamedClasses returns the classes that contracts name, with the properties that this file alone defines.
 func (contracts *Contracts) NamedClasses() []contract.Class {
 	var names []string
 	for _, team := range contracts.Teams {
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -14,25 +14,27 @@
 // Members configures the cluster of the installation's routers. One file serves all of them: each router finds its
 // entry by its name. SIGHUP changes only the keys in the key file.
 type Members struct {
-	Cluster       string                   `json:"cluster"`             // messages of other clusters are ignored
-	Routers       map[string]RouterAddress `json:"routers"`             // all routers, by name; shared limits are divided by their number
-	Seeds         []string                 `json:"seeds"`               // addresses that a router contacts when it starts
-	KeyFile       string                   `json:"key_file"`            // one key or two, see internal/peer
-	Socket        string                   `json:"socket"`              // a Unix socket that serves the member list; "": none
-	ShareCommits  bool                     `json:"share"`               // routers propagate the last commits of sessions
-	CommitModes   CommitModes              `json:"modes"`               // which writes' commits, and whether their answers wait for it
-	Persistence   *Persistence             `json:"keep,omitempty"`      // of the shared state on the router's disk; requires share
-	DecisionLog   *DecisionLog             `json:"decisions,omitempty"` // of each send, for experiments
-	IsolatedShare float64                  `json:"alone"`               // part of its even share that a router uses while others may have declared it dead; 1: fixed shares
+	Cluster      string                   `json:"cluster"`             // messages of other clusters are ignored
+	Routers      map[string]RouterAddress `json:"routers"`             // all routers, by name; shared limits are divided by their number
+	Seeds        []string                 `json:"seeds"`               // addresses that a router contacts when it starts
+	KeyFile      string                   `json:"key_file"`            // one key or two, see internal/peer
+	Socket       string                   `json:"socket"`              // a Unix socket that serves the member list; "": none
+	ShareCommits bool                     `json:"share"`               // routers propagate the last commits of sessions
+	CommitModes  CommitModes              `json:"modes"`               // which writes' commits are propagated, and whether answers wait for it
+	Persistence  *Persistence             `json:"keep,omitempty"`      // of the shared state on the router's disk; requires share
+	DecisionLog  *DecisionLog             `json:"decisions,omitempty"` // of each send, for experiments
+	// part of its even share that a router uses while others may have declared it dead; 1: fixed shares
+	IsolatedShare float64 `json:"alone"`
 
 	ProbeIntervalMS int64 `json:"period_ms"`      // one router is probed in each interval
-	AckTimeoutMS    int64 `json:"wait_ms"`        // after it, other routers are asked to probe
+	AckTimeoutMS    int64 `json:"wait_ms"`        // how long to wait for an answer before other routers are asked to probe
 	IndirectChecks  int   `json:"helpers"`        // the number of those other routers
 	MinSuspicionMS  int64 `json:"least_doubt_ms"` // from suspected to dead, if several routers suspect the member
 	MaxSuspicionMS  int64 `json:"most_doubt_ms"`  // the same, if only one router suspects it
-	MaxTickGapMS    int64 `json:"pause_ms"`       // after a larger jump of its clock a router assumes that it was stopped, and ignores its expired timers
-	ForgetAfterS    int64 `json:"forget_s"`       // how long a dead member is remembered
-	Lifeguard       bool  `json:"corrections"`    // the Lifeguard extensions of SWIM; false: plain SWIM, for experiments
+	// after a larger jump of its clock a router assumes that it was stopped, and ignores its expired timers
+	MaxTickGapMS int64 `json:"pause_ms"`
+	ForgetAfterS int64 `json:"forget_s"`    // how long a dead member is remembered
+	Lifeguard    bool  `json:"corrections"` // the Lifeguard extensions of SWIM; false: plain SWIM, for experiments
 }
 
 // RouterAddress is where a router is reached.
@@ -46,7 +48,7 @@
 type CommitModes struct {
 	Default   string            `json:"default"` // of classes that are not named
 	Classes   map[string]string `json:"classes"`
-	MaxWaitMS int64             `json:"wait_ms"` // in mode "one" the answer is sent after it in any case, and the timeout is counted
+	MaxWaitMS int64             `json:"wait_ms"` // in mode "one", after which the answer is sent in any case and the timeout is counted
 }
 
 // How a commit is propagated.
--- a/internal/siteconfig/recovery.go
+++ b/internal/siteconfig/recovery.go
@@ -11,13 +11,14 @@
 // Recovery limits what a router may do while it, or other routers, restart. One file serves all routers: budgets apply
 // to all of them together, and 0 means no limit. SIGHUP changes none of it.
 type Recovery struct {
-	DialsPerS      float64 `json:"dials_per_s"`     // new connections to data servers
-	ProbesPerS     float64 `json:"probes_per_s"`    // health checks of data servers, beside requests
-	ListCallsPerS  float64 `json:"lists_per_s"`     // calls of discovery for the whole endpoint list
-	CatchUpsPerS   float64 `json:"catch_ups_per_s"` // chunks of shared state fetched from peers
-	SendsPerS      float64 `json:"sends_per_s"`     // requests sent in the first second by routers that are not yet in service
-	MaxShareFactor float64 `json:"slack"`           // 1 to 4: the max multiple of a budget that all routers together may spend, however wrong their views
-	ServingShare   float64 `json:"keep"`            // 0 to 1: part of its even share that a router in service spends while others restart
+	DialsPerS     float64 `json:"dials_per_s"`     // new connections to data servers
+	ProbesPerS    float64 `json:"probes_per_s"`    // health checks of data servers, beside requests
+	ListCallsPerS float64 `json:"lists_per_s"`     // calls of discovery for the whole endpoint list
+	CatchUpsPerS  float64 `json:"catch_ups_per_s"` // chunks of shared state fetched from peers
+	SendsPerS     float64 `json:"sends_per_s"`     // requests sent in the first second by routers that are not yet in service
+	// 1 to 4: the max multiple of a budget that all routers together may spend, however wrong their views
+	MaxShareFactor float64 `json:"slack"`
+	ServingShare   float64 `json:"keep"` // 0 to 1: part of its even share that a router in service spends while others restart
 
 	RestartWindowMS   int64 `json:"together_ms"` // starts within this time of each other count as one restart
 	StartingTimeoutMS int64 `json:"empty_ms"`    // max wait for an endpoint list and for the peers' state
--- a/internal/siteconfig/shedding.go
+++ b/internal/siteconfig/shedding.go
@@ -19,20 +19,25 @@
 	IntervalMS           int64           `json:"look_ms"`
 	MaxReportAgeMS       int64           `json:"fresh_ms"` // an older report of another router is ignored
 	IsolationTimeoutMS   int64           `json:"alone_ms"` // a router that hears from too few others for this long uses its own pressure only
-	SaltPeriodMS         int64           `json:"epoch_ms"` // after it, the order of accounts within a priority class is drawn anew
+	SaltPeriodMS         int64           `json:"epoch_ms"` // how often the order in which accounts of a priority class are shed changes
 	MaxRetryAfterMS      int64           `json:"come_back_ms"`
-	WriteAffinityMS      int64           `json:"owe_ms"` // how long a retry of a write that may have been applied, and a read after a write, stay in the write's priority class
-	MaxAccounts          int             `json:"accounts"`
-	MaxWriteAffinities   int             `json:"owed"`
-	MaxGroups            int             `json:"groups"`
+	// how long a retry of a write that may have been applied, and a read after a write, stay in the write's priority
+	// class
+	WriteAffinityMS    int64 `json:"owe_ms"`
+	MaxAccounts        int   `json:"accounts"`
+	MaxWriteAffinities int   `json:"owed"`
+	MaxGroups          int   `json:"groups"`
 }
 
 // PriorityClass is a class of accounts that are shed together.
 type PriorityClass struct {
-	Name          string   `json:"name"`
-	PerS          float64  `json:"per_s,omitempty"` // requests per second of one account over all routers; what exceeds it drops to the next priority class; 0: no limit
-	Burst         float64  `json:"burst,omitempty"`
-	ReservedShare *float64 `json:"least,omitempty"` // share of its accounts that are shed only when the highest priority class would be shed otherwise
+	Name string `json:"name"`
+	// requests per second of one account over all routers; requests beyond it drop to the next priority class; 0: no
+	// limit
+	PerS  float64 `json:"per_s,omitempty"`
+	Burst float64 `json:"burst,omitempty"`
+	// share of its accounts that are shed only when the highest priority class would be shed otherwise
+	ReservedShare *float64 `json:"least,omitempty"`
 }
 
 func defaultShedding() *Shedding {
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -30,7 +30,7 @@
 // Log sets what a router logs about its requests.
 type Log struct {
 	TotalsIntervalMS int64  `json:"totals_ms"`   // between log lines of totals; one more is written at shutdown; 0: none
-	Trace            string `json:"trace"`       // which requests are traced: off, wrong (those not served), all; SIGHUP changes it
+	Trace            string `json:"trace"`       // which requests are traced: off, wrong (those not served) or all; SIGHUP changes it
 	TracePerS        int    `json:"trace_per_s"` // max traced requests per second; the others are only counted; SIGHUP changes it
 }
 
@@ -77,7 +77,8 @@
 			var contracts struct {
 				Lanes jsoniter.RawMessage `json:"lanes"`
 			}
-			if jsoniter.Unmarshal(sections.Contracts, &contracts) == nil && contracts.Lanes != nil { // other errors are reported by the second decoding
+			// A syntax or type error in this part is reported by the second decoding.
+			if jsoniter.Unmarshal(sections.Contracts, &contracts) == nil && contracts.Lanes != nil {
 				config.Contracts.Shedding = defaultShedding()
 			}
 		}
@@ -152,22 +153,23 @@
 
 // Admission limits the client connections that the router holds. SIGHUP changes all of it. A limit of 0 does not apply.
 type Admission struct {
-	PerAddress           int            `json:"per_address"`      // connections of one address
-	PerPrefix            int            `json:"per_prefix"`       // connections of one prefix: IPv4 /24, IPv6 /64
-	NewPerS              int            `json:"new_per_s"`        // new connections of one address within one second
-	NewPerSPrefix        int            `json:"new_per_s_prefix"` // new connections of one prefix within one second
-	NewPerSTotal         int            `json:"new_per_s_total"`  // new connections of all addresses except those of reserves
-	SharedAddresses      []netip.Prefix `json:"shared"`           // addresses of proxies and gateways, exempt from limits per address and prefix
-	Reserves             []Reserve      `json:"reserve"`          // capacity for known clients
-	Pressure             Pressure       `json:"pressure"`         // when and how far the router tightens its limits
-	EvictableSilenceMS   int64          `json:"green_ms"`         // a client that has sent nothing for so long may be closed to admit another; a quarter of it under pressure
-	EvictableIdleMS      int64          `json:"spare_ms"`         // a client that has been idle for so long may be closed to admit another
-	SilenceTimeoutMS     int64          `json:"silence_ms"`       // under pressure, a client that has sent nothing for so long is closed
-	CrowdedIdleTimeoutMS int64          `json:"early_idle_ms"`    // above CrowdedShare, each new connection closes one that has been idle for so long
-	CrowdedShare         float64        `json:"crowd_share"`      // share of the connections in use; 0: never
-	RetryAfterMS         int64          `json:"come_back_ms"`     // advised retry delay if no better one is known
-	MaxSources           int            `json:"remembered"`       // addresses, and prefixes, whose rates are remembered without a connection
-	LingerMS             int64          `json:"linger_ms"`        // how long a rejected client may read the error
+	PerAddress      int            `json:"per_address"`      // connections of one address
+	PerPrefix       int            `json:"per_prefix"`       // connections of one prefix: IPv4 /24, IPv6 /64
+	NewPerS         int            `json:"new_per_s"`        // new connections of one address within one second
+	NewPerSPrefix   int            `json:"new_per_s_prefix"` // new connections of one prefix within one second
+	NewPerSTotal    int            `json:"new_per_s_total"`  // new connections of all addresses except those of reserves
+	SharedAddresses []netip.Prefix `json:"shared"`           // addresses of proxies and gateways, exempt from limits per address and prefix
+	Reserves        []Reserve      `json:"reserve"`          // capacity for known clients
+	Pressure        Pressure       `json:"pressure"`         // when and how far the router tightens its limits
+	// a client that has sent nothing for so long may be closed to admit another; a quarter of it under pressure
+	EvictableSilenceMS   int64   `json:"green_ms"`
+	EvictableIdleMS      int64   `json:"spare_ms"`      // a client that has been idle for so long may be closed to admit another
+	SilenceTimeoutMS     int64   `json:"silence_ms"`    // under pressure, a client that has sent nothing for so long is closed
+	CrowdedIdleTimeoutMS int64   `json:"early_idle_ms"` // above CrowdedShare, each new connection closes one that has been idle for so long
+	CrowdedShare         float64 `json:"crowd_share"`   // share of the connections in use; 0: never
+	RetryAfterMS         int64   `json:"come_back_ms"`  // advised retry delay if no better one is known
+	MaxSources           int     `json:"remembered"`    // addresses, and prefixes, whose rates are remembered without a connection
+	LingerMS             int64   `json:"linger_ms"`     // how long a rejected client may read the error
 }
 
 // Reserve is capacity for certain clients only: those from one of its addresses, or whose startup message has one of
