--- a/cmd/router/elf_test.go
+++ b/cmd/router/elf_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hasInterpreter := slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
+	hasInterpreter := slices.ContainsFunc(file.Progs, func(segment *elf.Prog) bool { return segment.Type == elf.PT_INTERP })
 	hasLibC := slices.ContainsFunc(libraries, func(l string) bool { return regexp.MustCompile(`^libc\.`).MatchString(l) })
 	if !hasInterpreter || !hasLibC {
 		t.Errorf("has an interpreter: %v, libraries %v: the router must be linked against the C library", hasInterpreter, libraries)
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -128,15 +128,15 @@
 	if err != nil {
 		return err
 	}
-	r, err := router.New(config, settings)
+	instance, err := router.New(config, settings)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1) // the router's machine has one core
 	debug.SetMemoryLimit(config.Limits.MemoryMB << 20 * 3 / 4)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	go reload(r, path, hup)
-	return r.Run(ctx)
+	go reload(instance, path, hup)
+	return instance.Run(ctx)
 }
 
 // reload reads both files again at each signal. If one of them can't be read or is invalid, nothing changes.
--- a/internal/fleetreport/fleetreport.go
+++ b/internal/fleetreport/fleetreport.go
@@ -88,7 +88,7 @@
 	return fleet, nil
 }
 
-func (f *Fleet) readFile(path, request string) error {
+func (fleet *Fleet) readFile(path, request string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -109,58 +109,58 @@
 			}
 		}
 		if decoder.Err() != nil {
-			f.Skipped++
+			fleet.Skipped++
 			continue
 		}
-		f.addLine(name, keys, fields, request)
+		fleet.addLine(name, keys, fields, request)
 	}
 	return lines.Err()
 }
 
 // addLine adds one log line of one router.
-func (f *Fleet) addLine(router string, keys []string, fields map[string]string, request string) {
+func (fleet *Fleet) addLine(router string, keys []string, fields map[string]string, request string) {
 	loggedAt, err := time.Parse(time.RFC3339Nano, fields["time"])
 	if err != nil { // not a line of a router's log
 		return
 	}
 	switch fields["msg"] {
 	case "totals":
-		span := loggedAt.UnixNano() / int64(f.Span)
+		span := loggedAt.UnixNano() / int64(fleet.Span)
 		for _, key := range keys {
-			f.addCount(router, span, key, fields[key])
+			fleet.addCount(router, span, key, fields[key])
 		}
 	case "request":
 		outcome := Outcome{fields["class"], fields["end"], fields["why"]}
-		if len(f.Outcomes) < maxNames || f.Outcomes[outcome] > 0 {
-			f.Outcomes[outcome]++
+		if len(fleet.Outcomes) < maxNames || fleet.Outcomes[outcome] > 0 {
+			fleet.Outcomes[outcome]++
 		}
-		if request != "" && (fields["id"] == request || fields["key"] == request) && len(f.Lines) < maxLines {
+		if request != "" && (fields["id"] == request || fields["key"] == request) && len(fleet.Lines) < maxLines {
 			arrivedAtMS, err := strconv.ParseInt(fields["came_ms"], 10, 64)
 			if err != nil {
-				f.Skipped++
+				fleet.Skipped++
 			}
-			f.Lines = append(f.Lines, Line{router, arrivedAtMS, fmt.Sprintf("%s %s cluster %s, %s ms left: %s (%s) after %s ms: %s", fields["class"], fields["id"],
+			fleet.Lines = append(fleet.Lines, Line{router, arrivedAtMS, fmt.Sprintf("%s %s cluster %s, %s ms left: %s (%s) after %s ms: %s", fields["class"], fields["id"],
 				fields["cluster"], fields["left_ms"], fields["end"], fields["why"], fields["took_ms"], fields["way"])})
 		}
 	}
 }
 
 // addCount adds one count of a line of totals.
-func (f *Fleet) addCount(router string, span int64, key, value string) {
+func (fleet *Fleet) addCount(router string, span int64, key, value string) {
 	if host, ok := strings.CutPrefix(key, metrics.ServerPrefix); ok {
 		counts, err := metrics.ParseServer(value)
 		if err != nil {
-			f.Skipped++
+			fleet.Skipped++
 			return
 		}
-		server := f.Servers[host]
+		server := fleet.Servers[host]
 		if server == nil {
-			if len(f.Servers) >= maxNames {
-				f.Skipped++
+			if len(fleet.Servers) >= maxNames {
+				fleet.Skipped++
 				return
 			}
 			server = &Server{Routers: map[string]struct{}{}}
-			f.Servers[host] = server
+			fleet.Servers[host] = server
 		}
 		server.Add(counts)
 		server.Routers[router] = struct{}{}
@@ -170,19 +170,19 @@
 	if err != nil || slices.Contains([]string{"resident_kb", "clients", "open", "idle"}, key) { // current values can't be added up
 		return
 	}
-	byKey := f.Routers[router]
+	byKey := fleet.Routers[router]
 	if byKey == nil {
 		byKey = map[string]int64{}
-		f.Routers[router] = byKey
+		fleet.Routers[router] = byKey
 	}
-	row := f.Times[span]
+	row := fleet.Times[span]
 	if row == nil {
-		if len(f.Times) >= maxSpans {
-			f.Skipped++
+		if len(fleet.Times) >= maxSpans {
+			fleet.Skipped++
 			return
 		}
 		row = map[string]int64{}
-		f.Times[span] = row
+		fleet.Times[span] = row
 	}
 	if len(byKey) < maxNames {
 		byKey[key] += count
@@ -191,9 +191,9 @@
 }
 
 // Sum adds up the counts of all routers.
-func (f *Fleet) Sum() map[string]int64 {
+func (fleet *Fleet) Sum() map[string]int64 {
 	sum := map[string]int64{}
-	for _, counts := range f.Routers {
+	for _, counts := range fleet.Routers {
 		for key, count := range counts {
 			sum[key] += count
 		}
@@ -217,11 +217,11 @@
 )
 
 // Outliers returns the outliers, the most distant first.
-func (f *Fleet) Outliers() []Outlier {
+func (fleet *Fleet) Outliers() []Outlier {
 	var outliers []Outlier
-	for key := range f.Sum() {
+	for key := range fleet.Sum() {
 		var counts []int64
-		for _, byKey := range f.Routers {
+		for _, byKey := range fleet.Routers {
 			counts = append(counts, byKey[key])
 		}
 		middle := median(counts)
@@ -230,7 +230,7 @@
 			distances = append(distances, max(count-middle, middle-count))
 		}
 		deviation := max(median(distances), 1)
-		for name, byKey := range f.Routers {
+		for name, byKey := range fleet.Routers {
 			if excess := byKey[key] - middle; excess >= minOutlierCount && excess >= minOutlierDistance*deviation {
 				outliers = append(outliers, Outlier{name, key, byKey[key], middle, float64(excess) / float64(deviation)})
 			}
@@ -248,4 +248,4 @@
 }
 
 // Spans returns the keys of Times in order.
-func (f *Fleet) Spans() []int64 { return slices.Sorted(maps.Keys(f.Times)) }
+func (fleet *Fleet) Spans() []int64 { return slices.Sorted(maps.Keys(fleet.Times)) }
--- a/internal/replaytest/digest.go
+++ b/internal/replaytest/digest.go
@@ -30,93 +30,93 @@
 }
 
 // Add appends values to the digest.
-func (d *Digest) Add(values ...any) {
+func (digest *Digest) Add(values ...any) {
 	for _, value := range values {
-		d.add(reflect.ValueOf(value))
+		digest.add(reflect.ValueOf(value))
 	}
 }
 
 // Sum returns the digest of all values so far, and their number.
-func (d *Digest) Sum() string {
-	return fmt.Sprintf("%016x/%d", d.hash.Sum64(), d.values)
+func (digest *Digest) Sum() string {
+	return fmt.Sprintf("%016x/%d", digest.hash.Sum64(), digest.values)
 }
 
 // Check fails the test unless the digest equals the recorded one.
-func (d *Digest) Check(tb testing.TB, recorded string) {
+func (digest *Digest) Check(tb testing.TB, recorded string) {
 	tb.Helper()
-	if got := d.Sum(); got != recorded {
+	if got := digest.Sum(); got != recorded {
 		tb.Errorf("replay digest %s, recorded %s: a decision has changed", got, recorded)
 	}
 }
 
-func (d *Digest) hashWord(word uint64) {
+func (digest *Digest) hashWord(word uint64) {
 	var bytes [8]byte
 	binary.LittleEndian.PutUint64(bytes[:], word)
-	d.hash.Write(bytes[:])
-	d.values++
+	digest.hash.Write(bytes[:])
+	digest.values++
 }
 
 var errorType = reflect.TypeFor[error]()
 
-func (d *Digest) add(value reflect.Value) {
+func (digest *Digest) add(value reflect.Value) {
 	if !value.IsValid() {
-		d.hashWord(0)
+		digest.hashWord(0)
 		return
 	}
 	if value.Type().Implements(errorType) {
-		d.hashWord(1)
+		digest.hashWord(1)
 		return
 	}
 	switch value.Kind() {
 	case reflect.Bool:
 		if value.Bool() {
-			d.hashWord(1)
+			digest.hashWord(1)
 		} else {
-			d.hashWord(0)
+			digest.hashWord(0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.hashWord(uint64(value.Int()))
+		digest.hashWord(uint64(value.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.hashWord(value.Uint())
+		digest.hashWord(value.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.hashWord(math.Float64bits(value.Float()))
+		digest.hashWord(math.Float64bits(value.Float()))
 	case reflect.String:
-		d.hashWord(uint64(value.Len()))
-		d.hash.Write([]byte(value.String()))
+		digest.hashWord(uint64(value.Len()))
+		digest.hash.Write([]byte(value.String()))
 	case reflect.Slice, reflect.Array:
-		d.hashWord(uint64(value.Len()))
+		digest.hashWord(uint64(value.Len()))
 		for i := range value.Len() {
-			d.add(value.Index(i))
+			digest.add(value.Index(i))
 		}
 	case reflect.Map:
-		d.addMap(value)
+		digest.addMap(value)
 	case reflect.Pointer, reflect.Interface:
-		d.add(value.Elem())
+		digest.add(value.Elem())
 	case reflect.Struct:
-		d.addStruct(value)
+		digest.addStruct(value)
 	default:
 		panic(fmt.Sprintf("replaytest: values of type %s are not supported", value.Type()))
 	}
 }
 
 // addMap adds the entries sorted by their own digests, because the order of iteration is random.
-func (d *Digest) addMap(value reflect.Value) {
+func (digest *Digest) addMap(value reflect.Value) {
 	entries := make([]string, 0, value.Len())
 	for iterator := value.MapRange(); iterator.Next(); {
-		entry := NewDigest(d.Skip...)
+		entry := NewDigest(digest.Skip...)
 		entry.add(iterator.Key())
 		entry.add(iterator.Value())
 		entries = append(entries, entry.Sum())
 	}
 	slices.Sort(entries)
-	d.Add(entries)
+	digest.Add(entries)
 }
 
-func (d *Digest) addStruct(value reflect.Value) {
+func (digest *Digest) addStruct(value reflect.Value) {
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
-		if field.IsExported() && !slices.Contains(d.Skip, field.Name) {
-			d.add(value.Field(i))
+		if field.IsExported() && !slices.Contains(digest.Skip, field.Name) {
+			digest.add(value.Field(i))
 		}
 	}
 }
