--- a/internal/replaytest/digest.go
+++ b/internal/replaytest/digest.go
@@ -1,9 +1,8 @@
-// Package replaytest guards a refactoring: it drives a decision package with a
-// drawn history and compares a digest of everything that the package returned
-// with a recorded one. Only tests import it.
+// Package replaytest checks that a refactoring changes no decision: it calls a decision package with random arguments
+// from a seed and compares a digest of all returned values with a recorded one. Only tests import it.
 //
-// The digest covers values, not the names of types, fields or constants, so
-// that a rename leaves it as it is while a changed decision does not.
+// The digest covers values, not the names of types, fields or constants, so a rename does not change it but a different
+// decision does.
 package replaytest
 
 import (
@@ -17,8 +16,8 @@
 	"testing"
 )
 
-// Digest accumulates values. Of an error only its presence counts, and fields
-// named in Skip are left out: texts for people may change.
+// Digest accumulates values. Of an error only its presence counts, and fields named in Skip are left out, because texts
+// for people may change.
 type Digest struct {
 	Skip   []string
 	hash   hash.Hash64
@@ -30,94 +29,94 @@
 	return &Digest{Skip: skip, hash: fnv.New64a()}
 }
 
-// Add takes values in, in order.
-func (d *Digest) Add(values ...any) {
+// Add appends values to the digest.
+func (digest *Digest) Add(values ...any) {
 	for _, value := range values {
-		d.add(reflect.ValueOf(value))
+		digest.add(reflect.ValueOf(value))
 	}
 }
 
-// Sum is the digest of all values so far, with their number.
-func (d *Digest) Sum() string {
-	return fmt.Sprintf("%016x/%d", d.hash.Sum64(), d.values)
+// Sum returns the digest of all values so far, and their number.
+func (digest *Digest) Sum() string {
+	return fmt.Sprintf("%016x/%d", digest.hash.Sum64(), digest.values)
 }
 
-// Check fails the test unless the digest is the recorded one.
-func (d *Digest) Check(tb testing.TB, recorded string) {
+// Check fails the test unless the digest equals the recorded one.
+func (digest *Digest) Check(tb testing.TB, recorded string) {
 	tb.Helper()
-	if got := d.Sum(); got != recorded {
+	if got := digest.Sum(); got != recorded {
 		tb.Errorf("replay digest %s, recorded %s: a decision has changed", got, recorded)
 	}
 }
 
-func (d *Digest) hashWord(w uint64) {
+func (digest *Digest) hashWord(word uint64) {
 	var bytes [8]byte
-	binary.LittleEndian.PutUint64(bytes[:], w)
-	d.hash.Write(bytes[:])
-	d.values++
+	binary.LittleEndian.PutUint64(bytes[:], word)
+	digest.hash.Write(bytes[:])
+	digest.values++
 }
 
 var errorType = reflect.TypeFor[error]()
 
-func (d *Digest) add(v reflect.Value) {
-	if !v.IsValid() {
-		d.hashWord(0)
+func (digest *Digest) add(value reflect.Value) {
+	if !value.IsValid() {
+		digest.hashWord(0)
 		return
 	}
-	if v.Type().Implements(errorType) {
-		d.hashWord(1)
+	if value.Type().Implements(errorType) {
+		digest.hashWord(1)
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Bool:
-		if v.Bool() {
-			d.hashWord(1)
+		if value.Bool() {
+			digest.hashWord(1)
 		} else {
-			d.hashWord(0)
+			digest.hashWord(0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.hashWord(uint64(v.Int()))
+		digest.hashWord(uint64(value.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.hashWord(v.Uint())
+		digest.hashWord(value.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.hashWord(math.Float64bits(v.Float()))
+		digest.hashWord(math.Float64bits(value.Float()))
 	case reflect.String:
-		d.hashWord(uint64(v.Len()))
-		d.hash.Write([]byte(v.String()))
+		digest.hashWord(uint64(value.Len()))
+		digest.hash.Write([]byte(value.String()))
 	case reflect.Slice, reflect.Array:
-		d.hashWord(uint64(v.Len()))
-		for i := range v.Len() {
-			d.add(v.Index(i))
+		digest.hashWord(uint64(value.Len()))
+		for i := range value.Len() {
+			digest.add(value.Index(i))
 		}
 	case reflect.Map:
-		d.addMap(v)
+		digest.addMap(value)
 	case reflect.Pointer, reflect.Interface:
-		d.add(v.Elem())
+		digest.add(value.Elem())
 	case reflect.Struct:
-		d.addStruct(v)
+		digest.addStruct(value)
 	default:
-		panic(fmt.Sprintf("replaytest: no digest of a %s", v.Type()))
+		panic(fmt.Sprintf("replaytest: values of type %s are not supported", value.Type()))
 	}
 }
 
-// addMap takes the entries in by the order of their own digests.
-func (d *Digest) addMap(v reflect.Value) {
-	entries := make([]string, 0, v.Len())
-	for iterator := v.MapRange(); iterator.Next(); {
-		entry := NewDigest(d.Skip...)
+// addMap adds the entries sorted by their own digests, because the order of iteration is random.
+func (digest *Digest) addMap(value reflect.Value) {
+	entries := make([]string, 0, value.Len())
+	for iterator := value.MapRange(); iterator.Next(); {
+		entry := NewDigest(digest.Skip...)
 		entry.add(iterator.Key())
 		entry.add(iterator.Value())
 		entries = append(entries, entry.Sum())
 	}
 	slices.Sort(entries)
-	d.Add(entries)
+	digest.Add(entries)
 }
 
-func (d *Digest) addStruct(v reflect.Value) {
-	for i := range v.NumField() {
-		field := v.Type().Field(i)
-		if field.IsExported() && !slices.Contains(d.Skip, field.Name) {
-			d.add(v.Field(i))
+func (digest *Digest) addStruct(value reflect.Value) {
+	for i := range value.NumField() {
+		field := value.Type().Field(i)
+		if field.IsExported() && !slices.Contains(digest.Skip, field.Name) {
+			digest.add(value.Field(i))
 		}
 	}
 }
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -52,7 +52,7 @@
 	omitted   int64 // lines that did not fit into the file or failed to be written
 }
 
-func newAttemptLog(settings *siteconfig.Sends) (*attemptLog, error) {
+func newAttemptLog(settings *siteconfig.DecisionLog) (*attemptLog, error) {
 	file, err := os.OpenFile(settings.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("members: decisions: %w", err)
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -32,7 +32,7 @@
 
 func newChangefeedService(router *Router, settings *siteconfig.Feeds) (*changefeedService, error) {
 	service := &changefeedService{router: router, settings: settings, internalClient: &client{left: make(chan struct{})}}
-	defaults, byClass := settings.Cursor()
+	defaults, byClass := settings.CursorSettings()
 	for name := range byClass {
 		index := router.config.Settings.Class(name)
 		if index < 0 {
@@ -42,7 +42,7 @@
 			return nil, fmt.Errorf("feeds: classes.%s: not a class of idempotent reads", name)
 		}
 	}
-	options := changefeed.Options{Settings: defaults, Classes: byClass, MaxWaiting: settings.MaxWaiting, ReadTimeout: time.Duration(settings.ReadForMS) * time.Millisecond,
+	options := changefeed.Options{Settings: defaults, Classes: byClass, MaxWaiting: settings.MaxWaiting, ReadTimeout: time.Duration(settings.ReadTimeoutMS) * time.Millisecond,
 		Self: crdt.Origin{Name: router.config.Name, Boot: uint64(router.clock.unix)}, Now: router.clock.now, Read: service.read}
 	if router.membership != nil {
 		options.State = router.membership.state
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -339,8 +339,8 @@
 			defer stopServing()
 		}
 	}
-	if service.settings != nil && service.settings.EveryS > 0 {
-		ticker := time.NewTicker(time.Duration(service.settings.EveryS) * time.Second)
+	if service.settings != nil && service.settings.LogIntervalS > 0 {
+		ticker := time.NewTicker(time.Duration(service.settings.LogIntervalS) * time.Second)
 		defer ticker.Stop()
 		logTick = ticker.C
 	}
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -57,14 +57,14 @@
 func newMembershipService(router *Router, settings *siteconfig.Members) (*membershipService, error) {
 	service := &membershipService{router: router, settings: settings}
 	var err error
-	if service.detectorSettings, err = settings.Member(router.config.Name, uint64(router.clock.unix)); err != nil {
+	if service.detectorSettings, err = settings.MembershipSettings(router.config.Name, uint64(router.clock.unix)); err != nil {
 		return nil, err
 	}
 	if count := router.config.Settings.Balance.Routers; count != service.detectorSettings.Configured {
 		return nil, fmt.Errorf("members: routers: %d of them, and the configuration has %d", service.detectorSettings.Configured, count)
 	}
 	service.share = 1 / float64(service.detectorSettings.Configured)
-	if settings.Share {
+	if settings.ShareCommits {
 		storeSettings := crdt.DefaultSettings(crdt.Origin{Name: service.detectorSettings.Name, Boot: service.detectorSettings.Epoch})
 		if platform := &router.config.Settings.Balance; platform.ProbesAllowed && platform.ProbesReportPosition && platform.LagHandling == balance.LagUnchecked {
 			service.probes, service.usedPositions = true, map[balance.EndpointID]clock.Nanos{}
@@ -75,13 +75,13 @@
 			return nil, err
 		}
 		service.suspects = make(chan balance.EndpointID, maxSuspects)
-		for _, class := range slices.Sorted(maps.Keys(settings.Modes.Classes)) {
+		for _, class := range slices.Sorted(maps.Keys(settings.CommitModes.Classes)) {
 			if !router.config.Settings.IsWrite(class) {
 				return nil, &ModeError{class, router.config.Settings.Class(class) >= 0}
 			}
 		}
 	}
-	if settings.Keep != nil {
+	if settings.Persistence != nil {
 		if service.persisted, err = newPersistedState(settings, crdt.Origin{Name: service.detectorSettings.Name, Boot: service.detectorSettings.Epoch}, router.clock.now); err != nil {
 			return nil, err
 		}
@@ -94,8 +94,8 @@
 // listen opens the membership sockets and, if configured, the attempt log.
 func (service *membershipService) listen() error {
 	var err error
-	if service.settings.Sends != nil {
-		if service.attemptLog, err = newAttemptLog(service.settings.Sends); err != nil {
+	if service.settings.DecisionLog != nil {
+		if service.attemptLog, err = newAttemptLog(service.settings.DecisionLog); err != nil {
 			return err
 		}
 	}
@@ -179,11 +179,11 @@
 		return
 	}
 	entry := crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(request.Cluster, 10), B: request.Session, At: position}
-	switch service.settings.Modes.Of(request.Class) {
+	switch service.settings.CommitModes.ForClass(request.Class) {
 	case siteconfig.ModeAsync:
 		service.state.Learn(entry)
 	case siteconfig.ModeOne:
-		timeout := min(time.Duration(service.settings.Modes.WaitMS)*time.Millisecond, time.Duration(request.deadline-service.router.clock.now()))
+		timeout := min(time.Duration(service.settings.CommitModes.MaxWaitMS)*time.Millisecond, time.Duration(request.deadline-service.router.clock.now()))
 		service.state.LearnDurably(entry, timeout, request.client.left)
 	}
 }
--- a/internal/router/metrics_test.go
+++ b/internal/router/metrics_test.go
@@ -45,7 +45,7 @@
 	buffer := captureLog(t)
 	now := make(chan time.Time)
 	close(now)
-	config := &siteconfig.Config{Log: &siteconfig.Log{TotalsMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
+	config := &siteconfig.Config{Log: &siteconfig.Log{TotalsIntervalMS: 3600e3, Trace: siteconfig.TraceWrong, TracePerS: 1}}
 	stage, _, stop, done := startRouterWithConfig(t, config, now, noTimeouts)
 	stage.Run(`
 		send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	queueSettings := persistence.DefaultSettings()
-	queueSettings.QueueBytes, queueSettings.FsyncsPerSecond = settings.Keep.QueueKB<<10, settings.Keep.FsyncsPer
-	storeSettings := store.Settings{Dir: settings.Keep.Dir, MaxBytes: settings.Keep.MaxMB << 20, Cluster: settings.Cluster, Name: self.Name, Epoch: self.Boot, Queue: queueSettings, Now: now,
+	queueSettings.QueueBytes, queueSettings.FsyncsPerSecond = settings.Persistence.QueueKB<<10, settings.Persistence.FsyncsPerS
+	storeSettings := store.Settings{Dir: settings.Persistence.Dir, MaxBytes: settings.Persistence.MaxMB << 20, Cluster: settings.Cluster, Name: self.Name, Epoch: self.Boot, Queue: queueSettings, Now: now,
 		Wall: func() int64 { return time.Now().UnixNano() }}
 	stateSettings := crdt.DefaultSettings(self)
 	storeSettings.Retention[crdt.PendingWrite], storeSettings.Retention[crdt.Hint] = stateSettings.WriteWindow, stateSettings.HintLifetime
-	persisted := &persistedState{loadTimeout: time.Duration(settings.Keep.LoadMS) * time.Millisecond, self: self, now: now, ledger: ledger, previousEpochs: map[string]uint64{}, currentEpochs: map[string]uint64{}}
+	persisted := &persistedState{loadTimeout: time.Duration(settings.Persistence.LoadTimeoutMS) * time.Millisecond, self: self, now: now, ledger: ledger, previousEpochs: map[string]uint64{}, currentEpochs: map[string]uint64{}}
 	persisted.store, err = store.New(storeSettings)
 	return persisted, err
 }
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -27,7 +27,7 @@
 }
 
 func newRecoveryGate(router *Router, config *siteconfig.Recovery) (*recoveryGate, error) {
-	settings := config.Decision(router.config.Name, uint64(router.clock.unix), router.config.Settings.Balance.Routers)
+	settings := config.RouterSettings(router.config.Name, uint64(router.clock.unix), router.config.Settings.Balance.Routers)
 	// Without peers, nothing can confirm that the replicated state is complete, and the recovery ends as Empty on a
 	// timeout.
 	settings.SeesPeers = router.membership != nil
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			stage, router, _, _ := startRouterWithConfig(t, config, now, noTimeouts)
-			if config.Recovery.RampingMS == 1 {
+			if config.Recovery.RampingTimeoutMS == 1 {
 				for router.recovery.report().Stage != "serving" {
 					time.Sleep(time.Millisecond)
 				}
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -55,7 +55,7 @@
 	if platform.RetryAfterAllowed {
 		maxRetryAfter = platform.MaxRetryAfter
 	}
-	settings, err := config.Contracts.SheddingSettings(siteconfig.Fleet{Router: service.router.config.Name, Boot: uint64(service.router.clock.unix), Routers: platform.Routers, Agreed: config.Members != nil && config.Members.Share}, maxRetryAfter)
+	settings, err := config.Contracts.SheddingSettings(siteconfig.SheddingRouter{Router: service.router.config.Name, Epoch: uint64(service.router.clock.unix), Routers: platform.Routers, Shared: config.Members != nil && config.Members.ShareCommits}, maxRetryAfter)
 	if err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
