--- a/cmd/routerctl/main.go
+++ b/cmd/routerctl/main.go
@@ -112,7 +112,7 @@
 		return runSoak(ctx, c, e, o)
 	}
 	if st, err := os.Stderr.Stat(); err == nil && st.Mode()&os.ModeCharDevice != 0 {
-		o.Tell = func(arm string, done, whole time.Duration) {
+		o.Progress = func(arm string, done, whole time.Duration) {
 			n := int(30 * done / max(whole, 1))
 			fmt.Fprintf(os.Stderr, "\r%-16s [%s%s] %3.0f of %.0f s ", arm, strings.Repeat("=", n), strings.Repeat(" ", 30-n), done.Seconds(), whole.Seconds())
 			if done >= whole {
@@ -145,7 +145,7 @@
 // runSoak plays one or more seeds of a soak and prints a table of them.
 func runSoak(ctx context.Context, c *cli.Command, e *experiment.Experiment, o experiment.Options) error {
 	const shorteningPlays = 12
-	fmt.Println(experiment.SoakHead)
+	fmt.Println(experiment.SoakTableHeader)
 	broken := 0
 	top := o.Dir
 	for i := range max(c.Uint64("seeds"), 1) {
@@ -155,7 +155,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", o.Seed, err)
 		}
-		fmt.Println(res.Row())
+		fmt.Println(res.TableRow())
 		if err := res.Write(o.Dir); err != nil {
 			return err
 		}
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -10,176 +10,177 @@
 	"time"
 )
 
-// caller is one client over time: its connection, and what its session wrote.
-type caller struct {
-	*play
-	load   *Load
-	part   *part
-	names  []string
-	fresh  bool
-	rng    *rand.Rand
-	number int
-	count  int
-	conn   *client
-	wrote  int64
-	group  int64
-	router int // that the connection goes to
+// loadClient is one simulated client of a load, with its connection and the last write of its session.
+type loadClient struct {
+	*armRun
+	load         *Load
+	part         *partStats
+	names        []string // classes of the mix, sorted
+	reconnects   bool     // opens a new connection for each request
+	rng          *rand.Rand
+	number       int
+	requestCount int // requests drawn so far
+	conn         *clientConn
+	lastWrite    int64 // Unix ms of the last write that was acknowledged; 0: none
+	writeGroup   int64 // the group of the last write
+	router       int   // index of the router that the connection goes to; -1: not a router of this arm
 }
 
-func (c *caller) hangUp() {
-	if c.conn != nil {
-		c.conn.conn.Close()
-		c.conn = nil
+func (client *loadClient) disconnect() {
+	if client.conn != nil {
+		client.conn.conn.Close()
+		client.conn = nil
 	}
 }
 
-// draw is the next request.
-func (c *caller) draw() *request {
-	class := c.load.class(c.names, c.rng)
-	c.count++
-	k := c.e.Classes[class]
-	r := &request{id: fmt.Sprintf("%s-%d-%d", c.load.Name, c.number, c.count), oid: fmt.Sprintf("%s-%d-%d", c.load.Name, c.number, c.count), class: class, wait: ms(k.WaitMS),
-		group: 1 + c.rng.Int64N(int64(c.e.Fleet.Groups))}
-	if c.load.Forget {
-		r.oid = fmt.Sprintf("%s-%d", c.load.Name, c.number)
-	}
-	switch k.Read {
+// nextRequest returns the next request, of a class drawn from the mix.
+func (client *loadClient) nextRequest() *request {
+	class := client.load.drawClass(client.names, client.rng)
+	client.requestCount++
+	settings := client.experiment.Classes[class]
+	next := &request{id: fmt.Sprintf("%s-%d-%d", client.load.Name, client.number, client.requestCount), objectID: fmt.Sprintf("%s-%d-%d", client.load.Name, client.number, client.requestCount), class: class, timeout: milliseconds(settings.TimeoutMS),
+		group: 1 + client.rng.Int64N(int64(client.experiment.Fleet.Groups))}
+	if client.load.OmitPosition {
+		next.objectID = fmt.Sprintf("%s-%d", client.load.Name, client.number)
+	}
+	switch settings.Read {
 	case "write":
-		r.key = r.id
-		c.group = r.group
+		next.key = next.id
+		client.writeGroup = next.group
 	case "session":
-		if c.wrote > 0 {
-			if r.group = c.group; !c.load.Forget {
-				r.after = c.wrote
+		if client.lastWrite > 0 {
+			if next.group = client.writeGroup; !client.load.OmitPosition {
+				next.minPosition = client.lastWrite
 			}
 		}
 	}
-	return r
+	return next
 }
 
-// once makes one request and returns how long its client rests after it.
-func (c *caller) once(_ context.Context) time.Duration {
-	r := c.draw()
-	began := time.Now()
-	until := began.Add(r.wait)
-	a := c.try(r, until)
-	c.note(r, began, a)
-	for n := 0; n < c.load.Repeats && a.outcome == refused; n++ {
-		r.id, r.retry = fmt.Sprintf("%s-r%d", r.id, n), true
-		if c.load.Elsewhere {
-			c.hangUp()
+// runRequest makes one request, with the immediate retries of the load, and returns how long the client pauses after
+// it.
+func (client *loadClient) runRequest(_ context.Context) time.Duration {
+	req := client.nextRequest()
+	startedAt := time.Now()
+	deadline := startedAt.Add(req.timeout)
+	result := client.send(req, deadline)
+	client.recordOutcome(req, startedAt, result)
+	for retries := 0; retries < client.load.Retries && result.outcome == rejected; retries++ {
+		req.id, req.retry = fmt.Sprintf("%s-r%d", req.id, retries), true
+		if client.load.SwitchRouter {
+			client.disconnect()
 		}
-		again := time.Now()
-		a = c.try(r, until)
-		c.note(r, again, a)
+		retriedAt := time.Now()
+		result = client.send(req, deadline)
+		client.recordOutcome(req, retriedAt, result)
 	}
-	if a.outcome == served && r.key != "" {
-		c.wrote = time.Now().UnixMilli()
+	if result.outcome == served && req.key != "" {
+		client.lastWrite = time.Now().UnixMilli()
 	}
-	c.part.done(r.class, c.e.Classes[r.class], began, a.outcome, a.text)
-	if c.fresh || c.load.Elsewhere && a.outcome == refused || a.outcome == lost || a.outcome == late || a.fatal {
-		c.hangUp()
+	client.part.done(req.class, client.experiment.Classes[req.class], startedAt, result.outcome, result.text)
+	if client.reconnects || client.load.SwitchRouter && result.outcome == rejected || result.outcome == lost || result.outcome == late || result.fatal {
+		client.disconnect()
 	}
 	switch {
-	case a.outcome == nowhere:
+	case result.outcome == unreachable:
 		return 50 * time.Millisecond
-	case a.back > 0:
-		return min(a.back, time.Second)
+	case result.retryAfter > 0:
+		return min(result.retryAfter, time.Second)
 	}
 	return 0
 }
 
-// try sends a request. One that crosses the closing of a connection which idled
-// is sent once more on a new one.
-func (c *caller) try(r *request, until time.Time) answer {
+// send sends a request and reads its answer. A request that meets the closing of an idle connection
+// is sent again on a new one.
+func (client *loadClient) send(req *request, deadline time.Time) answer {
 	for dials := 0; ; {
-		kept := c.conn != nil
-		if !kept {
-			conn, err := c.dial(r, until)
-			var t *rejectedError
+		reused := client.conn != nil
+		if !reused {
+			conn, err := client.dial(req, deadline)
+			var rejection *rejectionError
 			switch {
-			case errors.As(err, &t):
-				return t.answer
-			case err != nil && dials == 0: // the front may deal out another router
+			case errors.As(err, &rejection):
+				return rejection.answer
+			case err != nil && dials == 0: // the load balancer may choose another router next time
 				dials++
 				continue
 			case err != nil:
-				return answer{outcome: nowhere}
+				return answer{outcome: unreachable}
 			}
-			c.conn = conn
+			client.conn = conn
 		}
-		a, err := c.conn.query(r.query(), until)
+		result, err := client.conn.query(req.query(), deadline)
 		switch {
-		case err != nil && kept && !errors.Is(err, os.ErrDeadlineExceeded) && a.outcome == lost:
-			c.hangUp()
+		case err != nil && reused && !errors.Is(err, os.ErrDeadlineExceeded) && result.outcome == lost:
+			client.disconnect()
 			continue
 		case err != nil:
-			return answer{outcome: ended(err)}
-		case a.outcome == served && !r.theirs(a.value):
+			return answer{outcome: failureOutcome(err)}
+		case result.outcome == served && !req.matches(result.value):
 			return answer{outcome: lost}
 		}
-		return a
+		return result
 	}
 }
 
-// pick is the router that the next connection goes to.
-func (c *caller) pick() (string, error) {
-	skew := c.load.Skew
-	if s, ok := c.arm.Skew[c.load.Name]; ok {
-		skew = s
+// pickRouter returns the address of the router that the next connection goes to.
+func (client *loadClient) pickRouter() (string, error) {
+	skew := client.load.Skew
+	if override, ok := client.arm.Skew[client.load.Name]; ok {
+		skew = override
 	}
 	var addr string
 	var err error
 	if len(skew) > 0 {
-		addr, err = c.front.Skew(skew, c.rng.Float64(), time.Now())
+		addr, err = client.loadBalancer.Skew(skew, client.rng.Float64(), time.Now())
 	} else {
-		addr, err = c.front.Pick(time.Now())
+		addr, err = client.loadBalancer.Pick(time.Now())
 	}
-	c.router = slices.IndexFunc(c.routers, func(p *process) bool { return p.addr == addr })
+	client.router = slices.IndexFunc(client.routers, func(candidate *process) bool { return candidate.addr == addr })
 	return addr, err
 }
 
-func (c *caller) dial(r *request, until time.Time) (*client, error) {
+func (client *loadClient) dial(req *request, deadline time.Time) (*clientConn, error) {
 	var addr string
 	var err error
-	if c.load.Direct {
-		addr = c.fleet.Groups[r.group-1].Any(r.key != "", c.number)
-	} else if addr, err = c.pick(); err != nil {
+	if client.load.Direct {
+		addr = client.fleet.Groups[req.group-1].Any(req.key != "", client.number)
+	} else if addr, err = client.pickRouter(); err != nil {
 		return nil, err
 	}
-	user := c.load.User
+	user := client.load.User
 	if user == "" {
 		user = "worker"
 	}
-	return dial(addr, c.load.Address, user, until)
+	return dial(addr, client.load.Address, user, deadline)
 }
 
-// note keeps what a client was told of a request, where the experiment names lanes.
-func (c *caller) note(r *request, at time.Time, a answer) {
-	if c.load.Lane == "" {
+// recordOutcome records the outcome of a request for the shedding audit, if the load belongs to a priority class.
+func (client *loadClient) recordOutcome(req *request, at time.Time, result answer) {
+	if client.load.PriorityClass == "" {
 		return
 	}
-	one := sheddingRequest{id: r.id, priorityClass: c.load.Lane, account: r.oid, group: r.group, router: c.router, at: at, end: time.Now(), outcome: a.outcome}
-	if a.outcome == refused {
-		one.shed = shedClass(a.text)
+	record := sheddingRequest{id: req.id, priorityClass: client.load.PriorityClass, account: req.objectID, group: req.group, router: client.router, at: at, end: time.Now(), outcome: result.outcome}
+	if result.outcome == rejected {
+		record.shed = shedClass(result.text)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.asked) < maxSheddingRequests {
-		c.asked = append(c.asked, one)
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if len(client.sheddingRequests) < maxSheddingRequests {
+		client.sheddingRequests = append(client.sheddingRequests, record)
 	}
 }
 
-// class draws one of the mix; names are its classes in order.
-func (l *Load) class(names []string, rng *rand.Rand) string {
-	sum := 0.0
-	for _, n := range names {
-		sum += l.Mix[n]
-	}
-	x := sum * rng.Float64()
-	for _, n := range names {
-		if x -= l.Mix[n]; x < 0 {
-			return n
+// drawClass draws a class from the mix; names are the classes of the mix in sorted order.
+func (load *Load) drawClass(names []string, rng *rand.Rand) string {
+	total := 0.0
+	for _, name := range names {
+		total += load.Mix[name]
+	}
+	target := total * rng.Float64()
+	for _, name := range names {
+		if target -= load.Mix[name]; target < 0 {
+			return name
 		}
 	}
 	return names[len(names)-1]
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -13,191 +13,193 @@
 	"lotushook/internal/ringbuffer"
 )
 
-// client is one connection of a client.
-type client struct {
+// clientConn is one connection of a simulated client to a router or data server.
+type clientConn struct {
 	conn net.Conn
 	in   *ringbuffer.Buffer
 }
 
-// outcome is how a request ended for its client.
+// outcome is how a request ended, as its client saw it.
 type outcome int
 
 const (
-	served  outcome = iota
-	refused         // it may come again
-	failed          // an error
-	lost            // no whole answer, or one that is not this request's
-	late            // its time ran out
-	nowhere         // no connection came up
-	waiting         // every client still waited for an answer: it was never sent
+	served      outcome = iota
+	rejected            // rejected with an error that permits a retry
+	failed              // answered with any other error
+	lost                // answered incompletely, or with the answer to another request
+	late                // not answered before the deadline
+	unreachable         // not sent: no connection could be established
+	waiting             // not sent because every client of the load was still waiting; in a soak: sent and not answered
 	outcomes
 )
 
 var outcomeNames = [outcomes]string{"served", "refused", "failed", "lost", "late", "nowhere", "waiting"}
 
-// answer is what came back.
+// answer is the result of a request, as its client saw it.
 type answer struct {
-	outcome outcome
-	value   string
-	back    time.Duration // when to come again; 0: not told
-	text    string        // of an error
-	fatal   bool
+	outcome    outcome
+	value      string
+	retryAfter time.Duration // the retry delay that an error message asks for; 0: none
+	text       string        // the message of an error
+	fatal      bool          // the error has severity FATAL: the router closes the connection
 }
 
-// dial connects from an address and starts a session.
-func dial(addr, from, user string, until time.Time) (*client, error) {
-	d := net.Dialer{Deadline: until}
+// dial connects to a server and starts a session. A non-empty from is the local address of the connection.
+func dial(addr, from, user string, deadline time.Time) (*clientConn, error) {
+	dialer := net.Dialer{Deadline: deadline}
 	if from != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
 	}
-	conn, err := d.Dial("tcp", addr)
+	raw, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &client{conn, ringbuffer.New(2 << 20)}
-	conn.SetDeadline(until)
-	if _, err := conn.Write(pgwire.AppendStartup(nil, user, "catalog")); err != nil && !strings.Contains(err.Error(), "reset") {
-		conn.Close()
+	conn := &clientConn{raw, ringbuffer.New(2 << 20)}
+	raw.SetDeadline(deadline)
+	if _, err := raw.Write(pgwire.AppendStartup(nil, user, "catalog")); err != nil && !strings.Contains(err.Error(), "reset") {
+		raw.Close()
 		return nil, err
 	}
 	for {
-		m, err := c.next()
+		message, err := conn.next()
 		switch {
 		case err != nil:
-			conn.Close()
+			raw.Close()
 			return nil, err
-		case m.Kind == pgwire.ErrorResponse:
-			a := c.problem(m)
-			conn.Close()
-			return nil, &rejectedError{a}
-		case m.Kind == pgwire.ReadyForQuery:
-			c.in.Discard(m.Size)
-			return c, nil
+		case message.Kind == pgwire.ErrorResponse:
+			result := conn.parseError(message)
+			raw.Close()
+			return nil, &rejectionError{result}
+		case message.Kind == pgwire.ReadyForQuery:
+			conn.in.Discard(message.Size)
+			return conn, nil
 		}
-		c.in.Discard(m.Size)
+		conn.in.Discard(message.Size)
 	}
 }
 
-// rejectedError is a connection that was rejected with an error message.
-type rejectedError struct{ answer }
+// rejectionError says that the server rejected a connection during startup with an error message.
+type rejectionError struct{ answer }
 
 // Error implements the error interface.
-func (t *rejectedError) Error() string { return "turned away: " + t.text }
+func (e *rejectionError) Error() string { return "connection rejected: " + e.text }
 
-func (c *client) next() (pgwire.Message, error) {
+// next returns the next message, which stays in the buffer until the caller discards it.
+func (connection *clientConn) next() (pgwire.Message, error) {
 	for {
-		m, err := pgwire.Next(c.in)
+		message, err := pgwire.Next(connection.in)
 		if !errors.Is(err, pgwire.ErrShort) {
-			return m, err
+			return message, err
 		}
-		if err := c.in.Fill(c.conn); err != nil {
-			return m, err
+		if err := connection.in.Fill(connection.conn); err != nil {
+			return message, err
 		}
 	}
 }
 
-// problem reads an error.
-func (c *client) problem(m pgwire.Message) answer {
-	code, _ := pgwire.ErrorCode(m.Body)
-	a := answer{outcome: failed}
+// parseError converts an ErrorResponse message to an answer.
+func (connection *clientConn) parseError(message pgwire.Message) answer {
+	code, _ := pgwire.ErrorCode(message.Body)
+	result := answer{outcome: failed}
 	if code == pgwire.CodeTooManyConnections || code == "57P03" {
-		a.outcome = refused
+		result.outcome = rejected
 	}
-	for f := range strings.SplitSeq(string(m.Body), "\x00") {
+	for field := range strings.SplitSeq(string(message.Body), "\x00") {
 		switch {
-		case strings.HasPrefix(f, "M"):
-			a.text = f[1:]
-		case strings.HasPrefix(f, "D"):
-			if d, err := time.ParseDuration(f[1:] + "ms"); err == nil {
-				a.back = d
+		case strings.HasPrefix(field, "M"):
+			result.text = field[1:]
+		case strings.HasPrefix(field, "D"):
+			if delay, err := time.ParseDuration(field[1:] + "ms"); err == nil {
+				result.retryAfter = delay
 			}
-		case f == "SFATAL":
-			a.fatal = true
+		case field == "SFATAL":
+			result.fatal = true
 		}
 	}
-	return a
+	return result
 }
 
 // query sends a query and reads its complete answer.
-func (c *client) query(query []byte, until time.Time) (answer, error) {
-	c.conn.SetDeadline(until)
-	if _, err := c.conn.Write(query); err != nil {
+func (connection *clientConn) query(query []byte, deadline time.Time) (answer, error) {
+	connection.conn.SetDeadline(deadline)
+	if _, err := connection.conn.Write(query); err != nil {
 		return answer{}, err
 	}
-	return c.readAnswer()
+	return connection.readAnswer()
 }
 
 // readAnswer reads one complete answer.
-func (c *client) readAnswer() (answer, error) {
-	a := answer{outcome: lost}
+func (connection *clientConn) readAnswer() (answer, error) {
+	result := answer{outcome: lost}
 	for {
-		m, err := c.next()
+		message, err := connection.next()
 		if err != nil {
-			return a, err
+			return result, err
 		}
-		switch m.Kind {
+		switch message.Kind {
 		case pgwire.DataRow:
-			v, err := pgwire.Column(m.Body)
+			column, err := pgwire.Column(message.Body)
 			if err != nil {
-				return a, err
+				return result, err
 			}
-			a.value = string(v)
+			result.value = string(column)
 		case pgwire.CommandComplete, pgwire.EmptyQueryResponse:
-			a.outcome = served
+			result.outcome = served
 		case pgwire.ErrorResponse:
-			a = c.problem(m)
-			if a.fatal {
-				c.in.Discard(m.Size)
-				return a, nil
+			result = connection.parseError(message)
+			if result.fatal {
+				connection.in.Discard(message.Size)
+				return result, nil
 			}
 		case pgwire.ReadyForQuery:
-			c.in.Discard(m.Size)
-			return a, nil
+			connection.in.Discard(message.Size)
+			return result, nil
 		}
-		c.in.Discard(m.Size)
+		connection.in.Discard(message.Size)
 	}
 }
 
-// request is what a client asks for.
+// request is one request of a simulated client.
 type request struct {
 	id, class, key string
-	oid            string // of the row, which names the session
+	objectID       string // object ID of the row; it identifies the session
 	group          int64
-	after          int64 // Unix ms; 0: none
-	wait           time.Duration
-	retry          bool
+	minPosition    int64         // position (Unix ms) that a read must include; 0: none
+	timeout        time.Duration // how long the client waits for the answer
+	retry          bool          // marked as the client's own retry
 }
 
+// query encodes the request as a query message with its metadata in a comment.
 func (r *request) query() []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "/* id=%s,c=%s,d=%d,cluster=%d", r.id, r.class, max(1, r.wait.Milliseconds()), r.group)
+	fmt.Fprintf(&b, "/* id=%s,c=%s,d=%d,cluster=%d", r.id, r.class, max(1, r.timeout.Milliseconds()), r.group)
 	if r.key != "" {
 		fmt.Fprintf(&b, ",k=%s", r.key)
 	}
 	if r.retry {
 		b.WriteString(",r=1")
 	}
-	if r.after > 0 {
-		fmt.Fprintf(&b, ",after=%d", r.after)
+	if r.minPosition > 0 {
+		fmt.Fprintf(&b, ",after=%d", r.minPosition)
 	}
 	if r.key != "" {
-		fmt.Fprintf(&b, " */ INSERT INTO objects (oid, body) VALUES ('%s', '\\x9f03') RETURNING body", r.oid)
+		fmt.Fprintf(&b, " */ INSERT INTO objects (oid, body) VALUES ('%s', '\\x9f03') RETURNING body", r.objectID)
 	} else {
-		fmt.Fprintf(&b, " */ SELECT body FROM objects WHERE oid = '%s'", r.oid)
+		fmt.Fprintf(&b, " */ SELECT body FROM objects WHERE oid = '%s'", r.objectID)
 	}
 	return pgwire.AppendQuery(nil, b.String())
 }
 
-// theirs says whether a value is what a data server makes for this request.
-func (r *request) theirs(value string) bool {
+// matches reports whether a value is the one that a data server returns for this request.
+func (r *request) matches(value string) bool {
 	if r.key != "" {
 		return value == "k:"+r.key
 	}
 	return value == "v:"+r.id
 }
 
-// ended says how a request ended when its connection broke.
-func ended(err error) outcome {
+// failureOutcome returns the outcome of a request whose connection failed with err.
+func failureOutcome(err error) outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return late
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -21,23 +21,23 @@
 	"lotushook/internal/siteconfig"
 )
 
-// memberCluster are the routers of one arm that know each other: their settings, the links between them, and what happened to
-// each when. A nil one notes nothing.
+// memberCluster is the cluster that the routers of one arm form: their settings, the simulated links between them and
+// the history of each router's condition. The recording methods of a nil cluster do nothing.
 type memberCluster struct {
-	net     *faultinject.Net
-	count   int
-	dir     string
-	members map[string]any // the part of the settings
-	term    time.Duration  // of their promises
-	alone   float64
-
-	mu      sync.Mutex
-	turns   []turn
-	reports map[int]peer.Report // at the end
-	until   time.Time           // all routers are stopped from here on: what they believe then counts for nothing
+	net           *faultinject.Net
+	count         int
+	dir           string
+	members       map[string]any // the "members" part of the settings
+	leaseTerm     time.Duration  // how long a lease of quota lasts
+	isolatedShare float64        // total share that isolated routers may use
+
+	mu        sync.Mutex
+	changes   []conditionChange
+	reports   map[int]peer.Report // by router, taken at the end
+	stoppedAt time.Time           // the routers are stopped from this time on; views logged later are ignored
 }
 
-// condition is how a router is.
+// condition is the state that the experiment has put a router into.
 type condition string
 
 const (
@@ -47,202 +47,210 @@
 	stopped condition = "stopped"
 )
 
-// turn is a change of a router's condition.
-type turn struct {
-	at     time.Time
-	router int
-	is     condition
+// conditionChange is a change of a router's condition.
+type conditionChange struct {
+	at           time.Time
+	router       int
+	newCondition condition
 }
 
-func routerName(n int) string { return fmt.Sprintf("n%d", n) }
+func routerName(number int) string { return fmt.Sprintf("n%d", number) }
 
-// newMemberCluster gives each router a loopback address of its own and one that others must use, where the arm has members.
-func newMemberCluster(e *Experiment, arm *Arm, dir string, seed uint64, run uint32) (f *memberCluster, err error) {
-	raw := e.Routers.Members
+// newMemberCluster prepares the cluster of an arm, or returns nil if the arm has none. Each router gets a loopback
+// address that it listens on and a second one, the entrance of the simulated links, that it advertises to the others.
+func newMemberCluster(experiment *Experiment, arm *Arm, dir string, seed uint64, runNumber uint32) (cluster *memberCluster, err error) {
+	raw := experiment.Routers.Members
 	if arm.Members != nil {
 		raw = arm.Members
 	}
 	if raw == nil || string(raw) == "null" {
 		return nil, nil
 	}
-	f = &memberCluster{net: faultinject.New(seed), count: e.Routers.Count, dir: dir, members: map[string]any{}, reports: map[int]peer.Report{}}
+	cluster = &memberCluster{net: faultinject.New(seed), count: experiment.Routers.Count, dir: dir, members: map[string]any{}, reports: map[int]peer.Report{}}
 	defer func() {
 		if err != nil {
-			f.net.Close()
+			cluster.net.Close()
 		}
 	}()
-	if err := jsoniter.Unmarshal(raw, &f.members); err != nil {
-		return f, fmt.Errorf("members: %w", err)
+	if err := jsoniter.Unmarshal(raw, &cluster.members); err != nil {
+		return cluster, fmt.Errorf("members: %w", err)
 	}
 	var key [32]byte
 	rand.Read(key[:])
 	path := filepath.Join(dir, "keys")
 	if err := os.WriteFile(path, []byte(hex.EncodeToString(key[:])+"\n"), 0o600); err != nil {
-		return f, err
+		return cluster, err
 	}
-	places, seeds := map[string]siteconfig.Place{}, []string{}
-	for n := range f.count {
-		at, err := freeOn(memberHostOf(run, n))
+	addresses, seeds := map[string]siteconfig.Place{}, []string{}
+	for number := range cluster.count {
+		address, err := freeAddress(memberHost(runNumber, number))
 		if err != nil {
-			return f, err
+			return cluster, err
 		}
-		_, out, err := f.net.Add(at)
+		_, advertised, err := cluster.net.Add(address)
 		if err != nil {
-			return f, err
+			return cluster, err
 		}
-		places[routerName(n)] = siteconfig.Place{Listen: at.String(), Advertise: out.String()}
-		if n < 2 {
-			seeds = append(seeds, out.String())
+		addresses[routerName(number)] = siteconfig.Place{Listen: address.String(), Advertise: advertised.String()}
+		if number < 2 {
+			seeds = append(seeds, advertised.String())
 		}
 	}
-	f.members["cluster"], f.members["key_file"], f.members["routers"], f.members["seeds"] = "lab", path, places, seeds
-	return f, nil
+	cluster.members["cluster"], cluster.members["key_file"], cluster.members["routers"], cluster.members["seeds"] = "lab", path, addresses, seeds
+	return cluster, nil
 }
 
-// runs counts the arms that this process has played, some of them at once.
-var runs atomic.Uint32
+// runNumbers numbers the arms and soaks that this process has run, some of them in parallel.
+var runNumbers atomic.Uint32
 
-// hostOf is a loopback address that only one router of one arm has: nobody else's connections take its ports.
-func hostOf(run uint32, n int) string { return loopback(64, run, n) }
+// clientHost returns a loopback address that only one router of one arm uses, so that no other connection can occupy
+// its ports.
+func clientHost(runNumber uint32, router int) string { return loopback(64, runNumber, router) }
 
-// memberHostOf is a router's address for other routers. It has another host than the one for clients: both ports are drawn and let go
-// before the router listens, and of one host the system may draw the same one twice.
-func memberHostOf(run uint32, n int) string { return loopback(128, run, n) }
+// memberHost returns the loopback address that a router uses for the other routers. It differs from the address for
+// clients because both ports are chosen and released before the router listens: on one host the system might choose the
+// same port twice.
+func memberHost(runNumber uint32, router int) string { return loopback(128, runNumber, router) }
 
-// loopback is an address of a router of this process, in one of the ranges of 64 networks that begin at a multiple of 64.
-func loopback(first int, run uint32, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d", first+os.Getpid()%64, run%250, 1+n%250)
+// loopback returns a loopback address for a router. The address lies in a range of 64 networks, which begins at first,
+// a multiple of 64; the process ID selects the network.
+func loopback(first int, runNumber uint32, router int) string {
+	return fmt.Sprintf("127.%d.%d.%d", first+os.Getpid()%64, runNumber%250, 1+router%250)
 }
 
-// freeOn is a port of a host that is free for datagrams and connections. A router that comes back needs the one that it had.
-func freeOn(host string) (netip.AddrPort, error) {
+// freeAddress returns a port of a host that is free for both UDP and TCP. The port is fixed in advance because a router
+// that restarts must listen on the same one.
+func freeAddress(host string) (netip.AddrPort, error) {
 	for range 20 {
-		ln, err := net.Listen("tcp", host+":0")
+		listener, err := net.Listen("tcp", host+":0")
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
-		at := ln.Addr().(*net.TCPAddr).AddrPort()
-		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
-		ln.Close()
+		address := listener.Addr().(*net.TCPAddr).AddrPort()
+		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
+		listener.Close()
 		if err == nil {
 			udp.Close()
-			return at, nil
+			return address, nil
 		}
 	}
 	return netip.AddrPort{}, fmt.Errorf("no port of %s is free", host)
 }
 
-// settings are one router's own, with its part "members".
-func (f *memberCluster) settings(own jsoniter.RawMessage, n int) (jsoniter.RawMessage, error) {
+// settings returns the settings of one router: own, with the "members" part added.
+func (cluster *memberCluster) settings(own jsoniter.RawMessage, number int) (jsoniter.RawMessage, error) {
 	all := map[string]any{}
 	if own != nil && string(own) != "null" {
 		if err := jsoniter.Unmarshal(own, &all); err != nil {
 			return nil, fmt.Errorf("own: %w", err)
 		}
 	}
-	f.members["socket"] = f.socket(n)
-	for part, at := range map[string][2]string{"keep": {"dir", routerName(n) + "-keep"}, "decisions": {"file", sendsName(n)}} {
-		if m, ok := f.members[part].(map[string]any); ok { // its own place for each
-			m[at[0]] = filepath.Join(f.dir, at[1])
+	cluster.members["socket"] = cluster.socket(number)
+	for part, location := range map[string][2]string{"keep": {"dir", routerName(number) + "-keep"}, "decisions": {"file", sendsName(number)}} {
+		if section, ok := cluster.members[part].(map[string]any); ok { // each router has its own directory or file
+			section[location[0]] = filepath.Join(cluster.dir, location[1])
 		}
 	}
-	all["members"] = f.members
+	all["members"] = cluster.members
 	raw, err := jsoniter.Marshal(all)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(f.dir, "check.json")
+	path := filepath.Join(cluster.dir, "check.json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, err
 	}
-	s, err := siteconfig.Load(path) // with the defaults, as the router has it
+	parsed, err := siteconfig.Load(path) // applies the defaults, as the router does
 	if err != nil {
 		return nil, err
 	}
-	m, err := s.Members.Member(routerName(n), 1)
+	section, err := parsed.Members.Member(routerName(number), 1)
 	if err != nil {
 		return nil, err
 	}
-	f.term, f.alone = time.Duration(m.Term()), m.IsolatedShare
+	cluster.leaseTerm, cluster.isolatedShare = time.Duration(section.Term()), section.IsolatedShare
 	return raw, nil
 }
 
-// socket is short: a folder of results may have a longer name than a socket may.
-func (f *memberCluster) socket(n int) string {
-	return filepath.Join(os.TempDir(), fmt.Sprintf("lotushook-lab-%d-%s", f.net.Number(), routerName(n)))
+// socket returns the path of a router's admin socket. It lies in the temporary directory because the path of a result
+// directory may exceed the length limit of a socket path.
+func (cluster *memberCluster) socket(number int) string {
+	return filepath.Join(os.TempDir(), fmt.Sprintf("lotushook-lab-%d-%s", cluster.net.Number(), routerName(number)))
 }
 
-func (f *memberCluster) note(router int, is condition) {
-	if f == nil {
+// recordCondition records a change of a router's condition.
+func (cluster *memberCluster) recordCondition(router int, is condition) {
+	if cluster == nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.turns = append(f.turns, turn{time.Now(), router, is})
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.changes = append(cluster.changes, conditionChange{time.Now(), router, is})
 }
 
-// is says how a router was at a time, and since when.
-func (f *memberCluster) is(router int, at time.Time) (condition, time.Time) {
-	now, since := stopped, time.Time{}
-	for _, t := range f.turns {
-		if t.router == router && !t.at.After(at) && t.is != now {
-			now, since = t.is, t.at
+// conditionAt returns the condition of a router at a time, and since when it had been in it.
+func (cluster *memberCluster) conditionAt(router int, at time.Time) (condition, time.Time) {
+	current, since := stopped, time.Time{}
+	for _, change := range cluster.changes {
+		if change.router == router && !change.at.After(at) && change.newCondition != current {
+			current, since = change.newCondition, change.at
 		}
 	}
-	return now, since
+	return current, since
 }
 
-// requestViews reads what each router that is up says of its messages.
-func (f *memberCluster) requestViews(routers []*process) {
-	if f == nil {
+// queryReports asks each running router for its report on membership messages.
+func (cluster *memberCluster) queryReports(routers []*process) {
+	if cluster == nil {
 		return
 	}
-	f.until = time.Now()
-	for n := range routers {
-		if is, _ := f.is(n, time.Now()); is != up {
+	cluster.stoppedAt = time.Now()
+	for number := range routers {
+		if is, _ := cluster.conditionAt(number, time.Now()); is != up {
 			continue
 		}
-		var r peer.Report
-		if admin.Query(f.socket(n), "members", &r) == nil {
-			f.reports[n] = r
+		var report peer.Report
+		if admin.Query(cluster.socket(number), "members", &report) == nil {
+			cluster.reports[number] = report
 		}
 	}
 }
 
-// reach says whether what one router sends came to another at a time, directly or through others that were up.
-func (f *memberCluster) reach(from, to int, at time.Time, cuts []faultinject.Event) bool {
+// reachable reports whether messages from one router could reach another at a time, directly or through other running
+// routers.
+func (cluster *memberCluster) reachable(from, to int, at time.Time, cuts []faultinject.Event) bool {
 	cut := map[[2]int]bool{}
-	for _, e := range cuts {
-		if !e.At.After(at) {
-			cut[[2]int{e.From, e.To}] = e.Link.Cut
+	for _, event := range cuts {
+		if !event.At.After(at) {
+			cut[[2]int{event.From, event.To}] = event.Link.Cut
 		}
 	}
-	seen, queue := map[int]bool{from: true}, []int{from}
+	visited, queue := map[int]bool{from: true}, []int{from}
 	for len(queue) > 0 {
-		i := queue[0]
+		member := queue[0]
 		queue = queue[1:]
-		if i == to {
+		if member == to {
 			return true
 		}
-		for j := range f.count {
-			is, _ := f.is(j, at)
-			if !seen[j] && !cut[[2]int{i, j}] && (is == up || j == to) {
-				seen[j] = true
-				queue = append(queue, j)
+		for next := range cluster.count {
+			is, _ := cluster.conditionAt(next, at)
+			if !visited[next] && !cut[[2]int{member, next}] && (is == up || next == to) {
+				visited[next] = true
+				queue = append(queue, next)
 			}
 		}
 	}
 	return false
 }
 
-// moments are when something changed: between two of them all links and conditions are the same.
-func (f *memberCluster) moments(cuts []faultinject.Event) []time.Time {
+// changeTimes returns the times at which a link or a condition changed, in order. Between two of them nothing changes.
+func (cluster *memberCluster) changeTimes(cuts []faultinject.Event) []time.Time {
 	var all []time.Time
-	for _, t := range f.turns {
-		all = append(all, t.at)
+	for _, change := range cluster.changes {
+		all = append(all, change.at)
 	}
-	for _, e := range cuts {
-		all = append(all, e.At)
+	for _, event := range cuts {
+		all = append(all, event.At)
 	}
 	slices.SortFunc(all, time.Time.Compare)
 	return all
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -11,20 +11,20 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Read reads a result.json.
+// Read reads the result.json file of an experiment.
 func Read(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{}
-	if err := jsoniter.Unmarshal(raw, r); err != nil {
+	result := &Result{}
+	if err := jsoniter.Unmarshal(raw, result); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return r, nil
+	return result, nil
 }
 
-// Spread is a check or a figure over several runs.
+// Spread summarizes the values of a check or metric over several runs.
 type Spread struct {
 	Name             string
 	Median, Min, Max float64
@@ -40,7 +40,7 @@
 	return Spread{Name: name, Median: median(sorted), Min: sorted[0], Max: sorted[len(sorted)-1], Values: values}
 }
 
-// median is the middle one of sorted values, or the mean of the two in the middle.
+// median returns the median of sorted values.
 func median(sorted []float64) float64 {
 	middle := len(sorted) / 2
 	if len(sorted)%2 == 1 {
@@ -50,10 +50,10 @@
 }
 
 //go:embed compare.md.tmpl
-var compareText string
+var compareTemplateText string
 
-// Compare sets runs of one experiment side by side: each check, and each figure
-// of each arm, with its median and its range over the runs.
+// Compare returns a Markdown report over several runs of one experiment: the median and the range of each check and of
+// each metric of each arm.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func Compare(runs []*Result) (string, error) {
@@ -66,36 +66,36 @@
 		Figures    map[string]map[string]map[string]Spread
 		Names      map[string][]string
 	}{Experiment: runs[0].Experiment, Figures: map[string]map[string]map[string]Spread{}, Names: map[string][]string{}}
-	checks := map[string][]Judged{}
-	for _, r := range runs {
-		if r.Experiment != data.Experiment {
-			return "", fmt.Errorf("report: %s and %s are not runs of one experiment", data.Experiment, r.Experiment)
+	checks := map[string][]CheckResult{}
+	for _, run := range runs {
+		if run.Experiment != data.Experiment {
+			return "", fmt.Errorf("report: %s and %s are not runs of one experiment", data.Experiment, run.Experiment)
 		}
-		data.Seeds = append(data.Seeds, r.Seed)
-		for _, c := range r.Checks {
-			checks[c.Name] = append(checks[c.Name], c)
+		data.Seeds = append(data.Seeds, run.Seed)
+		for _, check := range run.Checks {
+			checks[check.Name] = append(checks[check.Name], check)
 		}
 	}
-	for _, c := range runs[0].Checks {
+	for _, check := range runs[0].Checks {
 		var values []float64
-		held := 0
-		for _, j := range checks[c.Name] {
-			if values = append(values, j.Value); j.Passed {
-				held++
+		passed := 0
+		for _, result := range checks[check.Name] {
+			if values = append(values, result.Value); result.Passed {
+				passed++
 			}
 		}
-		s := spread(c.Name, values)
-		s.Relation, s.Bound, s.PassedRuns = c.Relation, c.Bound, held
-		data.Checks = append(data.Checks, s)
+		summary := spread(check.Name, values)
+		summary.Relation, summary.Bound, summary.PassedRuns = check.Relation, check.Bound, passed
+		data.Checks = append(data.Checks, summary)
 	}
 	for arm, parts := range runs[0].Arms {
 		data.Arms = append(data.Arms, arm)
 		for part, figures := range parts {
 			for name := range figures {
 				var values []float64
-				for _, r := range runs {
-					if v, ok := r.Arms[arm][part][name]; ok {
-						values = append(values, v)
+				for _, run := range runs {
+					if value, ok := run.Arms[arm][part][name]; ok {
+						values = append(values, value)
 					}
 				}
 				if data.Figures[part] == nil {
@@ -114,39 +114,39 @@
 	for _, names := range data.Names {
 		slices.Sort(names)
 	}
-	t, err := template.New("compare").Funcs(template.FuncMap{"fig": figure}).Parse(compareText)
+	reportTemplate, err := template.New("compare").Funcs(template.FuncMap{"fig": formatNumber}).Parse(compareTemplateText)
 	if err != nil {
 		return "", err
 	}
-	var b strings.Builder
-	if err := t.Execute(&b, data); err != nil {
+	var text strings.Builder
+	if err := reportTemplate.Execute(&text, data); err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
-	return b.String(), nil
+	return text.String(), nil
 }
 
-// CompareCharts draws each part over time, a line for each arm: the mean of the runs.
+// CompareCharts draws a chart of each part over time, with a line for each arm: the mean of the runs.
 func CompareCharts(runs []*Result, dir string) error {
 	mean := &Result{Experiment: runs[0].Experiment, Arms: runs[0].Arms, Series: map[string]map[string][]Point{}}
 	for arm, parts := range runs[0].Series {
 		mean.Series[arm] = map[string][]Point{}
 		for part, points := range parts {
 			sum := make([]Point, len(points))
-			for _, r := range runs {
-				for i, p := range r.Series[arm][part] {
-					if i < len(sum) {
-						sum[i].Requested += p.Requested
-						sum[i].Served += p.Served
-						sum[i].Refused += p.Refused
-						sum[i].InObjective += p.InObjective
+			for _, run := range runs {
+				for second, point := range run.Series[arm][part] {
+					if second < len(sum) {
+						sum[second].Requested += point.Requested
+						sum[second].Served += point.Served
+						sum[second].Rejected += point.Rejected
+						sum[second].InObjective += point.InObjective
 					}
 				}
 			}
-			for i := range sum {
-				sum[i].Requested /= len(runs)
-				sum[i].Served /= len(runs)
-				sum[i].Refused /= len(runs)
-				sum[i].InObjective /= len(runs)
+			for second := range sum {
+				sum[second].Requested /= len(runs)
+				sum[second].Served /= len(runs)
+				sum[second].Rejected /= len(runs)
+				sum[second].InObjective /= len(runs)
 			}
 			mean.Series[arm][part] = sum
 		}
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -10,7 +10,7 @@
 	return &Result{
 		Experiment: "takeover",
 		Seed:       seed,
-		Checks:     []Judged{{Name: "p99", Value: p99, Relation: "max", Bound: 20, Passed: passed}},
+		Checks:     []CheckResult{{Name: "p99", Value: p99, Relation: "max", Bound: 20, Passed: passed}},
 		Arms:       map[string]map[string]map[string]float64{"routed": {"reads": {"p99_ms": p99}}},
 	}
 }
@@ -40,8 +40,7 @@
 	}
 }
 
-// The median of a few runs is one that was seen, or the mean of two. Before, it came from a quantile interpolated from below: 12 for
-// 10, 14 and 30.
+// TestSpreadMedian guards against a median interpolated from the quantiles below it: that gave 12 for 10, 14 and 30.
 func TestSpreadMedian(t *testing.T) {
 	for want, values := range map[float64][]float64{14: {30, 10, 14}, 12: {14, 10}, 7: {7}, 2.5: {1, 2, 3, 4}} {
 		if got := spread("figure", values).Median; got != want {
--- a/internal/experiment/events.go
+++ b/internal/experiment/events.go
@@ -11,92 +11,94 @@
 	"lotushook/internal/faultinject"
 )
 
-// events does what goes wrong, in order of time.
-func (p *play) events(ctx context.Context) {
-	list := slices.Clone(p.arm.Events)
-	slices.SortStableFunc(list, func(a, b Event) int { return int(1e3 * (a.AtS - b.AtS)) })
-	for _, v := range list {
-		if sleep(ctx, time.Until(p.from.Add(s(v.AtS)))) != nil {
+// triggerEvents triggers the events of the arm at their times.
+func (run *armRun) triggerEvents(ctx context.Context) {
+	scheduled := slices.Clone(run.arm.Events)
+	slices.SortStableFunc(scheduled, func(x, y Event) int { return int(1e3 * (x.AtS - y.AtS)) })
+	for _, event := range scheduled {
+		if sleep(ctx, time.Until(run.from.Add(seconds(event.AtS)))) != nil {
 			return
 		}
-		if err := p.do(v); err != nil {
-			slog.Error("event", "do", v.Do, "err", err)
+		if err := run.triggerEvent(event); err != nil {
+			slog.Error("event", "do", event.Do, "err", err)
 		}
 	}
 }
 
+// triggerEvent triggers one event.
+//
 //nolint:funlen // to be split (docs/ROADMAP.md, readable code)
-func (p *play) do(v Event) error {
-	slog.Info("event", "at_s", v.AtS, "do", v.Do, "router", v.Router, "server", v.Server)
-	if v.Do == "link" {
-		if p.fellows == nil {
-			return errors.New("the routers have no links: they don't know each other")
+func (run *armRun) triggerEvent(event Event) error {
+	slog.Info("event", "at_s", event.AtS, "do", event.Do, "router", event.Router, "server", event.Server)
+	if event.Do == "link" {
+		if run.cluster == nil {
+			return errors.New("the routers form no cluster, so there are no links to change")
 		}
-		p.fellows.net.Set(v.From, v.To, v.Link)
+		run.cluster.net.Set(event.From, event.To, event.Link)
 		return nil
 	}
-	if v.Server != "" {
+	if event.Server != "" {
 		found := false
-		for _, srv := range p.fleet.Servers() {
-			if srv.Name != v.Server && v.Server != "*" {
+		for _, server := range run.fleet.Servers() {
+			if server.Name != event.Server && event.Server != "*" {
 				continue
 			}
 			found = true
-			switch v.Do {
+			switch event.Do {
 			case "kill":
-				srv.Group().Lose(v.Lose)
-				srv.Kill()
+				server.Group().Lose(event.LoseEvents)
+				server.Kill()
 			case "clock":
-				srv.Group().SetClockBack(s(v.BackS))
+				server.Group().SetClockBack(seconds(event.ClockBackS))
 			case "restart":
-				if err := srv.Restart(); err != nil {
+				if err := server.Restart(); err != nil {
 					return err
 				}
 			case "burden":
-				srv.Burden(v.Times)
-				p.back = time.Now() // time to full service counts from the end of what went wrong
+				server.Burden(event.Factor)
+				run.faultsOver = time.Now() // the recovery time is measured from the last change of the burden
 			case "drain":
-				srv.Drain()
+				server.Drain()
 			case "promote":
-				srv.Promote()
+				server.Promote()
 			case "slow":
-				srv.Slow(v.Times)
+				server.Slow(event.Factor)
 			}
 		}
 		if found {
 			return nil
 		}
-		return fmt.Errorf("no server %q", v.Server)
+		return fmt.Errorf("unknown server %q", event.Server)
 	}
-	r := p.routers[v.Router]
-	switch v.Do {
+	router := run.routers[event.Router]
+	switch event.Do {
 	case "kill":
-		p.front.Died(r.addr, time.Now())
-		p.fellows.note(v.Router, killed)
-		r.kill()
+		run.loadBalancer.Died(router.addr, time.Now())
+		run.cluster.recordCondition(event.Router, killed)
+		router.kill()
 	case "stop":
-		p.front.Died(r.addr, time.Now())
-		p.fellows.note(v.Router, stopped)
-		r.end()
+		run.loadBalancer.Died(router.addr, time.Now())
+		run.cluster.recordCondition(event.Router, stopped)
+		router.terminate()
 	case "pause":
-		p.fellows.note(v.Router, paused)
-		r.fault(faultinject.Pause(r.pid()))
+		run.cluster.recordCondition(event.Router, paused)
+		router.setFault(faultinject.Pause(router.pid()))
 	case "throttle":
-		r.fault(faultinject.Throttle(r.pid(), v.Times))
+		router.setFault(faultinject.Throttle(router.pid(), event.Factor))
 	case "resume", "free":
-		r.fault(nil)
-		p.fellows.note(v.Router, up)
+		router.setFault(nil)
+		run.cluster.recordCondition(event.Router, up)
 	case "start":
-		p.fellows.note(v.Router, up)
-		if p.back = time.Now(); p.firstBack.IsZero() {
-			p.firstBack = p.back
+		run.cluster.recordCondition(event.Router, up)
+		if run.faultsOver = time.Now(); run.firstRestart.IsZero() {
+			run.firstRestart = run.faultsOver
 		}
-		if err := r.start(); err != nil {
+		if err := router.start(); err != nil {
 			return err
 		}
-		p.front.Up(r.addr)
+		run.loadBalancer.Up(router.addr)
 	case "reload":
-		return r.reload(v.Own)
+		return router.reload(event.RouterSettings)
 	}
 	return nil
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,6 @@
-// Package experiment runs experiments: routers as real processes before stand-ins, a
-// load, what goes wrong and when, and checks on what was seen at both ends. An
-// experiment is a file under deploy/lab; its arms play the same with something
-// changed, one after the other.
+// Package experiment runs experiments on routers: real router processes in front of emulated data servers, with a load,
+// scheduled faults, and checks on what clients and data servers observed. An experiment is a file under deploy/lab.
+// Its arms run one after the other; each repeats the experiment with something changed.
 package experiment
 
 import (
@@ -18,258 +17,261 @@
 	"lotushook/internal/strictjson"
 )
 
-// Experiment is the file. Names tie its parts together: an arm plays some loads
+// Experiment is the content of an experiment file. Its parts refer to each other by name: an arm runs some of the loads
 // and floods, and a check reads "arm.part.metric".
 type Experiment struct {
 	Name            string              `json:"name"`
 	About           string              `json:"about"`
-	Seconds         float64             `json:"seconds"`  // that each arm is measured for
-	Settle          float64             `json:"settle"`   // seconds before that
-	Platform        jsoniter.RawMessage `json:"platform"` // the settings object of the routers' configuration
+	Seconds         float64             `json:"seconds"`  // how long each arm is measured
+	Settle          float64             `json:"settle"`   // seconds of load before the measuring starts
+	Platform        jsoniter.RawMessage `json:"platform"` // the settings object in the routers' configuration
 	Classes         map[string]Class    `json:"classes"`
 	Fleet           Fleet               `json:"fleet"`
 	Routers         Routers             `json:"routers"`
 	Loads           []Load              `json:"loads"`
 	Readers         []Readers           `json:"readers"`
 	Floods          []Flood             `json:"floods"`
-	PriorityClasses []string            `json:"lanes"` // the best first, where requests are held against each other by lane: a part "lanes" of the figures
+	PriorityClasses []string            `json:"lanes"` // most important first; if given, shedding is audited and the metrics have a part "lanes"
 	Arms            []Arm               `json:"arms"`
 	Checks          []Check             `json:"checks"`
-	Soak            *Soak               `json:"soak"` // an experiment of restarts: it has no arms, loads or checks; none: it is not one
+	Soak            *Soak               `json:"soak"` // makes this a soak of restarts, which has no arms, loads or checks; nil: an ordinary experiment
 }
 
-// Class is a class of requests as clients and data servers see it.
+// Class is a class of requests: how clients make them and data servers process them.
 type Class struct {
-	Read    string    `json:"read"` // "bounded", "session", "write" or "feed"
-	BoundMS float64   `json:"bound_ms"`
-	AimMS   float64   `json:"aim_ms"`
-	WaitMS  float64   `json:"wait_ms"` // a client gives up after it
-	Worth   float64   `json:"worth"`
-	WorkMS  []float64 `json:"work_ms"` // least and most
+	Read        string    `json:"read"` // "bounded", "session", "write" or "feed"
+	BoundMS     float64   `json:"bound_ms"`
+	ObjectiveMS float64   `json:"aim_ms"`
+	TimeoutMS   float64   `json:"wait_ms"` // a client gives up after this time
+	Weight      float64   `json:"worth"`
+	WorkMS      []float64 `json:"work_ms"` // min and max
 }
 
-// Fleet is the data servers.
+// Fleet describes the emulated data servers.
 type Fleet struct {
-	Groups     int      `json:"groups"`
-	Members    int      `json:"members"`
-	Cores      int      `json:"cores"`
-	Queue      int      `json:"queue"`
-	ShipMS     float64  `json:"ship_ms"`
-	ApplyMS    float64  `json:"apply_ms"`
-	ColdShare  float64  `json:"cold_share"`
-	RampS      float64  `json:"ramp_s"`
-	TakeoverMS float64  `json:"takeover_ms"`
-	Retain     int      `json:"retain"` // events of a group's log that can be read; 0: there is no log
-	Halls      []string `json:"halls"`
+	Groups        int      `json:"groups"`
+	Members       int      `json:"members"`
+	Cores         int      `json:"cores"`
+	Queue         int      `json:"queue"`
+	ReplicationMS float64  `json:"ship_ms"`
+	ApplyMS       float64  `json:"apply_ms"`
+	ColdShare     float64  `json:"cold_share"`
+	RampS         float64  `json:"ramp_s"`
+	FailoverMS    float64  `json:"takeover_ms"`
+	Retain        int      `json:"retain"` // number of events of a group's log that can be read; 0: no log
+	Zones         []string `json:"halls"`
 }
 
-// Routers is the processes.
+// Routers describes the router processes.
 type Routers struct {
-	Count    int                 `json:"count"`
-	Cores    float64             `json:"cores"`
-	MemoryMB int64               `json:"memory_mb"`
-	Sockets  int                 `json:"sockets"`
-	NoticeMS float64             `json:"notice_ms"` // until the front notices that one is dead
-	Own      jsoniter.RawMessage `json:"own"`       // their own settings; none: started without
-	Members  jsoniter.RawMessage `json:"members"`   // their part "members" but for who and where they are: this switches it on, over links that faults can be put on
+	Count          int                 `json:"count"`
+	Cores          float64             `json:"cores"`
+	MemoryMB       int64               `json:"memory_mb"`
+	Sockets        int                 `json:"sockets"`
+	DetectionMS    float64             `json:"notice_ms"` // how long the load balancer takes to notice that a router has died
+	RouterSettings jsoniter.RawMessage `json:"own"`       // content of the routers' settings file; nil: no file
+	Members        jsoniter.RawMessage `json:"members"`   // the "members" part of the settings, without names and addresses; if given, the routers form a cluster over links that can be faulted
 }
 
-// Load is clients that behave.
+// Load describes well-behaved clients.
 type Load struct {
-	Name    string             `json:"name"`
-	Clients int                `json:"clients"`
-	PerS    float64            `json:"per_s"` // requests that come by themselves; 0: each client asks again once it is answered
-	Address string             `json:"address"`
-	User    string             `json:"user"`
-	Fresh   float64            `json:"fresh"` // share of the clients that connect anew for each request
-	Mix     map[string]float64 `json:"mix"`
-	Repeats int                `json:"repeats"`  // of one that was refused, at once, marked as the client's own
-	Direct  bool               `json:"direct"`   // straight to data servers
-	Forget  bool               `json:"forget"`   // sessions that don't bring their last commit: who saw it must know
-	PauseMS float64            `json:"pause_ms"` // between an answer and the next request
-	FromS   float64            `json:"from_s"`
-	ToS     float64            `json:"to_s"` // 0: the end
+	Name           string             `json:"name"`
+	Clients        int                `json:"clients"`
+	PerS           float64            `json:"per_s"` // rate of requests that arrive independently of the answers; 0: each client sends its next request after an answer
+	Address        string             `json:"address"`
+	User           string             `json:"user"`
+	ReconnectShare float64            `json:"fresh"` // share of the clients that open a new connection for each request
+	Mix            map[string]float64 `json:"mix"`
+	Retries        int                `json:"repeats"`  // immediate retries of a rejected request, marked as the client's own
+	Direct         bool               `json:"direct"`   // clients connect to data servers, not to routers
+	OmitPosition   bool               `json:"forget"`   // sessions omit the position of their last write, so the routers must remember it
+	PauseMS        float64            `json:"pause_ms"` // pause between an answer and the next request
+	FromS          float64            `json:"from_s"`
+	ToS            float64            `json:"to_s"` // 0: until the end
 
-	Lane      string    `json:"lane"`      // of its accounts, where the experiment has lanes
-	Elsewhere bool      `json:"elsewhere"` // a client that was refused connects anew, and so to another router
-	Skew      []float64 `json:"skew"`      // shares of its connections that the routers get, from the first on; none: even
+	PriorityClass string    `json:"lane"`      // priority class of its accounts; "": not audited
+	SwitchRouter  bool      `json:"elsewhere"` // a rejected client reconnects, possibly to another router
+	Skew          []float64 `json:"skew"`      // share of the connections that goes to each router, by number; nil: even
 }
 
-// Readers are subscribers of feeds: each follows one group's for the whole time, wherever the front sends it.
+// Readers describes subscribers of change feeds. Each follows the feed of one group throughout, through whichever
+// router the load balancer chooses.
 type Readers struct {
 	Name        string  `json:"name"`
 	Subscribers int     `json:"subscribers"`
 	Class       string  `json:"class"`
-	Groups      int     `json:"groups"` // they are spread over so many; 0: all
-	Carry       bool    `json:"carry"`  // they bring their cursors
-	Twice       bool    `json:"twice"`  // each connects once more, as the same subscriber, now and then
-	Future      float64 `json:"future"` // share of the requests whose cursor is of the future
+	Groups      int     `json:"groups"` // number of groups that they are distributed over; 0: all
+	SendCursor  bool    `json:"carry"`  // they send their cursors
+	Reconnect   bool    `json:"twice"`  // each occasionally opens a second connection as the same subscriber
+	FutureShare float64 `json:"future"` // share of the requests whose cursor lies in the future
 	Address     string  `json:"address"`
 	FromS       float64 `json:"from_s"`
 }
 
-// Flood is connections that do not behave.
+// Flood describes misbehaving connections.
 type Flood struct {
 	Name        string  `json:"name"`
-	Connections int     `json:"connections"` // at a time
+	Connections int     `json:"connections"` // open at a time
 	Address     string  `json:"address"`
-	Says        string  `json:"says"`     // "nothing", "half" a startup message, or "startup" and nothing more
-	PauseMS     float64 `json:"pause_ms"` // after each end, before the next: from half of it to half as much again
+	Payload     string  `json:"says"`     // what a connection sends: "nothing", "half" (of a startup message) or "startup" (a startup message only)
+	PauseMS     float64 `json:"pause_ms"` // mean pause before a closed connection is opened again; the actual one is 0.5 to 1.5 times as long
 	FromS       float64 `json:"from_s"`
 	ToS         float64 `json:"to_s"`
 }
 
-// Event is what goes wrong, seconds after the measuring began.
+// Event is a fault, its end, or another change at a time after the measuring began.
 type Event struct {
-	AtS    float64             `json:"at_s"`
-	Do     string              `json:"do"`     // kill, stop, start, reload, pause, resume, throttle or free a router; link; kill, restart, drain, promote, slow or burden a server, or set its group's clock; Server "*": all
-	Router int                 `json:"router"` // by number, from 0
-	Server string              `json:"server"`
-	Lose   int                 `json:"lose"`   // kill: events that the next take-over loses beside what replicas lack
-	BackS  float64             `json:"back_s"` // clock: the group's clock is set back by so much
-	Times  float64             `json:"times"`  // slow, burden: so many times; throttle: such a share of its time
-	From   []int               `json:"from"`   // link: between which routers; none: all
-	To     []int               `json:"to"`
-	Link   faultinject.Link    `json:"link"`
-	Own    jsoniter.RawMessage `json:"own"` // reload: the new settings
+	AtS            float64             `json:"at_s"`
+	Do             string              `json:"do"`     // router: kill, stop, start, reload, pause, resume, throttle, free; link; server: kill, restart, drain, promote, slow, burden, clock
+	Router         int                 `json:"router"` // by number, from 0
+	Server         string              `json:"server"` // "*": all
+	LoseEvents     int                 `json:"lose"`   // kill: events that the next failover loses in addition to those that no replica has
+	ClockBackS     float64             `json:"back_s"` // clock: how far the group's clock is set back
+	Factor         float64             `json:"times"`  // slow, burden: factor; throttle: share of CPU time that the router keeps
+	From           []int               `json:"from"`   // link: the sending and, in To, the receiving routers; nil: all
+	To             []int               `json:"to"`
+	Link           faultinject.Link    `json:"link"`
+	RouterSettings jsoniter.RawMessage `json:"own"` // reload: the new content of the settings file
 }
 
-// Arm is one way of playing it.
+// Arm is one variant of the experiment.
 type Arm struct {
-	Name    string               `json:"name"`
-	Loads   []string             `json:"loads"`  // none: all
-	Floods  []string             `json:"floods"` // none: none
-	Events  []Event              `json:"events"`
-	Own     jsoniter.RawMessage  `json:"own"`         // in place of the routers' own settings
-	Members jsoniter.RawMessage  `json:"members"`     // in place of the routers'; null: off
-	Ulimit  int                  `json:"descriptors"` // that the system really grants a router; 0: as many as it is told
-	Skew    map[string][]float64 `json:"skew"`        // of loads, in place of theirs
-	Build   string               `json:"build"`       // another build of the router, by path; none: the one beside this program
+	Name           string               `json:"name"`
+	Loads          []string             `json:"loads"`  // nil: all
+	Floods         []string             `json:"floods"` // nil: none
+	Events         []Event              `json:"events"`
+	RouterSettings jsoniter.RawMessage  `json:"own"`         // replaces the routers' settings file
+	Members        jsoniter.RawMessage  `json:"members"`     // replaces Routers.Members; null: the routers form no cluster
+	OpenFileLimit  int                  `json:"descriptors"` // limit of open files of a router process; 0: as inherited, whatever its configuration says
+	Skew           map[string][]float64 `json:"skew"`        // by load, replaces Load.Skew
+	Build          string               `json:"build"`       // path of another build of the router; "": Options.Build
 }
 
-// Check compares a value, or its ratio to another, with a bound.
+// Check compares a metric, or the ratio of two metrics, with a bound.
 type Check struct {
 	Name  string   `json:"name"`
 	Value string   `json:"value"`
-	Over  string   `json:"over"` // divide by this
+	Over  string   `json:"over"` // "" or the metric that Value is divided by
 	Min   *float64 `json:"min"`
 	Max   *float64 `json:"max"`
 }
 
 // Parse reads an experiment from JSON and checks it.
 func Parse(raw []byte) (*Experiment, error) {
-	e := &Experiment{}
-	if err := strictjson.Unmarshal(raw, e); err != nil {
+	experiment := &Experiment{}
+	if err := strictjson.Unmarshal(raw, experiment); err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	check := e.check
-	if e.Soak != nil {
-		check = e.checkSoak
+	check := experiment.check
+	if experiment.Soak != nil {
+		check = experiment.checkSoak
 	}
 	if err := check(); err != nil {
-		return nil, fmt.Errorf("experiment %s: %w", e.Name, err)
+		return nil, fmt.Errorf("experiment %s: %w", experiment.Name, err)
 	}
-	return e, nil
+	return experiment, nil
 }
 
+// check validates an experiment that is not a soak.
+//
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (e *Experiment) check() error {
 	parts := map[string]bool{"routers": true, "servers": true, "members": true, "sends": true, "lanes": len(e.PriorityClasses) > 0}
-	for _, l := range e.Loads {
-		parts[l.Name] = true
+	for _, load := range e.Loads {
+		parts[load.Name] = true
 		switch {
-		case l.Name == "" || strings.Contains(l.Name, "."):
-			return errors.New("loads: one has no name, or a dot in it")
-		case l.Clients < 1:
-			return fmt.Errorf("loads: %s: clients: %d", l.Name, l.Clients)
-		case len(l.Mix) == 0:
-			return fmt.Errorf("loads: %s: mix: empty", l.Name)
+		case load.Name == "" || strings.Contains(load.Name, "."):
+			return errors.New("loads: a name is missing or contains a dot")
+		case load.Clients < 1:
+			return fmt.Errorf("loads: %s: clients is %d, must be above 0", load.Name, load.Clients)
+		case len(load.Mix) == 0:
+			return fmt.Errorf("loads: %s: mix is empty", load.Name)
 		}
-		for c := range l.Mix {
-			if _, ok := e.Classes[c]; !ok {
-				return fmt.Errorf("loads: %s: mix: no class %q", l.Name, c)
+		for class := range load.Mix {
+			if _, ok := e.Classes[class]; !ok {
+				return fmt.Errorf("loads: %s: mix: unknown class %q", load.Name, class)
 			}
 		}
 	}
-	for _, r := range e.Readers {
-		parts[r.Name] = true
-		if c, ok := e.Classes[r.Class]; r.Name == "" || r.Subscribers < 1 || !ok || c.Read != "feed" || e.Fleet.Retain < 1 {
-			return fmt.Errorf("readers: %q: subscribers %d of class %q; wanted: a class of read feed, and a fleet with retain", r.Name, r.Subscribers, r.Class)
+	for _, readers := range e.Readers {
+		parts[readers.Name] = true
+		if class, ok := e.Classes[readers.Class]; readers.Name == "" || readers.Subscribers < 1 || !ok || class.Read != "feed" || e.Fleet.Retain < 1 {
+			return fmt.Errorf("readers: %q: subscribers %d, class %q: a class with read \"feed\" and a fleet with retain are required", readers.Name, readers.Subscribers, readers.Class)
 		}
 	}
-	for _, f := range e.Floods {
-		parts[f.Name] = true
-		if f.Connections < 1 || f.Says != "nothing" && f.Says != "half" && f.Says != "startup" {
-			return fmt.Errorf("floods: %s: connections %d, says %q", f.Name, f.Connections, f.Says)
+	for _, flood := range e.Floods {
+		parts[flood.Name] = true
+		if flood.Connections < 1 || flood.Payload != "nothing" && flood.Payload != "half" && flood.Payload != "startup" {
+			return fmt.Errorf("floods: %s: connections %d, says %q", flood.Name, flood.Connections, flood.Payload)
 		}
 	}
-	for name, c := range e.Classes {
-		if len(c.WorkMS) != 2 || c.WorkMS[0] > c.WorkMS[1] || c.WaitMS <= 0 {
-			return fmt.Errorf("classes: %s: work_ms wants the least and the most, wait_ms is above 0", name)
+	for name, class := range e.Classes {
+		if len(class.WorkMS) != 2 || class.WorkMS[0] > class.WorkMS[1] || class.TimeoutMS <= 0 {
+			return fmt.Errorf("classes: %s: work_ms must be a min and a max, wait_ms must be above 0", name)
 		}
 	}
-	switch f := e.Fleet; {
+	switch flood := e.Fleet; {
 	case e.Name == "" || e.Seconds <= 0:
-		return errors.New("name or seconds: missing")
-	case f.Groups < 1 || f.Members < 1 || f.Cores < 1:
-		return errors.New("fleet: groups, members and cores are above 0")
+		return errors.New("name or seconds is missing")
+	case flood.Groups < 1 || flood.Members < 1 || flood.Cores < 1:
+		return errors.New("fleet: groups, members and cores must be above 0")
 	case e.Routers.Count < 1 || len(e.Arms) == 0 || len(e.Checks) == 0:
-		return errors.New("routers.count, arms or checks: missing")
+		return errors.New("routers.count, arms or checks is missing")
 	}
 	arms := map[string]bool{}
-	for _, a := range e.Arms {
-		arms[a.Name] = true
-		for _, n := range append(append([]string{}, a.Loads...), a.Floods...) {
-			if !parts[n] {
-				return fmt.Errorf("arms: %s: no load or flood %q", a.Name, n)
+	for _, arm := range e.Arms {
+		arms[arm.Name] = true
+		for _, name := range append(append([]string{}, arm.Loads...), arm.Floods...) {
+			if !parts[name] {
+				return fmt.Errorf("arms: %s: unknown load or flood %q", arm.Name, name)
 			}
 		}
-		for _, v := range a.Events {
+		for _, event := range arm.Events {
 			switch {
-			case v.Do == "link":
-				for _, i := range append(append([]int{}, v.From...), v.To...) {
-					if i < 0 || i >= e.Routers.Count {
-						return fmt.Errorf("arms: %s: events: no router %d", a.Name, i)
+			case event.Do == "link":
+				for _, router := range append(append([]int{}, event.From...), event.To...) {
+					if router < 0 || router >= e.Routers.Count {
+						return fmt.Errorf("arms: %s: events: unknown router %d", arm.Name, router)
 					}
 				}
-			case slices.Contains([]string{"stop", "start", "reload", "pause", "resume", "throttle", "free"}, v.Do), v.Do == "kill" && v.Server == "":
-				if v.Do == "throttle" && !(v.Times > 0 && v.Times < 1) {
-					return fmt.Errorf("arms: %s: events: throttle: times is between 0 and 1", a.Name)
+			case slices.Contains([]string{"stop", "start", "reload", "pause", "resume", "throttle", "free"}, event.Do), event.Do == "kill" && event.Server == "":
+				if event.Do == "throttle" && !(event.Factor > 0 && event.Factor < 1) {
+					return fmt.Errorf("arms: %s: events: throttle: times must be between 0 and 1", arm.Name)
 				}
-				if v.Router < 0 || v.Router >= e.Routers.Count {
-					return fmt.Errorf("arms: %s: events: no router %d", a.Name, v.Router)
+				if event.Router < 0 || event.Router >= e.Routers.Count {
+					return fmt.Errorf("arms: %s: events: unknown router %d", arm.Name, event.Router)
 				}
-			case slices.Contains([]string{"kill", "restart", "drain", "promote", "slow", "clock", "burden"}, v.Do):
+			case slices.Contains([]string{"kill", "restart", "drain", "promote", "slow", "clock", "burden"}, event.Do):
 			default:
-				return fmt.Errorf("arms: %s: events: %q can't be done", a.Name, v.Do)
+				return fmt.Errorf("arms: %s: events: unknown action %q", arm.Name, event.Do)
 			}
 		}
 	}
-	for _, c := range e.Checks {
-		if (c.Min == nil) == (c.Max == nil) {
-			return fmt.Errorf("checks: %s: one bound wanted, min or max", c.Name)
+	for _, class := range e.Checks {
+		if (class.Min == nil) == (class.Max == nil) {
+			return fmt.Errorf("checks: %s: either min or max is required", class.Name)
 		}
-		for _, v := range []string{c.Value, c.Over} {
-			f := strings.Split(v, ".")
-			if v != "" && (len(f) != 3 || !arms[f[0]] || !parts[f[1]]) {
-				return fmt.Errorf("checks: %s: %q is not arm.part.metric", c.Name, v)
+		for _, event := range []string{class.Value, class.Over} {
+			flood := strings.Split(event, ".")
+			if event != "" && (len(flood) != 3 || !arms[flood[0]] || !parts[flood[1]]) {
+				return fmt.Errorf("checks: %s: %q is not of the form arm.part.metric", class.Name, event)
 			}
 		}
 	}
 	return nil
 }
 
-func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
-func s(v float64) time.Duration  { return time.Duration(v * float64(time.Second)) }
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func seconds(v float64) time.Duration      { return time.Duration(v * float64(time.Second)) }
 
-// fleet is the description that the stand-ins take.
+// fleet returns the description of the emulated data servers.
 func (e *Experiment) fleet(seed uint64) *emulator.Fleet {
-	f := &emulator.Fleet{Note: len(e.PriorityClasses) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
-		Ship: ms(e.Fleet.ShipMS), Apply: ms(e.Fleet.ApplyMS), ColdShare: e.Fleet.ColdShare, Ramp: s(e.Fleet.RampS),
-		Takeover: ms(e.Fleet.TakeoverMS), Zones: e.Fleet.Halls, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
-	for name, c := range e.Classes {
-		f.Classes[name] = emulator.Class{Write: c.Read == "write", Session: c.Read == "session", Feed: c.Read == "feed", Bound: ms(c.BoundMS),
-			Work: [2]time.Duration{ms(c.WorkMS[0]), ms(c.WorkMS[1])}}
+	fleet := &emulator.Fleet{Note: len(e.PriorityClasses) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
+		Ship: milliseconds(e.Fleet.ReplicationMS), Apply: milliseconds(e.Fleet.ApplyMS), ColdShare: e.Fleet.ColdShare, Ramp: seconds(e.Fleet.RampS),
+		Takeover: milliseconds(e.Fleet.FailoverMS), Zones: e.Fleet.Zones, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
+	for name, class := range e.Classes {
+		fleet.Classes[name] = emulator.Class{Write: class.Read == "write", Session: class.Read == "session", Feed: class.Read == "feed", Bound: milliseconds(class.BoundMS),
+			Work: [2]time.Duration{milliseconds(class.WorkMS[0]), milliseconds(class.WorkMS[1])}}
 	}
-	return f
+	return fleet
 }
--- a/internal/experiment/flood.go
+++ b/internal/experiment/flood.go
@@ -12,49 +12,49 @@
 	"lotushook/internal/pgwire"
 )
 
-// flood plays connections that do not behave.
-func (p *play) flood(ctx context.Context, f Flood, part *part) {
-	if sleep(ctx, time.Until(p.from.Add(s(f.FromS)))) != nil && f.FromS > 0 {
+// flood opens the connections of a flood, each again after it ends.
+func (run *armRun) flood(ctx context.Context, settings Flood, part *partStats) {
+	if sleep(ctx, time.Until(run.from.Add(seconds(settings.FromS)))) != nil && settings.FromS > 0 {
 		return
 	}
-	if f.ToS > 0 {
+	if settings.ToS > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithDeadline(ctx, p.from.Add(s(f.ToS)))
+		ctx, stop = context.WithDeadline(ctx, run.from.Add(seconds(settings.ToS)))
 		defer stop()
 	}
-	end, _ := ctx.Deadline()
+	deadline, _ := ctx.Deadline()
 	startup := pgwire.AppendStartup(nil, "worker", "catalog")
-	says := map[string][]byte{"half": startup[:len(startup)/2], "startup": startup}[f.Says]
-	var all sync.WaitGroup
-	for n := range f.Connections {
-		all.Go(func() {
-			rng := rand.New(rand.NewPCG(p.o.Seed, uint64(n)))
-			b := make([]byte, 512)
+	payload := map[string][]byte{"half": startup[:len(startup)/2], "startup": startup}[settings.Payload]
+	var connections sync.WaitGroup
+	for number := range settings.Connections {
+		connections.Go(func() {
+			rng := rand.New(rand.NewPCG(run.options.Seed, uint64(number)))
+			buffer := make([]byte, 512)
 			for ctx.Err() == nil {
-				addr, err := p.front.Pick(time.Now())
+				addr, err := run.loadBalancer.Pick(time.Now())
 				if err != nil {
 					return
 				}
-				began := time.Now()
-				d := net.Dialer{Deadline: end, LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.Address)}}
-				conn, err := d.DialContext(ctx, "tcp", addr)
+				startedAt := time.Now()
+				dialer := net.Dialer{Deadline: deadline, LocalAddr: &net.TCPAddr{IP: net.ParseIP(settings.Address)}}
+				conn, err := dialer.DialContext(ctx, "tcp", addr)
 				if err == nil {
-					conn.SetDeadline(end)
-					_, _ = conn.Write(says)
-					told := false
+					conn.SetDeadline(deadline)
+					_, _ = conn.Write(payload)
+					rejected := false
 					for err == nil {
-						var n int
-						n, err = conn.Read(b)
-						told = told || n > 0 && b[0] == pgwire.ErrorResponse
+						var count int
+						count, err = conn.Read(buffer)
+						rejected = rejected || count > 0 && buffer[0] == pgwire.ErrorResponse
 					}
 					if !errors.Is(err, os.ErrDeadlineExceeded) {
-						part.ended(began, told)
+						part.ended(startedAt, rejected)
 					}
 					conn.Close()
 				}
-				_ = sleep(ctx, max(ms(f.PauseMS*(0.5+rng.Float64())), time.Millisecond))
+				_ = sleep(ctx, max(milliseconds(settings.PauseMS*(0.5+rng.Float64())), time.Millisecond))
 			}
 		})
 	}
-	all.Wait()
+	connections.Wait()
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// load plays clients that behave.
-func (p *play) load(ctx context.Context, l Load, part *part) {
-	h := fnv.New64a()
-	h.Write([]byte(l.Name))
-	names := make([]string, 0, len(l.Mix))
-	for c := range l.Mix {
-		names = append(names, c)
+// load runs the clients of a load.
+func (run *armRun) load(ctx context.Context, settings Load, part *partStats) {
+	hash := fnv.New64a()
+	hash.Write([]byte(settings.Name))
+	names := make([]string, 0, len(settings.Mix))
+	for class := range settings.Mix {
+		names = append(names, class)
 	}
 	slices.Sort(names)
-	if sleep(ctx, time.Until(p.from.Add(s(l.FromS)))) != nil && l.FromS > 0 {
+	if sleep(ctx, time.Until(run.from.Add(seconds(settings.FromS)))) != nil && settings.FromS > 0 {
 		return
 	}
-	if l.ToS > 0 {
+	if settings.ToS > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithDeadline(ctx, p.from.Add(s(l.ToS)))
+		ctx, stop = context.WithDeadline(ctx, run.from.Add(seconds(settings.ToS)))
 		defer stop()
 	}
-	var all sync.WaitGroup
-	defer all.Wait()
-	one := func(n int) *caller {
-		return &caller{play: p, load: &l, part: part, names: names, fresh: float64(n) < l.Fresh*float64(l.Clients),
-			rng: rand.New(rand.NewPCG(p.o.Seed, h.Sum64()+uint64(n))), number: n}
+	var clients sync.WaitGroup
+	defer clients.Wait()
+	newClient := func(index int) *loadClient {
+		return &loadClient{armRun: run, load: &settings, part: part, names: names, reconnects: float64(index) < settings.ReconnectShare*float64(settings.Clients),
+			rng: rand.New(rand.NewPCG(run.options.Seed, hash.Sum64()+uint64(index))), number: index}
 	}
-	if l.PerS == 0 {
-		for n := range l.Clients {
-			all.Go(func() {
-				c := one(n)
-				defer c.hangUp()
+	if settings.PerS == 0 {
+		for index := range settings.Clients {
+			clients.Go(func() {
+				client := newClient(index)
+				defer client.disconnect()
 				for ctx.Err() == nil {
-					if pause := max(c.once(ctx), ms(l.PauseMS)); pause > 0 {
+					if pause := max(client.runRequest(ctx), milliseconds(settings.PauseMS)); pause > 0 {
 						_ = sleep(ctx, pause)
 					}
 				}
@@ -46,31 +46,31 @@
 		}
 		return
 	}
-	// Requests come by themselves; a free client takes each.
-	idle := make(chan *caller, l.Clients)
-	for n := range l.Clients {
-		idle <- one(n)
+	// Requests arrive independently of the answers; each is made by an idle client.
+	idle := make(chan *loadClient, settings.Clients)
+	for index := range settings.Clients {
+		idle <- newClient(index)
 	}
-	rng, next := rand.New(rand.NewPCG(p.o.Seed, h.Sum64()-1)), time.Now()
-	unsent := rand.New(rand.NewPCG(p.o.Seed, h.Sum64()-2)) // apart from the arrivals, which are the same in all arms
+	rng, next := rand.New(rand.NewPCG(run.options.Seed, hash.Sum64()-1)), time.Now()
+	unsent := rand.New(rand.NewPCG(run.options.Seed, hash.Sum64()-2)) // a separate generator, so that the arrivals are the same in all arms
 	for ctx.Err() == nil {
-		next = next.Add(s(rng.ExpFloat64() / l.PerS))
+		next = next.Add(seconds(rng.ExpFloat64() / settings.PerS))
 		if sleep(ctx, time.Until(next)) != nil {
 			break
 		}
 		select {
-		case c := <-idle:
-			all.Go(func() {
-				c.once(ctx)
-				idle <- c
+		case client := <-idle:
+			clients.Go(func() {
+				client.runRequest(ctx)
+				idle <- client
 			})
-		default: // the request can't even be sent; it is one of the mix like others, and counts as such
-			class := l.class(names, unsent)
-			part.done(class, p.e.Classes[class], time.Now(), waiting, "")
+		default: // no client is idle: the request counts as a request of the mix that could not be sent
+			class := settings.drawClass(names, unsent)
+			part.done(class, run.experiment.Classes[class], time.Now(), waiting, "")
 		}
 	}
-	all.Wait()
-	for range l.Clients {
-		(<-idle).hangUp()
+	clients.Wait()
+	for range settings.Clients {
+		(<-idle).disconnect()
 	}
 }
--- a/internal/experiment/membership_test.go
+++ b/internal/experiment/membership_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	_ = flag.Set("test.parallel", "12") // they wait for each other's silence, not for cores
+	_ = flag.Set("test.parallel", "12") // the tests mostly wait for timeouts and need few cores
 	code := 1
 	dir, err := os.MkdirTemp("", "lab")
 	if err == nil {
@@ -37,36 +37,36 @@
 	os.Exit(code)
 }
 
-// played runs one arm of five routers without clients; faults are events as an experiment has them.
-func played(t *testing.T, seconds float64, members, faults string) (map[string]float64, []Seen) {
+// runMembers runs one arm of five routers without clients and returns its metrics and view changes; faults are events.
+func runMembers(t *testing.T, seconds float64, members, faults string) (map[string]float64, []ViewChange) {
 	t.Helper()
 	platform := strings.Replace(nettest.Settings, `"balancers":1`, `"balancers":5`, 1)
 	text := fmt.Sprintf(`{"name":"m","seconds":%v,"settle":4,"platform":%s,"classes":{},
 		"fleet":{"groups":1,"members":1,"cores":1,"queue":4},"routers":{"count":5,"cores":1,"memory_mb":48,"sockets":256,"members":%s},
 		"arms":[{"name":"a","events":[%s]}],"checks":[{"name":"wrong","value":"a.members.false_deaths","max":0}]}`, seconds, platform, members, faults)
-	e, err := Parse([]byte(text))
+	experiment, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(context.Background(), e, Options{Seed: 1, Dir: t.TempDir(), Build: program})
+	result, err := Run(context.Background(), experiment, Options{Seed: 1, Dir: t.TempDir(), Build: program})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Ended) > 0 {
-		t.Error(r.Ended)
+	if len(result.Ended) > 0 {
+		t.Error(result.Ended)
 	}
-	return r.Arms["a"]["members"], r.Views["a"]
+	return result.Arms["a"]["members"], result.Views["a"]
 }
 
-const quick = `{"period_ms":100,"wait_ms":40,"least_doubt_ms":500,"most_doubt_ms":1500}`
+const fastProbing = `{"period_ms":100,"wait_ms":40,"least_doubt_ms":500,"most_doubt_ms":1500}`
 
-// Faults between processes, what the views must be in the end, and what they must never be.
+// TestProcesses checks the routers' views during and after faults of links and processes.
 func TestProcesses(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, faults string
 		seconds      float64
 		agreed       float64 // whether all views must be right at the end
-		never        string  // "3 dead": no view may ever have it so
+		never        string  // "3 dead": no view may ever show router 3 as dead; "dead": any router
 	}{
 		{"calm", "", 2, 1, "dead"},
 		{"a third of all messages lost", `{"at_s":0,"do":"link","link":{"loss":0.3,"double":0.1,"reorder":0.1}},{"at_s":5,"do":"link"}`, 9, 1, "dead"},
@@ -79,38 +79,39 @@
 		{"leaves", `{"at_s":0,"do":"stop","router":2}`, 5, 1, "2 suspect"},
 		{"slow", `{"at_s":0,"do":"throttle","router":1,"times":0.2},{"at_s":5,"do":"free","router":1}`, 10, 1, "0 dead"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			m, views := played(t, c.seconds, quick, c.faults)
-			if m["false_deaths"] > 0 || m["fallen"] > 0 || m["parts_over"] > 0 || m["unnoticed"] > 0 || m["agreed"] != c.agreed {
-				t.Errorf("%v", m)
+			metrics, views := runMembers(t, test.seconds, fastProbing, test.faults)
+			if metrics["false_deaths"] > 0 || metrics["fallen"] > 0 || metrics["parts_over"] > 0 || metrics["unnoticed"] > 0 || metrics["agreed"] != test.agreed {
+				t.Errorf("%v", metrics)
 			}
-			if m["sent_per_s"] <= 0 || m["sent_per_s"] > 60 {
-				t.Errorf("%v messages a second", m["sent_per_s"])
+			if metrics["sent_per_s"] <= 0 || metrics["sent_per_s"] > 60 {
+				t.Errorf("%v messages a second", metrics["sent_per_s"])
 			}
-			of, state, one := strings.Cut(c.never, " ")
-			for _, v := range views {
-				if v.Of >= 0 && v.Router != v.Of && (one && fmt.Sprint(v.Of) == of && v.State == state || !one && of != "" && v.State == of) {
-					t.Errorf("at %.1f s: %d has %d as %s", v.AtS, v.Router, v.Of, v.State)
+			subject, state, hasSubject := strings.Cut(test.never, " ")
+			for _, change := range views {
+				if change.Subject >= 0 && change.Router != change.Subject && (hasSubject && fmt.Sprint(change.Subject) == subject && change.State == state || !hasSubject && subject != "" && change.State == subject) {
+					t.Errorf("at %.1f s: %d has %d as %s", change.AtS, change.Router, change.Subject, change.State)
 				}
 			}
 		})
 	}
 }
 
-// The audit can fail: plain SWIM, over links that lose half of all messages, calls routers dead that serve.
+// TestAuditFails checks that the audit finds false deaths: plain SWIM declares serving routers dead when links lose
+// half of all messages.
 func TestAuditFails(t *testing.T) {
 	t.Parallel()
-	m, _ := played(t, 6, `{"corrections":false,"period_ms":100,"wait_ms":40,"least_doubt_ms":200,"most_doubt_ms":300}`, `{"at_s":0,"do":"link","link":{"loss":0.5}}`)
-	if m["false_deaths"] == 0 {
-		t.Errorf("%v", m)
+	metrics, _ := runMembers(t, 6, `{"corrections":false,"period_ms":100,"wait_ms":40,"least_doubt_ms":200,"most_doubt_ms":300}`, `{"at_s":0,"do":"link","link":{"loss":0.5}}`)
+	if metrics["false_deaths"] == 0 {
+		t.Errorf("%v", metrics)
 	}
 }
 
-// roamed plays clients whose sessions come to another router with each request and bring no commit, over replicas that have a
-// write only long after its answer. It returns how many session reads were as of before their session's last write, and what
-// each router that is up at the end says of its copy.
-func roamed(t *testing.T, modes, faults string) (reads, stale float64, r *Result) {
+// runRoaming runs clients whose sessions use another router for each request and send no position, while replicas
+// receive a write long after its answer. It returns the number of session reads after a write, how many of them missed
+// the session's last write, and the result of the experiment.
+func runRoaming(t *testing.T, modes, faults string) (reads, stale float64, result *Result) {
 	t.Helper()
 	platform := strings.NewReplacer(`"balancers":1`, `"balancers":4`, `"x1","active"`, `"x1","inflight"`).Replace(nettest.Settings)
 	text := fmt.Sprintf(`{"name":"o","seconds":6,"settle":3,"platform":%s,
@@ -119,51 +120,52 @@
 		"routers":{"count":4,"cores":1,"memory_mb":48,"sockets":256,"notice_ms":200,"members":{"period_ms":100,"wait_ms":40,"least_doubt_ms":500,"most_doubt_ms":1500,%s}},
 		"loads":[{"name":"roaming","clients":10,"pause_ms":250,"fresh":1,"forget":true,"address":"127.0.0.62","mix":{"own":0.6,"write":0.4}}],
 		"arms":[{"name":"a","events":[%s]}],"checks":[{"name":"stale","value":"a.servers.stale_reads","max":0}]}`, platform, modes, faults)
-	e, err := Parse([]byte(text))
+	experiment, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err = Run(context.Background(), e, Options{Seed: 3, Dir: t.TempDir(), Build: program}); err != nil {
+	if result, err = Run(context.Background(), experiment, Options{Seed: 3, Dir: t.TempDir(), Build: program}); err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Ended) > 0 {
-		t.Error(r.Ended)
+	if len(result.Ended) > 0 {
+		t.Error(result.Ended)
 	}
-	return r.Arms["a"]["servers"]["own_reads"], r.Arms["a"]["servers"]["stale_reads"], r
+	return result.Arms["a"]["servers"]["own_reads"], result.Arms["a"]["servers"]["stale_reads"], result
 }
 
-// In mode one no session misses its own write while links lose 30% and a router is killed; with commits not
-// shared the same play shows what the audit sees.
+// TestOwnWrites checks that in mode one no session misses its own write while links lose 30% of the messages and a
+// router is killed. With positions not shared between routers, the audit must find stale reads.
 func TestOwnWrites(t *testing.T) {
 	const faults = `{"at_s":0,"do":"link","link":{"loss":0.3}},{"at_s":2,"do":"kill","router":2}`
 	t.Run("one", func(t *testing.T) {
 		t.Parallel()
-		reads, stale, r := roamed(t, `"share":true,"modes":{"classes":{"write":"one"},"wait_ms":3000}`, faults)
-		m := r.Arms["a"]["members"]
-		t.Logf("%v session reads after a write, %v stale; %v", reads, stale, m)
-		// On a slow machine a word may come after the wait is over: that answer went out without, and is counted.
-		if reads < 20 || stale > 0 && m["waits_over"] == 0 || m["waits_over"] > m["waits_came"]/5 || m["waits_came"] < 10 {
-			t.Errorf("%v session reads after a write, %v stale; %v", reads, stale, m)
+		reads, stale, result := runRoaming(t, `"share":true,"modes":{"classes":{"write":"one"},"wait_ms":3000}`, faults)
+		metrics := result.Arms["a"]["members"]
+		t.Logf("%v session reads after a write, %v stale; %v", reads, stale, metrics)
+		// On a slow machine the wait for an acknowledgement may time out. Such answers are counted.
+		if reads < 20 || stale > 0 && metrics["waits_over"] == 0 || metrics["waits_over"] > metrics["waits_came"]/5 || metrics["waits_came"] < 10 {
+			t.Errorf("%v session reads after a write, %v stale; %v", reads, stale, metrics)
 		}
 	})
 	t.Run("off", func(t *testing.T) {
 		t.Parallel()
-		if reads, stale, r := roamed(t, `"share":true,"modes":{"default":"off"}`, ""); stale == 0 {
-			t.Errorf("%v session reads after a write, none stale: the audit sees nothing: %v %v", reads, r.Arms["a"]["servers"], r.Arms["a"]["roaming"])
+		if reads, stale, result := runRoaming(t, `"share":true,"modes":{"default":"off"}`, ""); stale == 0 {
+			t.Errorf("%v session reads after a write, none stale: the audit finds nothing: %v %v", reads, result.Arms["a"]["servers"], result.Arms["a"]["roaming"])
 		}
 	})
 }
 
-// A router's addresses for clients and for other routers have different hosts, so that their ports, drawn one after the other and let go, can't
-// be the same: TestProcesses failed now and then as an address was in use.
+// TestRoutersListenOnHostsOfTheirOwn checks that a router has different hosts for clients and for other routers. Their
+// ports are chosen and released one after the other, so on one host they could be equal: TestProcesses sometimes failed
+// as an address was in use.
 func TestRoutersListenOnHostsOfTheirOwn(t *testing.T) {
-	seen := map[string]bool{}
+	hosts := map[string]bool{}
 	for run := range uint32(3) {
-		for n := range 7 {
-			seen[hostOf(run, n)], seen[memberHostOf(run, n)] = true, true
+		for router := range 7 {
+			hosts[clientHost(run, router)], hosts[memberHost(run, router)] = true, true
 		}
 	}
-	if want := 3 * 7 * 2; len(seen) != want {
-		t.Errorf("%d hosts, want %d", len(seen), want)
+	if want := 3 * 7 * 2; len(hosts) != want {
+		t.Errorf("%d hosts, want %d", len(hosts), want)
 	}
 }
--- a/internal/experiment/memory_test.go
+++ b/internal/experiment/memory_test.go
@@ -7,48 +7,50 @@
 	"lotushook/internal/emulator"
 )
 
-// Clients that take no answer don't take the router's memory: it stays within the platform's limit.
+// TestMemoryOfAnswersThatNobodyTakes checks that the router stays within its memory limit when 200 clients don't read
+// their answers.
 //
-// What happens: each answer is held in memory, once as it came and once more in its client's buffer, until its client has taken it or five
-// seconds are over, and no quota counts either. What shows it: the router's greatest resident size, with 200 clients that read nothing.
+// An answer stays in memory twice, as it was received and in its client's buffer, until the client has read it or five
+// seconds have elapsed. If no quota counts these copies, the
+// router's maximum resident size exceeds the limit.
 func TestMemoryOfAnswersThatNobodyTakes(t *testing.T) {
 	const (
 		clients    = 200
-		valueBytes = 1<<20 - 4<<10 // the longest value that the router takes, less what stands round it
-		memoryMB   = 32            // the least that the platform gives a router
+		valueBytes = 1<<20 - 4<<10 // the longest value that the router accepts, less the framing
+		memoryMB   = 32            // the minimum memory of a router on the platform
 	)
-	e := soakExperiment(t)
-	profile := &e.Soak.Profiles[0]
-	e.Platform, e.Classes = profile.Platform, profile.Classes
-	e.Routers.MemoryMB, e.Routers.Sockets = memoryMB, 512
-	fleet := e.fleet(1)
+	experiment := soakExperiment(t)
+	profile := &experiment.Soak.Profiles[0]
+	experiment.Platform, experiment.Classes = profile.Platform, profile.Classes
+	experiment.Routers.MemoryMB, experiment.Routers.Sockets = memoryMB, 512
+	fleet := experiment.fleet(1)
 	fleet.Classes["katalog-lesen"] = emulator.Class{Bound: time.Second, Value: valueBytes}
 	running, err := fleet.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer running.Stop()
-	router, err := newProcess(e, &Arm{}, shipped(t), t.TempDir(), 0, 1, running.Agent.Addr(), running.Agent.List(), nil, runs.Add(1))
+	router, err := newProcess(experiment, &Arm{}, buildShipped(t), t.TempDir(), 0, 1, running.Agent.Addr(), running.Agent.List(), nil, runNumbers.Add(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer router.end()
-	for i := range clients {
-		conn, err := dial(router.addr, "", "worker", time.Now().Add(startFor))
+	defer router.terminate()
+	for index := range clients {
+		conn, err := dial(router.addr, "", "worker", time.Now().Add(startTimeout))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.conn.Close()
-		r := &request{id: "r" + string(rune('a'+i%26)) + string(rune('a'+i/26)), class: "katalog-lesen", oid: "a", group: int64(1 + i%e.Fleet.Groups), wait: time.Second}
-		if _, err := conn.conn.Write(r.query()); err != nil {
+		req := &request{id: "r" + string(rune('a'+index%26)) + string(rune('a'+index/26)), class: "katalog-lesen", objectID: "a", group: int64(1 + index%experiment.Fleet.Groups), timeout: time.Second}
+		if _, err := conn.conn.Write(req.query()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(3 * time.Second) // the answers have come by then; until five are over their clients may take them
-	if _, most := memory(router.pid()); most > memoryMB {
-		t.Errorf("%.1f MB resident at the most, %d MB are the limit", most, memoryMB)
+	time.Sleep(3 * time.Second) // the answers have arrived by then, and their clients may still read them until five seconds have elapsed
+	if _, peak := memory(router.pid()); peak > memoryMB {
+		t.Errorf("maximum resident memory %.1f MB, limit %d MB", peak, memoryMB)
 	}
-	if n := running.Audit().Requests; n < clients/2 {
-		t.Errorf("only %d requests came to data servers", n)
+	if count := running.Audit().Requests; count < clients/2 {
+		t.Errorf("only %d requests reached data servers", count)
 	}
 }
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -10,99 +10,99 @@
 	"lotushook/internal/emulator"
 )
 
-// part is what was seen of one load or flood.
-type part struct {
+// partStats collects the results of one load or flood as its clients saw them.
+type partStats struct {
 	mu                 sync.Mutex
-	from               time.Time // what began before it does not count
+	from               time.Time // requests that began earlier are not counted
 	until              time.Time
 	span               time.Duration
-	counts             [outcomes]int
+	outcomeCounts      [outcomes]int
 	classes            map[string]*classCounts
-	durations          *hdrhistogram.Histogram // µs, of what was served, or of a flood's waiting
-	requestedWeight    float64                 // asked
-	earned             float64
-	byTerms            int // refused by a contract, as the refusal says
-	rejectedWithReason int // of a flood: heard why
-	closedSilently     int // closed without a word
+	durations          *hdrhistogram.Histogram // µs; of served requests, or of the connections of a flood
+	requestedWeight    float64                 // weight of all requests
+	weightInObjective  float64                 // weight of the requests that were served within the objective of their class
+	rejectedByContract int                     // rejected by a contract, according to the error message
+	rejectedWithReason int                     // of a flood: connections that were rejected with an error message
+	closedSilently     int                     // of a flood: connections that were closed without an error message
 	seconds            []second
 }
 
 // classCounts counts the requests of one class.
-type classCounts struct{ requested, served, inObjective, refused int }
+type classCounts struct{ requested, served, inObjective, rejected int }
 
 // second is one second of an arm, for the charts.
 type second struct {
-	requested, served, refused, inObjective int
-	weight                                  float64 // of inAim
+	requested, served, rejected, inObjective int
+	weight                                   float64 // of the requests in inObjective
 }
 
-func newPart(from time.Time, span time.Duration) *part {
-	return &part{from: from, until: from.Add(span), span: span, classes: map[string]*classCounts{}, durations: hdrhistogram.New(1, 60e6, 3),
+func newPartStats(from time.Time, span time.Duration) *partStats {
+	return &partStats{from: from, until: from.Add(span), span: span, classes: map[string]*classCounts{}, durations: hdrhistogram.New(1, 60e6, 3),
 		seconds: make([]second, int(span/time.Second)+1)}
 }
 
-// at is the second in which something began, nil outside the measured time.
-func (p *part) at(t time.Time) *second {
-	if t.Before(p.from) || !t.Before(p.until) {
+// secondOf returns the second that a time falls into, or nil if it lies outside the measured time.
+func (stats *partStats) secondOf(at time.Time) *second {
+	if at.Before(stats.from) || !at.Before(stats.until) {
 		return nil
 	}
-	return &p.seconds[int(t.Sub(p.from)/time.Second)]
+	return &stats.seconds[int(at.Sub(stats.from)/time.Second)]
 }
 
-// done notes the end of a request that began at some time.
-func (p *part) done(class string, c Class, began time.Time, o outcome, why string) {
-	took := time.Since(began)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	sec := p.at(began)
-	if sec == nil {
+// done counts a request that began at a time and has ended.
+func (stats *partStats) done(class string, settings Class, startedAt time.Time, result outcome, message string) {
+	elapsed := time.Since(startedAt)
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	second := stats.secondOf(startedAt)
+	if second == nil {
 		return
 	}
-	t := p.classes[class]
-	if t == nil {
-		t = &classCounts{}
-		p.classes[class] = t
+	counts := stats.classes[class]
+	if counts == nil {
+		counts = &classCounts{}
+		stats.classes[class] = counts
 	}
-	t.requested++
-	sec.requested++
-	p.counts[o]++
-	p.requestedWeight += c.Worth
-	switch o {
+	counts.requested++
+	second.requested++
+	stats.outcomeCounts[result]++
+	stats.requestedWeight += settings.Weight
+	switch result {
 	case served:
-		t.served++
-		sec.served++
-		_ = p.durations.RecordValue(max(1, took.Microseconds()))
-		if c.AimMS == 0 || took <= ms(c.AimMS) {
-			t.inObjective++
-			sec.inObjective++
-			sec.weight += c.Worth
-			p.earned += c.Worth
+		counts.served++
+		second.served++
+		_ = stats.durations.RecordValue(max(1, elapsed.Microseconds()))
+		if settings.ObjectiveMS == 0 || elapsed <= milliseconds(settings.ObjectiveMS) {
+			counts.inObjective++
+			second.inObjective++
+			second.weight += settings.Weight
+			stats.weightInObjective += settings.Weight
 		}
-	case refused:
-		sec.refused++
-		t.refused++
-		if strings.Contains(why, "(contracts") {
-			p.byTerms++
+	case rejected:
+		second.rejected++
+		counts.rejected++
+		if strings.Contains(message, "(contracts") {
+			stats.rejectedByContract++
 		}
 	}
 }
 
-// ended notes the end of one of a flood's connections.
-func (p *part) ended(began time.Time, told bool) {
-	took := time.Since(began)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	sec := p.at(began)
-	if sec == nil {
+// ended counts a connection of a flood that has ended.
+func (stats *partStats) ended(startedAt time.Time, withReason bool) {
+	elapsed := time.Since(startedAt)
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	second := stats.secondOf(startedAt)
+	if second == nil {
 		return
 	}
-	sec.requested++
-	_ = p.durations.RecordValue(max(1, took.Microseconds()))
-	if told {
-		p.rejectedWithReason++
-		sec.refused++
+	second.requested++
+	_ = stats.durations.RecordValue(max(1, elapsed.Microseconds()))
+	if withReason {
+		stats.rejectedWithReason++
+		second.rejected++
 	} else {
-		p.closedSilently++
+		stats.closedSilently++
 	}
 }
 
@@ -113,45 +113,45 @@
 	return a / b
 }
 
-// metrics are a load's or a flood's figures.
-func (p *part) metrics() map[string]float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	m := map[string]float64{}
-	for _, q := range []struct {
-		name string
-		q    float64
+// metrics returns the metrics of a load or flood.
+func (stats *partStats) metrics() map[string]float64 {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
+	metrics := map[string]float64{}
+	for _, quantile := range []struct {
+		name    string
+		percent float64
 	}{{"p50_ms", 50}, {"p90_ms", 90}, {"p99_ms", 99}} {
-		m[q.name] = float64(p.durations.ValueAtQuantile(q.q)) / 1e3
+		metrics[quantile.name] = float64(stats.durations.ValueAtQuantile(quantile.percent)) / 1e3
 	}
-	if n := p.rejectedWithReason + p.closedSilently; n > 0 {
-		m["ended"], m["told"], m["told_share"] = float64(n), float64(p.rejectedWithReason), ratio(float64(p.rejectedWithReason), float64(n))
-		return m
+	if count := stats.rejectedWithReason + stats.closedSilently; count > 0 {
+		metrics["ended"], metrics["told"], metrics["told_share"] = float64(count), float64(stats.rejectedWithReason), ratio(float64(stats.rejectedWithReason), float64(count))
+		return metrics
 	}
-	asked, inAim := 0, 0
-	for o, n := range p.counts {
-		asked += n
-		m[outcomeNames[o]] = float64(n)
+	requested, inObjective := 0, 0
+	for result, count := range stats.outcomeCounts {
+		requested += count
+		metrics[outcomeNames[result]] = float64(count)
 	}
-	for class, t := range p.classes {
-		inAim += t.inObjective
-		m[class+"_asked"] = float64(t.requested)
-		m[class+"_served_per_s"] = float64(t.served) / p.span.Seconds()
-		m[class+"_refused"] = float64(t.refused)
-		m[class+"_aim_share"] = ratio(float64(t.inObjective), float64(t.requested))
+	for class, counts := range stats.classes {
+		inObjective += counts.inObjective
+		metrics[class+"_asked"] = float64(counts.requested)
+		metrics[class+"_served_per_s"] = float64(counts.served) / stats.span.Seconds()
+		metrics[class+"_refused"] = float64(counts.rejected)
+		metrics[class+"_aim_share"] = ratio(float64(counts.inObjective), float64(counts.requested))
 	}
-	m["asked"], m["by_contract"] = float64(asked), float64(p.byTerms)
-	m["served_per_s"] = float64(p.counts[served]) / p.span.Seconds()
-	m["served_share"] = ratio(m["served"], m["asked"])
-	m["refused_share"] = ratio(m["refused"], m["asked"])
-	m["aim_share"] = ratio(float64(inAim), m["asked"])
-	m["worth_share"] = ratio(p.earned, p.requestedWeight)
-	return m
+	metrics["asked"], metrics["by_contract"] = float64(requested), float64(stats.rejectedByContract)
+	metrics["served_per_s"] = float64(stats.outcomeCounts[served]) / stats.span.Seconds()
+	metrics["served_share"] = ratio(metrics["served"], metrics["asked"])
+	metrics["refused_share"] = ratio(metrics["refused"], metrics["asked"])
+	metrics["aim_share"] = ratio(float64(inObjective), metrics["asked"])
+	metrics["worth_share"] = ratio(stats.weightInObjective, stats.requestedWeight)
+	return metrics
 }
 
-// audited are the data servers' figures.
-func audited(a emulator.Audit, requests float64) map[string]float64 {
-	return map[string]float64{"requests": float64(a.Requests), "writes": float64(a.Writes), "dropped": float64(a.Dropped),
-		"doubled": float64(a.Doubled), "misses": float64(a.Misses), "turned_away": float64(a.Rejected),
-		"own_reads": float64(a.OwnReads), "stale_reads": float64(a.Stale), "probes": float64(a.Probes), "late": float64(a.Late), "feed_reads": float64(a.FeedReads), "attempts_per_request": ratio(float64(a.Requests), requests)}
+// serverMetrics returns the metrics of the data servers.
+func serverMetrics(audit emulator.Audit, requests float64) map[string]float64 {
+	return map[string]float64{"requests": float64(audit.Requests), "writes": float64(audit.Writes), "dropped": float64(audit.Dropped),
+		"doubled": float64(audit.Doubled), "misses": float64(audit.Misses), "turned_away": float64(audit.Rejected),
+		"own_reads": float64(audit.OwnReads), "stale_reads": float64(audit.Stale), "probes": float64(audit.Probes), "late": float64(audit.Late), "feed_reads": float64(audit.FeedReads), "attempts_per_request": ratio(float64(audit.Requests), requests)}
 }
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -21,58 +21,58 @@
 )
 
 const (
-	startFor = 10 * time.Second
-	stopFor  = 15 * time.Second
+	startTimeout = 10 * time.Second
+	stopTimeout  = 15 * time.Second
 )
 
-// process is one router.
+// process is one router process; it keeps its name and address when it is restarted.
 type process struct {
-	name, addr   string
-	build        string
-	dir, own     string
-	config       string
-	ulimit       int
-	cmd          *exec.Cmd
-	ended        chan error
-	lastLine     string // of its log, once it has ended
-	startMB      float64
-	maxMemoryMB  float64
-	cpu          time.Duration
-	crashed      string // how it ended by itself
-	log          *os.File
-	mu           sync.Mutex
-	killed, stop bool
-	undo         func() // ends a fault that is on the process; nil: there is none
+	name, addr        string
+	program           string
+	dir, settingsFile string
+	config            string
+	openFileLimit     int
+	cmd               *exec.Cmd
+	ended             chan error
+	lastLine          string // the last line of its log, once it has ended
+	startMB           float64
+	maxMemoryMB       float64
+	cpu               time.Duration
+	crashed           string // how it ended without having been told to; "": it did not
+	log               *os.File
+	mu                sync.Mutex
+	killed, stopping  bool
+	removeFault       func() // removes the fault that the process has; nil: it has none
 }
 
-// newProcess writes the files of one router and starts it.
-func newProcess(e *Experiment, arm *Arm, build, dir string, n int, seed uint64, agent, list string, f *memberCluster, run uint32) (*process, error) {
-	p, err := prepareProcess(e, arm, build, dir, n, seed, agent, list, f, run)
+// newProcess writes the files of a router, starts it and waits until it serves.
+func newProcess(experiment *Experiment, arm *Arm, program, dir string, number int, seed uint64, agent, list string, cluster *memberCluster, runNumber uint32) (*process, error) {
+	router, err := prepareProcess(experiment, arm, program, dir, number, seed, agent, list, cluster, runNumber)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.start()
+	return router, router.start()
 }
 
-// prepareProcess writes the files of one router.
-func prepareProcess(e *Experiment, arm *Arm, build, dir string, n int, seed uint64, agent, list string, f *memberCluster, run uint32) (*process, error) {
-	p := &process{name: routerName(n), build: build, dir: dir, ulimit: arm.Ulimit}
-	own := e.Routers.Own
-	if arm.Own != nil {
-		own = arm.Own
+// prepareProcess writes the files of a router.
+func prepareProcess(experiment *Experiment, arm *Arm, program, dir string, number int, seed uint64, agent, list string, cluster *memberCluster, runNumber uint32) (*process, error) {
+	router := &process{name: routerName(number), program: program, dir: dir, openFileLimit: arm.OpenFileLimit}
+	settings := experiment.Routers.RouterSettings
+	if arm.RouterSettings != nil {
+		settings = arm.RouterSettings
 	}
-	if f != nil {
+	if cluster != nil {
 		var err error
-		if own, err = f.settings(own, n); err != nil {
+		if settings, err = cluster.settings(settings, number); err != nil {
 			return nil, err
 		}
 	}
-	at, err := freeOn(hostOf(run, n))
+	address, err := freeAddress(clientHost(runNumber, number))
 	if err != nil {
 		return nil, err
 	}
-	p.addr = at.String()
-	conf := struct {
+	router.addr = address.String()
+	config := struct {
 		Name      string              `json:"name"`
 		Listen    string              `json:"listen"`
 		Discovery string              `json:"discovery"`
@@ -80,230 +80,232 @@
 		Limits    map[string]any      `json:"limits"`
 		Known     jsoniter.RawMessage `json:"known"`
 		Settings  jsoniter.RawMessage `json:"settings"`
-	}{p.name, p.addr, agent, fmt.Sprintf("%016x", seed+uint64(n)),
-		map[string]any{"cores": e.Routers.Cores, "memory_mb": e.Routers.MemoryMB, "sockets": e.Routers.Sockets},
-		jsoniter.RawMessage(list), e.Platform}
-	raw, err := jsoniter.Marshal(conf)
+	}{router.name, router.addr, agent, fmt.Sprintf("%016x", seed+uint64(number)),
+		map[string]any{"cores": experiment.Routers.Cores, "memory_mb": experiment.Routers.MemoryMB, "sockets": experiment.Routers.Sockets},
+		jsoniter.RawMessage(list), experiment.Platform}
+	raw, err := jsoniter.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	p.config = filepath.Join(dir, p.name+".json")
-	if err := os.WriteFile(p.config, raw, 0o644); err != nil {
+	router.config = filepath.Join(dir, router.name+".json")
+	if err := os.WriteFile(router.config, raw, 0o644); err != nil {
 		return nil, err
 	}
-	if own != nil && string(own) != "null" {
-		p.own = filepath.Join(dir, p.name+"-own.json")
-		if err := os.WriteFile(p.own, own, 0o644); err != nil {
+	if settings != nil && string(settings) != "null" {
+		router.settingsFile = filepath.Join(dir, router.name+"-own.json")
+		if err := os.WriteFile(router.settingsFile, settings, 0o644); err != nil {
 			return nil, err
 		}
 	}
-	if p.log, err = os.OpenFile(filepath.Join(dir, p.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644); err != nil {
+	if router.log, err = os.OpenFile(filepath.Join(dir, router.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return router, nil
 }
 
-var serving = regexp.MustCompile(`msg=serving `)
+var servingMessage = regexp.MustCompile(`msg=serving `)
 
-// start runs the program and waits until it serves.
-func (p *process) start() error {
-	ready, err := p.launch()
+// start runs the router and waits until it serves.
+func (router *process) start() error {
+	ready, err := router.launch()
 	if err != nil {
 		return err
 	}
-	if err := p.awaitReady(ready); err != nil {
+	if err := router.awaitReady(ready); err != nil {
 		return err
 	}
-	p.startMB, _ = memory(p.pid())
+	router.startMB, _ = memory(router.pid())
 	return nil
 }
 
-// launch runs the program; ready is closed once its log says that it serves.
-func (p *process) launch() (ready <-chan struct{}, err error) {
+// launch runs the router; ready is closed once its log says that it serves.
+func (router *process) launch() (ready <-chan struct{}, err error) {
 	args := []string{"serve"}
-	if p.own != "" {
-		args = append(args, "--settings", p.own)
+	if router.settingsFile != "" {
+		args = append(args, "--settings", router.settingsFile)
 	}
-	cmd := exec.Command(p.build, args...)
-	if p.ulimit > 0 {
-		cmd = exec.Command("sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, p.ulimit), p.build}, args...)...)
+	cmd := exec.Command(router.program, args...)
+	if router.openFileLimit > 0 {
+		cmd = exec.Command("sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, router.openFileLimit), router.program}, args...)...)
 	}
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.config)
-	out, err := cmd.StderrPipe()
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+router.config)
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("router %s: %w", p.name, err)
+		return nil, fmt.Errorf("router %s: %w", router.name, err)
 	}
-	served, ended := make(chan struct{}), make(chan error, 1)
-	p.mu.Lock()
-	p.cmd, p.ended, p.killed, p.stop, p.lastLine = cmd, ended, false, false, ""
-	p.mu.Unlock()
-	go p.follow(cmd, out, served, ended)
-	return served, nil
+	serving, ended := make(chan struct{}), make(chan error, 1)
+	router.mu.Lock()
+	router.cmd, router.ended, router.killed, router.stopping, router.lastLine = cmd, ended, false, false, ""
+	router.mu.Unlock()
+	go router.follow(cmd, stderr, serving, ended)
+	return serving, nil
 }
 
-// follow copies the process's log until it ends, and notes how it ended.
-func (p *process) follow(cmd *exec.Cmd, out io.Reader, served chan<- struct{}, ended chan<- error) {
-	lines, told := bufio.NewScanner(out), false
+// follow copies the log of a process until it ends, and records how it ended.
+func (router *process) follow(cmd *exec.Cmd, stderr io.Reader, serving chan<- struct{}, ended chan<- error) {
+	lines, closed := bufio.NewScanner(stderr), false
 	last, panicked := "", ""
 	for lines.Scan() {
-		fmt.Fprintln(p.log, lines.Text())
+		fmt.Fprintln(router.log, lines.Text())
 		last = lines.Text()
-		if panicked == "" && strings.HasPrefix(last, "panic: ") { // its stack follows, and says less in its last line
+		if panicked == "" && strings.HasPrefix(last, "panic: ") { // the stack trace that follows says less in its last line
 			panicked = last + " "
 		}
-		if !told && serving.MatchString(last) {
-			told = true
-			close(served)
+		if !closed && servingMessage.MatchString(last) {
+			closed = true
+			close(serving)
 		}
 	}
 	err := cmd.Wait()
-	p.mu.Lock()
-	p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	p.lastLine = last
-	if !p.killed && (!p.stop || err != nil) {
-		p.crashed = fmt.Sprintf("%s ended: %v: %s%s", p.name, err, panicked, last)
+	router.mu.Lock()
+	router.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+	router.lastLine = last
+	if !router.killed && (!router.stopping || err != nil) {
+		router.crashed = fmt.Sprintf("%s ended: %v: %s%s", router.name, err, panicked, last)
 	}
-	p.mu.Unlock()
+	router.mu.Unlock()
 	ended <- err
-	close(ended) // one that was stopped by an event is ended once more with all others
+	close(ended) // a process that an event has stopped is awaited again when all routers are stopped
 }
 
-// awaitReady waits until a launched process serves and has answered the empty query.
-func (p *process) awaitReady(ready <-chan struct{}) error {
-	p.mu.Lock()
-	cmd, ended := p.cmd, p.ended
-	p.mu.Unlock()
+// awaitReady waits until a launched process serves and has answered an empty query.
+func (router *process) awaitReady(ready <-chan struct{}) error {
+	router.mu.Lock()
+	cmd, ended := router.cmd, router.ended
+	router.mu.Unlock()
 	select {
 	case <-ready:
 	case err := <-ended:
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return fmt.Errorf("router %s did not start: %w: %s", p.name, errors.Join(err), p.lastLine)
-	case <-time.After(startFor):
+		router.mu.Lock()
+		defer router.mu.Unlock()
+		return fmt.Errorf("router %s did not start: %w: %s", router.name, errors.Join(err), router.lastLine)
+	case <-time.After(startTimeout):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("router %s does not serve", p.name)
+		return fmt.Errorf("router %s: timed out waiting until it serves", router.name)
 	}
-	if err := greet(p.addr); err != nil {
-		return fmt.Errorf("router %s: %w", p.name, err)
+	if err := sendEmptyQuery(router.addr); err != nil {
+		return fmt.Errorf("router %s: %w", router.name, err)
 	}
 	return nil
 }
 
-// greet asks a router the empty query, as the front does.
-func greet(addr string) error {
-	c, err := dial(addr, "", "worker", time.Now().Add(startFor))
+// sendEmptyQuery sends a router an empty query, as the load balancer does.
+func sendEmptyQuery(addr string) error {
+	conn, err := dial(addr, "", "worker", time.Now().Add(startTimeout))
 	if err != nil {
 		return err
 	}
-	defer c.conn.Close()
-	_, err = c.query(pgwire.AppendQuery(nil, ""), time.Now().Add(startFor))
+	defer conn.conn.Close()
+	_, err = conn.query(pgwire.AppendQuery(nil, ""), time.Now().Add(startTimeout))
 	return err
 }
 
-func (p *process) pid() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.cmd.Process.Pid
+// pid returns the process ID.
+func (router *process) pid() int {
+	router.mu.Lock()
+	defer router.mu.Unlock()
+	return router.cmd.Process.Pid
 }
 
-// fault ends what was wrong with the process, and keeps how to end what is now.
-func (p *process) fault(undo func()) {
-	if p.undo != nil {
-		p.undo()
+// setFault removes the previous fault of the process. remove, which may be nil, removes the fault that it has now.
+func (router *process) setFault(remove func()) {
+	if router.removeFault != nil {
+		router.removeFault()
 	}
-	p.undo = undo
+	router.removeFault = remove
 }
 
-func (p *process) kill() {
-	p.mu.Lock()
-	p.killed = true
-	cmd := p.cmd
-	p.mu.Unlock()
+// kill ends the process with SIGKILL.
+func (router *process) kill() {
+	router.mu.Lock()
+	router.killed = true
+	cmd := router.cmd
+	router.mu.Unlock()
 	_ = cmd.Process.Kill()
 }
 
-// end stops a router in order and waits for it.
-func (p *process) end() {
-	p.sample()
-	p.fault(nil) // one that is paused could not stop
-	p.mu.Lock()
-	p.stop = true
-	cmd, ended, killed := p.cmd, p.ended, p.killed
-	p.mu.Unlock()
+// terminate stops the process with SIGTERM and waits until it has ended.
+func (router *process) terminate() {
+	router.sampleMemory()
+	router.setFault(nil) // a paused process could not stop
+	router.mu.Lock()
+	router.stopping = true
+	cmd, ended, killed := router.cmd, router.ended, router.killed
+	router.mu.Unlock()
 	if !killed {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 	}
 	select {
-	case <-ended: //nolint:errcheck // how it ended is in the log that is read
-	case <-time.After(stopFor):
-		p.mu.Lock()
-		p.crashed = p.name + " did not end"
-		p.mu.Unlock()
+	case <-ended: //nolint:errcheck // follow records how it ended
+	case <-time.After(stopTimeout):
+		router.mu.Lock()
+		router.crashed = router.name + " did not end after SIGTERM"
+		router.mu.Unlock()
 		_ = cmd.Process.Kill()
 		<-ended //nolint:errcheck // it was killed
 	}
 }
 
-// reload replaces the router's own settings.
-func (p *process) reload(own jsoniter.RawMessage) error {
-	if own != nil && p.own != "" {
-		if err := os.WriteFile(p.own, own, 0o644); err != nil {
+// reload has the router reload its settings file, replaced by settings unless that is nil.
+func (router *process) reload(settings jsoniter.RawMessage) error {
+	if settings != nil && router.settingsFile != "" {
+		if err := os.WriteFile(router.settingsFile, settings, 0o644); err != nil {
 			return err
 		}
 	}
-	return p.cmd.Process.Signal(syscall.SIGHUP)
+	return router.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// sample looks at the memory in use.
-func (p *process) sample() {
-	p.mu.Lock()
-	cmd := p.cmd
-	p.mu.Unlock()
-	_, most := memory(cmd.Process.Pid)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.maxMemoryMB = max(p.maxMemoryMB, most)
+// sampleMemory updates the maximum of the memory in use.
+func (router *process) sampleMemory() {
+	router.mu.Lock()
+	cmd := router.cmd
+	router.mu.Unlock()
+	_, peak := memory(cmd.Process.Pid)
+	router.mu.Lock()
+	defer router.mu.Unlock()
+	router.maxMemoryMB = max(router.maxMemoryMB, peak)
 }
 
-// used is the CPU time that the running process has had so far.
-func (p *process) used() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+// cpuTime returns the CPU time that the router has used so far, over all its processes.
+func (router *process) cpuTime() time.Duration {
+	router.mu.Lock()
+	defer router.mu.Unlock()
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", router.cmd.Process.Pid))
 	if err != nil {
-		return p.cpu
+		return router.cpu
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
-		return p.cpu
+	fields := strings.Fields(rest)
+	if len(fields) < 13 {
+		return router.cpu
 	}
-	user, _ := strconv.Atoi(f[11])
-	system, _ := strconv.Atoi(f[12])
-	return p.cpu + time.Duration(user+system)*10*time.Millisecond // in hundredths of a second
+	user, _ := strconv.Atoi(fields[11])
+	system, _ := strconv.Atoi(fields[12])
+	return router.cpu + time.Duration(user+system)*10*time.Millisecond // clock ticks of 10 ms
 }
 
-// memory is what a process has resident now, and had at the most, in MB.
-func memory(pid int) (now, most float64) {
+// memory returns the current and the maximum resident memory of a process in MB.
+func memory(pid int) (current, peak float64) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, 0
 	}
 	for line := range strings.Lines(string(raw)) {
-		f := strings.Fields(line)
-		if len(f) < 2 {
+		fields := strings.Fields(line)
+		if len(fields) < 2 {
 			continue
 		}
-		kb, _ := strconv.ParseFloat(f[1], 64)
-		switch f[0] {
+		kilobytes, _ := strconv.ParseFloat(fields[1], 64)
+		switch fields[0] {
 		case "VmRSS:":
-			now = kb / 1024
+			current = kilobytes / 1024
 		case "VmHWM:":
-			most = kb / 1024
+			peak = kilobytes / 1024
 		}
 	}
-	return now, most
+	return current, peak
 }
--- a/internal/experiment/readers.go
+++ b/internal/experiment/readers.go
@@ -18,290 +18,291 @@
 	"lotushook/policy/cursor"
 )
 
-// followed is what the subscribers of one kind were told.
-type followed struct {
-	mu     sync.Mutex
-	all    []*subscriber
-	logs   []truth // of the groups, at the end
-	resume *hdrhistogram.Histogram
-	counts struct{ answers, events, rewound, voided, snapshots, fenced, began, again, zombies, future int }
+// feedRecord is what the subscribers of one Readers entry received.
+type feedRecord struct {
+	mu          sync.Mutex
+	subscribers []*subscriber
+	logs        []groupLog              // by group, taken at the end
+	resumeTimes *hdrhistogram.Histogram // µs from the loss of a connection to the next batch
+	counts      struct{ answers, events, rewound, revoked, snapshots, fenced, began, errors, unfenced, future int }
 }
 
-// truth is a group's log as its primary has it.
-type truth struct {
-	line   cursor.Lineage
-	events []cursor.Event
+// groupLog is the log of a group according to its primary.
+type groupLog struct {
+	lineage cursor.Lineage
+	events  []cursor.Event
 }
 
-// record is all that a subscriber was told and has not been told to forget.
-type record struct {
-	group  int
-	began  int64 // what was before is not its business
-	events []cursor.Event
-	last   cursor.Position
+// subscriberRecord is what a subscriber has received and not been told to discard.
+type subscriberRecord struct {
+	group      int
+	startAfter int64 // events up to this position are not expected
+	events     []cursor.Event
+	last       cursor.Position
 }
 
-// take puts a batch into the record.
-func (r *record) take(b *changefeed.Batch) (voided int, err error) {
-	h, err := cursor.ParseHistory(b.Next.History)
+// apply adds a batch to the record and returns how many events the batch has revoked.
+func (record *subscriberRecord) apply(batch *changefeed.Batch) (revoked int, err error) {
+	history, err := cursor.ParseHistory(batch.Next.History)
 	if err != nil {
 		return 0, err
 	}
-	if b.Rewound != nil {
-		r.began = min(r.began, b.Rewound.To) // it may have begun on what was lost
-		i := slices.IndexFunc(r.events, func(e cursor.Event) bool { return e.At > b.Rewound.To })
-		if i >= 0 {
-			voided = len(r.events) - i
-			r.events = r.events[:i]
+	if batch.Rewound != nil {
+		record.startAfter = min(record.startAfter, batch.Rewound.To) // the subscriber may have begun at an event that is lost now
+		index := slices.IndexFunc(record.events, func(event cursor.Event) bool { return event.At > batch.Rewound.To })
+		if index >= 0 {
+			revoked = len(record.events) - index
+			record.events = record.events[:index]
 		}
 	}
-	if b.Began {
-		r.began, r.events = b.Next.After, nil
+	if batch.Began {
+		record.startAfter, record.events = batch.Next.After, nil
 	}
-	if len(b.Events) > 0 { // without a cursor: another router may know it from before it began at one that did not
-		r.began = min(r.began, b.Events[0].At-1)
+	if len(batch.Events) > 0 { // without a cursor, a router that knows the subscriber may resume it before the position at which another router began
+		record.startAfter = min(record.startAfter, batch.Events[0].At-1)
 	}
-	for _, e := range b.Events {
-		r.events = append(r.events, cursor.Event(e))
+	for _, event := range batch.Events {
+		record.events = append(record.events, cursor.Event(event))
 	}
-	r.last = cursor.Position{History: h, At: b.Next.After}
-	return voided, nil
+	record.last = cursor.Position{History: history, At: batch.Next.After}
+	return revoked, nil
 }
 
-// wrongs are what a record and the log don't agree in.
-type wrongs struct{ gaps, duplicates, phantoms, behind int }
+// feedErrors counts the differences between a record and the log.
+type feedErrors struct{ gaps, duplicates, phantoms, behind int }
 
-// against holds a record against the log. One that has not come to the log's newest history may hold what it will be told to forget.
-func (r *record) against(t *truth) (w wrongs) {
-	if r.last.History != t.line.Newest() {
-		w.behind++
-		return w
+// differences compares a record with the log. A record that has not reached the newest history of the log counts only
+// as behind, because it may contain events that its subscriber will yet be told to discard.
+func (record *subscriberRecord) differences(log *groupLog) (errors feedErrors) {
+	if record.last.History != log.lineage.Newest() {
+		errors.behind++
+		return errors
 	}
-	got := map[int64]string{}
-	for _, e := range r.events {
-		if _, twice := got[e.At]; twice {
-			w.duplicates++
+	received := map[int64]string{}
+	for _, event := range record.events {
+		if _, duplicate := received[event.At]; duplicate {
+			errors.duplicates++
 		}
-		got[e.At] = e.Text
+		received[event.At] = event.Text
 	}
-	if !slices.IsSortedFunc(r.events, func(a, b cursor.Event) int { return cmp.Compare(a.At, b.At) }) && w.duplicates == 0 {
-		w.duplicates++ // out of order
+	if !slices.IsSortedFunc(record.events, func(x, y cursor.Event) int { return cmp.Compare(x.At, y.At) }) && errors.duplicates == 0 {
+		errors.duplicates++ // events out of order count as a duplicate
 	}
-	for _, e := range t.events {
-		if e.At <= r.began || e.At > r.last.At {
+	for _, event := range log.events {
+		if event.At <= record.startAfter || event.At > record.last.At {
 			continue
 		}
-		text, ok := got[e.At]
-		if !ok || text != e.Text {
-			w.gaps++
+		text, ok := received[event.At]
+		if !ok || text != event.Text {
+			errors.gaps++
 		}
-		if ok && text == e.Text {
-			delete(got, e.At)
+		if ok && text == event.Text {
+			delete(received, event.At)
 		}
 	}
-	w.phantoms = len(got)
-	return w
+	errors.phantoms = len(received)
+	return errors
 }
 
-// subscriber is one client that follows a feed.
+// subscriber is a client that reads a change feed.
 type subscriber struct {
-	rec record
-	*play
-	of     *Readers
-	name   string
-	conn   *client
-	place  changefeed.Place
-	broken time.Time // since when it has been without an answer; zero: it is not
-	count  int
+	record subscriberRecord
+	*armRun
+	settings     *Readers
+	name         string
+	conn         *clientConn
+	place        changefeed.Place
+	failingSince time.Time // when it lost its connection or was first not answered; zero: it is being answered
+	requestCount int
 }
 
-// follow plays the subscribers until the context ends.
-func (p *play) follow(ctx context.Context, r Readers, part *part, f *followed) {
-	if sleep(ctx, time.Until(p.from.Add(s(r.FromS)))) != nil && r.FromS > 0 {
+// follow runs the subscribers until the context ends.
+func (run *armRun) follow(ctx context.Context, settings Readers, stats *partStats, feed *feedRecord) {
+	if sleep(ctx, time.Until(run.from.Add(seconds(settings.FromS)))) != nil && settings.FromS > 0 {
 		return
 	}
-	f.resume = hdrhistogram.New(1, 60e6, 3)
-	groups := cmp.Or(r.Groups, p.e.Fleet.Groups)
-	var all sync.WaitGroup
-	for n := range r.Subscribers {
-		sub := &subscriber{play: p, of: &r, name: fmt.Sprintf("%s-%d", r.Name, n), rec: record{group: n % groups}}
-		f.all = append(f.all, sub)
-		rng := rand.New(rand.NewPCG(p.o.Seed, uint64(n)))
-		all.Go(func() {
+	feed.resumeTimes = hdrhistogram.New(1, 60e6, 3)
+	groups := cmp.Or(settings.Groups, run.experiment.Fleet.Groups)
+	var group sync.WaitGroup
+	for number := range settings.Subscribers {
+		subscriber := &subscriber{armRun: run, settings: &settings, name: fmt.Sprintf("%s-%d", settings.Name, number), record: subscriberRecord{group: number % groups}}
+		feed.subscribers = append(feed.subscribers, subscriber)
+		rng := rand.New(rand.NewPCG(run.options.Seed, uint64(number)))
+		group.Go(func() {
 			defer func() {
-				if sub.conn != nil {
-					sub.conn.conn.Close()
+				if subscriber.conn != nil {
+					subscriber.conn.conn.Close()
 				}
 			}()
 			_ = sleep(ctx, time.Duration(rng.Float64()*float64(time.Second)))
 			for ctx.Err() == nil {
-				_ = sleep(ctx, sub.once(ctx, part, f, rng))
+				_ = sleep(ctx, subscriber.poll(ctx, stats, feed, rng))
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// once asks for what follows, and returns how long the subscriber rests.
+// poll requests the next batch and returns how long the subscriber pauses after it.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (c *subscriber) once(ctx context.Context, part *part, f *followed, rng *rand.Rand) time.Duration {
-	class := c.e.Classes[c.of.Class]
-	began := time.Now()
-	until := began.Add(ms(class.WaitMS))
-	old := c.conn
-	if c.count++; c.of.Twice && c.count%8 == 0 { // as the same subscriber from elsewhere, while the first connection stays
-		c.conn = nil
+func (subscriber *subscriber) poll(ctx context.Context, stats *partStats, feed *feedRecord, rng *rand.Rand) time.Duration {
+	settings := subscriber.experiment.Classes[subscriber.settings.Class]
+	startedAt := time.Now()
+	deadline := startedAt.Add(milliseconds(settings.TimeoutMS))
+	previous := subscriber.conn
+	if subscriber.requestCount++; subscriber.settings.Reconnect && subscriber.requestCount%8 == 0 { // a second connection as the same subscriber, while the first one is still open
+		subscriber.conn = nil
 	}
-	place := c.place
-	if c.of.Future > 0 && rng.Float64() < c.of.Future {
+	place := subscriber.place
+	if subscriber.settings.FutureShare > 0 && rng.Float64() < subscriber.settings.FutureShare {
 		place.After += 3600e3
 	}
-	a := c.query(place, until)
+	result := subscriber.query(place, deadline)
 	if ctx.Err() != nil {
 		return 0
 	}
-	if old != nil && c.conn != old {
-		if c.of.Twice && a.outcome == served { // which must be told, once its router knows
-			was := c.conn
-			c.conn = old
-			again := c.query(c.place, time.Now().Add(ms(class.WaitMS)))
-			c.conn = was
-			f.mu.Lock()
-			if strings.HasPrefix(again.text, "cursor-fenced") {
-				f.counts.fenced++
-			} else if again.outcome == served {
-				f.counts.zombies++
+	if previous != nil && subscriber.conn != previous {
+		if subscriber.settings.Reconnect && result.outcome == served { // the first connection must be fenced once its router knows of the second
+			current := subscriber.conn
+			subscriber.conn = previous
+			previousResult := subscriber.query(subscriber.place, time.Now().Add(milliseconds(settings.TimeoutMS)))
+			subscriber.conn = current
+			feed.mu.Lock()
+			if strings.HasPrefix(previousResult.text, "cursor-fenced") {
+				feed.counts.fenced++
+			} else if previousResult.outcome == served {
+				feed.counts.unfenced++
 			}
-			f.mu.Unlock()
+			feed.mu.Unlock()
 		}
-		old.conn.Close()
+		previous.conn.Close()
 	}
-	part.done(c.of.Class, class, began, a.outcome, a.text)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	switch a.outcome {
+	stats.done(subscriber.settings.Class, settings, startedAt, result.outcome, result.text)
+	feed.mu.Lock()
+	defer feed.mu.Unlock()
+	switch result.outcome {
 	case served:
-		b, err := changefeed.ParseBatch([]byte(a.value))
+		batch, err := changefeed.ParseBatch([]byte(result.value))
 		if err != nil {
 			break
 		}
-		if !c.broken.IsZero() {
-			_ = f.resume.RecordValue(max(1, time.Since(c.broken).Microseconds()))
-			c.broken = time.Time{}
+		if !subscriber.failingSince.IsZero() {
+			_ = feed.resumeTimes.RecordValue(max(1, time.Since(subscriber.failingSince).Microseconds()))
+			subscriber.failingSince = time.Time{}
 		}
-		voided, err := c.rec.take(b)
+		revoked, err := subscriber.record.apply(batch)
 		if err != nil {
 			break
 		}
-		f.counts.answers++
-		f.counts.events += len(b.Events)
-		f.counts.voided += voided
-		if b.Rewound != nil {
-			f.counts.rewound++
+		feed.counts.answers++
+		feed.counts.events += len(batch.Events)
+		feed.counts.revoked += revoked
+		if batch.Rewound != nil {
+			feed.counts.rewound++
 		}
-		if b.Began {
-			f.counts.began++
+		if batch.Began {
+			feed.counts.began++
 		}
-		c.place = b.Next
-		return ms(float64(b.AgainMS))
+		subscriber.place = batch.Next
+		return milliseconds(float64(batch.AgainMS))
 	case failed:
-		if place != c.place && strings.HasPrefix(a.text, "cursor-future") {
-			f.counts.future++
+		if place != subscriber.place && strings.HasPrefix(result.text, "cursor-future") {
+			feed.counts.future++
 			return 0
 		}
-		if at, from, ok := snapshot(a.text); ok {
-			f.counts.snapshots++
-			c.rec.began, c.rec.events, c.rec.last, c.place = at, nil, cursor.Position{At: at}, changefeed.Place{After: at, History: from}
+		if position, history, found := parseResumePoint(result.text); found {
+			feed.counts.snapshots++
+			subscriber.record.startAfter, subscriber.record.events, subscriber.record.last, subscriber.place = position, nil, cursor.Position{At: position}, changefeed.Place{After: position, History: history}
 			return 0
 		}
 	}
-	if c.broken.IsZero() {
-		c.broken = began
+	if subscriber.failingSince.IsZero() {
+		subscriber.failingSince = startedAt
 	}
-	if a.outcome != refused && c.conn != nil {
-		c.conn.conn.Close()
-		c.conn = nil
+	if result.outcome != rejected && subscriber.conn != nil {
+		subscriber.conn.conn.Close()
+		subscriber.conn = nil
 	}
-	f.counts.again++
-	return max(a.back, 50*time.Millisecond)
+	feed.counts.errors++
+	return max(result.retryAfter, 50*time.Millisecond)
 }
 
-// snapshot reads from a refusal where to go on.
-func snapshot(text string) (at int64, history string, ok bool) {
-	_, s, found := strings.Cut(text, "resume with after=")
+// parseResumePoint reads from an error message the position and history to resume with.
+func parseResumePoint(text string) (position int64, history string, ok bool) {
+	_, fields, found := strings.Cut(text, "resume with after=")
 	if !found {
 		return 0, "", false
 	}
-	n, err := fmt.Sscanf(strings.Replace(s, ",history=", " ", 1), "%d %s", &at, &history)
-	return at, history, n == 2 && err == nil
+	count, err := fmt.Sscanf(strings.Replace(fields, ",history=", " ", 1), "%d %s", &position, &history)
+	return position, history, count == 2 && err == nil
 }
 
-// query sends one request, on a new connection where there is none.
-func (c *subscriber) query(place changefeed.Place, until time.Time) answer {
+// query sends one request, on a new connection if none is open.
+func (subscriber *subscriber) query(place changefeed.Place, deadline time.Time) answer {
 	for dials := 0; dials < 2; dials++ {
-		kept := c.conn != nil
-		if !kept {
-			addr, err := c.front.Pick(time.Now())
+		reused := subscriber.conn != nil
+		if !reused {
+			addr, err := subscriber.loadBalancer.Pick(time.Now())
 			if err != nil {
-				return answer{outcome: nowhere}
+				return answer{outcome: unreachable}
 			}
-			if c.conn, err = dial(addr, c.of.Address, "worker", until); err != nil {
-				c.conn = nil
+			if subscriber.conn, err = dial(addr, subscriber.settings.Address, "worker", deadline); err != nil {
+				subscriber.conn = nil
 				continue
 			}
 		}
-		var b strings.Builder
-		fmt.Fprintf(&b, "/* id=%s-%d,c=%s,d=%d,cluster=%d", c.name, c.count, c.of.Class, max(1, time.Until(until).Milliseconds()), c.rec.group+1)
-		if c.of.Carry && place.History != "" {
-			fmt.Fprintf(&b, ",after=%d,history=%s,gen=%d", place.After, place.History, place.Gen)
+		var text strings.Builder
+		fmt.Fprintf(&text, "/* id=%s-%d,c=%s,d=%d,cluster=%d", subscriber.name, subscriber.requestCount, subscriber.settings.Class, max(1, time.Until(deadline).Milliseconds()), subscriber.record.group+1)
+		if subscriber.settings.SendCursor && place.History != "" {
+			fmt.Fprintf(&text, ",after=%d,history=%s,gen=%d", place.After, place.History, place.Gen)
 		}
-		fmt.Fprintf(&b, " */ SELECT feed('%s')", c.name)
-		a, err := c.conn.query(pgwire.AppendQuery(nil, b.String()), until)
+		fmt.Fprintf(&text, " */ SELECT feed('%s')", subscriber.name)
+		result, err := subscriber.conn.query(pgwire.AppendQuery(nil, text.String()), deadline)
 		if err == nil {
-			return a
+			return result
 		}
-		c.conn.conn.Close()
-		if c.conn = nil; c.broken.IsZero() { // until it is answered again, whatever it is told meanwhile
-			c.broken = time.Now()
+		subscriber.conn.conn.Close()
+		if subscriber.conn = nil; subscriber.failingSince.IsZero() { // measured until the next batch, whatever errors come before it
+			subscriber.failingSince = time.Now()
 		}
-		if !kept {
-			return answer{outcome: ended(err)}
+		if !reused {
+			return answer{outcome: failureOutcome(err)}
 		}
 	}
-	return answer{outcome: nowhere}
+	return answer{outcome: unreachable}
 }
 
-// keep notes the groups' logs, while they are up.
-func (f *followed) keep(r *emulator.Running) {
-	for _, g := range r.Groups {
-		line, events := g.Log()
-		f.logs = append(f.logs, truth{line, events})
+// saveLogs saves the logs of the groups while the data servers are running.
+func (feed *feedRecord) saveLogs(servers *emulator.Running) {
+	for _, group := range servers.Groups {
+		lineage, events := group.Log()
+		feed.logs = append(feed.logs, groupLog{lineage, events})
 	}
 }
 
-// audit holds all records against the logs.
-func (f *followed) audit(m map[string]float64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var w wrongs
+// audit compares all records with the logs and adds the resulting metrics.
+func (feed *feedRecord) audit(metrics map[string]float64) {
+	feed.mu.Lock()
+	defer feed.mu.Unlock()
+	var total feedErrors
 	logged, silent := 0, 0
-	for _, t := range f.logs {
-		logged += len(t.events)
+	for _, log := range feed.logs {
+		logged += len(log.events)
 	}
-	for _, s := range f.all {
-		if s.rec.last.At == 0 {
+	for _, subscriber := range feed.subscribers {
+		if subscriber.record.last.At == 0 {
 			silent++
 		}
-		one := s.rec.against(&f.logs[s.rec.group])
-		w.gaps, w.duplicates, w.phantoms, w.behind = w.gaps+one.gaps, w.duplicates+one.duplicates, w.phantoms+one.phantoms, w.behind+one.behind
+		errors := subscriber.record.differences(&feed.logs[subscriber.record.group])
+		total.gaps, total.duplicates, total.phantoms, total.behind = total.gaps+errors.gaps, total.duplicates+errors.duplicates, total.phantoms+errors.phantoms, total.behind+errors.behind
 	}
-	m["gaps"], m["duplicates"], m["phantoms"], m["left_behind"] = float64(w.gaps), float64(w.duplicates), float64(w.phantoms), float64(w.behind)
-	m["logged"], m["silent"] = float64(logged), float64(silent)
-	c := &f.counts
-	for name, n := range map[string]int{"answers": c.answers, "events": c.events, "rewound": c.rewound, "voided": c.voided, "snapshots": c.snapshots, "fenced": c.fenced, "zombie_answers": c.zombies,
-		"began": c.began, "come_again": c.again, "future_refused": c.future} {
-		m[name] = float64(n)
+	metrics["gaps"], metrics["duplicates"], metrics["phantoms"], metrics["left_behind"] = float64(total.gaps), float64(total.duplicates), float64(total.phantoms), float64(total.behind)
+	metrics["logged"], metrics["silent"] = float64(logged), float64(silent)
+	counts := &feed.counts
+	for name, count := range map[string]int{"answers": counts.answers, "events": counts.events, "rewound": counts.rewound, "voided": counts.revoked, "snapshots": counts.snapshots, "fenced": counts.fenced, "zombie_answers": counts.unfenced,
+		"began": counts.began, "come_again": counts.errors, "future_refused": counts.future} {
+		metrics[name] = float64(count)
 	}
-	m["resumed"], m["resume_p99_ms"] = float64(f.resume.TotalCount()), float64(f.resume.ValueAtQuantile(99))/1e3
+	metrics["resumed"], metrics["resume_p99_ms"] = float64(feed.resumeTimes.TotalCount()), float64(feed.resumeTimes.ValueAtQuantile(99))/1e3
 }
--- a/internal/experiment/recover.go
+++ b/internal/experiment/recover.go
@@ -4,60 +4,62 @@
 
 const (
 	recoveredShare   = 0.95 // of the calm arm's worth in the same second
-	recoveredSeconds = 5    // seconds on end
-	never            = 999.0
+	recoveredSeconds = 5    // consecutive seconds
+	notRecovered     = 999.0
 )
 
-// recovered measures each load's time to full service in arms in which something came back: from the last router's start, or
-// the last change of a burden, until what it earns a second has reached 0.95 of the arm "calm" in the same seconds, and stays
-// there for 5 s. Seconds are whole ones after that start, so it is up to one more than it was; 999: not within the arm.
-func (r *Result) recovered() {
-	for arm, back := range r.faultsOverAt {
-		for load, points := range r.Series[arm] {
-			calm := r.Series["calm"][load]
-			if r.Arms[arm][load] == nil || len(calm) != len(points) {
+// addRecoveryTimes measures the time to full service of each load in the arms in which a fault ended: from the last
+// restart of a router or the last change of a burden until the weight served per second reaches 0.95 of that in the arm
+// "calm" and stays there for 5 s. Seconds are whole seconds of the arm, so the result is up to one second too long; 999
+// means that the arm ended before.
+func (result *Result) addRecoveryTimes() {
+	for arm, recoveryStart := range result.faultsOverAt {
+		for load, points := range result.Series[arm] {
+			calm := result.Series["calm"][load]
+			if result.Arms[arm][load] == nil || len(calm) != len(points) {
 				continue
 			}
-			m := r.Arms[arm][load]
-			m["full_service_s"] = fullService(calm, points, back)
-			m["worth_after"] = share(calm, points, back)
+			metrics := result.Arms[arm][load]
+			metrics["full_service_s"] = timeToFullService(calm, points, recoveryStart)
+			metrics["worth_after"] = weightShare(calm, points, recoveryStart)
 		}
 	}
 }
 
-// fullService is how many seconds after back service was whole. The last point is less than a second.
-func fullService(calm, points []Point, back float64) float64 {
-	good := 0
-	for sec := int(back); sec < len(points)-1; sec++ {
-		if sec < 0 {
+// timeToFullService returns how many seconds after the end of the fault the load was fully served again. The last point
+// is ignored because it covers less than a second.
+func timeToFullService(calm, points []Point, recoveryStart float64) float64 {
+	consecutive := 0
+	for second := int(recoveryStart); second < len(points)-1; second++ {
+		if second < 0 {
 			continue
 		}
-		if points[sec].Weight < recoveredShare*calm[sec].Weight {
-			good = 0
-		} else if good++; good == recoveredSeconds {
-			return max(0, float64(sec+1-recoveredSeconds)-back)
+		if points[second].Weight < recoveredShare*calm[second].Weight {
+			consecutive = 0
+		} else if consecutive++; consecutive == recoveredSeconds {
+			return max(0, float64(second+1-recoveredSeconds)-recoveryStart)
 		}
 	}
-	return never
+	return notRecovered
 }
 
-// share is what was earned from back on, of what the calm arm did.
-func share(calm, points []Point, back float64) float64 {
-	got, all := 0.0, 0.0
-	for sec := max(0, int(back)); sec < len(points)-1; sec++ {
-		got, all = got+points[sec].Weight, all+calm[sec].Weight
+// weightShare returns the weight served after the end of the fault, relative to the calm arm.
+func weightShare(calm, points []Point, recoveryStart float64) float64 {
+	served, expected := 0.0, 0.0
+	for second := max(0, int(recoveryStart)); second < len(points)-1; second++ {
+		served, expected = served+points[second].Weight, expected+calm[second].Weight
 	}
-	return ratio(got, all)
+	return ratio(served, expected)
 }
 
-// recoveryFigures counts, at the data servers and the agent, the most in any second from the first router's start again until 5 s after
-// the last one's; the sends are those of the first second after the first.
-func (p *play) recoveryFigures(m map[string]float64) {
-	if p.firstBack.IsZero() {
+// addRecoveryMetrics adds the maximum rates per second that the data servers and the discovery agent saw between the
+// first restart of a router and 5 s after the last one. The rate of sends is that of the first second.
+func (run *armRun) addRecoveryMetrics(metrics map[string]float64) {
+	if run.firstRestart.IsZero() {
 		return
 	}
-	from, to, r := p.firstBack, p.back.Add(5*time.Second), p.fleet.Rates
-	m["worst_dials_per_s"], m["worst_probes_per_s"] = float64(r.Dials.Max(from, to)), float64(r.Probes.Max(from, to))
-	m["worst_lists_per_s"] = float64(r.Lists.Max(from, to))
-	m["first_sends_per_s"] = float64(r.Sends.Max(from, from.Add(time.Second)))
+	from, to, rates := run.firstRestart, run.faultsOver.Add(5*time.Second), run.fleet.Rates
+	metrics["worst_dials_per_s"], metrics["worst_probes_per_s"] = float64(rates.Dials.Max(from, to)), float64(rates.Probes.Max(from, to))
+	metrics["worst_lists_per_s"] = float64(rates.Lists.Max(from, to))
+	metrics["first_sends_per_s"] = float64(rates.Sends.Max(from, from.Add(time.Second)))
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -17,32 +17,32 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Result is what an experiment showed.
+// Result is the outcome of an experiment.
 type Result struct {
-	Experiment string   `json:"experiment"`
-	About      string   `json:"about,omitempty"`
-	Seed       uint64   `json:"seed"`
-	Passed     bool     `json:"held"`
-	Checks     []Judged `json:"checks"`
-	// Arms are the figures by arm, part and metric.
+	Experiment string        `json:"experiment"`
+	About      string        `json:"about,omitempty"`
+	Seed       uint64        `json:"seed"`
+	Passed     bool          `json:"held"`
+	Checks     []CheckResult `json:"checks"`
+	// Arms contains the metrics by arm, part and name.
 	Arms         map[string]map[string]map[string]float64 `json:"arms"`
-	Ended        []string                                 `json:"ended,omitempty"` // routers that ended by themselves
+	Ended        []string                                 `json:"ended,omitempty"` // routers that ended unexpectedly, and records that could not be read
 	Series       map[string]map[string][]Point            `json:"series"`          // by arm and part
-	faultsOverAt map[string]float64                       // by arm: the second in which the last of what went wrong was over
-	Views        map[string][]Seen                        `json:"views,omitempty"` // by arm: what routers believed of each other
+	faultsOverAt map[string]float64                       // by arm: when the last fault ended, in seconds of the measured time
+	Views        map[string][]ViewChange                  `json:"views,omitempty"` // by arm: the routers' membership views
 }
 
-// Point is one second of a part.
+// Point contains the results of a part in one second.
 type Point struct {
 	Requested   int     `json:"asked"`
 	Served      int     `json:"served"`
-	Refused     int     `json:"refused"`
+	Rejected    int     `json:"refused"`
 	InObjective int     `json:"in_aim"`
-	Weight      float64 `json:"worth"` // of what was answered in time
+	Weight      float64 `json:"worth"` // of the requests served within the objective
 }
 
-// Judged is a check's verdict.
-type Judged struct {
+// CheckResult is the result of a check.
+type CheckResult struct {
 	Name     string  `json:"name"`
 	Value    float64 `json:"value"`
 	Relation string  `json:"relation"` // "min" or "max"
@@ -51,189 +51,189 @@
 	Note     string  `json:"note,omitempty"`
 }
 
-// add takes an arm's figures in.
+// addArm adds the metrics of an arm.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (r *Result) add(arm string, p *play) {
+func (result *Result) addArm(arm string, run *armRun) {
 	parts, series := map[string]map[string]float64{}, map[string][]Point{}
 	requests, answered := 0.0, 0.0
-	for _, l := range p.e.Loads {
-		if part := p.parts[l.Name]; part != nil {
-			m := part.metrics()
-			parts[l.Name] = m
-			requests += m["asked"]
-			if !l.Direct {
-				answered += m["asked"]
+	for _, load := range run.experiment.Loads {
+		if stats := run.parts[load.Name]; stats != nil {
+			metrics := stats.metrics()
+			parts[load.Name] = metrics
+			requests += metrics["asked"]
+			if !load.Direct {
+				answered += metrics["asked"]
 			}
 		}
 	}
-	for _, l := range p.e.Readers {
-		if part := p.parts[l.Name]; part != nil {
-			m := part.metrics()
-			p.readers[l.Name].audit(m)
-			parts[l.Name] = m
-			requests += m["asked"]
-			answered += m["asked"]
+	for _, load := range run.experiment.Readers {
+		if stats := run.parts[load.Name]; stats != nil {
+			metrics := stats.metrics()
+			run.readers[load.Name].audit(metrics)
+			parts[load.Name] = metrics
+			requests += metrics["asked"]
+			answered += metrics["asked"]
 		}
 	}
-	for _, f := range p.e.Floods {
-		if part := p.parts[f.Name]; part != nil {
-			parts[f.Name] = part.metrics()
+	for _, flood := range run.experiment.Floods {
+		if stats := run.parts[flood.Name]; stats != nil {
+			parts[flood.Name] = stats.metrics()
 		}
 	}
-	for name, part := range p.parts {
-		for _, s := range part.seconds {
-			series[name] = append(series[name], Point{s.requested, s.served, s.refused, s.inObjective, s.weight})
+	for name, stats := range run.parts {
+		for _, second := range stats.seconds {
+			series[name] = append(series[name], Point{second.requested, second.served, second.rejected, second.inObjective, second.weight})
 		}
 	}
-	routers := map[string]float64{"cpu_us_per_request": ratio(float64(p.cpu.Microseconds()), answered),
-		"cpu_share": p.cpu.Seconds() / p.e.Seconds}
-	for _, one := range p.routers {
-		routers["start_mb"] = max(routers["start_mb"], one.startMB)
-		routers["most_mb"] = max(routers["most_mb"], one.maxMemoryMB)
-		if one.crashed != "" {
+	routers := map[string]float64{"cpu_us_per_request": ratio(float64(run.cpu.Microseconds()), answered),
+		"cpu_share": run.cpu.Seconds() / run.experiment.Seconds}
+	for _, router := range run.routers {
+		routers["start_mb"] = max(routers["start_mb"], router.startMB)
+		routers["most_mb"] = max(routers["most_mb"], router.maxMemoryMB)
+		if router.crashed != "" {
 			routers["ended"]++
-			r.Ended = append(r.Ended, arm+": "+one.crashed)
+			result.Ended = append(result.Ended, arm+": "+router.crashed)
 		}
 	}
 	parts["routers"] = routers
-	if p.fellows != nil {
-		m, views, err := p.fellows.audit(p.routers)
+	if run.cluster != nil {
+		metrics, views, err := run.cluster.audit(run.routers)
 		if err != nil {
-			r.Ended = append(r.Ended, arm+": "+err.Error()) // what can't be read holds nothing
+			result.Ended = append(result.Ended, arm+": "+err.Error()) // a record that can't be read fails the experiment
 		}
-		parts["members"] = m
-		if p.fellows.records() {
-			sends, err := p.fellows.auditSends(p.fleet.Ran())
+		parts["members"] = metrics
+		if run.cluster.records() {
+			sends, err := run.cluster.auditSends(run.fleet.Ran())
 			if err != nil {
-				r.Ended = append(r.Ended, arm+": "+err.Error())
+				result.Ended = append(result.Ended, arm+": "+err.Error())
 			}
 			parts["sends"] = sends
 		}
-		if r.Views == nil {
-			r.Views = map[string][]Seen{}
+		if result.Views == nil {
+			result.Views = map[string][]ViewChange{}
 		}
-		r.Views[arm] = views
+		result.Views[arm] = views
 	}
-	if len(p.e.PriorityClasses) > 0 {
-		m, err := p.sheddingFigures()
+	if len(run.experiment.PriorityClasses) > 0 {
+		metrics, err := run.sheddingMetrics()
 		if err != nil {
-			r.Ended = append(r.Ended, arm+": "+err.Error())
+			result.Ended = append(result.Ended, arm+": "+err.Error())
 		}
-		parts["lanes"] = m
+		parts["lanes"] = metrics
 	}
-	parts["servers"] = audited(p.fleet.Audit(), requests)
-	p.recoveryFigures(parts["servers"])
-	r.Arms[arm] = parts
-	if r.Series == nil {
-		r.Series = map[string]map[string][]Point{}
+	parts["servers"] = serverMetrics(run.fleet.Audit(), requests)
+	run.addRecoveryMetrics(parts["servers"])
+	result.Arms[arm] = parts
+	if result.Series == nil {
+		result.Series = map[string]map[string][]Point{}
 	}
-	r.Series[arm] = series
-	if !p.back.IsZero() {
-		if r.faultsOverAt == nil {
-			r.faultsOverAt = map[string]float64{}
+	result.Series[arm] = series
+	if !run.faultsOver.IsZero() {
+		if result.faultsOverAt == nil {
+			result.faultsOverAt = map[string]float64{}
 		}
-		r.faultsOverAt[arm] = p.back.Sub(p.from).Seconds()
+		result.faultsOverAt[arm] = run.faultsOver.Sub(run.from).Seconds()
 	}
 }
 
-// judge compares the figures with the bounds. A figure that was not measured
-// holds nothing.
-func (r *Result) judge(checks []Check) {
-	r.Passed = true
-	r.recovered()
-	none := 0.0
-	note := Judged{Name: "no router ended by itself", Relation: "max", Bound: none, Value: float64(len(r.Ended)), Passed: len(r.Ended) == 0,
-		Note: strings.Join(r.Ended, "; ")}
-	r.Checks = append(r.Checks, note)
-	for _, c := range checks {
-		j := Judged{Name: c.Name}
-		v, ok := r.value(c.Value)
-		if c.Over != "" {
-			over, found := r.value(c.Over)
-			ok = ok && found && over != 0
-			v = ratio(v, over)
+// evaluate compares the metrics with the bounds. A check fails if its metric was not measured.
+func (result *Result) evaluate(checks []Check) {
+	result.Passed = true
+	result.addRecoveryTimes()
+	bound := 0.0
+	endedCheck := CheckResult{Name: "no router ended by itself", Relation: "max", Bound: bound, Value: float64(len(result.Ended)), Passed: len(result.Ended) == 0,
+		Note: strings.Join(result.Ended, "; ")}
+	result.Checks = append(result.Checks, endedCheck)
+	for _, check := range checks {
+		checkResult := CheckResult{Name: check.Name}
+		value, measured := result.value(check.Value)
+		if check.Over != "" {
+			divisor, found := result.value(check.Over)
+			measured = measured && found && divisor != 0
+			value = ratio(value, divisor)
 		}
-		if c.Min != nil {
-			j.Relation, j.Bound, j.Passed = "min", *c.Min, v >= *c.Min
+		if check.Min != nil {
+			checkResult.Relation, checkResult.Bound, checkResult.Passed = "min", *check.Min, value >= *check.Min
 		} else {
-			j.Relation, j.Bound, j.Passed = "max", *c.Max, v <= *c.Max
+			checkResult.Relation, checkResult.Bound, checkResult.Passed = "max", *check.Max, value <= *check.Max
 		}
-		if j.Value = math.Round(v*1e4) / 1e4; !ok {
-			j.Passed, j.Note = false, "not measured"
+		if checkResult.Value = math.Round(value*1e4) / 1e4; !measured {
+			checkResult.Passed, checkResult.Note = false, "not measured"
 		}
-		r.Checks = append(r.Checks, j)
+		result.Checks = append(result.Checks, checkResult)
 	}
-	for _, j := range r.Checks {
-		r.Passed = r.Passed && j.Passed
+	for _, checkResult := range result.Checks {
+		result.Passed = result.Passed && checkResult.Passed
 	}
 }
 
-func (r *Result) value(name string) (float64, bool) {
-	f := strings.SplitN(name, ".", 3)
-	v, ok := r.Arms[f[0]][f[1]][f[2]]
-	return v, ok
+// value returns a metric by its name, "arm.part.metric".
+func (result *Result) value(name string) (float64, bool) {
+	path := strings.SplitN(name, ".", 3)
+	value, found := result.Arms[path[0]][path[1]][path[2]]
+	return value, found
 }
 
 //go:embed report.md.tmpl
-var reportText string
+var reportTemplateText string
 
-// Report is the result as Markdown.
-func (r *Result) Report() (string, error) {
-	t, err := template.New("report").Funcs(template.FuncMap{
-		"fig":   figure,
+// Report returns the result as Markdown.
+func (result *Result) Report() (string, error) {
+	reportTemplate, err := template.New("report").Funcs(template.FuncMap{
+		"fig":   formatNumber,
 		"names": metricNames,
-	}).Parse(reportText)
+	}).Parse(reportTemplateText)
 	if err != nil {
 		return "", err
 	}
-	var b strings.Builder
-	if err := t.Execute(&b, r); err != nil {
+	var text strings.Builder
+	if err := reportTemplate.Execute(&text, result); err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
-	return b.String(), nil
+	return text.String(), nil
 }
 
-// figure is a number as tables show it.
-func figure(v float64) string {
-	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", v), "0"), ".")
+// formatNumber formats a number for a table.
+func formatNumber(value float64) string {
+	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", value), "0"), ".")
 }
 
-// metricNames are all metrics of a part, over the arms.
+// metricNames returns the names of the metrics of a part in any arm, sorted.
 func metricNames(arms map[string]map[string]map[string]float64, part string) []string {
-	var all []string
+	var names []string
 	for _, parts := range arms {
 		for name := range parts[part] {
-			if !slices.Contains(all, name) {
-				all = append(all, name)
+			if !slices.Contains(names, name) {
+				names = append(names, name)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// Parts are the names of all parts, over the arms.
-func (r *Result) Parts() []string {
-	var all []string
-	for _, parts := range r.Arms {
+// Parts returns the names of the parts of any arm, sorted.
+func (result *Result) Parts() []string {
+	var names []string
+	for _, parts := range result.Arms {
 		for name := range parts {
-			if !slices.Contains(all, name) {
-				all = append(all, name)
+			if !slices.Contains(names, name) {
+				names = append(names, name)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// Write leaves result.json, report.md and a chart for each part in a folder.
-func (r *Result) Write(dir string) error {
-	raw, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(r, "", "  ")
+// Write writes result.json, report.md and a chart for each part to a directory.
+func (result *Result) Write(dir string) error {
+	raw, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(result, "", "  ")
 	if err != nil {
 		return err
 	}
-	text, err := r.Report()
+	text, err := result.Report()
 	if err != nil {
 		return err
 	}
@@ -243,22 +243,22 @@
 	if err := os.WriteFile(filepath.Join(dir, "report.md"), []byte(text), 0o644); err != nil {
 		return err
 	}
-	for _, part := range r.Parts() {
-		if err := r.chart(dir, part); err != nil {
+	for _, part := range result.Parts() {
+		if err := result.chart(dir, part); err != nil {
 			return fmt.Errorf("chart %s: %w", part, err)
 		}
 	}
-	for arm, seen := range r.Views {
-		if err := chartViews(filepath.Join(dir, "views-"+arm+".svg"), r.Experiment+": "+arm, seen); err != nil {
+	for arm, changes := range result.Views {
+		if err := chartViews(filepath.Join(dir, "views-"+arm+".svg"), result.Experiment+": "+arm, changes); err != nil {
 			return fmt.Errorf("chart of views, %s: %w", arm, err)
 		}
 	}
 	return nil
 }
 
-// isFlood says whether a part is connections that ask for nothing.
-func (r *Result) isFlood(part string) bool {
-	for _, parts := range r.Arms {
+// isFlood reports whether a part is a flood, whose connections make no requests.
+func (result *Result) isFlood(part string) bool {
+	for _, parts := range result.Arms {
 		if _, ok := parts[part]["told_share"]; ok {
 			return true
 		}
@@ -266,30 +266,31 @@
 	return false
 }
 
-var inks = []color.Color{color.RGBA{0x1f, 0x5f, 0xa8, 255}, color.RGBA{0xc2, 0x4a, 0x1c, 255}, color.RGBA{0x2e, 0x7d, 0x4f, 255},
+var lineColors = []color.Color{color.RGBA{0x1f, 0x5f, 0xa8, 255}, color.RGBA{0xc2, 0x4a, 0x1c, 255}, color.RGBA{0x2e, 0x7d, 0x4f, 255},
 	color.RGBA{0x6b, 0x4c, 0x9a, 255}, color.RGBA{0x8a, 0x6d, 0x0f, 255}, color.RGBA{0x44, 0x44, 0x44, 255}}
 
-// chart draws a part's answers second by second, a line for each arm.
-func (r *Result) chart(dir, part string) error {
-	p := plot.New()
-	p.Title.Text = r.Experiment + ": " + part
-	p.X.Label.Text, p.Y.Label.Text = "second", "answered in time (a flood: ended) each second"
-	p.Y.Min = 0
-	p.Add(plotter.NewGrid())
+// chart draws the requests of a part that were served within the objective in each second, or the connections of a
+// flood that ended, with a line for each arm.
+func (result *Result) chart(dir, part string) error {
+	chart := plot.New()
+	chart.Title.Text = result.Experiment + ": " + part
+	chart.X.Label.Text, chart.Y.Label.Text = "second", "answered in time (a flood: ended) each second"
+	chart.Y.Min = 0
+	chart.Add(plotter.NewGrid())
 	var arms []string
-	for arm := range r.Series {
+	for arm := range result.Series {
 		arms = append(arms, arm)
 	}
 	slices.Sort(arms)
 	drawn := false
 	for i, arm := range arms {
 		var points plotter.XYs
-		for sec, v := range r.Series[arm][part] {
-			y := float64(v.InObjective)
-			if r.isFlood(part) {
-				y = float64(v.Requested)
+		for second, point := range result.Series[arm][part] {
+			y := float64(point.InObjective)
+			if result.isFlood(part) {
+				y = float64(point.Requested)
 			}
-			points = append(points, plotter.XY{X: float64(sec), Y: y})
+			points = append(points, plotter.XY{X: float64(second), Y: y})
 		}
 		if len(points) < 2 {
 			continue
@@ -298,14 +299,14 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = inks[i%len(inks)], vg.Points(1.5)
-		p.Add(line)
-		p.Legend.Add(arm, line)
+		line.Color, line.Width = lineColors[i%len(lineColors)], vg.Points(1.5)
+		chart.Add(line)
+		chart.Legend.Add(arm, line)
 		drawn = true
 	}
 	if !drawn {
 		return nil
 	}
-	p.Legend.Top = true
-	return p.Save(16*vg.Centimeter, 8*vg.Centimeter, filepath.Join(dir, part+".svg"))
+	chart.Legend.Top = true
+	return chart.Save(16*vg.Centimeter, 8*vg.Centimeter, filepath.Join(dir, part+".svg"))
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -15,148 +15,150 @@
 	"lotushook/internal/emulator"
 )
 
-// Options are how an experiment is run.
+// Options says how to run an experiment.
 type Options struct {
-	Seed  uint64
-	Dir   string // where results go
-	Build string // the router's program
-	Tell  func(arm string, done, whole time.Duration)
+	Seed     uint64
+	Dir      string                                      // directory of the results
+	Build    string                                      // path of the router program
+	Progress func(arm string, done, whole time.Duration) // reports progress; may be nil
 }
 
-// Run plays the arms one after the other. What is wrong with a router is in the
-// result; an error says that it could not be played.
-func Run(ctx context.Context, e *Experiment, o Options) (*Result, error) {
-	res := &Result{Experiment: e.Name, About: e.About, Seed: o.Seed, Arms: map[string]map[string]map[string]float64{}}
-	for i := range e.Arms {
-		arm := &e.Arms[i]
-		dir := filepath.Join(o.Dir, arm.Name)
+// Run runs the arms one after the other. Failures of routers are in the result; an error means that the experiment
+// itself could not be run.
+func Run(ctx context.Context, experiment *Experiment, options Options) (*Result, error) {
+	result := &Result{Experiment: experiment.Name, About: experiment.About, Seed: options.Seed, Arms: map[string]map[string]map[string]float64{}}
+	for i := range experiment.Arms {
+		arm := &experiment.Arms[i]
+		dir := filepath.Join(options.Dir, arm.Name)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, err
 		}
 		slog.Info("arm", "name", arm.Name)
-		p := &play{e: e, arm: arm, o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), parts: map[string]*part{}, readers: map[string]*followed{}}
-		if err := p.run(ctx, dir); err != nil {
+		run := &armRun{experiment: experiment, arm: arm, options: options, rng: rand.New(rand.NewPCG(options.Seed, 1)), parts: map[string]*partStats{}, readers: map[string]*feedRecord{}}
+		if err := run.execute(ctx, dir); err != nil {
 			return nil, fmt.Errorf("arm %s: %w", arm.Name, err)
 		}
-		res.add(arm.Name, p)
+		result.addArm(arm.Name, run)
 	}
-	res.judge(e.Checks)
-	return res, nil
+	result.evaluate(experiment.Checks)
+	return result, nil
 }
 
-// play is one arm while it runs.
-type play struct {
-	e               *Experiment
-	arm             *Arm
-	o               Options
-	rng             *rand.Rand
-	fleet           *emulator.Running
-	front           *emulator.Front
-	routers         []*process
-	from            time.Time
-	back, firstBack time.Time // the last and the first start of a router again; a server's burden counts for the last
-	parts           map[string]*part
-	cpu             time.Duration
-	readers         map[string]*followed
-	fellows         *memberCluster // of routers that know each other; nil: they don't
-	mu              sync.Mutex
-	asked           []sheddingRequest // of loads in lanes
+// armRun is one run of an arm.
+type armRun struct {
+	experiment               *Experiment
+	arm                      *Arm
+	options                  Options
+	rng                      *rand.Rand
+	fleet                    *emulator.Running
+	loadBalancer             *emulator.Front
+	routers                  []*process
+	from                     time.Time
+	faultsOver, firstRestart time.Time // the last restart of a router or last change of a burden, and the first restart; zero: none
+	parts                    map[string]*partStats
+	cpu                      time.Duration
+	readers                  map[string]*feedRecord
+	cluster                  *memberCluster // nil: the routers form no cluster
+	mu                       sync.Mutex
+	sheddingRequests         []sheddingRequest // of loads that belong to a priority class
 }
 
+// execute starts the data servers and routers, runs the loads, floods, subscribers and events, and stops everything.
+//
 //nolint:funlen // to be split (docs/ROADMAP.md, readable code)
-func (p *play) run(ctx context.Context, dir string) error {
+func (run *armRun) execute(ctx context.Context, dir string) error {
 	var err error
-	run := runs.Add(1)
-	if p.fellows, err = newMemberCluster(p.e, p.arm, dir, p.o.Seed, run); err != nil {
+	runNumber := runNumbers.Add(1)
+	if run.cluster, err = newMemberCluster(run.experiment, run.arm, dir, run.options.Seed, runNumber); err != nil {
 		return err
 	}
-	if p.fellows != nil {
-		defer p.fellows.net.Close()
+	if run.cluster != nil {
+		defer run.cluster.net.Close()
 	}
-	fleet := p.e.fleet(p.o.Seed)
-	fleet.Record = p.fellows.records()
-	if p.fleet, err = fleet.Start(); err != nil {
+	fleet := run.experiment.fleet(run.options.Seed)
+	fleet.Record = run.cluster.records()
+	if run.fleet, err = fleet.Start(); err != nil {
 		return err
 	}
-	defer p.fleet.Stop()
-	p.front = emulator.NewFront(ms(p.e.Routers.NoticeMS))
-	build := p.o.Build
-	if p.arm.Build != "" {
-		build = p.arm.Build
-	}
-	for n := range p.e.Routers.Count {
-		p.fellows.note(n, up)
-		r, err := newProcess(p.e, p.arm, build, dir, n, p.o.Seed, p.fleet.Agent.Addr(), p.fleet.Agent.List(), p.fellows, run)
-		if r != nil {
-			p.routers = append(p.routers, r)
+	defer run.fleet.Stop()
+	run.loadBalancer = emulator.NewFront(milliseconds(run.experiment.Routers.DetectionMS))
+	build := run.options.Build
+	if run.arm.Build != "" {
+		build = run.arm.Build
+	}
+	for number := range run.experiment.Routers.Count {
+		run.cluster.recordCondition(number, up)
+		router, err := newProcess(run.experiment, run.arm, build, dir, number, run.options.Seed, run.fleet.Agent.Addr(), run.fleet.Agent.List(), run.cluster, runNumber)
+		if router != nil {
+			run.routers = append(run.routers, router)
 		}
 		if err != nil {
-			p.end()
+			run.stopRouters()
 			return err
 		}
-		p.front.Up(r.addr)
+		run.loadBalancer.Up(router.addr)
 	}
-	settle, span := s(p.e.Settle), s(p.e.Seconds)
-	p.from = time.Now().Add(settle)
-	ctx, stop := context.WithDeadline(ctx, p.from.Add(span))
+	settle, span := seconds(run.experiment.Settle), seconds(run.experiment.Seconds)
+	run.from = time.Now().Add(settle)
+	ctx, stop := context.WithDeadline(ctx, run.from.Add(span))
 	defer stop()
-	var parts sync.WaitGroup
-	for _, l := range p.e.Loads {
-		if len(p.arm.Loads) == 0 || slices.Contains(p.arm.Loads, l.Name) {
-			part := newPart(p.from, span)
-			p.parts[l.Name] = part
-			parts.Go(func() { p.load(ctx, l, part) })
+	var clients sync.WaitGroup
+	for _, load := range run.experiment.Loads {
+		if len(run.arm.Loads) == 0 || slices.Contains(run.arm.Loads, load.Name) {
+			stats := newPartStats(run.from, span)
+			run.parts[load.Name] = stats
+			clients.Go(func() { run.load(ctx, load, stats) })
 		}
 	}
-	for _, f := range p.e.Floods {
-		if slices.Contains(p.arm.Floods, f.Name) {
-			part := newPart(p.from, span)
-			p.parts[f.Name] = part
-			parts.Go(func() { p.flood(ctx, f, part) })
+	for _, flood := range run.experiment.Floods {
+		if slices.Contains(run.arm.Floods, flood.Name) {
+			stats := newPartStats(run.from, span)
+			run.parts[flood.Name] = stats
+			clients.Go(func() { run.flood(ctx, flood, stats) })
 		}
 	}
-	for _, r := range p.e.Readers {
-		if len(p.arm.Loads) == 0 || slices.Contains(p.arm.Loads, r.Name) {
-			part, f := newPart(p.from, span), &followed{}
-			p.parts[r.Name], p.readers[r.Name] = part, f
-			parts.Go(func() { p.follow(ctx, r, part, f) })
+	for _, readers := range run.experiment.Readers {
+		if len(run.arm.Loads) == 0 || slices.Contains(run.arm.Loads, readers.Name) {
+			stats, feed := newPartStats(run.from, span), &feedRecord{}
+			run.parts[readers.Name], run.readers[readers.Name] = stats, feed
+			clients.Go(func() { run.follow(ctx, readers, stats, feed) })
 		}
 	}
-	parts.Go(func() { p.events(ctx) })
-	parts.Go(func() { p.watch(ctx) })
-	parts.Wait()
-	for _, f := range p.readers {
-		f.keep(p.fleet)
+	clients.Go(func() { run.triggerEvents(ctx) })
+	clients.Go(func() { run.watch(ctx) })
+	clients.Wait()
+	for _, feed := range run.readers {
+		feed.saveLogs(run.fleet)
 	}
-	p.fellows.requestViews(p.routers)
-	p.end()
+	run.cluster.queryReports(run.routers)
+	run.stopRouters()
 	if err := context.Cause(ctx); errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
 }
 
-// watch notes CPU time and memory over the measured time, and tells how far it is.
-func (p *play) watch(ctx context.Context) {
+// watch measures CPU time and memory during the measured time, and reports progress.
+func (run *armRun) watch(ctx context.Context) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	used := func() (sum time.Duration) {
-		for _, r := range p.routers {
-			sum += r.used()
+	cpuTime := func() (total time.Duration) {
+		for _, router := range run.routers {
+			total += router.cpuTime()
 		}
-		return sum
+		return total
 	}
-	if sleep(ctx, time.Until(p.from)) != nil {
+	if sleep(ctx, time.Until(run.from)) != nil {
 		return
 	}
-	before := used()
+	before := cpuTime()
 	for {
-		p.cpu = used() - before
-		for _, r := range p.routers {
-			r.sample()
+		run.cpu = cpuTime() - before
+		for _, router := range run.routers {
+			router.sampleMemory()
 		}
-		if p.o.Tell != nil {
-			p.o.Tell(p.arm.Name, min(time.Since(p.from), s(p.e.Seconds)), s(p.e.Seconds))
+		if run.options.Progress != nil {
+			run.options.Progress(run.arm.Name, min(time.Since(run.from), seconds(run.experiment.Seconds)), seconds(run.experiment.Seconds))
 		}
 		select {
 		case <-ctx.Done():
@@ -166,19 +168,19 @@
 	}
 }
 
-// end stops the routers all at once.
-func (p *play) end() {
-	var all sync.WaitGroup
-	for _, r := range p.routers {
-		all.Go(func() {
-			r.end()
-			r.log.Close()
+// stopRouters stops all routers in parallel.
+func (run *armRun) stopRouters() {
+	var group sync.WaitGroup
+	for _, router := range run.routers {
+		group.Go(func() {
+			router.terminate()
+			router.log.Close()
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// sleep waits unless the context ends.
+// sleep waits for a duration, or until the context ends, whose error it then returns.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/experiment/sends.go
+++ b/internal/experiment/sends.go
@@ -12,31 +12,32 @@
 	"lotushook/internal/router"
 )
 
-func sendsName(n int) string { return routerName(n) + "-sends.jsonl" }
+func sendsName(router int) string { return routerName(router) + "-sends.jsonl" }
 
-// records says whether the routers record their sends, and so the data servers what they did.
-func (f *memberCluster) records() bool {
-	if f == nil {
+// records reports whether the routers record their sends, so that the data servers must record the requests that they
+// process.
+func (cluster *memberCluster) records() bool {
+	if cluster == nil {
 		return false
 	}
-	_, ok := f.members["decisions"].(map[string]any)
+	_, ok := cluster.members["decisions"].(map[string]any)
 	return ok
 }
 
-// auditSends reads what all routers recorded of their sends and holds it against what the data servers did.
-func (f *memberCluster) auditSends(ran []emulator.Ran) (map[string]float64, error) {
+// auditSends reads the sends that the routers recorded and compares them with what the data servers processed.
+func (cluster *memberCluster) auditSends(processed []emulator.Ran) (map[string]float64, error) {
 	var all []router.Send
-	for n := range f.count {
-		one, err := readSends(filepath.Join(f.dir, sendsName(n)))
+	for router := range cluster.count {
+		sends, err := readSends(filepath.Join(cluster.dir, sendsName(router)))
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, one...)
+		all = append(all, sends...)
 	}
-	return auditSends(all, ran), nil
+	return auditSends(all, processed), nil
 }
 
-// readSends reads one router's record. Its last line may be cut: the process was killed.
+// readSends reads the record of one router. The last line may be incomplete because the process may have been killed.
 func readSends(path string) ([]router.Send, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -45,82 +46,83 @@
 	defer file.Close()
 	var all []router.Send
 	lines := bufio.NewScanner(file)
-	bad := error(nil)
-	for n := 1; lines.Scan(); n++ {
-		if bad != nil {
-			return nil, bad
+	lineError := error(nil)
+	for number := 1; lines.Scan(); number++ {
+		if lineError != nil {
+			return nil, lineError
 		}
-		var s router.Send
-		if err := jsoniter.Unmarshal(lines.Bytes(), &s); err != nil {
-			bad = fmt.Errorf("%s: line %d: %w", path, n, err)
+		var send router.Send
+		if err := jsoniter.Unmarshal(lines.Bytes(), &send); err != nil {
+			lineError = fmt.Errorf("%s: line %d: %w", path, number, err)
 			continue
 		}
-		all = append(all, s)
+		all = append(all, send)
 	}
 	return all, lines.Err()
 }
 
-// auditSends holds sends against what the data servers did. All but sends and restored must be 0:
+// auditSends compares sends with the requests that the data servers processed. All metrics except sends, ran and
+// restored must be 0:
 //
-//	unrecorded   a server did what no router recorded as sent to it
-//	unlisted     a server did what was sent to it though the list did not name it
-//	blind_writes a write rests on a primary that is only told or restored
-//	ungrounded   a send rests on nothing, or on something of an origin that there is not
-//	lowered      a session's floor fell within one process of a router, which knew better
-//	below        a session's read was answered as of before the floor that it was sent with
-//	young        something restored is younger than the process that has it
-func auditSends(sends []router.Send, ran []emulator.Ran) map[string]float64 {
-	m := map[string]float64{"sends": float64(len(sends)), "ran": float64(len(ran)), "restored": 0, "unrecorded": 0, "unlisted": 0, "blind_writes": 0, "ungrounded": 0,
+//	unrecorded   a server processed a request that no router recorded as sent to it
+//	unlisted     a server processed a request although the endpoint list did not contain the server
+//	blind_writes a write went to a primary that the router had neither observed itself nor proven
+//	ungrounded   a send has no recorded reason, or one of an unknown origin
+//	lowered      the minimum position of a session decreased within one process of a router
+//	below        a session's read was answered from before the minimum position that it was sent with
+//	young        a restored value is younger than the process that uses it
+func auditSends(sends []router.Send, processed []emulator.Ran) map[string]float64 {
+	metrics := map[string]float64{"sends": float64(len(sends)), "ran": float64(len(processed)), "restored": 0, "unrecorded": 0, "unlisted": 0, "blind_writes": 0, "ungrounded": 0,
 		"lowered": 0, "below": 0, "young": 0}
-	type at struct{ id, server string }
-	type whose struct {
+	type sendKey struct{ id, server string }
+	type sessionKey struct {
 		router, session string
 		boot            uint64
 		group           int64
 	}
-	sent, floors := map[at]*router.Send{}, map[whose]int64{}
+	sentTo, floors := map[sendKey]*router.Send{}, map[sessionKey]int64{}
 	for i := range sends {
-		s := &sends[i]
-		sent[at{s.ID, s.Server}] = s
-		grounded := false
-		for _, g := range s.On {
-			grounded = grounded || g.What == "server" && g.Origin == "own" && g.Says == s.Server
-			switch g.Origin {
+		send := &sends[i]
+		sentTo[sendKey{send.ID, send.Server}] = send
+		hasServerFact := false
+		for _, fact := range send.On {
+			hasServerFact = hasServerFact || fact.What == "server" && fact.Origin == "own" && fact.Says == send.Server
+			switch fact.Origin {
 			case "restored":
-				m["restored"]++
-				if g.AgeMS+1 < s.AtMS {
-					m["young"]++
+				metrics["restored"]++
+				if fact.AgeMS+1 < send.AtMS {
+					metrics["young"]++
 				}
 			case "own", "peer", "client":
 			default:
-				m["ungrounded"]++
+				metrics["ungrounded"]++
 			}
 			switch {
-			case g.What == "primary" && g.Origin != "own" && !g.Proven:
-				m["blind_writes"]++
-			case g.What == "floor" && g.Origin != "client":
-				w := whose{s.Router, s.Session, s.Boot, s.Group}
-				if floors[w] = max(floors[w], s.Floor); s.Floor < floors[w] {
-					m["lowered"]++
+			case fact.What == "primary" && fact.Origin != "own" && !fact.Proven:
+				metrics["blind_writes"]++
+			case fact.What == "floor" && fact.Origin != "client":
+				key := sessionKey{send.Router, send.Session, send.Boot, send.Group}
+				if floors[key] = max(floors[key], send.Floor); send.Floor < floors[key] {
+					metrics["lowered"]++
 				}
 			}
 		}
-		if !grounded {
-			m["ungrounded"]++
+		if !hasServerFact {
+			metrics["ungrounded"]++
 		}
 	}
-	for _, r := range ran {
-		s := sent[at{r.ID, r.Server}]
+	for _, result := range processed {
+		send := sentTo[sendKey{result.ID, result.Server}]
 		switch {
-		case s == nil:
-			m["unrecorded"]++
+		case send == nil:
+			metrics["unrecorded"]++
 			continue
-		case !s.Listed:
-			m["unlisted"]++
+		case !send.Listed:
+			metrics["unlisted"]++
 		}
-		if !r.Missed && !r.Write && s.Session == r.Session && r.Pos < s.Floor {
-			m["below"]++
+		if !result.Missed && !result.Write && send.Session == result.Session && result.Pos < send.Floor {
+			metrics["below"]++
 		}
 	}
-	return m
+	return metrics
 }
--- a/internal/experiment/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -13,15 +13,16 @@
 	"lotushook/internal/router"
 )
 
-// All routers are killed at once and come back with their disks. Clients bring no commits: what their reads must see is
-// known from the disks alone, and no send rests on anything that it must not.
+// TestComeBackWithDisks kills all routers at once and restarts them with their disks. Clients send no positions, so the
+// routers know the positions that reads must include from the disks alone, and no send may be based on an invalid
+// source.
 func TestComeBackWithDisks(t *testing.T) {
 	t.Parallel()
 	platform := strings.Replace(nettest.Settings, `"balancers":1`, `"balancers":3`, 1)
 	faults := ""
 	for _, do := range []string{"kill", "start"} {
-		for n := range 3 {
-			faults += fmt.Sprintf(`,{"at_s":%v,"do":%q,"router":%d}`, map[string]float64{"kill": 2.5, "start": 2.9}[do], do, n)
+		for router := range 3 {
+			faults += fmt.Sprintf(`,{"at_s":%v,"do":%q,"router":%d}`, map[string]float64{"kill": 2.5, "start": 2.9}[do], do, router)
 		}
 	}
 	text := fmt.Sprintf(`{"name":"m","seconds":6,"settle":3,"platform":%s,"classes":{"own":{"read":"session","wait_ms":2000,"work_ms":[1,2]},"write":{"read":"write","wait_ms":2000,"work_ms":[1,2]}},
@@ -29,22 +30,22 @@
 		"routers":{"count":3,"cores":1,"memory_mb":48,"sockets":256,"notice_ms":100,"members":{"period_ms":100,"wait_ms":40,"share":true,"keep":{"fsyncs_per_s":20},"decisions":{}}},
 		"loads":[{"name":"roaming","clients":24,"pause_ms":30,"fresh":1,"forget":true,"mix":{"own":0.6,"write":0.4}}],
 		"arms":[{"name":"a","events":[%s]}],"checks":[{"name":"x","value":"a.sends.unrecorded","max":0}]}`, platform, faults[1:])
-	e, err := Parse([]byte(text))
+	experiment, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	res, err := Run(context.Background(), e, Options{Seed: 1, Dir: dir, Build: program})
+	result, err := Run(context.Background(), experiment, Options{Seed: 1, Dir: dir, Build: program})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := res.Arms["a"]["sends"]
-	if len(res.Ended) > 0 || m["restored"] == 0 || m["ran"] < 100 {
-		t.Errorf("%v %v %v", res.Ended, m, res.Arms["a"]["servers"])
+	metrics := result.Arms["a"]["sends"]
+	if len(result.Ended) > 0 || metrics["restored"] == 0 || metrics["ran"] < 100 {
+		t.Errorf("%v %v %v", result.Ended, metrics, result.Arms["a"]["servers"])
 	}
-	for _, never := range []string{"unrecorded", "unlisted", "blind_writes", "ungrounded", "lowered", "below", "young"} {
-		if m[never] != 0 {
-			t.Errorf("%s: %v", never, m)
+	for _, name := range []string{"unrecorded", "unlisted", "blind_writes", "ungrounded", "lowered", "below", "young"} {
+		if metrics[name] != 0 {
+			t.Errorf("%s: %v", name, metrics)
 		}
 	}
 	if all, err := readSends(filepath.Join(dir, "a", sendsName(0))); err != nil || len(all) == 0 {
@@ -52,39 +53,39 @@
 	}
 }
 
-// Each figure of the audit comes from a record that was doctored for it, and from no other.
+// TestSendsAuditFails checks that each metric of the audit is raised by a record changed for it, and by no other.
 func TestSendsAuditFails(t *testing.T) {
-	ground := func(what, origin string, age int64, says string) router.Provenance {
+	provenance := func(what, origin string, age int64, says string) router.Provenance {
 		return router.Provenance{What: what, Origin: origin, AgeMS: age, Says: says}
 	}
-	for _, c := range []struct {
-		figure string
-		doctor func(s []router.Send, r []emulator.Ran) []emulator.Ran
+	for _, test := range []struct {
+		metric string
+		change func(sends []router.Send, ran []emulator.Ran) []emulator.Ran
 	}{
-		{"", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { return r }},
-		{"unrecorded", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { r[0].Server = "s2"; return r }},
-		{"unlisted", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].Listed = false; return r }},
-		{"blind_writes", func(s []router.Send, r []emulator.Ran) []emulator.Ran {
-			s[0].On = append(s[0].On, ground("primary", "restored", 9000, "s1"))
-			return r
+		{"", func(_ []router.Send, ran []emulator.Ran) []emulator.Ran { return ran }},
+		{"unrecorded", func(_ []router.Send, ran []emulator.Ran) []emulator.Ran { ran[0].Server = "s2"; return ran }},
+		{"unlisted", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[0].Listed = false; return ran }},
+		{"blind_writes", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran {
+			sends[0].On = append(sends[0].On, provenance("primary", "restored", 9000, "s1"))
+			return ran
 		}},
-		{"ungrounded", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[0].On[0].Says = "s9"; return r }},
-		{"lowered", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[2].Floor = 40; return r }},
-		{"below", func(_ []router.Send, r []emulator.Ran) []emulator.Ran { r[1].Pos = 49; return r }},
-		{"young", func(s []router.Send, r []emulator.Ran) []emulator.Ran { s[1].On[1].AgeMS = 10; return r }},
+		{"ungrounded", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[0].On[0].Says = "s9"; return ran }},
+		{"lowered", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[2].Floor = 40; return ran }},
+		{"below", func(_ []router.Send, ran []emulator.Ran) []emulator.Ran { ran[1].Pos = 49; return ran }},
+		{"young", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[1].On[1].AgeMS = 10; return ran }},
 	} {
 		sends := []router.Send{
-			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Provenance{ground("server", "own", 0, "s1")}},
-			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{ground("server", "own", 0, "s1"), ground("floor", "restored", 900, "50")}},
-			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{ground("server", "own", 0, "s1"), ground("floor", "peer", 5, "50")}},
+			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Provenance{provenance("server", "own", 0, "s1")}},
+			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{provenance("server", "own", 0, "s1"), provenance("floor", "restored", 900, "50")}},
+			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{provenance("server", "own", 0, "s1"), provenance("floor", "peer", 5, "50")}},
 		}
-		ran := c.doctor(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
-		m := auditSends(sends, ran)
-		maps.DeleteFunc(m, func(name string, v float64) bool {
-			return v == 0 || name == "sends" || name == "ran" || name == "restored"
+		ran := test.change(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
+		metrics := auditSends(sends, ran)
+		maps.DeleteFunc(metrics, func(name string, value float64) bool {
+			return value == 0 || name == "sends" || name == "ran" || name == "restored"
 		})
-		if len(m) != len(c.figure)/max(1, len(c.figure)) || c.figure != "" && m[c.figure] == 0 {
-			t.Errorf("%q: %v", c.figure, m)
+		if len(metrics) != len(test.metric)/max(1, len(test.metric)) || test.metric != "" && metrics[test.metric] == 0 {
+			t.Errorf("%q: %v", test.metric, metrics)
 		}
 	}
 }
--- a/internal/experiment/shedding.go
+++ b/internal/experiment/shedding.go
@@ -10,190 +10,191 @@
 	"lotushook/internal/emulator"
 )
 
-// sheddingRequest is one request of an account in a lane as its client saw it.
+// sheddingRequest is one request of an account of a priority class, as its client saw it.
 type sheddingRequest struct {
 	id            string
-	priorityClass string // by its contract
+	priorityClass string // according to the contract of the account
 	account       string
 	group         int64
 	router        int
 	at, end       time.Time
 	outcome       outcome
-	shed          string // the lane that its refusal names; "": it was not refused for one
+	shed          string // the priority class that the rejection names; "": not shed
 }
 
-var shedAs = regexp.MustCompile(`refused: lane (\S+) is shed .*\(lanes\)`)
+var sheddingMessage = regexp.MustCompile(`refused: lane (\S+) is shed .*\(lanes\)`)
 
 // shedClass returns the priority class that a rejection names.
 func shedClass(text string) string {
-	if m := shedAs.FindStringSubmatch(text); m != nil {
-		return m[1]
+	if match := sheddingMessage.FindStringSubmatch(text); match != nil {
+		return match[1]
 	}
 	return ""
 }
 
 const (
-	soon         = 2 * time.Second        // after a surge or a fault began, levels may differ for so long
-	together     = 100 * time.Millisecond // a refusal and a start of work so close are at the same time
-	rejectionGap = 250 * time.Millisecond // and two words to one account
+	thresholdGrace   = 2 * time.Second        // how long after the start of a surge or a fault the routers' shedding thresholds may differ
+	simultaneousSpan = 100 * time.Millisecond // a rejection and the start of a request closer than this count as simultaneous
+	rejectionGap     = 250 * time.Millisecond // two answers to one account closer than this are compared
 )
 
-// auditShedding holds what clients were told against what data servers began to work on. A refusal in the best lane by one
-// router, while a data server begins a request of the last lane that another one sent, is an inversion. From is when what
-// is measured began, marks are when a surge or a fault did; the surge was from surge to over.
+// auditShedding compares the answers to clients with the requests that data servers began. It is an inversion if one
+// router sheds a request of the most important class while a data server begins a request of the least important class
+// that another router sent. The measured time begins at from; marks are the starts of surges and faults; the surge
+// lasts from surge to over.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func auditShedding(lanes []string, all []sheddingRequest, ran []emulator.Began, from time.Time, marks []time.Time, surge, over time.Time) (map[string]float64, error) {
-	m := map[string]float64{}
-	if len(lanes) < 2 {
-		return m, fmt.Errorf("lanes: %d of them", len(lanes))
+func auditShedding(classes []string, requests []sheddingRequest, began []emulator.Began, from time.Time, marks []time.Time, surge, surgeEnd time.Time) (map[string]float64, error) {
+	metrics := map[string]float64{}
+	if len(classes) < 2 {
+		return metrics, fmt.Errorf("lanes: %d priority classes, at least 2 are required", len(classes))
 	}
-	best, last := lanes[0], lanes[len(lanes)-1]
+	best, last := classes[0], classes[len(classes)-1]
 	byID := map[string]*sheddingRequest{}
-	for i := range all {
-		if byID[all[i].id] != nil {
-			return m, fmt.Errorf("lanes: request %s is recorded twice", all[i].id)
+	for i := range requests {
+		if byID[requests[i].id] != nil {
+			return metrics, fmt.Errorf("lanes: request %s is recorded twice", requests[i].id)
 		}
-		byID[all[i].id] = &all[i]
+		byID[requests[i].id] = &requests[i]
 	}
-	// What the data servers began of the last lane, by group in order of time.
-	began := map[int64][]emulator.Began{}
-	worked := map[string]bool{}
-	for _, b := range ran {
-		a := byID[b.ID]
-		if a == nil {
-			continue // of a client that keeps no record
+	// The requests of the least important class that data servers began, by group, in order of time.
+	startsOfLast := map[int64][]emulator.Began{}
+	started := map[string]bool{}
+	for _, start := range began {
+		request := byID[start.ID]
+		if request == nil {
+			continue // its client does not record its requests
 		}
-		if worked[b.ID] = true; a.group != b.Group {
-			return m, fmt.Errorf("lanes: request %s was asked of cluster %d and begun at %d", b.ID, a.group, b.Group)
+		if started[start.ID] = true; request.group != start.Group {
+			return metrics, fmt.Errorf("lanes: request %s was made to cluster %d and begun at %d", start.ID, request.group, start.Group)
 		}
-		if a.priorityClass == last {
-			began[b.Group] = append(began[b.Group], b)
+		if request.priorityClass == last {
+			startsOfLast[start.Group] = append(startsOfLast[start.Group], start)
 		}
 	}
-	for _, list := range began {
-		slices.SortFunc(list, func(x, y emulator.Began) int { return x.At.Compare(y.At) })
+	for _, starts := range startsOfLast {
+		slices.SortFunc(starts, func(earlier, later emulator.Began) int { return earlier.At.Compare(later.At) })
 	}
-	first := func(t time.Time) bool {
-		return slices.ContainsFunc(marks, func(mark time.Time) bool { return !t.Before(mark) && t.Before(mark.Add(soon)) })
+	inGrace := func(t time.Time) bool {
+		return slices.ContainsFunc(marks, func(mark time.Time) bool { return !t.Before(mark) && t.Before(mark.Add(thresholdGrace)) })
 	}
-	early, earlyInv, lateInv, shed := 0.0, 0.0, 0.0, 0.0
-	words := map[string][]*sheddingRequest{}
-	visits := map[string]map[string]bool{} // by account: what it asked in the surge, and whether it was served, perhaps elsewhere
+	earlyRequests, earlyInversions, lateInversions, shed := 0.0, 0.0, 0.0, 0.0
+	answersByAccount := map[string][]*sheddingRequest{}
+	servedByAccount := map[string]map[string]bool{} // by account: its requests during the surge, and whether any attempt was served
 	var lastShed time.Time
-	lanesAsked, lanesServed := map[string]float64{}, map[string]float64{}
-	for i := range all {
-		a := &all[i]
-		if a.at.Before(from) {
+	requestedByClass, servedByClass := map[string]float64{}, map[string]float64{}
+	for i := range requests {
+		request := &requests[i]
+		if request.at.Before(from) {
 			continue
 		}
-		if a.outcome == served && !worked[a.id] {
-			return m, fmt.Errorf("lanes: request %s was answered, and no data server began it", a.id)
+		if request.outcome == served && !started[request.id] {
+			return metrics, fmt.Errorf("lanes: request %s was answered, and no data server began it", request.id)
 		}
-		if !over.IsZero() && a.at.Before(over) && a.at.After(surge.Add(soon)) {
-			id, _, _ := strings.Cut(a.id, "-r")
-			if visits[a.account] == nil {
-				visits[a.account] = map[string]bool{}
+		if !surgeEnd.IsZero() && request.at.Before(surgeEnd) && request.at.After(surge.Add(thresholdGrace)) {
+			id, _, _ := strings.Cut(request.id, "-r")
+			if servedByAccount[request.account] == nil {
+				servedByAccount[request.account] = map[string]bool{}
 			}
-			visits[a.account][id] = visits[a.account][id] || a.outcome == served
-			lanesAsked[a.priorityClass]++
-			if a.outcome == served {
-				lanesServed[a.priorityClass]++
+			servedByAccount[request.account][id] = servedByAccount[request.account][id] || request.outcome == served
+			requestedByClass[request.priorityClass]++
+			if request.outcome == served {
+				servedByClass[request.priorityClass]++
 			}
 		}
-		if a.priorityClass == best && first(a.at) {
-			early++
+		if request.priorityClass == best && inGrace(request.at) {
+			earlyRequests++
 		}
-		words[fmt.Sprint(a.group, a.account)] = append(words[fmt.Sprint(a.group, a.account)], a)
-		if a.shed == "" {
+		answersByAccount[fmt.Sprint(request.group, request.account)] = append(answersByAccount[fmt.Sprint(request.group, request.account)], request)
+		if request.shed == "" {
 			continue
 		}
 		shed++
-		if a.end.After(lastShed) {
-			lastShed = a.end
+		if request.end.After(lastShed) {
+			lastShed = request.end
 		}
-		if a.shed != best {
+		if request.shed != best {
 			continue
 		}
-		list := began[a.group]
-		at, _ := slices.BinarySearchFunc(list, a.end.Add(-together), func(b emulator.Began, t time.Time) int { return b.At.Compare(t) })
-		for ; at < len(list) && list[at].At.Before(a.end.Add(together)); at++ {
-			if byID[list[at].ID].router != a.router {
-				if first(a.at) {
-					earlyInv++
+		starts := startsOfLast[request.group]
+		index, _ := slices.BinarySearchFunc(starts, request.end.Add(-simultaneousSpan), func(start emulator.Began, t time.Time) int { return start.At.Compare(t) })
+		for ; index < len(starts) && starts[index].At.Before(request.end.Add(simultaneousSpan)); index++ {
+			if byID[starts[index].ID].router != request.router {
+				if inGrace(request.at) {
+					earlyInversions++
 				} else {
-					lateInv++
+					lateInversions++
 				}
 				break
 			}
 		}
 	}
-	torn, pairs := 0.0, 0.0
-	for _, list := range words {
-		slices.SortFunc(list, func(x, y *sheddingRequest) int { return x.end.Compare(y.end) })
-		for i := 1; i < len(list); i++ {
-			x, y := list[i-1], list[i]
-			if x.router == y.router || x.shed == "" && y.shed == "" || y.end.Sub(x.end) > rejectionGap || first(x.at) {
+	inconsistent, pairs := 0.0, 0.0
+	for _, answers := range answersByAccount {
+		slices.SortFunc(answers, func(earlier, later *sheddingRequest) int { return earlier.end.Compare(later.end) })
+		for i := 1; i < len(answers); i++ {
+			earlier, later := answers[i-1], answers[i]
+			if earlier.router == later.router || earlier.shed == "" && later.shed == "" || later.end.Sub(earlier.end) > rejectionGap || inGrace(earlier.at) {
 				continue
 			}
-			if pairs++; (x.shed == "") != (y.shed == "") && (x.outcome == served || y.outcome == served) {
-				torn++
+			if pairs++; (earlier.shed == "") != (later.shed == "") && (earlier.outcome == served || later.outcome == served) {
+				inconsistent++
 			}
 		}
 	}
-	whole, broken := 0.0, 0.0
-	for _, v := range visits {
-		n := 0
-		for _, ok := range v {
+	servedWhole, servedPartly := 0.0, 0.0
+	for _, requestsServed := range servedByAccount {
+		count := 0
+		for _, ok := range requestsServed {
 			if ok {
-				n++
+				count++
 			}
 		}
 		switch {
-		case n == len(v):
-			whole += float64(n)
+		case count == len(requestsServed):
+			servedWhole += float64(count)
 		default:
-			broken += float64(n)
+			servedPartly += float64(count)
 		}
 	}
-	m["visits_whole_share"] = ratio(whole, whole+broken) // of what was served in the surge, to accounts that were served all they asked
-	m["shed"], m["inversions_first_share"], m["inversions_after"] = shed, ratio(earlyInv, early), lateInv
-	m["pairs"], m["torn_share"] = pairs, ratio(torn, pairs)
-	for _, l := range lanes {
-		m["served_share_"+l] = ratio(lanesServed[l], lanesAsked[l])
+	metrics["visits_whole_share"] = ratio(servedWhole, servedWhole+servedPartly) // the share of requests served during the surge that belong to accounts whose every request was served
+	metrics["shed"], metrics["inversions_first_share"], metrics["inversions_after"] = shed, ratio(earlyInversions, earlyRequests), lateInversions
+	metrics["pairs"], metrics["torn_share"] = pairs, ratio(inconsistent, pairs)
+	for _, class := range classes {
+		metrics["served_share_"+class] = ratio(servedByClass[class], requestedByClass[class])
 	}
-	if m["released_s"] = 0; !over.IsZero() && lastShed.After(over) {
-		m["released_s"] = lastShed.Sub(over).Seconds()
+	if metrics["released_s"] = 0; !surgeEnd.IsZero() && lastShed.After(surgeEnd) {
+		metrics["released_s"] = lastShed.Sub(surgeEnd).Seconds()
 	}
-	return m, nil
+	return metrics, nil
 }
 
-// sheddingFigures are an arm's, where the experiment names lanes.
-func (p *play) sheddingFigures() (map[string]float64, error) {
+// sheddingMetrics returns the shedding metrics of the arm.
+func (run *armRun) sheddingMetrics() (map[string]float64, error) {
 	var marks []time.Time
-	var surge, over time.Time
-	for _, l := range p.e.Loads {
-		if l.FromS > 0 && (len(p.arm.Loads) == 0 || slices.Contains(p.arm.Loads, l.Name)) {
-			marks = append(marks, p.from.Add(s(l.FromS)))
-			if l.ToS > 0 {
-				surge, over = p.from.Add(s(l.FromS)), p.from.Add(s(l.ToS))
+	var surge, surgeEnd time.Time
+	for _, load := range run.experiment.Loads {
+		if load.FromS > 0 && (len(run.arm.Loads) == 0 || slices.Contains(run.arm.Loads, load.Name)) {
+			marks = append(marks, run.from.Add(seconds(load.FromS)))
+			if load.ToS > 0 {
+				surge, surgeEnd = run.from.Add(seconds(load.FromS)), run.from.Add(seconds(load.ToS))
 			}
 		}
 	}
-	for _, v := range p.arm.Events {
-		marks = append(marks, p.from.Add(s(v.AtS)))
+	for _, event := range run.arm.Events {
+		marks = append(marks, run.from.Add(seconds(event.AtS)))
 	}
 	slices.SortFunc(marks, time.Time.Compare)
-	p.mu.Lock()
-	all := slices.Clone(p.asked)
-	p.mu.Unlock()
-	m, err := auditShedding(p.e.PriorityClasses, all, p.fleet.Began(), p.from, marks, surge, over)
-	for _, part := range p.parts {
-		part.mu.Lock()
-		m["worth_per_s"] += part.earned / part.span.Seconds()
-		part.mu.Unlock()
+	run.mu.Lock()
+	requests := slices.Clone(run.sheddingRequests)
+	run.mu.Unlock()
+	metrics, err := auditShedding(run.experiment.PriorityClasses, requests, run.fleet.Began(), run.from, marks, surge, surgeEnd)
+	for _, stats := range run.parts {
+		stats.mu.Lock()
+		metrics["worth_per_s"] += stats.weightInObjective / stats.span.Seconds()
+		stats.mu.Unlock()
 	}
-	return m, err
+	return metrics, err
 }
 
 const maxSheddingRequests = 1 << 20
