--- a/internal/experiment/soak.go
+++ b/internal/experiment/soak.go
@@ -21,88 +21,88 @@
 )
 
 const (
-	soakSettle   = 500 * time.Millisecond // before the clients come
-	soakCalm     = 8 * time.Second        // at most, for connections to end that nobody uses
-	soakSockets  = 160                    // descriptors of a router: a crowd fills them
-	soakHalfLife = 200 * time.Millisecond // a configuration stays broken for so long
+	soakSettle           = 500 * time.Millisecond // before the clients start
+	soakIdleTimeout      = 8 * time.Second        // maximum wait until unused connections have been closed
+	soakSockets          = 160                    // descriptors of a router; idle clients can occupy all of them
+	soakBrokenConfigTime = 200 * time.Millisecond // how long a broken configuration file stays in place
 )
 
-// soakOwn switches the access log on: what the routers have read is one of the records.
-const soakOwn = `{"log":{"totals_ms":1000,"trace":"all","trace_per_s":1000000}}`
+// soakOwn enables the access log, from which the audit learns which requests the routers have read.
+const soakRouterSettings = `{"log":{"totals_ms":1000,"trace":"all","trace_per_s":1000000}}`
 
-// soakPlay is one play of a plan.
-type soakPlay struct {
-	e           *Experiment
-	plan        *SoakPlan
-	record      *soakRecord
-	fleet       *emulator.Running
-	routers     []*soakRouter
-	connections atomic.Int64
-	moved       string // another address of discovery
+// soakRun is one run of a plan.
+type soakRun struct {
+	experiment   *Experiment
+	plan         *SoakPlan
+	record       *soakRecord
+	fleet        *emulator.Running
+	routers      []*soakRouter
+	connections  atomic.Int64
+	movedAddress string // the second address of the discovery agent
 }
 
-// soakRouter is one router over its processes.
+// soakRouter is one router over its successive processes.
 type soakRouter struct {
 	*process
-	turn    sync.Mutex // held by the step that restarts or reloads it
-	mu      sync.Mutex // guards what follows
-	life    int
-	current *soakLife
-	done    chan struct{} // closed when the present process has ended
-	until   time.Time     // the front sends new connections until then; zero: it does
-	up      bool
-	base    int // descriptors before the first clients came
+	stepMu          sync.Mutex // held by the step that is restarting or reloading it
+	mu              sync.Mutex // guards the fields below
+	processIndex    int
+	current         *soakProcess
+	done            chan struct{} // closed when the current process has ended
+	acceptsUntil    time.Time     // new connections are made to it until then; zero: no limit
+	up              bool
+	baseDescriptors int // descriptors in use before the first clients connected
 }
 
-// PlaySoak plays a plan and returns the record.
-func playSoak(ctx context.Context, e *Experiment, plan *SoakPlan, build, dir string) (*soakRecord, error) {
+// executeSoak runs a plan and returns the record.
+func executeSoak(ctx context.Context, experiment *Experiment, plan *SoakPlan, build, dir string) (*soakRecord, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	for n := range plan.Routers { // of an earlier play: this one's audit reads them
-		_ = os.Remove(filepath.Join(dir, routerName(n)+".log"))
+	for number := range plan.Routers { // remove logs of an earlier run, or the audit would read them
+		_ = os.Remove(filepath.Join(dir, routerName(number)+".log"))
 	}
-	profile := &e.Soak.Profiles[plan.Profile]
-	one := *e
-	one.Platform, one.Classes = profile.Platform, profile.Classes
-	one.Routers.Own, one.Routers.Sockets = jsoniter.RawMessage(soakOwn), soakSockets
-	p := &soakPlay{e: &one, plan: plan, record: &soakRecord{Plan: plan, Profile: profile, Limits: one.soakLimits()}}
-	fleet := one.fleet(plan.Seed)
+	profile := &experiment.Soak.Profiles[plan.Profile]
+	profiled := *experiment
+	profiled.Platform, profiled.Classes = profile.Platform, profile.Classes
+	profiled.Routers.RouterSettings, profiled.Routers.Sockets = jsoniter.RawMessage(soakRouterSettings), soakSockets
+	run := &soakRun{experiment: &profiled, plan: plan, record: &soakRecord{Plan: plan, Profile: profile, Limits: profiled.soakLimits()}}
+	fleet := profiled.fleet(plan.Seed)
 	fleet.Record = true
 	var err error
-	if p.fleet, err = fleet.Start(); err != nil {
+	if run.fleet, err = fleet.Start(); err != nil {
 		return nil, err
 	}
-	defer p.fleet.Stop()
-	if p.moved, err = p.fleet.Agent.Move(); err != nil {
+	defer run.fleet.Stop()
+	if run.movedAddress, err = run.fleet.Agent.Move(); err != nil {
 		return nil, err
 	}
-	defer p.stopAll()
-	run := runs.Add(1)
-	for n := range plan.Routers {
-		files, err := prepareProcess(&one, &Arm{}, build, dir, n, plan.Seed, p.fleet.Agent.Addr(), p.fleet.Agent.List(), nil, run)
+	defer run.stopAll()
+	runNumber := runNumbers.Add(1)
+	for number := range plan.Routers {
+		process, err := prepareProcess(&profiled, &Arm{}, build, dir, number, plan.Seed, run.fleet.Agent.Addr(), run.fleet.Agent.List(), nil, runNumber)
 		if err != nil {
 			return nil, err
 		}
-		r := &soakRouter{process: files}
-		p.routers = append(p.routers, r)
-		if err := p.launch(r, n, true); err != nil {
+		router := &soakRouter{process: process}
+		run.routers = append(run.routers, router)
+		if err := run.launch(router, number, true); err != nil {
 			return nil, err
 		}
 	}
 	time.Sleep(soakSettle)
-	for _, r := range p.routers {
-		r.base = calmDescriptors(r.pid())
-		r.current.BaseFDs = r.base
-	}
-	p.runFaults(ctx)
-	p.awaitCalm()
-	p.stopAll()
-	return p.record, p.collect(dir)
+	for _, router := range run.routers {
+		router.baseDescriptors = minDescriptors(router.pid())
+		router.current.BaseFDs = router.baseDescriptors
+	}
+	run.runFaults(ctx)
+	run.awaitIdle()
+	run.stopAll()
+	return run.record, run.collect(dir)
 }
 
-// soakLimits reads the rules' figures from the settings.
-func (e *Experiment) soakLimits() soakLimits {
+// soakLimits reads the limits that the audit needs from the settings.
+func (experiment *Experiment) soakLimits() soakLimits {
 	var platform struct {
 		Classes []struct {
 			Effect string
@@ -113,360 +113,366 @@
 			OverloadFor, RampTime, DrainGrace time.Duration
 		}
 	}
-	_ = jsoniter.Unmarshal(e.Platform, &platform) // the routers refuse what can't be read
-	l := soakLimits{DrainGrace: platform.Rules.DrainGrace, Window: platform.Rules.OverloadFor, Multiple: platform.Rules.FallMultiple,
-		ColdShare: platform.Rules.ColdShare, Ramp: platform.Rules.RampTime, Cores: e.Fleet.Cores, MemoryMB: float64(e.Routers.MemoryMB)}
-	for _, c := range platform.Classes {
-		if c.Effect == "guarded" {
-			l.KeyWindow = max(l.KeyWindow, c.Window)
+	_ = jsoniter.Unmarshal(experiment.Platform, &platform) // the routers reject settings that can't be decoded
+	limits := soakLimits{DrainGrace: platform.Rules.DrainGrace, Window: platform.Rules.OverloadFor, Multiple: platform.Rules.FallMultiple,
+		ColdShare: platform.Rules.ColdShare, Ramp: platform.Rules.RampTime, Cores: experiment.Fleet.Cores, MemoryMB: float64(experiment.Routers.MemoryMB)}
+	for _, class := range platform.Classes {
+		if class.Effect == "guarded" {
+			limits.KeyWindow = max(limits.KeyWindow, class.Window)
 		}
 	}
-	for _, c := range e.Classes {
-		l.LongestDeadline = max(l.LongestDeadline, ms(c.WaitMS))
+	for _, class := range experiment.Classes {
+		limits.LongestDeadline = max(limits.LongestDeadline, milliseconds(class.TimeoutMS))
 	}
-	return l
+	return limits
 }
 
-// runFaults has the clients come, does the plan's steps, and waits until both have ended.
-func (p *soakPlay) runFaults(ctx context.Context) {
-	began := time.Now()
-	ctx, stop := context.WithDeadline(ctx, began.Add(s(p.e.Soak.Seconds)))
+// runFaults runs the clients and the steps of the plan, and waits until both have ended.
+func (run *soakRun) runFaults(ctx context.Context) {
+	startedAt := time.Now()
+	ctx, stop := context.WithDeadline(ctx, startedAt.Add(seconds(run.experiment.Soak.Seconds)))
 	defer stop()
-	quiet := make(chan struct{})
-	var watcher, parts sync.WaitGroup
-	watcher.Go(func() { p.record.watchLag(quiet) })
-	classes := slices.Sorted(maps.Keys(p.e.Classes))
-	clients := p.e.Soak.Clients * p.plan.Routers
-	for n := range clients {
-		c := &soakClient{play: p, number: n, classes: classes, rng: rand.New(rand.NewPCG(p.plan.Seed, 100+uint64(n)))}
-		parts.Go(func() { c.run(ctx) })
-	}
-	if p.plan.Crowd {
-		for n := range soakSockets * p.plan.Routers {
-			c := &soakClient{play: p, rng: rand.New(rand.NewPCG(p.plan.Seed, 100_000+uint64(n)))}
-			parts.Go(func() { c.idle(ctx) })
+	done := make(chan struct{})
+	var watcher, group sync.WaitGroup
+	watcher.Go(func() { run.record.watchLag(done) })
+	classes := slices.Sorted(maps.Keys(run.experiment.Classes))
+	clients := run.experiment.Soak.Clients * run.plan.Routers
+	for number := range clients {
+		client := &soakClient{soak: run, number: number, classes: classes, rng: rand.New(rand.NewPCG(run.plan.Seed, 100+uint64(number)))}
+		group.Go(func() { client.run(ctx) })
+	}
+	if run.plan.IdleCrowd {
+		for number := range soakSockets * run.plan.Routers {
+			client := &soakClient{soak: run, rng: rand.New(rand.NewPCG(run.plan.Seed, 100_000+uint64(number)))}
+			group.Go(func() { client.idle(ctx) })
 		}
 	}
-	busy := make([]sync.Mutex, len(p.fleet.Servers()))
-	for _, step := range p.plan.Steps {
-		parts.Go(func() {
-			if sleep(ctx, time.Until(began.Add(ms(float64(step.AtMS))))) == nil {
-				p.do(step, busy)
+	draining := make([]sync.Mutex, len(run.fleet.Servers()))
+	for _, step := range run.plan.Steps {
+		group.Go(func() {
+			if sleep(ctx, time.Until(startedAt.Add(milliseconds(float64(step.AtMS))))) == nil {
+				run.do(step, draining)
 			}
 		})
 	}
-	parts.Wait()
-	close(quiet)
+	group.Wait()
+	close(done)
 	watcher.Wait()
 }
 
-// pick is the router that the front sends the next connection to, and which of its lives that is; nil: none takes one.
-func (p *soakPlay) pick(rng *rand.Rand) (*soakRouter, int) {
-	first := rng.IntN(len(p.routers))
-	for i := range p.routers {
-		r := p.routers[(first+i)%len(p.routers)]
-		r.mu.Lock()
-		up, life := r.up && (r.until.IsZero() || time.Now().Before(r.until)), r.life
-		r.mu.Unlock()
+// pick returns the router for the next connection and the index of its current process, or nil if no router accepts
+// connections.
+func (run *soakRun) pick(rng *rand.Rand) (*soakRouter, int) {
+	first := rng.IntN(len(run.routers))
+	for offset := range run.routers {
+		router := run.routers[(first+offset)%len(run.routers)]
+		router.mu.Lock()
+		up, process := router.up && (router.acceptsUntil.IsZero() || time.Now().Before(router.acceptsUntil)), router.processIndex
+		router.mu.Unlock()
 		if up {
-			return r, life
+			return router, process
 		}
 	}
 	return nil, 0
 }
 
-func (p *soakPlay) connection() int { return int(p.connections.Add(1)) }
+// connection returns the number of a new connection.
+func (run *soakRun) connection() int { return int(run.connections.Add(1)) }
 
-// launch starts a router's next process; where it is to be waited for, until it serves.
-func (p *soakPlay) launch(r *soakRouter, n int, wait bool) error {
-	life, l := p.record.life(n)
+// launch starts the next process of a router. With wait, it returns once the process serves.
+func (run *soakRun) launch(router *soakRouter, number int, wait bool) error {
+	index, record := run.record.addProcess(number)
 	done := make(chan struct{})
-	ready, err := r.launch()
+	ready, err := router.launch()
 	if err != nil {
 		return err
 	}
-	ended := r.ended
+	ended := router.ended
 	go func() {
 		err := <-ended
-		p.record.change(func() {
-			l.Ended = time.Now()
+		run.record.change(func() {
+			record.Ended = time.Now()
 			if err != nil {
-				l.Err = err.Error()
+				record.Err = err.Error()
 			}
 		})
 		close(done)
 	}()
-	r.mu.Lock()
-	r.life, r.current, r.done, r.until, r.up = life, l, done, time.Time{}, false
-	r.mu.Unlock()
+	router.mu.Lock()
+	router.processIndex, router.current, router.done, router.acceptsUntil, router.up = index, record, done, time.Time{}, false
+	router.mu.Unlock()
 	if !wait {
 		return nil
 	}
 	select {
 	case <-ready:
 	case <-done:
-		return fmt.Errorf("router %d did not start: %s", n, l.Err)
-	case <-time.After(startFor):
-		return fmt.Errorf("router %d does not serve", n)
+		return fmt.Errorf("router %d did not start: %s", number, record.Err)
+	case <-time.After(startTimeout):
+		return fmt.Errorf("router %d: timed out waiting until it serves", number)
 	}
-	if err := greet(r.addr); err != nil {
-		return fmt.Errorf("router %d: %w", n, err)
+	if err := sendEmptyQuery(router.addr); err != nil {
+		return fmt.Errorf("router %d: %w", number, err)
 	}
-	p.record.change(func() { l.Ready, l.BaseFDs = time.Now(), r.base })
-	r.mu.Lock()
-	r.up = true
-	r.mu.Unlock()
+	run.record.change(func() { record.Ready, record.BaseFDs = time.Now(), router.baseDescriptors })
+	router.mu.Lock()
+	router.up = true
+	router.mu.Unlock()
 	return nil
 }
 
-// do carries out one step.
-func (p *soakPlay) do(step SoakStep, busy []sync.Mutex) {
-	span := ms(float64(step.ForMS))
+// do runs one step.
+func (run *soakRun) do(step SoakStep, draining []sync.Mutex) {
+	duration := milliseconds(float64(step.ForMS))
 	switch step.Do {
 	case soakRestart, soakReload, soakAbort:
-		r := p.routers[step.Router]
-		r.turn.Lock()
-		defer r.turn.Unlock()
-		p.signal(r, step)
+		router := run.routers[step.Router]
+		router.stepMu.Lock()
+		defer router.stepMu.Unlock()
+		run.signal(router, step)
 		if step.Do != soakReload {
-			p.restart(r, step, span)
+			run.restart(router, step, duration)
 		}
 		return
-	case soakMute:
-		p.silence(span, p.fleet.Agent.Mute)
+	case soakMuteWatches:
+		run.silenceDiscovery(duration, run.fleet.Agent.Mute)
 		return
-	case soakAway:
-		p.silence(span, p.fleet.Agent.Away)
+	case soakDiscoveryAway:
+		run.silenceDiscovery(duration, run.fleet.Agent.Away)
 		return
 	}
-	server := p.fleet.Servers()[step.Server]
+	server := run.fleet.Servers()[step.Server]
 	switch step.Do {
 	case soakHang:
-		server.Hang(span)
+		server.Hang(duration)
 	case soakReset:
 		server.ResetConnections()
-	case soakIdle:
+	case soakCloseIdle:
 		server.CloseIdle()
-	case soakLate:
-		server.DelayWelcome(span/2, span)
+	case soakDelayConnections:
+		server.DelayWelcome(duration/2, duration)
 	case soakDrain:
-		if busy[step.Server].TryLock() {
-			p.drain(server, span)
-			busy[step.Server].Unlock()
+		if draining[step.Server].TryLock() {
+			run.drain(server, duration)
+			draining[step.Server].Unlock()
 		}
 	}
 }
 
-func (p *soakPlay) silence(span time.Duration, hold func(time.Duration)) {
+// silenceDiscovery makes the discovery agent silent for a time span and records the span.
+func (run *soakRun) silenceDiscovery(duration time.Duration, silence func(time.Duration)) {
 	from := time.Now()
-	hold(span)
-	p.record.change(func() { p.record.Agent = append(p.record.Agent, soakSpan{from, from.Add(span)}) })
+	silence(duration)
+	run.record.change(func() { run.record.Agent = append(run.record.Agent, soakSpan{from, from.Add(duration)}) })
 }
 
-// drain has a replica drain, end, and come back cold.
-func (p *soakPlay) drain(server *emulator.Server, span time.Duration) {
+// drain drains a replica, kills it and restarts it cold.
+func (run *soakRun) drain(server *emulator.Server, duration time.Duration) {
 	if server.IsPrimary() {
 		return
 	}
 	from := time.Now()
 	server.Drain()
-	time.Sleep(p.record.Limits.DrainGrace + span)
+	time.Sleep(run.record.Limits.DrainGrace + duration)
 	to := time.Now()
 	server.Kill()
 	time.Sleep(200 * time.Millisecond)
 	if err := server.Restart(); err != nil {
-		return // its port was taken: it stays away
+		return // its port is in use by now: the server stays stopped
 	}
-	p.record.change(func() {
-		p.record.Drained = append(p.record.Drained, soakDrained{server.Name, soakSpan{from, to}})
-		p.record.Cold = append(p.record.Cold, soakCold{server.Name, server.StartedAt()})
+	run.record.change(func() {
+		run.record.Drained = append(run.record.Drained, soakDrained{server.Name, soakSpan{from, to}})
+		run.record.Cold = append(run.record.Cold, soakCold{server.Name, server.StartedAt()})
 	})
 }
 
-// signal sends a step's signals.
-func (p *soakPlay) signal(r *soakRouter, step SoakStep) {
-	began := time.Now()
-	good, err := os.ReadFile(r.config)
+// signal sends the signals of a step to a router.
+func (run *soakRun) signal(router *soakRouter, step SoakStep) {
+	startedAt := time.Now()
+	config, err := os.ReadFile(router.config)
 	if err != nil {
 		return
 	}
-	defer func() { _ = os.WriteFile(r.config, good, 0o644) }()
+	defer func() { _ = os.WriteFile(router.config, config, 0o644) }()
 	broken := false
-	for _, sig := range step.Signals {
-		time.Sleep(time.Until(began.Add(ms(float64(sig.AfterMS)))))
-		r.mu.Lock()
-		l, done, cmd := r.current, r.done, r.cmd
-		r.mu.Unlock()
+	for _, signal := range step.Signals {
+		time.Sleep(time.Until(startedAt.Add(milliseconds(float64(signal.AfterMS)))))
+		router.mu.Lock()
+		process, done, cmd := router.current, router.done, router.cmd
+		router.mu.Unlock()
 		select {
 		case <-done:
 			return
 		default:
 		}
-		if !sig.Term {
-			_ = os.WriteFile(r.config, p.configAs(good, sig.File), 0o644)
-			broken = broken || sig.File == soakBroken
-			p.record.change(func() { p.record.Reloads = append(p.record.Reloads, time.Now()) })
+		if !signal.Term {
+			_ = os.WriteFile(router.config, run.configAs(config, signal.File), 0o644)
+			broken = broken || signal.File == soakBroken
+			run.record.change(func() { run.record.Reloads = append(run.record.Reloads, time.Now()) })
 			_ = cmd.Process.Signal(syscall.SIGHUP)
 			continue
 		}
 		now := time.Now()
-		p.record.change(func() {
-			if l.Term.IsZero() {
-				l.Term = now
-				_, l.MaxMemoryMB = memory(cmd.Process.Pid)
+		run.record.change(func() {
+			if process.Term.IsZero() {
+				process.Term = now
+				_, process.MaxMemoryMB = memory(cmd.Process.Pid)
 			}
 		})
-		r.mu.Lock()
-		if r.until.IsZero() {
-			r.until = now.Add(acceptsFor/2 + time.Duration(step.AtMS%200)*time.Millisecond)
+		router.mu.Lock()
+		if router.acceptsUntil.IsZero() {
+			router.acceptsUntil = now.Add(acceptsFor/2 + time.Duration(step.AtMS%200)*time.Millisecond)
 		}
-		r.mu.Unlock()
+		router.mu.Unlock()
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 	}
 	if broken {
-		time.Sleep(soakHalfLife) // the process reads it when it comes to it
+		time.Sleep(soakBrokenConfigTime) // gives the process time to read the broken file
 	}
 }
 
-// configAs is a router's configuration file in one of its states.
-func (p *soakPlay) configAs(good []byte, file SoakFile) []byte {
+// configAs returns the content of a router's configuration file in one of its states.
+func (run *soakRun) configAs(config []byte, file SoakFile) []byte {
 	switch file {
 	case soakBroken:
-		return good[:len(good)/2]
+		return config[:len(config)/2]
 	case soakMoved:
-		var all map[string]jsoniter.RawMessage
-		if jsoniter.Unmarshal(good, &all) == nil {
-			all["discovery"] = jsoniter.RawMessage(`"` + p.moved + `"`)
-			if moved, err := jsoniter.Marshal(all); err == nil {
+		var fields map[string]jsoniter.RawMessage
+		if jsoniter.Unmarshal(config, &fields) == nil {
+			fields["discovery"] = jsoniter.RawMessage(`"` + run.movedAddress + `"`)
+			if moved, err := jsoniter.Marshal(fields); err == nil {
 				return moved
 			}
 		}
 	}
-	return good
+	return config
 }
 
-// restart waits for the end of a router that was told to, and starts the next process.
-func (p *soakPlay) restart(r *soakRouter, step SoakStep, span time.Duration) {
-	p.awaitEnd(r)
+// restart waits until a router that got SIGTERM has ended, and starts its next process.
+func (run *soakRun) restart(router *soakRouter, step SoakStep, duration time.Duration) {
+	run.awaitEnd(router)
 	if step.Do == soakRestart {
-		time.Sleep(span)
-		_ = p.launch(r, step.Router, true) // one that is not ready is in the record
+		time.Sleep(duration)
+		_ = run.launch(router, step.Router, true) // a failed start shows in the record
 		return
 	}
-	if p.launch(r, step.Router, false) != nil {
+	if run.launch(router, step.Router, false) != nil {
 		return
 	}
-	time.Sleep(span)
+	time.Sleep(duration)
 	now := time.Now()
-	p.record.change(func() { r.current.Term, r.current.Early = now, true })
-	_ = r.cmd.Process.Signal(syscall.SIGTERM)
-	p.awaitEnd(r)
-	_ = p.launch(r, step.Router, true)
+	run.record.change(func() { router.current.Term, router.current.TermWhileStarting = now, true })
+	_ = router.cmd.Process.Signal(syscall.SIGTERM)
+	run.awaitEnd(router)
+	_ = run.launch(router, step.Router, true)
 }
 
-// awaitEnd waits for a process that was told to end, and kills it at the earliest that the pages allow.
-func (p *soakPlay) awaitEnd(r *soakRouter) {
-	limit := max(p.record.Limits.LongestDeadline, leastDeadline) + killAfter
-	timer := time.NewTimer(time.Until(r.current.Term.Add(limit)))
+// awaitEnd waits until a process that got SIGTERM has ended. It sends SIGKILL at the earliest time that the
+// documentation allows.
+func (run *soakRun) awaitEnd(router *soakRouter) {
+	limit := max(run.record.Limits.LongestDeadline, minDeadline) + killAfter
+	timer := time.NewTimer(time.Until(router.current.Term.Add(limit)))
 	defer timer.Stop()
 	select {
-	case <-r.done:
+	case <-router.done:
 	case <-timer.C:
-		if !p.endsLate(r) {
-			p.record.change(func() { r.current.Killed = true })
-			r.kill()
-			<-r.done
+		if !run.endsLate(router) {
+			run.record.change(func() { router.current.Killed = true })
+			router.kill()
+			<-router.done
 		}
 	}
-	r.mu.Lock()
-	r.up = false
-	r.mu.Unlock()
+	router.mu.Lock()
+	router.up = false
+	router.mu.Unlock()
 }
 
-// endsLate waits for a process for as long as this program itself was held up since SIGTERM, as on a machine with more to do than it can:
-// the process was no better off. It says whether the process has ended by then.
-func (p *soakPlay) endsLate(r *soakRouter) bool {
+// endsLate waits as much longer for the end of a process as this program was itself delayed since SIGTERM: on an
+// overloaded machine the process was delayed too. It reports whether the process has ended by then.
+func (run *soakRun) endsLate(router *soakRouter) bool {
 	var lag time.Duration
-	p.record.change(func() { lag = p.record.lag(r.current.Term, time.Now()) })
+	run.record.change(func() { lag = run.record.lag(router.current.Term, time.Now()) })
 	select {
-	case <-r.done:
+	case <-router.done:
 		return true
 	case <-time.After(lag):
 		return false
 	}
 }
 
-// awaitCalm waits until nobody holds more descriptors than before the clients came, up to a wide limit, and notes what is held.
-func (p *soakPlay) awaitCalm() {
-	limit := time.Now().Add(soakCalm)
-	for _, r := range p.routers {
+// awaitIdle waits, for a limited time, until no router has more descriptors in use than before the clients connected.
+// It records the number in use.
+func (run *soakRun) awaitIdle() {
+	deadline := time.Now().Add(soakIdleTimeout)
+	for _, router := range run.routers {
 		select {
-		case <-r.done:
+		case <-router.done:
 			continue
 		default:
 		}
-		held := calmDescriptors(r.pid())
-		for held > r.base+transientConns && time.Now().Before(limit) {
+		descriptors := minDescriptors(router.pid())
+		for descriptors > router.baseDescriptors+transientConns && time.Now().Before(deadline) {
 			time.Sleep(100 * time.Millisecond)
-			held = calmDescriptors(r.pid())
+			descriptors = minDescriptors(router.pid())
 		}
-		p.record.change(func() {
-			r.current.CalmFDs = held
-			_, r.current.MaxMemoryMB = memory(r.pid())
+		run.record.change(func() {
+			router.current.IdleFDs = descriptors
+			_, router.current.MaxMemoryMB = memory(router.pid())
 		})
 	}
 }
 
-// calmDescriptors is the least of several counts: a probe may be under way in any of them.
-func calmDescriptors(pid int) int {
-	const counts, apart = 5, 20 * time.Millisecond
-	least := 0
-	for i := range counts {
-		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-		if n := len(list); err == nil && (i == 0 || n < least) {
-			least = n
+// minDescriptors returns the minimum of several counts of open descriptors, as a probe may be in flight during any of
+// them.
+func minDescriptors(pid int) int {
+	const counts, interval = 5, 20 * time.Millisecond
+	fewest := 0
+	for attempt := range counts {
+		descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+		if count := len(descriptors); err == nil && (attempt == 0 || count < fewest) {
+			fewest = count
 		}
-		time.Sleep(apart)
+		time.Sleep(interval)
 	}
-	return least
+	return fewest
 }
 
-// stopAll ends the routers, all at once.
-func (p *soakPlay) stopAll() {
-	var all sync.WaitGroup
-	for _, r := range p.routers {
-		all.Go(func() {
+// stopAll stops all routers in parallel.
+func (run *soakRun) stopAll() {
+	var group sync.WaitGroup
+	for _, router := range run.routers {
+		group.Go(func() {
 			select {
-			case <-r.done:
+			case <-router.done:
 				return
 			default:
 			}
-			p.record.change(func() {
-				if r.current.Term.IsZero() {
-					r.current.Term = time.Now()
+			run.record.change(func() {
+				if router.current.Term.IsZero() {
+					router.current.Term = time.Now()
 				}
 			})
-			_ = r.cmd.Process.Signal(syscall.SIGTERM)
-			p.awaitEnd(r)
+			_ = router.cmd.Process.Signal(syscall.SIGTERM)
+			run.awaitEnd(router)
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
 var readLine = regexp.MustCompile(`msg=request id=(\S+) .* end=(\S+) `)
 
-// collect adds what the data servers and the routers' logs say.
-func (p *soakPlay) collect(dir string) error {
-	r := p.record
-	r.Attempts, r.Ran, r.ServerAudit, r.Read = p.fleet.Attempts(), p.fleet.Ran(), p.fleet.Audit(), map[string]string{}
-	for n := range p.routers {
-		file, err := os.Open(filepath.Join(dir, routerName(n)+".log"))
+// collect adds the records of the data servers and of the routers' logs.
+func (run *soakRun) collect(dir string) error {
+	record := run.record
+	record.Attempts, record.Ran, record.ServerAudit, record.Read = run.fleet.Attempts(), run.fleet.Ran(), run.fleet.Audit(), map[string]string{}
+	for number := range run.routers {
+		file, err := os.Open(filepath.Join(dir, routerName(number)+".log"))
 		if err != nil {
 			return err
 		}
 		for lines := bufio.NewScanner(file); lines.Scan(); {
-			if m := readLine.FindStringSubmatch(lines.Text()); m != nil {
-				r.Read[m[1]] = m[2]
+			if match := readLine.FindStringSubmatch(lines.Text()); match != nil {
+				record.Read[match[1]] = match[2]
 			}
 		}
 		file.Close()
--- a/internal/experiment/soakaudit.go
+++ b/internal/experiment/soakaudit.go
@@ -7,328 +7,336 @@
 	"time"
 )
 
-// The rules' figures, from the operators' pages (STANDING, the protocol page, S1 to S5).
+// The limits of the rules, from the documentation (STANDING, the protocol page, S1 to S5).
 const (
-	answerGrace    = 500 * time.Millisecond // up to so long after its time an answer only earns nothing; later it is lost
-	goneGrace      = 100 * time.Millisecond // an attempt that begins later after its client has gone is a break
-	deadlineSlack  = 150 * time.Millisecond // an attempt may tell its server so much more than is left
-	timeSlack      = 50 * time.Millisecond  // every time limit is longer by it on sockets
-	listClock      = 6 * time.Second        // a change counts as told so long after discovery had it, whatever failed
-	reloadClock    = 4 * time.Second        // and so long after SIGHUP
-	killAfter      = 700 * time.Millisecond // beyond the longest deadline, counted as 3 s where it is shorter
-	leastDeadline  = 3 * time.Second        // see killAfter
-	readyWithin    = 10 * time.Second       // nine in ten restarted routers
-	readyShare     = 0.9                    // see readyWithin
-	transientConns = 2                      // a probe and a call for the list may be open in the moment of a count
-	smallBudget    = 30                     // a budget below it has three roots on top, otherwise two
-	acceptsFor     = 400 * time.Millisecond // after SIGTERM new connections come for 0.2 to 0.4 s
+	answerGrace       = 500 * time.Millisecond // an answer this long after its deadline is still accepted
+	leftGrace         = 100 * time.Millisecond // how long after its client has left an attempt may still begin
+	deadlineSlack     = 150 * time.Millisecond // how much more time than is left an attempt may pass on to its server
+	timeSlack         = 50 * time.Millisecond  // added to every time limit for the delay of sockets
+	listPropagation   = 6 * time.Second        // routers know a change this long after discovery works again
+	reloadPropagation = 4 * time.Second        // or this long after SIGHUP
+	killAfter         = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline, or after minDeadline if that is longer
+	minDeadline       = 3 * time.Second        // see killAfter
+	readyWithin       = 10 * time.Second       // the time within which readyShare of the restarted routers must be ready
+	readyShare        = 0.9                    // see readyWithin
+	transientConns    = 2                      // a probe and a request for the endpoint list may be open during a count
+	smallBudget       = 30                     // a smaller budget is exceeded after a margin of three square roots, any other after two
+	acceptsFor        = 400 * time.Millisecond // maximum time after SIGTERM for which new connections arrive; the minimum is half of it
 )
 
-// soakRule is one of the rules that the audit holds the record against.
+// soakRule is a rule that the audit checks.
 type soakRule string
 
 // The rules.
 const (
-	ruleAnswer   soakRule = "one final answer, or closed unread with nothing forwarded (S3, S5)"
-	ruleTime     soakRule = "the final answer comes in time"
-	ruleOwn      soakRule = "an answer is what a data server made for this request"
-	ruleGone     soakRule = "no attempt for a client that has gone (S2)"
-	ruleDeadline soakRule = "the deadline passed on is what is left (S4)"
-	ruleKey      soakRule = "a key is sent again within its window only"
-	ruleOpen     soakRule = "one attempt of a request at a time"
-	ruleDrain    soakRule = "nothing new to a draining server"
-	ruleStale    soakRule = "a session sees its own writes"
-	ruleCold     soakRule = "slow-start budget in sum (S1)"
-	ruleExit     soakRule = "ends by itself after SIGTERM, with 0"
-	ruleReady    soakRule = "ready again in time"
-	ruleCrash    soakRule = "no crash"
-	ruleMemory   soakRule = "memory within the limit"
-	ruleLeak     soakRule = "descriptors back to where they were"
+	ruleAnswer      soakRule = "one final answer, or closed unread with nothing forwarded (S3, S5)"
+	ruleTime        soakRule = "the final answer comes in time"
+	ruleValue       soakRule = "an answer is what a data server made for this request"
+	ruleClientLeft  soakRule = "no attempt for a client that has gone (S2)"
+	ruleDeadline    soakRule = "the deadline passed on is what is left (S4)"
+	ruleKey         soakRule = "a key is sent again within its window only"
+	ruleConcurrency soakRule = "one attempt of a request at a time"
+	ruleDrain       soakRule = "nothing new to a draining server"
+	ruleOwnWrites   soakRule = "a session sees its own writes"
+	ruleCold        soakRule = "slow-start budget in sum (S1)"
+	ruleExit        soakRule = "ends by itself after SIGTERM, with 0"
+	ruleReady       soakRule = "ready again in time"
+	ruleCrash       soakRule = "no crash"
+	ruleMemory      soakRule = "memory within the limit"
+	ruleLeak        soakRule = "descriptors back to where they were"
 )
 
-// soakViolation is a rule that was broken.
+// soakViolation is a violation of a rule.
 type soakViolation struct {
 	Rule soakRule
 	Text string
-	ID   string // of the request concerned; "": none
+	ID   string // of the request; "": the violation concerns no single request
 }
 
-// audit holds a record against the rules.
-func (r *soakRecord) audit() []soakViolation {
-	a := &soakAudit{soakRecord: r, attempts: map[string][]int{}}
-	for i, t := range r.Attempts {
-		a.attempts[t.ID] = append(a.attempts[t.ID], i)
+// audit checks the record against all rules and returns the violations.
+func (record *soakRecord) audit() []soakViolation {
+	audit := &soakAudit{soakRecord: record, attempts: map[string][]int{}}
+	for index, attempt := range record.Attempts {
+		audit.attempts[attempt.ID] = append(audit.attempts[attempt.ID], index)
 	}
-	for _, q := range r.Requests {
-		a.answer(q)
-		a.gone(q)
-		a.deadline(q)
-		a.key(q)
+	for _, request := range record.Requests {
+		audit.answer(request)
+		audit.gone(request)
+		audit.deadline(request)
+		audit.key(request)
 	}
-	a.servers()
-	a.ownWrites()
-	a.drains()
-	a.cold()
-	a.lives()
-	return a.found
+	audit.servers()
+	audit.ownWrites()
+	audit.drains()
+	audit.cold()
+	audit.processes()
+	return audit.violations
 }
 
 type soakAudit struct {
 	*soakRecord
-	attempts map[string][]int // by request, places in Attempts
-	found    []soakViolation
+	attempts   map[string][]int // by request ID: indexes into Attempts
+	violations []soakViolation
 }
 
-func (a *soakAudit) broken(rule soakRule, id, text string, args ...any) {
-	a.found = append(a.found, soakViolation{rule, fmt.Sprintf(text, args...), id})
+// addViolation records a violation; id names the request concerned, if there is one.
+func (audit *soakAudit) addViolation(rule soakRule, id, text string, args ...any) {
+	audit.violations = append(audit.violations, soakViolation{rule, fmt.Sprintf(text, args...), id})
 }
 
-// answer: each request that was read gets one final answer in time; one that was not read may be closed on a connection that was
-// answered before, or in a crowd.
-func (a *soakAudit) answer(q *soakRequest) {
-	if q.Wrong {
-		a.broken(ruleOwn, q.ID, "served with what is not its own")
+// answer checks that each request that was read gets one final answer in time. A request that was not read may be
+// closed on a connection that has carried an answer before, or when idle clients occupy the descriptors.
+func (audit *soakAudit) answer(request *soakRequest) {
+	if request.OtherValue {
+		audit.addViolation(ruleValue, request.ID, "served with the value of another request")
 	}
-	if q.Sent.IsZero() || !q.Gone.IsZero() {
+	if request.Sent.IsZero() || !request.LeftAt.IsZero() {
 		return
 	}
-	life := a.Lives[q.Life]
-	from := q.Sent
-	if q.Turn.After(from) {
-		from = q.Turn // waiting for the answers before it does not count
+	process := audit.Processes[request.Process]
+	from := request.Sent
+	if request.PrecedingAt.After(from) {
+		from = request.PrecedingAt // the time until the preceding answer does not count
 	}
-	limit := from.Add(q.Wait + answerGrace + timeSlack)
-	if q.Outcome != waiting {
-		if late := q.At.Sub(limit); late > a.lag(from, q.At) {
-			a.broken(ruleTime, q.ID, "answered %v after its time and %v", late+answerGrace+timeSlack, answerGrace)
+	limit := from.Add(request.Wait + answerGrace + timeSlack)
+	if request.Outcome != waiting {
+		if late := request.At.Sub(limit); late > audit.lag(from, request.At) {
+			audit.addViolation(ruleTime, request.ID, "answered %v after its deadline plus %v", late+answerGrace+timeSlack, answerGrace)
 		}
 		return
 	}
-	read, logged := a.Read[q.ID]
+	read, logged := audit.Read[request.ID]
 	switch {
-	case len(a.attempts[q.ID]) > 0:
-		a.broken(ruleAnswer, q.ID, "forwarded to %s and not answered (connection ended: %v)", a.Attempts[a.attempts[q.ID][0]].Server, q.Ended)
+	case len(audit.attempts[request.ID]) > 0:
+		audit.addViolation(ruleAnswer, request.ID, "forwarded to %s and not answered (connection ended: %v)", audit.Attempts[audit.attempts[request.ID][0]].Server, request.Ended)
 	case logged:
-		a.broken(ruleAnswer, q.ID, "read (the log says %q) and not answered (connection ended: %v)", read, q.Ended)
-	case !q.Ended:
-		a.broken(ruleAnswer, q.ID, "neither answered nor closed")
-	case q.Place == 0 && !a.Plan.Crowd && (life.Term.IsZero() || q.Sent.Before(life.Term.Add(acceptsFor))):
-		a.broken(ruleAnswer, q.ID, "closed with no answer on a new connection")
+		audit.addViolation(ruleAnswer, request.ID, "read (the log says %q) and not answered (connection ended: %v)", read, request.Ended)
+	case !request.Ended:
+		audit.addViolation(ruleAnswer, request.ID, "neither answered nor closed")
+	case request.Index == 0 && !audit.Plan.IdleCrowd && (process.Term.IsZero() || request.Sent.Before(process.Term.Add(acceptsFor))):
+		audit.addViolation(ruleAnswer, request.ID, "closed with no answer on a new connection")
 	}
 }
 
-func (a *soakAudit) gone(q *soakRequest) {
-	if q.Gone.IsZero() {
+// gone checks that no attempt begins after the client of the request has left.
+func (audit *soakAudit) gone(request *soakRequest) {
+	if request.LeftAt.IsZero() {
 		return
 	}
-	for _, i := range a.attempts[q.ID] {
-		t := &a.Attempts[i]
-		if late := t.At.Sub(q.Gone) - goneGrace; late > a.lag(q.Gone, t.At) {
-			a.broken(ruleGone, q.ID, "an attempt at %s began %v after its client had gone", t.Server, late+goneGrace)
+	for _, index := range audit.attempts[request.ID] {
+		attempt := &audit.Attempts[index]
+		if late := attempt.At.Sub(request.LeftAt) - leftGrace; late > audit.lag(request.LeftAt, attempt.At) {
+			audit.addViolation(ruleClientLeft, request.ID, "an attempt at %s began %v after its client had left", attempt.Server, late+leftGrace)
 		}
 	}
 }
 
-func (a *soakAudit) deadline(q *soakRequest) {
-	if q.Sent.IsZero() {
+// deadline checks that an attempt passes on no longer deadline than the request has left.
+func (audit *soakAudit) deadline(request *soakRequest) {
+	if request.Sent.IsZero() {
 		return
 	}
-	for _, i := range a.attempts[q.ID] {
-		t := &a.Attempts[i]
-		left := q.Wait - t.At.Sub(q.Sent)
-		if over := t.Left - left - deadlineSlack; over > a.lag(q.Sent, t.At) {
-			a.broken(ruleDeadline, q.ID, "%s was told %v where %v was left", t.Server, t.Left, left)
+	for _, index := range audit.attempts[request.ID] {
+		attempt := &audit.Attempts[index]
+		left := request.Wait - attempt.At.Sub(request.Sent)
+		if over := attempt.Left - left - deadlineSlack; over > audit.lag(request.Sent, attempt.At) {
+			audit.addViolation(ruleDeadline, request.ID, "%s was passed a deadline of %v with %v left", attempt.Server, attempt.Left, left)
 		}
 	}
 }
 
-// key: a write with a key that may have run is sent again only within its window, counted from the first attempt that may have run. What
-// runs twice within it is the data servers' to tell.
-func (a *soakAudit) key(q *soakRequest) {
-	if q.Key == "" {
+// key checks that a keyed write that may have been executed is sent again only within its window, counted from the
+// first attempt that may have been executed. Data servers detect a second execution within the window by the key.
+func (audit *soakAudit) key(request *soakRequest) {
+	if request.Key == "" {
 		return
 	}
 	var first time.Time
-	for _, i := range a.attempts[q.ID] {
-		t := &a.Attempts[i]
+	for _, index := range audit.attempts[request.ID] {
+		attempt := &audit.Attempts[index]
 		switch {
-		case t.Missed:
+		case attempt.Missed:
 		case first.IsZero():
-			first = t.At
-		case t.At.Sub(first)-a.Limits.KeyWindow-timeSlack > a.lag(first, t.At):
-			a.broken(ruleKey, q.ID, "%s got it %v after the first attempt that may have run, its window is %v", t.Server, t.At.Sub(first), a.Limits.KeyWindow)
+			first = attempt.At
+		case attempt.At.Sub(first)-audit.Limits.KeyWindow-timeSlack > audit.lag(first, attempt.At):
+			audit.addViolation(ruleKey, request.ID, "%s got it %v after the first attempt that may have run, its window is %v", attempt.Server, attempt.At.Sub(first), audit.Limits.KeyWindow)
 		}
 	}
 }
 
-// servers: what the data servers themselves count.
-func (a *soakAudit) servers() {
-	if n := a.ServerAudit.Doubled; n > 0 {
-		a.broken(ruleOpen, "", "%d attempts came while another was open", n)
+// servers checks the counters of the data servers.
+func (audit *soakAudit) servers() {
+	if count := audit.ServerAudit.Doubled; count > 0 {
+		audit.addViolation(ruleConcurrency, "", "%d attempts began while another was open", count)
 	}
 }
 
-// ownWrites: a session's read is answered from a position that has all its writes that were answered before the read was sent. What a
-// client was never told of, as it had gone or the connection broke, its session need not see.
-func (a *soakAudit) ownWrites() {
+// ownWrites checks that a session's read is answered from a position that includes every write of the session that was
+// answered before the read was sent. A write whose client did not get the answer need not be included.
+func (audit *soakAudit) ownWrites() {
 	type write struct {
 		answered time.Time
 		position int64
 	}
-	requests := make(map[string]*soakRequest, len(a.Requests))
-	for _, q := range a.Requests {
-		requests[q.ID] = q
+	requests := make(map[string]*soakRequest, len(audit.Requests))
+	for _, request := range audit.Requests {
+		requests[request.ID] = request
 	}
-	writes, saw := map[string][]write{}, map[string]int64{}
-	for _, ran := range a.Ran {
-		q := requests[ran.ID]
-		if ran.Missed || q == nil || q.Outcome != served {
+	writes, readPositions := map[string][]write{}, map[string]int64{}
+	for _, execution := range audit.Ran {
+		request := requests[execution.ID]
+		if execution.Missed || request == nil || request.Outcome != served {
 			continue
 		}
-		if ran.Write {
-			writes[ran.Session] = append(writes[ran.Session], write{q.At, ran.Pos})
-		} else if a.Profile.Classes[q.Class].Read == "session" {
-			saw[ran.ID] = max(saw[ran.ID], ran.Pos)
+		if execution.Write {
+			writes[execution.Session] = append(writes[execution.Session], write{request.At, execution.Pos})
+		} else if audit.Profile.Classes[request.Class].Read == "session" {
+			readPositions[execution.ID] = max(readPositions[execution.ID], execution.Pos)
 		}
 	}
-	for _, ran := range a.Ran {
-		position, isRead := saw[ran.ID]
-		if !isRead || ran.Missed {
+	for _, execution := range audit.Ran {
+		position, isRead := readPositions[execution.ID]
+		if !isRead || execution.Missed {
 			continue
 		}
-		for _, w := range writes[ran.Session] {
-			if w.answered.Before(requests[ran.ID].Sent) && position < w.position {
-				a.broken(ruleStale, ran.ID, "%s answered from position %d, the session has written at %d", ran.Server, position, w.position)
+		for _, write := range writes[execution.Session] {
+			if write.answered.Before(requests[execution.ID].Sent) && position < write.position {
+				audit.addViolation(ruleOwnWrites, execution.ID, "%s answered from position %d, the session has written at %d", execution.Server, position, write.position)
 			}
 		}
 	}
 }
 
-// drains: nothing new comes to a server that drains, once that counts as told and the grace is over.
-func (a *soakAudit) drains() {
-	for _, d := range a.Drained {
-		told := a.toldBy(d.From)
-		for _, t := range a.Attempts {
-			if t.Server != d.Server || t.At.After(d.To) {
+// drains checks that a draining server gets no attempts once the routers must know of the change and the grace period
+// is over.
+func (audit *soakAudit) drains() {
+	for _, drained := range audit.Drained {
+		knownAt := audit.knownBy(drained.From)
+		for _, attempt := range audit.Attempts {
+			if attempt.Server != drained.Server || attempt.At.After(drained.To) {
 				continue
 			}
-			if late := t.At.Sub(told.Add(a.Limits.DrainGrace + timeSlack)); late > a.lag(d.From, t.At) {
-				a.broken(ruleDrain, t.ID, "%s got it %v after it began to drain, which counts as told after %v", d.Server, t.At.Sub(d.From), told.Sub(d.From))
+			if late := attempt.At.Sub(knownAt.Add(audit.Limits.DrainGrace + timeSlack)); late > audit.lag(drained.From, attempt.At) {
+				audit.addViolation(ruleDrain, attempt.ID, "%s got it %v after it began to drain, which the routers had to know after %v", drained.Server, attempt.At.Sub(drained.From), knownAt.Sub(drained.From))
 			}
 		}
 	}
 }
 
-// toldBy is when a change of the list counts as told to all routers.
-func (a *soakAudit) toldBy(change time.Time) time.Time {
-	told := change
-	for _, s := range a.Agent {
-		if s.From.Before(change.Add(timeSlack)) && s.To.After(change.Add(-timeSlack)) {
-			told = s.To.Add(listClock)
+// knownBy returns the time at which all routers must know of a change of the endpoint list.
+func (audit *soakAudit) knownBy(change time.Time) time.Time {
+	knownAt := change
+	for _, span := range audit.Agent {
+		if span.From.Before(change.Add(timeSlack)) && span.To.After(change.Add(-timeSlack)) {
+			knownAt = span.To.Add(listPropagation)
 		}
 	}
-	for _, at := range a.Reloads { // a watch may just be moving
-		if at.Before(change.Add(a.Limits.DrainGrace)) && at.Add(reloadClock).After(told) {
-			told = at.Add(reloadClock)
+	for _, reloadedAt := range audit.Reloads { // a reload may move the watch of the list to another address
+		if reloadedAt.Before(change.Add(audit.Limits.DrainGrace)) && reloadedAt.Add(reloadPropagation).After(knownAt) {
+			knownAt = reloadedAt.Add(reloadPropagation)
 		}
 	}
-	return told
+	return knownAt
 }
 
-// cold: in no window does a server that warms up get more than its budget, in requests of mean work, from all routers together.
-func (a *soakAudit) cold() {
-	mean := a.meanWork()
-	for _, c := range a.Cold {
-		if a.toldBy(c.At) != c.At {
-			continue // routers that were not told answer for nothing
+// cold checks that a server that is warming up gets no more than its budget, in requests of mean work, from all routers
+// together in any window.
+func (audit *soakAudit) cold() {
+	mean := audit.meanWork()
+	for _, start := range audit.Cold {
+		if audit.knownBy(start.At) != start.At {
+			continue // the routers could not know that the server was cold
 		}
-		var list []time.Time
+		var times []time.Time
 		var work []float64
-		for _, t := range a.Attempts {
-			if t.Server == c.Server && !t.Missed && t.At.After(c.At) && t.At.Before(c.At.Add(a.Limits.Ramp)) {
-				list, work = append(list, t.At), append(work, a.work(t.Class)/mean.Seconds())
+		for _, attempt := range audit.Attempts {
+			if attempt.Server == start.Server && !attempt.Missed && attempt.At.After(start.At) && attempt.At.Before(start.At.Add(audit.Limits.Ramp)) {
+				times, work = append(times, attempt.At), append(work, audit.work(attempt.Class)/mean.Seconds())
 			}
 		}
-		sum, from := 0.0, 0
-		for i, at := range list {
-			sum += work[i]
-			for ; at.Sub(list[from]) >= a.Limits.Window; from++ {
-				sum -= work[from]
+		total, first := 0.0, 0
+		for index, at := range times {
+			total += work[index]
+			for ; at.Sub(times[first]) >= audit.Limits.Window; first++ {
+				total -= work[first]
 			}
-			if allowed := a.budget(list[from].Sub(c.At), mean); sum > allowed {
-				a.broken(ruleCold, "", "%s got %.1f requests of mean work in the %v up to %v after its start, %.1f are allowed", c.Server, sum, a.Limits.Window, at.Sub(c.At), allowed)
+			if allowed := audit.budget(times[first].Sub(start.At), mean); total > allowed {
+				audit.addViolation(ruleCold, "", "%s got %.1f requests of mean work in the %v up to %v after its start, %.1f are allowed", start.Server, total, audit.Limits.Window, at.Sub(start.At), allowed)
 				break
 			}
 		}
 	}
 }
 
-func (a *soakAudit) work(class string) float64 {
-	w := a.Profile.Classes[class].WorkMS
-	return (w[0] + w[1]) / 2 / 1000
+// work returns the mean work of a request of a class, in seconds.
+func (audit *soakAudit) work(class string) float64 {
+	bounds := audit.Profile.Classes[class].WorkMS
+	return (bounds[0] + bounds[1]) / 2 / 1000
 }
 
-func (a *soakAudit) meanWork() time.Duration {
-	sum, n := 0.0, 0
-	for _, t := range a.Attempts {
-		if !t.Missed {
-			sum += a.work(t.Class)
-			n++
+// meanWork returns the mean work of all attempts that were executed.
+func (audit *soakAudit) meanWork() time.Duration {
+	total, count := 0.0, 0
+	for _, attempt := range audit.Attempts {
+		if !attempt.Missed {
+			total += audit.work(attempt.Class)
+			count++
 		}
 	}
-	return time.Duration(sum / float64(max(n, 1)) * float64(time.Second))
+	return time.Duration(total / float64(max(count, 1)) * float64(time.Second))
 }
 
-// budget is what a server may get in a window that begins so long after its start.
-func (a *soakAudit) budget(age, mean time.Duration) float64 {
-	l := &a.Limits
-	warmth := l.ColdShare + (1-l.ColdShare)*min(1, age.Seconds()/l.Ramp.Seconds())
-	n := l.Multiple * warmth * float64(l.Cores) * l.Window.Seconds() / mean.Seconds()
-	if n < smallBudget {
-		return n + 3*math.Sqrt(n) + 3
+// budget returns the number of requests of mean work that a server may get in a window that begins at an age of the
+// server.
+func (audit *soakAudit) budget(age, mean time.Duration) float64 {
+	limits := &audit.Limits
+	warmth := limits.ColdShare + (1-limits.ColdShare)*min(1, age.Seconds()/limits.Ramp.Seconds())
+	expected := limits.Multiple * warmth * float64(limits.Cores) * limits.Window.Seconds() / mean.Seconds()
+	if expected < smallBudget {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// lives: how the processes started, ended, and what they held.
-func (a *soakAudit) lives() {
-	limit := max(a.Limits.LongestDeadline, leastDeadline) + killAfter
+// processes checks how the processes started and ended, and their use of memory and descriptors.
+func (audit *soakAudit) processes() {
+	limit := max(audit.Limits.LongestDeadline, minDeadline) + killAfter
 	restarts, slow := 0, 0
-	for i, l := range a.Lives {
-		name := fmt.Sprintf("process %d, router %d", i, l.Router)
+	for index, process := range audit.Processes {
+		name := fmt.Sprintf("process %d, router %d", index, process.Router)
 		switch {
-		case l.Term.IsZero() && !l.Ended.IsZero():
-			a.broken(ruleCrash, "", "%s ended by itself: %s", name, l.Err)
-		case l.Killed || !l.Term.IsZero() && l.Ended.IsZero():
-			a.broken(ruleExit, "", "%s did not end in %v after SIGTERM", name, limit)
-		case l.Early && l.Err == "signal: terminated": // it came before the program could see to it: whoever ends after SIGTERM has not crashed
-		case l.Err != "":
-			a.broken(ruleExit, "", "%s ended with %s", name, l.Err)
+		case process.Term.IsZero() && !process.Ended.IsZero():
+			audit.addViolation(ruleCrash, "", "%s ended by itself: %s", name, process.Err)
+		case process.Killed || !process.Term.IsZero() && process.Ended.IsZero():
+			audit.addViolation(ruleExit, "", "%s did not end in %v after SIGTERM", name, limit)
+		case process.TermWhileStarting && process.Err == "signal: terminated": // SIGTERM came before the process had installed its signal handler; that is no crash
+		case process.Err != "":
+			audit.addViolation(ruleExit, "", "%s ended with %s", name, process.Err)
 		}
-		if !l.Early {
+		if !process.TermWhileStarting {
 			restarts++
-			if l.Ready.IsZero() || l.Ready.Sub(l.Started) > readyWithin {
+			if process.Ready.IsZero() || process.Ready.Sub(process.Started) > readyWithin {
 				slow++
 			}
 		}
-		if l.MaxMemoryMB > a.Limits.MemoryMB {
-			a.broken(ruleMemory, "", "%s had %.1f MB of %.1f", name, l.MaxMemoryMB, a.Limits.MemoryMB)
+		if process.MaxMemoryMB > audit.Limits.MemoryMB {
+			audit.addViolation(ruleMemory, "", "%s had %.1f MB of %.1f", name, process.MaxMemoryMB, audit.Limits.MemoryMB)
 		}
-		if l.BaseFDs > 0 && l.CalmFDs > l.BaseFDs+transientConns {
-			a.broken(ruleLeak, "", "%s has %d descriptors, %d before its clients came", name, l.CalmFDs, l.BaseFDs)
+		if process.BaseFDs > 0 && process.IdleFDs > process.BaseFDs+transientConns {
+			audit.addViolation(ruleLeak, "", "%s has %d descriptors, %d before its clients connected", name, process.IdleFDs, process.BaseFDs)
 		}
 	}
 	if float64(slow) > (1-readyShare)*float64(restarts) {
-		a.broken(ruleReady, "", "%d of %d processes were not ready in %v", slow, restarts, readyWithin)
+		audit.addViolation(ruleReady, "", "%d of %d processes were not ready in %v", slow, restarts, readyWithin)
 	}
 }
 
-// rules are the names of those that were broken, each once.
-func rulesOf(found []soakViolation) []soakRule {
+// brokenRules returns the rules that were violated, each once.
+func brokenRules(violations []soakViolation) []soakRule {
 	var rules []soakRule
-	for _, v := range found {
-		if !slices.Contains(rules, v.Rule) {
-			rules = append(rules, v.Rule)
+	for _, violation := range violations {
+		if !slices.Contains(rules, violation.Rule) {
+			rules = append(rules, violation.Rule)
 		}
 	}
 	return rules
--- a/internal/experiment/soakclient.go
+++ b/internal/experiment/soakclient.go
@@ -15,158 +15,159 @@
 	"lotushook/internal/ringbuffer"
 )
 
-// soakHabit is how a client behaves on one connection.
-type soakHabit int
+// soakBehavior is the behavior of a client on one connection.
+type soakBehavior int
 
 const (
-	soakInTurn    soakHabit = iota // one request after another
-	soakPipelined                  // several in one write
-	soakInPieces                   // a request in several writes
-	soakResting                    // rests just up to the idle limit between two
-	soakCancels
-	soakLeaves
-	soakHabits
+	soakSequential soakBehavior = iota // one request at a time
+	soakPipelined                      // several requests in one write
+	soakInPieces                       // one request in several writes
+	soakIdling                         // pauses for about the idle limit between requests
+	soakCancels                        // sometimes sends a CancelRequest
+	soakLeaves                         // sometimes closes the connection before the answer
+	soakBehaviors
 )
 
 const (
-	soakIdleLimit    = 2250 * time.Millisecond // README: a client may idle so long between requests
-	soakRestSpread   = 40 * time.Millisecond   // around it
+	soakIdleLimit    = 2250 * time.Millisecond // how long a connection may be idle between requests (README)
+	soakIdleSpread   = 40 * time.Millisecond   // the pause differs from the idle limit by at most this
 	soakConnectLimit = 2 * time.Second
-	soakReadMargin   = 2 * time.Second // beyond the time that an answer may come
+	soakReadMargin   = 2 * time.Second // how much longer than an answer may take the client reads
 	soakMaxPipelined = 5
 	soakMaxPause     = 60 * time.Millisecond
-	cancelCode       = 80877102 // of a CancelRequest
+	cancelCode       = 80877102 // request code of a CancelRequest message
 )
 
-// soakClient is one client over time, on whatever connections it gets.
+// soakClient is one simulated client, over its successive connections.
 type soakClient struct {
-	play    *soakPlay
-	rng     *rand.Rand
-	number  int
-	count   int
-	classes []string
-	wrote   int64 // its session's last commit, Unix ms; 0: none
+	soak         *soakRun
+	rng          *rand.Rand
+	number       int
+	requestCount int
+	classes      []string
+	lastWrite    int64 // position (Unix ms) of the session's last acknowledged write; 0: none
 }
 
-// soakConn is one of its connections.
+// soakConn is one connection of a client.
 type soakConn struct {
-	*client
-	life   int
-	number int
-	place  int
-	key    []byte // by which a CancelRequest names it
+	*clientConn
+	process   int
+	number    int
+	requests  int    // made so far
+	cancelKey []byte // process ID and secret key, which a CancelRequest contains
 }
 
-func (c *soakClient) run(ctx context.Context) {
+// run opens one connection after the other until the context ends.
+func (client *soakClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		router, life := c.play.pick(c.rng)
+		router, process := client.soak.pick(client.rng)
 		if router == nil {
 			_ = sleep(ctx, 20*time.Millisecond)
 			continue
 		}
-		c.session(ctx, router.addr, life)
+		client.session(ctx, router.addr, process)
 	}
 }
 
-// session is one connection's life.
-func (c *soakClient) session(ctx context.Context, addr string, life int) {
-	habit := soakHabit(c.rng.IntN(int(soakHabits)))
+// session opens a connection and makes requests until it ends.
+func (client *soakClient) session(ctx context.Context, addr string, process int) {
+	behavior := soakBehavior(client.rng.IntN(int(soakBehaviors)))
 	raw, err := net.DialTimeout("tcp", addr, soakConnectLimit)
 	if err != nil {
 		_ = sleep(ctx, 20*time.Millisecond)
 		return
 	}
 	defer raw.Close()
-	conn := &soakConn{client: &client{raw, ringbuffer.New(2 << 20)}, life: life, number: c.play.connection()}
+	conn := &soakConn{clientConn: &clientConn{raw, ringbuffer.New(2 << 20)}, process: process, number: client.soak.connection()}
 	startup := pgwire.AppendStartup(nil, "worker", "catalog")
 	var first []*soakRequest
-	if c.rng.IntN(2) == 0 { // straight behind the startup message
+	if client.rng.IntN(2) == 0 { // the first request directly follows the startup message
 		var query []byte
-		first, query = c.batch(conn, 1)
+		first, query = client.batch(conn, 1)
 		startup = append(startup, query...)
 	}
-	raw.SetDeadline(time.Now().Add(soakConnectLimit + c.longestWait()))
+	raw.SetDeadline(time.Now().Add(soakConnectLimit + client.maxWait()))
 	_, err = raw.Write(startup)
-	c.sent(first, err)
-	if err := conn.welcome(); err != nil {
-		c.end(first, err)
+	client.recordSent(first, err)
+	if err := conn.completeStartup(); err != nil {
+		client.recordEnd(first, err)
 		return
 	}
-	if len(first) > 0 && !c.read(conn, first) {
+	if len(first) > 0 && !client.readAnswers(conn, first) {
 		return
 	}
-	for ctx.Err() == nil && c.exchange(conn, habit) {
-		c.rest(ctx, habit)
+	for ctx.Err() == nil && client.exchange(conn, behavior) {
+		client.pause(ctx, behavior)
 	}
 }
 
-func (c *soakClient) longestWait() time.Duration { return c.play.record.Limits.LongestDeadline }
+func (client *soakClient) maxWait() time.Duration { return client.soak.record.Limits.LongestDeadline }
 
-// welcome reads what comes before the first ReadyForQuery.
-func (c *soakConn) welcome() error {
+// completeStartup reads the messages up to the first ReadyForQuery.
+func (conn *soakConn) completeStartup() error {
 	for {
-		m, err := c.next()
+		message, err := conn.next()
 		if err != nil {
 			return err
 		}
-		if m.Kind == pgwire.BackendKeyData {
-			c.key = slices.Clone(m.Body)
+		if message.Kind == pgwire.BackendKeyData {
+			conn.cancelKey = slices.Clone(message.Body)
 		}
-		kind := m.Kind
-		c.in.Discard(m.Size)
+		kind := message.Kind
+		conn.in.Discard(message.Size)
 		switch kind {
 		case pgwire.ErrorResponse:
-			return &rejectedError{}
+			return &rejectionError{}
 		case pgwire.ReadyForQuery:
 			return nil
 		}
 	}
 }
 
-// exchange makes one request, or several in one write, and says whether the connection goes on.
-func (c *soakClient) exchange(conn *soakConn, habit soakHabit) bool {
-	n := 1
-	if habit == soakPipelined {
-		n += c.rng.IntN(soakMaxPipelined)
+// exchange makes one request, or several pipelined ones, and reports whether the connection is still usable.
+func (client *soakClient) exchange(conn *soakConn, behavior soakBehavior) bool {
+	count := 1
+	if behavior == soakPipelined {
+		count += client.rng.IntN(soakMaxPipelined)
 	}
-	list, query := c.batch(conn, n)
+	requests, query := client.batch(conn, count)
 	conn.conn.SetWriteDeadline(time.Now().Add(soakConnectLimit))
-	err := c.write(conn, query, habit)
-	c.sent(list, err)
+	err := client.write(conn, query, behavior)
+	client.recordSent(requests, err)
 	if err != nil {
-		c.end(list, err)
+		client.recordEnd(requests, err)
 		return false
 	}
-	leaves := habit == soakLeaves && c.rng.IntN(3) == 0
-	if leaves || habit == soakCancels && c.rng.IntN(2) == 0 {
-		time.Sleep(time.Duration(c.rng.Int64N(int64(soakMaxPause))))
+	leaves := behavior == soakLeaves && client.rng.IntN(3) == 0
+	if leaves || behavior == soakCancels && client.rng.IntN(2) == 0 {
+		time.Sleep(time.Duration(client.rng.Int64N(int64(soakMaxPause))))
 	}
 	if leaves {
-		gone := time.Now()
+		leftAt := time.Now()
 		conn.conn.Close()
-		c.play.record.change(func() {
-			for _, q := range list {
-				q.Gone = gone
+		client.soak.record.change(func() {
+			for _, req := range requests {
+				req.LeftAt = leftAt
 			}
 		})
 		return false
 	}
-	if habit == soakCancels && len(conn.key) == 8 && c.rng.IntN(2) == 0 {
-		c.cancel(conn, list)
+	if behavior == soakCancels && len(conn.cancelKey) == 8 && client.rng.IntN(2) == 0 {
+		client.cancel(conn, requests)
 	}
-	return c.read(conn, list)
+	return client.readAnswers(conn, requests)
 }
 
-// write sends a query, in pieces where the client does so.
-func (c *soakClient) write(conn *soakConn, query []byte, habit soakHabit) error {
-	for habit == soakInPieces && len(query) > 1 {
-		n := 1 + c.rng.IntN(len(query)-1)
-		if _, err := conn.conn.Write(query[:n]); err != nil {
+// write sends a query, in pieces if the behavior of the client is soakInPieces.
+func (client *soakClient) write(conn *soakConn, query []byte, behavior soakBehavior) error {
+	for behavior == soakInPieces && len(query) > 1 {
+		size := 1 + client.rng.IntN(len(query)-1)
+		if _, err := conn.conn.Write(query[:size]); err != nil {
 			return err
 		}
-		query = query[n:]
-		time.Sleep(time.Duration(c.rng.Int64N(int64(soakMaxPause / 2))))
-		if c.rng.IntN(3) == 0 {
+		query = query[size:]
+		time.Sleep(time.Duration(client.rng.Int64N(int64(soakMaxPause / 2))))
+		if client.rng.IntN(3) == 0 {
 			break
 		}
 	}
@@ -174,153 +175,156 @@
 	return err
 }
 
-// cancel calls off what the connection waits for.
-func (c *soakClient) cancel(conn *soakConn, list []*soakRequest) {
-	side, err := net.DialTimeout("tcp", conn.conn.RemoteAddr().String(), soakConnectLimit)
+// cancel sends a CancelRequest for the requests of a connection.
+func (client *soakClient) cancel(conn *soakConn, requests []*soakRequest) {
+	cancelConn, err := net.DialTimeout("tcp", conn.conn.RemoteAddr().String(), soakConnectLimit)
 	if err != nil {
 		return
 	}
-	defer side.Close()
+	defer cancelConn.Close()
 	message := binary.BigEndian.AppendUint32(nil, 16)
 	message = binary.BigEndian.AppendUint32(message, cancelCode)
-	if _, err := side.Write(append(message, conn.key...)); err != nil {
+	if _, err := cancelConn.Write(append(message, conn.cancelKey...)); err != nil {
 		return
 	}
-	var b [1]byte
-	side.SetReadDeadline(time.Now().Add(soakConnectLimit))
-	if _, err := side.Read(b[:]); err == nil || strings.Contains(err.Error(), "reset") {
-		return // it may not have been read
+	var buffer [1]byte
+	cancelConn.SetReadDeadline(time.Now().Add(soakConnectLimit))
+	if _, err := cancelConn.Read(buffer[:]); err == nil || strings.Contains(err.Error(), "reset") {
+		return // the router may not have read the message
 	}
-	gone := time.Now()
-	c.play.record.change(func() {
-		for _, q := range list {
-			q.Gone = gone
+	leftAt := time.Now()
+	client.soak.record.change(func() {
+		for _, req := range requests {
+			req.LeftAt = leftAt
 		}
 	})
 }
 
-// batch draws requests and their query messages.
-func (c *soakClient) batch(conn *soakConn, n int) (list []*soakRequest, query []byte) {
-	for range n {
-		r := c.draw()
-		query = append(query, r.query()...)
-		q := &soakRequest{ID: r.id, Key: r.key, Class: r.class, Life: conn.life, Conn: conn.number, Place: conn.place, Wait: r.wait, Outcome: waiting}
-		conn.place++
-		list = append(list, q)
-		c.play.record.addRequest(q)
+// batch draws count requests, records them and encodes their query messages.
+func (client *soakClient) batch(conn *soakConn, count int) (requests []*soakRequest, query []byte) {
+	for range count {
+		req := client.nextRequest()
+		query = append(query, req.query()...)
+		recorded := &soakRequest{ID: req.id, Key: req.key, Class: req.class, Process: conn.process, Conn: conn.number, Index: conn.requests, Wait: req.timeout, Outcome: waiting}
+		conn.requests++
+		requests = append(requests, recorded)
+		client.soak.record.addRequest(recorded)
 	}
-	return list, query
+	return requests, query
 }
 
-// draw is the next request.
-func (c *soakClient) draw() *request {
-	c.count++
-	class := c.classes[c.rng.IntN(len(c.classes))]
-	k := c.play.record.Profile.Classes[class]
-	wait := ms(k.WaitMS)
-	if c.rng.IntN(8) == 0 { // very little time left
-		wait = time.Duration(float64(wait) * (0.02 + 0.3*c.rng.Float64()))
+// nextRequest returns the next request.
+func (client *soakClient) nextRequest() *request {
+	client.requestCount++
+	class := client.classes[client.rng.IntN(len(client.classes))]
+	settings := client.soak.record.Profile.Classes[class]
+	timeout := milliseconds(settings.TimeoutMS)
+	if client.rng.IntN(8) == 0 { // a short deadline
+		timeout = time.Duration(float64(timeout) * (0.02 + 0.3*client.rng.Float64()))
 	}
-	id := fmt.Sprintf("s%d-%d", c.number, c.count)
-	r := &request{id: id, oid: fmt.Sprintf("session-%d", c.number), class: class, wait: wait.Truncate(time.Millisecond), group: 1 + c.rng.Int64N(int64(c.play.e.Fleet.Groups))}
-	switch k.Read {
+	id := fmt.Sprintf("s%d-%d", client.number, client.requestCount)
+	next := &request{id: id, objectID: fmt.Sprintf("session-%d", client.number), class: class, timeout: timeout.Truncate(time.Millisecond), group: 1 + client.rng.Int64N(int64(client.soak.experiment.Fleet.Groups))}
+	switch settings.Read {
 	case "write":
-		r.key = id
-		r.group = 1 + int64(c.number)%int64(c.play.e.Fleet.Groups) // a session belongs to one group
+		next.key = id
+		next.group = 1 + int64(client.number)%int64(client.soak.experiment.Fleet.Groups) // a session belongs to one group
 	case "session":
-		r.group = 1 + int64(c.number)%int64(c.play.e.Fleet.Groups)
-		r.after = c.wrote
+		next.group = 1 + int64(client.number)%int64(client.soak.experiment.Fleet.Groups)
+		next.minPosition = client.lastWrite
 	}
-	return r
+	return next
 }
 
-// sent notes that requests were written whole, or that they were not.
-func (c *soakClient) sent(list []*soakRequest, err error) {
+// recordSent records that requests were written completely, unless writing failed.
+func (client *soakClient) recordSent(requests []*soakRequest, err error) {
 	if err != nil {
 		return
 	}
 	now := time.Now()
-	c.play.record.change(func() {
-		for _, q := range list {
-			q.Sent = now
+	client.soak.record.change(func() {
+		for _, req := range requests {
+			req.Sent = now
 		}
 	})
 }
 
-// read reads the answers to requests, and says whether the connection goes on.
-func (c *soakClient) read(conn *soakConn, list []*soakRequest) bool {
-	turn := time.Time{}
-	for i, q := range list {
-		from := q.Sent
-		if turn.After(from) {
-			from = turn
+// readAnswers reads the answers to requests and reports whether the connection is still usable.
+func (client *soakClient) readAnswers(conn *soakConn, requests []*soakRequest) bool {
+	preceding := time.Time{}
+	for index, req := range requests {
+		start := req.Sent
+		if preceding.After(start) {
+			start = preceding
 		}
-		conn.conn.SetReadDeadline(from.Add(q.Wait + answerGrace + soakReadMargin))
-		a, err := conn.readAnswer()
+		conn.conn.SetReadDeadline(start.Add(req.Wait + answerGrace + soakReadMargin))
+		result, err := conn.readAnswer()
 		if err != nil {
-			c.end(list[i:], err)
+			client.recordEnd(requests[index:], err)
 			return false
 		}
 		now := time.Now()
-		c.play.record.change(func() {
-			q.Outcome, q.At, q.Turn = a.outcome, now, turn
-			q.Wrong = a.outcome == served && a.value != expectedValue(q)
+		client.soak.record.change(func() {
+			req.Outcome, req.At, req.PrecedingAt = result.outcome, now, preceding
+			req.OtherValue = result.outcome == served && result.value != expectedValue(req)
 		})
-		if a.outcome == served && q.Key != "" {
-			c.wrote = now.UnixMilli()
+		if result.outcome == served && req.Key != "" {
+			client.lastWrite = now.UnixMilli()
 		}
-		turn = now
-		if a.fatal {
-			c.end(list[i+1:], errFatal)
+		preceding = now
+		if result.fatal {
+			client.recordEnd(requests[index+1:], errFatal)
 			return false
 		}
 	}
 	return true
 }
 
-var errFatal = &rejectedError{}
+var errFatal = &rejectionError{}
 
-func expectedValue(q *soakRequest) string {
-	if q.Key != "" {
-		return "k:" + q.Key
+// expectedValue returns the value that a data server returns for a request.
+func expectedValue(req *soakRequest) string {
+	if req.Key != "" {
+		return "k:" + req.Key
 	}
-	return "v:" + q.ID
+	return "v:" + req.ID
 }
 
-// end notes that the connection brought no answers to requests.
-func (c *soakClient) end(list []*soakRequest, err error) {
+// recordEnd records that the connection ended without answers to requests.
+func (client *soakClient) recordEnd(requests []*soakRequest, err error) {
 	now := time.Now()
 	var timeout net.Error
 	timedOut := errors.As(err, &timeout) && timeout.Timeout()
-	c.play.record.change(func() {
-		for _, q := range list {
-			q.At, q.Ended = now, !timedOut
+	client.soak.record.change(func() {
+		for _, req := range requests {
+			req.At, req.Ended = now, !timedOut
 		}
 	})
 }
 
-func (c *soakClient) rest(ctx context.Context, habit soakHabit) {
-	pause := time.Duration(c.rng.Int64N(int64(soakMaxPause)))
-	if habit == soakResting && c.rng.IntN(4) == 0 {
-		pause = soakIdleLimit + time.Duration(c.rng.Int64N(int64(2*soakRestSpread))) - soakRestSpread
+// pause waits between two requests.
+func (client *soakClient) pause(ctx context.Context, behavior soakBehavior) {
+	pause := time.Duration(client.rng.Int64N(int64(soakMaxPause)))
+	if behavior == soakIdling && client.rng.IntN(4) == 0 {
+		pause = soakIdleLimit + time.Duration(client.rng.Int64N(int64(2*soakIdleSpread))) - soakIdleSpread
 	}
 	_ = sleep(ctx, pause)
 }
 
-// idle is one of a crowd: it connects, asks nothing that takes work, and stays until it is closed.
-func (c *soakClient) idle(ctx context.Context) {
+// idle keeps a connection open that makes only an empty query, and opens a new one when it is closed.
+func (client *soakClient) idle(ctx context.Context) {
 	for ctx.Err() == nil {
-		router, _ := c.play.pick(c.rng)
+		router, _ := client.soak.pick(client.rng)
 		if router == nil {
 			_ = sleep(ctx, 50*time.Millisecond)
 			continue
 		}
-		c.idleOnce(ctx, router.addr)
-		_ = sleep(ctx, 100*time.Millisecond+time.Duration(c.rng.Int64N(int64(400*time.Millisecond))))
+		client.idleOnce(ctx, router.addr)
+		_ = sleep(ctx, 100*time.Millisecond+time.Duration(client.rng.Int64N(int64(400*time.Millisecond))))
 	}
 }
 
-func (c *soakClient) idleOnce(ctx context.Context, addr string) {
+// idleOnce opens one such connection and waits until it is closed.
+func (client *soakClient) idleOnce(ctx context.Context, addr string) {
 	raw, err := net.DialTimeout("tcp", addr, soakConnectLimit)
 	if err != nil {
 		return
@@ -331,7 +335,7 @@
 	if _, err := raw.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "worker", "catalog"), "")); err != nil {
 		return
 	}
-	for b := make([]byte, 512); err == nil; {
-		_, err = raw.Read(b)
+	for buffer := make([]byte, 512); err == nil; {
+		_, err = raw.Read(buffer)
 	}
 }
--- a/internal/experiment/soakrecord.go
+++ b/internal/experiment/soakrecord.go
@@ -10,128 +10,129 @@
 // soakRequest is one request as its client saw it.
 type soakRequest struct {
 	ID, Key, Class string
-	Life           int           // of its router: a place in soakRecord.Lives
+	Process        int           // the process of its router: an index into soakRecord.Processes
 	Conn           int           // number of its connection
-	Place          int           // on it, from 0
-	Sent           time.Time     // the last byte was written; zero: it was not written whole
-	Wait           time.Duration // that it says its client will wait
-	Turn           time.Time     // when the answer before it on the connection had come; zero: none was open
-	Outcome        outcome       // waiting: there was none
-	At             time.Time     // of the answer, or of the connection's end
+	Index          int           // its number on the connection, from 0
+	Sent           time.Time     // when the last byte was written; zero: not written completely
+	Wait           time.Duration // the time limit that it states
+	PrecedingAt    time.Time     // when the preceding answer on the connection arrived; zero: none was outstanding
+	Outcome        outcome       // waiting: no answer
+	At             time.Time     // time of the answer or of the connection's end
 	Ended          bool          // the connection ended before the answer
-	Wrong          bool          // it was served with what is not its own
-	Gone           time.Time     // its client closed or cancelled; zero: it did not
+	OtherValue     bool          // the value belongs to another request
+	LeftAt         time.Time     // when its client closed the connection or cancelled; zero: it did not
 }
 
-// soakLife is one process of a router.
-type soakLife struct {
-	Router           int
-	Started, Ready   time.Time // zero: it never was
-	Term             time.Time // the first SIGTERM; zero: there was none
-	Early            bool      // SIGTERM came before it served
-	Ended            time.Time
-	Killed           bool // by SIGKILL, at the earliest that the pages allow
-	Err              string
-	BaseFDs, CalmFDs int // descriptors while nobody is connected: before the clients come, and after they have gone; 0: not seen
-	MaxMemoryMB      float64
+// soakProcess is one process of a router.
+type soakProcess struct {
+	Router            int
+	Started, Ready    time.Time // zero Ready: it never was ready
+	Term              time.Time // time of the first SIGTERM; zero: none
+	TermWhileStarting bool      // SIGTERM was sent while it was starting
+	Ended             time.Time
+	Killed            bool // by SIGKILL, as it had not ended at the earliest time for that
+	Err               string
+	BaseFDs, IdleFDs  int // descriptors in use before the clients connect and after they have left; 0: not measured
+	MaxMemoryMB       float64
 }
 
-// soakSpan is a time in which something was wrong.
+// soakSpan is a time span in which a fault was present.
 type soakSpan struct{ From, To time.Time }
 
-// soakDrained is a server that drained, until it was restarted.
+// soakDrained is a time span in which a server was draining.
 type soakDrained struct {
 	Server string
 	soakSpan
 }
 
-// soakCold is a server that started cold.
+// soakCold is a cold start of a server.
 type soakCold struct {
 	Server string
 	At     time.Time
 }
 
-// soakRecord is all that was seen of one play; the audit reads nothing else.
+// soakRecord is everything recorded during one run of a plan, and the only input of the audit.
 type soakRecord struct {
-	mu sync.Mutex // guards Requests, Lives and Reloads while it plays
+	mu sync.Mutex // guards the fields below during the run
 
 	Plan        *SoakPlan
 	Profile     *SoakProfile
 	Limits      soakLimits
 	Requests    []*soakRequest
-	Lives       []*soakLife
+	Processes   []*soakProcess
 	Reloads     []time.Time
-	Agent       []soakSpan // discovery was silent, or its watches were
+	Agent       []soakSpan // the discovery agent or its watches were silent
 	Drained     []soakDrained
 	Cold        []soakCold
 	Attempts    []emulator.Attempt
 	Ran         []emulator.Ran
 	ServerAudit emulator.Audit
-	Read        map[string]string // what the routers' logs say of each request that they read: how it ended
-	Lags        []soakSpan        // the measuring program itself was held up
+	Read        map[string]string // from the routers' logs: how each request that they read ended
+	Lags        []soakSpan        // the measuring program itself was delayed
 }
 
-// soakLimits are figures of the settings that the rules use.
+// soakLimits contains the limits from the settings that the rules need.
 type soakLimits struct {
-	LongestDeadline time.Duration // of any class
-	KeyWindow       time.Duration // in which a keyed write may be sent again
+	LongestDeadline time.Duration // of all classes
+	KeyWindow       time.Duration // the time in which a keyed write may be sent again
 	DrainGrace      time.Duration
-	Window          time.Duration // in which a cold server's load counts
-	Multiple        float64       // of its capacity that it bears
+	Window          time.Duration // the time over which the load of a cold server is summed
+	Multiple        float64       // the load that a server may get, as a multiple of its capacity
 	ColdShare       float64
 	Ramp            time.Duration
 	Cores           int
 	MemoryMB        float64
 }
 
-// lag is how long the measuring program was held up at most, in a span of time.
-func (r *soakRecord) lag(from, to time.Time) (most time.Duration) {
-	for _, l := range r.Lags {
-		if l.From.Before(to) && l.To.After(from) {
-			most = max(most, l.To.Sub(l.From))
+// lag returns the maximum delay of the measuring program in a time span.
+func (record *soakRecord) lag(from, to time.Time) (longest time.Duration) {
+	for _, delay := range record.Lags {
+		if delay.From.Before(to) && delay.To.After(from) {
+			longest = max(longest, delay.To.Sub(delay.From))
 		}
 	}
-	return most
+	return longest
 }
 
-// watchLag notes when this program is held up, until done is closed: a limit can't be tighter than its own clock.
-func (r *soakRecord) watchLag(done <-chan struct{}) {
-	const every, noted = 2 * time.Millisecond, 5 * time.Millisecond
+// watchLag records the delays of this program until done is closed. Measured times can't be more precise than that.
+func (record *soakRecord) watchLag(done <-chan struct{}) {
+	const interval, threshold = 2 * time.Millisecond, 5 * time.Millisecond
 	last := time.Now()
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 		now := time.Now()
-		if now.Sub(last) > noted {
-			r.mu.Lock()
-			r.Lags = append(r.Lags, soakSpan{last, now})
-			r.mu.Unlock()
+		if now.Sub(last) > threshold {
+			record.mu.Lock()
+			record.Lags = append(record.Lags, soakSpan{last, now})
+			record.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-func (r *soakRecord) addRequest(q *soakRequest) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Requests = append(r.Requests, q)
+// addRequest adds a request to the record.
+func (record *soakRecord) addRequest(req *soakRequest) {
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	record.Requests = append(record.Requests, req)
 }
 
-// life starts a new one and returns its place.
-func (r *soakRecord) life(router int) (place int, l *soakLife) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	l = &soakLife{Router: router, Started: time.Now()}
-	r.Lives = append(r.Lives, l)
-	return len(r.Lives) - 1, l
+// addProcess adds a new process of a router and returns its index.
+func (record *soakRecord) addProcess(router int) (index int, process *soakProcess) {
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	process = &soakProcess{Router: router, Started: time.Now()}
+	record.Processes = append(record.Processes, process)
+	return len(record.Processes) - 1, process
 }
 
-// change calls a function that changes the record, with its lock held.
-func (r *soakRecord) change(f func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	f()
+// change calls update, which changes the record, with the lock held.
+func (record *soakRecord) change(update func()) {
+	record.mu.Lock()
+	defer record.mu.Unlock()
+	update()
 }
--- a/internal/experiment/soakrun.go
+++ b/internal/experiment/soakrun.go
@@ -13,142 +13,142 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// SoakResult is what one seed showed.
+// SoakResult is the outcome of one run of a soak.
 type SoakResult struct {
-	Plan     *SoakPlan
-	Profile  string
-	Requests int
-	Answered int
-	Lives    int
-	Attempts int
-	Crossed  int // closed unread
-	MaxLag   time.Duration
-	Broken   []soakViolation
-	record   *soakRecord
+	Plan         *SoakPlan
+	Profile      string
+	Requests     int
+	Answered     int
+	Processes    int
+	Attempts     int
+	ClosedUnread int // requests whose connection was closed before the router had read them
+	MaxLag       time.Duration
+	Violations   []soakViolation
+	record       *soakRecord
 }
 
-// Passed says whether all rules were kept.
-func (r *SoakResult) Passed() bool { return len(r.Broken) == 0 }
+// Passed reports whether no rule was violated.
+func (result *SoakResult) Passed() bool { return len(result.Violations) == 0 }
 
-// RunSoak plays a seed of a soak and audits it.
-func RunSoak(ctx context.Context, e *Experiment, o Options) (*SoakResult, error) {
-	return runSoakPlan(ctx, e, drawSoak(e.Soak, e.Fleet.Groups*e.Fleet.Members, o.Seed), o)
+// RunSoak runs the plan of a seed and audits it.
+func RunSoak(ctx context.Context, experiment *Experiment, options Options) (*SoakResult, error) {
+	return runSoakPlan(ctx, experiment, drawSoak(experiment.Soak, experiment.Fleet.Groups*experiment.Fleet.Members, options.Seed), options)
 }
 
-func runSoakPlan(ctx context.Context, e *Experiment, plan *SoakPlan, o Options) (*SoakResult, error) {
-	record, err := playSoak(ctx, e, plan, o.Build, o.Dir)
+func runSoakPlan(ctx context.Context, experiment *Experiment, plan *SoakPlan, options Options) (*SoakResult, error) {
+	record, err := executeSoak(ctx, experiment, plan, options.Build, options.Dir)
 	if err != nil {
 		return nil, err
 	}
-	res := &SoakResult{Plan: plan, Profile: record.Profile.Name, Requests: len(record.Requests), Lives: len(record.Lives), Attempts: len(record.Attempts),
-		Broken: record.audit(), record: record}
-	for _, q := range record.Requests {
-		if q.Outcome != waiting {
-			res.Answered++
-		} else if q.Ended && q.Gone.IsZero() {
-			res.Crossed++
+	result := &SoakResult{Plan: plan, Profile: record.Profile.Name, Requests: len(record.Requests), Processes: len(record.Processes), Attempts: len(record.Attempts),
+		Violations: record.audit(), record: record}
+	for _, request := range record.Requests {
+		if request.Outcome != waiting {
+			result.Answered++
+		} else if request.Ended && request.LeftAt.IsZero() {
+			result.ClosedUnread++
 		}
 	}
-	for _, l := range record.Lags {
-		res.MaxLag = max(res.MaxLag, l.To.Sub(l.From))
+	for _, lag := range record.Lags {
+		result.MaxLag = max(result.MaxLag, lag.To.Sub(lag.From))
 	}
-	return res, nil
+	return result, nil
 }
 
-// Row is a line of a table of seeds.
-func (r *SoakResult) Row() string {
+// TableRow returns the result as a line of the table of seeds.
+func (result *SoakResult) TableRow() string {
 	verdict := "kept"
-	if !r.Passed() {
-		verdict = fmt.Sprintf("BROKEN %d: %v", len(r.Broken), rulesOf(r.Broken))
+	if !result.Passed() {
+		verdict = fmt.Sprintf("BROKEN %d: %v", len(result.Violations), brokenRules(result.Violations))
 	}
-	return fmt.Sprintf("| %d | %s | %d | %v | %d | %d | %d | %d | %d | %d | %s |", r.Plan.Seed, r.Profile, r.Plan.Routers, r.Plan.Crowd, len(r.Plan.Steps), r.Lives, r.Requests,
-		r.Answered, r.Attempts, r.MaxLag.Milliseconds(), verdict)
+	return fmt.Sprintf("| %d | %s | %d | %v | %d | %d | %d | %d | %d | %d | %s |", result.Plan.Seed, result.Profile, result.Plan.Routers, result.Plan.IdleCrowd, len(result.Plan.Steps), result.Processes, result.Requests,
+		result.Answered, result.Attempts, result.MaxLag.Milliseconds(), verdict)
 }
 
-// SoakHead is the head of the table.
-const SoakHead = "| seed | settings | routers | crowd | steps | processes | requests | answered | attempts | lag ms | rules |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+// SoakTableHeader is the header of the table of seeds.
+const SoakTableHeader = "| seed | settings | routers | crowd | steps | processes | requests | answered | attempts | lag ms | rules |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 
-const mostPrinted = 20 // broken rules, and lines of the log for each
+const maxPrinted = 20 // maximum number of violations to print
 
-// Explain prints the schedule, what was broken, and the traces of the requests concerned.
-func (r *SoakResult) Explain(w io.Writer, dir string) {
-	fmt.Fprintf(w, "seed %d, %s, %d routers, crowd %v\n", r.Plan.Seed, r.Profile, r.Plan.Routers, r.Plan.Crowd)
-	for _, s := range r.Plan.Steps {
-		fmt.Fprintln(w, "  ", s)
+// Explain prints the schedule, the violations, and the traces of their requests.
+func (result *SoakResult) Explain(w io.Writer, dir string) {
+	fmt.Fprintf(w, "seed %d, %s, %d routers, crowd %v\n", result.Plan.Seed, result.Profile, result.Plan.Routers, result.Plan.IdleCrowd)
+	for _, step := range result.Plan.Steps {
+		fmt.Fprintln(w, "  ", step)
 	}
-	for _, v := range r.Broken[:min(len(r.Broken), mostPrinted)] {
-		fmt.Fprintf(w, "broken: %s: %s %s\n", v.Rule, v.ID, v.Text)
-		r.explainRequest(w, v.ID, dir)
+	for _, violation := range result.Violations[:min(len(result.Violations), maxPrinted)] {
+		fmt.Fprintf(w, "broken: %s: %s %s\n", violation.Rule, violation.ID, violation.Text)
+		result.explainRequest(w, violation.ID, dir)
 	}
-	if n := len(r.Broken) - mostPrinted; n > 0 {
-		fmt.Fprintf(w, "and %d more\n", n)
+	if more := len(result.Violations) - maxPrinted; more > 0 {
+		fmt.Fprintf(w, "and %d more\n", more)
 	}
 }
 
-// explainRequest prints all that the records have of a request.
-func (r *SoakResult) explainRequest(w io.Writer, id, dir string) {
+// explainRequest prints everything that was recorded about a request.
+func (result *SoakResult) explainRequest(w io.Writer, id, dir string) {
 	if id == "" {
 		return
 	}
-	clockTime := func(t time.Time) string {
-		if t.IsZero() {
+	clockTime := func(at time.Time) string {
+		if at.IsZero() {
 			return "-"
 		}
-		return t.Format("15:04:05.000")
+		return at.Format("15:04:05.000")
 	}
-	for _, q := range r.record.Requests {
-		if q.ID != id {
+	for _, request := range result.record.Requests {
+		if request.ID != id {
 			continue
 		}
-		l := r.record.Lives[q.Life]
-		fmt.Fprintf(w, "    client: %s, connection %d, place %d, sent %s, waits %v, turn %s, %s at %s, ended %v, gone %s\n", q.Class, q.Conn, q.Place, clockTime(q.Sent), q.Wait,
-			clockTime(q.Turn), outcomeNames[q.Outcome], clockTime(q.At), q.Ended, clockTime(q.Gone))
-		fmt.Fprintf(w, "    router %d: process %d, started %s, ready %s, SIGTERM %s, ended %s %s\n", l.Router, q.Life, clockTime(l.Started), clockTime(l.Ready), clockTime(l.Term),
-			clockTime(l.Ended), l.Err)
+		process := result.record.Processes[request.Process]
+		fmt.Fprintf(w, "    client: %s, connection %d, place %d, sent %s, waits %v, turn %s, %s at %s, ended %v, gone %s\n", request.Class, request.Conn, request.Index, clockTime(request.Sent), request.Wait,
+			clockTime(request.PrecedingAt), outcomeNames[request.Outcome], clockTime(request.At), request.Ended, clockTime(request.LeftAt))
+		fmt.Fprintf(w, "    router %d: process %d, started %s, ready %s, SIGTERM %s, ended %s %s\n", process.Router, request.Process, clockTime(process.Started), clockTime(process.Ready), clockTime(process.Term),
+			clockTime(process.Ended), process.Err)
 	}
-	for _, t := range r.record.Attempts {
-		if t.ID == id {
-			fmt.Fprintf(w, "    server %s: came %s, told %v\n", t.Server, clockTime(t.At), t.Left)
+	for _, attempt := range result.record.Attempts {
+		if attempt.ID == id {
+			fmt.Fprintf(w, "    server %s: came %s, told %v\n", attempt.Server, clockTime(attempt.At), attempt.Left)
 		}
 	}
-	for n := range r.Plan.Routers {
-		raw, err := os.ReadFile(filepath.Join(dir, routerName(n)+".log"))
+	for number := range result.Plan.Routers {
+		raw, err := os.ReadFile(filepath.Join(dir, routerName(number)+".log"))
 		if err != nil {
 			continue
 		}
 		for line := range strings.Lines(string(raw)) {
 			if strings.Contains(line, "id="+id+" ") {
-				fmt.Fprintf(w, "    log of router %d: %s", n, line)
+				fmt.Fprintf(w, "    log of router %d: %s", number, line)
 			}
 		}
 	}
 }
 
-// ShortenSoak looks for a shorter schedule that breaks one of the same rules: it leaves out ever smaller parts of the steps. What meets
-// in which order is the machine's, so a schedule counts as passing after one play that passes.
-func ShortenSoak(ctx context.Context, e *Experiment, found *SoakResult, o Options, plays int) *SoakResult {
-	rules := rulesOf(found.Broken)
-	best := found
-	for size := (len(found.Plan.Steps) + 1) / 2; size >= 1 && plays > 0; size /= 2 {
-		for from := 0; from < len(best.Plan.Steps) && plays > 0; plays-- {
+// ShortenSoak looks for a shorter schedule that violates one of the same rules, by leaving out ever smaller parts of
+// the steps. As the exact interleaving varies between runs, a schedule that passes once may still be able to fail.
+func ShortenSoak(ctx context.Context, experiment *Experiment, failed *SoakResult, options Options, attempts int) *SoakResult {
+	rules := brokenRules(failed.Violations)
+	best := failed
+	for size := (len(failed.Plan.Steps) + 1) / 2; size >= 1 && attempts > 0; size /= 2 {
+		for start := 0; start < len(best.Plan.Steps) && attempts > 0; attempts-- {
 			shorter := *best.Plan
-			shorter.Steps = slices.Delete(slices.Clone(best.Plan.Steps), from, min(from+size, len(best.Plan.Steps)))
-			one := o
-			one.Dir = filepath.Join(o.Dir, fmt.Sprintf("shorter-%d", plays))
-			res, err := runSoakPlan(ctx, e, &shorter, one)
-			if err == nil && slices.ContainsFunc(rulesOf(res.Broken), func(r soakRule) bool { return slices.Contains(rules, r) }) {
-				best = res
+			shorter.Steps = slices.Delete(slices.Clone(best.Plan.Steps), start, min(start+size, len(best.Plan.Steps)))
+			attemptOptions := options
+			attemptOptions.Dir = filepath.Join(options.Dir, fmt.Sprintf("shorter-%d", attempts))
+			result, err := runSoakPlan(ctx, experiment, &shorter, attemptOptions)
+			if err == nil && slices.ContainsFunc(brokenRules(result.Violations), func(rule soakRule) bool { return slices.Contains(rules, rule) }) {
+				best = result
 			} else {
-				from += size
+				start += size
 			}
 		}
 	}
 	return best
 }
 
-// Write keeps the plan, so that it can be read beside the logs.
-func (r *SoakResult) Write(dir string) error {
-	raw, err := jsoniter.MarshalIndent(r.Plan, "", "  ")
+// Write writes the plan next to the logs.
+func (result *SoakResult) Write(dir string) error {
+	raw, err := jsoniter.MarshalIndent(result.Plan, "", "  ")
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -16,301 +16,305 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Seen is one change of what a router believes, from its log.
-type Seen struct {
-	AtS    float64 `json:"at_s"` // since the arm's first
-	Router int     `json:"router"`
-	Of     int     `json:"of"` // -1: of itself and the whole: the next three count
-	State  string  `json:"state,omitempty"`
-	Boot   uint64  `json:"boot,omitempty"`
-	Inc    uint64  `json:"incarnation,omitempty"`
-	Share  float64 `json:"share,omitempty"`
-	Counts int     `json:"counts,omitempty"` // whom it takes to be there
+// ViewChange is a change of a router's membership view, as its log has it.
+type ViewChange struct {
+	AtS         float64 `json:"at_s"` // seconds since the first change in the arm
+	Router      int     `json:"router"`
+	Subject     int     `json:"of"` // the member that changed; -1: a change of the router's own quota share and member count
+	State       string  `json:"state,omitempty"`
+	Epoch       uint64  `json:"boot,omitempty"`
+	Incarnation uint64  `json:"incarnation,omitempty"`
+	Share       float64 `json:"share,omitempty"`
+	MemberCount int     `json:"counts,omitempty"` // number of members that the router counts for its quota share
 
 	at time.Time
 }
 
 const (
-	grace    = 5 * time.Second        // a verdict on one that was paused or not to be reached so lately is not wrong yet
-	logEvery = 300 * time.Millisecond // what is in force is logged so late at the most, and so the sum of parts seems too large for a moment
+	viewGrace       = 5 * time.Second        // a state is not wrong if the member was paused or unreachable this recently
+	viewLogInterval = 300 * time.Millisecond // a share is logged at most this late, so the sum of shares may briefly seem too large
 )
 
-// read takes the views of one router from its log.
-func readViews(path string, router int) ([]Seen, error) {
+// readViews reads the view changes of one router from its log.
+func readViews(path string, router int) ([]ViewChange, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	var all []Seen
+	var changes []ViewChange
 	lines := logfmt.NewDecoder(file)
 	for lines.ScanRecord() {
-		v := map[string]string{}
+		fields := map[string]string{}
 		for lines.ScanKeyval() {
-			v[string(lines.Key())] = string(lines.Value())
+			fields[string(lines.Key())] = string(lines.Value())
 		}
-		s := Seen{Router: router, Of: -1, State: v["state"]}
-		s.at, _ = time.Parse(time.RFC3339, v["time"])
-		switch v["msg"] {
+		change := ViewChange{Router: router, Subject: -1, State: fields["state"]}
+		change.at, _ = time.Parse(time.RFC3339, fields["time"])
+		switch fields["msg"] {
 		case "member":
-			_, _ = fmt.Sscanf(v["of"], "n%d", &s.Of)
-			s.Boot, _ = strconv.ParseUint(v["boot"], 10, 64)
-			s.Inc, _ = strconv.ParseUint(v["incarnation"], 10, 64)
+			_, _ = fmt.Sscanf(fields["of"], "n%d", &change.Subject)
+			change.Epoch, _ = strconv.ParseUint(fields["boot"], 10, 64)
+			change.Incarnation, _ = strconv.ParseUint(fields["incarnation"], 10, 64)
 		case "view":
-			s.Share, _ = strconv.ParseFloat(v["share"], 64)
-			s.Counts, _ = strconv.Atoi(v["counting"])
+			change.Share, _ = strconv.ParseFloat(fields["share"], 64)
+			change.MemberCount, _ = strconv.Atoi(fields["counting"])
 		default:
 			continue
 		}
-		all = append(all, s)
+		changes = append(changes, change)
 	}
-	return all, lines.Err()
+	return changes, lines.Err()
 }
 
-// audit holds what all routers believed against what was done to them. It returns the figures, and all changes of views.
-func (f *memberCluster) audit(routers []*process) (map[string]float64, []Seen, error) {
-	m := map[string]float64{}
-	var all []Seen
-	for n, r := range routers {
-		one, err := readViews(filepath.Join(r.dir, r.name+".log"), n)
+// audit compares the routers' views with the faults that the experiment caused. It returns the metrics and all view
+// changes.
+func (cluster *memberCluster) audit(routers []*process) (map[string]float64, []ViewChange, error) {
+	metrics := map[string]float64{}
+	var changes []ViewChange
+	for number, router := range routers {
+		own, err := readViews(filepath.Join(router.dir, router.name+".log"), number)
 		if err != nil {
-			return m, nil, err
+			return metrics, nil, err
 		}
-		all = append(all, one...)
+		changes = append(changes, own...)
 	}
-	all = slices.DeleteFunc(all, func(s Seen) bool { return s.at.After(f.until) })
-	if len(all) == 0 {
-		return m, nil, fmt.Errorf("no router logged a view")
+	changes = slices.DeleteFunc(changes, func(change ViewChange) bool { return change.at.After(cluster.stoppedAt) })
+	if len(changes) == 0 {
+		return metrics, nil, fmt.Errorf("no router logged a view change")
 	}
-	slices.SortStableFunc(all, func(x, y Seen) int { return x.at.Compare(y.at) })
-	for i := range all {
-		all[i].AtS = all[i].at.Sub(all[0].at).Seconds()
+	slices.SortStableFunc(changes, func(earlier, later ViewChange) int { return earlier.at.Compare(later.at) })
+	for i := range changes {
+		changes[i].AtS = changes[i].at.Sub(changes[0].at).Seconds()
 	}
-	f.wrong(all, m)
-	f.noticed(all, m)
-	f.agreed(all, m)
-	f.sums(all, m)
+	cluster.countWrongStates(changes, metrics)
+	cluster.measureDetection(changes, metrics)
+	cluster.measureAgreement(changes, metrics)
+	cluster.sumShares(changes, metrics)
 	sent, bytes := 0.0, 0.0
-	for n, r := range f.reports {
-		_, since := f.is(n, f.until)
-		span := f.until.Sub(since).Seconds()
-		sent, bytes = sent+float64(r.Counts.Sent)/span, bytes+float64(r.Counts.SentBytes)/span
-		if c := r.State; c != nil { // answers that waited for another router's word
-			m["waits_came"] += float64(c.Waits.Acknowledged)
-			m["waits_over"] += float64(c.Waits.Over + c.Waits.Full + c.Waits.Alone)
-			m["waits_longest_ms"] = max(m["waits_longest_ms"], c.Waits.LongestMS)
-			m["state_differed"] += float64(r.Counts.Differed)
+	for number, report := range cluster.reports {
+		_, upSince := cluster.conditionAt(number, cluster.stoppedAt)
+		span := cluster.stoppedAt.Sub(upSince).Seconds()
+		sent, bytes = sent+float64(report.Counts.Sent)/span, bytes+float64(report.Counts.SentBytes)/span
+		if state := report.State; state != nil { // write acknowledgements that waited for another router to confirm
+			metrics["waits_came"] += float64(state.Waits.Acknowledged)
+			metrics["waits_over"] += float64(state.Waits.Over + state.Waits.Full + state.Waits.Alone)
+			metrics["waits_longest_ms"] = max(metrics["waits_longest_ms"], state.Waits.LongestMS)
+			metrics["state_differed"] += float64(report.Counts.Differed)
 		}
 	}
-	if n := float64(len(f.reports)); n > 0 {
-		m["sent_per_s"], m["bytes_per_s"] = sent/n, bytes/n
+	if count := float64(len(cluster.reports)); count > 0 {
+		metrics["sent_per_s"], metrics["bytes_per_s"] = sent/count, bytes/count
 	}
-	return m, all, nil
+	return metrics, changes, nil
 }
 
-// wrong counts verdicts on routers that served all along and could be heard, and incarnations that fell.
-func (f *memberCluster) wrong(all []Seen, m map[string]float64) {
-	m["false_deaths"], m["fallen"], m["doubts"] = 0, 0, 0
-	cuts := f.net.Events()
-	moments := f.moments(cuts)
-	last := map[[3]uint64]uint64{}
-	for _, s := range all {
-		if s.Of < 0 {
+// countWrongStates counts wrong states of routers that were up and reachable all the time, and incarnation numbers that
+// decreased.
+func (cluster *memberCluster) countWrongStates(changes []ViewChange, metrics map[string]float64) {
+	metrics["false_deaths"], metrics["fallen"], metrics["doubts"] = 0, 0, 0
+	linkEvents := cluster.net.Events()
+	times := cluster.changeTimes(linkEvents)
+	lastIncarnation := map[[3]uint64]uint64{}
+	for _, change := range changes {
+		if change.Subject < 0 {
 			continue
 		}
-		key := [3]uint64{uint64(s.Router), uint64(s.Of), s.Boot}
-		if s.Inc < last[key] {
-			m["fallen"]++
+		key := [3]uint64{uint64(change.Router), uint64(change.Subject), change.Epoch}
+		if change.Incarnation < lastIncarnation[key] {
+			metrics["fallen"]++
 		}
-		last[key] = s.Inc
-		if s.State == "alive" || s.Router == s.Of {
+		lastIncarnation[key] = change.Incarnation
+		if change.State == "alive" || change.Router == change.Subject {
 			continue
 		}
-		is, since := f.is(s.Of, s.at)
-		if is != up || s.at.Sub(since) < grace {
+		condition, since := cluster.conditionAt(change.Subject, change.at)
+		if condition != up || change.at.Sub(since) < viewGrace {
 			continue
 		}
-		whole := true // whether the two could hear each other all the while
-		for _, t := range append(slices.Clone(moments), s.at) {
-			if t.After(s.at.Add(-grace)) && !t.After(s.at) || t.Equal(s.at) {
-				whole = whole && f.reach(s.Router, s.Of, t, cuts) && f.reach(s.Of, s.Router, t, cuts)
+		connected := true // whether the two could reach each other during the whole grace period
+		for _, at := range append(slices.Clone(times), change.at) {
+			if at.After(change.at.Add(-viewGrace)) && !at.After(change.at) || at.Equal(change.at) {
+				connected = connected && cluster.reachable(change.Router, change.Subject, at, linkEvents) && cluster.reachable(change.Subject, change.Router, at, linkEvents)
 			}
 		}
-		start := s.at.Add(-grace)
-		whole = whole && f.reach(s.Router, s.Of, start, cuts) && f.reach(s.Of, s.Router, start, cuts)
+		start := change.at.Add(-viewGrace)
+		connected = connected && cluster.reachable(change.Router, change.Subject, start, linkEvents) && cluster.reachable(change.Subject, change.Router, start, linkEvents)
 		switch {
-		case !whole:
-		case s.State == "dead" || s.State == "left":
-			m["false_deaths"]++
+		case !connected:
+		case change.State == "dead" || change.State == "left":
+			metrics["false_deaths"]++
 		default:
-			m["doubts"]++
+			metrics["doubts"]++
 		}
 	}
 }
 
-// noticed says how long a kill took to be known to all that were up: seen as dead, or as started again.
-func (f *memberCluster) noticed(all []Seen, m map[string]float64) {
-	var times []float64
-	m["unnoticed"] = 0
-	cuts := f.net.Events()
-	for _, t := range f.turns {
-		if t.is != killed {
+// measureDetection measures how long it took until all running routers had detected a kill: they saw the router dead,
+// or restarted.
+func (cluster *memberCluster) measureDetection(changes []ViewChange, metrics map[string]float64) {
+	var delays []float64
+	metrics["unnoticed"] = 0
+	linkEvents := cluster.net.Events()
+	for _, kill := range cluster.changes {
+		if kill.newCondition != killed {
 			continue
 		}
-		worst := 0.0
-		for i := range f.count {
-			if is, since := f.is(i, t.at); i == t.router || is != up || t.at.Sub(since) < grace || !f.reach(t.router, i, t.at, cuts) {
+		slowest := 0.0
+		for observer := range cluster.count {
+			if condition, since := cluster.conditionAt(observer, kill.at); observer == kill.router || condition != up || kill.at.Sub(since) < viewGrace || !cluster.reachable(kill.router, observer, kill.at, linkEvents) {
 				continue
 			}
-			took := -1.0
-			boot := uint64(0)
-			for _, s := range all {
-				if s.Router != i || s.Of != t.router {
+			delay := -1.0
+			epoch := uint64(0)
+			for _, change := range changes {
+				if change.Router != observer || change.Subject != kill.router {
 					continue
 				}
-				if s.at.Before(t.at) {
-					boot = s.Boot
-				} else if s.State == "dead" || s.Boot > boot {
-					took = float64(s.at.Sub(t.at).Microseconds()) / 1e3
+				if change.at.Before(kill.at) {
+					epoch = change.Epoch
+				} else if change.State == "dead" || change.Epoch > epoch {
+					delay = float64(change.at.Sub(kill.at).Microseconds()) / 1e3
 					break
 				}
 			}
-			if took < 0 {
-				m["unnoticed"]++
+			if delay < 0 {
+				metrics["unnoticed"]++
 			}
-			worst = max(worst, took)
+			slowest = max(slowest, delay)
 		}
-		times = append(times, worst)
+		delays = append(delays, slowest)
 	}
-	if m["kills"] = float64(len(times)); len(times) > 0 {
-		slices.Sort(times)
-		m["notice_p50_ms"], m["notice_p99_ms"] = stat.Quantile(0.5, stat.Empirical, times, nil), stat.Quantile(0.99, stat.Empirical, times, nil)
+	if metrics["kills"] = float64(len(delays)); len(delays) > 0 {
+		slices.Sort(delays)
+		metrics["notice_p50_ms"], metrics["notice_p99_ms"] = stat.Quantile(0.5, stat.Empirical, delays, nil), stat.Quantile(0.99, stat.Empirical, delays, nil)
 	}
 }
 
-// agreed says how long after the last fault or its end all views were right: who is up alive, who is not, not.
-func (f *memberCluster) agreed(all []Seen, m map[string]float64) {
-	last := all[0].at
-	for _, t := range f.moments(f.net.Events()) {
-		last = t
+// measureAgreement measures how long after the last change of a fault all views had become correct: they show routers
+// as alive if and only if those are up.
+func (cluster *memberCluster) measureAgreement(changes []ViewChange, metrics map[string]float64) {
+	lastFault := changes[0].at
+	for _, at := range cluster.changeTimes(cluster.net.Events()) {
+		lastFault = at
 	}
-	views := make([]map[int]string, f.count)
-	for i := range views {
-		views[i] = map[int]string{}
+	views := make([]map[int]string, cluster.count)
+	for observer := range views {
+		views[observer] = map[int]string{}
 	}
-	right := func() bool {
-		for i := range f.count {
-			if is, _ := f.is(i, last); is != up {
+	allCorrect := func() bool {
+		for observer := range cluster.count {
+			if condition, _ := cluster.conditionAt(observer, lastFault); condition != up {
 				continue
 			}
-			for j := range f.count {
-				is, _ := f.is(j, last)
-				if state := views[i][j]; (is == up) != (state == "alive") && (is == up || state != "") {
+			for subject := range cluster.count {
+				condition, _ := cluster.conditionAt(subject, lastFault)
+				if state := views[observer][subject]; (condition == up) != (state == "alive") && (condition == up || state != "") {
 					return false
 				}
 			}
 		}
 		return true
 	}
-	agreed := time.Time{}
-	for _, s := range all {
-		if s.Of < 0 {
+	agreedAt := time.Time{}
+	for _, change := range changes {
+		if change.Subject < 0 {
 			continue
 		}
-		views[s.Router][s.Of] = s.State
-		switch ok := right(); {
-		case !ok:
-			agreed = time.Time{}
-		case agreed.IsZero():
-			agreed = s.at
+		views[change.Router][change.Subject] = change.State
+		switch correct := allCorrect(); {
+		case !correct:
+			agreedAt = time.Time{}
+		case agreedAt.IsZero():
+			agreedAt = change.at
 		}
 	}
-	if m["agreed"] = 0; !agreed.IsZero() {
-		m["agreed"], m["agree_ms"] = 1, max(0, float64(agreed.Sub(last).Microseconds())/1e3)
+	if metrics["agreed"] = 0; !agreedAt.IsZero() {
+		metrics["agreed"], metrics["agree_ms"] = 1, max(0, float64(agreedAt.Sub(lastFault).Microseconds())/1e3)
 	}
 }
 
-// sums adds up the parts in force. One that is paused or killed has nothing, or what it was told last as long as that
-// can have held.
-func (f *memberCluster) sums(all []Seen, m map[string]float64) {
-	share := make([]float64, f.count)
-	least := f.alone / float64(f.count)
-	m["parts_most"], m["parts_over"] = 0, 0
-	moments := f.moments(nil)
-	for _, s := range all {
-		moments = append(moments, s.at)
+// sumShares adds up the quota shares in force. A killed or stopped router uses none. A paused one has its last share
+// until its lease has expired, and at most the share of an isolated router after that.
+func (cluster *memberCluster) sumShares(changes []ViewChange, metrics map[string]float64) {
+	shares := make([]float64, cluster.count)
+	isolated := cluster.isolatedShare / float64(cluster.count)
+	metrics["parts_most"], metrics["parts_over"] = 0, 0
+	times := cluster.changeTimes(nil)
+	for _, change := range changes {
+		times = append(times, change.at)
 	}
-	slices.SortFunc(moments, time.Time.Compare)
-	k := 0
-	since := time.Time{}
-	for _, t := range moments {
-		for ; k < len(all) && !all[k].at.After(t); k++ {
-			if all[k].Of < 0 {
-				share[all[k].Router] = all[k].Share
+	slices.SortFunc(times, time.Time.Compare)
+	next := 0
+	exceededSince := time.Time{}
+	for _, at := range times {
+		for ; next < len(changes) && !changes[next].at.After(at); next++ {
+			if changes[next].Subject < 0 {
+				shares[changes[next].Router] = changes[next].Share
 			}
 		}
-		sum := 0.0
-		for i := range share {
-			switch is, at := f.is(i, t); {
-			case is == killed, is == stopped:
-				share[i] = 0
-			case is == paused && t.Sub(at) > f.term:
-				sum += min(share[i], least)
+		total := 0.0
+		for router := range shares {
+			switch condition, since := cluster.conditionAt(router, at); {
+			case condition == killed, condition == stopped:
+				shares[router] = 0
+			case condition == paused && at.Sub(since) > cluster.leaseTerm:
+				total += min(shares[router], isolated)
 			default:
-				sum += share[i]
+				total += shares[router]
 			}
 		}
 		switch {
-		case sum <= 1+1e-6:
-			since = time.Time{}
-			m["parts_most"] = max(m["parts_most"], sum)
-		case since.IsZero():
-			since = t
-		case t.Sub(since) > logEvery:
-			m["parts_most"] = max(m["parts_most"], sum)
-			m["parts_over"]++
+		case total <= 1+1e-6:
+			exceededSince = time.Time{}
+			metrics["parts_most"] = max(metrics["parts_most"], total)
+		case exceededSince.IsZero():
+			exceededSince = at
+		case at.Sub(exceededSince) > viewLogInterval:
+			metrics["parts_most"] = max(metrics["parts_most"], total)
+			metrics["parts_over"]++
 		}
 	}
-	m["parts_last"] = 0
-	for _, v := range share {
-		m["parts_last"] += v
+	metrics["parts_last"] = 0
+	for _, share := range shares {
+		metrics["parts_last"] += share
 	}
 }
 
-// chartViews draws how many each router counts over time.
-func chartViews(path, title string, all []Seen) error {
-	p := plot.New()
-	p.Title.Text = title
-	p.X.Label.Text, p.Y.Label.Text = "second", "routers that each counts"
-	p.Y.Min = 0
-	p.Add(plotter.NewGrid())
+// chartViews draws the number of members that each router counts over time.
+func chartViews(path, title string, changes []ViewChange) error {
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text, chart.Y.Label.Text = "second", "routers that each counts"
+	chart.Y.Min = 0
+	chart.Add(plotter.NewGrid())
 	lines := map[int]plotter.XYs{}
-	end := 0.0
-	for _, s := range all {
-		end = max(end, s.AtS)
-		if s.Of >= 0 {
+	endS := 0.0
+	for _, change := range changes {
+		endS = max(endS, change.AtS)
+		if change.Subject >= 0 {
 			continue
 		}
-		shift := 0.04 * float64(s.Router) // or all would lie on one another
-		if l := lines[s.Router]; len(l) > 0 {
-			lines[s.Router] = append(l, plotter.XY{X: s.AtS, Y: l[len(l)-1].Y})
+		offset := 0.04 * float64(change.Router) // so that equal lines do not cover each other
+		if points := lines[change.Router]; len(points) > 0 {
+			lines[change.Router] = append(points, plotter.XY{X: change.AtS, Y: points[len(points)-1].Y})
 		}
-		lines[s.Router] = append(lines[s.Router], plotter.XY{X: s.AtS, Y: float64(s.Counts) + shift})
+		lines[change.Router] = append(lines[change.Router], plotter.XY{X: change.AtS, Y: float64(change.MemberCount) + offset})
 	}
 	var routers []int
-	for r := range lines {
-		routers = append(routers, r)
+	for router := range lines {
+		routers = append(routers, router)
 	}
 	slices.SortFunc(routers, cmp.Compare)
-	for i, r := range routers {
-		l := lines[r]
-		line, err := plotter.NewLine(append(l, plotter.XY{X: end, Y: l[len(l)-1].Y}))
+	for index, router := range routers {
+		points := lines[router]
+		line, err := plotter.NewLine(append(points, plotter.XY{X: endS, Y: points[len(points)-1].Y}))
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = inks[i%len(inks)], vg.Points(1.2)
-		p.Add(line)
-		p.Legend.Add(routerName(r), line)
+		line.Color, line.Width = lineColors[index%len(lineColors)], vg.Points(1.2)
+		chart.Add(line)
+		chart.Legend.Add(routerName(router), line)
 	}
-	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, path)
+	return chart.Save(18*vg.Centimeter, 9*vg.Centimeter, path)
 }
