--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -11,21 +11,22 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Agent is where routers ask for the list.
+// Agent is the discovery agent, which serves the endpoint list to routers over HTTP.
 type Agent struct {
-	srv   *http.Server
-	addr  string
-	lists *Rate // calls for the whole list
+	server *http.Server
+	addr   string
+	lists  *Rate // requests for the whole list
 
 	mu      sync.Mutex
 	seq     int64
-	hosts   []host // in the order in which they were first listed
+	hosts   []host // in the order in which they were added
 	changed chan struct{}
 
-	muteUntil, awayUntil time.Time // see Mute and Away
-	moved                []*http.Server
+	watchesHangUntil, requestsHangUntil time.Time      // see HangWatches and HangRequests
+	moved                               []*http.Server // servers on further addresses, see AddAddress
 }
 
+// host is an entry of the endpoint list.
 type host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -40,107 +41,107 @@
 
 func newAgent() *Agent { return &Agent{changed: make(chan struct{})} }
 
-// put lists a server.
-func (a *Agent) put(s *Server, health string) {
-	h := host{Host: s.Name, Dial: s.Addr(), Site: s.Zone, Class: "std-4", Block: s.group.number, Health: health, Share: 1}
-	s.mu.Lock()
-	if !s.started.IsZero() {
-		h.BornMS = s.started.UnixMilli()
+// publish adds a server to the list, or replaces its entry.
+func (agent *Agent) publish(server *Server, health string) {
+	entry := host{Host: server.Name, Dial: server.Addr(), Site: server.Zone, Class: "std-4", Block: server.group.number, Health: health, Share: 1}
+	server.mu.Lock()
+	if !server.started.IsZero() {
+		entry.BornMS = server.started.UnixMilli()
 	}
-	s.mu.Unlock()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.seq++
-	h.seq = a.seq
+	server.mu.Unlock()
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	agent.seq++
+	entry.seq = agent.seq
 	found := false
-	for i := range a.hosts {
-		if a.hosts[i].Host == h.Host {
-			a.hosts[i], found = h, true
+	for index := range agent.hosts {
+		if agent.hosts[index].Host == entry.Host {
+			agent.hosts[index], found = entry, true
 		}
 	}
 	if !found {
-		a.hosts = append(a.hosts, h)
+		agent.hosts = append(agent.hosts, entry)
 	}
-	close(a.changed)
-	a.changed = make(chan struct{})
+	close(agent.changed)
+	agent.changed = make(chan struct{})
 }
 
-// Addr is where it listens.
-func (a *Agent) Addr() string { return a.addr }
+// Addr returns the address that the agent listens on.
+func (agent *Agent) Addr() string { return agent.addr }
 
-// List is the whole list as routers get it.
-func (a *Agent) List() string { return a.list(-1) }
+// List returns the whole list as JSON, as routers receive it.
+func (agent *Agent) List() string { return agent.list(-1) }
 
-// list is the whole list, or what is newer than a version.
-func (a *Agent) list(since int64) string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	out := struct {
+// list returns the entries newer than a version as JSON; a negative version returns the whole list.
+func (agent *Agent) list(since int64) string {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	answer := struct {
 		Seq   int64  `json:"seq"`
 		Whole bool   `json:"whole"`
 		Hosts []host `json:"hosts"`
-	}{a.seq, since < 0, []host{}}
-	for _, h := range a.hosts {
-		if h.seq > since {
-			out.Hosts = append(out.Hosts, h)
+	}{agent.seq, since < 0, []host{}}
+	for _, entry := range agent.hosts {
+		if entry.seq > since {
+			answer.Hosts = append(answer.Hosts, entry)
 		}
 	}
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(out)
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(answer)
 	if err != nil {
-		panic(err) // numbers and strings alone
+		panic(err) // can't fail: the value contains only numbers and strings
 	}
 	return text
 }
 
-func (a *Agent) start() error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func (agent *Agent) start() error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	a.addr = ln.Addr().String()
-	a.srv = &http.Server{Handler: http.HandlerFunc(a.serve)}
-	go func() { _ = a.srv.Serve(ln) }() // its end is the listener's
+	agent.addr = listener.Addr().String()
+	agent.server = &http.Server{Handler: http.HandlerFunc(agent.serve)}
+	go func() { _ = agent.server.Serve(listener) }() // ends when the listener is closed
 	return nil
 }
 
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/v1/endpoints" {
-		http.NotFound(w, r)
+func (agent *Agent) serve(response http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/v1/endpoints" {
+		http.NotFound(response, request)
 		return
 	}
-	if !a.awaitHold(r.Context().Done(), false) {
+	if !agent.awaitHold(request.Context().Done(), false) {
 		return
 	}
 	since := int64(-1)
-	if !r.URL.Query().Has("since") {
-		a.lists.add()
+	if !request.URL.Query().Has("since") {
+		agent.lists.add()
 	}
-	if q := r.URL.Query(); q.Has("since") {
+	if query := request.URL.Query(); query.Has("since") {
 		var err error
-		if since, err = strconv.ParseInt(q.Get("since"), 10, 64); err != nil {
-			http.Error(w, "since", http.StatusBadRequest)
+		if since, err = strconv.ParseInt(query.Get("since"), 10, 64); err != nil {
+			http.Error(response, "since", http.StatusBadRequest)
 			return
 		}
-		ms, _ := strconv.Atoi(q.Get("timeout_ms"))
-		a.wait(r, since, time.Duration(min(max(ms, 0), 60000))*time.Millisecond)
-		if !a.awaitHold(r.Context().Done(), true) {
+		timeoutMS, _ := strconv.Atoi(query.Get("timeout_ms"))
+		agent.wait(request, since, time.Duration(min(max(timeoutMS, 0), 60000))*time.Millisecond)
+		if !agent.awaitHold(request.Context().Done(), true) {
 			return
 		}
 	}
-	w.Header().Set("Content-Type", "application/json")
-	text := a.list(since)
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write([]byte(text))
+	response.Header().Set("Content-Type", "application/json")
+	text := agent.list(since)
+	response.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	_, _ = response.Write([]byte(text))
 }
 
-// wait waits until there is something newer than a version.
-func (a *Agent) wait(r *http.Request, since int64, most time.Duration) {
-	timer := time.NewTimer(most)
+// wait waits until the list is newer than a version, the maximum time has elapsed, or the client has left.
+func (agent *Agent) wait(request *http.Request, since int64, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		a.mu.Lock()
-		newer, changed := a.seq > since, a.changed
-		a.mu.Unlock()
+		agent.mu.Lock()
+		newer, changed := agent.seq > since, agent.changed
+		agent.mu.Unlock()
 		if newer {
 			return
 		}
@@ -148,34 +149,35 @@
 		case <-changed:
 		case <-timer.C:
 			return
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-// Move returns one more address of the agent, as after a move of discovery; the others stay.
-func (a *Agent) Move() (addr string, err error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// AddAddress makes the agent listen on a further address, as after discovery has moved, and returns it. The other
+// addresses stay.
+func (agent *Agent) AddAddress() (addr string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("agent: %w", err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(a.serve)}
-	go func() { _ = srv.Serve(ln) }() // its end is the listener's
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.moved = append(a.moved, srv)
-	return ln.Addr().String(), nil
+	server := &http.Server{Handler: http.HandlerFunc(agent.serve)}
+	go func() { _ = server.Serve(listener) }() // ends when the listener is closed
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	agent.moved = append(agent.moved, server)
+	return listener.Addr().String(), nil
 }
 
-// Stop ends it.
-func (a *Agent) Stop() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, srv := range a.moved {
-		srv.Close()
+// Stop stops the agent on all addresses.
+func (agent *Agent) Stop() {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	for _, server := range agent.moved {
+		server.Close()
 	}
-	if a.srv != nil {
-		a.srv.Close()
+	if agent.server != nil {
+		agent.server.Close()
 	}
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -5,149 +5,152 @@
 	"time"
 )
 
-// Attempt is one request as it came to a data server, kept where Fleet.Record asks for it.
+// Attempt is one attempt of a request as a data server received it. It is recorded if Fleet.Record is set.
 type Attempt struct {
 	ID, Key, Class, Server string
-	At                     time.Time     // its last byte was read
-	Left                   time.Duration // that it says it has left
-	Missed                 bool          // turned away as one that the server can't do, or has no room for
+	At                     time.Time     // when its last byte was read
+	Remaining              time.Duration // the remaining time that it states
+	Missed                 bool          // rejected because the server can't process it or its queue is full
 }
 
-// attempted records an attempt, and returns its place for what becomes of it.
-func (g *Group) attempted(a Attempt) (place int) {
-	if !g.fleet.Record {
+// recordAttempt records an attempt and returns its index, or -1 if it is not recorded.
+func (group *Group) recordAttempt(attempt Attempt) (index int) {
+	if !group.fleet.Record {
 		return -1
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.attempts) >= maxRecordedRuns {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if len(group.attempts) >= maxRecordedRuns {
 		return -1
 	}
-	g.attempts = append(g.attempts, a)
-	return len(g.attempts) - 1
+	group.attempts = append(group.attempts, attempt)
+	return len(group.attempts) - 1
 }
 
-func (g *Group) missed(place int) {
-	if place < 0 {
+// markMissed marks a recorded attempt as rejected.
+func (group *Group) markMissed(index int) {
+	if index < 0 {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.attempts[place].Missed = true
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	group.attempts[index].Missed = true
 }
 
-// Attempts are what all groups have recorded.
-func (r *Running) Attempts() (all []Attempt) {
-	for _, g := range r.Groups {
-		g.mu.Lock()
-		all = append(all, g.attempts...)
-		g.mu.Unlock()
+// Attempts returns the recorded attempts of all groups.
+func (running *Running) Attempts() (attempts []Attempt) {
+	for _, group := range running.Groups {
+		group.mu.Lock()
+		attempts = append(attempts, group.attempts...)
+		group.mu.Unlock()
 	}
-	return all
+	return attempts
 }
 
-// Hang makes the server answer nothing for a time: what comes is read and waits.
-func (s *Server) Hang(span time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.hungUntil = time.Now().Add(span)
+// Hang makes the server answer nothing for a time. Requests are read and wait.
+func (server *Server) Hang(span time.Duration) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.hungUntil = time.Now().Add(span)
 }
 
 // awaitHang waits while the server hangs.
-func (s *Server) awaitHang() {
+func (server *Server) awaitHang() {
 	for {
-		s.mu.Lock()
-		left := time.Until(s.hungUntil)
-		s.mu.Unlock()
-		if left <= 0 {
+		server.mu.Lock()
+		remaining := time.Until(server.hungUntil)
+		server.mu.Unlock()
+		if remaining <= 0 {
 			return
 		}
-		time.Sleep(left)
+		time.Sleep(remaining)
 	}
 }
 
-// DelayWelcome makes new connections come up late for a time.
-func (s *Server) DelayWelcome(by, span time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.welcomeDelay, s.welcomeDelayUntil = by, time.Now().Add(span)
+// DelayStartup delays the session start of new connections by a delay, for a time span.
+func (server *Server) DelayStartup(delay, span time.Duration) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.startupDelay, server.startupDelayUntil = delay, time.Now().Add(span)
 }
 
-func (s *Server) awaitWelcome() {
-	s.mu.Lock()
-	delay := s.welcomeDelay
-	if time.Now().After(s.welcomeDelayUntil) {
+// awaitStartupDelay waits for the delay that DelayStartup has set.
+func (server *Server) awaitStartupDelay() {
+	server.mu.Lock()
+	delay := server.startupDelay
+	if time.Now().After(server.startupDelayUntil) {
 		delay = 0
 	}
-	s.mu.Unlock()
+	server.mu.Unlock()
 	time.Sleep(delay)
 }
 
-// ResetConnections resets all connections, also under requests; the server goes on.
-func (s *Server) ResetConnections() {
-	for _, conn := range s.connections(func(*connState) bool { return true }) {
+// ResetConnections resets all connections, including those with requests in flight. The server keeps running.
+func (server *Server) ResetConnections() {
+	for _, conn := range server.connections(func(*connState) bool { return true }) {
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
 	}
 }
 
-// CloseIdle closes the connections that carry no request.
-func (s *Server) CloseIdle() {
-	for _, conn := range s.connections(func(c *connState) bool { return !c.busy.Load() }) {
+// CloseIdle closes the connections without a request in flight.
+func (server *Server) CloseIdle() {
+	for _, conn := range server.connections(func(state *connState) bool { return !state.busy.Load() }) {
 		conn.Close()
 	}
 }
 
-func (s *Server) connections(wanted func(*connState) bool) (list []net.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for conn, state := range s.conns {
-		if wanted(state) {
-			list = append(list, conn)
+// connections returns the connections that a condition holds for.
+func (server *Server) connections(matches func(*connState) bool) (conns []net.Conn) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for conn, state := range server.conns {
+		if matches(state) {
+			conns = append(conns, conn)
 		}
 	}
-	return list
+	return conns
 }
 
-// StartedAt is when the server last started; zero: long ago.
-func (s *Server) StartedAt() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.started
+// StartedAt returns when the server was last restarted; zero: never, so it is warm.
+func (server *Server) StartedAt() time.Time {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return server.started
 }
 
-// IsPrimary says whether the server is its group's primary.
-func (s *Server) IsPrimary() bool { return s.group.isPrimary(s) }
+// IsPrimary reports whether the server is the primary of its group.
+func (server *Server) IsPrimary() bool { return server.group.isPrimary(server) }
 
-// Mute lets calls that wait for news hang for a time: what changes meanwhile is not told on them, though calls for the whole list
+// HangWatches makes watches of the list hang for a time, so that they report no changes. Requests for the whole list
 // are answered.
-func (a *Agent) Mute(span time.Duration) { a.hold(&a.muteUntil, span) }
+func (agent *Agent) HangWatches(span time.Duration) { agent.hold(&agent.watchesHangUntil, span) }
 
-// Away lets all calls hang for a time, as while discovery is down.
-func (a *Agent) Away(span time.Duration) { a.hold(&a.awayUntil, span) }
+// HangRequests makes all requests hang for a time, as while discovery is down.
+func (agent *Agent) HangRequests(span time.Duration) { agent.hold(&agent.requestsHangUntil, span) }
 
-func (a *Agent) hold(until *time.Time, span time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (agent *Agent) hold(until *time.Time, span time.Duration) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
 	*until = time.Now().Add(span)
 }
 
-// awaitHold waits while calls of a kind hang, or until the caller has gone; it says whether the call is to be answered.
-func (a *Agent) awaitHold(gone <-chan struct{}, isWatch bool) bool {
+// awaitHold waits while requests of a kind hang. It returns false if the client has left meanwhile.
+func (agent *Agent) awaitHold(clientLeft <-chan struct{}, isWatch bool) bool {
 	for {
-		a.mu.Lock()
-		left := time.Until(a.awayUntil)
+		agent.mu.Lock()
+		remaining := time.Until(agent.requestsHangUntil)
 		if isWatch {
-			left = max(left, time.Until(a.muteUntil))
+			remaining = max(remaining, time.Until(agent.watchesHangUntil))
 		}
-		a.mu.Unlock()
-		if left <= 0 {
+		agent.mu.Unlock()
+		if remaining <= 0 {
 			return true
 		}
 		select {
-		case <-gone:
+		case <-clientLeft:
 			return false
-		case <-time.After(left):
+		case <-time.After(remaining):
 		}
 	}
 }
--- a/internal/emulator/feed.go
+++ b/internal/emulator/feed.go
@@ -11,8 +11,8 @@
 	"lotushook/policy/cursor"
 )
 
-// history is one run of a group's log: it has its parent's events up to from, and then its own. Nothing is forgotten here, for
-// the audit; what is older than the retention is only not told any more.
+// history is one branch of a group's log: the events of its parent up to from, followed by its own. All events are kept
+// for the audit, but those beyond the retention limit are no longer served.
 type history struct {
 	cursor.History
 	parent *history
@@ -20,153 +20,157 @@
 	events []cursor.Event
 }
 
-// last is the position of the last event at or before a limit, along the parents.
-func (h *history) last(limit int64) int64 {
-	for ; h != nil; h = h.parent {
-		if i := after(h.events, limit); i > 0 {
-			return h.events[i-1].At
+// last returns the position of the last event at or before a limit, in this history or its ancestors; 0: none.
+func (branch *history) last(limit int64) int64 {
+	for ; branch != nil; branch = branch.parent {
+		if index := after(branch.events, limit); index > 0 {
+			return branch.events[index-1].At
 		}
-		limit = min(limit, h.from)
+		limit = min(limit, branch.from)
 	}
 	return 0
 }
 
-// after is the index of the first event beyond a position.
-func after(list []cursor.Event, at int64) int {
-	i, _ := slices.BinarySearchFunc(list, at+1, func(e cursor.Event, at int64) int { return int(min(max(e.At-at, -1), 1)) })
-	return i
+// after returns the index of the first event after a position.
+func after(events []cursor.Event, position int64) int {
+	index, _ := slices.BinarySearchFunc(events, position+1, func(event cursor.Event, position int64) int { return int(min(max(event.At-position, -1), 1)) })
+	return index
 }
 
-// log is all that a history has up to a limit, and its line.
-func (h *history) log(limit int64) (line cursor.Lineage, events []cursor.Event) {
-	if h == nil {
+// log returns the lineage of a history and all events up to a limit.
+func (branch *history) log(limit int64) (lineage cursor.Lineage, events []cursor.Event) {
+	if branch == nil {
 		return nil, nil
 	}
-	line, events = h.parent.log(min(limit, h.from))
-	return append(line, cursor.Fork{History: h.History, From: h.from}), append(events, h.events[:after(h.events, limit)]...)
+	lineage, events = branch.parent.log(min(limit, branch.from))
+	return append(lineage, cursor.Fork{History: branch.History, From: branch.from}), append(events, branch.events[:after(branch.events, limit)]...)
 }
 
-// note puts a commit into the log, where the fleet keeps one, and returns its position: after all that the log has.
-func (g *Group) note(s *Server, pos int64, key string) int64 {
-	if g.fleet.Retain == 0 {
-		return pos
+// appendLog appends a commit to the log, if the fleet has logs, and returns its position, which is after all others in
+// the log.
+func (group *Group) appendLog(server *Server, position int64, key string) int64 {
+	if group.fleet.Retain == 0 {
+		return position
 	}
-	h := s.history
-	pos = max(pos-g.clockOffset.Milliseconds(), h.from+1, h.last(1<<62)+1)
-	h.events = append(h.events, cursor.Event{At: pos, Text: key})
-	return pos
+	history := server.history
+	position = max(position-group.clockOffset.Milliseconds(), history.from+1, history.last(1<<62)+1)
+	history.events = append(history.events, cursor.Event{At: position, Text: key})
+	return position
 }
 
-// fork begins another history at a new primary, which has lost so many of the events that it had. The others come over by and by:
-// until then they have what they had, the lost ones too.
-func (g *Group) fork(best *Server, now time.Time) {
-	if g.fleet.Retain == 0 || best == nil {
+// fork begins a new history at a new primary, without its last events if LoseOnFailover has set a number. The other
+// servers switch to it later; until then they serve their old history, including the lost events.
+func (group *Group) fork(primary *Server, now time.Time) {
+	if group.fleet.Retain == 0 || primary == nil {
 		return
 	}
-	_, events := best.history.log(best.position(now))
-	keep := max(0, len(events)-g.lose)
+	_, events := primary.history.log(primary.position(now))
+	kept := max(0, len(events)-group.lose)
 	from := int64(0)
-	if keep > 0 {
-		from = events[keep-1].At
+	if kept > 0 {
+		from = events[kept-1].At
 	}
-	g.lose = 0
-	best.history = &history{History: cursor.History{Era: best.history.Era + 1, ID: g.rng.Uint32()}, parent: best.history, from: max(from, best.history.from)}
-	for _, s := range g.servers {
-		if s != best {
-			g.rejoin(s)
+	group.lose = 0
+	primary.history = &history{History: cursor.History{Era: primary.history.Era + 1, ID: group.rng.Uint32()}, parent: primary.history, from: max(from, primary.history.from)}
+	for _, server := range group.servers {
+		if server != primary {
+			group.joinHistory(server)
 		}
 	}
 }
 
-// rejoin has a server follow the primary's history after a while, if there is one then and it still runs.
-func (g *Group) rejoin(s *Server) {
-	if g.fleet.Retain == 0 {
+// joinHistory makes a server follow the primary's history after the failover delay, if there is a primary and the
+// server is running then.
+func (group *Group) joinHistory(server *Server) {
+	if group.fleet.Retain == 0 {
 		return
 	}
-	time.AfterFunc(g.fleet.Takeover, func() {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		if g.primary != nil && s.up() {
-			s.history = g.primary.history
+	time.AfterFunc(group.fleet.FailoverDelay, func() {
+		group.mu.Lock()
+		defer group.mu.Unlock()
+		if group.primary != nil && server.up() {
+			server.history = group.primary.history
 		}
 	})
 }
 
-// Lose has the next take-over of the group lose so many events more than replicas lack.
-func (g *Group) Lose(events int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.lose = events
+// LoseOnFailover makes the next failover of the group lose a number of events in addition to those that the new primary
+// lacks.
+func (group *Group) LoseOnFailover(events int) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	group.lose = events
 }
 
-// SetClockBack sets the primary's clock back: positions go on from the last one.
-func (g *Group) SetClockBack(by time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.clockOffset = by
+// SetClockBack sets the primary's clock back. Positions still increase from the last one.
+func (group *Group) SetClockBack(offset time.Duration) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	group.clockOffset = offset
 }
 
-// Log is the primary's line and all of its events; nothing while there is no primary.
-func (g *Group) Log() (cursor.Lineage, []cursor.Event) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.primary == nil {
+// Log returns the primary's lineage and all of its events, or nothing while there is no primary.
+func (group *Group) Log() (cursor.Lineage, []cursor.Event) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if group.primary == nil {
 		return nil, nil
 	}
-	return g.primary.history.log(1 << 62)
+	return group.primary.history.log(1 << 62)
 }
 
-// requestedEvents is how many events a statement wants: SELECT feed(64).
-func requestedEvents(r *pgwire.Request) int {
-	_, s, _ := strings.Cut(r.Statement(), "feed(")
-	n, _ := strconv.Atoi(strings.SplitN(s, ")", 2)[0])
-	return min(max(n, 1), 1000)
+// requestedEvents returns the number of events that a statement requests, as 64 in SELECT feed(64).
+func requestedEvents(request *pgwire.Request) int {
+	_, arguments, _ := strings.Cut(request.Statement(), "feed(")
+	count, _ := strconv.Atoi(strings.SplitN(arguments, ")", 2)[0])
+	return min(max(count, 1), 1000)
 }
 
-// readFeed answers what follows a cursor in this server's log: 72000 where it has not come so far, or has not heard of its history.
-func (s *Server) readFeed(r *pgwire.Request, most int) []byte {
-	g := s.group
-	limit := s.position(time.Now())
-	g.mu.Lock()
-	if g.primary == s {
-		limit = 1 << 62
+// readFeed answers with the events that follow a cursor in this server's log, or with error 72000 if the server does
+// not know the cursor's history yet.
+func (server *Server) readFeed(request *pgwire.Request, maxEvents int) []byte {
+	group := server.group
+	position := server.position(time.Now())
+	group.mu.Lock()
+	if group.primary == server {
+		position = 1 << 62
 	}
-	line, events := s.history.log(limit)
-	g.audit.FeedReads++
-	g.mu.Unlock()
-	a := &cursor.Response{Lineage: line[max(0, len(line)-cursor.MaxLineage):]}
-	if n := len(events); n > 0 {
-		a.Head = events[n-1].At
-		if n > g.fleet.Retain {
-			a.TruncatedUpTo = events[n-1-g.fleet.Retain].At
+	lineage, events := server.history.log(position)
+	group.audit.FeedReads++
+	group.mu.Unlock()
+	response := &cursor.Response{Lineage: lineage[max(0, len(lineage)-cursor.MaxLineage):]}
+	if count := len(events); count > 0 {
+		response.Head = events[count-1].At
+		if count > group.fleet.Retain {
+			response.TruncatedUpTo = events[count-1-group.fleet.Retain].At
 		}
-		a.From = a.TruncatedUpTo
-		if i := n - 1 - most; i >= 0 {
-			a.From = max(a.TruncatedUpTo, events[i].At)
+		response.From = response.TruncatedUpTo
+		if index := count - 1 - maxEvents; index >= 0 {
+			response.From = max(response.TruncatedUpTo, events[index].At)
 		}
 	}
-	if r.HasPos {
-		h, err := cursor.ParseHistory(r.History)
+	if request.HasPos {
+		history, err := cursor.ParseHistory(request.History)
 		if err != nil {
 			return pgwire.AppendError(nil, "ERROR", pgwire.CodeInvalidParameter, err.Error(), "")
 		}
-		switch end, on := line.End(h); {
-		case on:
-			a.From = max(a.TruncatedUpTo, min(r.After, end))
-		case h.Compare(line.Newest()) > 0:
-			g.count(func(a *Audit) { a.Misses++ })
-			return s.says(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooFarBehind, "not of this history yet", ""), 0)
+		switch end, known := lineage.End(history); {
+		case known:
+			response.From = max(response.TruncatedUpTo, min(request.After, end))
+		case history.Compare(lineage.Newest()) > 0:
+			group.updateAudit(func(audit *Audit) { audit.Misses++ })
+			return server.withStatus(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooFarBehind, "not of this history yet", ""), 0)
 		default:
-			a.From = a.Head
+			response.From = response.Head
 		}
 	}
-	a.Events = events[after(events, a.From):]
-	if len(a.Events) > most {
-		a.Events, a.More = a.Events[:most], true
+	response.Events = events[after(events, response.From):]
+	if len(response.Events) > maxEvents {
+		response.Events, response.More = response.Events[:maxEvents], true
 	}
-	value, err := changefeed.AppendAnswer(a)
+	value, err := changefeed.AppendAnswer(response)
 	if err != nil {
-		panic(err) // numbers and strings alone
+		panic(err) // can't fail: the value contains only numbers and strings
 	}
-	return s.says(row(string(value)), 0)
+	return server.withStatus(row(string(value)), 0)
 }
--- a/internal/emulator/front.go
+++ b/internal/emulator/front.go
@@ -6,69 +6,69 @@
 	"time"
 )
 
-// Front deals out connections to routers by turns. It goes on sending to a dead
-// router until it has noticed.
-type Front struct {
-	Notice time.Duration // so long after a router's death
+// LoadBalancer is a load balancer that distributes connections to routers in turn. It still chooses a dead router until
+// it has detected the failure.
+type LoadBalancer struct {
+	DetectionDelay time.Duration // time from a router's failure to its detection
 
 	mu      sync.Mutex
 	routers []string
-	dead    map[string]time.Time // noticed from then on
+	dead    map[string]time.Time // by address: when the failure is detected
 	turn    int
 }
 
-// NewFront returns a front that knows no router.
-func NewFront(notice time.Duration) *Front {
-	return &Front{Notice: notice, dead: map[string]time.Time{}}
+// NewLoadBalancer returns a load balancer without routers.
+func NewLoadBalancer(detectionDelay time.Duration) *LoadBalancer {
+	return &LoadBalancer{DetectionDelay: detectionDelay, dead: map[string]time.Time{}}
 }
 
-// Skew has a part of the connections, drawn by x from 0 to 1, go by shares: a share for each router from the first on. A dead
-// one's go by turns.
-func (f *Front) Skew(shares []float64, x float64, now time.Time) (string, error) {
-	f.mu.Lock()
-	for i, share := range shares {
-		if x -= share; x < 0 && i < len(f.routers) {
-			if from, dead := f.dead[f.routers[i]]; !dead || now.Before(from) {
-				defer f.mu.Unlock()
-				return f.routers[i], nil
+// PickByShare chooses a router by shares, one for each router in the order of their addition; random is between 0
+// and 1. The connections of a dead router, and those beyond the sum of the shares, are distributed in turn.
+func (balancer *LoadBalancer) PickByShare(shares []float64, random float64, now time.Time) (string, error) {
+	balancer.mu.Lock()
+	for index, share := range shares {
+		if random -= share; random < 0 && index < len(balancer.routers) {
+			if detectedAt, dead := balancer.dead[balancer.routers[index]]; !dead || now.Before(detectedAt) {
+				defer balancer.mu.Unlock()
+				return balancer.routers[index], nil
 			}
 			break
 		}
 	}
-	f.mu.Unlock()
-	return f.Pick(now)
+	balancer.mu.Unlock()
+	return balancer.Pick(now)
 }
 
-// Up takes a router in.
-func (f *Front) Up(addr string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.dead, addr)
-	for _, a := range f.routers {
-		if a == addr {
+// Add adds a router, or marks it as running again.
+func (balancer *LoadBalancer) Add(addr string) {
+	balancer.mu.Lock()
+	defer balancer.mu.Unlock()
+	delete(balancer.dead, addr)
+	for _, existing := range balancer.routers {
+		if existing == addr {
 			return
 		}
 	}
-	f.routers = append(f.routers, addr)
+	balancer.routers = append(balancer.routers, addr)
 }
 
-// Died tells the front what it will notice.
-func (f *Front) Died(addr string, now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.dead[addr] = now.Add(f.Notice)
+// MarkDead records the failure of a router, which is detected later.
+func (balancer *LoadBalancer) MarkDead(addr string, now time.Time) {
+	balancer.mu.Lock()
+	defer balancer.mu.Unlock()
+	balancer.dead[addr] = now.Add(balancer.DetectionDelay)
 }
 
-// Pick is where the next connection goes.
-func (f *Front) Pick(now time.Time) (string, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for range f.routers {
-		f.turn++
-		addr := f.routers[f.turn%len(f.routers)]
-		if from, dead := f.dead[addr]; !dead || now.Before(from) {
+// Pick chooses the router for the next connection.
+func (balancer *LoadBalancer) Pick(now time.Time) (string, error) {
+	balancer.mu.Lock()
+	defer balancer.mu.Unlock()
+	for range balancer.routers {
+		balancer.turn++
+		addr := balancer.routers[balancer.turn%len(balancer.routers)]
+		if detectedAt, dead := balancer.dead[addr]; !dead || now.Before(detectedAt) {
 			return addr, nil
 		}
 	}
-	return "", errors.New("front: no router is up")
+	return "", errors.New("load balancer: no router is up")
 }
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -1,7 +1,6 @@
-// Package emulator holds what a router meets, written from the protocol alone:
-// data servers in replicated groups, the agent that lists them, and the front
-// that deals out connections. They are for experiments on loopback, not models of
-// real machines; what they draw follows from a seed.
+// Package emulator emulates the environment of a router, implemented from the protocol specification alone: data
+// servers in replicated groups, the discovery agent that lists them, and the load balancer in front of the routers. It
+// serves experiments on loopback and does not model real machines. A seed determines all random numbers.
 package emulator
 
 import (
@@ -13,65 +12,66 @@
 	"lotushook/policy/cursor"
 )
 
-// Class is what a data server does with a class of requests.
+// Class describes how data servers process a class of requests.
 type Class struct {
 	Write   bool
-	Bound   time.Duration // a read may see data of this age; 0: only a position that it names binds
-	Work    [2]time.Duration
-	Session bool
-	Feed    bool // reads of the group's log
-	Value   int  // bytes of a read's value at least; it begins with what names the request
+	Bound   time.Duration    // maximum age of the data that a read sees; 0: limited only by the position that it states
+	Work    [2]time.Duration // min and max
+	Session bool             // reads that must include the session's own writes
+	Feed    bool             // reads of the group's log
+	Value   int              // minimum length of a read's value in bytes; it begins with the ID of the request
 }
 
-// Fleet describes the groups.
+// Fleet describes the groups of data servers.
 type Fleet struct {
-	Groups, Members int
-	Cores           int           // requests in work at a time
-	Queue           int           // that wait beside them; beyond it a request is turned away
-	Ship            time.Duration // until a replica has a commit
-	Apply           time.Duration // one commit's time in a replica's one thread
-	ColdShare       float64       // of its capacity that a server starts with
-	Ramp            time.Duration // until it has all
-	Takeover        time.Duration // from a primary's death to the next one
-	Zones           []string      // members are spread over them
-	Retain          int           // events of a group's log that can be read; 0: there is no log
-	Classes         map[string]Class
-	Seed            uint64
-	Note            bool // keep who began when
-	Record          bool // of each request that ran, up to mostRan a group
+	Groups, Members  int
+	Cores            int           // requests that a server processes at a time
+	Queue            int           // requests that may wait; further ones are rejected
+	ReplicationDelay time.Duration // replication delay of a commit
+	ApplyTime        time.Duration // time that a replica's single thread takes to apply a commit
+	ColdShare        float64       // share of its capacity that a cold server has
+	Ramp             time.Duration // time from a cold start to full capacity
+	FailoverDelay    time.Duration // time from a primary's failure to its replacement
+	Zones            []string      // members are distributed over them
+	Retain           int           // number of events of a group's log that can be read; 0: no log
+	Classes          map[string]Class
+	Seed             uint64
+	RecordStarts     bool // record the start of each request
+	Record           bool // record attempts and executed requests, up to maxRecordedRuns for each group
 }
 
-// Ran is one request that a data server has done, or turned away as one that it can't do.
-type Ran struct {
+// Run is the execution of a request at a data server, or its rejection because the server can't process it.
+type Run struct {
 	ID, Session, Server string
 	Write, Missed       bool
-	Pos                 int64 // Unix ms: up to where the answer saw the log; a write's commit
+	Pos                 int64 // position (Unix ms) that a read has seen or that a write was committed at
 }
 
 const maxRecordedRuns = 1 << 18
 
-func (g *Group) ranOne(r Ran) {
-	if !g.fleet.Record {
+// recordRun records an executed or rejected request.
+func (group *Group) recordRun(run Run) {
+	if !group.fleet.Record {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.ran) < maxRecordedRuns {
-		g.ran = append(g.ran, r)
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if len(group.runs) < maxRecordedRuns {
+		group.runs = append(group.runs, run)
 	}
 }
 
-// Ran is what all groups have recorded.
-func (r *Running) Ran() (all []Ran) {
-	for _, g := range r.Groups {
-		g.mu.Lock()
-		all = append(all, g.ran...)
-		g.mu.Unlock()
+// Runs returns the recorded runs of all groups.
+func (running *Running) Runs() (runs []Run) {
+	for _, group := range running.Groups {
+		group.mu.Lock()
+		runs = append(runs, group.runs...)
+		group.mu.Unlock()
 	}
-	return all
+	return runs
 }
 
-// Group is one replicated set: its first member starts as the primary.
+// Group is a set of servers that replicate the same data. Its first member is the primary at the start.
 type Group struct {
 	fleet   *Fleet
 	number  int64
@@ -79,300 +79,302 @@
 	agent   *Agent
 	rates   *Rates
 
-	mu          sync.Mutex
-	primary     *Server // nil: none yet
-	vacant      bool    // nobody was up to follow it
-	keys        map[string]time.Time
-	wrote       map[string]int64  // the last commit of each session, Unix ms
-	open        map[string]*visit // by request id
-	audit       Audit
-	began       []Began // where Fleet.Note
-	ran         []Ran
-	attempts    []Attempt // where Fleet.Record
-	rng         *rand.Rand
-	lose        int           // events, at the next take-over
-	clockOffset time.Duration // that the clock was set back
+	mu           sync.Mutex
+	primary      *Server                 // nil: none at the moment
+	needsPrimary bool                    // the last failover found no running server
+	keys         map[string]time.Time    // when each key was committed
+	lastWrites   map[string]int64        // by session: position of its last write
+	openAttempts map[string]*openAttempt // by request ID: the attempt that is open
+	audit        Audit
+	starts       []Start // if Fleet.RecordStarts is set
+	runs         []Run
+	attempts     []Attempt // if Fleet.Record is set
+	rng          *rand.Rand
+	lose         int           // number of events that the next failover loses
+	clockOffset  time.Duration // how far the clock was set back
 }
 
-// Audit is what the data servers of a group saw.
+// Audit contains the counters of the data servers of a group.
 type Audit struct {
-	Requests  int // that began
-	Writes    int // that ran
-	Dropped   int // repeats of a key
-	Doubled   int // that came while another attempt of theirs was open
-	Misses    int
-	Rejected  int
-	Probes    int
-	OwnReads  int // session reads of a session that has written here
-	Stale     int // of these, answered as of before its last commit
-	FeedReads int
-	Late      int // that came over 1 s after the list said that the server drains
+	Requests           int // attempts
+	Writes             int // executed writes
+	DuplicateWrites    int // repeated keys, which were not executed again
+	ConcurrentAttempts int // attempts received while another attempt of the same request was open
+	Misses             int // rejected because the server could not process them
+	Rejected           int // rejected because the queue was full
+	Probes             int
+	OwnReads           int // session reads after a write of the session
+	StaleReads         int // of these, answered from before the session's last write
+	FeedReads          int
+	LateAttempts       int // received more than 1 s after the server was listed as draining
 }
 
-func (a *Audit) add(b Audit) {
-	a.Requests += b.Requests
-	a.Writes += b.Writes
-	a.Dropped += b.Dropped
-	a.Doubled += b.Doubled
-	a.Misses += b.Misses
-	a.OwnReads += b.OwnReads
-	a.Stale += b.Stale
-	a.Rejected += b.Rejected
-	a.Probes += b.Probes
-	a.Late += b.Late
-	a.FeedReads += b.FeedReads
+func (audit *Audit) add(other Audit) {
+	audit.Requests += other.Requests
+	audit.Writes += other.Writes
+	audit.DuplicateWrites += other.DuplicateWrites
+	audit.ConcurrentAttempts += other.ConcurrentAttempts
+	audit.Misses += other.Misses
+	audit.OwnReads += other.OwnReads
+	audit.StaleReads += other.StaleReads
+	audit.Rejected += other.Rejected
+	audit.Probes += other.Probes
+	audit.LateAttempts += other.LateAttempts
+	audit.FeedReads += other.FeedReads
 }
 
-const keysFor = 5 * time.Second
-
-// commit runs a write at the primary: it returns its position, in Unix ms, and
-// whether the key was new.
-func (g *Group) commit(s *Server, key string, now time.Time) (pos int64, ran bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	pos = now.UnixMilli() + 1
-	if at, ok := g.keys[key]; ok && now.Sub(at) < keysFor {
-		g.audit.Dropped++
-		return pos, false
+const keyRetention = 5 * time.Second // how long a key is remembered
+
+// commit executes a write at the primary. It returns its position (Unix ms) and whether the key was new.
+func (group *Group) commit(primary *Server, key string, now time.Time) (position int64, executed bool) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	position = now.UnixMilli() + 1
+	if committedAt, ok := group.keys[key]; ok && now.Sub(committedAt) < keyRetention {
+		group.audit.DuplicateWrites++
+		return position, false
 	}
-	if len(g.keys) > 1<<14 {
-		for k, at := range g.keys {
-			if now.Sub(at) >= keysFor {
-				delete(g.keys, k)
+	if len(group.keys) > 1<<14 {
+		for other, committedAt := range group.keys {
+			if now.Sub(committedAt) >= keyRetention {
+				delete(group.keys, other)
 			}
 		}
 	}
-	g.keys[key] = now
-	g.audit.Writes++
-	pos = g.note(s, pos, key)
-	for _, r := range g.servers {
-		if r != s {
-			r.ship(now)
+	group.keys[key] = now
+	group.audit.Writes++
+	position = group.appendLog(primary, position, key)
+	for _, replica := range group.servers {
+		if replica != primary {
+			replica.replicate(now)
 		}
 	}
-	return pos, true
+	return position, true
 }
 
-// fail takes note that a server has died: a primary is followed by the replica
-// that has most of the log.
-func (g *Group) fail(s *Server) {
-	g.mu.Lock()
-	was := g.primary == s
-	if was {
-		g.primary = nil
+// handleFailure handles the failure of a server. A primary is replaced by the replica with the highest position.
+func (group *Group) handleFailure(server *Server) {
+	group.mu.Lock()
+	wasPrimary := group.primary == server
+	if wasPrimary {
+		group.primary = nil
 	}
-	g.mu.Unlock()
-	if was {
-		time.AfterFunc(g.fleet.Takeover, func() { g.follow(s) })
+	group.mu.Unlock()
+	if wasPrimary {
+		time.AfterFunc(group.fleet.FailoverDelay, func() { group.choosePrimary(server) })
 	}
 }
 
-// follow names who comes after a primary that died. That one may be back already, cold and with nothing new in its
-// log: it is no rival to those that served on, or it would take its role back and run all writes with a fifth of
-// what it could do before. Where nobody is up, the first to come back follows.
-func (g *Group) follow(dead *Server) {
+// choosePrimary chooses the primary that replaces a failed one. If the failed server is already running again, it is
+// only chosen if no other server is: it is cold, and would execute all writes with a fifth of its former capacity. If
+// no server is running, the first one to restart becomes the primary.
+func (group *Group) choosePrimary(failed *Server) {
 	now := time.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	group.mu.Lock()
+	defer group.mu.Unlock()
 	var best *Server
-	for _, r := range g.servers {
-		if r != dead && r.up() && (best == nil || r.position(now) > best.position(now)) {
-			best = r
+	for _, server := range group.servers {
+		if server != failed && server.up() && (best == nil || server.position(now) > best.position(now)) {
+			best = server
 		}
 	}
-	if best == nil && dead.up() {
-		best = dead
+	if best == nil && failed.up() {
+		best = failed
 	}
-	g.fork(best, now)
-	g.primary, g.vacant = best, best == nil
+	group.fork(best, now)
+	group.primary, group.needsPrimary = best, best == nil
 }
 
-// returned takes the primary's place where nobody was left to follow.
-func (g *Group) returned(s *Server) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.vacant {
-		g.fork(s, time.Now())
-		g.primary, g.vacant = s, false
+// handleRestart makes a restarted server the primary if the last failover found no running server.
+func (group *Group) handleRestart(server *Server) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if group.needsPrimary {
+		group.fork(server, time.Now())
+		group.primary, group.needsPrimary = server, false
 	}
 }
 
-// Promote makes a server that is up its group's primary, as operators do who want one back where it was. A take-over
-// that is on its way changes it again.
-func (s *Server) Promote() {
-	up := s.up()
-	s.group.mu.Lock()
-	defer s.group.mu.Unlock()
+// Promote makes a running server the primary of its group, as an operator would to restore the original primary. A
+// failover in progress still replaces it.
+func (server *Server) Promote() {
+	up := server.up()
+	server.group.mu.Lock()
+	defer server.group.mu.Unlock()
 	if up {
-		s.group.fork(s, time.Now())
-		s.group.primary, s.group.vacant = s, false
+		server.group.fork(server, time.Now())
+		server.group.primary, server.group.needsPrimary = server, false
 	}
 }
 
-func (g *Group) isPrimary(s *Server) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.primary == s
+// isPrimary reports whether a server is the current primary.
+func (group *Group) isPrimary(server *Server) bool {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	return group.primary == server
 }
 
-// Began is a request that a data server began to work on, kept where Fleet.Note asks for it.
-type Began struct {
+// Start is the start of a request at a data server. It is recorded if Fleet.RecordStarts is set.
+type Start struct {
 	ID    string
 	Group int64
 	At    time.Time
 }
 
-const maxRecordedStarts = 1 << 20 // of a group
+const maxRecordedStarts = 1 << 20 // for each group
 
-// begin keeps one.
-func (g *Group) begin(id string) {
-	if !g.fleet.Note {
+// recordStart records the start of a request.
+func (group *Group) recordStart(id string) {
+	if !group.fleet.RecordStarts {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.began) < maxRecordedStarts {
-		g.began = append(g.began, Began{id, g.number, time.Now()})
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if len(group.starts) < maxRecordedStarts {
+		group.starts = append(group.starts, Start{id, group.number, time.Now()})
 	}
 }
 
-// Began is what all groups kept.
-func (r *Running) Began() (all []Began) {
-	for _, g := range r.Groups {
-		g.mu.Lock()
-		all = append(all, g.began...)
-		g.mu.Unlock()
+// Starts returns the recorded starts of all groups.
+func (running *Running) Starts() (starts []Start) {
+	for _, group := range running.Groups {
+		group.mu.Lock()
+		starts = append(starts, group.starts...)
+		group.mu.Unlock()
 	}
-	return all
+	return starts
 }
 
-// visit is one attempt while it is open.
-type visit struct{ gone func() bool }
-
-// enter notes an attempt; one whose connection the router has closed is given up.
-func (g *Group) enter(id string, v *visit) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.audit.Requests++
-	if old := g.open[id]; old != nil && !old.gone() {
-		g.audit.Doubled++
+// openAttempt is an open attempt.
+type openAttempt struct{ closed func() bool }
+
+// addAttempt registers an open attempt. An earlier attempt counts as open only if the router has not closed its
+// connection.
+func (group *Group) addAttempt(id string, attempt *openAttempt) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	group.audit.Requests++
+	if previous := group.openAttempts[id]; previous != nil && !previous.closed() {
+		group.audit.ConcurrentAttempts++
 	}
-	g.open[id] = v
+	group.openAttempts[id] = attempt
 }
 
-func (g *Group) leave(id string, v *visit) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.open[id] == v {
-		delete(g.open, id)
+// removeAttempt unregisters an attempt.
+func (group *Group) removeAttempt(id string, attempt *openAttempt) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if group.openAttempts[id] == attempt {
+		delete(group.openAttempts, id)
 	}
 }
 
-func (g *Group) count(f func(*Audit)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	f(&g.audit)
+// updateAudit updates the counters with the lock held.
+func (group *Group) updateAudit(update func(*Audit)) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	update(&group.audit)
 }
 
-// session notes a session's commit, or holds a read against the last one.
-func (g *Group) session(name string, write bool, pos int64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// checkSession records the position of a session's write, or checks that of a read against it.
+func (group *Group) checkSession(name string, write bool, position int64) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
 	if write {
-		g.wrote[name] = max(g.wrote[name], pos)
-	} else if last := g.wrote[name]; last > 0 {
-		if g.audit.OwnReads++; pos < last {
-			g.audit.Stale++
+		group.lastWrites[name] = max(group.lastWrites[name], position)
+	} else if last := group.lastWrites[name]; last > 0 {
+		if group.audit.OwnReads++; position < last {
+			group.audit.StaleReads++
 		}
 	}
 }
 
-func (g *Group) draw(r [2]time.Duration) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return r[0] + time.Duration(g.rng.Float64()*float64(r[1]-r[0]))
+// draw returns a random duration between a min and a max.
+func (group *Group) draw(bounds [2]time.Duration) time.Duration {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	return bounds[0] + time.Duration(group.rng.Float64()*float64(bounds[1]-bounds[0]))
 }
 
-// Start starts the groups' servers on loopback and the agent that lists them.
-func (f *Fleet) Start() (*Running, error) {
-	r := &Running{Agent: newAgent(), Rates: &Rates{}}
-	r.Agent.lists = &r.Rates.Lists
-	if len(f.Zones) == 0 {
-		f.Zones = []string{"a"}
+// Start starts the data servers and the discovery agent on loopback.
+func (fleet *Fleet) Start() (*Running, error) {
+	running := &Running{Agent: newAgent(), Rates: &Rates{}}
+	running.Agent.lists = &running.Rates.Lists
+	if len(fleet.Zones) == 0 {
+		fleet.Zones = []string{"a"}
 	}
-	for n := range f.Groups {
-		g := &Group{fleet: f, number: int64(n + 1), agent: r.Agent, rates: r.Rates, keys: map[string]time.Time{}, wrote: map[string]int64{}, open: map[string]*visit{},
-			rng: rand.New(rand.NewPCG(f.Seed, uint64(n)))}
-		r.Groups = append(r.Groups, g)
-		for m := range f.Members {
-			s := &Server{Name: fmt.Sprintf("s-%d-%d", n+1, m+1), Zone: f.Zones[(n+m)%len(f.Zones)], group: g,
-				cores: make(chan struct{}, f.Cores)}
-			g.servers = append(g.servers, s)
-			if err := s.start("127.0.0.1:0", false); err != nil {
-				r.Stop()
+	for groupIndex := range fleet.Groups {
+		group := &Group{fleet: fleet, number: int64(groupIndex + 1), agent: running.Agent, rates: running.Rates, keys: map[string]time.Time{}, lastWrites: map[string]int64{}, openAttempts: map[string]*openAttempt{},
+			rng: rand.New(rand.NewPCG(fleet.Seed, uint64(groupIndex)))}
+		running.Groups = append(running.Groups, group)
+		for member := range fleet.Members {
+			server := &Server{Name: fmt.Sprintf("s-%d-%d", groupIndex+1, member+1), Zone: fleet.Zones[(groupIndex+member)%len(fleet.Zones)], group: group,
+				cores: make(chan struct{}, fleet.Cores)}
+			group.servers = append(group.servers, server)
+			if err := server.start("127.0.0.1:0", false); err != nil {
+				running.Stop()
 				return nil, err
 			}
-			r.Agent.put(s, "SERVING")
+			running.Agent.publish(server, "SERVING")
 		}
-		g.primary = g.servers[0]
-		if f.Retain > 0 {
-			first := &history{History: cursor.History{Era: 1, ID: g.rng.Uint32()}}
-			for _, s := range g.servers {
-				s.history = first
+		group.primary = group.servers[0]
+		if fleet.Retain > 0 {
+			first := &history{History: cursor.History{Era: 1, ID: group.rng.Uint32()}}
+			for _, server := range group.servers {
+				server.history = first
 			}
 		}
 	}
-	return r, r.Agent.start()
+	return running, running.Agent.start()
 }
 
-// Running is a fleet that runs.
+// Running is a running fleet.
 type Running struct {
 	Groups []*Group
 	Agent  *Agent
 	Rates  *Rates
 }
 
-// Servers are all servers, by group.
-func (r *Running) Servers() []*Server {
-	var all []*Server
-	for _, g := range r.Groups {
-		all = append(all, g.servers...)
+// Servers returns all servers, group by group.
+func (running *Running) Servers() []*Server {
+	var servers []*Server
+	for _, group := range running.Groups {
+		servers = append(servers, group.servers...)
 	}
-	return all
+	return servers
 }
 
-// Audit sums up what all groups saw.
-func (r *Running) Audit() Audit {
-	var sum Audit
-	for _, g := range r.Groups {
-		g.mu.Lock()
-		sum.add(g.audit)
-		g.mu.Unlock()
+// Audit returns the sum of the counters of all groups.
+func (running *Running) Audit() Audit {
+	var total Audit
+	for _, group := range running.Groups {
+		group.mu.Lock()
+		total.add(group.audit)
+		group.mu.Unlock()
 	}
-	return sum
+	return total
 }
 
-// Stop ends all.
-func (r *Running) Stop() {
-	for _, s := range r.Servers() {
-		s.Kill()
+// Stop stops all servers and the agent.
+func (running *Running) Stop() {
+	for _, server := range running.Servers() {
+		server.Kill()
 	}
-	r.Agent.Stop()
+	running.Agent.Stop()
 }
 
-// Any is the address of a server that takes a request: the primary for a write,
-// otherwise one of the others by turns.
-func (g *Group) Any(write bool, turn int) string {
-	g.mu.Lock()
-	primary := g.primary
-	g.mu.Unlock()
-	if primary != nil && (write || len(g.servers) == 1) {
+// Any returns the address of a server for a request: the primary for a write, otherwise a replica chosen by turn.
+func (group *Group) Any(write bool, turn int) string {
+	group.mu.Lock()
+	primary := group.primary
+	group.mu.Unlock()
+	if primary != nil && (write || len(group.servers) == 1) {
 		return primary.Addr()
 	}
-	for i := range g.servers {
-		if s := g.servers[(turn+i)%len(g.servers)]; s != primary {
-			return s.Addr()
+	for offset := range group.servers {
+		if server := group.servers[(turn+offset)%len(group.servers)]; server != primary {
+			return server.Addr()
 		}
 	}
-	return g.servers[0].Addr()
+	return group.servers[0].Addr()
 }
--- a/internal/emulator/rate.go
+++ b/internal/emulator/rate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rate counts what comes by tenths of a second, for the most in any second of a span. It is bounded by an hour.
+// Rate counts events in intervals of 100 ms, to find the maximum rate per second in a time span. It counts for an hour.
 type Rate struct {
 	mu    sync.Mutex
 	start time.Time
@@ -14,41 +14,42 @@
 
 const (
 	ratePart = 100 * time.Millisecond
-	maxRate  = 36_000
+	maxRate  = 36_000 // number of intervals
 )
 
-func (r *Rate) add() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.start.IsZero() {
-		r.start = time.Now()
+// add counts an event.
+func (rate *Rate) add() {
+	rate.mu.Lock()
+	defer rate.mu.Unlock()
+	if rate.start.IsZero() {
+		rate.start = time.Now()
 	}
-	i := int(time.Since(r.start) / ratePart)
-	for len(r.parts) <= i && i < maxRate {
-		r.parts = append(r.parts, 0)
+	index := int(time.Since(rate.start) / ratePart)
+	for len(rate.parts) <= index && index < maxRate {
+		rate.parts = append(rate.parts, 0)
 	}
-	if i < len(r.parts) {
-		r.parts[i]++
+	if index < len(rate.parts) {
+		rate.parts[index]++
 	}
 }
 
-// Max is the most that came in any second of a span, to a tenth of a second.
-func (r *Rate) Max(from, to time.Time) (most int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.start.IsZero() {
+// Max returns the maximum number of events in any second of a time span, to a tenth of a second.
+func (rate *Rate) Max(from, to time.Time) (highest int) {
+	rate.mu.Lock()
+	defer rate.mu.Unlock()
+	if rate.start.IsZero() {
 		return 0
 	}
-	first, last := int(from.Sub(r.start)/ratePart), int(to.Sub(r.start)/ratePart)
-	for i := max(0, first); i <= last && i < len(r.parts); i++ {
-		sum := 0
-		for _, n := range r.parts[i:min(i+10, len(r.parts), last+1)] {
-			sum += n
+	first, last := int(from.Sub(rate.start)/ratePart), int(to.Sub(rate.start)/ratePart)
+	for index := max(0, first); index <= last && index < len(rate.parts); index++ {
+		total := 0
+		for _, count := range rate.parts[index:min(index+10, len(rate.parts), last+1)] {
+			total += count
 		}
-		most = max(most, sum)
+		highest = max(highest, total)
 	}
-	return most
+	return highest
 }
 
-// Rates are what reaches a fleet from outside.
+// Rates contains the rates of dials, probes and sends to data servers and of requests for the whole endpoint list.
 type Rates struct{ Dials, Probes, Lists, Sends Rate }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -15,208 +15,211 @@
 	"lotushook/internal/ringbuffer"
 )
 
-// Server is one data server.
+// Server is an emulated data server.
 type Server struct {
 	Name, Zone     string
 	group          *Group
 	cores          chan struct{}
-	activeRequests atomic.Int64 // in work and waiting
-	history        *history     // the log that it follows; the group's lock guards it
+	activeRequests atomic.Int64 // being processed or waiting
+	history        *history     // the history that the server follows; guarded by the group's lock
 
-	mu      sync.Mutex
-	ln      net.Listener
-	addr    string
-	conns   map[net.Conn]*connState
-	started time.Time // zero: long ago, warm
-	drainAt time.Time
-	log     []entry // commits that are not applied yet
-	applied time.Time
-	missed  int // commits while it was down
-	slow    float64
-	burden  float64 // times that its work takes; 0 and 1: once
+	mu            sync.Mutex
+	listener      net.Listener
+	addr          string
+	conns         map[net.Conn]*connState
+	started       time.Time       // last cold start; zero: the server is warm
+	drainStart    time.Time       // zero: not draining
+	pending       []pendingCommit // commits that are not applied yet
+	appliedAt     time.Time       // when the last commit will have been applied
+	missedCommits int             // commits while the server was down
+	applyFactor   float64         // factor of the time to apply a commit; 0 and 1: normal
+	workFactor    float64         // factor of the work of a request; 0 and 1: normal
 
-	hungUntil, welcomeDelayUntil time.Time
-	welcomeDelay                 time.Duration
+	hungUntil, startupDelayUntil time.Time
+	startupDelay                 time.Duration
 }
 
-// connState is what a connection does.
+// connState is the state of a connection: whether it has a request in flight.
 type connState struct{ busy atomic.Bool }
 
-// entry is a commit on its way into a replica.
-type entry struct{ commit, done time.Time }
+// pendingCommit is a commit that a replica has yet to apply, and when that is done.
+type pendingCommit struct{ commit, done time.Time }
 
-// Addr is where it listens.
-func (s *Server) Addr() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.addr
+// Addr returns the address that the server listens on.
+func (server *Server) Addr() string {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return server.addr
 }
 
-// Group is the one that it is a member of.
-func (s *Server) Group() *Group { return s.group }
+// Group returns the group of the server.
+func (server *Server) Group() *Group { return server.group }
 
-func (s *Server) up() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.ln != nil
+// up reports whether the server is running.
+func (server *Server) up() bool {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return server.listener != nil
 }
 
-func (s *Server) start(addr string, cold bool) error {
-	ln, err := net.Listen("tcp", addr)
+// start starts the server on an address. A cold server must first apply the commits that it missed.
+func (server *Server) start(addr string, cold bool) error {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("data server %s: %w", s.Name, err)
+		return fmt.Errorf("data server %s: %w", server.Name, err)
 	}
-	s.mu.Lock()
-	s.ln, s.addr, s.conns = ln, ln.Addr().String(), map[net.Conn]*connState{}
-	s.drainAt = time.Time{}
+	server.mu.Lock()
+	server.listener, server.addr, server.conns = listener, listener.Addr().String(), map[net.Conn]*connState{}
+	server.drainStart = time.Time{}
 	if cold {
 		now := time.Now()
-		s.started = now
-		s.applied = now.Add(time.Duration(s.missed) * s.group.fleet.Apply)
-		if s.missed > 0 {
-			s.log = append(s.log, entry{now, s.applied})
+		server.started = now
+		server.appliedAt = now.Add(time.Duration(server.missedCommits) * server.group.fleet.ApplyTime)
+		if server.missedCommits > 0 {
+			server.pending = append(server.pending, pendingCommit{now, server.appliedAt})
 		}
-		s.missed = 0
+		server.missedCommits = 0
 	}
-	s.mu.Unlock()
-	go s.accept(ln)
+	server.mu.Unlock()
+	go server.accept(listener)
 	return nil
 }
 
-func (s *Server) accept(ln net.Listener) {
+// accept serves new connections until the listener is closed.
+func (server *Server) accept(listener net.Listener) {
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		if s.ln != ln {
-			s.mu.Unlock()
+		server.mu.Lock()
+		if server.listener != listener {
+			server.mu.Unlock()
 			conn.Close()
 			return
 		}
 		state := &connState{}
-		s.conns[conn] = state
-		s.mu.Unlock()
-		s.group.rates.Dials.add()
+		server.conns[conn] = state
+		server.mu.Unlock()
+		server.group.rates.Dials.add()
 		go func() {
-			s.serve(conn, state)
+			server.serve(conn, state)
 			conn.Close()
-			s.mu.Lock()
-			delete(s.conns, conn)
-			s.mu.Unlock()
+			server.mu.Lock()
+			delete(server.conns, conn)
+			server.mu.Unlock()
 		}()
 	}
 }
 
-// Kill ends the process: its connections are reset.
-func (s *Server) Kill() {
-	s.mu.Lock()
-	ln := s.ln
-	s.ln = nil
-	for c := range s.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+// Kill stops the server and resets its connections.
+func (server *Server) Kill() {
+	server.mu.Lock()
+	listener := server.listener
+	server.listener = nil
+	for conn := range server.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
-	s.mu.Unlock()
-	if ln != nil {
-		ln.Close()
-		s.group.fail(s)
+	server.mu.Unlock()
+	if listener != nil {
+		listener.Close()
+		server.group.handleFailure(server)
 	}
 }
 
-// Restart starts it again where it was, cold.
-func (s *Server) Restart() error {
-	if err := s.start(s.Addr(), true); err != nil {
+// Restart starts the server again on its address, cold.
+func (server *Server) Restart() error {
+	if err := server.start(server.Addr(), true); err != nil {
 		return err
 	}
-	s.group.returned(s)
-	s.group.agent.put(s, "SERVING")
-	s.group.rejoin(s)
+	server.group.handleRestart(server)
+	server.group.agent.publish(server, "SERVING")
+	server.group.joinHistory(server)
 	return nil
 }
 
-// Drain makes the list say that it wants nothing new.
-func (s *Server) Drain() {
-	s.mu.Lock()
-	s.drainAt = time.Now()
-	s.mu.Unlock()
-	s.group.agent.put(s, "DRAINING")
+// Drain lists the server as draining: it should get no new requests.
+func (server *Server) Drain() {
+	server.mu.Lock()
+	server.drainStart = time.Now()
+	server.mu.Unlock()
+	server.group.agent.publish(server, "DRAINING")
 }
 
-// Slow makes it apply the log so many times more slowly; 1 is usual.
-func (s *Server) Slow(times float64) {
-	s.mu.Lock()
-	s.slow = times
-	s.mu.Unlock()
+// SetApplyFactor multiplies the time that the server takes to apply a commit; 1 is normal.
+func (server *Server) SetApplyFactor(factor float64) {
+	server.mu.Lock()
+	server.applyFactor = factor
+	server.mu.Unlock()
 }
 
-// Burden makes all its work take so many times longer; 1 is usual.
-func (s *Server) Burden(times float64) {
-	s.mu.Lock()
-	s.burden = times
-	s.mu.Unlock()
+// SetWorkFactor multiplies the work of all requests; 1 is normal.
+func (server *Server) SetWorkFactor(factor float64) {
+	server.mu.Lock()
+	server.workFactor = factor
+	server.mu.Unlock()
 }
 
-// ship puts a commit on its way to this replica.
-func (s *Server) ship(commit time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.ln == nil {
-		s.missed++
+// replicate replicates a commit to the server.
+func (server *Server) replicate(commit time.Time) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if server.listener == nil {
+		server.missedCommits++
 		return
 	}
-	f := s.group.fleet
-	at := commit.Add(f.Ship)
-	if s.applied.After(at) {
-		at = s.applied
+	fleet := server.group.fleet
+	start := commit.Add(fleet.ReplicationDelay)
+	if server.appliedAt.After(start) {
+		start = server.appliedAt
 	}
-	s.applied = at.Add(time.Duration(float64(f.Apply) * max(s.slow, 1)))
-	s.log = append(s.log, entry{commit, s.applied})
+	server.appliedAt = start.Add(time.Duration(float64(fleet.ApplyTime) * max(server.applyFactor, 1)))
+	server.pending = append(server.pending, pendingCommit{commit, server.appliedAt})
 }
 
-// position is up to when it has applied all commits, in Unix ms.
-func (s *Server) position(now time.Time) int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for len(s.log) > 0 && !s.log[0].done.After(now) {
-		s.log = s.log[1:]
+// position returns the position (Unix ms) up to which the server has applied all commits.
+func (server *Server) position(now time.Time) int64 {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for len(server.pending) > 0 && !server.pending[0].done.After(now) {
+		server.pending = server.pending[1:]
 	}
-	if len(s.log) > 0 {
-		return min(s.log[0].commit.UnixMilli()-1, now.Add(-s.group.fleet.Ship).UnixMilli())
+	if len(server.pending) > 0 {
+		return min(server.pending[0].commit.UnixMilli()-1, now.Add(-server.group.fleet.ReplicationDelay).UnixMilli())
 	}
-	return now.Add(-s.group.fleet.Ship).UnixMilli()
+	return now.Add(-server.group.fleet.ReplicationDelay).UnixMilli()
 }
 
-// capacity is what it can do at the moment, as a share.
-func (s *Server) capacity(now time.Time) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f := s.group.fleet
-	all := 1 / max(s.burden, 1)
-	if s.started.IsZero() || f.Ramp == 0 {
-		return all
+// capacity returns the current share of the server's full capacity.
+func (server *Server) capacity(now time.Time) float64 {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	fleet := server.group.fleet
+	full := 1 / max(server.workFactor, 1)
+	if server.started.IsZero() || fleet.Ramp == 0 {
+		return full
 	}
-	warm := min(1, float64(now.Sub(s.started))/float64(f.Ramp))
-	return all * (f.ColdShare + (1-f.ColdShare)*warm)
+	warmth := min(1, float64(now.Sub(server.started))/float64(fleet.Ramp))
+	return full * (fleet.ColdShare + (1-fleet.ColdShare)*warmth)
 }
 
-// serve is one connection's life.
-func (s *Server) serve(conn net.Conn, state *connState) {
+// serve handles a connection until it ends.
+func (server *Server) serve(conn net.Conn, state *connState) {
 	in := ringbuffer.New(1 << 20)
 	next := func() (pgwire.Message, error) {
 		for {
-			m, err := pgwire.Next(in)
+			message, err := pgwire.Next(in)
 			if !errors.Is(err, pgwire.ErrShort) {
-				return m, err
+				return message, err
 			}
 			if err := in.Fill(conn); err != nil {
-				return m, err
+				return message, err
 			}
 		}
 	}
 	for {
-		kind, n, err := pgwire.NextStart(in)
+		kind, size, err := pgwire.NextStart(in)
 		if errors.Is(err, pgwire.ErrShort) {
 			if in.Fill(conn) != nil {
 				return
@@ -226,164 +229,163 @@
 		if err != nil || kind == pgwire.CancelRequest {
 			return
 		}
-		in.Discard(n)
+		in.Discard(size)
 		if kind == pgwire.Startup {
 			break
 		}
 		_, _ = conn.Write([]byte{'N'})
 	}
-	s.awaitWelcome()
+	server.awaitStartupDelay()
 	if _, err := conn.Write(pgwire.AppendWelcome(nil, pgwire.CancelKey{})); err != nil {
 		return
 	}
 	for {
-		m, err := next()
-		if err != nil || m.Kind != pgwire.Query {
+		message, err := next()
+		if err != nil || message.Kind != pgwire.Query {
 			return
 		}
-		text, err := pgwire.QueryText(m.Body)
-		in.Discard(m.Size)
+		text, err := pgwire.QueryText(message.Body)
+		in.Discard(message.Size)
 		if err != nil {
 			return
 		}
 		state.busy.Store(true)
-		if _, err := conn.Write(s.answer(conn, text)); err != nil {
+		if _, err := conn.Write(server.answer(conn, text)); err != nil {
 			return
 		}
 		state.busy.Store(false)
 	}
 }
 
-// answer does what a query says.
-func (s *Server) answer(conn net.Conn, text string) []byte {
-	at := time.Now()
-	if r, err := pgwire.ParseRequest(text); err == nil { // recorded when it comes, also where it then waits
-		return pgwire.AppendReady(s.request(conn, &r, at))
+// answer executes a query and returns the answer.
+func (server *Server) answer(conn net.Conn, text string) []byte {
+	arrivedAt := time.Now()
+	if request, err := pgwire.ParseRequest(text); err == nil { // the time of arrival is recorded even if the request then waits
+		return pgwire.AppendReady(server.request(conn, &request, arrivedAt))
 	}
-	s.awaitHang()
+	server.awaitHang()
 	switch {
 	case pgwire.Blank(text):
 		return pgwire.AppendReady(pgwire.Append(nil, pgwire.EmptyQueryResponse, nil))
 	case text == "SHOW vitals":
-		s.group.count(func(a *Audit) { a.Probes++ })
-		s.group.rates.Probes.add()
+		server.group.updateAudit(func(audit *Audit) { audit.Probes++ })
+		server.group.rates.Probes.add()
 		now, role := time.Now(), 0
-		pos := s.position(now)
-		if s.group.isPrimary(s) {
-			pos, role = now.UnixMilli(), 1
+		position := server.position(now)
+		if server.group.isPrimary(server) {
+			position, role = now.UnixMilli(), 1
 		}
-		return pgwire.AppendReady(row(fmt.Sprintf("x0=%d.%03d,x1=%d,inflight=%d", pos/1000, pos%1000, role, s.activeRequests.Load())))
+		return pgwire.AppendReady(row(fmt.Sprintf("x0=%d.%03d,x1=%d,inflight=%d", position/1000, position%1000, role, server.activeRequests.Load())))
 	case text == "SELECT 1":
-		s.group.count(func(a *Audit) { a.Probes++ })
+		server.group.updateAudit(func(audit *Audit) { audit.Probes++ })
 		return pgwire.AppendReady(row("1"))
 	}
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocolViolation, "no request", ""))
 }
 
-// request runs one request: it waits for a core, works, and answers with a value
-// that only this request's data server could give.
-func (s *Server) request(conn net.Conn, r *pgwire.Request, at time.Time) []byte {
-	g := s.group
-	class, known := g.fleet.Classes[r.Class]
-	if !known || r.Cluster != g.number {
+// request executes a request: it waits for a core, works, and answers with a value that identifies the request.
+func (server *Server) request(conn net.Conn, request *pgwire.Request, arrivedAt time.Time) []byte {
+	group := server.group
+	class, known := group.fleet.Classes[request.Class]
+	if !known || request.Cluster != group.number {
 		return pgwire.AppendError(nil, "ERROR", "XX000", "not of this group", "")
 	}
-	v := &visit{gone: func() bool { return isClosed(conn) }}
-	g.enter(r.ID, v)
-	g.rates.Sends.add()
-	defer g.leave(r.ID, v)
-	place := g.attempted(Attempt{ID: r.ID, Key: r.Key, Class: r.Class, Server: s.Name, At: at, Left: r.Wait})
-	s.awaitHang()
-	s.mu.Lock()
-	late := !s.drainAt.IsZero() && time.Since(s.drainAt) > time.Second
-	s.mu.Unlock()
+	attempt := &openAttempt{closed: func() bool { return isClosed(conn) }}
+	group.addAttempt(request.ID, attempt)
+	group.rates.Sends.add()
+	defer group.removeAttempt(request.ID, attempt)
+	index := group.recordAttempt(Attempt{ID: request.ID, Key: request.Key, Class: request.Class, Server: server.Name, At: arrivedAt, Remaining: request.Wait})
+	server.awaitHang()
+	server.mu.Lock()
+	late := !server.drainStart.IsZero() && time.Since(server.drainStart) > time.Second
+	server.mu.Unlock()
 	if late {
-		g.count(func(a *Audit) { a.Late++ })
+		group.updateAudit(func(audit *Audit) { audit.LateAttempts++ })
 	}
-	if miss := s.misses(class, r); miss != nil {
-		g.missed(place)
-		g.ranOne(Ran{ID: r.ID, Session: r.Session, Server: s.Name, Write: class.Write, Missed: true})
-		return miss
+	if rejection := server.checkServable(class, request); rejection != nil {
+		group.markMissed(index)
+		group.recordRun(Run{ID: request.ID, Session: request.Session, Server: server.Name, Write: class.Write, Missed: true})
+		return rejection
 	}
-	if s.activeRequests.Add(1) > int64(g.fleet.Cores+g.fleet.Queue) {
-		s.activeRequests.Add(-1)
-		g.missed(place)
-		g.count(func(a *Audit) { a.Rejected++ })
-		return s.says(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "queue full", ""), 0)
+	if server.activeRequests.Add(1) > int64(group.fleet.Cores+group.fleet.Queue) {
+		server.activeRequests.Add(-1)
+		group.markMissed(index)
+		group.updateAudit(func(audit *Audit) { audit.Rejected++ })
+		return server.withStatus(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "queue full", ""), 0)
 	}
-	defer s.activeRequests.Add(-1)
-	s.cores <- struct{}{}
-	g.begin(r.ID)
-	if work := g.draw(class.Work); work > 0 {
-		time.Sleep(time.Duration(float64(work) / s.capacity(time.Now())))
+	defer server.activeRequests.Add(-1)
+	server.cores <- struct{}{}
+	group.recordStart(request.ID)
+	if work := group.draw(class.Work); work > 0 {
+		time.Sleep(time.Duration(float64(work) / server.capacity(time.Now())))
 	}
-	<-s.cores
+	<-server.cores
 	if class.Feed {
-		return s.readFeed(r, requestedEvents(r))
+		return server.readFeed(request, requestedEvents(request))
 	}
 	if !class.Write {
-		pos := s.position(time.Now())
-		saw := pos
-		if g.isPrimary(s) {
-			saw = time.Now().UnixMilli()
+		position := server.position(time.Now())
+		seen := position
+		if group.isPrimary(server) {
+			seen = time.Now().UnixMilli()
 		}
 		if class.Session {
-			g.session(r.Session, false, saw)
+			group.checkSession(request.Session, false, seen)
 		}
-		g.ranOne(Ran{ID: r.ID, Session: r.Session, Server: s.Name, Pos: saw})
-		return s.says(row(padded("v:"+r.ID, class.Value)), pos)
+		group.recordRun(Run{ID: request.ID, Session: request.Session, Server: server.Name, Pos: seen})
+		return server.withStatus(row(pad("v:"+request.ID, class.Value)), position)
 	}
-	if !g.isPrimary(s) { // it lost the role while this waited
-		return s.says(pgwire.AppendError(nil, "ERROR", "XX000", "no primary any more", ""), 0)
+	if !group.isPrimary(server) { // another server became the primary while the request waited
+		return server.withStatus(pgwire.AppendError(nil, "ERROR", "XX000", "no primary any more", ""), 0)
 	}
-	pos, _ := g.commit(s, r.Key, time.Now())
-	time.Sleep(g.fleet.Ship) // a replica has it too
-	g.session(r.Session, true, pos)
-	g.ranOne(Ran{ID: r.ID, Session: r.Session, Server: s.Name, Write: true, Pos: pos})
-	return s.says(row("k:"+r.Key), pos)
+	position, _ := group.commit(server, request.Key, time.Now())
+	time.Sleep(group.fleet.ReplicationDelay) // until a replica has received the commit
+	group.checkSession(request.Session, true, position)
+	group.recordRun(Run{ID: request.ID, Session: request.Session, Server: server.Name, Write: true, Pos: position})
+	return server.withStatus(row("k:"+request.Key), position)
 }
 
-// misses turns away what this server can't do, untouched.
-func (s *Server) misses(class Class, r *pgwire.Request) []byte {
+// checkServable returns the error for a request that this server can't process, or nil.
+func (server *Server) checkServable(class Class, request *pgwire.Request) []byte {
 	now := time.Now()
-	primary := s.group.isPrimary(s)
+	primary := server.group.isPrimary(server)
 	var code string
 	switch {
 	case primary:
 		return nil
 	case class.Write:
 		code = pgwire.CodeReadOnly
-	case r.HasPos && s.position(now) < r.After, class.Bound > 0 && s.position(now) < now.Add(-class.Bound).UnixMilli():
+	case request.HasPos && server.position(now) < request.After, class.Bound > 0 && server.position(now) < now.Add(-class.Bound).UnixMilli():
 		code = pgwire.CodeTooFarBehind
 	default:
 		return nil
 	}
-	s.group.count(func(a *Audit) { a.Misses++ })
-	return s.says(pgwire.AppendError(nil, "ERROR", code, "not here", ""), s.position(now))
+	server.group.updateAudit(func(audit *Audit) { audit.Misses++ })
+	return server.withStatus(pgwire.AppendError(nil, "ERROR", code, "not here", ""), server.position(now))
 }
 
-// says adds role and position to an answer.
-func (s *Server) says(answer []byte, pos int64) []byte {
+// withStatus adds the role and position of the server to an answer.
+func (server *Server) withStatus(answer []byte, position int64) []byte {
 	rank := "copy"
-	if s.group.isPrimary(s) {
-		rank, pos = "source", max(pos, time.Now().UnixMilli())
+	if server.group.isPrimary(server) {
+		rank, position = "source", max(position, time.Now().UnixMilli())
 	}
 	answer = pgwire.Append(answer, pgwire.ParameterStatus, []byte("rank\x00"+rank+"\x00"))
-	if pos > 0 {
-		answer = pgwire.Append(answer, pgwire.ParameterStatus, []byte("as_of\x00"+strconv.FormatInt(pos, 10)+"\x00"))
+	if position > 0 {
+		answer = pgwire.Append(answer, pgwire.ParameterStatus, []byte("as_of\x00"+strconv.FormatInt(position, 10)+"\x00"))
 	}
 	return answer
 }
 
-// padded is a value with what makes it so many bytes long.
-func padded(value string, bytes int) string {
-	return value + strings.Repeat(".", max(0, bytes-len(value)))
+// pad extends a value to a minimum length in bytes.
+func pad(value string, length int) string {
+	return value + strings.Repeat(".", max(0, length-len(value)))
 }
 
-// row is an answer of one row with one column.
+// row returns an answer of one row with one column.
 func row(value string) []byte { return pgwire.AppendRow(nil, "body", value) }
 
-// isClosed says whether the other side has closed a connection.
+// isClosed reports whether the peer has closed a connection.
 func isClosed(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -391,9 +393,9 @@
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		closed = n == 0 && err == nil || err != nil && !strings.Contains(err.Error(), syscall.EAGAIN.Error())
+		var buffer [1]byte
+		size, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		closed = size == 0 && err == nil || err != nil && !strings.Contains(err.Error(), syscall.EAGAIN.Error())
 	})
 	return closed || err != nil
 }
--- a/internal/emulator/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -12,26 +12,27 @@
 	"lotushook/internal/nettest"
 )
 
-func fleet(t *testing.T) *Running {
+// startFleet starts a group of two servers and stops it at the end of the test.
+func startFleet(t *testing.T) *Running {
 	t.Helper()
-	f := &Fleet{Groups: 1, Members: 2, Cores: 1, Ship: time.Millisecond, Takeover: time.Millisecond, Seed: 1,
+	fleet := &Fleet{Groups: 1, Members: 2, Cores: 1, ReplicationDelay: time.Millisecond, FailoverDelay: time.Millisecond, Seed: 1,
 		Classes: map[string]Class{"write": {Write: true}, "own": {Session: true}, "read": {Bound: time.Hour}}}
-	r, err := f.Start()
+	running, err := fleet.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Stop)
-	return r
+	t.Cleanup(running.Stop)
+	return running
 }
 
-// A data server answers as the protocol says: the primary takes writes and drops
-// the repeat of a key, a replica turns away what it can't do.
+// TestAnswers checks that data servers follow the protocol: the primary executes writes, but not the repetition of a
+// key, and a replica rejects what it can't process.
 func TestAnswers(t *testing.T) {
-	r := fleet(t)
-	s := nettest.New(t)
-	primary, replica := r.Servers()[0], r.Servers()[1]
-	s.Dial("p", primary.Addr())
-	s.Play(`
+	running := startFleet(t)
+	script := nettest.New(t)
+	primary, replica := running.Servers()[0], running.Servers()[1]
+	script.Dial("p", primary.Addr())
+	script.Play(`
 		send p1 startup | Q "/* id=01,c=write,d=500,k=ab,cluster=1 */ INSERT"
 		expect p1 welcome | T | D "k:ab" | C | S rank=source | S as_of=# | Z
 		send p1 Q "/* id=02,c=write,d=500,k=ab,cluster=1 */ INSERT"
@@ -42,154 +43,154 @@
 		expect p1 T | D "x0=#.#,x1=1,inflight=0" | C | Z | I | Z
 		send p1 Q "/* id=04,c=read,d=500,cluster=2 */ SELECT"
 		expect p1 E XX000 | Z`)
-	s.Dial("r", replica.Addr())
-	s.Set("far", fmt.Sprint(time.Now().Add(time.Hour).UnixMilli()))
-	s.Play(`
+	script.Dial("r", replica.Addr())
+	script.Set("far", fmt.Sprint(time.Now().Add(time.Hour).UnixMilli()))
+	script.Play(`
 		send r1 startup | Q "/* id=11,c=write,d=500,k=ac,cluster=1 */ INSERT"
 		expect r1 welcome | E 25006 | S rank=copy | S as_of=# | Z
 		send r1 Q "/* id=12,c=own,d=500,cluster=1,after={far} */ SELECT"
 		expect r1 E 72000 | S rank=copy | S as_of=# | Z
 		send r1 Q "/* id=13,c=read,d=500,cluster=1 */ SELECT"
 		expect r1 T | D "v:13" | C | S rank=copy | S as_of=# | Z`)
-	want := Audit{Requests: 6, Writes: 1, Dropped: 1, Misses: 2, Probes: 1}
-	if got := r.Audit(); got != want {
+	want := Audit{Requests: 6, Writes: 1, DuplicateWrites: 1, Misses: 2, Probes: 1}
+	if got := running.Audit(); got != want {
 		t.Errorf("%+v", got)
 	}
 }
 
-// An attempt that comes while another one of its request is open is seen; one
-// whose connection was closed is not open.
+// TestDoubled checks that an attempt is counted if another one of its request is open. An attempt whose connection was
+// closed is not open.
 func TestDoubled(t *testing.T) {
-	r := fleet(t)
-	g := r.Groups[0]
-	open, closed := &visit{gone: func() bool { return false }}, &visit{gone: func() bool { return true }}
-	g.enter("a", closed)
-	g.enter("a", open)
-	g.enter("a", closed)
-	g.leave("a", closed)
-	g.enter("a", open)
-	if got := r.Audit().Doubled; got != 1 {
+	running := startFleet(t)
+	group := running.Groups[0]
+	open, closed := &openAttempt{closed: func() bool { return false }}, &openAttempt{closed: func() bool { return true }}
+	group.addAttempt("a", closed)
+	group.addAttempt("a", open)
+	group.addAttempt("a", closed)
+	group.removeAttempt("a", closed)
+	group.addAttempt("a", open)
+	if got := running.Audit().ConcurrentAttempts; got != 1 {
 		t.Errorf("%d", got)
 	}
 }
 
-// When the primary dies the replica follows, the list stays as it is, and the old
-// one comes back as a replica.
+// TestTakeover checks that the replica becomes the primary when the primary fails, and that the old primary restarts as
+// a replica.
 func TestTakeover(t *testing.T) {
-	r := fleet(t)
-	old, next := r.Servers()[0], r.Servers()[1]
+	running := startFleet(t)
+	old, next := running.Servers()[0], running.Servers()[1]
 	old.Kill()
-	for end := time.Now().Add(20 * time.Second); !r.Groups[0].isPrimary(next); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("nobody took over")
+	for deadline := time.Now().Add(20 * time.Second); !running.Groups[0].isPrimary(next); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("no server became the primary")
 		}
 	}
 	if err := old.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	s := nettest.New(t)
-	s.Dial("c", old.Addr())
-	s.Play(`
+	script := nettest.New(t)
+	script.Dial("c", old.Addr())
+	script.Play(`
 		send c1 startup | Q "/* id=01,c=write,d=500,k=ab,cluster=1 */ INSERT"
 		expect c1 welcome | E 25006 | S rank=copy | S as_of=# | Z`)
 }
 
-// Who died does not follow itself, though it is back first and first by name, unless nobody else is up; and a group
-// that nobody was left in has a primary again with the first that comes back.
+// TestWhoFollows checks that a failed primary which is running again is chosen only if no other server is running. In a
+// group without a running server, the first one to restart becomes the primary.
 func TestWhoFollows(t *testing.T) {
-	for _, c := range []struct {
-		up   [2]bool // the one that died, the other
-		want int     // 2: nobody
+	for _, test := range []struct {
+		up   [2]bool // the failed server, the other one
+		want int     // 2: none
 	}{{[2]bool{true, true}, 1}, {[2]bool{false, true}, 1}, {[2]bool{true, false}, 0}, {[2]bool{false, false}, 2}} {
-		r := fleet(t)
-		g, all := r.Groups[0], append(r.Servers(), nil)
-		g.mu.Lock()
-		g.primary = nil
-		g.mu.Unlock()
-		for i, up := range c.up {
+		running := startFleet(t)
+		group, servers := running.Groups[0], append(running.Servers(), nil)
+		group.mu.Lock()
+		group.primary = nil
+		group.mu.Unlock()
+		for index, up := range test.up {
 			if !up {
-				all[i].Kill() // while nobody is primary, this starts no take-over
+				servers[index].Kill() // starts no failover, as there is no primary
 			}
 		}
-		g.follow(all[0])
-		if g.primary != all[c.want] {
-			t.Errorf("%v up: not %d", c.up, c.want)
+		group.choosePrimary(servers[0])
+		if group.primary != servers[test.want] {
+			t.Errorf("%v up: not %d", test.up, test.want)
 		}
-		if c.want == 2 {
-			if err := all[1].Restart(); err != nil || !g.isPrimary(all[1]) {
-				t.Errorf("the first to come back is no primary: %v", err)
+		if test.want == 2 {
+			if err := servers[1].Restart(); err != nil || !group.isPrimary(servers[1]) {
+				t.Errorf("the first server to restart is not the primary: %v", err)
 			}
-			if all[0].Promote(); g.isPrimary(all[0]) {
-				t.Error("one that is down was promoted")
+			if servers[0].Promote(); group.isPrimary(servers[0]) {
+				t.Error("a stopped server was promoted")
 			}
 		}
 	}
 }
 
-// Replicas apply one commit after the other: until then they stand before it.
+// TestPosition checks that the position of a replica stays before a commit until the replica has applied it.
 func TestPosition(t *testing.T) {
-	s := &Server{group: &Group{fleet: &Fleet{Ship: 5 * time.Millisecond, Apply: 100 * time.Millisecond}}}
-	s.ln = &net.TCPListener{} // it runs
-	t0 := time.UnixMilli(1e12)
-	s.ship(t0)
-	s.ship(t0.Add(time.Millisecond))
-	for _, c := range []struct {
+	server := &Server{group: &Group{fleet: &Fleet{ReplicationDelay: 5 * time.Millisecond, ApplyTime: 100 * time.Millisecond}}}
+	server.listener = &net.TCPListener{} // marks the server as running
+	start := time.UnixMilli(1e12)
+	server.replicate(start)
+	server.replicate(start.Add(time.Millisecond))
+	for _, test := range []struct {
 		at   time.Duration
 		want int64
 	}{{50 * time.Millisecond, 1e12 - 1}, {110 * time.Millisecond, 1e12}, {300 * time.Millisecond, 1e12 + 295}} {
-		if got := s.position(t0.Add(c.at)); got != c.want {
-			t.Errorf("after %v: %d", c.at, got-1e12)
+		if got := server.position(start.Add(test.at)); got != test.want {
+			t.Errorf("after %v: %d", test.at, got-1e12)
 		}
 	}
 }
 
-// The agent tells the whole list, and then what changed.
+// TestAgent checks that the agent serves the whole list, and the changes since a version.
 func TestAgent(t *testing.T) {
-	r := fleet(t)
+	running := startFleet(t)
 	get := func(query string) string {
 		t.Helper()
-		resp, err := http.Get("http://" + r.Agent.Addr() + "/v1/endpoints" + query)
+		response, err := http.Get("http://" + running.Agent.Addr() + "/v1/endpoints" + query)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
-		b, err := io.ReadAll(resp.Body)
+		defer response.Body.Close()
+		body, err := io.ReadAll(response.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return string(b)
+		return string(body)
 	}
-	if l := get(""); strings.Count(l, "SERVING") != 2 || !strings.Contains(l, `"whole":true`) {
-		t.Error(l)
+	if list := get(""); strings.Count(list, "SERVING") != 2 || !strings.Contains(list, `"whole":true`) {
+		t.Error(list)
 	}
-	if l := get("?since=2&timeout_ms=1"); !strings.Contains(l, `"hosts":[]`) {
-		t.Error(l)
+	if list := get("?since=2&timeout_ms=1"); !strings.Contains(list, `"hosts":[]`) {
+		t.Error(list)
 	}
-	r.Servers()[1].Drain()
-	if l := get("?since=2&timeout_ms=20000"); strings.Count(l, "DRAINING") != 1 || strings.Count(l, `"host"`) != 1 {
-		t.Error(l)
+	running.Servers()[1].Drain()
+	if list := get("?since=2&timeout_ms=20000"); strings.Count(list, "DRAINING") != 1 || strings.Count(list, `"host"`) != 1 {
+		t.Error(list)
 	}
 }
 
-// The front goes on sending to a dead router until it notices.
+// TestFront checks that the load balancer still chooses a dead router until it has detected the failure.
 func TestFront(t *testing.T) {
-	f, now := NewFront(2*time.Second), time.UnixMilli(1e12)
-	if _, err := f.Pick(now); err == nil {
-		t.Error("a router was found where there is none")
+	balancer, now := NewLoadBalancer(2*time.Second), time.UnixMilli(1e12)
+	if _, err := balancer.Pick(now); err == nil {
+		t.Error("a router was chosen, but there is none")
 	}
-	f.Up("a")
-	f.Up("b")
-	f.Died("a", now)
-	seen := map[string]int{}
+	balancer.Add("a")
+	balancer.Add("b")
+	balancer.MarkDead("a", now)
+	counts := map[string]int{}
 	for range 10 {
-		addr, _ := f.Pick(now.Add(time.Second))
-		seen[addr]++
+		addr, _ := balancer.Pick(now.Add(time.Second))
+		counts[addr]++
 	}
 	for range 10 {
-		addr, _ := f.Pick(now.Add(3 * time.Second))
-		seen[addr]++
+		addr, _ := balancer.Pick(now.Add(3 * time.Second))
+		counts[addr]++
 	}
-	if seen["a"] != 5 || seen["b"] != 15 {
-		t.Error(seen)
+	if counts["a"] != 5 || counts["b"] != 15 {
+		t.Error(counts)
 	}
 }
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -26,6 +26,7 @@
 	router       int   // index of the router that the connection goes to; -1: not a router of this arm
 }
 
+// disconnect closes the connection, if there is one.
 func (client *loadClient) disconnect() {
 	if client.conn != nil {
 		client.conn.conn.Close()
@@ -132,7 +133,7 @@
 	var addr string
 	var err error
 	if len(skew) > 0 {
-		addr, err = client.loadBalancer.Skew(skew, client.rng.Float64(), time.Now())
+		addr, err = client.loadBalancer.PickByShare(skew, client.rng.Float64(), time.Now())
 	} else {
 		addr, err = client.loadBalancer.Pick(time.Now())
 	}
@@ -140,6 +141,7 @@
 	return addr, err
 }
 
+// dial connects to a router, or to a data server if the load is direct.
 func (client *loadClient) dial(req *request, deadline time.Time) (*clientConn, error) {
 	var addr string
 	var err error
--- a/internal/experiment/client.go
+++ b/internal/experiment/client.go
@@ -170,32 +170,32 @@
 }
 
 // query encodes the request as a query message with its metadata in a comment.
-func (r *request) query() []byte {
-	var b strings.Builder
-	fmt.Fprintf(&b, "/* id=%s,c=%s,d=%d,cluster=%d", r.id, r.class, max(1, r.timeout.Milliseconds()), r.group)
-	if r.key != "" {
-		fmt.Fprintf(&b, ",k=%s", r.key)
+func (req *request) query() []byte {
+	var text strings.Builder
+	fmt.Fprintf(&text, "/* id=%s,c=%s,d=%d,cluster=%d", req.id, req.class, max(1, req.timeout.Milliseconds()), req.group)
+	if req.key != "" {
+		fmt.Fprintf(&text, ",k=%s", req.key)
 	}
-	if r.retry {
-		b.WriteString(",r=1")
+	if req.retry {
+		text.WriteString(",r=1")
 	}
-	if r.minPosition > 0 {
-		fmt.Fprintf(&b, ",after=%d", r.minPosition)
+	if req.minPosition > 0 {
+		fmt.Fprintf(&text, ",after=%d", req.minPosition)
 	}
-	if r.key != "" {
-		fmt.Fprintf(&b, " */ INSERT INTO objects (oid, body) VALUES ('%s', '\\x9f03') RETURNING body", r.objectID)
+	if req.key != "" {
+		fmt.Fprintf(&text, " */ INSERT INTO objects (oid, body) VALUES ('%s', '\\x9f03') RETURNING body", req.objectID)
 	} else {
-		fmt.Fprintf(&b, " */ SELECT body FROM objects WHERE oid = '%s'", r.objectID)
+		fmt.Fprintf(&text, " */ SELECT body FROM objects WHERE oid = '%s'", req.objectID)
 	}
-	return pgwire.AppendQuery(nil, b.String())
+	return pgwire.AppendQuery(nil, text.String())
 }
 
 // matches reports whether a value is the one that a data server returns for this request.
-func (r *request) matches(value string) bool {
-	if r.key != "" {
-		return value == "k:"+r.key
+func (req *request) matches(value string) bool {
+	if req.key != "" {
+		return value == "k:"+req.key
 	}
-	return value == "v:"+r.id
+	return value == "v:"+req.id
 }
 
 // failureOutcome returns the outcome of a request whose connection failed with err.
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// comparedRun returns a result of one check, "p99", and one figure of one arm.
+// comparedRun returns a result of one check, "p99", and one metric of one arm.
 func comparedRun(seed uint64, p99 float64, passed bool) *Result {
 	return &Result{
 		Experiment: "takeover",
--- a/internal/experiment/events.go
+++ b/internal/experiment/events.go
@@ -46,7 +46,7 @@
 			found = true
 			switch event.Do {
 			case "kill":
-				server.Group().Lose(event.LoseEvents)
+				server.Group().LoseOnFailover(event.LoseEvents)
 				server.Kill()
 			case "clock":
 				server.Group().SetClockBack(seconds(event.ClockBackS))
@@ -55,14 +55,14 @@
 					return err
 				}
 			case "burden":
-				server.Burden(event.Factor)
+				server.SetWorkFactor(event.Factor)
 				run.faultsOver = time.Now() // the recovery time is measured from the last change of the burden
 			case "drain":
 				server.Drain()
 			case "promote":
 				server.Promote()
 			case "slow":
-				server.Slow(event.Factor)
+				server.SetApplyFactor(event.Factor)
 			}
 		}
 		if found {
@@ -73,11 +73,11 @@
 	router := run.routers[event.Router]
 	switch event.Do {
 	case "kill":
-		run.loadBalancer.Died(router.addr, time.Now())
+		run.loadBalancer.MarkDead(router.addr, time.Now())
 		run.cluster.recordCondition(event.Router, killed)
 		router.kill()
 	case "stop":
-		run.loadBalancer.Died(router.addr, time.Now())
+		run.loadBalancer.MarkDead(router.addr, time.Now())
 		run.cluster.recordCondition(event.Router, stopped)
 		router.terminate()
 	case "pause":
@@ -96,7 +96,7 @@
 		if err := router.start(); err != nil {
 			return err
 		}
-		run.loadBalancer.Up(router.addr)
+		run.loadBalancer.Add(router.addr)
 	case "reload":
 		return router.reload(event.RouterSettings)
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -127,7 +127,7 @@
 	Server         string              `json:"server"` // "*": all
 	LoseEvents     int                 `json:"lose"`   // kill: events that the next failover loses in addition to those that no replica has
 	ClockBackS     float64             `json:"back_s"` // clock: how far the group's clock is set back
-	Factor         float64             `json:"times"`  // slow, burden: factor; throttle: share of CPU time that the router keeps
+	Factor         float64             `json:"times"`  // slow, burden: factor of the time that work takes; throttle: share of the time that the router runs
 	From           []int               `json:"from"`   // link: the sending and, in To, the receiving routers; nil: all
 	To             []int               `json:"to"`
 	Link           faultinject.Link    `json:"link"`
@@ -142,7 +142,7 @@
 	Events         []Event              `json:"events"`
 	RouterSettings jsoniter.RawMessage  `json:"own"`         // replaces the routers' settings file
 	Members        jsoniter.RawMessage  `json:"members"`     // replaces Routers.Members; null: the routers form no cluster
-	OpenFileLimit  int                  `json:"descriptors"` // limit of open files of a router process; 0: as inherited, whatever its configuration says
+	OpenFileLimit  int                  `json:"descriptors"` // limit of open files that the system grants a router process, whatever its configuration says; 0: not lowered
 	Skew           map[string][]float64 `json:"skew"`        // by load, replaces Load.Skew
 	Build          string               `json:"build"`       // path of another build of the router; "": Options.Build
 }
@@ -175,9 +175,9 @@
 // check validates an experiment that is not a soak.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func (e *Experiment) check() error {
-	parts := map[string]bool{"routers": true, "servers": true, "members": true, "sends": true, "lanes": len(e.PriorityClasses) > 0}
-	for _, load := range e.Loads {
+func (experiment *Experiment) check() error {
+	parts := map[string]bool{"routers": true, "servers": true, "members": true, "sends": true, "lanes": len(experiment.PriorityClasses) > 0}
+	for _, load := range experiment.Loads {
 		parts[load.Name] = true
 		switch {
 		case load.Name == "" || strings.Contains(load.Name, "."):
@@ -188,38 +188,38 @@
 			return fmt.Errorf("loads: %s: mix is empty", load.Name)
 		}
 		for class := range load.Mix {
-			if _, ok := e.Classes[class]; !ok {
+			if _, ok := experiment.Classes[class]; !ok {
 				return fmt.Errorf("loads: %s: mix: unknown class %q", load.Name, class)
 			}
 		}
 	}
-	for _, readers := range e.Readers {
+	for _, readers := range experiment.Readers {
 		parts[readers.Name] = true
-		if class, ok := e.Classes[readers.Class]; readers.Name == "" || readers.Subscribers < 1 || !ok || class.Read != "feed" || e.Fleet.Retain < 1 {
+		if class, ok := experiment.Classes[readers.Class]; readers.Name == "" || readers.Subscribers < 1 || !ok || class.Read != "feed" || experiment.Fleet.Retain < 1 {
 			return fmt.Errorf("readers: %q: subscribers %d, class %q: a class with read \"feed\" and a fleet with retain are required", readers.Name, readers.Subscribers, readers.Class)
 		}
 	}
-	for _, flood := range e.Floods {
+	for _, flood := range experiment.Floods {
 		parts[flood.Name] = true
 		if flood.Connections < 1 || flood.Payload != "nothing" && flood.Payload != "half" && flood.Payload != "startup" {
 			return fmt.Errorf("floods: %s: connections %d, says %q", flood.Name, flood.Connections, flood.Payload)
 		}
 	}
-	for name, class := range e.Classes {
+	for name, class := range experiment.Classes {
 		if len(class.WorkMS) != 2 || class.WorkMS[0] > class.WorkMS[1] || class.TimeoutMS <= 0 {
 			return fmt.Errorf("classes: %s: work_ms must be a min and a max, wait_ms must be above 0", name)
 		}
 	}
-	switch flood := e.Fleet; {
-	case e.Name == "" || e.Seconds <= 0:
+	switch flood := experiment.Fleet; {
+	case experiment.Name == "" || experiment.Seconds <= 0:
 		return errors.New("name or seconds is missing")
 	case flood.Groups < 1 || flood.Members < 1 || flood.Cores < 1:
 		return errors.New("fleet: groups, members and cores must be above 0")
-	case e.Routers.Count < 1 || len(e.Arms) == 0 || len(e.Checks) == 0:
+	case experiment.Routers.Count < 1 || len(experiment.Arms) == 0 || len(experiment.Checks) == 0:
 		return errors.New("routers.count, arms or checks is missing")
 	}
 	arms := map[string]bool{}
-	for _, arm := range e.Arms {
+	for _, arm := range experiment.Arms {
 		arms[arm.Name] = true
 		for _, name := range append(append([]string{}, arm.Loads...), arm.Floods...) {
 			if !parts[name] {
@@ -230,7 +230,7 @@
 			switch {
 			case event.Do == "link":
 				for _, router := range append(append([]int{}, event.From...), event.To...) {
-					if router < 0 || router >= e.Routers.Count {
+					if router < 0 || router >= experiment.Routers.Count {
 						return fmt.Errorf("arms: %s: events: unknown router %d", arm.Name, router)
 					}
 				}
@@ -238,7 +238,7 @@
 				if event.Do == "throttle" && !(event.Factor > 0 && event.Factor < 1) {
 					return fmt.Errorf("arms: %s: events: throttle: times must be between 0 and 1", arm.Name)
 				}
-				if event.Router < 0 || event.Router >= e.Routers.Count {
+				if event.Router < 0 || event.Router >= experiment.Routers.Count {
 					return fmt.Errorf("arms: %s: events: unknown router %d", arm.Name, event.Router)
 				}
 			case slices.Contains([]string{"kill", "restart", "drain", "promote", "slow", "clock", "burden"}, event.Do):
@@ -247,7 +247,7 @@
 			}
 		}
 	}
-	for _, class := range e.Checks {
+	for _, class := range experiment.Checks {
 		if (class.Min == nil) == (class.Max == nil) {
 			return fmt.Errorf("checks: %s: either min or max is required", class.Name)
 		}
@@ -265,11 +265,11 @@
 func seconds(v float64) time.Duration      { return time.Duration(v * float64(time.Second)) }
 
 // fleet returns the description of the emulated data servers.
-func (e *Experiment) fleet(seed uint64) *emulator.Fleet {
-	fleet := &emulator.Fleet{Note: len(e.PriorityClasses) > 0, Groups: e.Fleet.Groups, Members: e.Fleet.Members, Cores: e.Fleet.Cores, Queue: e.Fleet.Queue,
-		Ship: milliseconds(e.Fleet.ReplicationMS), Apply: milliseconds(e.Fleet.ApplyMS), ColdShare: e.Fleet.ColdShare, Ramp: seconds(e.Fleet.RampS),
-		Takeover: milliseconds(e.Fleet.FailoverMS), Zones: e.Fleet.Zones, Retain: e.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
-	for name, class := range e.Classes {
+func (experiment *Experiment) fleet(seed uint64) *emulator.Fleet {
+	fleet := &emulator.Fleet{RecordStarts: len(experiment.PriorityClasses) > 0, Groups: experiment.Fleet.Groups, Members: experiment.Fleet.Members, Cores: experiment.Fleet.Cores, Queue: experiment.Fleet.Queue,
+		ReplicationDelay: milliseconds(experiment.Fleet.ReplicationMS), ApplyTime: milliseconds(experiment.Fleet.ApplyMS), ColdShare: experiment.Fleet.ColdShare, Ramp: seconds(experiment.Fleet.RampS),
+		FailoverDelay: milliseconds(experiment.Fleet.FailoverMS), Zones: experiment.Fleet.Zones, Retain: experiment.Fleet.Retain, Seed: seed, Classes: map[string]emulator.Class{}}
+	for name, class := range experiment.Classes {
 		fleet.Classes[name] = emulator.Class{Write: class.Read == "write", Session: class.Read == "session", Feed: class.Read == "feed", Bound: milliseconds(class.BoundMS),
 			Work: [2]time.Duration{milliseconds(class.WorkMS[0]), milliseconds(class.WorkMS[1])}}
 	}
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -106,6 +106,7 @@
 	}
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -151,7 +152,7 @@
 
 // serverMetrics returns the metrics of the data servers.
 func serverMetrics(audit emulator.Audit, requests float64) map[string]float64 {
-	return map[string]float64{"requests": float64(audit.Requests), "writes": float64(audit.Writes), "dropped": float64(audit.Dropped),
-		"doubled": float64(audit.Doubled), "misses": float64(audit.Misses), "turned_away": float64(audit.Rejected),
-		"own_reads": float64(audit.OwnReads), "stale_reads": float64(audit.Stale), "probes": float64(audit.Probes), "late": float64(audit.Late), "feed_reads": float64(audit.FeedReads), "attempts_per_request": ratio(float64(audit.Requests), requests)}
+	return map[string]float64{"requests": float64(audit.Requests), "writes": float64(audit.Writes), "dropped": float64(audit.DuplicateWrites),
+		"doubled": float64(audit.ConcurrentAttempts), "misses": float64(audit.Misses), "turned_away": float64(audit.Rejected),
+		"own_reads": float64(audit.OwnReads), "stale_reads": float64(audit.StaleReads), "probes": float64(audit.Probes), "late": float64(audit.LateAttempts), "feed_reads": float64(audit.FeedReads), "attempts_per_request": ratio(float64(audit.Requests), requests)}
 }
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -25,7 +25,7 @@
 	stopTimeout  = 15 * time.Second
 )
 
-// process is one router process; it keeps its name and address when it is restarted.
+// process is one router, which runs as a process. A restarted router has the same name and address.
 type process struct {
 	name, addr        string
 	program           string
--- a/internal/experiment/recover.go
+++ b/internal/experiment/recover.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	recoveredShare   = 0.95 // of the calm arm's worth in the same second
-	recoveredSeconds = 5    // consecutive seconds
-	notRecovered     = 999.0
+	recoveredShare   = 0.95  // of the weight served in the calm arm in the same second
+	recoveredSeconds = 5     // consecutive seconds
+	notRecovered     = 999.0 // seconds
 )
 
 // addRecoveryTimes measures the time to full service of each load in the arms in which a fault ended: from the last
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -104,7 +104,7 @@
 		}
 		parts["members"] = metrics
 		if run.cluster.records() {
-			sends, err := run.cluster.auditSends(run.fleet.Ran())
+			sends, err := run.cluster.auditSends(run.fleet.Runs())
 			if err != nil {
 				result.Ended = append(result.Ended, arm+": "+err.Error())
 			}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -51,7 +51,7 @@
 	options                  Options
 	rng                      *rand.Rand
 	fleet                    *emulator.Running
-	loadBalancer             *emulator.Front
+	loadBalancer             *emulator.LoadBalancer
 	routers                  []*process
 	from                     time.Time
 	faultsOver, firstRestart time.Time // the last restart of a router or last change of a burden, and the first restart; zero: none
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer run.fleet.Stop()
-	run.loadBalancer = emulator.NewFront(milliseconds(run.experiment.Routers.DetectionMS))
+	run.loadBalancer = emulator.NewLoadBalancer(milliseconds(run.experiment.Routers.DetectionMS))
 	build := run.options.Build
 	if run.arm.Build != "" {
 		build = run.arm.Build
@@ -96,7 +96,7 @@
 			run.stopRouters()
 			return err
 		}
-		run.loadBalancer.Up(router.addr)
+		run.loadBalancer.Add(router.addr)
 	}
 	settle, span := seconds(run.experiment.Settle), seconds(run.experiment.Seconds)
 	run.from = time.Now().Add(settle)
--- a/internal/experiment/sends.go
+++ b/internal/experiment/sends.go
@@ -25,7 +25,7 @@
 }
 
 // auditSends reads the sends that the routers recorded and compares them with what the data servers processed.
-func (cluster *memberCluster) auditSends(processed []emulator.Ran) (map[string]float64, error) {
+func (cluster *memberCluster) auditSends(processed []emulator.Run) (map[string]float64, error) {
 	var all []router.Send
 	for router := range cluster.count {
 		sends, err := readSends(filepath.Join(cluster.dir, sendsName(router)))
@@ -71,13 +71,13 @@
 //	lowered      the minimum position of a session decreased within one process of a router
 //	below        a session's read was answered from before the minimum position that it was sent with
 //	young        a restored value is younger than the process that uses it
-func auditSends(sends []router.Send, processed []emulator.Ran) map[string]float64 {
+func auditSends(sends []router.Send, processed []emulator.Run) map[string]float64 {
 	metrics := map[string]float64{"sends": float64(len(sends)), "ran": float64(len(processed)), "restored": 0, "unrecorded": 0, "unlisted": 0, "blind_writes": 0, "ungrounded": 0,
 		"lowered": 0, "below": 0, "young": 0}
 	type sendKey struct{ id, server string }
 	type sessionKey struct {
 		router, session string
-		boot            uint64
+		epoch           uint64
 		group           int64
 	}
 	sentTo, floors := map[sendKey]*router.Send{}, map[sessionKey]int64{}
--- a/internal/experiment/sends_test.go
+++ b/internal/experiment/sends_test.go
@@ -60,26 +60,26 @@
 	}
 	for _, test := range []struct {
 		metric string
-		change func(sends []router.Send, ran []emulator.Ran) []emulator.Ran
+		change func(sends []router.Send, ran []emulator.Run) []emulator.Run
 	}{
-		{"", func(_ []router.Send, ran []emulator.Ran) []emulator.Ran { return ran }},
-		{"unrecorded", func(_ []router.Send, ran []emulator.Ran) []emulator.Ran { ran[0].Server = "s2"; return ran }},
-		{"unlisted", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[0].Listed = false; return ran }},
-		{"blind_writes", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran {
+		{"", func(_ []router.Send, ran []emulator.Run) []emulator.Run { return ran }},
+		{"unrecorded", func(_ []router.Send, ran []emulator.Run) []emulator.Run { ran[0].Server = "s2"; return ran }},
+		{"unlisted", func(sends []router.Send, ran []emulator.Run) []emulator.Run { sends[0].Listed = false; return ran }},
+		{"blind_writes", func(sends []router.Send, ran []emulator.Run) []emulator.Run {
 			sends[0].On = append(sends[0].On, provenance("primary", "restored", 9000, "s1"))
 			return ran
 		}},
-		{"ungrounded", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[0].On[0].Says = "s9"; return ran }},
-		{"lowered", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[2].Floor = 40; return ran }},
-		{"below", func(_ []router.Send, ran []emulator.Ran) []emulator.Ran { ran[1].Pos = 49; return ran }},
-		{"young", func(sends []router.Send, ran []emulator.Ran) []emulator.Ran { sends[1].On[1].AgeMS = 10; return ran }},
+		{"ungrounded", func(sends []router.Send, ran []emulator.Run) []emulator.Run { sends[0].On[0].Says = "s9"; return ran }},
+		{"lowered", func(sends []router.Send, ran []emulator.Run) []emulator.Run { sends[2].Floor = 40; return ran }},
+		{"below", func(_ []router.Send, ran []emulator.Run) []emulator.Run { ran[1].Pos = 49; return ran }},
+		{"young", func(sends []router.Send, ran []emulator.Run) []emulator.Run { sends[1].On[1].AgeMS = 10; return ran }},
 	} {
 		sends := []router.Send{
 			{AtMS: 50, Router: "n0", ID: "1", Server: "s1", Listed: true, Write: true, On: []router.Provenance{provenance("server", "own", 0, "s1")}},
 			{AtMS: 60, Router: "n0", ID: "2", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{provenance("server", "own", 0, "s1"), provenance("floor", "restored", 900, "50")}},
 			{AtMS: 70, Router: "n0", ID: "3", Session: "x", Server: "s1", Listed: true, Floor: 50, On: []router.Provenance{provenance("server", "own", 0, "s1"), provenance("floor", "peer", 5, "50")}},
 		}
-		ran := test.change(sends, []emulator.Ran{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
+		ran := test.change(sends, []emulator.Run{{ID: "1", Server: "s1", Write: true, Pos: 45}, {ID: "2", Session: "x", Server: "s1", Pos: 50}, {ID: "3", Session: "x", Server: "s1", Pos: 55}})
 		metrics := auditSends(sends, ran)
 		maps.DeleteFunc(metrics, func(name string, value float64) bool {
 			return value == 0 || name == "sends" || name == "ran" || name == "restored"
--- a/internal/experiment/shedding.go
+++ b/internal/experiment/shedding.go
@@ -41,10 +41,10 @@
 // auditShedding compares the answers to clients with the requests that data servers began. It is an inversion if one
 // router sheds a request of the most important class while a data server begins a request of the least important class
 // that another router sent. The measured time begins at from; marks are the starts of surges and faults; the surge
-// lasts from surge to over.
+// lasts from surge to surgeEnd.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
-func auditShedding(classes []string, requests []sheddingRequest, began []emulator.Began, from time.Time, marks []time.Time, surge, surgeEnd time.Time) (map[string]float64, error) {
+func auditShedding(classes []string, requests []sheddingRequest, began []emulator.Start, from time.Time, marks []time.Time, surge, surgeEnd time.Time) (map[string]float64, error) {
 	metrics := map[string]float64{}
 	if len(classes) < 2 {
 		return metrics, fmt.Errorf("lanes: %d priority classes, at least 2 are required", len(classes))
@@ -58,7 +58,7 @@
 		byID[requests[i].id] = &requests[i]
 	}
 	// The requests of the least important class that data servers began, by group, in order of time.
-	startsOfLast := map[int64][]emulator.Began{}
+	startsOfLast := map[int64][]emulator.Start{}
 	started := map[string]bool{}
 	for _, start := range began {
 		request := byID[start.ID]
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, starts := range startsOfLast {
-		slices.SortFunc(starts, func(earlier, later emulator.Began) int { return earlier.At.Compare(later.At) })
+		slices.SortFunc(starts, func(earlier, later emulator.Start) int { return earlier.At.Compare(later.At) })
 	}
 	inGrace := func(t time.Time) bool {
 		return slices.ContainsFunc(marks, func(mark time.Time) bool { return !t.Before(mark) && t.Before(mark.Add(thresholdGrace)) })
@@ -117,7 +117,7 @@
 			continue
 		}
 		starts := startsOfLast[request.group]
-		index, _ := slices.BinarySearchFunc(starts, request.end.Add(-simultaneousSpan), func(start emulator.Began, t time.Time) int { return start.At.Compare(t) })
+		index, _ := slices.BinarySearchFunc(starts, request.end.Add(-simultaneousSpan), func(start emulator.Start, t time.Time) int { return start.At.Compare(t) })
 		for ; index < len(starts) && starts[index].At.Before(request.end.Add(simultaneousSpan)); index++ {
 			if byID[starts[index].ID].router != request.router {
 				if inGrace(request.at) {
@@ -188,7 +188,7 @@
 	run.mu.Lock()
 	requests := slices.Clone(run.sheddingRequests)
 	run.mu.Unlock()
-	metrics, err := auditShedding(run.experiment.PriorityClasses, requests, run.fleet.Began(), run.from, marks, surge, surgeEnd)
+	metrics, err := auditShedding(run.experiment.PriorityClasses, requests, run.fleet.Starts(), run.from, marks, surge, surgeEnd)
 	for _, stats := range run.parts {
 		stats.mu.Lock()
 		metrics["worth_per_s"] += stats.weightInObjective / stats.span.Seconds()
--- a/internal/experiment/shedding_test.go
+++ b/internal/experiment/shedding_test.go
@@ -13,13 +13,13 @@
 
 // validShedding returns records without an error. Every 100 ms both routers shed a regular account and serve a premium
 // one, and router 1 sheds a background account and serves another that is within its guaranteed share.
-func validShedding(from time.Time) (requests []sheddingRequest, ran []emulator.Began) {
+func validShedding(from time.Time) (requests []sheddingRequest, ran []emulator.Start) {
 	add := func(router int, offset time.Duration, class, account, shed string) {
 		request := sheddingRequest{id: fmt.Sprint(len(requests)), priorityClass: class, account: account, group: 1, router: router, at: from.Add(offset), end: from.Add(offset + 20*time.Millisecond), outcome: served, shed: shed}
 		if shed != "" {
 			request.outcome = rejected
 		} else {
-			ran = append(ran, emulator.Began{ID: request.id, Group: 1, At: request.at.Add(5 * time.Millisecond)})
+			ran = append(ran, emulator.Start{ID: request.id, Group: 1, At: request.at.Add(5 * time.Millisecond)})
 		}
 		requests = append(requests, request)
 	}
@@ -41,42 +41,42 @@
 	classes := []string{"premium", "regular", "background"}
 	for _, test := range []struct {
 		name   string
-		change func(all []sheddingRequest, ran []emulator.Began) ([]sheddingRequest, []emulator.Began)
+		change func(all []sheddingRequest, ran []emulator.Start) ([]sheddingRequest, []emulator.Start)
 		metric string
 		want   float64
 		err    string
 	}{
-		{"right", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) { return a, r }, "inversions_after", 0, ""},
-		{"premium shed late", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"right", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) { return a, r }, "inversions_after", 0, ""},
+		{"premium shed late", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			a[40*6+2].shed, a[40*6+2].outcome = "premium", rejected
 			return a, r
 		}, "inversions_after", 1, ""},
-		{"premium shed early", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"premium shed early", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			a[2].shed, a[2].outcome = "premium", rejected
 			return a, r
 		}, "inversions_first_share", 1.0 / 40, ""},
-		{"premium shed by the router that serves background", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"premium shed by the router that serves background", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			a[40*6+3].shed, a[40*6+3].outcome = "premium", rejected
 			return a, r
 		}, "inversions_after", 0, ""},
-		{"premium's excess is regular", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"premium's excess is regular", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			a[40*6+2].shed, a[40*6+2].outcome = "regular", rejected
 			return a, r
 		}, "inversions_after", 0, ""},
-		{"one account shed here and served there", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"one account shed here and served there", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			for step := 30; step < 40; step++ {
 				request := &a[step*6+1]
 				request.shed, request.outcome = "", served
-				r = append(r, emulator.Began{ID: request.id, Group: 1, At: request.at})
+				r = append(r, emulator.Start{ID: request.id, Group: 1, At: request.at})
 			}
 			return a, r
 		}, "torn_share", 20.0 / 59, ""},
-		{"a server began nothing", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) { return a, r[1:] }, "", 0, "no data server began it"},
-		{"another group", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"a server began nothing", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) { return a, r[1:] }, "", 0, "no data server began it"},
+		{"another group", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			r[0].Group = 2
 			return a, r
 		}, "", 0, "begun at 2"},
-		{"twice", func(a []sheddingRequest, r []emulator.Began) ([]sheddingRequest, []emulator.Began) {
+		{"twice", func(a []sheddingRequest, r []emulator.Start) ([]sheddingRequest, []emulator.Start) {
 			return append(a, a[0]), r
 		}, "", 0, "twice"},
 	} {
--- a/internal/experiment/soak.go
+++ b/internal/experiment/soak.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	defer run.fleet.Stop()
-	if run.movedAddress, err = run.fleet.Agent.Move(); err != nil {
+	if run.movedAddress, err = run.fleet.Agent.AddAddress(); err != nil {
 		return nil, err
 	}
 	defer run.stopAll()
@@ -235,10 +235,10 @@
 		}
 		return
 	case soakMuteWatches:
-		run.silenceDiscovery(duration, run.fleet.Agent.Mute)
+		run.silenceDiscovery(duration, run.fleet.Agent.HangWatches)
 		return
 	case soakDiscoveryAway:
-		run.silenceDiscovery(duration, run.fleet.Agent.Away)
+		run.silenceDiscovery(duration, run.fleet.Agent.HangRequests)
 		return
 	}
 	server := run.fleet.Servers()[step.Server]
@@ -250,7 +250,7 @@
 	case soakCloseIdle:
 		server.CloseIdle()
 	case soakDelayConnections:
-		server.DelayWelcome(duration/2, duration)
+		server.DelayStartup(duration/2, duration)
 	case soakDrain:
 		if draining[step.Server].TryLock() {
 			run.drain(server, duration)
@@ -464,7 +464,7 @@
 // collect adds the records of the data servers and of the routers' logs.
 func (run *soakRun) collect(dir string) error {
 	record := run.record
-	record.Attempts, record.Ran, record.ServerAudit, record.Read = run.fleet.Attempts(), run.fleet.Ran(), run.fleet.Audit(), map[string]string{}
+	record.Attempts, record.Runs, record.ServerAudit, record.Read = run.fleet.Attempts(), run.fleet.Runs(), run.fleet.Audit(), map[string]string{}
 	for number := range run.routers {
 		file, err := os.Open(filepath.Join(dir, routerName(number)+".log"))
 		if err != nil {
--- a/internal/experiment/soak_test.go
+++ b/internal/experiment/soak_test.go
@@ -108,12 +108,12 @@
 			{ID: "last", Class: "read", Index: 4, Sent: after(1000), Wait: time.Second, Outcome: served, At: after(1100)},
 		},
 		Attempts: []emulator.Attempt{
-			{ID: "w", Class: "write", Server: "s", At: after(110), Left: 980 * time.Millisecond},
-			{ID: "r", Class: "read", Server: "s", At: after(210), Left: 980 * time.Millisecond},
-			{ID: "gone", Class: "read", Server: "s", At: after(310), Left: 980 * time.Millisecond},
-			{ID: "last", Class: "read", Server: "s", At: after(1010), Left: 980 * time.Millisecond},
+			{ID: "w", Class: "write", Server: "s", At: after(110), Remaining: 980 * time.Millisecond},
+			{ID: "r", Class: "read", Server: "s", At: after(210), Remaining: 980 * time.Millisecond},
+			{ID: "gone", Class: "read", Server: "s", At: after(310), Remaining: 980 * time.Millisecond},
+			{ID: "last", Class: "read", Server: "s", At: after(1010), Remaining: 980 * time.Millisecond},
 		},
-		Ran:     []emulator.Ran{{ID: "w", Session: "a", Server: "s", Write: true, Pos: 500}, {ID: "r", Session: "a", Server: "s", Pos: 500}},
+		Runs:    []emulator.Run{{ID: "w", Session: "a", Server: "s", Write: true, Pos: 500}, {ID: "r", Session: "a", Server: "s", Pos: 500}},
 		Read:    map[string]string{"w": "served", "r": "served", "gone": "gone", "last": "served"},
 		Drained: []soakDrained{{"t", soakSpan{after(0), after(3000)}}},
 		Cold:    []soakCold{{"u", after(0)}},
@@ -150,18 +150,18 @@
 		}},
 		{"another's value", ruleValue, func(r *soakRecord) { r.Requests[1].OtherValue = true }},
 		{"an attempt for one that has gone", ruleClientLeft, func(r *soakRecord) { r.Attempts[2].At = r.Requests[2].LeftAt.Add(leftGrace + time.Millisecond) }},
-		{"too long a deadline", ruleDeadline, func(r *soakRecord) { r.Attempts[1].Left = 990*time.Millisecond + deadlineSlack + time.Millisecond }},
+		{"too long a deadline", ruleDeadline, func(r *soakRecord) { r.Attempts[1].Remaining = 990*time.Millisecond + deadlineSlack + time.Millisecond }},
 		{"a key beyond its window", ruleKey, func(r *soakRecord) {
 			r.Requests[0].Wait = 5 * time.Second
 			r.Attempts = append(r.Attempts, emulator.Attempt{ID: "w", Class: "write", Server: "s", At: r.Attempts[0].At.Add(500*time.Millisecond + timeSlack + time.Millisecond)})
 		}},
-		{"two attempts at a time", ruleConcurrency, func(r *soakRecord) { r.ServerAudit.Doubled = 1 }},
+		{"two attempts at a time", ruleConcurrency, func(r *soakRecord) { r.ServerAudit.ConcurrentAttempts = 1 }},
 		{"an attempt at a draining server", ruleDrain, func(r *soakRecord) {
 			r.Attempts[3].Server = "t"
 			r.Attempts[3].At = r.Drained[0].From.Add(time.Second + timeSlack + time.Millisecond)
-			r.Attempts[3].Left = 0
+			r.Attempts[3].Remaining = 0
 		}},
-		{"a stale read", ruleOwnWrites, func(r *soakRecord) { r.Ran[1].Pos = 499 }},
+		{"a stale read", ruleOwnWrites, func(r *soakRecord) { r.Runs[1].Pos = 499 }},
 		{"too much for a cold server", ruleCold, func(r *soakRecord) { r.Attempts = append(r.Attempts, burst("u", sent, 150)...) }},
 		{"an exit with 1", ruleExit, func(r *soakRecord) { r.Processes[0].Err = "exit status 1" }},
 		{"killed at the limit", ruleExit, func(r *soakRecord) { r.Processes[0].Killed = true }},
@@ -187,7 +187,7 @@
 		change func(*soakRecord)
 	}{
 		{"a read that does not see a write whose client was never answered", func(r *soakRecord) {
-			r.Ran[1].Pos, r.Requests[0].Outcome, r.Requests[0].LeftAt = 499, waiting, r.Requests[0].At
+			r.Runs[1].Pos, r.Requests[0].Outcome, r.Requests[0].LeftAt = 499, waiting, r.Requests[0].At
 		}},
 		{"a new connection that a crowd has shut unread", func(r *soakRecord) { r.Requests[3].Index, r.Plan.IdleCrowd = 0, true }},
 		{"an answer behind another that took long", func(r *soakRecord) {
@@ -252,8 +252,8 @@
 			t.Fatalf("%+v, %v", result, err)
 		}
 		for _, attempt := range running.Attempts() {
-			if left := req.timeout - attempt.At.Sub(sent); attempt.ID == req.id && attempt.Left > left+deadlineSlack {
-				t.Errorf("stopped for %v: %s was passed a deadline of %v with %v left", stopped, attempt.Server, attempt.Left, left)
+			if left := req.timeout - attempt.At.Sub(sent); attempt.ID == req.id && attempt.Remaining > left+deadlineSlack {
+				t.Errorf("stopped for %v: %s was passed a deadline of %v with %v left", stopped, attempt.Server, attempt.Remaining, left)
 			}
 		}
 	}
--- a/internal/experiment/soakaudit.go
+++ b/internal/experiment/soakaudit.go
@@ -9,11 +9,11 @@
 
 // The limits of the rules, from the documentation (STANDING, the protocol page, S1 to S5).
 const (
-	answerGrace       = 500 * time.Millisecond // an answer this long after its deadline is still accepted
+	answerGrace       = 500 * time.Millisecond // an answer at most this long after its deadline is late but valid; a later one counts as lost
 	leftGrace         = 100 * time.Millisecond // how long after its client has left an attempt may still begin
 	deadlineSlack     = 150 * time.Millisecond // how much more time than is left an attempt may pass on to its server
 	timeSlack         = 50 * time.Millisecond  // added to every time limit for the delay of sockets
-	listPropagation   = 6 * time.Second        // routers know a change this long after discovery works again
+	listPropagation   = 6 * time.Second        // a change of the list is known to all routers this long after discovery answers again
 	reloadPropagation = 4 * time.Second        // or this long after SIGHUP
 	killAfter         = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline, or after minDeadline if that is longer
 	minDeadline       = 3 * time.Second        // see killAfter
@@ -73,6 +73,7 @@
 	return audit.violations
 }
 
+// soakAudit is an audit in progress.
 type soakAudit struct {
 	*soakRecord
 	attempts   map[string][]int // by request ID: indexes into Attempts
@@ -139,8 +140,8 @@
 	for _, index := range audit.attempts[request.ID] {
 		attempt := &audit.Attempts[index]
 		left := request.Wait - attempt.At.Sub(request.Sent)
-		if over := attempt.Left - left - deadlineSlack; over > audit.lag(request.Sent, attempt.At) {
-			audit.addViolation(ruleDeadline, request.ID, "%s was passed a deadline of %v with %v left", attempt.Server, attempt.Left, left)
+		if over := attempt.Remaining - left - deadlineSlack; over > audit.lag(request.Sent, attempt.At) {
+			audit.addViolation(ruleDeadline, request.ID, "%s was passed a deadline of %v with %v left", attempt.Server, attempt.Remaining, left)
 		}
 	}
 }
@@ -166,7 +167,7 @@
 
 // servers checks the counters of the data servers.
 func (audit *soakAudit) servers() {
-	if count := audit.ServerAudit.Doubled; count > 0 {
+	if count := audit.ServerAudit.ConcurrentAttempts; count > 0 {
 		audit.addViolation(ruleConcurrency, "", "%d attempts began while another was open", count)
 	}
 }
@@ -183,7 +184,7 @@
 		requests[request.ID] = request
 	}
 	writes, readPositions := map[string][]write{}, map[string]int64{}
-	for _, execution := range audit.Ran {
+	for _, execution := range audit.Runs {
 		request := requests[execution.ID]
 		if execution.Missed || request == nil || request.Outcome != served {
 			continue
@@ -194,7 +195,7 @@
 			readPositions[execution.ID] = max(readPositions[execution.ID], execution.Pos)
 		}
 	}
-	for _, execution := range audit.Ran {
+	for _, execution := range audit.Runs {
 		position, isRead := readPositions[execution.ID]
 		if !isRead || execution.Missed {
 			continue
--- a/internal/experiment/soakrecord.go
+++ b/internal/experiment/soakrecord.go
@@ -65,7 +65,7 @@
 	Drained     []soakDrained
 	Cold        []soakCold
 	Attempts    []emulator.Attempt
-	Ran         []emulator.Ran
+	Runs        []emulator.Run
 	ServerAudit emulator.Audit
 	Read        map[string]string // from the routers' logs: how each request that they read ended
 	Lags        []soakSpan        // the measuring program itself was delayed
--- a/internal/experiment/soakrun.go
+++ b/internal/experiment/soakrun.go
@@ -108,7 +108,7 @@
 	}
 	for _, attempt := range result.record.Attempts {
 		if attempt.ID == id {
-			fmt.Fprintf(w, "    server %s: came %s, told %v\n", attempt.Server, clockTime(attempt.At), attempt.Left)
+			fmt.Fprintf(w, "    server %s: came %s, told %v\n", attempt.Server, clockTime(attempt.At), attempt.Remaining)
 		}
 	}
 	for number := range result.Plan.Routers {
