--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -1,6 +1,6 @@
-// Package faultinject puts faults between processes: each ordered pair of them is a link of its own, over which datagrams and
-// connections pass through this process and are lost, delayed, cut or spoiled on command. What is drawn follows from a
-// seed, link by link and packet by packet.
+// Package faultinject injects faults between processes, and into processes. Each ordered pair of processes has a link,
+// over which this process forwards datagrams and connections, and can lose, delay, corrupt or cut them. A seed
+// determines the random faults of each packet of each link.
 package faultinject
 
 import (
@@ -16,361 +16,365 @@
 	"time"
 )
 
-// Link is what is wrong between one process and another, in that direction. The zero Link passes all on at once.
+// Link describes the faults of one direction between two processes. The zero Link forwards everything without delay.
 type Link struct {
-	Loss      float64 `json:"loss"`        // of datagrams; over a connection each is a delay, as of a segment sent again
-	Double    float64 `json:"double"`      // datagrams that come twice
-	Reorder   float64 `json:"reorder"`     // datagrams that are overtaken by later ones
-	Garble    float64 `json:"garble"`      // datagrams or pieces of a stream with a byte changed
-	DelayMS   float64 `json:"delay_ms"`    // of each
-	JitterMS  float64 `json:"jitter_ms"`   // and up to so much more
-	BytesPerS float64 `json:"bytes_per_s"` // 0: no bound
-	Cut       bool    `json:"cut"`         // nothing passes, and nobody is told
+	Loss      float64 `json:"loss"`        // share of datagrams that are lost; in a stream, a loss becomes the delay of a retransmission
+	Double    float64 `json:"double"`      // share of datagrams that are delivered twice
+	Reorder   float64 `json:"reorder"`     // share of datagrams that are delayed so that later ones overtake them
+	Garble    float64 `json:"garble"`      // share of datagrams or stream chunks with one changed byte
+	DelayMS   float64 `json:"delay_ms"`    // delay of each datagram or chunk
+	JitterMS  float64 `json:"jitter_ms"`   // maximum additional random delay
+	BytesPerS float64 `json:"bytes_per_s"` // bandwidth; 0: unlimited
+	Cut       bool    `json:"cut"`         // nothing is forwarded, and no error is reported
 	Reset     bool    `json:"reset"`       // connections are reset
-	Stall     bool    `json:"stall"`       // connections are taken and nothing passes
+	Stall     bool    `json:"stall"`       // connections are accepted, and nothing is forwarded
 }
 
 const (
-	maxPackets   = 8192 // datagrams under way in all; more are lost
-	maxQueueTime = time.Second
-	again        = 200 * time.Millisecond // until a lost segment is sent again
-	late         = 20 * time.Millisecond  // what is overtaken comes so much later
-	piece        = 4 << 10                // of a stream
-	dialFor      = time.Second
-	poll         = 20 * time.Millisecond // a stalled or cut stream looks so often whether it may go on
+	maxPackets      = 8192                   // maximum number of delayed datagrams on all links; further ones are lost
+	maxQueueTime    = time.Second            // packets that would wait longer for bandwidth are lost
+	retransmitDelay = 200 * time.Millisecond // delay of a retransmission
+	reorderDelay    = 20 * time.Millisecond  // additional delay of a reordered datagram
+	chunkSize       = 4 << 10                // maximum size of a stream chunk
+	dialTimeout     = time.Second
+	pollInterval    = 20 * time.Millisecond // interval at which a stalled or cut stream checks whether it may continue
 )
 
-// Event is a fault that was set, and when.
+// Event is a change of the faults of a link.
 type Event struct {
 	At       time.Time
 	From, To int
 	Link     Link
 }
 
-// Net is some processes and all links between them. Each process has a loopback address of its own, from which it sends:
-// that tells who sends, whatever it says.
+// Net is a set of processes and the links between them. Each process sends from its own loopback address, which
+// identifies the sender whatever the packet contains.
 type Net struct {
-	seed    uint64
-	mu      sync.Mutex
-	from    map[netip.Addr]int
-	doors   []*proxyAddress
-	links   map[[2]int]*link
-	events  []Event
-	waiting atomic.Int64
-	strange atomic.Uint64
-	closed  chan struct{}
-	all     sync.WaitGroup
+	seed           uint64
+	mu             sync.Mutex
+	senders        map[netip.Addr]int
+	proxies        []*proxyAddress
+	links          map[[2]int]*link
+	events         []Event
+	delayed        atomic.Int64
+	unknownSenders atomic.Uint64
+	closed         chan struct{}
+	workers        sync.WaitGroup
 }
 
+// proxyAddress is an address that other processes use in place of the real one of a process.
 type proxyAddress struct {
-	at   int
-	real netip.AddrPort
-	udp  *net.UDPConn
-	tcp  *net.TCPListener
+	number int
+	real   netip.AddrPort
+	udp    *net.UDPConn
+	tcp    *net.TCPListener
 }
 
-// link is one ordered pair's state.
+// link is the state of the link of an ordered pair of processes.
 type link struct {
-	mu   sync.Mutex
-	now  Link
-	rng  *rand.Rand
-	free time.Time // when the bandwidth is free again
+	mu     sync.Mutex
+	faults Link
+	rng    *rand.Rand
+	sentBy time.Time // when all earlier packets will have been sent
 }
 
 // New returns a net without processes.
 func New(seed uint64) *Net {
-	return &Net{seed: seed, from: map[netip.Addr]int{}, links: map[[2]int]*link{}, closed: make(chan struct{})}
+	return &Net{seed: seed, senders: map[netip.Addr]int{}, links: map[[2]int]*link{}, closed: make(chan struct{})}
 }
 
-// Add puts a process into the net, which listens at an address for datagrams and connections and sends from its host
-// alone. It returns the process's number, and the address that others must use.
-func (n *Net) Add(address netip.AddrPort) (number int, advertised netip.AddrPort, err error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if _, there := n.from[address.Addr()]; there {
+// Add adds a process that listens on an address for datagrams and connections, and sends only from the host of that
+// address. It returns the number of the process and the address that the other processes must use.
+func (network *Net) Add(address netip.AddrPort) (number int, advertised netip.AddrPort, err error) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if _, exists := network.senders[address.Addr()]; exists {
 		return 0, netip.AddrPort{}, fmt.Errorf("fault: two processes send from %s", address.Addr())
 	}
-	d := &proxyAddress{at: len(n.doors), real: address}
-	for range 10 { // the port that one kind got may be taken for the other
-		if d.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+	proxy := &proxyAddress{number: len(network.proxies), real: address}
+	for range 10 { // the port chosen for UDP may be in use for TCP
+		if proxy.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 			return 0, netip.AddrPort{}, fmt.Errorf("fault: %w", err)
 		}
-		advertised = d.udp.LocalAddr().(*net.UDPAddr).AddrPort()
-		if d.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(advertised)); err == nil {
+		advertised = proxy.udp.LocalAddr().(*net.UDPAddr).AddrPort()
+		if proxy.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(advertised)); err == nil {
 			break
 		}
-		d.udp.Close()
+		proxy.udp.Close()
 	}
 	if err != nil {
 		return 0, netip.AddrPort{}, fmt.Errorf("fault: %w", err)
 	}
-	n.from[address.Addr()] = d.at
-	n.doors = append(n.doors, d)
-	n.all.Go(func() { n.datagrams(d) })
-	n.all.Go(func() { n.connections(d) })
-	return d.at, advertised, nil
+	network.senders[address.Addr()] = proxy.number
+	network.proxies = append(network.proxies, proxy)
+	network.workers.Go(func() { network.forwardDatagrams(proxy) })
+	network.workers.Go(func() { network.acceptConnections(proxy) })
+	return proxy.number, advertised, nil
 }
 
-// Set puts a fault on each link from one of some processes to one of others. Both may name all by being empty.
-func (n *Net) Set(from, to []int, l Link) {
-	n.mu.Lock()
-	all := make([]int, len(n.doors))
-	for i := range all {
-		all[i] = i
+// Set sets the faults of each link from one of the processes in from to one in to. An empty list means all processes.
+func (network *Net) Set(from, to []int, faults Link) {
+	network.mu.Lock()
+	all := make([]int, len(network.proxies))
+	for sender := range all {
+		all[sender] = sender
 	}
-	n.mu.Unlock()
+	network.mu.Unlock()
 	if len(from) == 0 {
 		from = all
 	}
 	if len(to) == 0 {
 		to = all
 	}
-	for _, i := range from {
-		for _, j := range to {
-			if i == j {
+	for _, sender := range from {
+		for _, receiver := range to {
+			if sender == receiver {
 				continue
 			}
-			k := n.link(i, j)
-			k.mu.Lock()
-			k.now = l
-			k.mu.Unlock()
-			n.mu.Lock()
-			n.events = append(n.events, Event{time.Now(), i, j, l})
-			n.mu.Unlock()
+			link := network.link(sender, receiver)
+			link.mu.Lock()
+			link.faults = faults
+			link.mu.Unlock()
+			network.mu.Lock()
+			network.events = append(network.events, Event{time.Now(), sender, receiver, faults})
+			network.mu.Unlock()
 		}
 	}
 }
 
-// Events are all faults that were set, in order.
-func (n *Net) Events() []Event {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Clone(n.events)
+// Events returns all changes of faults, in order.
+func (network *Net) Events() []Event {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return slices.Clone(network.events)
 }
 
-// Number tells this net from others of the machine: the port of its first process's door.
-func (n *Net) Number() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(n.doors) == 0 {
+// Number returns a number that no other net on this machine has at the time: the port of the first proxy address.
+func (network *Net) Number() int {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if len(network.proxies) == 0 {
 		return 0
 	}
-	return n.doors[0].udp.LocalAddr().(*net.UDPAddr).Port
+	return network.proxies[0].udp.LocalAddr().(*net.UDPAddr).Port
 }
 
-// Strange counts what came from a host that is no process's.
-func (n *Net) Strange() uint64 { return n.strange.Load() }
+// UnknownSenders returns the number of datagrams and connections from hosts that belong to no process.
+func (network *Net) UnknownSenders() uint64 { return network.unknownSenders.Load() }
 
-// Close ends all links.
-func (n *Net) Close() {
-	close(n.closed)
-	n.mu.Lock()
-	for _, d := range n.doors {
-		d.udp.Close()
-		d.tcp.Close()
+// Close closes all links and waits until they have ended.
+func (network *Net) Close() {
+	close(network.closed)
+	network.mu.Lock()
+	for _, proxy := range network.proxies {
+		proxy.udp.Close()
+		proxy.tcp.Close()
 	}
-	n.mu.Unlock()
-	n.all.Wait()
+	network.mu.Unlock()
+	network.workers.Wait()
 }
 
-func (n *Net) link(from, to int) *link {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	k := n.links[[2]int{from, to}]
-	if k == nil {
-		k = &link{rng: rand.New(rand.NewPCG(n.seed, uint64(from)<<32|uint64(to)))}
-		n.links[[2]int{from, to}] = k
+// link returns the link from one process to another.
+func (network *Net) link(from, to int) *link {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	entry := network.links[[2]int{from, to}]
+	if entry == nil {
+		entry = &link{rng: rand.New(rand.NewPCG(network.seed, uint64(from)<<32|uint64(to)))}
+		network.links[[2]int{from, to}] = entry
 	}
-	return k
+	return entry
 }
 
-// sender is who sends from a host.
-func (n *Net) sender(host netip.Addr) (int, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	i, ok := n.from[host.Unmap()]
+// sender returns the process that sends from a host.
+func (network *Net) sender(host netip.Addr) (int, bool) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	number, ok := network.senders[host.Unmap()]
 	if !ok {
-		n.strange.Add(1)
+		network.unknownSenders.Add(1)
 	}
-	return i, ok
+	return number, ok
 }
 
-// set is what is wrong now.
-func (k *link) set() Link {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.now
+// currentFaults returns the current faults of the link.
+func (link *link) currentFaults() Link {
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	return link.faults
 }
 
-// packetFault is the fault drawn for one datagram or one piece of a stream.
+// packetFault is the fault drawn for one datagram or one chunk of a stream.
 type packetFault struct {
 	lost   bool
 	copies int
-	wait   time.Duration
-	garble int // which byte is changed; -1: none
+	delay  time.Duration
+	garble int // index of the byte to change; -1: none
 }
 
-// draw always draws as often, so that a fault that is set does not move what is drawn for later packets.
-func (k *link) draw(size int) packetFault {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	l := k.now
-	loss, double, reorder, garble, jitter, at := k.rng.Float64(), k.rng.Float64(), k.rng.Float64(), k.rng.Float64(), k.rng.Float64(), k.rng.IntN(max(size, 1))
-	f := packetFault{lost: l.Cut || loss < l.Loss, copies: 1, garble: -1, wait: time.Duration((l.DelayMS + jitter*l.JitterMS) * float64(time.Millisecond))}
-	if double < l.Double {
-		f.copies = 2
+// draw draws the faults of a packet. It always draws the same number of random numbers, so that a change of faults does
+// not affect the random numbers of later packets.
+func (link *link) draw(size int) packetFault {
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	faults := link.faults
+	loss, double, reorder, garble, jitter, index := link.rng.Float64(), link.rng.Float64(), link.rng.Float64(), link.rng.Float64(), link.rng.Float64(), link.rng.IntN(max(size, 1))
+	drawn := packetFault{lost: faults.Cut || loss < faults.Loss, copies: 1, garble: -1, delay: time.Duration((faults.DelayMS + jitter*faults.JitterMS) * float64(time.Millisecond))}
+	if double < faults.Double {
+		drawn.copies = 2
 	}
-	if reorder < l.Reorder {
-		f.wait += late
+	if reorder < faults.Reorder {
+		drawn.delay += reorderDelay
 	}
-	if garble < l.Garble {
-		f.garble = at
+	if garble < faults.Garble {
+		drawn.garble = index
 	}
-	if l.BytesPerS > 0 {
+	if faults.BytesPerS > 0 {
 		now := time.Now()
-		k.free = k.free.Add(max(0, now.Sub(k.free))).Add(time.Duration(float64(size) / l.BytesPerS * float64(time.Second)))
-		queue := k.free.Sub(now)
-		f.wait += queue
-		f.lost = f.lost || queue > maxQueueTime
+		link.sentBy = link.sentBy.Add(max(0, now.Sub(link.sentBy))).Add(time.Duration(float64(size) / faults.BytesPerS * float64(time.Second)))
+		queue := link.sentBy.Sub(now)
+		drawn.delay += queue
+		drawn.lost = drawn.lost || queue > maxQueueTime
 	}
-	return f
+	return drawn
 }
 
-// datagrams passes on what comes for one process.
-func (n *Net) datagrams(d *proxyAddress) {
-	buf := make([]byte, 64<<10)
+// forwardDatagrams forwards the datagrams to a process.
+func (network *Net) forwardDatagrams(proxy *proxyAddress) {
+	buffer := make([]byte, 64<<10)
 	for {
-		size, src, err := d.udp.ReadFromUDPAddrPort(buf)
+		size, source, err := proxy.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		i, ok := n.sender(src.Addr())
+		sender, ok := network.sender(source.Addr())
 		if !ok {
 			continue
 		}
-		f := n.link(i, d.at).draw(size)
-		if f.lost || n.waiting.Load() >= maxPackets {
+		fault := network.link(sender, proxy.number).draw(size)
+		if fault.lost || network.delayed.Load() >= maxPackets {
 			continue
 		}
-		raw := slices.Clone(buf[:size])
-		if f.garble >= 0 && size > 0 {
-			raw[f.garble] ^= 0x5a
+		raw := slices.Clone(buffer[:size])
+		if fault.garble >= 0 && size > 0 {
+			raw[fault.garble] ^= 0x5a
 		}
-		for range f.copies {
-			if f.wait <= 0 {
-				_, _ = d.udp.WriteToUDPAddrPort(raw, d.real)
+		for range fault.copies {
+			if fault.delay <= 0 {
+				_, _ = proxy.udp.WriteToUDPAddrPort(raw, proxy.real)
 				continue
 			}
-			n.waiting.Add(1)
-			time.AfterFunc(f.wait, func() {
-				n.waiting.Add(-1)
-				_, _ = d.udp.WriteToUDPAddrPort(raw, d.real)
+			network.delayed.Add(1)
+			time.AfterFunc(fault.delay, func() {
+				network.delayed.Add(-1)
+				_, _ = proxy.udp.WriteToUDPAddrPort(raw, proxy.real)
 			})
 		}
 	}
 }
 
-// connections passes on the streams to one process.
-func (n *Net) connections(d *proxyAddress) {
+// acceptConnections forwards the connections to a process.
+func (network *Net) acceptConnections(proxy *proxyAddress) {
 	for {
-		conn, err := d.tcp.AcceptTCP()
+		conn, err := proxy.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(poll)
+			time.Sleep(pollInterval)
 			continue
 		}
-		i, ok := n.sender(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
+		sender, ok := network.sender(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
 		if !ok {
 			conn.Close()
 			continue
 		}
-		n.all.Go(func() { n.stream(conn, i, d) })
+		network.workers.Go(func() { network.forwardStream(conn, sender, proxy) })
 	}
 }
 
-// stream joins two connections, in each direction over that direction's link.
-func (n *Net) stream(in *net.TCPConn, from int, d *proxyAddress) {
-	defer in.Close()
-	there, back := n.link(from, d.at), n.link(d.at, from)
-	if there.set().Reset {
-		in.SetLinger(0)
+// forwardStream forwards a connection in both directions, each over its link.
+func (network *Net) forwardStream(client *net.TCPConn, from int, proxy *proxyAddress) {
+	defer client.Close()
+	forth, back := network.link(from, proxy.number), network.link(proxy.number, from)
+	if forth.currentFaults().Reset {
+		client.SetLinger(0)
 		return
 	}
-	if !n.passable(there, back) { // no connection comes about; whoever waits gives up by himself
+	if !network.awaitPassable(forth, back) { // the net was closed before the link could carry a connection
 		return
 	}
-	conn, err := (&net.Dialer{Timeout: dialFor}).Dial("tcp", d.real.String())
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).Dial("tcp", proxy.real.String())
 	if err != nil {
-		in.SetLinger(0)
+		client.SetLinger(0)
 		return
 	}
-	out := conn.(*net.TCPConn)
-	defer out.Close()
+	server := conn.(*net.TCPConn)
+	defer server.Close()
 	stop := make(chan struct{})
-	go func() { // the net's end ends all
+	go func() { // closes the connections when the net is closed
 		select {
-		case <-n.closed:
-			in.Close()
-			out.Close()
+		case <-network.closed:
+			client.Close()
+			server.Close()
 		case <-stop:
 		}
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { n.pass(out, in, there) })
-	both.Go(func() { n.pass(in, out, back) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { network.forward(server, client, forth) })
+	directions.Go(func() { network.forward(client, server, back) })
+	directions.Wait()
 	close(stop)
 }
 
-// passable waits until neither direction is cut or stalled: a handshake needs both.
-func (n *Net) passable(links ...*link) bool {
+// awaitPassable waits until none of the links is cut or stalled; a handshake needs both directions. It returns false if
+// the net is closed meanwhile.
+func (network *Net) awaitPassable(links ...*link) bool {
 	for {
-		free := true
-		for _, k := range links {
-			l := k.set()
-			free = free && !l.Cut && !l.Stall
+		passable := true
+		for _, link := range links {
+			faults := link.currentFaults()
+			passable = passable && !faults.Cut && !faults.Stall
 		}
-		if free {
+		if passable {
 			return true
 		}
 		select {
-		case <-n.closed:
+		case <-network.closed:
 			return false
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// pass copies one direction, piece by piece.
-func (n *Net) pass(to, from *net.TCPConn, k *link) {
-	buf := make([]byte, piece)
+// forward forwards one direction of a stream, chunk by chunk.
+func (network *Net) forward(to, from *net.TCPConn, link *link) {
+	buffer := make([]byte, chunkSize)
 	for {
-		size, err := from.Read(buf)
+		size, err := from.Read(buffer)
 		if size > 0 {
-			f, l := k.draw(size), k.set()
-			if l.Reset {
+			fault, faults := link.draw(size), link.currentFaults()
+			if faults.Reset {
 				to.SetLinger(0)
 				from.SetLinger(0)
 				to.Close()
 				from.Close()
 				return
 			}
-			if f.garble >= 0 {
-				buf[f.garble] ^= 0x5a
+			if fault.garble >= 0 {
+				buffer[fault.garble] ^= 0x5a
 			}
-			if f.lost && !l.Cut {
-				f.wait += again
+			if fault.lost && !faults.Cut {
+				fault.delay += retransmitDelay
 			}
-			time.Sleep(f.wait)
-			if !n.passable(k) {
+			time.Sleep(fault.delay)
+			if !network.awaitPassable(link) {
 				return
 			}
-			if _, err := to.Write(buf[:size]); err != nil {
+			if _, err := to.Write(buffer[:size]); err != nil {
 				return
 			}
 		}
--- a/internal/faultinject/faultinject_test.go
+++ b/internal/faultinject/faultinject_test.go
@@ -10,72 +10,74 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// two are processes that send from addresses of their own; the second one's door is returned.
-func two(t *testing.T, n *Net) (from *net.UDPConn, at *net.UDPConn, ln *net.TCPListener, door netip.AddrPort) {
+// openPair adds two processes to a net and returns their sockets and the address of the second one that others must
+// use.
+func openPair(t *testing.T, network *Net) (from *net.UDPConn, to *net.UDPConn, listener *net.TCPListener, advertised netip.AddrPort) {
 	t.Helper()
 	open := func(host string) (*net.UDPConn, *net.TCPListener) {
 		for {
-			u, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
+			udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(u.LocalAddr().(*net.UDPAddr).AddrPort()))
+			tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(udp.LocalAddr().(*net.UDPAddr).AddrPort()))
 			if err == nil {
-				t.Cleanup(func() { u.Close(); l.Close() })
-				return u, l
+				t.Cleanup(func() { udp.Close(); tcp.Close() })
+				return udp, tcp
 			}
-			u.Close()
+			udp.Close()
 		}
 	}
 	from, _ = open("127.78.0.1")
-	at, ln = open("127.78.0.2")
-	t.Cleanup(n.Close)
-	for _, u := range []*net.UDPConn{from, at} {
-		_, out, err := n.Add(u.LocalAddr().(*net.UDPAddr).AddrPort())
+	to, listener = open("127.78.0.2")
+	t.Cleanup(network.Close)
+	for _, udp := range []*net.UDPConn{from, to} {
+		_, address, err := network.Add(udp.LocalAddr().(*net.UDPAddr).AddrPort())
 		if err != nil {
 			t.Fatal(err)
 		}
-		door = out
+		advertised = address
 	}
-	return from, at, ln, door
+	return from, to, listener, advertised
 }
 
-// passed sends so many datagrams and returns which arrived, in order; the last one, which nothing happens to, ends it.
-func passed(t *testing.T, n *Net, from, at *net.UDPConn, door netip.AddrPort, l Link, count int) []byte {
+// sendDatagrams sends datagrams over a link and returns the numbers of those that arrived, in order. A last one, sent
+// without faults, marks the end.
+func sendDatagrams(t *testing.T, network *Net, from, to *net.UDPConn, advertised netip.AddrPort, faults Link, count int) []byte {
 	t.Helper()
-	n.Set([]int{0}, []int{1}, l)
-	buf, got := make([]byte, 100), []byte{}
-	for i := range count + 1 {
-		if i == count {
-			time.Sleep(100 * time.Millisecond) // what is late comes before it
-			n.Set(nil, nil, Link{})
+	network.Set([]int{0}, []int{1}, faults)
+	buffer, received := make([]byte, 100), []byte{}
+	for number := range count + 1 {
+		if number == count {
+			time.Sleep(100 * time.Millisecond) // delayed datagrams arrive before the last one
+			network.Set(nil, nil, Link{})
 		}
-		if _, err := from.WriteToUDPAddrPort([]byte{byte(i)}, door); err != nil {
+		if _, err := from.WriteToUDPAddrPort([]byte{byte(number)}, advertised); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // datagrams keep their order
+		time.Sleep(time.Millisecond) // keeps the datagrams in order
 	}
-	_ = at.SetReadDeadline(time.Now().Add(20 * time.Second)) // what follows shows it
+	_ = to.SetReadDeadline(time.Now().Add(20 * time.Second)) // a failure shows in the next read
 	for {
-		_, _, err := at.ReadFromUDP(buf)
+		_, _, err := to.ReadFromUDP(buffer)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if buf[0] == byte(count) {
-			return got
+		if buffer[0] == byte(count) {
+			return received
 		}
-		got = append(got, buf[0])
+		received = append(received, buffer[0])
 	}
 }
 
 func TestDatagrams(t *testing.T) {
 	var runs [2][]byte
-	for i := range runs { // the same seed, the same faults
-		n := New(7)
-		from, at, _, door := two(t, n)
-		runs[i] = passed(t, n, from, at, door, Link{Loss: 0.3}, 100)
-		if got := passed(t, n, from, at, door, Link{Cut: true}, 5); len(got) > 0 {
-			t.Errorf("%v passed a cut", got)
+	for index := range runs { // equal seeds must cause equal faults
+		network := New(7)
+		from, to, _, advertised := openPair(t, network)
+		runs[index] = sendDatagrams(t, network, from, to, advertised, Link{Loss: 0.3}, 100)
+		if got := sendDatagrams(t, network, from, to, advertised, Link{Cut: true}, 5); len(got) > 0 {
+			t.Errorf("%v passed a cut link", got)
 		}
 	}
 	if diff := cmp.Diff(runs[0], runs[1]); diff != "" || len(runs[0]) < 50 || len(runs[0]) > 90 {
@@ -83,55 +85,56 @@
 	}
 }
 
-// A stream over a stalled link waits and then goes on whole; over a reset one it breaks; who is no process does not pass.
+// TestStreams checks that a stream over a stalled link continues completely after the stall, that a reset link breaks
+// it, and that a connection from a host that belongs to no process is not forwarded.
 func TestStreams(t *testing.T) {
-	n := New(1)
-	from, _, ln, door := two(t, n)
+	network := New(1)
+	from, _, listener, advertised := openPair(t, network)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(c, c) }() // up to its end
+			go func() { _, _ = io.Copy(conn, conn) }() // until the end of the stream
 		}
 	}()
 	dial := func(host net.IP) net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: host}, Timeout: 10 * time.Second}
-		c, err := d.Dial("tcp", door.String())
+		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: host}, Timeout: 10 * time.Second}
+		conn, err := dialer.Dial("tcp", advertised.String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		t.Cleanup(func() { c.Close() })
-		return c
+		conn.SetDeadline(time.Now().Add(20 * time.Second))
+		t.Cleanup(func() { conn.Close() })
+		return conn
 	}
-	echo := func(c net.Conn, text string) error {
-		if _, err := c.Write([]byte(text)); err != nil {
+	echo := func(conn net.Conn, text string) error {
+		if _, err := conn.Write([]byte(text)); err != nil {
 			return err
 		}
-		_, err := io.ReadFull(c, make([]byte, len(text)))
+		_, err := io.ReadFull(conn, make([]byte, len(text)))
 		return err
 	}
 	host := from.LocalAddr().(*net.UDPAddr).IP
-	c := dial(host)
-	if err := echo(c, "one"); err != nil {
+	conn := dial(host)
+	if err := echo(conn, "one"); err != nil {
 		t.Fatal(err)
 	}
-	n.Set([]int{0}, []int{1}, Link{Stall: true})
-	time.AfterFunc(200*time.Millisecond, func() { n.Set(nil, nil, Link{}) })
-	if err := echo(c, "two"); err != nil {
+	network.Set([]int{0}, []int{1}, Link{Stall: true})
+	time.AfterFunc(200*time.Millisecond, func() { network.Set(nil, nil, Link{}) })
+	if err := echo(conn, "two"); err != nil {
 		t.Error(err)
 	}
-	n.Set(nil, nil, Link{Reset: true})
-	if err := echo(c, "three"); err == nil {
-		t.Error("passed a link that resets")
+	network.Set(nil, nil, Link{Reset: true})
+	if err := echo(conn, "three"); err == nil {
+		t.Error("the stream passed a link that resets connections")
 	}
-	n.Set(nil, nil, Link{})
-	if err := echo(dial(net.IPv4(127, 78, 0, 9)), "who"); err == nil || n.Strange() != 1 {
-		t.Error("a stranger passed")
+	network.Set(nil, nil, Link{})
+	if err := echo(dial(net.IPv4(127, 78, 0, 9)), "who"); err == nil || network.UnknownSenders() != 1 {
+		t.Error("a connection from an unknown host was forwarded")
 	}
-	if len(n.Events()) != 1+2+2+2 {
-		t.Errorf("%d faults recorded", len(n.Events()))
+	if len(network.Events()) != 1+2+2+2 {
+		t.Errorf("%d faults recorded", len(network.Events()))
 	}
 }
--- a/internal/faultinject/process.go
+++ b/internal/faultinject/process.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-const turn = 100 * time.Millisecond
+const throttlePeriod = 100 * time.Millisecond // period of the stops of a throttled process
 
-// signal signals a process that may have ended.
-func signal(pid int, s syscall.Signal) { _ = syscall.Kill(pid, s) }
+// signal sends a signal to a process, which may have ended.
+func signal(pid int, sig syscall.Signal) { _ = syscall.Kill(pid, sig) }
 
 // Pause stops a process until the returned function is called.
 func Pause(pid int) (resume func()) {
@@ -17,23 +17,23 @@
 	return sync.OnceFunc(func() { signal(pid, syscall.SIGCONT) })
 }
 
-// Throttle lets a process run for such a share of each tenth of a second only, until the returned function is called.
+// Throttle lets a process run only for a share of every 100 ms, until the returned function is called.
 func Throttle(pid int, share float64) (free func()) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		on := time.Duration(share * float64(turn))
+		running := time.Duration(share * float64(throttlePeriod))
 		for {
 			signal(pid, syscall.SIGSTOP)
 			select {
 			case <-stop:
-			case <-time.After(turn - on):
+			case <-time.After(throttlePeriod - running):
 			}
 			signal(pid, syscall.SIGCONT)
 			select {
 			case <-stop:
 				return
-			case <-time.After(on):
+			case <-time.After(running):
 			}
 		}
 	}()
