--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -57,7 +57,8 @@
 func routerName(number int) string { return fmt.Sprintf("n%d", number) }
 
 // newMemberCluster prepares the cluster of an arm, or returns nil if the arm has none. Each router gets a loopback
-// address that it listens on and a second one, the entrance of the simulated links, that it advertises to the others.
+// address that it listens on and a second one, where the simulated links receive
+// messages for it, that it advertises to the others.
 func newMemberCluster(experiment *Experiment, arm *Arm, dir string, seed uint64, runNumber uint32) (cluster *memberCluster, err error) {
 	raw := experiment.Routers.Members
 	if arm.Members != nil {
@@ -118,8 +119,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", first+os.Getpid()%64, runNumber%250, 1+router%250)
 }
 
-// freeAddress returns a port of a host that is free for both UDP and TCP. The port is fixed in advance because a router
-// that restarts must listen on the same one.
+// freeAddress returns an address on a host with a port that is free for both UDP and TCP. The port is fixed in advance
+// because a router that restarts must listen on the same one.
 func freeAddress(host string) (netip.AddrPort, error) {
 	for range 20 {
 		listener, err := net.Listen("tcp", host+":0")
@@ -137,11 +138,11 @@
 	return netip.AddrPort{}, fmt.Errorf("no port of %s is free", host)
 }
 
-// settings returns the settings of one router: own, with the "members" part added.
-func (cluster *memberCluster) settings(own jsoniter.RawMessage, number int) (jsoniter.RawMessage, error) {
-	all := map[string]any{}
-	if own != nil && string(own) != "null" {
-		if err := jsoniter.Unmarshal(own, &all); err != nil {
+// settings returns the settings of one router: base, with the "members" part added.
+func (cluster *memberCluster) settings(base jsoniter.RawMessage, number int) (jsoniter.RawMessage, error) {
+	fields := map[string]any{}
+	if base != nil && string(base) != "null" {
+		if err := jsoniter.Unmarshal(base, &fields); err != nil {
 			return nil, fmt.Errorf("own: %w", err)
 		}
 	}
@@ -151,8 +152,8 @@
 			section[location[0]] = filepath.Join(cluster.dir, location[1])
 		}
 	}
-	all["members"] = cluster.members
-	raw, err := jsoniter.Marshal(all)
+	fields["members"] = cluster.members
+	raw, err := jsoniter.Marshal(fields)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -38,7 +38,7 @@
 	startMB           float64
 	maxMemoryMB       float64
 	cpu               time.Duration
-	crashed           string // how it ended without having been told to; "": it did not
+	crashed           string // how it ended unexpectedly; "": it did not
 	log               *os.File
 	mu                sync.Mutex
 	killed, stopping  bool
@@ -249,7 +249,7 @@
 	}
 }
 
-// reload has the router reload its settings file, replaced by settings unless that is nil.
+// reload makes the router reload its settings. Non-nil settings first replace the content of its settings file.
 func (router *process) reload(settings jsoniter.RawMessage) error {
 	if settings != nil && router.settingsFile != "" {
 		if err := os.WriteFile(router.settingsFile, settings, 0o644); err != nil {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,7 +20,7 @@
 	Seed     uint64
 	Dir      string                                      // directory of the results
 	Build    string                                      // path of the router program
-	Progress func(arm string, done, whole time.Duration) // reports progress; may be nil
+	Progress func(arm string, done, total time.Duration) // reports progress; may be nil
 }
 
 // Run runs the arms one after the other. Failures of routers are in the result; an error means that the experiment
--- a/internal/experiment/soakrecord.go
+++ b/internal/experiment/soakrecord.go
@@ -26,11 +26,11 @@
 // soakProcess is one process of a router.
 type soakProcess struct {
 	Router            int
-	Started, Ready    time.Time // zero Ready: it never was ready
+	Started, Ready    time.Time // zero Ready: it never became ready
 	Term              time.Time // time of the first SIGTERM; zero: none
 	TermWhileStarting bool      // SIGTERM was sent while it was starting
 	Ended             time.Time
-	Killed            bool // by SIGKILL, as it had not ended at the earliest time for that
+	Killed            bool // by SIGKILL, as it had not ended in time after SIGTERM
 	Err               string
 	BaseFDs, IdleFDs  int // descriptors in use before the clients connect and after they have left; 0: not measured
 	MaxMemoryMB       float64
