--- a/cmd/routerctl/main.go
+++ b/cmd/routerctl/main.go
@@ -112,7 +112,7 @@
 		return runSoak(ctx, cmd, config, options)
 	}
 	if status, err := os.Stderr.Stat(); err == nil && status.Mode()&os.ModeCharDevice != 0 {
-		options.Tell = func(arm string, done, whole time.Duration) {
+		options.Progress = func(arm string, done, whole time.Duration) {
 			filled := int(30 * done / max(whole, 1))
 			fmt.Fprintf(os.Stderr, "\r%-16s [%s%s] %3.0f of %.0f s ", arm, strings.Repeat("=", filled), strings.Repeat(" ", 30-filled), done.Seconds(), whole.Seconds())
 			if done >= whole {
@@ -145,7 +145,7 @@
 // runSoak runs one or more seeds of a soak and prints a row for each.
 func runSoak(ctx context.Context, cmd *cli.Command, config *experiment.Experiment, options experiment.Options) error {
 	const maxShorteningRuns = 12
-	fmt.Println(experiment.SoakHead)
+	fmt.Println(experiment.SoakTableHeader)
 	failed := 0
 	dir := options.Dir
 	for i := range max(cmd.Uint64("seeds"), 1) {
@@ -155,7 +155,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", options.Seed, err)
 		}
-		fmt.Println(result.Row())
+		fmt.Println(result.TableRow())
 		if err := result.Write(options.Dir); err != nil {
 			return err
 		}
