--- a/policy/contract/account.go
+++ b/policy/contract/account.go
@@ -9,11 +9,11 @@
 	Served      uint64
 	InObjective uint64  // served within the latency objective
 	Rejected    uint64  // by the router after their admission
-	Failed      uint64  // not answered, and may have run
-	Weight      float64 // sum of the priority weights of the requests in InObjective
+	Failed      uint64  // without an answer although they may have run
+	Weight      float64 // sum of the priority weights of the requests counted by InObjective
 }
 
-// Accounts calls each with every team and class that has received a request.
+// Accounts calls each for every team and class that has received a request.
 func (ledger *Ledger) Accounts(each func(team, class string, account Account)) {
 	for team := range ledger.teams {
 		for class := range ledger.teams[team].classes {
@@ -24,7 +24,7 @@
 	}
 }
 
-// teamUsage is how much of its contract one team uses.
+// teamUsage records how much of its contract one team uses.
 type teamUsage struct {
 	classes     []classUsage
 	retryBudget tokenBucket
@@ -33,13 +33,13 @@
 
 type classUsage struct {
 	budget     tokenBucket
-	guaranteed tokenBucket // refilled at this router's load share of the rate; a request beyond it has low priority
+	guaranteed tokenBucket // refilled at this router's share of the rate by load; requests beyond it have low priority
 	Account
 }
 
-// RequestEnded processes the end of an admitted request; lowPriority is its verdict's LowPriority. Only requests
-// without low priority are samples of the group's latency. The key of a write that may have run is stored, so that a
-// retry with this key is admitted.
+// RequestEnded processes the end of an admitted request; lowPriority repeats LowPriority of the verdict that admitted
+// it. Only requests without low priority count for the pressure on the group. The idempotency key of a write that may
+// have run is stored, so that a retry with the same key is admitted.
 func (ledger *Ledger) RequestEnded(request Request, lowPriority bool, outcome Outcome, now clock.Nanos) {
 	if request.Class < 0 || request.Class >= len(ledger.settings.Classes) {
 		return
--- a/policy/contract/borrow.go
+++ b/policy/contract/borrow.go
@@ -7,8 +7,9 @@
 	"lotushook/policy/clock"
 )
 
-// borrowOrQueue decides on a low-priority request: it is admitted if the window has capacity, and otherwise queued.
-// If the full queue displaces the request itself, its verdict stays a rejection.
+// borrowOrQueue decides on a low-priority request and updates its verdict. The request is admitted at once if the
+// window, which limits the open low-priority requests, has capacity; otherwise it is queued. If the queue is full and
+// drops this request instead of another one, the verdict stays a rejection.
 func (ledger *Ledger) borrowOrQueue(request Request, team *Team, verdict *Verdict, now clock.Nanos) {
 	pressure, objective := ledger.pressureFor(request, now), ledger.settings.Classes[request.Class].LatencyObjective
 	withinContract := verdict.Reason == Within
@@ -22,7 +23,7 @@
 	}
 	expiresAt := now + objective/2
 	if request.Deadline > 0 {
-		// A rejection after half of the client's time limit is penalized; 2/5 leaves a margin.
+		// A rejection after half of the time until the client's deadline is penalized; 2/5 leaves a margin.
 		expiresAt = min(expiresAt, now+(request.Deadline-now)*2/5)
 	}
 	displaced := pressure.enqueue(queuedRequest{Request: request, rejection: *verdict, expiresAt: expiresAt,
@@ -61,9 +62,9 @@
 	}
 }
 
-// DecideQueued returns the decisions that are now due on queued requests: a request is admitted if the window has
-// capacity, and rejected when it expires in the queue, unless its contract covers it; then it is admitted on expiry.
-// It should be called after each end of a request, and a few times a second while any are queued.
+// DecideQueued returns the decisions that are now due on queued requests. A request is admitted once the window has
+// capacity for it. If it expires in the queue before that, it is admitted if its contract covers it, and otherwise
+// rejected. DecideQueued should be called whenever a request ends, and a few times a second while requests are queued.
 func (ledger *Ledger) DecideQueued(now clock.Nanos) []QueuedVerdict {
 	if len(ledger.queued) == 0 {
 		return nil
@@ -110,8 +111,8 @@
 	return true
 }
 
-// rolesWithQueues returns the group roles with queued requests, by group and the primary first. The next call
-// overwrites the result.
+// rolesWithQueues returns the group roles that have queued requests, sorted by group, each group's primary before its
+// replicas. The next call overwrites the returned slice.
 func (ledger *Ledger) rolesWithQueues() []groupRole {
 	ledger.roleBuffer = ledger.roleBuffer[:0]
 	for role, pressure := range ledger.pressures {
--- a/policy/contract/check.go
+++ b/policy/contract/check.go
@@ -9,14 +9,14 @@
 type Capacity struct {
 	Groups               int
 	PrimaryWorkPerSecond float64 // work units a primary does in a second
-	PromisableShare      float64 // share of a primary's work that contracts may promise
+	PromisableShare      float64 // share of a primary's work per second that all contracts together may promise
 }
 
-// Finding describes a problem of the contracts, and its path in the settings.
+// Finding describes a problem in the contracts, and the path of the setting that causes it.
 type Finding struct{ Path, Text string }
 
-// CheckCapacity compares the contracts with a fleet's capacity. Each finding is a promise that can't be kept, or one
-// that no client can use. Contracts with findings are still valid.
+// CheckCapacity compares the contracts with the capacity of a fleet. Each finding is a promise that the fleet can't
+// keep, or that no client can use. Contracts with findings are still valid.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (settings *Settings) CheckCapacity(capacity Capacity) []Finding {
--- a/policy/contract/contract_test.go
+++ b/policy/contract/contract_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Requests beyond a contract borrow unused capacity while latency is low. Under pressure, they are rejected with the
-// limit and a Retry-After time after which a retry is admitted.
+// Requests beyond a contract borrow unused capacity while latency is low. Under pressure, they are rejected, and the
+// verdict names the limit that was reached and a Retry-After time after which a retry is admitted.
 func TestBorrowedCapacity(t *testing.T) {
 	settings := testSettings()
 	settings.Teams[0].MaxOpen = 0
@@ -149,13 +149,13 @@
 	}
 }
 
-// A team gets back within a second the capacity that others borrowed, and is never rejected within its contract,
-// however loaded the primary was when the team's requests arrived.
+// Capacity that other teams borrowed returns within a second to the team whose contract covers it. That team's
+// requests within its contract are never rejected, however loaded the primary is when they arrive.
 func TestLentCapacityIsReclaimed(t *testing.T) {
 	ledger := newTestLedger(t, testSettings())
 	now := testStart
-	lent := [4]int{}     // by second
-	for i := range 400 { // for 4 s, the team "lending" sends all that it can
+	lent := [4]int{}     // borrowed requests admitted in each second
+	for i := range 400 { // for 4 s, the team "lending" sends as many requests as it can
 		for range 3 {
 			borrower := withNewID(Request{Team: 0, Class: writeClass, Group: 1, Deadline: now + 4*second})
 			verdict := ledger.Admit(borrower, now)
@@ -489,7 +489,7 @@
 	}
 }
 
-// A decision costs the same with ten teams as with ten thousand.
+// A decision takes as long with ten thousand teams as with ten.
 func BenchmarkAdmit(b *testing.B) {
 	for _, teams := range []int{10, 1000, 10000} {
 		settings := testSettings()
--- a/policy/contract/fair.go
+++ b/policy/contract/fair.go
@@ -13,9 +13,9 @@
 	Index  int // identifies the request to the caller
 }
 
-// Order sorts a batch into the order in which its requests are decided: those within contracts before the borrowed
-// ones, and each of these by weighted fair queueing over the teams, independent of how many requests a team sends. A
-// team that exceeded its share in earlier calls comes after the others (start-time fair queueing).
+// Order sorts a batch into the order in which its requests are to be decided: requests within contracts come before
+// borrowed ones. Within each of these two parts, start-time fair queueing gives the teams turns by their weights,
+// however many requests each sends. A team that had more than its share in earlier calls comes after the others.
 func (ledger *Ledger) Order(batch []BatchedRequest) {
 	if len(batch) < 2 {
 		return
@@ -52,7 +52,7 @@
 	}
 	copy(batch, sorted)
 	ledger.virtualTime = slices.Min(starts)
-	for team, finish := range ledger.finishTimes { // a team that is not ahead of the others needs no entry
+	for team, finish := range ledger.finishTimes { // a team that has not had more than its share needs no entry
 		if finish <= ledger.virtualTime {
 			delete(ledger.finishTimes, team)
 		}
--- a/policy/contract/ledger.go
+++ b/policy/contract/ledger.go
@@ -7,9 +7,10 @@
 	"lotushook/policy/clock"
 )
 
-// Ledger tracks the teams' usage and decides on requests. It is not safe for concurrent use. It stores a budget for
-// each team and class, at most Settings.MaxKeys keys, and at most Settings.MaxGroupEntries each of the teams' budgets
-// at primaries, of the groups' observed loads, and of pressures without open or queued requests.
+// Ledger tracks the teams' usage and decides on requests. It is not safe for concurrent use. Its size is bounded: it
+// stores one budget per team and class, at most Settings.MaxKeys idempotency keys, and at most
+// Settings.MaxGroupEntries entries each for the teams' budgets at primaries, for the groups' observed loads, and for
+// pressures without open or queued requests.
 type Ledger struct {
 	settings       Settings
 	random         *rand.Rand
@@ -19,8 +20,8 @@
 	pressures      map[groupRole]*groupPressure
 	loads          map[int64]*observedLoad
 	totalLoad      observedLoad           // over all groups
-	minLoadShare   float64                // share of the load that this router is assumed to see at least; 0: 1/Routers
-	recentKeys     map[string]clock.Nanos // of writes that may have run: when the last attempt ended
+	minLoadShare   float64                // min share of the load that this router is assumed to receive; 0: 1/Routers
+	recentKeys     map[string]clock.Nanos // by key of a write that may have run: when its last attempt ended
 	keyOrder       []string               // the keys of recentKeys, the oldest first
 	finishTimes    map[int]float64        // virtual finish times of Order's fair queueing, by team
 	virtualTime    float64                // of Order's fair queueing
@@ -45,8 +46,8 @@
 	return ledger, nil
 }
 
-// UpdateSettings replaces the contracts in one step. A team whose name stays retains its usage, and its open requests
-// stay open under the terms that admitted them. On an error, the old contracts stay in force.
+// UpdateSettings replaces the contracts in one step. A team that the new contracts also name retains its usage, and
+// its open requests are not decided again. On an error, the old contracts stay in force.
 func (ledger *Ledger) UpdateSettings(settings Settings) error {
 	if err := settings.Check(); err != nil {
 		return fmt.Errorf("contracts: %w", err)
@@ -112,7 +113,7 @@
 	return ledger.settings.Teams[team].Name
 }
 
-// hoursFactor returns the factor on a team's limits at this time of the week.
+// hoursFactor returns the factor by which a team's limits are multiplied at this time of the week.
 func (ledger *Ledger) hoursFactor(team *Team, now clock.Nanos) float64 {
 	if len(team.Hours) == 0 {
 		return 1
@@ -127,7 +128,7 @@
 	return factor
 }
 
-// Admit decides on a new request. One that is admitted or queued is open until RequestEnded.
+// Admit decides on a new request. An admitted or queued request is open until RequestEnded is called for it.
 func (ledger *Ledger) Admit(request Request, now clock.Nanos) Verdict {
 	if request.Team < 0 || request.Team >= len(ledger.teams) {
 		return Verdict{Reason: UnknownTeam}
@@ -167,7 +168,7 @@
 	rate, burst := limit.PerSecond*factor*contractShare, max(1, limit.Burst*factor)
 	perClass.budget.refill(now, rate)
 	if endedAt, ok := ledger.recentKeys[request.Key]; ok && request.Key != "" &&
-		now-endedAt < max(class.IdempotencyWindow, second) { // its write may have run, so the client needs the answer
+		now-endedAt < max(class.IdempotencyWindow, second) { // the write may have run, so the client needs its answer
 		perClass.budget.take(1, burst)
 		return Verdict{Reason: RetryOfWrite}
 	}
@@ -206,7 +207,7 @@
 		if primaryBudget != nil {
 			primaryBudget.take(class.Cost, primaryBurst)
 		}
-		// contractShare is larger than the load share by up to this factor.
+		// contractShare is at most this many times the share of the load that this router receives.
 		shareMargin := ledger.settings.Skew * float64(ledger.settings.Routers)
 		perClass.guaranteed.refill(now, rate/shareMargin)
 		if verdict.LowPriority = !perClass.guaranteed.canTake(1, burst); !verdict.LowPriority {
--- a/policy/contract/match.go
+++ b/policy/contract/match.go
@@ -39,8 +39,9 @@
 	return matcher
 }
 
-// Match returns a client's team by its identity. If several teams match, it returns the first of them, or -1 with the
-// reason where the settings reject that; if none matches, the default team, or -1 with the reason.
+// Match returns the index of the team that a client's identity matches. If several teams match, it returns the first
+// of them, or -1 and the reason if the settings reject such clients. If no team matches, it returns the default team,
+// or -1 and the reason if there is none.
 func (ledger *Ledger) Match(identity Identity) (team int, reason Reason) {
 	found, ambiguous := -1, false
 	addCandidates := func(teams []int) {
@@ -71,8 +72,8 @@
 	return ledger.defaultTeam()
 }
 
-// TeamFromComment returns the team that a request's comment names, where comments are trusted, or the default team if
-// the name is unknown. Otherwise it returns the client's own team and its reason.
+// TeamFromComment returns the team that a request's comment names, or the default team if there is no team of that
+// name. If comments are not trusted or name no team, it returns the team and reason that Match returned for the client.
 func (ledger *Ledger) TeamFromComment(name string, team int, reason Reason) (int, Reason) {
 	if !ledger.settings.TrustComment || name == "" {
 		return team, reason
--- a/policy/contract/pressure.go
+++ b/policy/contract/pressure.go
@@ -7,7 +7,7 @@
 	"lotushook/policy/clock"
 )
 
-// groupRole identifies a group's primary, or its replicas.
+// groupRole identifies either the primary or the replicas of a group.
 type groupRole struct {
 	group   int64
 	primary bool
@@ -15,19 +15,20 @@
 
 const (
 	tick                     = second / 10
-	minWindowFactor          = 0.7  // smallest factor on the window per tick, while requests within contracts are slow
-	maxWindowGrowth          = 0.5  // requests per tick, while none are slow and the window is reached
-	unlimited                = 4096 // a window that is not enforced
-	sampleWeight             = 0.15 // of one sample in the mean latency
-	failureShare             = 1.5  // sample of a rejected or failed request, in latency objectives; also the largest sample
+	minWindowFactor          = 0.7  // min factor on the window per tick, while requests within contracts are slow
+	maxWindowGrowth          = 0.5  // requests per tick, while the latency is low and the window is reached
+	unlimited                = 4096 // window, in requests, that counts as no limit
+	sampleWeight             = 0.15 // weight of one sample in the mean latency
+	failureShare             = 1.5  // sample of a rejected or failed request, in latency objectives; also the max sample
 	idleDecay                = 0.7  // factor on the mean latency for a tick without a sample
 	calmTicksBeforeUnlimited = 20   // ticks without slow requests until a window that is not reached becomes unlimited
-	rateWeight               = 0.1  // of one tick in the mean admission rate
+	rateWeight               = 0.1  // weight of one tick in the mean admission rate
 )
 
-// groupPressure measures the latency of a group's primary, or of its replicas, by the requests within contracts, and
-// limits how many low-priority requests are open at the same time. A low-priority request that exceeds this window is
-// queued for a short time or rejected; the queue is shared by weighted fair queueing over the teams.
+// groupPressure measures the pressure on a group's primary, or on its replicas: the mean latency of requests without
+// low priority. By this latency it adjusts the window, which limits how many low-priority requests are open at the same
+// time. A low-priority request that exceeds the window is queued for a short time or rejected. Weighted fair queueing
+// divides the queue among the teams.
 type groupPressure struct {
 	meanLatency       float64     // as a share of the latency objectives
 	sampled           bool        // a sample was added in this tick
@@ -39,7 +40,7 @@
 	admittedInTick    int         // low-priority requests
 	admissionsPerTick float64     // exponentially weighted mean of admittedInTick
 
-	queue       []queuedRequest // by virtual start time
+	queue       []queuedRequest // sorted by virtual start time
 	finishTimes map[int]float64 // virtual finish time of each team's last request
 	virtualTime float64
 }
@@ -51,7 +52,7 @@
 	expiresAt      clock.Nanos // when it is decided at the latest
 	withinContract bool        // its contract covers it, so it is never rejected
 	virtualStart   float64     // its place in the fair queue
-	virtualStep    float64     // how far it advances its team's virtual finish time
+	virtualStep    float64     // by how much it advances its team's virtual finish time
 }
 
 func newGroupPressure(now clock.Nanos) *groupPressure {
@@ -64,8 +65,8 @@
 	pressure.sampled = true
 }
 
-// advance updates the window for each tick until now. If the clock went back or jumped by more than 100 ticks, it
-// updates for a single tick and restarts the mean latency at 0.
+// advance updates the window once for each tick until now. If the clock went back or jumped by more than 100 ticks,
+// the mean latency restarts at 0 and the window is updated once.
 func (pressure *groupPressure) advance(now clock.Nanos, high, low float64) {
 	if now < pressure.lastTick || now-pressure.lastTick > 100*tick {
 		pressure.lastTick, pressure.meanLatency = now-tick, 0
@@ -93,8 +94,8 @@
 	}
 }
 
-// hasCapacity reports whether one more low-priority request may be open. A window below 1 admits none until it has
-// grown to 1, so that requests still pass at intervals.
+// hasCapacity reports whether one more low-priority request may be open. A window below 1 admits none. As it grows to
+// 1 again whenever the latency is low, a request is still admitted from time to time.
 func (pressure *groupPressure) hasCapacity() bool {
 	if float64(pressure.lowPriorityOpen)+1 <= pressure.window {
 		return true
@@ -124,7 +125,7 @@
 		return nil
 	}
 	for i := len(pressure.queue) - 1; i >= 0; i-- {
-		if !pressure.queue[i].withinContract { // it was not served, so it does not count against its team
+		if !pressure.queue[i].withinContract { // this request is not served, so it must not delay its team's next ones
 			pressure.finishTimes[pressure.queue[i].Team] -= pressure.queue[i].virtualStep
 			return pressure.removeAt(i)
 		}
--- a/policy/contract/rules_test.go
+++ b/policy/contract/rules_test.go
@@ -175,9 +175,9 @@
 	return total
 }
 
-// Three or four routers don't coordinate. A team that sends no more than its contract allows is admitted, also with
-// skewed traffic, when one router fails and its clients move to the others, and when one restarts without state. A
-// team that sends much more gets at most MaxOveradmission times its contract.
+// Three or four routers enforce a contract without coordination. The requests of a team that stays within its contract
+// are admitted, even if its traffic is skewed, if one router fails and its clients move to the others, or if one
+// restarts without state. Of a team that sends much more, at most MaxOveradmission times its contract is admitted.
 func TestRoutersWithoutCoordination(t *testing.T) {
 	never := func(clock.Nanos) int { return -1 }
 	steady := func(s ...float64) func(clock.Nanos) []float64 { return func(clock.Nanos) []float64 { return s } }
@@ -225,7 +225,7 @@
 	}
 }
 
-// The bound holds for any load shares that the routers see, as long as these add up to the whole load.
+// MaxOveradmission holds whatever shares of the load the routers receive, as long as these add up to the whole load.
 func TestMaxOveradmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 6).Draw(t, "routers")
--- a/policy/contract/settings.go
+++ b/policy/contract/settings.go
@@ -1,7 +1,12 @@
-// Package contract decides which requests a team's contract covers, and how requests beyond it are treated: they
-// borrow unused capacity, and are the first to be rejected while requests within contracts are slow. It decides from
-// the arrivals, outcomes and load reports passed to it. It does not decide which server a request goes to, or whether
-// a request is retried.
+// Package contract decides which requests a team's contract covers, and how requests beyond it are treated. A contract
+// states how many requests of each class a team may send. Requests within it are always admitted. A request beyond it
+// may be borrowed, which means that it is admitted on capacity that no contract is using at the moment. Borrowed
+// requests have low priority: they are queued or rejected under pressure, which means while the requests within
+// contracts are slow compared with their latency objectives. Pressure is measured for each group, separately for its
+// primary and its replicas.
+//
+// Decisions depend only on the arrivals, outcomes and load reports passed to this package. Other packages choose the
+// server of a request, and decide whether to retry it.
 package contract
 
 import (
@@ -22,11 +27,11 @@
 	TrustComment bool   // a request's comment may name its team
 
 	Routers              int     // routers that enforce the contracts without coordination
-	Skew                 float64 // the largest share of a team's traffic that one router normally sees
+	Skew                 float64 // the largest share of a team's traffic that one router normally receives
 	PrimaryWorkPerSecond float64 // work units a primary does in a second; 0: shares of primaries are not enforced
 
-	// Mean latencies as a share of the objectives: borrowing is reduced above HighPressure and increased below
-	// LowPressure.
+	// Mean latencies of requests within contracts, as a share of their objectives. Above HighPressure fewer requests
+	// are borrowed, below LowPressure more.
 	HighPressure, LowPressure float64
 	MaxKeys                   int         // maximum number of stored keys of writes that may have run
 	MaxGroupEntries           int         // maximum number of stored budgets at primaries, and of other entries by group
@@ -49,13 +54,13 @@
 	Name   string
 	Weight float64 // in fair queueing; above 0
 
-	Users, Databases, Applications []string // a client whose startup message has one of these names belongs to the team
+	Users, Databases, Applications []string // a client whose startup message contains one of these names belongs to the team
 	Addresses                      []netip.Prefix
 
 	Limits       []Limit // by class; a zero Limit: the team may not use the class
-	PrimaryShare float64 // of each group's primary, over all classes; 0: only the limits apply
+	PrimaryShare float64 // share of the work of each group's primary, over all classes; 0: only Limits apply
 	MaxOpen      int     // maximum number of open requests over all routers; 0: no limit
-	RetryShare   float64 // retries by clients that the contract covers, as a share of first attempts
+	RetryShare   float64 // client retries that the contract covers, as a share of first attempts
 	Hours        []Hours
 }
 
@@ -118,9 +123,10 @@
 	Reason     Reason
 	Limit      float64     // the contract's limit that was reached, over all routers
 	RetryAfter clock.Nanos // when the client may send the request again; 0: not known
-	// LowPriority says that requests without it go first. A borrowed request has low priority, and so has one that is
-	// within its contract only because routers without coordination must each admit more than their even share: if
-	// the team's traffic is distributed evenly over the routers, the request is beyond the contract.
+	// LowPriority says that requests without low priority are served first. A borrowed request has low priority. A
+	// request within its contract has it if the team sends this router more than the router's part of the contract:
+	// because the routers don't coordinate, each admits more than its part, and if the team uses the other routers as
+	// much, its requests together are beyond the contract.
 	LowPriority bool
 	// Queued says that the decision is postponed: DecideQueued returns it later.
 	Queued bool
--- a/policy/contract/share.go
+++ b/policy/contract/share.go
@@ -5,14 +5,15 @@
 	"math"
 )
 
-// SetMinLoadShare sets the share of the load that this router is assumed to see at least, in place of 1/Routers. It
-// changes when the quotas of other routers are divided among the rest. The shares of all routers together must not
-// exceed 1. A router that sees much of the load may have a small share while others divide its quota: all routers
-// together then admit at most 2*Skew*Routers times a contract, instead of MaxOveradmission.
+// SetMinLoadShare sets the minimum share of the load that this router is assumed to receive, in place of 1/Routers. The
+// caller changes it when the quotas of excluded routers are divided among the other routers. The minimum shares of all
+// routers must add up to at most 1. If a router that receives much of the load has a small minimum share, because the
+// other routers divide its quota, all routers together admit at most 2*Skew*Routers times a contract, instead of
+// MaxOveradmission.
 func (ledger *Ledger) SetMinLoadShare(share float64) { ledger.minLoadShare = share }
 
-// AddLoadReport processes a load report of a server: of the total requests in flight there, own are this router's.
-// The share of the contracts that this router admits follows from these reports.
+// AddLoadReport processes a load report of a server of the group: total requests are in flight there, and this router
+// sent own of them. These reports determine which share of the contracts this router admits.
 func (ledger *Ledger) AddLoadReport(group int64, own, total int) {
 	if total <= 0 || own < 0 {
 		return
@@ -30,11 +31,11 @@
 	ledger.totalLoad.add(own, total)
 }
 
-// ContractShare returns the share of a contract that this router admits at a group. Routers don't coordinate.
-// Normally each admits the largest share of a team's traffic that one router may see, which is Skew. A router that
-// sees more of the load than its even share, for example because another router failed, admits proportionally more.
-// All routers together thus admit at most MaxOveradmission times a contract, and never less than the contract as long
-// as no router sees more of a team's traffic than the share that it admits.
+// ContractShare returns the share of a contract that this router admits at a group. The routers don't coordinate.
+// Normally each admits the share Skew, the largest part of a team's traffic that one router is expected to receive. A
+// router that receives more of the load than its even share, for example because another router failed, admits
+// proportionally more. All routers together thus admit at most MaxOveradmission times a contract. They admit the whole
+// contract as long as no router receives a larger part of the team's traffic than the share that it admits.
 func (ledger *Ledger) ContractShare(group int64) float64 {
 	load := ledger.loads[group]
 	if load == nil {
@@ -52,23 +53,23 @@
 	return min(1, ledger.settings.Skew*routers*loadShare)
 }
 
-// observedLoad is a decaying sum of load reports: requests of this router, and of all routers.
+// observedLoad sums up load reports with decaying weights: the requests of this router, and those of all routers.
 type observedLoad struct{ own, total float64 }
 
 func (load *observedLoad) add(own, total int) {
 	load.own, load.total = load.own*reportDecay+float64(own), load.total*reportDecay+float64(total)
 }
 
-const reportDecay = 0.9 // factor on the older reports with each new one
+const reportDecay = 0.9 // factor on the weight of older reports at each new one
 
-const minReportedRequests = 20 // the observed share counts only from this number of reported requests on
+const minReportedRequests = 20 // number of reported requests from which on the observed share counts
 
 // MaxOveradmission returns an upper bound on what all routers together admit, as a multiple of a contract. The shares
-// of the load that they see add up to at most 1, so only some routers can see enough of it to admit the whole
-// contract; the others admit Skew of it.
+// of the load that the routers receive add up to at most 1, so only some routers can receive enough load to admit the
+// whole contract; the others admit the share Skew of it.
 func (settings *Settings) MaxOveradmission() float64 {
 	routers, skew := float64(settings.Routers), settings.Skew
-	fullRouters := math.Floor(skew*routers + 1e-9) // each of them sees 1/(skew*routers) of the load
+	fullRouters := math.Floor(skew*routers + 1e-9) // routers that admit the whole contract, each at 1/(skew*routers) of the load
 	remainingLoad := 1 - fullRouters/(skew*routers)
 	return min(routers, fullRouters+(routers-fullRouters)*skew+max(0, skew*routers*remainingLoad-skew))
 }
