--- a/policy/contract/settings.go
+++ b/policy/contract/settings.go
@@ -54,7 +54,7 @@
 	Name   string
 	Weight float64 // in fair queueing; above 0
 
-	Users, Databases, Applications []string // a client whose startup message contains one of these names belongs to the team
+	Users, Databases, Applications []string // a client whose startup message has one of these names belongs to the team
 	Addresses                      []netip.Prefix
 
 	Limits       []Limit // by class; a zero Limit: the team may not use the class
--- a/policy/contract/share.go
+++ b/policy/contract/share.go
@@ -69,7 +69,7 @@
 // whole contract; the others admit the share Skew of it.
 func (settings *Settings) MaxOveradmission() float64 {
 	routers, skew := float64(settings.Routers), settings.Skew
-	fullRouters := math.Floor(skew*routers + 1e-9) // routers that admit the whole contract, each at 1/(skew*routers) of the load
+	fullRouters := math.Floor(skew*routers + 1e-9) // routers that admit all, each at 1/(skew*routers) of the load
 	remainingLoad := 1 - fullRouters/(skew*routers)
 	return min(routers, fullRouters+(routers-fullRouters)*skew+max(0, skew*routers*remainingLoad-skew))
 }
