--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -35,7 +35,7 @@
 
 func parseAddr(address string) netip.Addr { return netip.MustParseAddr(address) }
 
-// Each address and each prefix has its limits on open connections and on arrivals.
+// Open connections and arrivals are limited for each address and each prefix.
 func TestCaps(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -98,14 +98,14 @@
 	}
 }
 
-// Unused capacity of a reserve is lent to other connections and reclaimed at once: first from connections without a
-// startup message, then from idle ones, never from one that waits for a response.
+// Unused capacity of a reserve is lent to other connections. When the reserve needs it, it is reclaimed at once: first
+// from connections without a startup message, then from idle ones, never from one that waits for a response.
 func TestLentReserve(t *testing.T) {
 	settings := testSettings()
 	settings.MaxPerAddress, settings.MaxPerPrefix, settings.AddressRateLimit, settings.PrefixRateLimit = 0, 0, 0, 0
 	controller := newTestController(t, settings)
 	now := clock.Nanos(5e9)
-	for i := range 10 { // all capacity, of which three are lent
+	for i := range 10 { // connections use all capacity, three of them on capacity that the reserve lends
 		if verdict := controller.Arrive(ID(i), parseAddr("10.1.0.1"), now); !verdict.Admitted() {
 			t.Fatalf("%d: %+v", i, verdict)
 		}
@@ -115,7 +115,7 @@
 	}
 	for i := range 8 {
 		want := None
-		if i == 7 { // the eighth would wait for its response on lent capacity
+		if i == 7 { // the eighth request would wait for its response on lent capacity
 			want = Reserved
 		}
 		if verdict := controller.Request(ID(i), now); verdict.Reason != want {
@@ -124,7 +124,7 @@
 	}
 	controller.Closed(7)
 	controller.Answered(6, now)
-	if verdict := controller.Arrive(20, parseAddr("10.1.0.1"), now); !verdict.Admitted() { // on the capacity of 7
+	if verdict := controller.Arrive(20, parseAddr("10.1.0.1"), now); !verdict.Admitted() { // on connection 7's capacity
 		t.Fatalf("%+v", verdict)
 	}
 	for i, want := range []Eviction{{ID: 9, Reason: Displaced, Notify: true}, {ID: 20, Reason: Displaced, Notify: true}, {ID: 6, Reason: Displaced, Notify: false}} {
@@ -133,7 +133,7 @@
 			t.Errorf("connection %d of the reserve: %+v", i, verdict)
 		}
 	}
-	if verdict := controller.Arrive(40, parseAddr("10.9.0.1"), now); verdict.Reason != AtCapacity { // beyond the reserve it is treated like all others
+	if verdict := controller.Arrive(40, parseAddr("10.9.0.1"), now); verdict.Reason != AtCapacity { // the reserve is full
 		t.Errorf("%+v", verdict)
 	}
 	if verdict := controller.Request(6, now); verdict.Reason != Displaced { // the request arrives while its connection is being closed
@@ -182,7 +182,7 @@
 	if evictions := controller.Sweep(now+4*ms, 0); len(evictions) > 0 {
 		t.Errorf("evicted early: %v", evictions)
 	}
-	// Two exceed the caps under pressure; the others are closed after SilenceTimeout.
+	// Two connections exceed the caps under pressure and are evicted before SilenceTimeout, the others after it.
 	want := []Eviction{{ID: 0, Reason: Silent, Notify: true}, {ID: 1, Reason: Silent, Notify: true}}
 	if diff := cmp.Diff(want, controller.Sweep(now+249*ms, 0), ignoreRetryAfter); diff != "" {
 		t.Error(diff)
@@ -205,7 +205,7 @@
 	}
 }
 
-// After a cap is lowered, connections over it are closed once they are idle, and none that waits for a response.
+// After a cap is lowered, connections over it are evicted once they are idle, but not while they wait for a response.
 func TestLoweredCap(t *testing.T) {
 	settings := testSettings()
 	settings.Pressure.Enter = 1
@@ -269,7 +269,7 @@
 	}
 }
 
-// Neither the rejection of a new connection nor the life of an accepted one allocates memory.
+// No memory is allocated when a new connection is rejected, nor while an accepted one opens, sends requests and closes.
 func BenchmarkArrive(b *testing.B) {
 	settings := testSettings()
 	settings.MaxConnections, settings.AddressRateLimit, settings.PrefixRateLimit, settings.MaxSources = 1000, 0, 0, 1000
--- a/policy/admission/caps.go
+++ b/policy/admission/caps.go
@@ -2,10 +2,11 @@
 
 import "lotushook/policy/clock"
 
-// checkCaps checks the limits on an address, on its prefix, and on all arrivals; it returns the limit that is reached
-// and a Retry-After time with the reason. At the maximum of an address or prefix, the address's oldest connection
-// without a startup message is evicted for the new one if it may be: clients that start properly take precedence over
-// clients that send nothing.
+// checkCaps checks a new connection against the limits on its address, on its prefix, and on all arrivals. If one of
+// them is reached, it returns the reason, the limit and a Retry-After time; otherwise it returns None. If the address
+// or prefix has its maximum of connections, checkCaps evicts the address's oldest connection without a startup message,
+// if that may be evicted, and accepts the new one: clients that send a startup message take precedence over clients
+// that send nothing.
 func (ctl *Controller) checkCaps(address, prefix *sourceEntry, sharedAddress, inReserve bool,
 	now clock.Nanos) (Reason, int, clock.Nanos) {
 	if !sharedAddress {
@@ -24,7 +25,7 @@
 	}
 	addressCap, prefixCap := ctl.effectiveCap(ctl.settings.MaxPerAddress, inReserve),
 		ctl.effectiveCap(ctl.settings.MaxPerPrefix, inReserve)
-	// An excess of 0 means that a connection must be evicted for the new one.
+	// By how many connections the caps are exceeded. At 0, one connection must be evicted for the new one.
 	addressExcess, prefixExcess := address.connections-addressCap, prefix.connections-prefixCap
 	if addressCap == 0 {
 		addressExcess = -1
@@ -47,8 +48,8 @@
 	return reason, limit, ctl.defaultRetryAfter()
 }
 
-// effectiveCap returns the current value of a limit on an address or a prefix, which is lower under pressure.
-// Reserves are exempt from pressure.
+// effectiveCap returns the current value of a limit on an address or a prefix, which is lower under pressure. Pressure
+// does not lower it for connections of a reserve.
 func (ctl *Controller) effectiveCap(limit int, inReserve bool) int {
 	if !ctl.underPressure || inReserve || limit == 0 {
 		return limit
@@ -56,11 +57,12 @@
 	return max(1, int(float64(limit)*ctl.settings.Pressure.CapFactor))
 }
 
-// isLower reports whether a cap is stricter than its old value; 0 is no cap.
+// isLower reports whether a cap is stricter than its old value; 0 means that there is no cap.
 func isLower(newCap, oldCap int) bool { return newCap > 0 && (oldCap == 0 || newCap < oldCap) }
 
-// updatePressure checks whether the router is short of a resource. Pressure ends when all usage is below
-// Pressure.Leave and the arrival rate below half of its threshold, but not before MinDuration has passed.
+// updatePressure updates whether the router is under pressure. Pressure ends when the usage of connections and memory
+// is below Pressure.Leave and the arrival rate is below half of Pressure.ArrivalsPerSecond, but not before
+// Pressure.MinDuration has passed.
 func (ctl *Controller) updatePressure(now clock.Nanos) {
 	pressure := &ctl.settings.Pressure
 	usage := max(float64(ctl.openCount)/float64(ctl.settings.MaxConnections), ctl.memoryShare)
@@ -77,5 +79,5 @@
 	}
 }
 
-// UnderPressure reports whether the router is short of a resource.
+// UnderPressure reports whether the router is under pressure: short of connections or memory, or with many arrivals.
 func (ctl *Controller) UnderPressure() bool { return ctl.underPressure }
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -9,9 +9,9 @@
 	"lotushook/policy/clock"
 )
 
-// Controller counts connections and decides on them. It is not safe for concurrent use: callers share it under a
-// lock. It stores the open connections with their addresses and prefixes, and at most Settings.MaxSources addresses
-// and as many prefixes without connections.
+// Controller tracks the open connections and decides on new ones. It is not safe for concurrent use: callers share it
+// under a lock. It stores the open connections with their addresses and prefixes. Of addresses without connections,
+// and of prefixes without connections, it stores at most Settings.MaxSources each.
 type Controller struct {
 	settings    Settings
 	random      *rand.Rand
@@ -20,8 +20,8 @@
 	addresses   *sourceTable
 	prefixes    *sourceTable
 
-	queues       [][stateCount]connectionQueue // at 0 those of connections in no reserve, at i+1 those of reserve i
-	openCount    int                           // open connections that are not being closed
+	queues       [][stateCount]connectionQueue // by state; at index 0 for connections in no reserve, at i+1 for reserve i
+	openCount    int                           // open connections, except those that are being evicted
 	reserveUsage []int                         // open connections in each reserve
 	reserved     int                           // sum of the capacities of all reserves
 
@@ -45,9 +45,9 @@
 	return ctl, nil
 }
 
-// UpdateSettings replaces the limits. Connections stay open; those over a lowered cap are closed once they are idle.
-// A connection stays in its reserve if the new settings have one of that name with capacity for it, and otherwise
-// belongs to no reserve.
+// UpdateSettings replaces the limits. Connections stay open, but those over a lowered cap are evicted once they are
+// idle. A connection stays in its reserve if the new settings have a reserve of the same name with capacity for it;
+// otherwise it belongs to no reserve from then on.
 func (ctl *Controller) UpdateSettings(settings Settings) error {
 	if err := settings.Check(); err != nil {
 		return fmt.Errorf("admission: %w", err)
@@ -88,15 +88,16 @@
 	return nil
 }
 
-// SetCapacity changes the maximum of open connections, for example when the system grants fewer descriptors than
-// configured, or more again. The reserves stay.
+// SetCapacity changes the maximum number of open connections, for example when the system's limit on file descriptors
+// changes. The reserves keep their capacity, so the maximum is always above their sum.
 func (ctl *Controller) SetCapacity(maxConnections int) {
 	maxConnections = max(maxConnections, ctl.reserved+1)
 	ctl.sourcesOverCap = ctl.sourcesOverCap || maxConnections < ctl.settings.MaxConnections
 	ctl.settings.MaxConnections = maxConnections
 }
 
-// Arrive decides on a new connection. The evictions in the verdict free capacity for it.
+// Arrive decides on a new connection. The verdict's evictions are the connections to close, most to free capacity for
+// the new one.
 func (ctl *Controller) Arrive(id ID, address netip.Addr, now clock.Nanos) Verdict {
 	ctl.evictions = ctl.evictions[:0]
 	ctl.arrivals.add(now)
@@ -146,9 +147,9 @@
 	return -1
 }
 
-// Identify processes the startup message. A connection whose identity a reserve with free capacity lists belongs to
-// that reserve from now on. A connection outside the reserves is rejected if those that wait for responses already
-// use all capacity that is not reserved: its requests would be rejected anyway.
+// Identify processes a connection's startup message. If a reserve with free capacity lists the client's identity, the
+// connection belongs to that reserve from now on. A connection outside the reserves is rejected if connections that
+// wait for responses already use all capacity that is not reserved, because its requests would be rejected anyway.
 func (ctl *Controller) Identify(id ID, identity Identity, now clock.Nanos) Verdict {
 	ctl.evictions = ctl.evictions[:0]
 	connection := ctl.connections[id]
@@ -181,9 +182,9 @@
 	return Verdict{}
 }
 
-// Request decides whether a connection's next request is accepted. A connection outside the reserves is rejected if
-// those that wait for responses would use reserved capacity, which could not be reclaimed from them. A rejected
-// request has not run.
+// Request decides whether a connection's next request is accepted. A request outside the reserves is rejected if the
+// connections that wait for responses already use all capacity that is not reserved: this one would use reserved
+// capacity, which can't be reclaimed from a connection that waits for a response. A rejected request has not run.
 func (ctl *Controller) Request(id ID, now clock.Nanos) Verdict {
 	ctl.evictions = ctl.evictions[:0]
 	connection := ctl.connections[id]
--- a/policy/admission/eviction.go
+++ b/policy/admission/eviction.go
@@ -2,11 +2,11 @@
 
 import "lotushook/policy/clock"
 
-// evictForNew evicts one connection to free capacity for a new one, and reports whether it found one. For a
-// connection of a reserve whose capacity is lent, it may evict any connection outside the reserves that does not wait
-// for a response; there is one, because Request admits no more of them than the capacity that is not reserved. For
-// any other new connection, it evicts only connections that have been idle, or without a startup message, for long
-// enough.
+// evictForNew evicts one connection to free capacity for a new one, and reports whether it could. A new connection of a
+// reserve whose capacity is lent may take the place of any connection outside the reserves that does not wait for a
+// response. Such a connection exists, because Request lets no more connections outside the reserves wait for responses
+// than the capacity that is not reserved. For any other new connection, only connections that have been idle, or
+// without a startup message, for long enough are evicted.
 func (ctl *Controller) evictForNew(reserve int, now clock.Nanos) bool {
 	common := &ctl.queues[0]
 	longestIn := func(queue *connectionQueue, age clock.Nanos) *clientConnection {
@@ -125,7 +125,8 @@
 	return remaining
 }
 
-// evict adds a connection to the evictions. It uses no capacity from now on, although it is still open.
+// evict adds a connection to the evictions. The connection uses no capacity from now on, although it is still open
+// until Closed is called.
 func (ctl *Controller) evict(connection *clientConnection, reason Reason) {
 	ctl.counts[reason]++
 	ctl.evictions = append(ctl.evictions, Eviction{ID: connection.id, Reason: reason,
@@ -134,8 +135,8 @@
 	connection.state = closing
 }
 
-// EvictOne evicts one connection as for a new one, if there is one to evict. It is called when file descriptors run
-// out below the maximum of connections.
+// EvictOne evicts one connection under the rules for a new connection outside the reserves, if one may be evicted. It
+// should be called when the system runs out of file descriptors before the maximum number of connections is reached.
 func (ctl *Controller) EvictOne(now clock.Nanos) []Eviction {
 	ctl.evictions = ctl.evictions[:0]
 	ctl.evictForNew(-1, now)
--- a/policy/admission/queues.go
+++ b/policy/admission/queues.go
@@ -8,7 +8,7 @@
 const (
 	silent  connectionState = iota // has not sent its startup message
 	started                        // has sent its startup message, but no request
-	idle                           // has sent requests, and all are answered
+	idle                           // has sent requests, all of which are answered
 	busy                           // waits for a response
 	closing                        // being evicted
 	stateCount
@@ -28,8 +28,8 @@
 	previousSilent *clientConnection
 }
 
-// connectionQueue is a linked list of the connections in one state, the longest in it first. It allocates nothing,
-// and removal takes constant time.
+// connectionQueue is a linked list of connections in the same state, in the order in which they entered it. It
+// allocates nothing, and removal takes constant time.
 type connectionQueue struct {
 	first, last *clientConnection
 	len         int
@@ -61,7 +61,7 @@
 	queue.len--
 }
 
-// silentList is a linked list of the silent connections of one address, the longest in that state first.
+// silentList is a linked list of the silent connections of one address, in the order in which they became silent.
 type silentList struct{ first, last *clientConnection }
 
 func (list *silentList) push(connection *clientConnection) {
--- a/policy/admission/ratewindow.go
+++ b/policy/admission/ratewindow.go
@@ -2,8 +2,8 @@
 
 import "lotushook/policy/clock"
 
-// rateWindow counts arrivals within the last second, which is divided into slots. It stores one slot more than a
-// second has, so that no second has more arrivals than the limit, whenever it begins.
+// rateWindow counts the arrivals within the last second by slots of a tenth of a second. It stores one slot more than a
+// second has, so that the limit holds for any period of one second, even if that begins in the middle of a slot.
 type rateWindow struct {
 	slots      [slotsPerSecond + 1]uint16
 	newestSlot int64 // number of the current slot, counted from time 0
@@ -49,7 +49,7 @@
 	}
 }
 
-// wait returns the time from now until fewer arrivals than the limit are counted.
+// wait returns the time from now until the count falls below the limit.
 func (window *rateWindow) wait(now clock.Nanos, limit int) clock.Nanos {
 	excess := window.count(now) - limit + 1
 	for slot := window.newestSlot - slotsPerSecond; slot <= window.newestSlot && excess > 0; slot++ {
--- a/policy/admission/rules_test.go
+++ b/policy/admission/rules_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// In any sequence of events, the caps on open connections and arrival rates hold, no connection that waits for a
-// response is evicted, clients of a reserve find their capacity, and the stored entries stay bounded.
+// In any sequence of events, the limits on open connections and arrival rates hold, no connection that waits for a
+// response is evicted, clients of a reserve are accepted up to its capacity, and the stored entries stay bounded.
 //
 //nolint:gocognit,funlen // one sequence of steps
 func TestInvariants(t *testing.T) {
@@ -159,7 +159,7 @@
 			controller.Answered(id, now)
 		}
 		now += 5e9
-		// Not the controller, but a timeout of the router closes connections that never send a request.
+		// Connections that never send a request are closed by a timeout of the router, not by the controller.
 		for id, connection := range controller.connections {
 			if connection.state == started {
 				controller.Closed(id)
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -1,7 +1,10 @@
-// Package admission decides which client connections a router keeps open. It decides when a connection arrives, by
-// its address, when the startup message identifies the client, when a request arrives, and when a connection must be
-// evicted. Decisions follow from counts and from the times passed to it; it opens and closes no sockets. What happens
-// to requests that were accepted is decided elsewhere.
+// Package admission decides which client connections a router accepts and which it evicts. A connection is decided on
+// when it arrives, by its address; when its startup message identifies the client; and when it sends a request. It may
+// be evicted to free capacity for another one, when the router is under pressure, or when a cap is lowered. A cap is a
+// limit on connections or arrivals: those of one address or prefix, or all. A reserve is capacity for certain clients.
+//
+// Decisions depend only on counts and on the times passed to this package, which opens and closes no sockets. Other
+// packages decide what happens to accepted requests.
 package admission
 
 import (
@@ -24,21 +27,22 @@
 	AddressRateLimit   int            // arrivals from one address within any second
 	PrefixRateLimit    int            // arrivals from one prefix within any second
 	TotalRateLimit     int            // arrivals in total within any second
-	SharedAddresses    []netip.Prefix // addresses that many clients share: no limits by address or prefix
+	SharedAddresses    []netip.Prefix // addresses that many clients share, so that limits by address or prefix don't apply
 	Reserves           []Reserve
-	CrowdedThreshold   int // above so many connections, those that idle for CrowdedIdleTimeout are closed early
+	CrowdedThreshold   int // number of open connections above which those idle for CrowdedIdleTimeout are evicted
 	CrowdedIdleTimeout clock.Nanos
-	EvictableIdle      clock.Nanos // after so long without a request, a connection may be evicted
-	EvictableSilence   clock.Nanos // after so long without a startup message, a connection may be evicted
-	SilenceTimeout     clock.Nanos // under pressure, a connection is closed after so long without a startup message
+	EvictableIdle      clock.Nanos // time without a request after which a connection may be evicted for another
+	EvictableSilence   clock.Nanos // time without a startup message after which a connection may be evicted for another
+	SilenceTimeout     clock.Nanos // time without a startup message after which a connection is evicted under pressure
 	Pressure           Pressure
-	MaxSources         int         // maximum number of stored addresses without connections, and of prefixes
-	RetryAfter         clock.Nanos // where no better time is known; jitter adds up to half of it
+	MaxSources         int         // maximum number of stored addresses without connections, and of such prefixes
+	RetryAfter         clock.Nanos // default Retry-After time, if no better one is known; jitter adds up to half of it
 	MaxRetryAfter      clock.Nanos // maximum of all Retry-After times; 0: none
 }
 
 // Reserve is capacity for certain clients. A connection belongs to a reserve by its address, or once its startup
-// message has one of the names. Unused capacity is lent to other connections, which may then be evicted.
+// message contains one of the listed names. Unused capacity of a reserve is lent to other connections, which are
+// evicted when the reserve needs it back.
 type Reserve struct {
 	Name         string
 	Addresses    []netip.Prefix
@@ -50,7 +54,7 @@
 
 // Pressure defines when the router is under pressure, and how much this lowers the caps.
 type Pressure struct {
-	Enter, Leave      float64     // shares in use of connections or memory: pressure begins at Enter and ends below Leave
+	Enter, Leave      float64     // used shares of connections or memory: pressure begins at Enter and ends below Leave
 	ArrivalsPerSecond int         // arrivals, accepted or not, at which pressure begins; 0: not considered
 	MinDuration       clock.Nanos // minimum duration of pressure
 	CapFactor         float64     // factor on the limits by address and prefix under pressure
@@ -68,10 +72,10 @@
 	PrefixRate              // too many arrivals from its prefix
 	TotalRate               // too many arrivals in total
 	AtCapacity              // no capacity, and no connection may be evicted
-	Reserved                // the capacity is lent by a reserve that may need it back
+	Reserved                // only reserved capacity is left, which can't be reclaimed from a connection that waits
 	Displaced               // evicted for another connection
 	Silent                  // no startup message for too long under pressure
-	Idle                    // idle while there are many connections
+	Idle                    // idle for CrowdedIdleTimeout while there are many connections
 	OverCap                 // idle, and over a cap that was lowered
 	OutOfDescriptors        // the system has no file descriptors left
 	ReasonCount             // the number of reasons
@@ -99,18 +103,18 @@
 // Admitted reports whether the connection or request is accepted.
 func (v Verdict) Admitted() bool { return v.Reason == None }
 
-// Eviction is a connection that the caller must close. Its ID is in use until Closed, and its further requests are
-// rejected.
+// Eviction is a connection that the caller must close. Its ID stays in use until Closed is called, and any further
+// requests that it sends are rejected.
 type Eviction struct {
 	ID         ID
 	Reason     Reason
 	RetryAfter clock.Nanos // when the client may connect again
-	// Notify says whether the client is sent the error. An idle client is not: it may be sending a request right now,
-	// and would take the error for the response.
+	// Notify says whether to send the client an error before closing. An idle client is sent none: it may be sending a
+	// request at this moment, and would take the error for the response.
 	Notify bool
 }
 
-// Identity is what the startup message says about the client.
+// Identity contains the names in a client's startup message.
 type Identity struct{ User, Database, Application string }
 
 // Check returns an error that names all invalid fields.
--- a/policy/admission/sources.go
+++ b/policy/admission/sources.go
@@ -13,14 +13,14 @@
 	admitted    rateWindow
 	silent      silentList
 
-	newer, older *sourceEntry // in the list of the sources without connections, ordered by when they lost their last one
+	newer, older *sourceEntry // in the list of sources without connections, ordered by the end of their last connection
 }
 
-// sourceTable stores addresses or prefixes: all that have connections, and up to its capacity the most recent ones
-// that have none.
+// sourceTable stores addresses or prefixes: all that have connections and, up to its capacity, those whose last
+// connection ended most recently.
 type sourceTable struct {
 	byKey               map[netip.Prefix]*sourceEntry
-	newest, oldest      *sourceEntry // of the sources without connections
+	newest, oldest      *sourceEntry // ends of the list of the sources without connections
 	idleCount, capacity int          // number of sources without connections, and its maximum
 }
 
@@ -28,7 +28,7 @@
 	return &sourceTable{byKey: map[netip.Prefix]*sourceEntry{}, capacity: capacity}
 }
 
-// lookup returns the source with a key. A new source is not stored before its first connection.
+// lookup returns the source with a key. If there is none, it returns a new source, which connect then stores.
 func (table *sourceTable) lookup(key netip.Prefix) *sourceEntry {
 	if source := table.byKey[key]; source != nil {
 		return source
@@ -46,8 +46,9 @@
 	source.admitted.add(now)
 }
 
-// disconnect counts the end of a connection. A source that has no connection left stays stored for its arrival rate;
-// over the capacity, the source that has been without connections for longest is removed.
+// disconnect counts the end of a connection. A source without connections stays stored, because the limit on its
+// arrival rate still applies. If more such sources are stored than the capacity allows, the one that has been without
+// connections for longest is removed.
 func (table *sourceTable) disconnect(source *sourceEntry) {
 	if source.connections--; source.connections > 0 {
 		return
