--- a/policy/shedding/explore_test.go
+++ b/policy/shedding/explore_test.go
@@ -20,7 +20,7 @@
 	inFlight     []message
 	paused       int    // the paused router; -1: none
 	partitioned  int    // the router that is cut off from the others; -1: none
-	eventCounts  [4]int // of limited events: overloaded intervals, pauses, partitions
+	eventCounts  [4]int // how often each limited event occurred: overloaded intervals, pauses, partitions
 	ignoreMaxAge bool   // deliberate fault: every report counts as fresh
 	path         []string
 }
@@ -28,7 +28,7 @@
 type message struct {
 	Report
 	from, to   int
-	sentAt     clock.Nanos // unknown to the routers
+	sentAt     clock.Nanos // not visible to the routers
 	receivedAt clock.Nanos
 }
 
@@ -38,34 +38,34 @@
 )
 
 func (s *Shedder) clone() *Shedder {
-	c := *s
-	c.affinities, c.buckets = maps.Clone(s.affinities), [2]map[bucketKey]*bucket{maps.Clone(s.buckets[0]), maps.Clone(s.buckets[1])}
-	c.groups = map[int64]*group{}
+	result := *s
+	result.affinities, result.buckets = maps.Clone(s.affinities), [2]map[bucketKey]*bucket{maps.Clone(s.buckets[0]), maps.Clone(s.buckets[1])}
+	result.groups = map[int64]*group{}
 	for number, original := range s.groups {
 		copied := *original
 		copied.arrivalsByRank = slices.Clone(original.arrivalsByRank)
-		c.groups[number] = &copied
+		result.groups[number] = &copied
 	}
-	return &c
+	return &result
 }
 
 // next returns a copy of the world, to which the caller applies the named event.
-func (w *world) next(event string) *world {
-	c := *w
-	for i, router := range w.routers {
-		c.routers[i] = router.clone()
+func (state *world) next(event string) *world {
+	successor := *state
+	for i, router := range state.routers {
+		successor.routers[i] = router.clone()
 	}
-	c.inFlight, c.path = slices.Clone(w.inFlight), append(slices.Clone(w.path), event)
-	return &c
+	successor.inFlight, successor.path = slices.Clone(state.inFlight), append(slices.Clone(state.path), event)
+	return &successor
 }
 
-func (w *world) hash() uint64 {
+func (state *world) hash() uint64 {
 	hash := fnv.New64a()
-	fmt.Fprint(hash, w.now, w.received, w.inFlight, w.paused, w.partitioned, w.eventCounts)
-	for _, router := range w.routers {
+	fmt.Fprint(hash, state.now, state.received, state.inFlight, state.paused, state.partitioned, state.eventCounts)
+	for _, router := range state.routers {
 		fmt.Fprint(hash, router.saltEpoch, router.saltChangedAt, router.tickedAt, router.resumedAt)
-		if g := router.groups[1]; g != nil {
-			fmt.Fprint(hash, g.threshold, g.ownThreshold, g.hasReport, g.seq, g.sampleSum, g.sampleCount, g.thresholdSince, g.evaluatedAt, g.evaluations, g.calmEvaluations, g.highEvaluations, g.servedAtOverload, g.served, g.quorumAt, g.pressure, g.quietEvaluations)
+		if group := router.groups[1]; group != nil {
+			fmt.Fprint(hash, group.threshold, group.ownThreshold, group.hasReport, group.seq, group.sampleSum, group.sampleCount, group.thresholdSince, group.evaluatedAt, group.evaluations, group.calmEvaluations, group.highEvaluations, group.servedAtOverload, group.served, group.quorumAt, group.pressure, group.quietEvaluations)
 		}
 	}
 	return hash.Sum64()
@@ -73,93 +73,93 @@
 
 // tick advances time by an interval: each running router receives requests, which are served unless the group is
 // overloaded, and evaluates its pressure.
-func (w *world) tick(overloaded bool) *world {
-	c := w.next(fmt.Sprintf("tick, overloaded: %v", overloaded))
-	c.now += exploreInterval
-	for i, router := range c.routers {
-		if i == c.paused {
+func (state *world) tick(overloaded bool) *world {
+	successor := state.next(fmt.Sprintf("tick, overloaded: %v", overloaded))
+	successor.now += exploreInterval
+	for i, router := range successor.routers {
+		if i == successor.paused {
 			continue
 		}
 		for account := range uint64(6) {
-			if verdict := router.Admit(Request{Team: int(account % 3), Account: account, Group: 1, Share: 1}, c.now); verdict.Reason != Shed {
-				router.RequestStarted(1, c.now, 100*ms)
-				router.RequestEnded(1, verdict.PriorityClass, "", Outcome{ArrivedAt: c.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !overloaded}, c.now)
+			if verdict := router.Admit(Request{Team: int(account % 3), Account: account, Group: 1, Share: 1}, successor.now); verdict.Reason != Shed {
+				router.RequestStarted(1, successor.now, 100*ms)
+				router.RequestEnded(1, verdict.PriorityClass, "", Outcome{ArrivedAt: successor.now, Elapsed: 10 * ms, LatencyObjective: 100 * ms, Served: !overloaded}, successor.now)
 			}
 		}
 		var reports []Report
-		for j, m := range c.received[i] {
-			if m.Seq > 0 && j != i {
-				if m.Age = c.now - m.receivedAt; c.ignoreMaxAge {
-					m.Age = 0
+		for j, latest := range successor.received[i] {
+			if latest.Seq > 0 && j != i {
+				if latest.Age = successor.now - latest.receivedAt; successor.ignoreMaxAge {
+					latest.Age = 0
 				}
-				reports = append(reports, m.Report)
+				reports = append(reports, latest.Report)
 			}
 		}
-		for _, report := range router.Tick(c.now, Connectivity{Majority: i != c.partitioned}, reports) {
-			for j := range c.routers {
-				if j != i && i != c.partitioned && j != c.partitioned {
-					c.inFlight = append(c.inFlight, message{report, i, j, c.now, 0})
+		for _, report := range router.Tick(successor.now, Connectivity{Majority: i != successor.partitioned}, reports) {
+			for j := range successor.routers {
+				if j != i && i != successor.partitioned && j != successor.partitioned {
+					successor.inFlight = append(successor.inFlight, message{report, i, j, successor.now, 0})
 				}
 			}
 		}
 	}
-	return c
+	return successor
 }
 
 // events returns the worlds after each possible next event: an interval with or without overload, a report received or
 // lost, a router paused or resumed, a router cut off or reconnected.
-func (w *world) events() []*world {
+func (state *world) events() []*world {
 	var out []*world
-	if len(w.inFlight) <= maxInFlight {
-		if out = append(out, w.tick(false)); w.eventCounts[0] < 4 {
-			c := w.tick(true)
-			c.eventCounts[0]++
-			out = append(out, c)
+	if len(state.inFlight) <= maxInFlight {
+		if out = append(out, state.tick(false)); state.eventCounts[0] < 4 {
+			successor := state.tick(true)
+			successor.eventCounts[0]++
+			out = append(out, successor)
 		}
 	}
-	for k, m := range w.inFlight {
-		lost := w.next(fmt.Sprintf("lose %d>%d", m.from, m.to))
+	for k, report := range state.inFlight {
+		lost := state.next(fmt.Sprintf("lose %d>%d", report.from, report.to))
 		lost.inFlight = slices.Delete(lost.inFlight, k, k+1)
 		out = append(out, lost)
-		if m.to == w.paused {
+		if report.to == state.paused {
 			continue
 		}
-		delivered := w.next(fmt.Sprintf("deliver %d>%d", m.from, m.to))
+		delivered := state.next(fmt.Sprintf("deliver %d>%d", report.from, report.to))
 		delivered.inFlight = slices.Delete(delivered.inFlight, k, k+1)
-		if m.receivedAt = w.now; m.Seq > delivered.received[m.to][m.from].Seq {
-			delivered.received[m.to][m.from] = m
+		if report.receivedAt = state.now; report.Seq > delivered.received[report.to][report.from].Seq {
+			delivered.received[report.to][report.from] = report
 		}
 		out = append(out, delivered)
 	}
-	for i := range w.routers {
-		if w.paused < 0 && w.eventCounts[1] == 0 {
-			c := w.next(fmt.Sprint("pause ", i))
-			c.paused, c.eventCounts[1] = i, 1
-			out = append(out, c)
+	for i := range state.routers {
+		if state.paused < 0 && state.eventCounts[1] == 0 {
+			successor := state.next(fmt.Sprint("pause ", i))
+			successor.paused, successor.eventCounts[1] = i, 1
+			out = append(out, successor)
 		}
-		if w.partitioned < 0 && w.eventCounts[2] == 0 {
-			c := w.next(fmt.Sprint("cut off ", i))
-			c.partitioned, c.eventCounts[2] = i, 1
-			out = append(out, c)
+		if state.partitioned < 0 && state.eventCounts[2] == 0 {
+			successor := state.next(fmt.Sprint("cut off ", i))
+			successor.partitioned, successor.eventCounts[2] = i, 1
+			out = append(out, successor)
 		}
 	}
-	if w.paused >= 0 {
-		c := w.next("resume")
-		c.paused = -1
-		out = append(out, c)
+	if state.paused >= 0 {
+		successor := state.next("resume")
+		successor.paused = -1
+		out = append(out, successor)
 	}
-	if w.partitioned >= 0 {
-		c := w.next("reconnect")
-		c.partitioned = -1
-		out = append(out, c)
+	if state.partitioned >= 0 {
+		successor := state.next("reconnect")
+		successor.partitioned = -1
+		out = append(out, successor)
 	}
 	return out
 }
 
-// violation returns which invariant an event violated. The freshness of reports is judged by when they were received,
-// not sent: routers can't know the time in transit, which the explorer does not limit.
-func (w *world) violation(before *world) string {
-	for i, router := range w.routers {
+// violation returns the invariant that an event violated, if any. A report counts as fresh by the time when it was
+// received: routers can't know the time in transit, which the explorer does not limit.
+func (state *world) violation(before *world) string {
+	for i, router := range state.routers {
 		after, old := router.groups[1], before.routers[i].groups[1]
 		if after == nil {
 			continue
@@ -171,13 +171,13 @@
 			continue
 		}
 		fresh := 1
-		for j, m := range w.received[i] {
-			if j != i && m.Seq > 0 && w.now-m.receivedAt <= 250*ms {
+		for j, latest := range state.received[i] {
+			if j != i && latest.Seq > 0 && state.now-latest.receivedAt <= 250*ms {
 				fresh++
 			}
 		}
-		if fresh < 2 || i == w.partitioned {
-			return fmt.Sprintf("the threshold of router %d fell from %d to %d with %d fresh reports, cut off: %v", i, old.threshold, after.threshold, fresh, i == w.partitioned)
+		if fresh < 2 || i == state.partitioned {
+			return fmt.Sprintf("the threshold of router %d fell from %d to %d with %d fresh reports, cut off: %v", i, old.threshold, after.threshold, fresh, i == state.partitioned)
 		}
 	}
 	return ""
@@ -187,31 +187,31 @@
 // each other's reports.
 func exploreStart(t *testing.T, ignoreMaxAge bool) *world {
 	t.Helper()
-	w := &world{now: 10 * second, paused: -1, partitioned: -1, ignoreMaxAge: ignoreMaxAge}
-	for i := range w.routers {
+	start := &world{now: 10 * second, paused: -1, partitioned: -1, ignoreMaxAge: ignoreMaxAge}
+	for i := range start.routers {
 		settings := testSettings(fmt.Sprint("r", i), 3)
 		settings.Interval, settings.MaxReportAge = exploreInterval, 250*ms
 		for j := range settings.PriorityClasses {
 			settings.PriorityClasses[j].RequestsPerSecond = 0
 		}
 		router := newShedder(t, settings)
-		router.tickedAt, router.saltChangedAt, router.resumedAt = w.now, w.now, 1
-		g := router.group(1, w.now)
-		g.threshold, g.ownThreshold, g.hasReport, g.seq, g.quietEvaluations = 60, 60, true, 1, 0
-		w.routers[i] = router
-		for j := range w.routers {
+		router.tickedAt, router.saltChangedAt, router.resumedAt = start.now, start.now, 1
+		groupState := router.group(1, start.now)
+		groupState.threshold, groupState.ownThreshold, groupState.hasReport, groupState.seq, groupState.quietEvaluations = 60, 60, true, 1, 0
+		start.routers[i] = router
+		for j := range start.routers {
 			if j != i {
-				w.received[j][i] = message{Report{Group: 1, Router: settings.Router, Epoch: 1, Seq: 1, Threshold: 60}, i, j, w.now, w.now}
+				start.received[j][i] = message{Report{Group: 1, Router: settings.Router, Epoch: 1, Seq: 1, Threshold: 60}, i, j, start.now, start.now}
 			}
 		}
 	}
-	return w
+	return start
 }
 
 // explore visits worlds breadth first, up to a number of states. It returns the number of states, the depth, and
 // the shortest path to a violation.
-func explore(w *world, maxStates int) (states, depth int, fault string) {
-	seen, frontier := map[uint64]bool{w.hash(): true}, []*world{w}
+func explore(start *world, maxStates int) (states, depth int, fault string) {
+	seen, frontier := map[uint64]bool{start.hash(): true}, []*world{start}
 	for len(frontier) > 0 && len(seen) < maxStates {
 		var next []*world
 		for _, before := range frontier {
@@ -242,8 +242,8 @@
 	}
 }
 
-// The explorer detects a deliberate fault: with reports that never expire, a threshold falls although no router has
-// sent a report for long.
+// The explorer detects a deliberate fault: if reports never expire, a threshold falls although no router has sent a
+// report for a long time.
 func TestExploreFindsABrokenRule(t *testing.T) {
 	states, depth, fault := explore(exploreStart(t, true), 20_000)
 	t.Logf("explored %d states, %d events deep: %s", states, depth, fault)
--- a/policy/shedding/merge.go
+++ b/policy/shedding/merge.go
@@ -11,8 +11,8 @@
 const (
 	maxLoad           = 1 << 24
 	maxEpoch          = 1 << 62
-	quorumReports     = 12 // fresh reports that are a quorum however many routers there are
-	maxSampledReports = 16 // reports that the mean is computed from: as many as internal/peer pushes to at a time
+	quorumReports     = 12 // number of fresh reports that suffice for a quorum, however many routers there are
+	maxSampledReports = 16 // max reports in the mean: as many as internal/peer sends at a time
 )
 
 // Merged is the result of merging the reports on one group.
@@ -23,16 +23,16 @@
 	AnyShedding bool   // any reported threshold is above 0
 }
 
-// Merge merges reports. The result depends neither on their order nor on duplicates. Only the latest report of each
-// router's latest process counts, and only if it is fresh. Of two copies of a report the one with the higher age
-// counts, because ages omit part of the time in transit. With many routers, the mean includes the freshest reports
-// only: the mean of all reports would be half of maxAge old.
+// Merge merges reports on one group. The result depends neither on their order nor on duplicates. Only the latest
+// report of each router's latest process counts, and only if it is fresh, which means no older than maxAge. Of two
+// copies of a report the one with the higher age counts, because ages omit part of the time in transit. With many
+// routers, only the freshest reports are averaged, because all of them together would on average be half of maxAge old.
 func Merge(reports []Report, maxAge clock.Nanos, maxThreshold int) Merged {
 	var merged Merged
 	latest := make(map[string]*Report, len(reports))
 	for i := range reports {
 		report := &reports[i]
-		if report.SaltEpoch < maxEpoch { // also of an outdated report, because epochs never decrease
+		if report.SaltEpoch < maxEpoch { // outdated reports count here too, because salt epochs never decrease
 			merged.SaltEpoch = max(merged.SaltEpoch, report.SaltEpoch)
 		}
 		if old := latest[report.Router]; old == nil || old.compare(report) < 0 {
@@ -62,20 +62,20 @@
 }
 
 // compare orders two reports of one router; the later one is greater.
-func (r *Report) compare(other *Report) int {
+func (report *Report) compare(other *Report) int {
 	toInt := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Seq, other.Seq), cmp.Compare(r.Age, other.Age), cmp.Compare(r.Threshold, other.Threshold), cmp.Compare(r.Load, other.Load),
-		cmp.Compare(toInt(r.Excluded), toInt(other.Excluded)))
+	return cmp.Or(cmp.Compare(report.Epoch, other.Epoch), cmp.Compare(report.Seq, other.Seq), cmp.Compare(report.Age, other.Age), cmp.Compare(report.Threshold, other.Threshold), cmp.Compare(report.Load, other.Load),
+		cmp.Compare(toInt(report.Excluded), toInt(other.Excluded)))
 }
 
-// Tick applies the other routers' reports to each group's threshold, and then, if an evaluation is due, adjusts this
-// router's own threshold. It returns the reports to send to the other routers. It must be called several times per
-// Settings.Interval.
+// Tick applies the other routers' reports to each group's threshold. It then adjusts this router's own threshold of
+// each group whose evaluation is due, and returns the reports to send to the other routers. It must be called several
+// times per Settings.Interval.
 func (s *Shedder) Tick(now clock.Nanos, connectivity Connectivity, reports []Report) []Report {
 	paused := now-s.tickedAt > s.settings.MaxReportAge || now < s.tickedAt
 	if s.tickedAt = now; paused {
@@ -86,7 +86,7 @@
 	for _, report := range reports {
 		if report.Router != s.settings.Router {
 			byGroup[report.Group] = append(byGroup[report.Group], report)
-			s.group(report.Group, now) // other routers may measure its pressure before a request arrives here
+			s.group(report.Group, now) // creates a state, as no request for the group may have arrived here yet
 		}
 	}
 	var own []Report
@@ -118,11 +118,11 @@
 
 const finalReports = 3 // number of reports that a router sends after shedding has ended
 
-// resetAfterPause drops what was measured before this router was paused, because it says nothing about the present.
-func (g *group) resetAfterPause(now clock.Nanos) {
-	g.resetSamples(now)
-	g.quorumAt = now // no reports could arrive during the pause
-	g.pressure, g.calmEvaluations, g.evaluatedAt, g.hasReport, g.newArrivals = 0, 0, now, false, 0
+// resetAfterPause drops what was measured before this process was paused, because it is outdated.
+func (state *group) resetAfterPause(now clock.Nanos) {
+	state.resetSamples(now)
+	state.quorumAt = now // the router could not receive reports during the pause
+	state.pressure, state.calmEvaluations, state.evaluatedAt, state.hasReport, state.newArrivals = 0, 0, now, false, 0
 }
 
 // groupNumbers returns the groups' numbers in ascending order.
@@ -135,8 +135,9 @@
 	return numbers
 }
 
-// applyReports applies the other routers' reports to a group's threshold. The threshold falls only with a quorum: this
-// router belongs to the majority, is not isolated, and has fresh reports of enough routers. Otherwise it may only rise.
+// applyReports applies the other routers' reports to a group's threshold. With a quorum the threshold may fall: this
+// router then belongs to the majority, is not isolated, and has fresh reports of enough routers. Without a quorum the
+// threshold may only rise, until the router is isolated for the group (updateIsolated).
 func (s *Shedder) applyReports(number int64, group *group, reports []Report, connectivity Connectivity, now clock.Nanos) Merged {
 	if group.hasReport {
 		reports = append(reports, Report{Group: number, Router: s.settings.Router, Epoch: s.settings.Epoch, Seq: group.seq, Age: max(0, now-group.evaluatedAt), Load: int64(group.arrivalRate), Threshold: group.ownThreshold})
@@ -169,8 +170,8 @@
 }
 
 // rotateSalt begins another salt epoch when the present one is over by this router's clock. The other routers learn of
-// it from this router's next report, and restart their own timers. So no two clocks are compared, and the fastest clock
-// determines the period.
+// the new epoch from this router's next report, and restart their own timers. Thus no two routers' clocks are compared,
+// and the fastest clock determines how long an epoch lasts.
 func (s *Shedder) rotateSalt(now clock.Nanos) {
 	switch {
 	case s.saltChangedAt == 0 || now < s.saltChangedAt:
--- a/policy/shedding/rules_test.go
+++ b/policy/shedding/rules_test.go
@@ -43,7 +43,7 @@
 		}
 		duplicated := append([]Report(nil), all...)
 		for _, report := range all {
-			// The age of the copy omits some time in transit.
+			// A copy of the report whose age omits some of its time in transit.
 			report.Age -= clock.Nanos(rapid.IntRange(0, int(report.Age/ms)).Draw(t, "younger")) * ms
 			duplicated = append(duplicated, report)
 		}
--- a/policy/shedding/shedder.go
+++ b/policy/shedding/shedder.go
@@ -14,18 +14,18 @@
 type Shedder struct {
 	settings Settings
 	order    shedOrder
-	// buckets has two generations, the newer first. Once that is full, the older one is dropped, and its accounts start
-	// again with full buckets.
+	// buckets has two generations, the newer one first. Once the newer one is full, the older one is dropped, and accounts
+	// that were only in the older one start again with full buckets.
 	buckets       [2]map[bucketKey]*bucket
 	affinities    map[string]writeAffinity
-	affinityOrder []string // oldest first
+	affinityOrder []string // keys of affinities, oldest first
 	groups        map[int64]*group
 	saltEpoch     uint64
 	saltChangedAt clock.Nanos
 	tickedAt      clock.Nanos
-	resumedAt     clock.Nanos // end of this router's latest pause, or its start
+	resumedAt     clock.Nanos // end of this process's latest pause, or its start
 	counts        [MaxPriorityClasses][ReasonCount]uint64
-	ungrouped     uint64
+	ungrouped     uint64 // see Ungrouped
 }
 
 type bucketKey struct {
@@ -39,14 +39,14 @@
 	writtenAt clock.Nanos
 }
 
-// New returns a Shedder without usage, and with thresholds that shed nothing.
+// New returns a Shedder that has counted no usage and sheds nothing.
 func New(settings Settings) (*Shedder, error) {
 	s := &Shedder{affinities: map[string]writeAffinity{}, groups: map[int64]*group{}, buckets: [2]map[bucketKey]*bucket{{}, {}}}
 	return s, s.Configure(settings)
 }
 
-// Configure replaces the settings. The state is reset if the priority classes differ; otherwise only the teams' usage
-// is.
+// Configure replaces the settings. If the priority classes change, all state is reset; otherwise only the usage of the
+// teams' entitlements is.
 func (s *Shedder) Configure(settings Settings) error {
 	if err := settings.Check(); err != nil {
 		return err
@@ -70,9 +70,9 @@
 // positions of these classes; then the highest class.
 type shedOrder struct {
 	unreservedPositions [MaxPriorityClasses]int // number of positions that are not reserved
-	firstRank           [MaxPriorityClasses]int // of the unreserved positions
-	firstReservedRank   [MaxPriorityClasses]int
-	maxThreshold        int // the reserved positions of the highest class are never shed
+	firstRank           [MaxPriorityClasses]int // lowest rank of the unreserved positions
+	firstReservedRank   [MaxPriorityClasses]int // lowest rank of the reserved positions
+	maxThreshold        int                     // the reserved positions of the highest class are never shed
 	rankCount           int
 }
 
@@ -97,26 +97,26 @@
 }
 
 // rank returns the rank of a position of a class.
-func (o *shedOrder) rank(class, position int) int {
-	if position < o.unreservedPositions[class] {
-		return o.firstRank[class] + position
+func (order *shedOrder) rank(class, position int) int {
+	if position < order.unreservedPositions[class] {
+		return order.firstRank[class] + position
 	}
-	return o.firstReservedRank[class] + position - o.unreservedPositions[class]
+	return order.firstReservedRank[class] + position - order.unreservedPositions[class]
 }
 
-// downgradedRank returns the rank of a request that was downgraded to a class. It is never a reserved rank: these are
-// for the class's own accounts.
-func (o *shedOrder) downgradedRank(class, position int) int {
-	return o.firstRank[class] + position*o.unreservedPositions[class]/Positions
+// downgradedRank returns the rank of a request that was downgraded to a class. It is never a reserved rank, because
+// reserved ranks are for the class's own accounts.
+func (order *shedOrder) downgradedRank(class, position int) int {
+	return order.firstRank[class] + position*order.unreservedPositions[class]/Positions
 }
 
 // lastRank returns the rank of a class that is shed last.
-func (o *shedOrder) lastRank(class int) int { return o.rank(class, Positions-1) }
+func (order *shedOrder) lastRank(class int) int { return order.rank(class, Positions-1) }
 
 // priorityClassOf returns the class of a rank.
-func (o *shedOrder) priorityClassOf(classes, rank int) int {
+func (order *shedOrder) priorityClassOf(classes, rank int) int {
 	for i := range classes {
-		if rank >= o.firstRank[i] && rank < o.firstRank[i]+o.unreservedPositions[i] || rank >= o.firstReservedRank[i] && rank < o.firstReservedRank[i]+Positions-o.unreservedPositions[i] {
+		if rank >= order.firstRank[i] && rank < order.firstRank[i]+order.unreservedPositions[i] || rank >= order.firstReservedRank[i] && rank < order.firstReservedRank[i]+Positions-order.unreservedPositions[i] {
 			return i
 		}
 	}
@@ -124,13 +124,13 @@
 }
 
 // Account returns the number of an account. A request without a session belongs to its team's account.
-func (s *Settings) Account(team, session string) uint64 {
+func (settings *Settings) Account(team, session string) uint64 {
 	hash := fnv.New64a()
-	if s.AccountKey != BySession || session == "" {
+	if settings.AccountKey != BySession || session == "" {
 		hash.Write([]byte(team))
 		hash.Write([]byte{0})
 	}
-	if s.AccountKey != ByTeam {
+	if settings.AccountKey != ByTeam {
 		hash.Write([]byte(session))
 	}
 	return hash.Sum64()
@@ -145,7 +145,7 @@
 	return string(append(append(name, 1), session...))
 }
 
-// mix distributes account numbers evenly (the finalizer of MurmurHash3).
+// mix maps account numbers to evenly distributed ones (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -154,8 +154,8 @@
 	return x ^ x>>33
 }
 
-// salt returns the salt of the present epoch: the same at all routers that share thresholds, a different one at each
-// router that does not.
+// salt returns the salt of the present epoch. It is the same on all routers that share thresholds, and different on
+// each router that decides alone.
 func (s *Shedder) salt() uint64 {
 	salt := mix(s.saltEpoch + 0x9e3779b97f4a7c15)
 	if !s.settings.Shared {
@@ -185,7 +185,7 @@
 		position := s.Position(request.Account)
 		verdict.PriorityClass, entitled = s.consumeEntitlement(request, team, own, now)
 		switch {
-		case !entitled: // over the entitlement of the lowest class, too
+		case !entitled: // beyond the entitlement of the lowest class, too
 			verdict.Reason, verdict.Rank = Downgraded, s.order.firstRank[verdict.PriorityClass]
 		case verdict.PriorityClass == own:
 			verdict.Rank = s.order.rank(own, position)
@@ -203,7 +203,7 @@
 	return verdict
 }
 
-// affinityOf reports whether a request follows an earlier write, and the class of that write.
+// affinityOf reports whether a request follows an earlier write, and returns the class of that write.
 func (s *Shedder) affinityOf(request Request, own int, now clock.Nanos) (class int, ok bool) {
 	for _, name := range [2]string{request.Key, request.ReadSession} {
 		if affinity, found := s.affinities[name]; name != "" && found && now-affinity.writtenAt < s.settings.WriteAffinity {
@@ -213,8 +213,8 @@
 	return own, request.WroteElsewhere // the class of another router's write is unknown; the own class is used
 }
 
-// consumeEntitlement consumes the entitlement of the highest class, from the account's own downwards, that covers a
-// request.
+// consumeEntitlement finds the highest class, from the account's own class downwards, in which the entitlement covers
+// the request. It consumes that entitlement and returns the class, or the lowest class and false if there is none.
 func (s *Shedder) consumeEntitlement(request Request, team Team, own int, now clock.Nanos) (class int, entitled bool) {
 	for class = own; class < len(s.settings.PriorityClasses); class++ {
 		settings := &s.settings.PriorityClasses[class]
@@ -267,8 +267,8 @@
 	return found
 }
 
-// retryAfter returns the Retry-After time of a shed account: shorter in a higher class, and different between accounts
-// so that clients don't return together.
+// retryAfter returns the Retry-After time for an account whose request is shed: shorter in a higher class, and
+// different between accounts so that clients don't return together.
 func (s *Shedder) retryAfter(account uint64, class int) clock.Nanos {
 	longest := min(s.settings.MaxRetryAfter, s.settings.PlatformMaxRetryAfter)
 	window := float64(longest) * float64(class+1) / float64(len(s.settings.PriorityClasses))
@@ -290,15 +290,15 @@
 	}
 }
 
-// RequestStarted records that a request admitted here is open. RequestEnded must follow.
+// RequestStarted records that a request admitted here is open. RequestEnded must be called when it ends.
 func (s *Shedder) RequestStarted(group int64, arrivedAt, latencyObjective clock.Nanos) {
 	if state := s.groups[group]; state != nil && latencyObjective > 0 {
 		state.requestStarted(arrivedAt, latencyObjective)
 	}
 }
 
-// RequestEnded processes the outcome of a started request. class is the one in which it was admitted; key is the
-// request's idempotency key.
+// RequestEnded processes the outcome of a request for which RequestStarted was called. class is the one in which it was
+// admitted; key is its idempotency key, or "".
 func (s *Shedder) RequestEnded(group int64, class int, key string, outcome Outcome, now clock.Nanos) {
 	if key != "" && !outcome.Served && outcome.MayHaveRun {
 		s.addAffinity(key, class, now)
@@ -311,8 +311,9 @@
 	}
 }
 
-// group returns a group's state. If too many groups are stored, one that sheds nothing and has no open requests is
-// evicted. If there is none, group returns nil: requests of the new group are counted and admitted without shedding.
+// group returns the state of a group, which it creates if necessary. If too many groups are stored, it evicts one that
+// sheds nothing and has no open requests. If there is none to evict, it returns nil: requests of the new group are then
+// admitted without shedding, and counted as ungrouped.
 func (s *Shedder) group(number int64, now clock.Nanos) *group {
 	found := s.groups[number]
 	if found == nil {
@@ -326,7 +327,8 @@
 	return found
 }
 
-// evictGroup evicts the idle group with the lowest number, so that runs can be replayed.
+// evictGroup evicts an idle group. It takes the one with the lowest number, so that a recorded sequence of events can
+// be replayed with the same results.
 func (s *Shedder) evictGroup() bool {
 	lowest, found := int64(0), false
 	for number, group := range s.groups {
@@ -365,9 +367,9 @@
 	var counts []ClassCounts
 	for i, class := range s.settings.PriorityClasses {
 		count := ClassCounts{PriorityClass: class.Name, ByReason: s.counts[i], Counts: map[string]uint64{}}
-		for reason, n := range count.ByReason {
-			if n > 0 {
-				count.Counts[Reason(reason).String()] = n
+		for reason, decisions := range count.ByReason {
+			if decisions > 0 {
+				count.Counts[Reason(reason).String()] = decisions
 			}
 		}
 		counts = append(counts, count)
--- a/policy/shedding/shedder_test.go
+++ b/policy/shedding/shedder_test.go
@@ -19,11 +19,11 @@
 
 // testSettings returns settings with three priority classes, of which the two higher ones limit accounts.
 func testSettings(router string, routers int) Settings {
-	s := DefaultSettings()
-	s.Router, s.Epoch, s.Routers, s.Shared, s.PlatformMaxRetryAfter = router, 1, routers, true, 4*second
-	s.PriorityClasses = []PriorityClass{{Name: "premium", RequestsPerSecond: 10, Burst: 2, ReservedShare: 0.25}, {Name: "regular", RequestsPerSecond: 5, Burst: 2, ReservedShare: 0.1}, {Name: "background", ReservedShare: 0.1}}
-	s.Teams = []Team{{"a", 0, 0, 0}, {"b", 1, 0, 0}, {"c", 2, 0, 0}, {"d", 0, 1, 1}}
-	return s
+	settings := DefaultSettings()
+	settings.Router, settings.Epoch, settings.Routers, settings.Shared, settings.PlatformMaxRetryAfter = router, 1, routers, true, 4*second
+	settings.PriorityClasses = []PriorityClass{{Name: "premium", RequestsPerSecond: 10, Burst: 2, ReservedShare: 0.25}, {Name: "regular", RequestsPerSecond: 5, Burst: 2, ReservedShare: 0.1}, {Name: "background", ReservedShare: 0.1}}
+	settings.Teams = []Team{{"a", 0, 0, 0}, {"b", 1, 0, 0}, {"c", 2, 0, 0}, {"d", 0, 1, 1}}
+	return settings
 }
 
 func newShedder(t interface{ Fatal(...any) }, settings Settings) *Shedder {
@@ -44,7 +44,7 @@
 }
 
 // Each position of each class has a rank of its own. Positions of a lower class have lower ranks, except for reserved
-// positions; these rank below the highest class only.
+// positions: these rank above the unreserved ones of all classes but the highest.
 //
 //nolint:gocognit // one table of all positions
 func TestOrder(t *testing.T) {
