--- a/policy/trust/ledger.go
+++ b/policy/trust/ledger.go
@@ -5,15 +5,15 @@
 	"lotushook/policy/crdt"
 )
 
-// Ledger records the provenance of entries that were received from peers, restored from disk or learned by this
-// process.
+// Ledger records a fact for each entry that was received from a peer, restored from disk or learned by this process
+// itself. It is not safe for concurrent use.
 type Ledger struct {
 	settings         Settings
 	facts            map[entryKey]*trackedFact
-	order            []entryKey // by first recording; once full, a ring whose oldest key is at nextEvicted
-	nextEvicted      int
+	order            []entryKey // keys of facts in the order of recording; once full, a ring buffer
+	nextEvicted      int        // index of the oldest key in order
 	distrustRestored bool
-	unconfirmed      [ProvenanceCount]int // number of unproven facts by provenance
+	unconfirmed      [ProvenanceCount]int // number of unproven facts, by provenance
 }
 
 type trackedFact struct {
@@ -30,24 +30,24 @@
 	return &Ledger{settings: settings, facts: map[entryKey]*trackedFact{}}, nil
 }
 
-// AddRestored records an entry restored from disk, unless its key is already recorded. minAgeOnly says that the entry's
-// age is only a lower bound.
+// AddRestored records an entry restored from disk, unless a fact is already recorded for its key. minAgeOnly says that
+// the entry's age is only a lower bound.
 func (ledger *Ledger) AddRestored(now clock.Nanos, entry crdt.Entry, minAgeOnly bool) {
 	if ledger.facts[keyOf(&entry)] == nil {
 		ledger.record(now, entry, Fact{Provenance: FromDisk, MinAgeOnly: minAgeOnly})
 	}
 }
 
-// AddOwnResponse records an entry that this process learned from a data server's answer. It replaces any other entry of
-// the key.
+// AddOwnResponse records an entry that this process learned from a data server's answer. It replaces any entry
+// that is recorded for the same key.
 func (ledger *Ledger) AddOwnResponse(now clock.Nanos, entry crdt.Entry) {
 	ledger.record(now, entry, Fact{Provenance: OwnResponse, Proven: true})
 }
 
 // AddFromPeer records an entry received from a peer. continuouslyUp says that the peer has been up since before this
-// router started or wrote its copy. An equal entry from such a peer confirms the recorded one, and a greater entry
-// replaces it as proven. An entry from any other peer is unconfirmed, as that peer may itself have restored it from
-// disk.
+// router started or wrote its copy on disk. From such a peer, an entry equal to the recorded one confirms it, and a
+// greater entry replaces it and is proven. An entry from any other peer is unconfirmed, as that peer may itself have
+// restored it from disk.
 func (ledger *Ledger) AddFromPeer(now clock.Nanos, entry crdt.Entry, continuouslyUp bool) {
 	tracked := ledger.facts[keyOf(&entry)]
 	switch {
@@ -73,9 +73,9 @@
 	}
 }
 
-// DistrustRestored records that an outdated copy was restored. Its entries may be older than their recorded ages, so
-// that even if a peer confirms them they permit conservative uses only, until an answer to this process or a greater
-// entry replaces them.
+// DistrustRestored records that the copy restored from disk is outdated. Its entries may be older than their recorded
+// ages. Therefore they permit conservative uses only, even if a peer confirms them, until an answer to this process or
+// a greater entry replaces them.
 func (ledger *Ledger) DistrustRestored() {
 	ledger.distrustRestored = true
 	for _, tracked := range ledger.facts {
--- a/policy/trust/trust.go
+++ b/policy/trust/trust.go
@@ -1,10 +1,10 @@
-// Package trust decides which actions a fact permits, depending on its provenance. A router may act on a fact from a
-// data server's answer to its own request. A fact that a peer sent, or that was restored from disk after a start, is
-// unconfirmed until it is proven by an answer to this router or by a peer that has been up continuously. The package
-// decides neither what an entry contains nor which of two entries prevails (policy/crdt), and sends nothing: callers
-// ask Evaluate before they act.
+// Package trust decides which actions a fact permits. A fact is what a router knows about an entry of the replicated
+// state: its provenance, which is the source that the entry came from, and whether the entry is confirmed. A router may
+// act on a data server's answer to its own request. An entry that a peer sent, or that was restored from disk after a
+// start, is unconfirmed until it is proven, either by an answer to this router or by a peer that has been up
+// continuously. Callers ask Evaluate before they act; a Ledger records the facts.
 //
-// A Ledger records for each restored or received entry whether it is confirmed. It is not safe for concurrent use.
+// What an entry contains, and which of two entries prevails, is decided by policy/crdt.
 package trust
 
 import (
@@ -36,8 +36,8 @@
 	Provenance Provenance
 	Age        clock.Nanos // time since the entry was first learned
 	MinAgeOnly bool        // Age is only a lower bound
-	Proven     bool        // confirmed; always true when an OwnResponse is recorded
-	Refuted    bool        // contradicted by a data server's answer
+	Proven     bool        // the entry is confirmed; always true when an OwnResponse is recorded
+	Refuted    bool        // a data server's answer contradicted the entry
 }
 
 // Use is an action that a fact may permit.
@@ -52,7 +52,7 @@
 	Probe                       // probe a presumed primary before sending a write to it
 	Write                       // send a write to a presumed primary
 	Read                        // choose the server of a read by a reported position
-	GrantLease                  // claim or grant a quota share or an exclusive right
+	GrantLease                  // claim or grant a share of a quota, or an exclusive right
 	ExceedSlowStart             // exceed the budget of an endpoint in slow start, as if it were warm
 	CountUsage                  // count a team's usage against its contract
 	AvoidServer                 // send fewer requests to a server because of a hint
@@ -86,7 +86,7 @@
 // String returns the name used in logs and counts.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision says whether a use is allowed, and why.
+// Decision says whether a use is allowed, and gives the reason.
 type Decision struct {
 	Allowed bool
 	Reason  Reason
@@ -94,7 +94,7 @@
 
 // Settings bound the size of a Ledger and the age of the facts that Evaluate accepts.
 type Settings struct {
-	Capacity int         // maximum number of entries; beyond it the one recorded first is evicted and becomes unknown
+	Capacity int         // maximum number of facts; beyond it the one recorded first is evicted and becomes Unknown
 	MaxAge   clock.Nanos // how long a fact confirmed by a peer permits uses that are not merely conservative
 }
 
@@ -146,8 +146,8 @@
 	return Decision{true, ReasonConfirmedByPeer}
 }
 
-// CopyVersion says how recent a copy on disk is: the epoch of the process that wrote it, and the sequence number of its
-// last entry, which grows while the process runs.
+// CopyVersion says how recent a copy of the replicated state on disk is: the epoch of the process that wrote it, and
+// the sequence number of the last entry in it, which grows while the process runs.
 type CopyVersion struct{ Epoch, Number uint64 }
 
 // CopyStatus compares a copy on disk with what peers have received from the router that wrote it.
@@ -155,10 +155,10 @@
 
 // The statuses of a copy.
 const (
-	CopyUnreported      CopyStatus = iota // no peer has reported a version, which proves nothing
+	CopyUnreported      CopyStatus = iota // no peer has reported a version, so that nothing is known
 	CopyCurrent                           // no peer has seen a newer version
 	CopyWithinCrashLoss                   // a peer has seen a newer version, by no more than a crash may lose
-	CopyOutdated                          // an older copy was restored: a peer has seen a much newer version
+	CopyOutdated                          // a peer has seen a much newer version, so an older copy was restored
 )
 
 // CompareCopy compares the version of a copy with the greatest version that any peer has seen; a peer that has seen
--- a/policy/trust/trust_ledger_test.go
+++ b/policy/trust/trust_ledger_test.go
@@ -10,7 +10,7 @@
 	"lotushook/policy/crdt"
 )
 
-// facts are all combinations of provenance and confirmation, by name.
+// facts contains all combinations of provenance and confirmation, by name.
 var facts = []struct {
 	name string
 	fact Fact
@@ -159,7 +159,7 @@
 					t.Fatalf("%v is both proven and refuted", factEntry)
 				}
 				if ownKeys[key] && fact.Provenance != OwnResponse {
-					delete(ownKeys, key) // it was evicted and recorded again since
+					delete(ownKeys, key) // the entry was evicted and recorded again since then
 				}
 				if distrusted && fact.Provenance == FromDisk && !fact.MinAgeOnly {
 					t.Fatalf("%v comes from an outdated copy, but its age is not marked as a lower bound", factEntry)
@@ -187,7 +187,7 @@
 	return 0
 }
 
-// The fact of one key after each of a sequence of entries.
+// The fact that is recorded for a key after each of a sequence of entries.
 func TestLedgerSequence(t *testing.T) {
 	ledger, err := NewLedger(DefaultSettings())
 	if err != nil {
