--- a/policy/recovery/budget.go
+++ b/policy/recovery/budget.go
@@ -6,8 +6,9 @@
 	"lotushook/policy/clock"
 )
 
-// UpdatePeers records the current view of the peers. A router that is itself returning counts each configured router as
-// returning unless the view says that the router was heard directly and started more than RestartWindow earlier.
+// UpdatePeers records this router's current view of its peers. While this router is itself returning, it counts each
+// configured router as returning, except those that the view shows to have been heard directly and to have started more
+// than RestartWindow earlier.
 func (recovery *Recovery) UpdatePeers(now clock.Nanos, peers []Peer) {
 	servingPeers, heardPeers := 0, 0
 	for _, peer := range peers {
@@ -27,8 +28,8 @@
 	recovery.Tick(now)
 }
 
-// returningPeers counts the peers that started after this router, and within the last RestartWindow by this router's
-// clock.
+// returningPeers counts the peers that started after this router did, and within the last RestartWindow by this
+// router's clock.
 func (recovery *Recovery) returningPeers(now clock.Nanos, peers []Peer) int {
 	count := 0
 	for _, peer := range peers {
@@ -39,10 +40,10 @@
 	return count
 }
 
-// share returns this router's share of each budget. An even share of all configured routers is safe whatever the views
-// are. While others return, a serving router uses only ServingShare of its even share, and the returning routers divide
-// the rest, but each uses at most MaxShareFactor times an even share, as the views of all routers may be wrong at the
-// same time.
+// share returns this router's share of each budget. Dividing a budget evenly among all configured routers is safe
+// whatever they know of each other. While routers return, each serving router uses only ServingShare of its even share,
+// and the returning routers divide the rest. A returning router uses at most MaxShareFactor times an even share, as the
+// views of all routers may be wrong at the same time.
 func (recovery *Recovery) share() float64 {
 	routers := float64(recovery.settings.Routers)
 	factor := 1.0
@@ -74,11 +75,12 @@
 	return stage >= Proving
 }
 
-// Allow is called before a dial, a probe, a list call or a catch-up request. It either reserves a slot, and the caller
-// acts after wait, or denies the action, and the caller asks again after wait. A slot more than maxWait away is denied
-// and not reserved, as callers that can't wait that long would otherwise use up all slots. Unused slots do not
-// accumulate. The slots of a router are evenly spaced with a phase derived from its name and epoch, so that many
-// routers that start together act one after the other.
+// Allow must be called before a dial, a probe, a list call or a catch-up request. If the reason is Allowed, it has
+// reserved a slot, a time at which the action may start, and the caller acts after wait. Otherwise the action is
+// denied, and the caller may ask again after wait. A slot more than maxWait away is denied and not reserved, as callers
+// that can't wait that long would otherwise use up all slots. Unused slots do not accumulate. The slots of a router are
+// evenly spaced, with a phase derived from its name and epoch, so that many routers that start together act one after
+// the other.
 func (recovery *Recovery) Allow(now clock.Nanos, kind Kind, maxWait clock.Nanos) (wait clock.Nanos, reason Reason) {
 	recovery.Tick(now)
 	now = recovery.now
@@ -93,23 +95,23 @@
 	if rate := recovery.settings.Budgets[kind] * recovery.share(); rate > 0 {
 		interval = clock.Nanos(math.Ceil(float64(second) / rate))
 	} else {
-		interval = 3600 * second // without a share, practically never
+		interval = 3600 * second // a router without a share practically never gets a slot
 	}
 	firstSlot := recovery.startedAt + clock.Nanos(recovery.slotPhase[kind]*float64(interval))
 	earliest := max(now, recovery.lastSlot[kind]+1, firstSlot)
 	slot := firstSlot + (earliest-firstSlot+interval-1)/interval*interval
-	if slot-recovery.lastSlot[kind] < interval { // the last slot was reserved with another interval
+	if slot-recovery.lastSlot[kind] < interval { // the interval has changed since the last slot was reserved
 		slot = recovery.lastSlot[kind] + interval
 	}
 	if maxWait = min(maxWait, recovery.settings.MaxWait); slot-now > maxWait {
 		recovery.reasonCounts[OverBudget]++
-		return max(1, slot-now-maxWait/2), OverBudget // asking again only at the slot's time would be too late for it
+		return max(1, slot-now-maxWait/2), OverBudget // at the slot's own time it would be too late to reserve that slot
 	}
 	recovery.lastSlot[kind] = slot
 	return slot - now, Allowed
 }
 
-// AllowSend is called before an attempt is sent. An attempt that it denies must not be sent.
+// AllowSend must be called before an attempt is sent. The attempt may be sent only if the reason is Allowed.
 func (recovery *Recovery) AllowSend(now clock.Nanos, attempt Attempt) Reason {
 	recovery.Tick(now)
 	reason := recovery.checkSend(recovery.now, attempt)
@@ -140,7 +142,7 @@
 	return Allowed
 }
 
-// sendRate returns this router's budget of sends per second before it serves.
+// sendRate returns how many sends per second this router's share of the budget permits before the stage Serving.
 func (recovery *Recovery) sendRate() float64 {
 	rate := recovery.settings.Budgets[Send] * recovery.share()
 	if recovery.stage == Proving {
@@ -149,7 +151,8 @@
 	return rate * recovery.rampFactor
 }
 
-// refill adds the send tokens of the elapsed time. At most the tokens of 20 ms, or one, accumulate.
+// refill adds the send tokens for the elapsed time. At most the tokens for 20 ms accumulate, but at least one token
+// may.
 func (recovery *Recovery) refill(now clock.Nanos) {
 	rate := recovery.sendRate()
 	recovery.sendTokens = min(max(1, rate/50), recovery.sendTokens+rate*float64(now-recovery.sendTokensAt)/float64(second))
--- a/policy/recovery/explore_test.go
+++ b/policy/recovery/explore_test.go
@@ -24,7 +24,7 @@
 	if recovery == nil {
 		return nil
 	}
-	clone := *recovery // the clones share no map of response times
+	clone := *recovery // response times are not copied: the routers would share a map
 	clone.responseTimes = newResponseTimes(1)
 	return &clone
 }
@@ -152,7 +152,7 @@
 	for index := range initial.routers {
 		initial.start(tb, index, trustViews)
 	}
-	for index := range 2 { // two have served for long; the third has just started
+	for index := range 2 { // two routers have served for a long time; the third has just started
 		initial.routers[index].startedAt, initial.routers[index].stageStartedAt, initial.routers[index].yieldDeadline, initial.epochs[index], initial.routers[index].stage = 0, 0, 0, 1, Serving
 		initial.routers[index].settings.Epoch = 1
 	}
@@ -187,8 +187,8 @@
 	}
 }
 
-// The exploration finds an invariant that is broken on purpose: without MaxShareFactor, several routers may each use
-// all that their views leave of a budget.
+// The exploration detects a deliberate fault: without MaxShareFactor, several routers may each use all of a budget that
+// their views leave to returning routers.
 func TestExploreFindsBrokenInvariant(t *testing.T) {
 	states, depth, violation := explore(t, true, 20_000)
 	t.Logf("%d states, %d events deep: %s", states, depth, violation)
--- a/policy/recovery/recovery_test.go
+++ b/policy/recovery/recovery_test.go
@@ -8,7 +8,7 @@
 	"lotushook/policy/clock"
 )
 
-// What each stage permits, which events prove it, and what happens without a proof.
+// What each stage permits, which events complete its proof, and what happens without a proof.
 func TestStages(t *testing.T) {
 	attempt := Attempt{Server: 1, Deadline: 1 << 60}
 	type stageStep struct {
@@ -67,7 +67,7 @@
 	}
 }
 
-// A request that can't be answered before its deadline is not sent, except for one per slotDuration to learn whether
+// A request that can't be answered before its deadline is not sent, except for one per slotDuration that shows whether
 // responses are faster now. Response times expire after two seconds without an answer.
 func TestTooLate(t *testing.T) {
 	recovery := newRecovery(t, DefaultSettings("a", 1, 1), 0)
@@ -101,8 +101,9 @@
 	}
 }
 
-// In any ten seconds, retries stay within RetryRatio times the successes of those and of the second before, plus what
-// MinRetryRate allows. Over all routers that is less than 1.2 attempts per request, whatever their views are.
+// In any ten seconds, retries stay within RetryRatio times the successes of those ten seconds and of the second before
+// them, plus what MinRetryRate allows. That is less than 1.2 attempts per request over all routers, whatever they know
+// of each other.
 //
 //nolint:gocognit // one random history with its checks in order
 func TestRetryBudget(t *testing.T) {
@@ -160,8 +161,8 @@
 	})
 }
 
-// Retry-After times cover the time that the rejected clients need, better priority classes return first, and one
-// account gets the same time again.
+// Retry-After times are distributed over the time needed to serve the rejected clients. Better priority classes return
+// first, and an account gets the same time whenever it is rejected.
 func TestRetryAfter(t *testing.T) {
 	settings := DefaultSettings("a", 1, 1)
 	settings.PriorityClasses, settings.Budgets[Send] = 3, 100
--- a/policy/recovery/retry.go
+++ b/policy/recovery/retry.go
@@ -2,11 +2,12 @@
 
 import "lotushook/policy/clock"
 
-// Each success of the last second pays for RetryRatio retries. In any ten seconds the number of retries is at most
-// RetryRatio times the successes of those ten seconds and the second before them, plus what MinRetryRate allows. With a
-// ratio below 0.2 that is less than 1.2 attempts per request on each router, and therefore over all routers without
-// coordination. While nothing succeeds, only MinRetryRate is left, which breaks the loop in which retries sustain the
-// overload that caused them (Bronson et al. 2021, Huang et al. 2022).
+// A retry is permitted only if recent successes pay for it: each success of the last second pays for RetryRatio
+// retries. In any ten seconds the number of retries is at most RetryRatio times the successes of those ten seconds and
+// the second before them, plus what MinRetryRate allows. With a ratio below 0.2 that is less than 1.2 attempts per
+// request on each router, and therefore over all routers without coordination. While nothing succeeds, only
+// MinRetryRate is left, which breaks the loop in which retries sustain the overload that caused them (Bronson et al.
+// 2021, Huang et al. 2022).
 
 const (
 	slotsPerSecond = 10
@@ -41,8 +42,8 @@
 	budget.successes[0]++
 }
 
-// spend charges one retry to the oldest successes or, if they don't suffice, to the minimum rate. It returns false if
-// neither pays for the retry.
+// spend charges one retry to the oldest successes that are not used up or, if the successes don't suffice, to the
+// minimum rate. It returns false if neither pays for the retry.
 func (budget *retryBudget) spend(now clock.Nanos, ratio, minRate float64) bool {
 	budget.advance(now)
 	budget.minRateTokens, budget.minRateCreditedAt = min(1, budget.minRateTokens+minRate*float64(now-budget.minRateCreditedAt)/float64(second)), now
@@ -66,14 +67,14 @@
 	return true
 }
 
-// responseTimes tracks the shortest recent response time for each class of requests on each server. A request with less
-// time before its deadline is too late. After two seconds without an answer the shortest time is unknown, and no
-// request is too late unless its deadline has passed. One late request per slotDuration is sent anyway, to learn
-// whether responses are faster now.
+// responseTimes tracks the shortest recent response time for each class of requests on each server. A request that has
+// less time than this before its deadline is too late. After two seconds without an answer the shortest time is
+// unknown, and no request is too late unless its deadline has passed. One late request per slotDuration is sent anyway,
+// to learn whether responses are faster now.
 type responseTimes struct {
 	capacity int
 	byClass  map[serverClass]*fastestResponse
-	order    []serverClass // by first use; the oldest is evicted at capacity
+	order    []serverClass // keys of byClass in the order of their first use; at capacity the oldest is evicted
 }
 
 type serverClass struct {
@@ -84,7 +85,7 @@
 type fastestResponse struct {
 	startedAt         clock.Nanos // start of the current second
 	current, previous clock.Nanos // shortest response times of two consecutive seconds; 0: none
-	lastAttemptAt     clock.Nanos // last late request that was sent anyway
+	lastAttemptAt     clock.Nanos // when a late request was last sent anyway
 }
 
 func newResponseTimes(capacity int) responseTimes {
--- a/policy/recovery/retryafter.go
+++ b/policy/recovery/retryafter.go
@@ -8,18 +8,19 @@
 	"lotushook/policy/clock"
 )
 
-// Retry-After times are distributed over a window that is long enough to serve the rejected clients that have not
-// returned yet at the rate at which this router sends. The window is divided among the priority classes, the best class
-// first. An account's place within its class follows from its hash, salted with the router's epoch, so that no account
-// is last after every restart and all connections of an account return together.
+// Retry-After times are distributed over a window. At the rate at which this router sends, the window is long enough to
+// serve all rejected clients that have not returned yet. It is divided among the priority classes, the best class
+// first. An account's place within the part of its class follows from a hash, so that all connections of the account
+// return together. The hash is salted with the router's epoch, so that the same account is not last after every
+// restart.
 
 const (
 	calendarSlots        = 64
 	calendarSlotDuration = second / 8
 )
 
-// retryAfterCalendar counts the rejected clients by the slot in which they are expected to return. Later returns count
-// in the last slot.
+// retryAfterCalendar counts the rejected clients by the slot of time in which they are expected to return. Clients that
+// are expected after the last slot count in that slot.
 type retryAfterCalendar struct {
 	startedAt clock.Nanos
 	slots     [calendarSlots]float64
@@ -54,11 +55,11 @@
 	minWait, maxWait := recovery.settings.RetryAfterRange[0], recovery.settings.RetryAfterRange[1]
 	var window clock.Nanos
 	switch rate := recovery.sendRate(); {
-	case recovery.stage < Proving: // until the stage's timeout, and a second longer
+	case recovery.stage < Proving: // the window ends a second after the stage's timeout
 		window = recovery.stageStartedAt + recovery.settings.StageTimeouts[recovery.stage] - now + second
 	case recovery.stage < Serving && rate > 0:
 		window = clock.Nanos((calendar.total + 1) / rate * float64(second))
-	default: // at the rate of recent successes
+	default: // long enough at the rate of recent successes
 		window = clock.Nanos((calendar.total + 1) / max(1, recovery.retryBudget.successRate()) * float64(second))
 	}
 	window = min(max(window, minWait), maxWait-minWait)
--- a/policy/recovery/rules_test.go
+++ b/policy/recovery/rules_test.go
@@ -10,8 +10,8 @@
 	"lotushook/policy/clock"
 )
 
-// The shares of all routers add up to at most MaxShareFactor, whether their views are right, empty, of one side of a
-// partition or wrong. With right or empty views they add up to at most 1.
+// The shares of all routers add up to at most MaxShareFactor, whether each router's view of its peers is right, empty,
+// limited to one side of a partition, or wrong. With right or empty views the shares add up to at most 1.
 //
 //nolint:gocognit,funlen // one random history with its checks in order
 func TestSharesStayWithinMaxShareFactor(t *testing.T) {
@@ -85,8 +85,8 @@
 	})
 }
 
-// The actions of all routers in any second stay within MaxShareFactor times the budget plus one per router and start,
-// and each denial says when to ask again.
+// The actions of all routers in any second stay within MaxShareFactor times the budget, plus one action for each start
+// of a router. Each denial says when to ask again.
 //
 //nolint:gocognit // one random history with its checks in order
 func TestActionsStayWithinBudgets(t *testing.T) {
@@ -119,7 +119,7 @@
 					recovery.ListReceived(now)
 				case 1:
 					recovery.UpdatePeers(now, []Peer{{Name: fmt.Sprint(draw(routers)), Epoch: uint64(draw(1e18)), Alive: true, HeardDirectly: true}})
-				case 2: // it crashes
+				case 2: // the router crashes
 					crashes++
 					settings.Name, settings.Epoch = fmt.Sprint(i), uint64(draw(1<<30))
 					recoveries[i], startedAt[i] = newRecovery(t, settings, now), now
--- a/policy/recovery/settings.go
+++ b/policy/recovery/settings.go
@@ -1,10 +1,11 @@
-// Package recovery decides what a router may do while it restarts, alone or with other routers. It passes through
-// stages, each of which ends by a proof or a timeout, and stays within budgets that all routers share without a leader.
-// It also limits retries in proportion to successes, detects requests that can't be answered before their deadline, and
-// decides when a rejected client may retry.
+// Package recovery decides what a router may do while it restarts, alone or together with other routers. The router
+// passes through stages. Each stage permits more actions than the one before, and ends by a proof, an event which shows
+// that the router is ready for the next stage, or by a timeout. The actions stay within budgets that all routers share
+// without a leader. A returning router is one that has restarted recently.
 //
-// Its inputs are events and the time. It decides neither which routers are alive (policy/membership) nor which endpoint
-// a request is sent to (policy/balance), and sends nothing itself.
+// The package also limits retries in proportion to successes, detects requests that can't be answered before their
+// deadline, and decides when a rejected client may retry. Its inputs are events and the time. Which routers are alive
+// is decided by policy/membership, and which endpoint a request is sent to by policy/balance.
 package recovery
 
 import (
@@ -21,10 +22,10 @@
 
 // The stages of a recovery.
 const (
-	Starting Stage = iota // only the configuration is known; list calls and catch-up are permitted
-	Restored              // list and state are present; dials and probes are permitted until the peers are seen
-	Proving               // a few sends are permitted, whose answers confirm the state
-	Ramping               // sends within this router's share of the budget, which grows while attempts succeed
+	Starting Stage = iota // only the configuration is known; list calls and catch-up requests are permitted
+	Restored              // endpoint list and replicated state are present; dials and probes are permitted, too
+	Proving               // a few sends are permitted, too; their answers confirm the replicated state
+	Ramping               // sends are permitted up to a rate that grows while attempts succeed
 	Serving               // sends are not limited; the other budgets still apply
 	StageCount
 )
@@ -70,22 +71,22 @@
 // String returns the reason's name in logs and rejections.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Settings are the settings of one router. All routers of an installation have the same settings except for Name, Epoch
-// and CanCatchUp.
+// Settings are the settings of one router. Only Name, Epoch and CanCatchUp may differ between the routers of an
+// installation.
 type Settings struct {
 	Name       string
 	Epoch      uint64 // greater at each start
 	Routers    int    // configured routers of the installation, present or not
-	CanCatchUp bool   // peers or a copy on disk may supply the state; otherwise an endpoint list ends Starting
-	SeesPeers  bool   // other routers can be seen; otherwise Restored waits for none, and all count as returning
+	CanCatchUp bool   // peers or a copy on disk may supply the state; if false, an endpoint list alone ends Starting
+	SeesPeers  bool   // this router can see others; if false, Restored waits for none, and all count as returning
 
 	Budgets                 [KindCount]float64   // per second, over all routers; 0: not limited
-	MaxShareFactor          float64              // bound on the sum of all shares of a budget, from 1 to 4
-	ServingShare            float64              // used fraction of a serving router's even share while others return
+	MaxShareFactor          float64              // bound on the sum of all routers' shares of a budget, from 1 to 4
+	ServingShare            float64              // fraction of its even share that it uses in Serving while others return
 	RestartWindow           clock.Nanos          // routers that start within it of each other return together
-	MaxWait                 clock.Nanos          // an action whose slot is further away is denied
+	MaxWait                 clock.Nanos          // an action is denied if its slot is further away than this
 	StageTimeouts           [Serving]clock.Nanos // maximum duration of each stage
-	MaxTickGap              clock.Nanos          // a longer gap between calls is a pause and counts for no timeout
+	MaxTickGap              clock.Nanos          // a longer gap between calls is a pause and counts towards no timeout
 	MinSuccesses            int                  // successful attempts that end Proving
 	RampStep                clock.Nanos          // time between two doublings of the ramp, after its first second
 	RampQuiet               clock.Nanos          // Ramping ends after this time without a denied send
@@ -147,7 +148,7 @@
 // Peer is another router as membership sees it.
 type Peer struct {
 	Name          string
-	Epoch         uint64 // wall clock at its start, in ns; if wrong, it only costs speed, within MaxShareFactor
+	Epoch         uint64 // wall clock at its start, in ns; if wrong, recovery is slower, but MaxShareFactor holds
 	Alive         bool   // alive or suspect
 	HeardDirectly bool   // this router has received a message from it directly
 }
@@ -157,14 +158,14 @@
 	Server   uint32
 	Class    int
 	IsRetry  bool        // the request had an earlier attempt
-	Deadline clock.Nanos // a later answer is useless
+	Deadline clock.Nanos // after it, an answer is useless
 }
 
 // Report is the report for operators.
 type Report struct {
 	Stage     string           `json:"stage"`
 	SinceMS   int64            `json:"since_ms"`  // time since the stage started
-	Returning int              `json:"returning"` // routers that return together, with this one; all if unknown
+	Returning int              `json:"returning"` // number of routers that return together, with this one; all if unknown
 	Share     float64          `json:"part"`      // this router's share of each budget
 	Proven    bool             `json:"proven"`    // the stage was reached by its predecessor's proof, not by a timeout
 	Denied    map[string]int64 `json:"denied"`    // decisions by reason
--- a/policy/recovery/size_test.go
+++ b/policy/recovery/size_test.go
@@ -11,14 +11,14 @@
 type simulation struct {
 	routers          []*Recovery
 	requestRate      float64 // requests per second of each router's clients
-	returningClients [][]int // by router, then by tick modulo 400: rejected clients that return
+	returningClients [][]int // by router, then by tick modulo 400: number of rejected clients that return
 	actions          [KindCount]int
 	thisSecond       [KindCount]int
 	unsentRequests   []float64 // by router
 	listCalls        []int     // by router
 	dials            []int     // by router
 	fullServiceAfter clock.Nanos
-	worstSecond      [KindCount]int // sends: the first second; other kinds: the second with the most
+	worstSecond      [KindCount]int // actions: sends of the first second; of other kinds, the most in any second
 	actionsPerRouter float64
 }
 
@@ -101,7 +101,7 @@
 	sim.thisSecond = [KindCount]int{}
 }
 
-// runServing lets a serving router dial and probe once a second.
+// runServing makes a serving router dial and probe once a second.
 func (sim *simulation) runServing(router *Recovery, index int, at clock.Nanos) {
 	if at%second == clock.Nanos(index%100)*tickDuration {
 		for _, kind := range []Kind{Dial, Probe} {
@@ -112,8 +112,8 @@
 	}
 }
 
-// runReturning lets a returning router request a list, open its connections and send its clients' requests. It returns
-// how many requests it serves in this tick.
+// runReturning makes a returning router request a list, open its connections and send its clients' requests. It returns
+// how many requests the router serves in this tick.
 func (sim *simulation) runReturning(router *Recovery, index int, at clock.Nanos, step int, listReadyAt []clock.Nanos, dialTimes [][]clock.Nanos) (served float64) {
 	isDue := func(dueAt clock.Nanos) bool { return dueAt > 0 && at >= dueAt }
 	if listReadyAt[index] == 0 {
@@ -140,7 +140,7 @@
 		}
 		if connections++; dialedAt > at-tickDuration || connection >= sim.dials[index] {
 			sim.record(Dial)
-			sim.record(Probe) // probed once it is connected
+			sim.record(Probe) // each server is probed once it is connected
 			router.Allow(at, Probe, second)
 		}
 	}
@@ -178,7 +178,7 @@
 	}{{"all restart", 1, true}, {"70% restart", 0.7, true}, {"all restart and no peer can be reached", 1, false}} {
 		var smallest *simulation
 		for _, routerCount := range []int{10, 100, 1000} {
-			budgets := [KindCount]float64{5, 5, 0.8, 1, 10} // per router, which wants 9, 9, 1, 0 and 25
+			budgets := [KindCount]float64{5, 5, 0.8, 1, 10} // per router, which would use 9, 9, 1, 0 and 25
 			for kind := range budgets {
 				budgets[kind] *= float64(routerCount)
 			}
@@ -228,7 +228,7 @@
 func simulateOverload(recovery *Recovery, withRecovery bool) (before, during, after float64) {
 	const attemptTimeout, clientTimeout, capacity, load, queueCapacity = 250 * ms, second, 1000.0, 850.0, 400
 	type job struct {
-		clientDeadline, attemptAt clock.Nanos // the client gives up; the attempt was sent
+		clientDeadline, attemptAt clock.Nanos // when the client gives up, and when the attempt was sent
 		isFirst                   bool
 	}
 	var queue []job
@@ -290,7 +290,7 @@
 				if withRecovery {
 					recovery.AttemptEnded(now, Attempt{Server: server}, true, max(ms, elapsed))
 				}
-				for index := range inFlight { // its attempt is answered
+				for index := range inFlight { // this request's attempt is answered
 					if inFlight[index].attemptAt == queued.attemptAt && inFlight[index].clientDeadline == queued.clientDeadline {
 						inFlight = append(inFlight[:index], inFlight[index+1:]...)
 						break
@@ -305,9 +305,9 @@
 	return served[0] / 10, served[1] / 10, served[2] / 40
 }
 
-// A metastable failure: after a trigger of five seconds, retries alone keep the queue full of attempts that timed out.
-// With the retry budget, and without attempts that would be too late, service recovers by itself; otherwise it never
-// does.
+// A metastable failure: after an overload of five seconds, the trigger, retries alone keep the queue full of attempts
+// that timed out. Service recovers by itself only if the retry budget applies and attempts that would be too late are
+// not sent; otherwise it never recovers.
 func TestMetastableFailure(t *testing.T) {
 	recovery := newRecovery(t, DefaultSettings("a", 1, 1), 0)
 	tickUntil(recovery, 5*second)
--- a/policy/recovery/stage.go
+++ b/policy/recovery/stage.go
@@ -9,18 +9,18 @@
 	startedAt      clock.Nanos
 	stage          Stage
 	stageStartedAt clock.Nanos
-	enteredByProof bool // the stage was reached by its predecessor's proof, not by a timeout
+	enteredByProof bool // the previous stage ended by its proof, not by a timeout
 	hasList        bool
 	isCaughtUp     bool
-	seesMajority   bool        // a majority of the routers is seen, enough to know which ones return
+	seesMajority   bool        // this router sees a majority of the routers, which is enough to know which ones return
 	returning      int         // number of routers that return together
-	yieldDeadline  clock.Nanos // before it, a serving router leaves budget to returning ones
+	yieldDeadline  clock.Nanos // until then, a serving router leaves budget to returning ones
 	stageSuccesses int
 
 	rampFactor                float64     // multiplies this router's share of the send budget
 	rampStepAt                clock.Nanos // start of the current step
-	rampSucceeded, rampFailed int         // attempts that ended in the current step
-	lastSendDeniedAt          clock.Nanos // last send that the budget denied
+	rampSucceeded, rampFailed int         // number of attempts that ended in the current step, by result
+	lastSendDeniedAt          clock.Nanos // when the budget last denied a send
 	lastSlot                  [KindCount]clock.Nanos
 	slotPhase                 [KindCount]float64
 	sendTokens                float64
@@ -83,11 +83,11 @@
 	recovery.Tick(now)
 }
 
-// Tick advances time, as every other call with a time does. Before a router serves, it must be called at least once per
-// MaxTickGap. After a longer gap, which means that the process was paused, the stage continues where it stopped: what
-// it waits for can't have arrived during the pause.
+// Tick advances time, as every other call with a time does. Before the stage Serving, a call is needed at least once
+// per MaxTickGap. A longer gap means that the process was paused. The stage's timeout is then extended by the gap,
+// because the events that the stage waits for can't have arrived during the pause.
 func (recovery *Recovery) Tick(now clock.Nanos) {
-	if now < recovery.now { // a clock that is set back counts as stopped
+	if now < recovery.now { // a clock that is set back counts as standing still
 		now = recovery.now
 	}
 	if gap := now - recovery.now; gap > recovery.settings.MaxTickGap && recovery.stage < Serving {
@@ -100,11 +100,11 @@
 	for recovery.stage < Serving {
 		deadline := recovery.stageStartedAt + recovery.settings.StageTimeouts[recovery.stage]
 		switch {
-		case recovery.stage == Restored && !recovery.settings.SeesPeers: // there is no view of the peers to wait for
+		case recovery.stage == Restored && !recovery.settings.SeesPeers: // other routers can't be seen
 			recovery.enter(Proving, recovery.stageStartedAt, true)
 		case recovery.stageProven(now):
 			recovery.enter(recovery.stage+1, now, true)
-		case now >= deadline: // the next stage starts at the deadline, however late Tick is called
+		case now >= deadline: // the next stage counts as started at the deadline, even if Tick is called late
 			recovery.enter(recovery.stage+1, deadline, false)
 		default:
 			recovery.advanceRamp(now)
@@ -113,7 +113,7 @@
 	}
 }
 
-// stageProven says whether the proof that ends the current stage is complete.
+// stageProven reports whether the proof that ends the current stage is complete.
 func (recovery *Recovery) stageProven(now clock.Nanos) bool {
 	switch recovery.stage {
 	case Starting:
@@ -131,11 +131,11 @@
 func (recovery *Recovery) enter(stage Stage, at clock.Nanos, proven bool) {
 	recovery.stage, recovery.stageStartedAt, recovery.enteredByProof, recovery.rampStepAt = stage, at, proven, at
 	recovery.stageSuccesses, recovery.rampSucceeded, recovery.rampFailed = 0, 0, 0
-	if stage == Proving { // a fraction of a token, so that routers that return together do not send together
+	if stage == Proving { // a fraction of a token, so that returning routers do not send at the same time
 		recovery.sendTokens, recovery.sendTokensAt = recovery.slotPhase[Send], at
 	}
 	if stage == Ramping {
-		recovery.rampStepAt = at + second - recovery.settings.RampStep // the first doubling is a second away
+		recovery.rampStepAt = at + second - recovery.settings.RampStep // the ramp factor is first doubled after a second
 	}
 }
 
