--- a/policy/quotalease/lease_test.go
+++ b/policy/quotalease/lease_test.go
@@ -14,7 +14,7 @@
 	term = 1000 * ms
 )
 
-// fleet simulates routers whose clocks run up to 2% apart, and whose messages may take arbitrarily long.
+// fleet simulates routers whose clocks run up to 2% fast or slow, and whose messages may take arbitrarily long.
 type fleet struct {
 	n             int
 	names         []string
@@ -35,64 +35,64 @@
 	prober, voter int
 	sentAt        clock.Nanos // by the prober's clock
 	epoch         uint64
-	vote          *Vote // nil: this is the probe
+	vote          *Vote // the answer; nil: this is the probe
 }
 
 func newFleet(n int, isolatedShare float64) *fleet {
-	f := &fleet{n: n, indexByName: map[string]int{}, clockRates: make([]float64, n), leases: make([]*Lease, n), epochs: make([]uint64, n),
+	sim := &fleet{n: n, indexByName: map[string]int{}, clockRates: make([]float64, n), leases: make([]*Lease, n), epochs: make([]uint64, n),
 		paused: make([]bool, n), removed: make([][]bool, n), quotas: make([]Quota, n), isolatedShare: isolatedShare}
 	for i := range n {
-		f.names = append(f.names, fmt.Sprintf("r%02d", i))
-		f.indexByName[f.names[i]], f.removed[i] = i, make([]bool, n)
+		sim.names = append(sim.names, fmt.Sprintf("r%02d", i))
+		sim.indexByName[sim.names[i]], sim.removed[i] = i, make([]bool, n)
 	}
-	return f
+	return sim
 }
 
 // clock returns the time on a router's clock.
-func (f *fleet) clock(router int) clock.Nanos {
-	return clock.Nanos(router)*7_000_000*ms + clock.Nanos(float64(f.now)*f.clockRates[router])
+func (sim *fleet) clock(router int) clock.Nanos {
+	return clock.Nanos(router)*7_000_000*ms + clock.Nanos(float64(sim.now)*sim.clockRates[router])
 }
 
-func (f *fleet) start(t interface{ Fatal(...any) }, router int) {
-	lease, err := New(Settings{RouterNames: f.names, Self: f.names[router], Term: term, IsolatedShare: f.isolatedShare}, f.clock(router))
+func (sim *fleet) start(t interface{ Fatal(...any) }, router int) {
+	lease, err := New(Settings{RouterNames: sim.names, Self: sim.names[router], Term: term, IsolatedShare: sim.isolatedShare}, sim.clock(router))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.epochs[router]++
-	f.leases[router], f.quotas[router] = lease, Quota{Share: f.isolatedShare / float64(f.n), MinShare: f.isolatedShare / float64(f.n)}
+	sim.epochs[router]++
+	sim.leases[router], sim.quotas[router] = lease, Quota{Share: sim.isolatedShare / float64(sim.n), MinShare: sim.isolatedShare / float64(sim.n)}
 }
 
-func (f *fleet) isRemoved(router int) func(string) bool {
-	return func(name string) bool { return f.removed[router][f.indexByName[name]] }
+func (sim *fleet) isRemoved(router int) func(string) bool {
+	return func(name string) bool { return sim.removed[router][sim.indexByName[name]] }
 }
 
 // deliver delivers a probe to the voter, or an answer to the prober.
-func (f *fleet) deliver(m message) {
-	if m.vote == nil {
-		if f.leases[m.voter] != nil && !f.paused[m.voter] {
-			vote := f.leases[m.voter].Vote(f.clock(m.voter), f.names[m.prober], m.epoch, f.names[m.prober], f.isRemoved(m.voter))
-			m.vote = &vote
-			f.inFlight = append(f.inFlight, m)
+func (sim *fleet) deliver(pending message) {
+	if pending.vote == nil {
+		if sim.leases[pending.voter] != nil && !sim.paused[pending.voter] {
+			vote := sim.leases[pending.voter].Vote(sim.clock(pending.voter), sim.names[pending.prober], pending.epoch, sim.names[pending.prober], sim.isRemoved(pending.voter))
+			pending.vote = &vote
+			sim.inFlight = append(sim.inFlight, pending)
 		}
-	} else if f.leases[m.prober] != nil && !f.paused[m.prober] && f.epochs[m.prober] == m.epoch {
-		f.leases[m.prober].AddVote(m.sentAt, f.names[m.voter], *m.vote)
+	} else if sim.leases[pending.prober] != nil && !sim.paused[pending.prober] && sim.epochs[pending.prober] == pending.epoch {
+		sim.leases[pending.prober].AddVote(pending.sentAt, sim.names[pending.voter], *pending.vote)
 	}
 }
 
-// sum returns the sum of the shares in use. A paused router uses its last quota until that expires.
-func (f *fleet) sum() float64 {
+// sum returns the sum of the shares that the routers use. A paused router uses its last quota until that expires.
+func (sim *fleet) sum() float64 {
 	sum := 0.0
-	for router, lease := range f.leases {
+	for router, lease := range sim.leases {
 		if lease == nil {
 			continue
 		}
-		if !f.paused[router] {
-			f.quotas[router] = lease.Quota(f.clock(router), f.isRemoved(router))
+		if !sim.paused[router] {
+			sim.quotas[router] = lease.Quota(sim.clock(router), sim.isRemoved(router))
 		}
-		if f.clock(router) < f.quotas[router].ValidUntil {
-			sum += f.quotas[router].Share
+		if sim.clock(router) < sim.quotas[router].ValidUntil {
+			sum += sim.quotas[router].Share
 		} else {
-			sum += f.quotas[router].MinShare
+			sum += sim.quotas[router].MinShare
 		}
 	}
 	return sum
@@ -105,15 +105,15 @@
 func TestPartsNeverExceedTheWhole(t *testing.T) {
 	increased, all := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		n, rounds := rapid.IntRange(3, 6).Draw(t, "routers"), 400 // small fleets show most faults soonest
+		n, rounds := rapid.IntRange(3, 6).Draw(t, "routers"), 400 // most faults occur soonest in small fleets
 		if rapid.Bool().Draw(t, "many") {
 			n, rounds = rapid.IntRange(7, 80).Draw(t, "more routers"), 40
 		}
-		f := newFleet(n, rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "alone"))
+		sim := newFleet(n, rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "alone"))
 		dead := map[int]bool{} // dead routers, known to most others
 		for router := range n {
-			f.clockRates[router] = rapid.Float64Range(0.98, 1.02).Draw(t, "rate")
-			f.start(t, router)
+			sim.clockRates[router] = rapid.Float64Range(0.98, 1.02).Draw(t, "rate")
+			sim.start(t, router)
 		}
 		state := rapid.Uint64().Draw(t, "seed")
 		draw := func(limit int) int {
@@ -122,24 +122,24 @@
 		}
 		partitioned := func(_, _ int) bool { return false }
 		for range rounds {
-			f.now += clock.Nanos(draw(100)) * 2 * ms
+			sim.now += clock.Nanos(draw(100)) * 2 * ms
 			switch draw(40) {
 			case 0:
 				router := draw(n)
-				f.leases[router], dead[router] = nil, true
+				sim.leases[router], dead[router] = nil, true
 			case 1:
 				for router := range n {
-					if f.leases[router] == nil && draw(2) == 0 {
-						f.start(t, router)
-						f.paused[router] = false
+					if sim.leases[router] == nil && draw(2) == 0 {
+						sim.start(t, router)
+						sim.paused[router] = false
 						delete(dead, router)
 					}
 				}
 			case 2:
-				f.paused[draw(n)] = true
+				sim.paused[draw(n)] = true
 			case 3:
 				for router := range n {
-					f.paused[router] = false
+					sim.paused[router] = false
 				}
 			case 4:
 				border := draw(n)
@@ -149,41 +149,41 @@
 			case 6:
 				for router := range n / 2 { // many routers die at once
 					if draw(3) == 0 {
-						f.leases[router], dead[router] = nil, true
+						sim.leases[router], dead[router] = nil, true
 					}
 				}
-			case 7, 8, 9: // restarted routers have lost the votes that they cast
+			case 7, 8, 9: // routers restart, which lose the record of the votes that they cast
 				for router := range n {
-					if f.leases[router] != nil && !f.paused[router] && draw(3) == 0 {
-						f.start(t, router)
+					if sim.leases[router] != nil && !sim.paused[router] && draw(3) == 0 {
+						sim.start(t, router)
 					}
 				}
 			}
 			for i := range n {
 				for j := range n {
-					f.removed[i][j] = dead[j] || partitioned(i, j) || draw(40) == 0
-					if f.leases[i] != nil && !f.paused[i] && i != j && !partitioned(i, j) && draw(3) == 0 {
-						f.inFlight = append(f.inFlight, message{prober: i, voter: j, sentAt: f.clock(i), epoch: f.epochs[i]})
+					sim.removed[i][j] = dead[j] || partitioned(i, j) || draw(40) == 0
+					if sim.leases[i] != nil && !sim.paused[i] && i != j && !partitioned(i, j) && draw(3) == 0 {
+						sim.inFlight = append(sim.inFlight, message{prober: i, voter: j, sentAt: sim.clock(i), epoch: sim.epochs[i]})
 					}
 				}
 			}
 			for range 2 {
-				inFlight := f.inFlight
-				f.inFlight = nil
-				for _, m := range inFlight {
+				inFlight := sim.inFlight
+				sim.inFlight = nil
+				for _, pending := range inFlight {
 					switch draw(8) {
 					case 0: // lost
 					case 1: // delayed
-						f.inFlight = append(f.inFlight, m)
+						sim.inFlight = append(sim.inFlight, pending)
 					default:
-						f.deliver(m)
+						sim.deliver(pending)
 					}
 				}
-				if sum := f.sum(); sum > 1+1e-9 {
+				if sum := sim.sum(); sum > 1+1e-9 {
 					t.Fatalf("the shares of %d routers sum up to %v", n, sum)
 				}
 			}
-			for _, quota := range f.quotas {
+			for _, quota := range sim.quotas {
 				all++
 				if quota.Excluded > 0 {
 					increased++
@@ -198,48 +198,49 @@
 }
 
 // runWithoutFaults lets all routers probe all others for a span, without loss or delay.
-func (f *fleet) runWithoutFaults(span clock.Nanos) {
-	for end := f.now + span; f.now < end; f.now += 50 * ms {
-		for i := range f.n {
-			for j := range f.n {
-				if i != j && f.leases[i] != nil && f.leases[j] != nil && !f.removed[i][j] {
-					f.deliver(message{prober: i, voter: j, sentAt: f.clock(i), epoch: f.epochs[i]})
+func (sim *fleet) runWithoutFaults(span clock.Nanos) {
+	for end := sim.now + span; sim.now < end; sim.now += 50 * ms {
+		for i := range sim.n {
+			for j := range sim.n {
+				if i != j && sim.leases[i] != nil && sim.leases[j] != nil && !sim.removed[i][j] {
+					sim.deliver(message{prober: i, voter: j, sentAt: sim.clock(i), epoch: sim.epochs[i]})
 				}
 			}
 		}
-		for _, m := range f.inFlight {
-			f.deliver(m)
+		for _, pending := range sim.inFlight {
+			sim.deliver(pending)
 		}
-		f.inFlight = nil
+		sim.inFlight = nil
 	}
 }
 
-// The survivors' shares by the number of dead routers: even shares while none may be excluded, larger ones once a
-// majority excludes the dead, and the minimum where the other routers may have excluded the survivors.
+// The shares of the routers that are alive, by the number of dead ones: even shares while none is excluded, larger ones
+// once a majority excludes the dead, and the minimum if so many are dead that they could be a majority that excludes
+// the others.
 func TestQuota(t *testing.T) {
 	for _, test := range []struct {
 		routers, dead int
-		share         float64 // of each survivor; an isolated router uses half of its even share
+		share         float64 // share of each router that is alive; one that is no holder uses half of its even share
 		holder        bool
 	}{
 		{7, 0, 1.0 / 7, true}, {7, 1, 0.5/7 + 0.5/6, true}, {7, 3, 0.5/7 + 0.5/4, true}, {7, 4, 0.5 / 7, false},
 		{8, 4, 1.0 / 8, true}, {8, 5, 0.5 / 8, false}, {1, 0, 1, true}, {2, 1, 0.5, true},
 	} {
-		f := newFleet(test.routers, 0.5)
+		sim := newFleet(test.routers, 0.5)
 		for router := range test.routers {
-			f.clockRates[router] = 1
-			f.start(t, router)
+			sim.clockRates[router] = 1
+			sim.start(t, router)
 		}
-		f.runWithoutFaults(3 * term)
+		sim.runWithoutFaults(3 * term)
 		for dead := range test.dead {
-			f.leases[dead] = nil
+			sim.leases[dead] = nil
 			for router := range test.routers {
-				f.removed[router][dead] = true
+				sim.removed[router][dead] = true
 			}
 		}
-		f.runWithoutFaults(3 * term)
-		survivor := f.leases[test.routers-1]
-		got := survivor.Quota(f.clock(test.routers-1), f.isRemoved(test.routers-1))
+		sim.runWithoutFaults(3 * term)
+		survivor := sim.leases[test.routers-1]
+		got := survivor.Quota(sim.clock(test.routers-1), sim.isRemoved(test.routers-1))
 		if diff := got.Share - test.share; diff > 1e-9 || diff < -1e-9 || got.IsHolder != test.holder {
 			t.Errorf("%d of %d dead: quota is %+v, want a share of %v", test.dead, test.routers, got, test.share)
 		}
