--- a/policy/balance/action.go
+++ b/policy/balance/action.go
@@ -29,9 +29,9 @@
 	Attempt           int
 	Endpoint          EndpointID
 	AttemptDeadline   clock.Nanos // SendAttempt: when to abort the attempt
-	ConnectDeadline   clock.Nanos // SendAttempt: when to abort it if no connection is up, so that nothing ran
-	FreshnessDeadline clock.Nanos // SendAttempt: if unsent by then, end it as NotEligible, as the endpoint may lag too far; 0: none
-	RetryAfter        clock.Nanos // RejectRequest: 0: the rejection names no time
+	ConnectDeadline   clock.Nanos // SendAttempt: when to abort it if no connection is up by then, so that nothing ran
+	FreshnessDeadline clock.Nanos // SendAttempt: when to end it as NotEligible if unsent, as the replica may lag; 0: never
+	RetryAfter        clock.Nanos // RejectRequest: when the client may retry; 0: the rejection names no time
 	TimerAt           clock.Nanos
 	TimerID           int64
 	Message           string // WriteLog
--- a/policy/balance/balance_test.go
+++ b/policy/balance/balance_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// When a session's commit is evicted from the table, its reads must still see all commits that were recorded before.
+// When a session's commit is evicted from the table, the session's reads must still see all commits recorded before.
 func TestEvictedSessionStillLimitsReads(t *testing.T) {
 	router := newTestRouter(t, func(settings *Settings) { settings.MaxQueued = 1 })
 	router.listEndpoints(2)
@@ -264,7 +264,7 @@
 	}
 	// Without history, each of the 2 routers assumes that it may use half of one core. OverloadMultiple 2 times
 	// ColdCapacity 0.2 of half a core for OverloadWindow 1.5 s is 300 ms of work. The routers use four fifths of it,
-	// so that chance does not lift their sum over the budget: 240 ms, or three writes of the initial estimate of 80 ms.
+	// so that chance does not lift the sum of their work over the budget: 240 ms, or three writes estimated at 80 ms.
 	if mean := float64(sends) / 50; mean < 2.8 || mean > 3.2 || most > 3 {
 		t.Errorf("%.2f writes on average, at most %d, were sent to a cold primary", mean, most)
 	}
@@ -361,7 +361,7 @@
 	}
 }
 
-// The work of writes must also be learned from a primary that is never idle.
+// The work of writes must be learned even from a primary that is never idle.
 func TestWorkLearnedFromBusyPrimary(t *testing.T) {
 	router := newTestRouter(t, func(settings *Settings) { settings.Routers = 1 })
 	router.listEndpoints(1)
@@ -378,7 +378,7 @@
 	}
 }
 
-// Where clients leave long before the latency objective, their patience replaces it in deadlines and limits.
+// If clients leave long before the latency objective, the time that they wait replaces it in deadlines and limits.
 func TestAbandonmentShortensPatience(t *testing.T) {
 	router := newTestRouter(t, nil)
 	router.listEndpoints(1)
@@ -445,7 +445,7 @@
 	}
 }
 
-// A probe's report lags behind an answer with the role replica: it must not make the endpoint primary again.
+// A probe's report may be older than an answer with the role replica: it must not make the endpoint primary again.
 func TestProbeReportDoesNotOverrideRole(t *testing.T) {
 	router := newTestRouter(t, nil)
 	router.listEndpoints(2)
@@ -518,8 +518,8 @@
 	}
 }
 
-// With nothing in flight, all replicas tie: equal ones must get equal shares of the reads, and one that is three
-// times slower than its peers must get far fewer, but some.
+// With nothing in flight, no replica has fewer pending requests. Equal replicas must get equal shares of the reads, and
+// one that is three times slower than its peers must get far fewer, but some.
 func TestTiesAreBalanced(t *testing.T) {
 	router := newTestRouter(t, nil)
 	router.listEndpoints(5)
@@ -546,8 +546,8 @@
 	}
 }
 
-// Where a group's replicas answer slowly although this router has nothing in flight there, other routers overload
-// them: the primary must serve reads too. Where the replicas are quick, it must not.
+// If a group's replicas answer slowly although this router has nothing in flight there, other routers overload them,
+// and the primary must serve reads too. If the replicas are quick, the primary must not.
 func TestPrimaryServesReadsOfOverloadedReplicas(t *testing.T) {
 	router := newTestRouter(t, nil)
 	router.listEndpoints(3)
@@ -588,7 +588,7 @@
 }
 
 // With more routers than an endpoint has capacity for, limits of one attempt per router can't stop an overload. Part
-// of the requests for a slow group must be rejected at once with a Retry-After time; none for a quick group.
+// of the requests for a slow group must be rejected at once with a Retry-After time, and no requests for a quick group.
 func TestOverloadedGroupRejectsAtOnce(t *testing.T) {
 	for _, test := range []struct {
 		routers                  int
@@ -649,7 +649,7 @@
 		if test.share > 0 {
 			router.step(Event{Kind: QuotaShareChanged, Share: test.share})
 		}
-		router.now += 10000 * ms // the quota saves up at most one second's share
+		router.now += 10000 * ms // unused quota of at most one second accumulates
 		router.step()
 		within := 0
 		for range 100 {
@@ -748,7 +748,7 @@
 	}
 }
 
-// With RoleAtStart, the list's mark is outdated after the first request: it must not name a primary from then on.
+// With RoleAtStart, the list's mark of the primary may be outdated after the first request, and must be ignored then.
 func TestStaticPrimaryMarkIgnoredLater(t *testing.T) {
 	router := newTestRouter(t, nil)
 	router.listEndpoints(2)
@@ -880,8 +880,8 @@
 	}
 }
 
-// A slow endpoint still uses all its cores. If it is the only one left, a limit below this router's share of the
-// cores would leave cores idle while reads are rejected.
+// A slow endpoint can still use all its cores. If it is the only endpoint left, a limit below this router's share of
+// the cores would leave cores idle while reads are rejected.
 func TestLimitCoversShareOfCores(t *testing.T) {
 	for weight, want := range map[float64]float64{1: minLimit, 4: 2} { // for two routers
 		router := newTestRouter(t, nil)
--- a/policy/balance/balancer.go
+++ b/policy/balance/balancer.go
@@ -16,11 +16,11 @@
 
 const (
 	batchesPerTick     = 4   // batch intervals between two checks of endpoint health and queued requests
-	minSilent          = 3   // silent endpoints of a zone, with no other answering, that make a zone outage
+	minSilent          = 3   // silent endpoints that make a zone outage, if no other of the zone answers
 	maxZoneBackoff     = 8   // max time between probes of a zone in outage, in shortest latency objectives
 	initialLoad        = 0.2 // load of an endpoint before its first answer, as a share of the latency objective
 	zoneProbeChance    = 0.1 // probability per tick that an endpoint of a zone in outage is probed
-	retentionDeadlines = 16  // how long sessions and removed endpoints are remembered, in longest deadlines
+	retentionDeadlines = 16  // how long sessions and removed endpoints are stored, in longest deadlines
 )
 
 // Balancer is one router instance. It is not safe for concurrent use.
@@ -28,7 +28,7 @@
 	settings        Settings
 	now             clock.Nanos
 	random          *seeded.Generator
-	actions         []Action // of the current step
+	actions         []Action // actions of the current step
 	tickScheduled   bool
 	groups          groupTable
 	requests        requestTable
@@ -73,7 +73,7 @@
 	return lb, err
 }
 
-// Step handles a batch of events and returns the resulting actions. It ignores a clock that goes backwards.
+// Step handles a batch of events and returns the resulting actions. A clock that goes back counts as stopped.
 func (lb *Balancer) Step(now clock.Nanos, events []Event) []Action {
 	lb.now = max(lb.now, now)
 	lb.actions = nil
@@ -105,7 +105,7 @@
 			lb.checkSilence(ep)
 			lost := lb.inZoneOutage(ep) && ep.state == Ready
 			if lost && lb.random.Draw() < zoneProbeChance && lb.zones.StartProbe(ep.zone, lb.now) {
-				lb.probe(ep) // not a canary request, as a read could be lost
+				lb.probe(ep) // a probe, as a canary request could lose a read
 			}
 		}
 	}
--- a/policy/balance/cold_test.go
+++ b/policy/balance/cold_test.go
@@ -35,8 +35,8 @@
 	warmUpTime   clock.Nanos
 	served       []clock.Nanos
 	attempts     []coldAttempt // since the last start
-	inFlight     []int         // attempts, by router
-	notified     []bool        // of the last start, by router
+	inFlight     []int         // attempts in flight, by router
+	notified     []bool        // whether a router has been notified of the last start, by router
 }
 
 // coldAttempt is an attempt at an endpoint that has restarted.
@@ -225,7 +225,7 @@
 	}
 }
 
-// generateLoad schedules perSecond requests to all groups until end. Each burst goes to one router and group.
+// generateLoad schedules perSecond requests a second over all groups until end. A burst goes to one router and group.
 func (sim *simulation) generateLoad(perSecond, writeShare float64, burst, groupCount int, end clock.Nanos) {
 	for at := sim.now; at < end; at -= clock.Nanos(float64(burst) * math.Log(1-sim.draw()) / perSecond * 1e9) {
 		sim.schedule(at, func() {
@@ -303,7 +303,7 @@
 
 func drawColdStartScenario(t *testing.T, seed uint64) coldStartScenario {
 	t.Helper()
-	sim := newSimulation(t, seed, 1, 1, 1, nil) // only for its random draws
+	sim := newSimulation(t, seed, 1, 1, 1, nil) // used only for its random draws
 	pick := func(values ...float64) float64 { return values[int(sim.draw()*float64(len(values)))] }
 	for range 3 { // the first draws of neighbouring seeds are similar
 		sim.draw()
--- a/policy/balance/concurrency.go
+++ b/policy/balance/concurrency.go
@@ -2,15 +2,15 @@
 
 const (
 	initialLimit  = 12.0 // attempts in flight per endpoint over all routers, before any answer
-	minLimit      = 1.0  // with a lower limit, a slow endpoint could not show that it has recovered
+	minLimit      = 1.0  // min limit; below it, a slow endpoint could not show that it has recovered
 	overloadShare = 0.35 // mean response time, as a share of the latency objective, above which a limit shrinks
-	limitStep     = 0.2  // attempts per answer: a limit changes by about a fifth per round trip
+	limitStep     = 0.2  // change of a limit per answer, so that it changes by about a fifth per round trip
 	maxLoad       = 2.0  // max load that one answer counts as, in latency objectives
-	priorAnswers  = 3.0  // assumed answers at initialLoad that are averaged with a group's recent answers
+	priorAnswers  = 3.0  // number of assumed answers at initialLoad in a group's mean of recent answers
 	priorLoad     = priorAnswers * initialLoad
 )
 
-// recordLoad updates an endpoint's load and limit by one attempt's time, as a share of its latency objective.
+// recordLoad updates an endpoint's load and limit by an attempt's time, as a share of the latency objective.
 func (lb *Balancer) recordLoad(ep *endpoint, share float64) {
 	share = min(share, maxLoad)
 	ep.health.AddLoad(share)
@@ -22,7 +22,7 @@
 	}
 }
 
-// minLimitOf is this router's share of the endpoint's cores: a lower limit would leave cores idle.
+// minLimitOf returns this router's share of the endpoint's cores. A lower limit would leave cores idle.
 func (lb *Balancer) minLimitOf(ep *endpoint) float64 {
 	return max(minLimit, ep.weight/lb.slowStart.RouterCount())
 }
--- a/policy/balance/endpoint.go
+++ b/policy/balance/endpoint.go
@@ -18,27 +18,27 @@
 	zone           string
 	weight         float64 // size relative to the default endpoint
 	state          EndpointState
-	listedRemoved  bool        // in the endpoint list
-	listedPrimary  bool        // in the endpoint list
-	role           Role        // last one that the endpoint reported
-	position       LogPosition // highest one that the endpoint reported
+	listedRemoved  bool        // the endpoint list shows it as removed
+	listedPrimary  bool        // the endpoint list marks it as the primary
+	role           Role        // last role that the endpoint reported
+	position       LogPosition // highest position that the endpoint reported
 	positionAt     clock.Nanos // when a position was last reported
 	searchedAt     clock.Nanos // when the primary search last tried it, or it rejected a write; 0: never
 	connectedUntil clock.Nanos // until then an idle connection to it probably exists
 	probing        bool
-	attempts       []*attempt // in flight
-	limit          float64    // of attempts in flight
+	attempts       []*attempt // attempts in flight
+	limit          float64    // limit on attempts in flight from this router
 	health         outlier.Health
 	warmUp         slowstart.Window
 
-	startedAt, answeredAt clock.Nanos // time of the last start and of the last answer
+	startedAt, answeredAt clock.Nanos // when it last started, and when it last answered
 }
 
 // group is one replication group: a primary and its replicas.
 type group struct {
 	id              int64
 	endpoints       []*endpoint // by id
-	primary         *endpoint   // last one named by the endpoint list or by an answer; nil: unknown
+	primary         *endpoint   // endpoint last named as primary by the endpoint list or an answer; nil: unknown
 	primaryPosition LogPosition // highest position of an answer that named the primary
 	queues          []timequeue.Queue[*request]
 	load            decay.Mean // recent response times, as shares of their latency objectives
@@ -70,7 +70,7 @@
 	}
 }
 
-// evictStale forgets an endpoint that is removed and long silent, so that replaced ones do not accumulate.
+// evictStale drops an endpoint that is removed and long silent, so that replaced ones do not accumulate.
 func (lb *Balancer) evictStale(ep *endpoint) bool {
 	silent := lb.now-ep.answeredAt > retentionDeadlines*lb.maxDeadline
 	stale := ep.listedRemoved && silent && len(ep.attempts) == 0 && ep != ep.group.primary
@@ -117,7 +117,7 @@
 	}
 }
 
-// setListedRole uses the list's mark of the primary only where no answer has named a healthy one.
+// setListedRole uses the list's mark of the primary only if no answer has named a healthy primary.
 func (lb *Balancer) setListedRole(ep *endpoint, primary bool) {
 	group, newlyMarked := ep.group, primary && !ep.listedPrimary
 	ep.listedPrimary = primary
--- a/policy/balance/event.go
+++ b/policy/balance/event.go
@@ -78,7 +78,7 @@
 	TimerFired                             // a timer requested by SetTimer fired
 	ProbeEnded                             // a probe ended with Outcome
 	EndpointWatchLost                      // the subscription to the endpoint list failed or was dropped
-	QuotaShareChanged                      // this router's share of the quotas of all routers changed
+	QuotaShareChanged                      // this router's share of the tenants' quotas changed
 )
 
 // Event is one input to a step. Its kind determines which fields are read.
@@ -93,7 +93,7 @@
 	Deadline  clock.Nanos
 	Group     int64
 	CommitAge clock.Nanos // with ClientPositions: time since the session's last commit; 0: none
-	OverQuota bool        // the sender exceeds its share, so that other requests are placed first
+	OverQuota bool        // the client exceeds its share, so that other requests are placed first
 
 	Attempt  int // AttemptEnded
 	Endpoint EndpointID
--- a/policy/balance/fleet_test.go
+++ b/policy/balance/fleet_test.go
@@ -8,7 +8,7 @@
 	"lotushook/policy/seeded"
 )
 
-// These tests check what many routers do together. What one router does rarely, eighty do all the time.
+// These tests check what many routers do together: what one router does rarely happens all the time among eighty.
 
 // A probe costs something and needs a connection. Where endpoints check their lag themselves, an attempt finds out
 // the same and may succeed: reads that are rejected while their group has no primary must not cause probes.
@@ -143,7 +143,7 @@
 				for group := range int64(20) {
 					listed := Endpoint{ID: EndpointID(group), Group: group, Weight: cores}
 					if elapsed > 0 && group == 0 {
-						startedAt = router.now - 3e9 // it has a third of its capacity by now, more than is requested
+						startedAt = router.now - 3e9 // the endpoint now has a third of its capacity, more than is requested
 						listed.ID, listed.StartedAt = 100, startedAt
 					}
 					list.Endpoints = append(list.Endpoints, listed)
@@ -157,7 +157,7 @@
 			}
 			group := int64(draw() * 20)
 			if elapsed >= warmTime {
-				group = int64(draw() * 4) // more for the cold replica, in group 0
+				group = int64(draw() * 4) // more reads for group 0, which has the cold replica
 			}
 			for range 2 {
 				router.requestCount++
--- a/policy/balance/handover_test.go
+++ b/policy/balance/handover_test.go
@@ -9,7 +9,7 @@
 // The old primary answers a write after the new one has reported its role. Its commit must be recorded for the
 // session, but it must not become primary again, and the next write must be sent to the new primary.
 func TestOldPrimaryAnswersLate(t *testing.T) {
-	for _, position := range []clock.Nanos{0, 1000e9 - 50*ms} { // not reported, or older than the new primary's
+	for _, position := range []clock.Nanos{0, 1000e9 - 50*ms} { // position not reported, or older than the new primary's
 		router := newTestRouter(t, nil)
 		router.listEndpoints(3)
 		router.reportPosition(2, router.now-100*ms)
--- a/policy/balance/health.go
+++ b/policy/balance/health.go
@@ -14,14 +14,14 @@
 	case Succeeded:
 		lb.recordSuccess(attempt, event)
 	case NotEligible:
-		ep.searchedAt = lb.now // it is not the primary: a primary search tries the others first
+		ep.searchedAt = lb.now // the endpoint is no primary, so a primary search tries the others first
 		lb.readmit(ep)
-	case Busy: // lower the limit: an overloaded or draining endpoint rejects fast and would look idle
+	case Busy: // lower the limit, as an overloaded or draining endpoint rejects fast and would look idle
 		ep.limit = max(lb.minLimitOf(ep), ep.limit-limitStep)
 		ep.health.AddBusy(lb.now, workNanos)
 	case Failed:
 		ep.health.AddError()
-		if event.Role == Primary { // the primary is up, and no other endpoint can replace it
+		if event.Role == Primary { // the primary is up, so it is not ejected: no other endpoint can replace it
 			ep.health.PauseFor(lb.now, clock.Nanos(work/2))
 		} else {
 			lb.recordFailure(ep, workNanos)
@@ -92,7 +92,7 @@
 	if wasEjected {
 		lb.log(ReasonRecovered, ep, "endpoint %d recovered: it answers again", ep.id)
 	}
-	if wasDown { // its process restarted, so slow start begins; the list may show the restart late or never
+	if wasDown { // the endpoint restarted, so slow start begins; the list may show that late or never
 		ep.startedAt = lb.now
 	}
 }
@@ -105,7 +105,7 @@
 	ep.group.placementDue = ep.group.placementDue || changed
 }
 
-// checkSilence ejects an endpoint that is silent for longer than the typical times of its attempts explain.
+// checkSilence ejects an endpoint that is silent for longer than the work of its attempts explains.
 func (lb *Balancer) checkSilence(ep *endpoint) {
 	ages := 0.0
 	for _, attempt := range ep.attempts {
@@ -118,7 +118,7 @@
 	}
 }
 
-// probeEnded applies a probe's report. As probes bypass the endpoint's queue, an answer proves no health.
+// probeEnded applies a probe's report. An answer proves no health, as probes bypass the endpoint's queue.
 func (lb *Balancer) probeEnded(event *Event) {
 	ep := lb.groups.endpoints[event.Endpoint]
 	if ep == nil || !ep.probing {
@@ -130,9 +130,9 @@
 	}
 	role := event.Role
 	if ep.role != RoleUnknown {
-		role = RoleUnknown // probe reports lag: their role must not override the one of an answer
+		role = RoleUnknown // probe reports lag, so that their role must not override an answer's
 	}
-	lb.recordReport(ep, role, event.Position) // a failed probe reports neither
+	lb.recordReport(ep, role, event.Position) // a failed probe reports no role and position
 	if event.HasLoad {
 		load := initialLoad * (1 + float64(event.Waiting)/float64(max(1, event.Active-event.Waiting)))
 		ep.health.SetLoad(load)
--- a/policy/balance/queue.go
+++ b/policy/balance/queue.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	queuesPerClass   = 2   // one for requests within their tenant's quota, one for those beyond it
+	queuesPerClass   = 2   // one for requests within their tenants' quotas, one for those beyond
 	scanDepth        = 16  // max queued requests of a queue that are examined per placement
-	lateWeightFactor = 3.0 // a request waits past its objective if LateWeight exceeds so many LateFailureCosts
+	lateWeightFactor = 3.0 // min ratio of LateWeight to LateFailureCost for a request to wait past its objective
 )
 
 // request is one client's request from its arrival to its final answer.
@@ -22,14 +22,14 @@
 	group             *group
 	session           session.Key
 	requiredPosition  LogPosition // ReadYourWrites: position that the serving endpoint must have applied
-	objective         clock.Nanos // an answer after it is late
+	objective         clock.Nanos // time after which an answer is late
 	attempts          []*attempt
 	inFlight          int // number of attempts in flight
 	queued, ended     bool
 	reachedEndpoint   bool    // an attempt was delivered to its endpoint
 	foundIneligible   bool    // an endpoint ended an attempt as NotEligible
 	draw              float64 // random draw of the next attempt for endpoints in slow start; 0: not drawn yet
-	workload          float64 // work recently requested of the router, as of this request's arrival
+	workload          float64 // work recently requested of this router when the request arrived
 
 	arrivedAt, queuedAt, deadline clock.Nanos
 }
@@ -44,7 +44,7 @@
 	}
 	req := lb.addRequest(event)
 	// Departure: many routers with one attempt each can fill an endpoint, so that limits can't stop an overload.
-	// Therefore the excess is rejected at once, and its clients may retry.
+	// Therefore requests that the group can't serve in time are rejected at once, and their clients may retry.
 	if lb.slowStart.RouterCount()*minLimit > initialLimit && lb.groupOverloaded(req.group) {
 		lb.endUnserved(req, ReasonGroupOverloaded)
 	} else {
@@ -78,8 +78,8 @@
 	lb.endRequest(req)
 }
 
-// enqueue queues a request. The newest is placed first: under overload this serves most requests within their
-// objective and before their clients leave, instead of starting every one too late. The oldest expire.
+// enqueue queues a request. The newest is placed first, and the oldest expire: under overload, this serves
+// most requests within their objective and before their clients leave, instead of starting all too late.
 func (lb *Balancer) enqueue(req *request) {
 	req.queued, req.queuedAt = true, lb.now
 	req.group.queues[req.queueIndex].Push(lb.now, req)
@@ -87,7 +87,7 @@
 	lb.emit(Action{Kind: SetTimer, TimerAt: max(lb.startDeadline(req), lb.now+1), TimerID: req.sequence})
 }
 
-// placeQueued sends the requests of a group that can be placed: queues in lb.order, the newest request first.
+// placeQueued sends those queued requests of a group that can be placed, by lb.order and the newest first.
 func (lb *Balancer) placeQueued(group *group) {
 	if !group.placementDue {
 		return
@@ -106,7 +106,7 @@
 			req.queued = false
 			if lb.mayRetry(req, ep) {
 				lb.send(req, ep)
-			} else { // its idempotency window has ended while it was queued
+			} else { // the idempotency window has ended while the request was queued
 				lb.endUnserved(req, ReasonRetriesExhausted)
 			}
 		}
@@ -122,8 +122,8 @@
 	slices.SortStableFunc(lb.order, func(x, y int) int { return cmp.Or(cmp.Compare(weight(y), weight(x)), x-y) })
 }
 
-// startDeadline is the latest time at which it still pays to start a request: past its objective only if the
-// late weight outweighs the cost of failing late, past half of its time only if a late rejection is free.
+// startDeadline returns until when it pays to start a request: past its objective only if the late weight
+// outweighs the cost of failing late, past half of its time only if a late rejection has no cost.
 func (lb *Balancer) startDeadline(req *request) clock.Nanos {
 	start := req.deadline
 	if lb.classOf(req).LateWeight <= lateWeightFactor*lb.settings.LateFailureCost {
--- a/policy/balance/reason.go
+++ b/policy/balance/reason.go
@@ -34,7 +34,7 @@
 	ReasonCount = iota
 )
 
-// reasonNames are parsed by tools from logs and totals, so that they must not change.
+// reasonNames must not change, because tools parse them from logs and totals.
 var reasonNames = [ReasonCount]string{"usual", "finding", "trial", "warming", "unknown", "crowd", "no_primary",
 	"primary_away", "primary_full", "no_replica", "full", "spent", "late", "jammed", "suspected", "recovered", "named",
 	"denied"}
--- a/policy/balance/retry.go
+++ b/policy/balance/retry.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	transitShare     = 0.125 // share of an idempotency window reserved for a retry's way to the endpoint
-	minLostShare     = 0.003 // recent share of lost attempts from which a slow attempt counts as lost
+	transitShare     = 0.125 // share of an idempotency window reserved for a retry's transit to the endpoint
+	minLostShare     = 0.003 // recent share of lost attempts from which on a slow attempt counts as lost
 	slowFactor       = 5.0   // typical response times after which an attempt is slow
 	minSlowObjective = 0.5   // min time after which an attempt is slow, as a share of its latency objective
 )
@@ -16,7 +16,7 @@
 type attempt struct {
 	request  *request
 	endpoint *endpoint
-	number   int // among the request's attempts, from 0
+	number   int // index among the request's attempts
 	sentAt   clock.Nanos
 	ended    bool
 	mayRun   bool // the request ran in this attempt, or may have run
@@ -34,7 +34,7 @@
 	req.attempts = append(req.attempts, sent)
 	req.inFlight++
 	ep.warmUp.Sent(lb.classes.Work(req.class))
-	req.draw = 0 // each attempt is drawn for anew
+	req.draw = 0 // the next attempt needs a new draw
 	lb.emit(Action{Kind: SendAttempt, Request: req.id, Endpoint: ep.id,
 		AttemptDeadline: lb.attemptDeadline(req, ep), Reason: lb.sendReason(req, ep),
 		ConnectDeadline: lb.connectDeadline(req), FreshnessDeadline: lb.freshnessDeadline(req, ep)})
@@ -75,7 +75,7 @@
 		(!failed.mayRun || !lb.groupOverloaded(req.group))
 }
 
-// mayRetry is the only rule on further attempts. With ep nil, it is about the group's endpoints in general.
+// mayRetry reports whether a request may be attempted again: at ep or, if that is nil, at any endpoint.
 func (lb *Balancer) mayRetry(req *request, ep *endpoint) bool {
 	class := lb.classOf(req)
 	if len(req.attempts) >= lb.settings.MaxAttempts {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// attemptDeadline is when to abort an attempt. Departure: where attempts were lately lost at endpoints that
+// attemptDeadline returns when to abort an attempt. Departure: if attempts were lately lost at endpoints that
 // answered others, a slow one counts as lost too. A canary request leaves time for an attempt elsewhere.
 func (lb *Balancer) attemptDeadline(req *request, ep *endpoint) clock.Nanos {
 	otherUsable := func(other *endpoint) bool { return other != ep && lb.usable(other) }
@@ -114,12 +114,12 @@
 	return max(lb.now, min(deadline, lb.startDeadline(req)-clock.Nanos(work)))
 }
 
-// connectDeadline leaves half of the remaining time to start for another endpoint, as this one may be down.
+// connectDeadline returns when to abort connecting. Half of the time to start is left for other endpoints.
 func (lb *Balancer) connectDeadline(req *request) clock.Nanos {
 	return lb.now + max((lb.startDeadline(req)-lb.now)/2, clock.Nanos(lb.classes.Work(req.class)))
 }
 
-// freshnessDeadline is when ep's known position gets too old for a read that ep does not check; 0: never.
+// freshnessDeadline returns when ep's position gets too old for a read that ep does not check; 0: never.
 func (lb *Balancer) freshnessDeadline(req *request, ep *endpoint) clock.Nanos {
 	class, checked := lb.classOf(req), ep == ep.group.primary || lb.settings.LagHandling != LagUnchecked
 	if class.Consistency == BoundedStaleness && !checked {
--- a/policy/balance/rules_test.go
+++ b/policy/balance/rules_test.go
@@ -21,7 +21,7 @@
 	endpoints    []*trackedEndpoint
 	requests     map[string]*trackedRequest
 	openIDs      []string
-	abandoned    []*trackedRequest // in this batch: the router may have answered before it read the event
+	abandoned    []*trackedRequest // abandoned in this batch; the router may have answered them before it read the event
 	timers       []Event
 	timerTimes   []clock.Nanos // of timers, by index
 	commits      map[string]clock.Nanos
@@ -34,10 +34,10 @@
 type trackedEndpoint struct {
 	Endpoint
 	mayBePrimary    bool        // it was listed or reported as primary
-	reportedReplica bool        // by its last outcome with a role
-	position        clock.Nanos // highest one reported
+	reportedReplica bool        // its last outcome that reported a role said that it is a replica
+	position        clock.Nanos // highest position reported
 	coldAttempts    []coldAttemptRecord
-	probes          int // in flight
+	probes          int // probes in flight
 }
 
 type coldAttemptRecord struct{ sentAt, work clock.Nanos }
--- a/policy/balance/selection.go
+++ b/policy/balance/selection.go
@@ -10,15 +10,15 @@
 
 const (
 	delayShare   = 0.125 // share of its latency objective for which a read waits until a position covers it
-	searchShare  = 0.25  // pause of a primary search after its first round, in shortest latency objectives
-	canaryFactor = 3     // typical response times left for a canary request, so that a retry fits
+	searchShare  = 0.25  // pause in a primary search after its first round, in shortest latency objectives
+	canaryFactor = 3     // min time for a canary request, in typical response times, so that a retry fits
 )
 
-// candidate is the best of the endpoints that were considered so far.
+// candidate is the best endpoint of those that were considered so far.
 type candidate struct {
 	endpoint    *endpoint
 	pending     float64
-	totalChance float64 // sum over the endpoints that tie
+	totalChance float64 // sum of the chances of the endpoints that tie
 	connected   bool
 }
 
@@ -50,8 +50,8 @@
 	return lb.allowed(primary, req)
 }
 
-// selectForBlocking places a read that keeps a replica from applying its log. Departure: the primary, which
-// applies no log, serves it if within limits; otherwise the replica with the oldest position does.
+// selectForBlocking places a read that keeps a replica from applying its log. Departure: the read goes to the
+// primary, which applies no log, if that is within limits; otherwise to the replica with the oldest position.
 func (lb *Balancer) selectForBlocking(group *group, req *request, primary *endpoint) *endpoint {
 	if primary != nil && !req.avoids(primary) {
 		return primary
@@ -61,9 +61,9 @@
 }
 
 // selectReplica chooses the replica with the fewest pending requests among those whose position covers the
-// read. Without one, the read is delayed and then sent to the primary.
+// read. If there is none, the read is delayed and then sent to the primary.
 func (lb *Balancer) selectReplica(group *group, req *request) *endpoint {
-	var covering, probable candidate // with a position that covers the read, or probably does by now
+	var covering, probable candidate // whose known position covers the read; whose position probably does by now
 	var advanced *endpoint           // usable replica with the highest position
 	for _, ep := range group.endpoints {
 		if ep == group.primary || !lb.usable(ep) || req.avoids(ep) {
@@ -86,7 +86,7 @@
 	}
 	if covering.endpoint != nil {
 		// Departure: with many routers a replica can be overloaded while this router has nothing in flight there.
-		// If its response times show it, the primary is considered too.
+		// If the replica's response times show an overload, the primary is considered too.
 		if primary != nil && covering.endpoint.health.Overloaded() {
 			lb.consider(&covering, primary)
 		}
@@ -95,7 +95,7 @@
 	return lb.divertRead(group, req, primary, advanced, probable.endpoint)
 }
 
-// divertRead places a read that no known position covers. Any endpoint may be nil; probable likely covers it.
+// divertRead places a read that no known position covers; probable's position may. Each endpoint may be nil.
 func (lb *Balancer) divertRead(group *group, req *request, primary, advanced, probable *endpoint) *endpoint {
 	checked := lb.settings.LagHandling != LagUnchecked
 	// Departure: if endpoints check their positions, a replica that has probably caught up since its report, or
@@ -105,7 +105,7 @@
 			return ep
 		}
 	}
-	// One of many routers gets too few answers to know replicas' positions, so it probes them if attempts don't.
+	// With many routers, each gets too few answers to know the replicas' positions. Probes report them, too.
 	if lb.now >= group.nextProbeAt && lb.settings.ProbesReportPosition && !checked {
 		lb.probe(cmp.Or(probable, advanced))
 	}
@@ -119,7 +119,7 @@
 	return primary
 }
 
-// selectEjected is the last resort when ejections leave no endpoint: the ejected one that answered last.
+// selectEjected chooses, if all usable endpoints are ejected, the ejected endpoint that answered last.
 func (lb *Balancer) selectEjected(group *group, req *request) *endpoint {
 	usable := func(ep *endpoint) bool {
 		return ep.health.Ejected() && len(ep.attempts) < 2 && !req.avoids(ep) && lb.mayTakeCanary(ep, req)
@@ -127,7 +127,7 @@
 	return choose.Best(group.endpoints, usable, func(x, y *endpoint) bool { return x.answeredAt > y.answeredAt })
 }
 
-// selectForCanary tests an ejected endpoint with one idempotent read at a time that has time for a retry.
+// selectForCanary returns an ejected endpoint that is due for a canary request, if the request fits as one.
 func (lb *Balancer) selectForCanary(group *group, req *request) *endpoint {
 	timely := lb.now+canaryFactor*clock.Nanos(lb.classes.Work(req.class)) < lb.startDeadline(req)
 	if lb.classOf(req).Idempotency != Idempotent || len(req.attempts) > 0 || !timely {
@@ -147,7 +147,7 @@
 }
 
 // searchPrimary sends one write at a time while no primary is known: replicas reject it without running it.
-// Departure: after one round in id order it pauses between tries; least recently tried, most advanced first.
+// Departure: after a round by id it pauses between tries, of the least recently tried or most advanced first.
 func (lb *Balancer) searchPrimary(group *group, req *request) *endpoint {
 	searching := group.search != nil && !group.search.ended && !group.search.endpoint.health.Ejected()
 	if searching || lb.now < group.nextSearchAt || len(req.attempts) >= max(1, lb.settings.MaxAttempts-1) {
@@ -182,7 +182,7 @@
 	return false
 }
 
-// consider keeps the candidate with the fewest pending requests for its current capacity. With many routers
+// consider keeps the candidate with the fewest pending requests per current capacity. With many routers
 // most endpoints tie: a seeded draw decides, with chances proportional to warmth * ((1-errors)/load)^2.
 // Departure: if new connections have a cost, healthy endpoints with an idle connection win ties.
 func (lb *Balancer) consider(best *candidate, ep *endpoint) {
--- a/policy/balance/session.go
+++ b/policy/balance/session.go
@@ -11,7 +11,7 @@
 	if !lb.settings.ClientPositions {
 		return lb.sessions.Position(req.session)
 	}
-	if event.CommitAge <= 0 { // the session has no commit: any position is enough
+	if event.CommitAge <= 0 { // the session has no commit, so any position is enough
 		return 0
 	}
 	return lb.now - event.CommitAge + clock.Millisecond // as ages are rounded down to milliseconds
--- a/policy/balance/settings.go
+++ b/policy/balance/settings.go
@@ -45,9 +45,9 @@
 
 // The ways to handle replication lag.
 const (
-	LagUnchecked LagHandling = iota // it answers with the data that it has
-	LagRejected                     // it rejects the read
-	LagAwaited                      // it waits briefly for the commits, then rejects the read
+	LagUnchecked LagHandling = iota // the endpoint answers with the data that it has
+	LagRejected                     // the endpoint rejects the read
+	LagAwaited                      // the endpoint waits briefly for the commits, then rejects the read
 )
 
 // RoleVisibility says how the endpoint list marks the primary.
@@ -66,7 +66,7 @@
 	Consistency       Consistency
 	Idempotency       Idempotency
 	KeyScope          KeyScope
-	LatencyObjective  clock.Nanos // an answer within this time has the full PriorityWeight
+	LatencyObjective  clock.Nanos // time within which an answer has the full PriorityWeight
 	Deadline          clock.Nanos // how long a client waits, over all attempts
 	IdempotencyWindow clock.Nanos // IdempotentByKey: how long duplicates are dropped
 	StalenessBound    clock.Nanos // BoundedStaleness: max age of the data
@@ -120,8 +120,8 @@
 
 // AttemptSettings limit attempts and final answers.
 type AttemptSettings struct {
-	MaxAttempts       int // per request
-	MaxQueued         int // queued requests; also the number of sessions whose last commit is remembered
+	MaxAttempts       int // max attempts per request
+	MaxQueued         int // max queued requests, and max sessions whose last commit is stored
 	CancelAllowed     bool
 	RetryAfterAllowed bool
 	MaxRetryAfter     clock.Nanos
@@ -132,7 +132,7 @@
 type SlowStartSettings struct {
 	ColdCapacity     float64 // share of the full capacity that an endpoint has when it starts
 	WarmUpTime       clock.Nanos
-	OverloadMultiple float64 // load within OverloadWindow that an endpoint tolerates, as a multiple of its current capacity
+	OverloadMultiple float64 // work that an endpoint tolerates within OverloadWindow, as a multiple of its capacity
 	OverloadWindow   clock.Nanos
 }
 
@@ -141,7 +141,7 @@
 	OverQuotaWeight      float64 // share of its weight that a request beyond its tenant's quota has
 	LateFailureCost      float64
 	HandshakeCost        float64 // cost of a new connection, as a share of a request's weight
-	LateRejectionCharged bool    // rejecting an unsent request after half of its time costs more than a later answer earns
+	LateRejectionCharged bool    // rejecting an unsent request after half of its time costs more than a late answer earns
 }
 
 // validate names each setting that is missing or out of range.
--- a/policy/balance/slowstart.go
+++ b/policy/balance/slowstart.go
@@ -2,7 +2,7 @@
 
 import "lotushook/policy/slowstart"
 
-// warmth is a lower bound of the share of its full capacity that an endpoint has by now.
+// warmth returns a lower bound for an endpoint's present capacity, as a share of its full capacity.
 func (lb *Balancer) warmth(ep *endpoint) float64 { return lb.slowStart.Warmth(lb.now, ep.startedAt) }
 
 // withinSlowStart reports whether an endpoint that is warming up has budget left for a request.
--- a/policy/balance/tables.go
+++ b/policy/balance/tables.go
@@ -6,7 +6,7 @@
 type groupTable struct {
 	endpoints      map[EndpointID]*endpoint
 	byID           map[int64]*group
-	order          []*group // in the order of their first mention
+	order          []*group // all groups, in the order of their first mention
 	queuesPerGroup int
 }
 
@@ -30,7 +30,7 @@
 type requestTable struct {
 	byID       map[string]*request
 	bySequence map[int64]*request // requests without a final answer
-	sequence   int64              // of the last request
+	sequence   int64              // number of the last request
 }
 
 func newRequestTable() requestTable {
@@ -48,7 +48,7 @@
 	table.bySequence[req.sequence] = req
 }
 
-// remove deletes an ended request; byID keeps it while attempts are in flight, for their outcomes.
+// remove deletes an ended request. While attempts are in flight, byID retains it for their outcomes.
 func (table *requestTable) remove(req *request) {
 	delete(table.bySequence, req.sequence)
 	if req.inFlight == 0 {
