--- a/policy/shedding/sim_test.go
+++ b/policy/shedding/sim_test.go
@@ -171,11 +171,11 @@
 // after the surge, and neither these times nor the messages per member grow with the fleet.
 func TestFleetSizes(t *testing.T) {
 	perMember := map[int]float64{}
-	for _, n := range []int{10, 100, 1000} {
-		sim := newFleet(t, n, 1)
+	for _, routerCount := range []int{10, 100, 1000} {
+		sim := newFleet(t, routerCount, 1)
 		sim.run(second)
 		if _, threshold, _ := sim.spread(); threshold != 0 || sim.sent > 0 {
-			t.Fatalf("%d routers without overload: threshold %d, %d messages", n, threshold, sim.sent)
+			t.Fatalf("%d routers without overload: threshold %d, %d messages", routerCount, threshold, sim.sent)
 		}
 		sim.requested *= 2.2
 		convergedAfter, surgeAt := clock.Nanos(-1), sim.now
@@ -188,17 +188,17 @@
 			}
 		}
 		if _, threshold, _ := sim.spread(); sim.load > 1 || threshold > sim.routers[0].order.firstRank[0] {
-			t.Errorf("%d routers: load %.2f, threshold %d after the first 2 s of the surge", n, sim.load, threshold)
+			t.Errorf("%d routers: load %.2f, threshold %d after the first 2 s of the surge", routerCount, sim.load, threshold)
 		}
-		perMember[n] = float64(sim.sent) / float64(n) / 2
+		perMember[routerCount] = float64(sim.sent) / float64(routerCount) / 2
 		sim.requested /= 2.2
 		surgeEnd := sim.now
 		for _, threshold, _ := sim.spread(); threshold > 0 && sim.now < surgeEnd+10*second; _, threshold, _ = sim.spread() {
 			sim.run(100 * ms)
 		}
-		t.Logf("%d routers: thresholds converged after %d ms, all requests admitted %d ms after the surge, %.0f messages of %d bytes per member and second", n, convergedAfter/ms, (sim.now-surgeEnd)/ms, perMember[n], bytesPerMessage)
-		if convergedAfter < 0 || convergedAfter > 2*second || sim.now-surgeEnd > 5*second || perMember[n] > 5*fanout {
-			t.Errorf("%d routers: converged after %d ms, all requests admitted %d ms after the surge, %.0f messages per member and second", n, convergedAfter/ms, (sim.now-surgeEnd)/ms, perMember[n])
+		t.Logf("%d routers: thresholds converged after %d ms, all requests admitted %d ms after the surge, %.0f messages of %d bytes per member and second", routerCount, convergedAfter/ms, (sim.now-surgeEnd)/ms, perMember[routerCount], bytesPerMessage)
+		if convergedAfter < 0 || convergedAfter > 2*second || sim.now-surgeEnd > 5*second || perMember[routerCount] > 5*fanout {
+			t.Errorf("%d routers: converged after %d ms, all requests admitted %d ms after the surge, %.0f messages per member and second", routerCount, convergedAfter/ms, (sim.now-surgeEnd)/ms, perMember[routerCount])
 		}
 	}
 	if perMember[1000] > 1.1*perMember[100] {
