--- a/policy/admission/rules_test.go
+++ b/policy/admission/rules_test.go
@@ -189,8 +189,8 @@
 	for round := range 2000 {
 		now += 1 * ms
 		for i := range 5 { // 5,000 a second, each from another prefix
-			n := round*5 + i
-			verdict := controller.Arrive(next, netip.AddrFrom4([4]byte{11, byte(n >> 8), byte(n), 1}), now)
+			prefix := round*5 + i
+			verdict := controller.Arrive(next, netip.AddrFrom4([4]byte{11, byte(prefix >> 8), byte(prefix), 1}), now)
 			for _, eviction := range verdict.Evictions {
 				controller.Closed(eviction.ID)
 			}
--- a/policy/contract/contract_test.go
+++ b/policy/contract/contract_test.go
@@ -107,9 +107,9 @@
 	settings.Teams[0].MaxOpen = 0
 	ledger := newTestLedger(t, settings)
 	now, request := testStart, Request{Team: 0, Class: writeClass, Group: 1}
-	admit := func(n int) map[Reason]int {
+	admit := func(count int) map[Reason]int {
 		got := map[Reason]int{}
-		for range n {
+		for range count {
 			got[ledger.Admit(withNewID(request), now).Reason]++
 		}
 		return got
