--- a/internal/router/acceptor.go
+++ b/internal/router/acceptor.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// The number of client descriptors divided by closingDivisor, within the two limits, is set aside for connections
-	// that are closing: rejected clients that still read their error, and evicted clients.
+	// Of the descriptors for clients, 1/closingDivisor, but at least minClosing and at most maxClosing, are reserved
+	// for connections that are closing: those of rejected clients that still read their error, and of evicted clients.
 	closingDivisor, minClosing, maxClosing = 8, 4, 32
 
 	// An accept call that finds a waiting connection does not yield, and the network poller does not run during a
@@ -28,7 +28,7 @@
 	acceptPause          = 20 * time.Microsecond
 
 	lingerInterval        = 2 * time.Millisecond
-	acceptorSweepInterval = 25 * time.Millisecond // short, as evictions wait for the next sweep
+	acceptorSweepInterval = 25 * time.Millisecond // short, as all evictions but those for a new client wait for it
 	memoryCheckSweeps     = 4                     // the memory in use is measured every so many sweeps
 	logInterval           = 5 * time.Second
 	// The time from running out of descriptors until the client limit grows again, by one with each sweep.
@@ -48,7 +48,7 @@
 	admission     *admission.Controller
 	clients       map[admission.ID]*client
 	nextID        admission.ID
-	loggedCounts  [admission.ReasonCount]uint64 // the rejections that have been logged
+	loggedCounts  [admission.ReasonCount]uint64 // by reason: the number of rejections that have been logged
 	capacityCutAt time.Time                     // when descriptors last ran out; zero: the capacity is restored
 }
 
@@ -66,7 +66,7 @@
 	return acceptor, acceptor.spare.open()
 }
 
-// closingDescriptors returns the number of descriptors that are set aside for connections that are closing.
+// closingDescriptors returns the number of descriptors that are reserved for connections that are closing.
 func (acceptor *acceptor) closingDescriptors() int {
 	maxClients, _ := acceptor.router.descriptors.Clients()
 	return min(max(maxClients/closingDivisor, minClosing), maxClosing)
@@ -193,8 +193,9 @@
 	return acceptor.verdict(client, acceptor.admission.Request(client.admissionID, acceptor.router.clock.now()))
 }
 
-// verdict returns a rejection as the reader's error. A client that is being evicted receives it too, because one of its
-// messages has already been read.
+// verdict returns nil if the admission controller lets the client stay, otherwise the rejection, with which the reader
+// ends the connection. A client that is being evicted receives a rejection too, because one of its messages has already
+// been read.
 func (acceptor *acceptor) verdict(client *client, verdict admission.Verdict) error {
 	if verdict.Reason == admission.None {
 		return nil
@@ -244,7 +245,8 @@
 	}
 }
 
-// run sweeps, closes rejected connections and logs rejections until the context ends.
+// run does the periodic work until the context ends: it evicts the clients that a sweep of the admission controller
+// names, closes the connections of rejected clients after a short time, and logs rejections.
 func (acceptor *acceptor) run(ctx context.Context) {
 	defer acceptor.lingering.closeAll()
 	sweepTicker, lingerTicker, logTicker := time.NewTicker(acceptorSweepInterval), time.NewTicker(lingerInterval), time.NewTicker(logInterval)
--- a/internal/router/accesslog.go
+++ b/internal/router/accesslog.go
@@ -16,7 +16,7 @@
 // and counted.
 type accessLog struct {
 	settings atomic.Pointer[siteconfig.Log] // nil: no lines are written
-	second   atomic.Int64                   // the second of the clock that written refers to
+	second   atomic.Int64                   // the second of the clock in which written lines were written
 	written  atomic.Int64
 	omitted  atomic.Int64
 }
--- a/internal/router/answers.go
+++ b/internal/router/answers.go
@@ -7,13 +7,14 @@
 	"lotushook/policy/clock"
 )
 
-// rejectionReason is the reason for a rejection that the decision module did not make.
+// rejectionReason tells a client why a contract, load shedding or the shutdown has rejected its request, and what it
+// can do. Rejections by the decision module have no such text.
 type rejectionReason struct{ text, hint string }
 
 // rejectedByShutdown is the reason for rejecting requests that can't be completed before the shutdown ends.
 var rejectedByShutdown = &rejectionReason{text: "the router stops"}
 
-// rejectedAnswer returns the answer to a request that was not run, which the client may safely retry. A retryAfter
+// rejectedAnswer returns the answer to a request that was not run, so that the client may safely retry it. A retryAfter
 // other than 0 is the time to wait before the retry.
 func rejectedAnswer(retryAfter clock.Nanos, reason *rejectionReason) []byte {
 	if reason == nil {
--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -11,8 +11,8 @@
 const maxPromptRead = clock.Nanos(time.Millisecond)
 
 // arrivals estimates when the bytes in a reader's buffer were sent. A client counts its deadline from the time of
-// sending, and the reader may read a message late: it waits while too many requests are open, and pauses after
-// unusable queries.
+// sending, and the reader may read a message late: it waits while too many requests are open, and pauses after unusable
+// queries (see rejectUnusable).
 type arrivals struct {
 	sentBy clock.Nanos // all bytes read so far were sent at this time or earlier; deadlines count from it
 	lastAt clock.Nanos // the end of the last read
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -13,11 +13,12 @@
 	"lotushook/policy/clock"
 )
 
-// The idempotency window divided by retryTransitDivisor is reserved for a retry's transit to the data server.
+// Data servers drop a duplicate of a keyed write during the idempotency window. A retry is not sent in the last
+// 1/retryTransitDivisor of the window, which is reserved for its transit to the data server.
 const retryTransitDivisor = 8
 
-// attempt makes one attempt; a request never has two open attempts. It returns the final answer if the attempt ends the
-// request.
+// attempt sends the query to the endpoint that the action names, waits for the result and reports it to the decision
+// module. A request never has two open attempts. If the attempt ends the request, answer is the final answer.
 func (request *request) attempt(action balance.Action) (answer []byte, ended bool) {
 	request.router.membership.logAttempt(request, action)
 	startedAt := request.router.clock.now()
@@ -46,7 +47,7 @@
 }
 
 // awaitAttempt waits for the end of an attempt: its answer, its deadline, the end of the shutdown, or a cancel by the
-// decision module. If the client disconnects or cancels meanwhile, it reports that to the module at once.
+// decision module. If the client meanwhile disconnects or cancels the request, the module is notified at once.
 func (request *request) awaitAttempt(pending *backend.Attempt, action balance.Action) backend.Result {
 	timeout := time.NewTimer(time.Until(request.router.clock.at(action.AttemptDeadline)))
 	defer timeout.Stop()
--- a/internal/router/attemptlog.go
+++ b/internal/router/attemptlog.go
@@ -27,18 +27,18 @@
 	Group       int64      `json:"group"`
 	Session     string     `json:"session,omitempty"`
 	Server      string     `json:"server"`
-	Listed      bool       `json:"listed"` // the current endpoint list contains it as not draining
+	Listed      bool       `json:"listed"` // the current endpoint list contains the server, and not as draining
 	Write       bool       `json:"write"`
 	Reason      string     `json:"why"`              // why the decision module chose this server
-	MinPosition int64      `json:"floor,omitempty"`  // in ms; a session's read must see the log up to here
+	MinPosition int64      `json:"floor,omitempty"`  // the log position, in ms, that a session's read must see
 	Used        []Evidence `json:"on"`               // evidence that the decision used
 	Unused      []Evidence `json:"beside,omitempty"` // evidence that was known but not used
 }
 
 // Evidence is a fact that was known for a decision, and its provenance.
 type Evidence struct {
-	Subject string `json:"what"`   // server, floor, primary
-	Origin  string `json:"origin"` // own, client, peer, restored
+	Subject string `json:"what"`   // what the fact is about: server, floor (the minimum position) or primary
+	Origin  string `json:"origin"` // its source: own (an answer to this router), client, peer, restored (from disk)
 	AgeMS   int64  `json:"age_ms"` // 0 for answers to this router, whose age the decision module does not report
 	Proven  bool   `json:"proven"`
 	Value   string `json:"says,omitempty"`
--- a/internal/router/cancelkeys.go
+++ b/internal/router/cancelkeys.go
@@ -75,19 +75,20 @@
 	owner.earlyCancel = earlyCancel{at: owner.router.clock.now(), unread: unread}
 }
 
-// earlyCancelWindow is the maximum time to read bytes that were unread when a CancelRequest arrived: the longest pause
-// after unusable queries, and the delay of a router that is short of CPU time.
+// earlyCancelWindow is how long after a CancelRequest the reader may take to read the bytes that were unread when the
+// CancelRequest arrived. It covers the longest pause after unusable queries (see rejectUnusable), and the delay of a
+// router that is short of CPU time.
 const earlyCancelWindow = clock.Nanos(maxUnusablePause) + 100*clock.Millisecond
 
-// earlyCancel is a CancelRequest that was processed before the query that it names. The two arrive on different
-// connections and are read by different goroutines, so that a busy router may read the later one first.
+// earlyCancel is a CancelRequest that was processed before the query that it is meant to cancel. The two arrive on
+// different connections and are read by different goroutines, so that a busy router may read the later one first.
 type earlyCancel struct {
 	at     clock.Nanos // when it arrived; 0: there was none
 	unread bool        // whether the client's connection had unread bytes then
 }
 
-// names reports whether the CancelRequest names the query whose last bytes were read at readAt, and not one that was
-// sent after it.
+// names reports whether the CancelRequest is meant for the query whose last bytes were read at readAt. It returns false
+// if the query was sent after the CancelRequest.
 func (cancel earlyCancel) names(readAt clock.Nanos) bool {
 	return cancel.at > 0 && (readAt <= cancel.at || cancel.unread && readAt <= cancel.at+earlyCancelWindow)
 }
--- a/internal/router/changefeed.go
+++ b/internal/router/changefeed.go
@@ -19,9 +19,10 @@
 	"lotushook/policy/cursor"
 )
 
-// changefeedService answers the requests of change feed classes. These requests bypass the decision module. The
-// service's own reads from data servers do pass through the decision module, as requests of the same class, so that
-// pending counts, slow start and limits apply to them.
+// changefeedService answers the requests of change feed classes: each asks for the events that follow a cursor, the
+// position up to which the client, a subscriber, has received the log of a group. These requests bypass the decision
+// module. The service's own reads from data servers do pass through the decision module, as requests of the same class,
+// so that pending counts, slow start and limits apply to them.
 type changefeedService struct {
 	router         *Router
 	settings       *siteconfig.Feeds
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -20,8 +20,9 @@
 	maxPipelined   = 16                               // concurrent requests per client
 )
 
-// client is one client connection: a goroutine that reads it, and one task per request. Other goroutines ask the reader
-// to close the connection, as only the reader knows whether a request has been read.
+// client is one client connection. One goroutine, the reader, reads it. Each query has a task, a goroutine that obtains
+// the answer and writes it. Other goroutines ask the reader to close the connection, as only the reader knows whether a
+// request has been read.
 type client struct {
 	router         *Router
 	conn           net.Conn
@@ -42,7 +43,7 @@
 	input            *ringbuffer.Buffer
 	arrived          arrivals                 // when the bytes of the input were sent
 	skipUntilSync    bool                     // after an error in an extended query
-	unusableInRow    int                      // consecutive unusable queries
+	unusableInRow    int                      // consecutive unusable queries (see rejectUnusable)
 	feedSubscription *changefeed.Subscription // nil: the client has not queried a change feed
 }
 
@@ -54,7 +55,7 @@
 	closeWriteFailed sync.Once
 }
 
-// clientState is shared by the reader, the tasks and the sweep.
+// clientState is shared by the reader, the tasks and the periodic sweep of all clients (clientSet.sweep).
 type clientState struct {
 	openQueries  int           // read and not yet answered
 	cancelable   []*request    // the open requests that a CancelRequest can name, in the order of their queries
@@ -69,12 +70,12 @@
 	lingeringSince time.Time // since when the reader waits for the client to close its side; zero: it does not
 }
 
-// wakeup is the reason for waking the reader, by setting a read deadline in the past.
+// wakeup says why another goroutine has woken the reader. A read deadline in the past wakes it.
 type wakeup struct {
 	rejection *rejection // to be sent by the reader
 	overdue   bool       // a query or the rest of a message did not arrive in time
 	closing   bool       // close the connection unless a request is open or has arrived
-	displaced bool       // set with closing: admission has given the client's capacity to another one
+	displaced bool       // set with closing: the admission controller has given the capacity to another client
 }
 
 var (
--- a/internal/router/clientclose.go
+++ b/internal/router/clientclose.go
@@ -18,9 +18,9 @@
 // overtake the last messages that were written. Requests that are read here are not served, as their answers could not
 // be delivered.
 //
-// It is for clients that received a fatal error, as there may be more input behind the message that caused it, and for
-// clients that pipeline requests. Any other client has all its answers before it sends its next request; a request that
-// arrives during the close stays unread, so that the client may send it elsewhere.
+// The reader closes connections in this way if the client received a fatal error, as there may be more input behind the
+// message that caused it, or if the client pipelines requests. Any other client has all its answers before it sends its
+// next request; a request that arrives during the close stays unread, so that the client may send it elsewhere.
 func (client *client) lingeringClose() {
 	sender, ok := client.conn.(interface{ CloseWrite() error })
 	if !ok || sender.CloseWrite() != nil {
@@ -86,8 +86,8 @@
 	return err
 }
 
-// rejectUnserved returns rejections of the queries that were read after a query that is rejected. They precede the
-// fatal error at the end, which is the answer to one of the queries.
+// rejectUnserved returns one rejection for each complete query in the input buffer behind a rejected query. As the
+// fatal error, which is sent last, is an answer too, the client gets as many answers as it has sent queries.
 func (client *client) rejectUnserved(err error) (answers []byte) {
 	var rejected *rejection
 	if !errors.As(err, &rejected) {
--- a/internal/router/clientreader.go
+++ b/internal/router/clientreader.go
@@ -19,7 +19,8 @@
 	onlySimpleQueries = "only simple queries are served"
 )
 
-// readMore waits for more bytes. From the first byte of a message on, the sweep limits the time until the last.
+// readMore waits for more bytes. From the first byte of a message on, the periodic sweep of all clients limits the time
+// until its last byte.
 func (client *client) readMore() error {
 	client.notePartial()
 	first := client.arrived.lastAt == 0
@@ -162,7 +163,7 @@
 	return err
 }
 
-// noteComplete records that a message is complete. One that was overdue is still handled.
+// noteComplete records that a message is complete. A message that was completed after its timeout is still handled.
 func (client *client) noteComplete() error {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -245,7 +246,8 @@
 	})
 }
 
-// deadlineOf returns the deadline of a request by its arrival: the time that its client waits, less the transit times.
+// deadlineOf returns the deadline of a request that arrived at the given time: the end of the time that its client
+// waits, less the transit times.
 func deadlineOf(parsed *pgwire.Request, arrivedAt clock.Nanos) clock.Nanos {
 	return arrivedAt + int64(max(parsed.Timeout-deadlineMargin, parsed.Timeout/2))
 }
@@ -263,8 +265,8 @@
 	}
 }
 
-// rejectUnusable answers a query that is not a valid request, and pauses: a client that sends such queries as fast as
-// it can must not take CPU time from other clients.
+// rejectUnusable answers an unusable query, one that is not a valid request, and pauses: a client that sends such
+// queries as fast as it can must not take CPU time from other clients.
 func (client *client) rejectUnusable(tasks *sync.WaitGroup, code string, err error) error {
 	if err := client.answerLocally(tasks, errorAnswer(code, err.Error())); err != nil {
 		return err
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// clientSet contains the connected clients. It is safe for concurrent use.
+// clientSet contains the connected clients, and checks in a periodic sweep which of them have exceeded a timeout. It is
+// safe for concurrent use.
 type clientSet struct {
 	timeouts *clientTimeouts
 	onSweep  func()         // called by each sweep
@@ -131,7 +132,7 @@
 }
 
 // rejectPartial frees a descriptor when no client is idle: it rejects the client whose message has been incomplete for
-// longest, if there was enough time for the rest to arrive. Nothing of the message has run.
+// longest, if there was enough time for the rest of the message to arrive. The incomplete request has not run.
 func (set *clientSet) rejectPartial(now time.Time) {
 	oldest := set.oldest(func(client *client) (time.Time, bool) {
 		since, partial := client.partialState()
--- a/internal/router/contracts.go
+++ b/internal/router/contracts.go
@@ -21,13 +21,14 @@
 const (
 	maxAccountLines = 200 // log lines per period; further accounts are only counted
 
-	// Probes report an endpoint's load, from which this router's share of its capacity is derived. One endpoint is
-	// probed per interval, in round-robin order, which adds a few hundredths of a probe per request.
+	// Probes report an endpoint's load, from which the contract ledger derives this router's share of the endpoint's
+	// capacity. One endpoint is probed per interval, in round-robin order, which adds a few hundredths of a probe per
+	// request.
 	loadProbeInterval = 200 * time.Millisecond
 )
 
-// contractService enforces the teams' contracts. Except for run and settings, only the event loop's goroutine may use
-// it.
+// contractService enforces the teams' contracts and serves the accounts, the report on the requests of each team
+// (package accounting). Except for run and settings, only the event loop's goroutine may use it.
 type contractService struct {
 	router        *Router
 	ledger        *contract.Ledger
@@ -142,8 +143,8 @@
 	}
 }
 
-// admit decides on a request that has arrived. It reports whether the request is admitted and, if so, whether it is
-// queued. Other requests are rejected immediately.
+// admit applies load shedding and the contracts to a request that has arrived. It reports whether the request is
+// admitted and, if so, whether it is queued. A request that is not admitted is rejected immediately.
 func (service *contractService) admit(arrival *loopEvent, now clock.Nanos) (admitted, queued bool) {
 	request := arrival.request
 	team, reason := service.ledger.Match(request.identity)
@@ -216,8 +217,8 @@
 	}
 }
 
-// order sorts the arrivals of a batch into the teams' fair order. They are placed only in positions that arrivals had,
-// so that no other event moves.
+// order sorts the arrivals of requests in a batch into the order that is fair to the teams (contract.Order). Arrivals
+// only swap places with each other, so that no other event moves.
 func (service *contractService) order(batch []balance.Event, requests map[string]*request) {
 	service.orderBuffer = service.orderBuffer[:0]
 	for i := range batch {
@@ -267,7 +268,7 @@
 	return &rejectionReason{verdict.Reason.String(), ""}
 }
 
-// answers returns the commands of the accounts' admin socket.
+// answers returns the handlers of the commands that the accounts' admin socket accepts.
 func (service *contractService) answers() admin.Handlers {
 	commands := admin.Handlers{"accounts": func(ctx context.Context) any { return service.rows(ctx) }}
 	if service.shedding != nil {
@@ -282,7 +283,7 @@
 	return commands
 }
 
-// rows returns the current accounts.
+// rows returns the rows of the current accounts.
 func (service *contractService) rows(ctx context.Context) []accounting.Row {
 	var rows []accounting.Row
 	service.router.loop.do(ctx, func() {
--- a/internal/router/disconnect.go
+++ b/internal/router/disconnect.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// disconnectCheckInterval is how often a blocked reader checks whether its client has disconnected. From 100 ms after
-// its disconnect on, no request of a client may be sent.
+// disconnectCheckInterval is how often a blocked reader checks whether its client has disconnected. No request may be
+// sent later than 100 ms after its client has disconnected.
 const disconnectCheckInterval = 25 * time.Millisecond
 
 // Linux TCP states, as in the first byte of TCP_INFO.
--- a/internal/router/drainlistener.go
+++ b/internal/router/drainlistener.go
@@ -10,8 +10,8 @@
 
 const (
 	maxDrainAccept  = 300 * time.Millisecond // the maximum time to accept connections after stop
-	drainAcceptWait = 20 * time.Millisecond  // if no connection arrives within this time,
-	drainEmptyWaits = 2                      // so many times in a row, the accept queue is empty
+	drainAcceptWait = 20 * time.Millisecond  // how long Accept waits for a connection after stop
+	drainEmptyWaits = 2                      // after so many waits in a row without a connection, the queue is empty
 )
 
 // drainListener is a listener that, once stopped, still returns the connections in the kernel's accept queue. Closing
--- a/internal/router/eventloop.go
+++ b/internal/router/eventloop.go
@@ -15,7 +15,7 @@
 
 const (
 	eventQueueSize     = 4096
-	maxLogLines        = 500                   // of the decision module's own log
+	maxLogLines        = 500                   // how many lines of the decision module's own log are written
 	queueInterval      = 10 * time.Millisecond // the time between steps while requests wait in the contracts' queues
 	queryMemoryDivisor = 3                     // 1/3 of the memory limit is for query text; buffers and answers need the rest
 )
@@ -149,8 +149,9 @@
 	loop.batch = append(loop.batch, event.Event)
 }
 
-// requestEnded releases the resources of a request at once, since the next request of its client may be in the same
-// batch. The request stays in the map until after the module's next step, which may still return actions for it.
+// requestEnded releases the resources of a request, such as its place in its team's contract, at once, since the next
+// request of its client may be in the same batch. The request stays in the map until after the module's next step,
+// which may still return actions for it.
 func (loop *eventLoop) requestEnded(request *request) {
 	loop.endedRequests = append(loop.endedRequests, request)
 	loop.queryBytes -= request.Size()
--- a/internal/router/lingeringclose.go
+++ b/internal/router/lingeringclose.go
@@ -101,7 +101,8 @@
 	return true
 }
 
-// expire closes the connections whose time is over, and the oldest one for as long as its client has closed it too.
+// expire closes the connections whose time is over. It also closes the oldest connection, and then the next ones, for
+// as long as the client has already closed its side.
 func (closes *lingeringCloses) expire(now time.Time) {
 	for {
 		closes.mu.Lock()
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -31,11 +31,13 @@
 const (
 	maxSuspects      = 64                            // capacity of the queue of suspicions
 	maxUsedPositions = 4096                          // endpoints whose last used position is stored
-	maxPositionAge   = int64(300 * time.Millisecond) // older positions from peers are not used in place of a probe
+	maxPositionAge   = int64(300 * time.Millisecond) // older positions from peers do not replace a probe
 )
 
-// membershipService connects the membership protocol to the router. The event loop never waits for it, and reads the
-// current quota share and its expiry from an atomic pointer.
+// membershipService connects the membership protocol, by which the members of a cluster detect each other's failures,
+// to the router. It also provides the quota share: this router's share of the limits that all members divide among
+// themselves (package quotalease). The event loop never waits for the service, and reads the current quota share and
+// its expiry from an atomic pointer.
 type membershipService struct {
 	router           *Router
 	settings         *siteconfig.Members
@@ -188,8 +190,8 @@
 	}
 }
 
-// learnFrom records from a complete answer how far the data server has applied the log and whether it is the primary.
-// Both are replicated at a limited rate.
+// learnFrom records what a complete answer says about its data server: how far it has applied the log, and whether it
+// is the primary. The peers receive both at a limited rate.
 func (service *membershipService) learnFrom(group int64, endpoint balance.EndpointID, result *backend.Result) {
 	if service == nil || service.state == nil || result.Outcome != balance.Succeeded || result.Position <= 0 {
 		return
@@ -204,15 +206,15 @@
 	}
 }
 
-// mayHaveRun records that an attempt of a keyed write ended with an unknown outcome.
+// mayHaveRun records that an attempt of a write with an idempotency key ended with an unknown outcome.
 func (service *membershipService) mayHaveRun(class, key string) {
 	if service != nil && service.state != nil && key != "" {
 		service.state.Learn(crdt.Entry{Kind: crdt.PendingWrite, A: class, B: key})
 	}
 }
 
-// suspected queues the decision module's suspicion of an endpoint. The event loop calls it, so it must not block: if
-// the queue is full, the suspicion is dropped.
+// suspected queues an endpoint that the decision module has ejected, to be announced to the peers as suspected. The
+// event loop calls this method, so it must not block: if the queue is full, the suspicion is dropped.
 func (service *membershipService) suspected(endpoint balance.EndpointID) {
 	if service == nil || service.state == nil {
 		return
@@ -223,7 +225,7 @@
 	}
 }
 
-// announceSuspects announces the queued suspicions to the peers until the context is done.
+// announceSuspects announces the queued endpoints to the peers as suspected until the context is done.
 func (service *membershipService) announceSuspects(ctx context.Context) {
 	for {
 		select {
@@ -270,7 +272,7 @@
 	}
 	fact, entry := service.persisted.fact(crdt.Entry{Kind: crdt.SessionCommit, A: strconv.FormatInt(group, 10), B: session})
 	if entry.At != position {
-		fact = trust.Fact{} // the position is the client's, or a lower bound for evicted sessions
+		fact = trust.Fact{} // the client sent the position, or it is the lower bound for evicted sessions
 	}
 	return positionProvenance{position, fact}
 }
--- a/internal/router/persistence.go
+++ b/internal/router/persistence.go
@@ -25,8 +25,9 @@
 	maxCrashLoss     = 10_000 // how many of a router's own entries a crash can lose: the capacity of the write queue
 )
 
-// persistedState connects the replicated state to its copy on disk: it writes the entries, restores them at startup and
-// tracks which of them are confirmed. It implements peer.Keeper.
+// persistedState connects the state that routers replicate to its copy on disk: it writes the entries, restores them at
+// startup and tracks which of them are confirmed. An entry from disk or from a peer is confirmed once an answer to this
+// router, or a peer that has been up continuously, has proven it (package trust). It implements peer.Keeper.
 type persistedState struct {
 	store       *store.Store
 	loadTimeout time.Duration
@@ -35,7 +36,7 @@
 
 	mu             sync.Mutex // guards the fields below; not held during blocking calls
 	ledger         *trust.Ledger
-	previousEpochs map[string]uint64 // restored from disk; a member that still has its epoch has been up since
+	previousEpochs map[string]uint64 // from disk; a member whose current epoch is the same has been up since
 	currentEpochs  map[string]uint64 // the members' current epochs
 	copyVersion    trust.CopyVersion // version of the last of this router's own entries in the restored copy
 	copyStatus     trust.CopyStatus
@@ -80,8 +81,8 @@
 	}
 }
 
-// restore merges the records on disk into the replicated state. Hints of unknown age are omitted. A pending write of
-// unknown age is restored with its minimum age.
+// restore merges the records on disk into the replicated state. Hints of unknown age are omitted. A pending write,
+// which is a keyed write that may have run, is restored with its minimum age if its age is unknown.
 func (persisted *persistedState) restore(state *peer.State) {
 	found := persisted.store.TakeRestored()
 	var entries []crdt.Entry
@@ -149,8 +150,8 @@
 	}
 }
 
-// compareWithPeer compares the version of the restored copy with one of this router's earlier entries that a peer still
-// has. It detects that an outdated copy was put in place of the last one.
+// compareWithPeer compares the version of the restored copy with an entry that this router wrote before its restart and
+// that a peer still has. A later entry shows that the last copy on disk was replaced by an outdated one.
 func (persisted *persistedState) compareWithPeer(entry *crdt.Entry) {
 	if entry.From.Name != persisted.self.Name || entry.From.Boot == persisted.self.Boot || persisted.copyVersion == (trust.CopyVersion{}) || persisted.copyStatus == trust.CopyOutdated {
 		return
@@ -163,7 +164,8 @@
 	}
 }
 
-// fact returns the fact and the entry that are recorded for the key of an entry.
+// fact looks up the recorded entry that has the same key as the given one. It returns that entry, and the fact that
+// describes its provenance and whether it is confirmed.
 func (persisted *persistedState) fact(entry crdt.Entry) (trust.Fact, crdt.Entry) {
 	if persisted == nil {
 		return trust.Fact{}, crdt.Entry{}
@@ -202,7 +204,7 @@
 	return persistedReport{persisted.store.Report(), persisted.restoredCount, persisted.ledger.Unconfirmed(trust.FromDisk), persisted.copyStatus == trust.CopyOutdated}
 }
 
-// positionProvenance is the log position that a read must see, and its provenance.
+// positionProvenance is the log position that a read must see, and the fact that says from where the router knows it.
 type positionProvenance struct {
 	at   clock.Nanos // 0: none
 	fact trust.Fact
--- a/internal/router/plainacceptor.go
+++ b/internal/router/plainacceptor.go
@@ -10,7 +10,8 @@
 	"lotushook/policy/clock"
 )
 
-// acceptAll accepts all clients until the listener closes. While no descriptor is free, clients wait to be accepted.
+// acceptAll accepts clients without an admission controller, until the listener closes. While no descriptor is free,
+// clients wait to be accepted.
 func (router *Router) acceptAll(listener net.Listener) error {
 	exhaustedAt := clock.Nanos(0) // when no descriptor was last free; 0: never
 	for {
--- a/internal/router/recovery.go
+++ b/internal/router/recovery.go
@@ -13,11 +13,13 @@
 	"lotushook/policy/recovery"
 )
 
-// tickInterval is how often a router checks its recovery stage until it serves.
+// tickInterval is how often a restarted router checks the stage of its recovery, until it reaches the last one,
+// serving.
 const tickInterval = 100 * time.Millisecond
 
-// recoveryGate applies the recovery decisions. It may be used by several goroutines at once; its lock is held only
-// while a decision is made. A nil gate allows everything immediately.
+// recoveryGate applies the decisions of package recovery, which limits the load that restarting routers cause. It may
+// be used by several goroutines at once; its lock is held only while a decision is made. A nil gate allows everything
+// immediately.
 type recoveryGate struct {
 	router *Router
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -17,7 +17,7 @@
 const (
 	deadlineMargin  = 20 * time.Millisecond // the part of a client's wait that covers the transit in both directions
 	decisionTimeout = 15 * time.Millisecond // the maximum wait for a decision after the deadline
-	actionQueueSize = 8                     // one attempt and one final answer at a time, and cancels that cross them
+	actionQueueSize = 8                     // one attempt, one final answer, and cancels sent before these ended
 )
 
 // request is a client's request. Its task is the method run.
@@ -25,7 +25,7 @@
 	pgwire.Request
 	router    *Router
 	client    *client
-	identity  contract.Identity // of its client, if teams have contracts
+	identity  contract.Identity // the identity of the client, if teams have contracts
 	deadline  clock.Nanos
 	arrivedAt clock.Nanos
 	actions   chan balance.Action // from the event loop
@@ -43,11 +43,11 @@
 	firstRunAt       clock.Nanos        // the start of the first attempt that may have run the query; 0: there is none
 	abandoned        bool               // the decision module was notified that the client no longer waits
 	sessionWroteAt   clock.Nanos        // the log position of the session's last write at any router; 0: unknown
-	positionEvidence positionProvenance // why a session's read requires its position; empty if attempts are not logged
+	positionEvidence positionProvenance // of the position that a read requires; empty if there is no attempt log
 	trace            []tracedAttempt    // the attempts, if the access log may need them
 	end              contract.Outcome
 	outcome          requestOutcome
-	reason           balance.Reason // of a rejection or a failure
+	reason           balance.Reason // why the request was rejected or failed
 }
 
 // requestDecisions belongs to the event loop; the request's task reads receivedAt.
@@ -170,7 +170,7 @@
 			if answer, ended := request.attempt(action); ended {
 				return answer
 			}
-		default: // a cancel that crossed the end of its attempt
+		default: // a cancel of an attempt that had already ended
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	case <-request.canceled:
 	case <-request.router.shutdown.over:
 	case <-overdue:
-		steppedAt := request.router.loop.steppedAt.Load() // before polling, so that that step's actions are there
+		steppedAt := request.router.loop.steppedAt.Load() // before polling: the step's actions are delivered by then
 		select {
 		case action = <-request.actions: // the decision arrived at the same time
 		default:
@@ -204,7 +204,7 @@
 }
 
 // interrupt ends a request that is abandoned, or whose time is over in a shutdown, instead of carrying out the action
-// that arrived. A cancel that crosses the final answer has no effect.
+// that arrived. A cancel that arrives at the same time as the final answer has no effect.
 func (request *request) interrupt(action balance.Action) (answer []byte, ended bool) {
 	final := action.Kind == balance.RejectRequest || action.Kind == balance.FailRequest
 	if request.checkAbandoned() && (!final || request.clientLeft()) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,19 @@
 // Package router serves clients' requests: it reads them, asks the decision module what to do with each, and carries
 // out the decisions on network connections.
+//
+// The comments of this package use these terms:
+//
+//   - The decision module is package policy/balance. Events report to it what has happened, and it returns actions: to
+//     send a request to an endpoint, to cancel that attempt, or to reject the request.
+//   - The site configuration is the operators' file (package siteconfig). The rest of the configuration and the
+//     platform settings come from the platform (package platformconfig).
+//   - A contract states what a team of clients may use (package contract). Load shedding rejects requests while a group
+//     of endpoints is overloaded (package shedding). Admission decides which clients may be connected (package
+//     admission).
+//   - The members are the routers of a cluster; for each router the others are its peers. They replicate some state
+//     through gossip (packages peer and crdt), of which a copy may be on disk (package store).
+//   - The epoch of a router identifies one run of its process. The provenance of a fact says whether the router learned
+//     it from an answer to itself, from a peer or from disk (package trust).
 package router
 
 import (
@@ -19,12 +33,14 @@
 )
 
 const (
-	sweepInterval            = 100 * time.Millisecond
-	stallTimeout             = 50 * time.Millisecond // the rest of an answer normally arrives within a millisecond
-	settleTime               = 5 * time.Millisecond  // several round trips
-	duplicateWindow          = 10 * time.Millisecond // a round trip and the scheduling delay of either side
-	crowdedDescriptorDivisor = 5                     // above 1/5 of the descriptors, idle clients are closed early
-	readMemoryDivisor        = 4                     // 1/4 of the memory limit each for incomplete messages of clients and servers
+	sweepInterval = 100 * time.Millisecond
+	stallTimeout  = 50 * time.Millisecond // between two reads of an answer; normally they are within a millisecond
+	settleTime    = 5 * time.Millisecond  // how long a connection is not reused after an answer: several round trips
+	// An answer equal to the previous one this soon after its query is a duplicate. The time covers a round trip and the
+	// scheduling delay of either side.
+	duplicateWindow          = 10 * time.Millisecond
+	crowdedDescriptorDivisor = 5 // above 1/5 of the descriptors, idle clients are closed early
+	readMemoryDivisor        = 4 // 1/4 of the memory limit each for incomplete messages of clients and servers
 )
 
 // Router is a router process.
@@ -71,7 +87,7 @@
 // configuration enables.
 func New(config *platformconfig.Config, site *siteconfig.Config) (*Router, error) {
 	settings := config.Settings.Balance
-	settings.LateRejectionCharged = true // this cost applies on network connections
+	settings.LateRejectionCharged = true // on network connections a late rejection costs more than a late answer earns
 	balancer, err := balance.New(settings, config.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
--- a/internal/router/shedding.go
+++ b/internal/router/shedding.go
@@ -29,7 +29,8 @@
 	lastLines map[int64]thresholdLine // by group
 }
 
-// thresholdLine is the last log line about a group's threshold.
+// thresholdLine is the last log line about a group's threshold. Requests below the threshold, by priority class and
+// account, are shed.
 type thresholdLine struct {
 	at            clock.Nanos
 	priorityClass string
@@ -107,7 +108,8 @@
 	service.shedder.RequestEnded(request.Cluster, request.sheddingVerdict.PriorityClass, request.Key, outcome, now)
 }
 
-// tick processes the peers' reports, and reports to the peers the thresholds that this router's own pressure calls for.
+// tick processes the peers' reports, and reports to the peers the thresholds that follow from the pressure, the degree
+// of overload of a group, as this router has measured it.
 func (service *sheddingService) tick(now clock.Nanos) {
 	members := service.router.membership
 	if !service.settings.Shared || members == nil || members.state == nil || members.peers == nil {
--- a/internal/router/starthold.go
+++ b/internal/router/starthold.go
@@ -8,10 +8,10 @@
 	"lotushook/internal/platformconfig"
 )
 
-// A starting router waits for its discovery agent's endpoint list before it sends anything: the list counts as notified
-// from the router's start, and the configured list may be outdated. It waits for at most maxStartHold and
-// 1/startHoldShare of the shortest deadline, because the platform charges requests that are still unsent after half of
-// the time to their deadline.
+// A starting router waits for its discovery agent's endpoint list before it sends anything: the platform counts the
+// list's changes as known to the router from its start on, and the configured list may be outdated. It waits for at
+// most maxStartHold and 1/startHoldShare of the shortest deadline, because the platform charges requests that are still
+// unsent after half of the time to their deadline.
 const (
 	maxStartHold   = 250 * time.Millisecond
 	startHoldShare = 4
@@ -45,8 +45,8 @@
 }
 
 // startHoldTimeout returns how long a starting router waits for its agent's endpoint list. It returns 0 if routers
-// share one discovery service: the service may be too busy to answer many starting routers, and its changes count as
-// notified later.
+// share one discovery service: the service may be too busy to answer many starting routers, and the platform counts
+// changes of its list as known to the routers only later.
 func startHoldTimeout(config *platformconfig.Config) time.Duration {
 	if sharedDiscoveryRouters(config) > 0 {
 		return 0
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -2,11 +2,13 @@
 
 import "lotushook/policy/clock"
 
+// timer is a timer that the decision module has set: when it fires, the module receives an event with its ID.
 type timer struct {
 	at clock.Nanos
 	id int64
 }
 
+// timers is a heap of timers, the earliest first.
 type timers []timer
 
 // Len implements heap.Interface.
--- a/internal/router/unreadage.go
+++ b/internal/router/unreadage.go
@@ -29,9 +29,9 @@
 // acceptBacklogTime is how long connections may remain in the accept queue after descriptors ran out.
 const acceptBacklogTime = 2 * clock.Second
 
-// hasWaitedTooLong reports whether a connection that was just accepted should be closed unread: it was in the accept
-// queue, because descriptors ran out, until its request could no longer be answered in time. New connections may be
-// closed unread while descriptors are exhausted, and this client no longer waits for an answer.
+// hasWaitedTooLong reports whether a connection that was just accepted should be closed unread: because descriptors ran
+// out, it was in the accept queue for so long that its request can no longer be answered in time. New connections may
+// be closed unread while descriptors are exhausted, and this client no longer waits for an answer.
 func (router *Router) hasWaitedTooLong(conn net.Conn, exhaustedAt clock.Nanos) bool {
 	if exhaustedAt == 0 || router.clock.now()-exhaustedAt > acceptBacklogTime {
 		return false
@@ -45,7 +45,7 @@
 }
 
 // peekWait returns how long the client of a new connection waits for the answer to its first request, without consuming
-// the request; false if no complete request has arrived.
+// the request; ok is false if no complete request has arrived.
 func peekWait(conn net.Conn) (wait time.Duration, ok bool) {
 	const maxPeeked = 2 << 10 // a startup message and the comment of a query
 	peeked := make([]byte, maxPeeked)
@@ -105,9 +105,9 @@
 	return 0, false
 }
 
-// boundArrivalByKernel lowers the time by which the client's bytes were sent to the kernel's time of receipt, if they
-// may have been unread for long: on a connection that waited to be accepted, and after a stall. The process itself did
-// not run then and has no record of their arrival.
+// boundArrivalByKernel lowers client.arrived.sentBy to the time at which the kernel received the client's bytes, if
+// they may have been unread for long: on a connection that waited to be accepted, and after a stall. The process has no
+// record of its own of when such bytes arrived.
 func (client *client) boundArrivalByKernel(first bool, readAt clock.Nanos) {
 	stalledSince, stalled := client.router.stalls.stalledSince(readAt)
 	if !first && !stalled {
