--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -12,8 +12,8 @@
 // calls together.
 func halfJitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// shorteningJitter returns a random duration from 0.5 to 1.1 times d, so that routers whose calls one failure has
-// synchronized are spread out again.
+// shorteningJitter returns a random duration from 0.5 to 1.1 times d, so that routers that call at the same time
+// because of a common failure call at different times again.
 func shorteningJitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+d/jitterDivisor) }
 
 // jitter returns a random duration from 0.9 to 1.1 times d.
@@ -45,8 +45,8 @@
 	return err.Error()
 }
 
-// watchWait returns how long the agent may wait for a change before it answers the next call. After an error the call
-// asks for an immediate answer.
+// watchWait returns how long the agent may wait for a change of the list before it answers the next call. The first
+// call after an error asks for an immediate answer.
 func (watcher *Watcher) watchWait() time.Duration {
 	switch {
 	case watcher.responseDelay == unknownDelay:
@@ -57,8 +57,8 @@
 	return watcher.watchTimeout
 }
 
-// allowedSilence returns how long an answer may be overdue, beyond the call's wait, before the call fails. It includes
-// the dial.
+// allowedSilence returns how long after the wait that watchWait returns the answer may arrive before the call fails.
+// The time to connect to the agent counts too.
 func (watcher *Watcher) allowedSilence() time.Duration {
 	switch {
 	case watcher.responseDelay == unknownDelay:
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,10 +10,10 @@
 	"lotushook/internal/ringbuffer"
 )
 
-// get calls the agent and returns the body of its response. The response must begin within wait plus silence, and then
-// no read may take longer than silence.
+// get calls the agent and returns the body of its response. wait is how long the agent may wait for a change. The
+// response must begin within wait plus silence, and then no read may take longer than silence.
 func (watcher *Watcher) get(ctx context.Context, agent, target string, wait, silence time.Duration) ([]byte, error) {
-	deadline := time.Now().Add(wait + silence) // the dial counts too
+	deadline := time.Now().Add(wait + silence) // the time to connect counts too
 	if watcher.conn != nil && (watcher.reader.Buffered() > 0 || watcher.input.in.Len() > 0) {
 		watcher.closeConnection() // bytes that arrived before the request are not its response
 	}
@@ -95,7 +95,7 @@
 		if err := reader.conn.SetDeadline(deadline); err != nil {
 			return 0, err
 		}
-		if err := reader.ctx.Err(); err != nil { // its end set a deadline that SetDeadline may have overwritten
+		if err := reader.ctx.Err(); err != nil { // its end set a deadline, which SetDeadline may have overwritten
 			return 0, err
 		}
 	}
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -9,8 +9,8 @@
 	"lotushook/policy/balance"
 )
 
-// Directory maps host names to the endpoint IDs used by the routing decisions, and IDs to addresses and states. It is
-// safe for concurrent use.
+// Directory maps the host names in endpoint lists to the endpoint IDs that the decision module (policy/balance) uses,
+// and IDs to addresses and states. It is safe for concurrent use.
 type Directory struct {
 	mu           sync.RWMutex
 	entries      map[balance.EndpointID]directoryEntry
@@ -32,7 +32,8 @@
 	return &Directory{entries: map[balance.EndpointID]directoryEntry{}, ids: map[string]balance.EndpointID{}}
 }
 
-// errEmptyList reports an agent that has lost its list: servers leave one after the other and never all at once.
+// errEmptyList rejects a complete list without hosts while hosts are listed. The agent must have lost its list, as
+// servers leave one after the other and never all at once.
 var errEmptyList = errors.New("list: complete but empty, although hosts are listed; keeping the current list")
 
 // tooManyHostsError reports a list with more hosts than a router supports.
@@ -45,7 +46,7 @@
 
 // Update applies a list from discovery. A list that would remove all hosts, or list too many, is rejected and changes
 // nothing. A list that may be outdated can remove, drain and add hosts, but does not reactivate a removed or draining
-// server unless the server has started anew.
+// server unless the server has restarted.
 func (directory *Directory) Update(list *List) (balance.Event, error) {
 	if list.MayBeOutdated {
 		list = directory.withoutReactivations(list)
@@ -105,7 +106,8 @@
 	return false
 }
 
-// Apply applies a list without the checks of Update and returns it as an event for the routing decisions.
+// Apply applies a list without the checks of Update, and returns the event that reports the list to the decision
+// module.
 func (directory *Directory) Apply(list *List) balance.Event {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,9 @@
-// Package discovery follows the list of data servers at the router's agent and maps each host to its endpoint ID and
-// address.
+// Package discovery follows the endpoint list, the list of data servers, at the router's discovery agent, and maps each
+// host to its endpoint ID and address.
+//
+// A call is one HTTP request to the agent. It asks either for the complete list or for the changes after the version of
+// the list that the router has. A call for changes is a watch if the agent may wait for a change before it answers. The
+// agent of a router may have the list itself, or pass calls on to one service that all routers share.
 package discovery
 
 import (
@@ -42,7 +46,7 @@
 	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Removed}
 
 const (
-	// A server that started in the future would stay in slow start until then. All machines share one time, but a
+	// A start time in the future would keep the server in slow start until then. All machines share one time, but a
 	// router's own clock may be wrong.
 	maxClockAhead = time.Hour
 	// A weight is a server's capacity relative to a typical one. A larger one is a mistake that would starve all others.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -45,7 +45,7 @@
 	// wastes the work spent on it. A watch is as long as possible while leaving time, within the 6 s, to detect silence
 	// and to get a second answer as late as the previous one; a service that answers later than that is given more
 	// time. After errors, calls begin 4 s apart, as in normal operation, so that a service that recovers is called
-	// within 6 s less the time of an answer.
+	// early enough for its answer to arrive within the 6 s.
 	notifiedAfter        = 6 * time.Second
 	notifiedMargin       = 200 * time.Millisecond
 	sharedWatchTimeout   = 4 * time.Second
@@ -63,9 +63,10 @@
 
 // Watcher follows the endpoint list at one agent at a time.
 type Watcher struct {
-	// In this order: the length of a watch; how late an answer may be if the previous one was quick; how late it may be
-	// otherwise; the time limit of a response's body; the backoff after the first error; the maximum backoff; how long
-	// CallDelay may delay a call; and how long a list with a smaller version counts as possibly outdated.
+	// In this order: how long the agent may wait for a change in a watch; how late an answer may be if the previous one
+	// was quick; how late it may be otherwise; the time limit of a response's body; the backoff after the first error;
+	// the maximum backoff; how long CallDelay may delay a call; and how long a list with a smaller version counts as
+	// possibly outdated.
 	watchTimeout, shortSilence, longSilence, bodyTimeout, initialBackoff, maxBackoff, maxCallDelay, outdatedPeriod time.Duration
 	shared                                                                                                         bool
 
@@ -85,7 +86,7 @@
 	hasSnapshot   bool          // a complete list was received from this agent
 	responseDelay time.Duration // how late the last answer was; kept when the agent changes, as the service is the same
 	maxVersion    int64         // the highest version received, from any agent
-	outdatedUntil time.Time     // until when lists with a smaller version may be outdated; zero: not in that state
+	outdatedUntil time.Time     // until when lists with a smaller version may be outdated; zero: no list may be
 	conn          net.Conn
 	input         *timedReader
 	reader        *bufio.Reader
@@ -135,8 +136,9 @@
 	}
 }
 
-// follow passes each list of one agent to apply until the context ends. After an error, a malformed list included, the
-// agent is called again after a backoff, for the complete list if changes might not fit the known one.
+// follow passes each list of one agent to apply until the context ends. After an error, such as a malformed list, the
+// agent is called again after a backoff. The call asks for the complete list if the known list may no longer be the one
+// to which the agent's changes apply.
 func (watcher *Watcher) follow(ctx context.Context, agent string, apply func(*List) error) {
 	defer func() { watcher.closeConnection() }()
 	watcher.hasSnapshot = false
@@ -194,7 +196,7 @@
 // snapshotSurvives reports whether the known list is still valid after an error, so that the next call can ask for the
 // changes since then, which cost a service less than the complete list. That is so if the agent was too busy to answer.
 // An agent that refuses or breaks connections may have restarted. A timeout of a shared service only means that it is
-// busy; the router's own agent lists all at no cost.
+// busy. After a timeout of the router's own agent the complete list is requested, as that costs nothing.
 func (watcher *Watcher) snapshotSurvives(err error) bool {
 	var status statusError
 	return errors.As(err, &status) && status.status >= 500 || watcher.shared && isTimeout(err)
@@ -239,8 +241,9 @@
 			return nil, fmt.Errorf("list: requested the complete list, got changes")
 		}
 		if list.Version < watcher.version {
-			// The agent's version went back, so it can't tell the changes since ours, and the next call asks for the complete
-			// list. As that call may fail, the removals and drains in this answer are applied now.
+			// The agent's version is smaller than the one that the watcher has, so the agent can't list the changes
+			// since then, and the next call asks for the complete list. As that call may fail, the removals and drains
+			// in this answer are applied now.
 			watcher.hasSnapshot, list.MayBeOutdated = false, true
 			if watcher.outdatedUntil.IsZero() {
 				watcher.outdatedUntil = time.Now().Add(watcher.outdatedPeriod)
