--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -11,14 +11,14 @@
 	"lotushook/policy/balance"
 )
 
-// maxClockAhead is how far in the future a reported commit position may be: data servers round it up.
+// maxClockAhead is how far in the future a reported commit position may be: data servers round the position up.
 const maxClockAhead = 2 * time.Millisecond
 
-// rowHashSeed seeds the hashes of answers. Each connection remembers the hash of its previous answer instead of the
-// answer, which may be large.
+// rowHashSeed seeds the hashes of answers. To detect duplicates, each connection stores the hash of its previous answer
+// instead of the answer, which may be large.
 var rowHashSeed = maphash.MakeSeed()
 
-// partialAnswer collects the messages of one answer and checks that each may come at its place.
+// partialAnswer collects the messages of one answer and checks that their order is valid.
 type partialAnswer struct {
 	attempt  *Attempt // nil while the connection is idle
 	messages []byte   // to forward to the client; nil before the first
@@ -51,8 +51,8 @@
 	return answer.attempt, answer.result, conn.in.Len() == 0
 }
 
-// fail returns the result of an answer that ended with an error. An outcome that was complete before the error stands,
-// unless the bytes after it are malformed.
+// fail returns the result of an answer that ended with an error. If the outcome was already known before the error, it
+// remains, unless the error is a malformed or too long message.
 func (answer *partialAnswer) fail(err error) Result {
 	var tooLong *pgwire.TooLongError
 	if answer.result.Outcome == 0 || errors.Is(err, pgwire.ErrMalformed) || errors.As(err, &tooLong) {
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -10,8 +10,8 @@
 	"lotushook/policy/clock"
 )
 
-// outcomeNotSent is the outcome when the router itself did not send the query: it did not run, and the endpoint is not
-// to blame.
+// outcomeNotSent is the outcome if the router decided not to send the query. The query did not run, and the outcome
+// does not count against the endpoint.
 const outcomeNotSent = balance.NotSent
 
 // Result is the result of an attempt.
@@ -29,7 +29,7 @@
 type Deadlines struct {
 	Connect time.Time // the connection must be established by then
 	Answer  time.Time // the caller aborts the attempt then
-	Fresh   time.Time // later the endpoint may be too far behind, and the query is not sent; zero: no limit
+	Fresh   time.Time // the query is not sent later, as the endpoint may be too far behind then; zero: no limit
 }
 
 // Attempt is one query sent to an endpoint. It yields exactly one Result.
@@ -51,8 +51,8 @@
 // connect deadline. It returns without waiting for either. If there is no result by the answer deadline, the caller
 // must abort the attempt. As a dial takes time, the conditions for sending the query are checked once, right before its
 // first byte: stillWanted, which must not block, must return true, and the endpoint must still be allowed to get
-// queries and be fresh enough. Otherwise the query does not run; if it is not wanted any more, the endpoint is not to
-// blame.
+// queries, and the fresh deadline must not have passed. Otherwise the query does not run. If that is because it is no
+// longer wanted, the outcome does not count against the endpoint.
 func (pool *Pool) Start(endpoint balance.EndpointID, deadlines Deadlines, writeQuery func(io.Writer) error, stillWanted func() bool) *Attempt {
 	attempt := &Attempt{
 		endpoint:    endpoint,
@@ -82,9 +82,9 @@
 func (attempt *Attempt) Done() <-chan Result { return attempt.done }
 
 // Abort ends the attempt. When it returns, the connection is closed and nothing more will be written for the attempt.
-// The result is the given outcome, unless the attempt already has one. A query that was never bound to a connection did
-// not run: if it timed out, the endpoint did not accept a connection in time, and if it was canceled, the endpoint was
-// not involved.
+// The result is the given outcome, unless the attempt already has one. A query that was never bound to a connection
+// (see bind) did not run: if it timed out, the endpoint did not accept a connection in time, and if it was canceled,
+// the endpoint was not involved.
 func (attempt *Attempt) Abort(outcome balance.Outcome) Result {
 	attempt.mu.Lock()
 	conn := attempt.conn
--- a/internal/backend/bind.go
+++ b/internal/backend/bind.go
@@ -16,7 +16,7 @@
 	bindNotAllowed            // the endpoint must not get new queries
 	bindMoved                 // the endpoint has another address now
 	bindUnusable              // the connection has ended or carries unread bytes
-	bindStale                 // the endpoint may be too far behind by now
+	bindStale                 // the fresh deadline has passed: the endpoint may be too far behind
 )
 
 // bind binds the attempt to the connection that its query will be sent on. It is the last step before the first byte is
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -15,7 +15,7 @@
 )
 
 // MaxMessageBytes is the longest message accepted from a data server. Values are specified to have at most 64 KiB, but
-// complete ones of 400 KB were seen. A quota limits the total size of all buffers.
+// data servers have sent complete values of 400 KB. The total size of all buffers is limited by Options.ReadQuota.
 const MaxMessageBytes = 1 << 20
 
 // maxAnswerBytes is the longest answer accepted. Apart from the value its messages are short; reading on would let a
@@ -60,8 +60,8 @@
 // connWriter holds the fields that the goroutine that writes a query uses.
 type connWriter struct {
 	out *ringbuffer.Buffer
-	// Gets one value for each attempt bound to the connection: whether its query was written completely. The writer may
-	// be another goroutine than the reader, and bytes read before the query was complete are not its answer.
+	// Receives one value for each attempt bound to the connection: whether its query was written completely. The writer
+	// may be another goroutine than the reader, and bytes read before the query was complete are not its answer.
 	written chan bool
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// closeQuietly closes a connection whose error is of no interest: it only says that the connection has already ended.
+// closeQuietly closes a connection and ignores the error, which only means that the connection has already ended.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
 // release closes the connection, removes it from the pool and returns its descriptor, once.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -25,17 +25,17 @@
 	ConnectTimeout   time.Duration
 	IdleClose        time.Duration     // data servers close idle connections after this
 	ReadQuota        *ringbuffer.Quota // limits the total size of buffered answers; nil: no limit
-	StallTimeout     time.Duration     // an answer that has begun must make progress within this
+	StallTimeout     time.Duration     // maximum time between two reads of an answer that has begun
 	SettleTime       time.Duration     // no reuse for this long after an answer, to detect unsolicited messages
 	OutOfDescriptors func()            // called when the system has no descriptor left; may be nil
 	Metrics          *metrics.Metrics  // counts dials; may be nil
 	// DialDelay is called before each dial, which is then delayed by wait, at most maxWait. If ok is false, the dial
-	// must not be made and the query counts as not sent. If it is nil, dials are not delayed.
+	// must not be made and the query counts as not sent. If DialDelay is nil, dials are not delayed.
 	DialDelay       func(maxWait time.Duration) (wait time.Duration, ok bool)
 	DuplicateWindow time.Duration // an answer equal to the previous one within this time after its query is a duplicate
 }
 
-// Pool holds the connections to all data servers. It is safe for concurrent use.
+// Pool contains the connections to all data servers. It is safe for concurrent use.
 type Pool struct {
 	Options
 	mu     sync.Mutex
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -10,7 +10,7 @@
 )
 
 // replyReader reads the messages of a data server, solicited or not. It reads and checks for a current attempt under
-// one lock: otherwise an attempt that is bound in between would take earlier bytes for its answer.
+// one lock: otherwise bytes that were read before an attempt was bound could be taken for its answer.
 type replyReader struct{ *serverConn }
 
 // Read implements io.Reader.
@@ -76,7 +76,7 @@
 }
 
 // hasUnread reports whether bytes, or the end of the connection, are waiting that the connection's goroutine has not
-// read yet. They can't be the answer to a query that has not been sent.
+// read yet. Such bytes can't be the answer to a query that has not been sent yet.
 func (conn *serverConn) hasUnread() bool {
 	unread := false
 	err := conn.rawSocket.Control(func(fd uintptr) {
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -12,7 +12,7 @@
 
 // send writes an attempt's query, unless bind finds that it must not be sent.
 func (conn *serverConn) send(attempt *Attempt) {
-	err := attempt.writeQuery(conn.out) // before bind, so that the first byte follows its checks at once
+	err := attempt.writeQuery(conn.out) // before bind, so that the first byte is sent right after its checks
 	if err != nil {
 		conn.discardQuery()
 		conn.returnToPool()
@@ -76,8 +76,8 @@
 }
 
 // awaitWrite waits until the writer of the current query has finished and reports whether the query was written
-// completely; if not, nothing that was read is its answer. A server that answers without reading the rest of the query
-// is cut off after the stall timeout.
+// completely; if not, no bytes that were read are the answer to it. If the server answers without reading the rest of
+// the query, the connection is closed after the stall timeout.
 func (conn *serverConn) awaitWrite() bool {
 	select {
 	case complete := <-conn.written: // the usual case
