--- a/internal/nettest/message.go
+++ b/internal/nettest/message.go
@@ -70,7 +70,7 @@
 	return nil, fmt.Errorf("unknown message: %s", kind)
 }
 
-// expect reads as many messages as are wanted and compares them all at once. In a wanted message, # matches one or more
+// expect reads as many messages as are wanted and then compares all of them. In a wanted message, # matches one or more
 // digits.
 func expect(conn *connection, want []string) error {
 	var got []string
--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -29,7 +29,7 @@
 	"time"
 )
 
-// scriptTimeout ends a script that is stuck. It is much longer than any script that passes takes.
+// scriptTimeout is the time after which a script that is stuck fails. Scripts that pass take much less time.
 const scriptTimeout = 30 * time.Second
 
 // Network holds the servers, clients and connections that a script uses.
@@ -81,7 +81,7 @@
 // HasPendingConnection reports whether there is a connection to a server that no wait has accepted, and closes it.
 func (nw *Network) HasPendingConnection(name string) bool {
 	listener := nw.servers[name].(*net.TCPListener)
-	listener.SetDeadline(time.Now().Add(10 * time.Millisecond)) // a pending one is accepted at once
+	listener.SetDeadline(time.Now().Add(10 * time.Millisecond)) // a pending connection is accepted at once
 	conn, err := listener.Accept()
 	if err == nil {
 		conn.Close()
@@ -89,8 +89,8 @@
 	return err == nil
 }
 
-// ServeDiscovery turns a server into a discovery agent. It is silent until publish is called; from then on it answers
-// calls with the list published last, and a watch waits for a newer one.
+// ServeDiscovery turns a server into a discovery agent. The agent does not answer until publish is called. From then on
+// it answers a call with the list published last, and a watch once a newer list is published or its wait is over.
 func (nw *Network) ServeDiscovery(name string) (publish func(seq int, list string)) {
 	var mu sync.Mutex
 	current, changed := "", make(chan struct{})
--- a/internal/nettest/settings.go
+++ b/internal/nettest/settings.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Settings is the settings object of one router, with a bounded read, a session read and an idempotent write; with
-// probes, with replicas that check positions, and with positions in answers.
+// Settings is the settings object of one router. It has three classes of requests: reads with a bounded staleness,
+// session reads and idempotent writes. Probes are enabled, replicas check the positions that reads require, and answers
+// contain positions.
 const Settings = `{"balancers":1,"granularity":5000000,"discovery":"automatic","workload":"replicas","me":0,
 "classes":[
  {"deadline":20000000000,"effect":"free","gain":3,"keyScope":"all","lateWorth":0,"name":"read","objective":5000000000,"window":5000000000},
@@ -24,7 +25,8 @@
 "rules":{"answerSlack":20000000,"coldShare":0.17,"drainGrace":1000000000,"fallMultiple":3,"overloadFor":1500000000,"rampTime":18000000000},
 "weights":"rough","zone":"a","zones":["a"]}`
 
-// EndpointList returns a complete list in the format of discovery. Each server is "host address block health".
+// EndpointList returns a complete list in the format of discovery. Each server is given as "host address block health",
+// where block is its group.
 func EndpointList(seq int, servers ...string) string {
 	var hosts []string
 	for _, server := range servers {
--- a/internal/pgwire/comment.go
+++ b/internal/pgwire/comment.go
@@ -20,13 +20,13 @@
 	After      int64  // the log position that a session read must see, in Unix ms
 	HasAfter   bool   // whether the comment has a position
 	Team       string // the team that the comment names
-	Session    string // the first quoted string of the statement, its key
-	History    string // of a change feed's cursor: the history of the log that After belongs to
-	Generation int64  // of a change feed's cursor: the generation of that history
+	Session    string // the first quoted string of the statement, which is the session's key
+	History    string // of a change feed's cursor: the log history (see policy/cursor) to which After belongs
+	Generation int64  // of a change feed's cursor: distinguishes the subscriber's connections
 
 	text                     string
-	timeoutStart, timeoutEnd int    // where the value of d is in text
-	afterSpan                [2]int // where the value of after is in text
+	timeoutStart, timeoutEnd int    // the offsets in text of the value of d
+	afterSpan                [2]int // the offsets in text of the value of after
 }
 
 // ErrComment is wrapped by every error in a comment. The router sends such errors to clients.
@@ -38,7 +38,8 @@
 //
 //	/* id=9b1f,c=order,d=480,k=5c0f,cluster=2,after=1767225600123 */ SELECT ...
 //
-// Unknown names are ignored.
+// The names are id for ID, c for Class, d for Timeout in ms, k for Key, r for Retry, cluster for Cluster (the group),
+// after for After, team for Team, history for History and gen for Generation. Unknown names are ignored.
 func ParseRequest(text string) (Request, error) {
 	request := Request{text: text}
 	start := len(text) - len(strings.TrimLeft(text, " \t\r\n"))
@@ -187,8 +188,8 @@
 	request.After, request.HasAfter = after, true
 }
 
-// WriteQuery writes the request as a simple query, unchanged except for d, which tells the data server how long the
-// router will wait.
+// WriteQuery writes the request as a simple query, unchanged except for d, which is set to the time in ms that the
+// router will wait for the data server.
 func (request *Request) WriteQuery(writer io.Writer, timeout time.Duration) error {
 	ms := strconv.FormatInt(max(1, timeout.Milliseconds()), 10)
 	parts := []string{request.text[:request.timeoutStart], ms, request.text[request.timeoutEnd:]}
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -1,5 +1,5 @@
 // Package pgwire encodes and decodes PostgreSQL's wire protocol, version 3, as far as routers, their clients and data
-// servers use it: startup and simple queries. It does no I/O and makes no routing decisions.
+// servers use it: startup and simple queries. It performs no I/O and makes no routing decisions.
 package pgwire
 
 import (
@@ -45,12 +45,12 @@
 	CodeTooFarBehind       = "72000"
 	CodeSyntax             = "42601"
 	CodeTooManyConnections = "53300"
-	CodeCannotConnect      = "57P03" // the request did not run and may be retried elsewhere
+	CodeCannotConnect      = "57P03" // the request did not run and may be retried at another server
 	CodeTooLarge           = "54000"
 	CodeOutOfMemory        = "53200"
 	CodeInvalidParameter   = "22023"
 	CodeInvalidCursor      = "55000" // a change feed can't continue from the subscriber's cursor
-	CodeFailed             = "58000" // a request failed at the router; whether it ran is unknown
+	CodeFailed             = "58000" // a request failed at the router; whether the request ran is unknown
 	CodeQueryCanceled      = "57014" // canceled by the client's CancelRequest
 )
 
