--- a/internal/router/acceptor_test.go
+++ b/internal/router/acceptor_test.go
@@ -29,7 +29,7 @@
 }
 
 // startAdmissionRouter starts a router with admission settings. Clients a and b have addresses with the same prefix,
-// client k has the address of a reserve.
+// client k has an address that a reserve (capacity for certain clients) is for.
 func startAdmissionRouter(t *testing.T, settings string) (*nettest.Network, *Router) {
 	t.Helper()
 	acceptEnd := make(chan time.Time)
@@ -117,9 +117,9 @@
 	}
 }
 
-// A client of a reserve is accepted at once though the reserve's capacity is lent to other clients. An evicted client
-// that has queried is closed without an error, so that it sends a query that crosses the close elsewhere. An evicted
-// client that has not queried receives an error.
+// A client that a reserve is for is accepted at once, though the unused capacity of the reserve is lent to other
+// clients: one of them is evicted. An evicted client that has queried is closed without an error, so that it can send a
+// query that was in transit at the close elsewhere. An evicted client that has not queried receives an error.
 func TestDoorReserve(t *testing.T) {
 	stage, router := startAdmissionRouter(t, `{"spare_ms":3600000,"green_ms":3600000,"crowd_share":0,
 		"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":3}]}`)
@@ -146,8 +146,8 @@
 		expect b2 I | Z`)
 }
 
-// Clients with open requests must not use up lent capacity: a query that would exceed the limit is rejected, and
-// nothing of it has run.
+// Clients with open requests must not use up the capacity that a reserve lends: a query that would exceed the limit is
+// rejected, and has not run.
 func TestDoorLentBusy(t *testing.T) {
 	const capacity, shared = 593, 2 // of a router with 1,024 descriptors
 	stage, router := startAdmissionRouter(t, fmt.Sprintf(`{"crowd_share":0,"reserve":[{"name":"counters","addresses":["127.9.0.0/24"],"connections":%d}]}`, capacity-shared))
--- a/internal/router/contracts_test.go
+++ b/internal/router/contracts_test.go
@@ -12,8 +12,8 @@
 	"lotushook/policy/shedding"
 )
 
-// withContracts returns a configuration with the contracts of two teams: counters may have maxOpen open requests, and
-// lending may only write.
+// withContracts returns a configuration with the contracts of two teams: team counters may have maxOpen open requests,
+// and team lending may only write.
 func withContracts(t *testing.T, maxOpen string) *siteconfig.Config {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "a.sock")
--- a/internal/router/departed_test.go
+++ b/internal/router/departed_test.go
@@ -323,7 +323,7 @@
 	for _, test := range []struct {
 		name   string
 		set    func(string) string
-		wrong  pgwire.CancelKey // is added to the key
+		wrong  pgwire.CancelKey // the difference between the key that is sent and the client's key
 		before string
 		after  string
 	}{
--- a/internal/router/eventloop_test.go
+++ b/internal/router/eventloop_test.go
@@ -47,8 +47,8 @@
 	return router.loop
 }
 
-// A send action that crosses the end of its request's task is not carried out. The module must be notified, or it would
-// count an open attempt for the endpoint forever, and the request's ID must become available again.
+// A send action that is returned while its request's task ends is not carried out. The module must be notified, or it
+// would count an open attempt for the endpoint forever, and the request's ID must become available again.
 func TestSendAfterRequestEnd(t *testing.T) {
 	loop := newTestEventLoop(t)
 	for range 20 { // more than the endpoint's limit: leaked attempts would exhaust it
@@ -75,8 +75,9 @@
 	expectActions(t, large, balance.RejectRequest)
 	original := submitRequest(t, loop, "01", "A")
 	duplicate := submitRequest(t, loop, "01", "A")
-	expectActions(t, duplicate, balance.FailRequest)                                                                // the module ignores a duplicate ID
-	loop.handle(loopEvent{request: duplicate, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}}) // not of the original
+	expectActions(t, duplicate, balance.FailRequest) // the module ignores a duplicate ID
+	// The duplicate is abandoned, which must not affect the original request.
+	loop.handle(loopEvent{request: duplicate, Event: balance.Event{Kind: balance.RequestAbandoned, Request: "01"}})
 	loop.handle(loopEvent{request: duplicate, requestEnded: true})
 	loop.step()
 	expectActions(t, original, balance.SendAttempt)
@@ -126,7 +127,7 @@
 	}
 }
 
-// A decision is overdue if a step at or after the deadline had the request and returned no action for it.
+// A decision is overdue if a step at or after the deadline knew the request and returned no action for it.
 func TestDecisionOverdue(t *testing.T) {
 	loop := &eventLoop{}
 	request := &request{deadline: 100}
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -24,7 +24,7 @@
 // it uses the minimum share.
 func TestQuotaChange(t *testing.T) {
 	service := &membershipService{share: 0.2}
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		now   clock.Nanos
 		quota quotalease.Quota
 		share float64 // the event's share; 0: no event
@@ -36,10 +36,10 @@
 		{41, quotalease.Quota{Share: 0.35, ValidUntil: 40, MinShare: 0.1}, 0},
 		{42, quotalease.Quota{Share: 0.2, ValidUntil: 60, MinShare: 0.1}, 0.2},
 	} {
-		service.quota.Store(&c.quota)
-		event, changed := service.quotaChange(c.now)
-		if changed != (c.share > 0) || changed && (event.Kind != balance.QuotaShareChanged || event.Share != c.share) {
-			t.Errorf("at %d, %+v: %+v, %v", c.now, c.quota, event, changed)
+		service.quota.Store(&tc.quota)
+		event, changed := service.quotaChange(tc.now)
+		if changed != (tc.share > 0) || changed && (event.Kind != balance.QuotaShareChanged || event.Share != tc.share) {
+			t.Errorf("at %d, %+v: %+v, %v", tc.now, tc.quota, event, changed)
 		}
 	}
 }
@@ -76,19 +76,19 @@
 	// The event loop of this router does not run, so that the test can receive the events.
 	idle := newRouterWithConfig(t, config, nettest.EndpointList(1))
 	idle.membership.state.Learn(crdt.Entry{Kind: crdt.SessionCommit, A: "1", B: written.Session, At: 1767225600000e6})
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		class string
 		after clock.Nanos
 	}{{"own", 1767225600000e6}, {"read", 0}} {
 		read := &request{Request: written, router: idle, client: &client{left: make(chan struct{})}, actions: make(chan balance.Action, actionQueueSize)}
-		read.Class, read.deadline = c.class, idle.clock.now()+int64(time.Minute)
+		read.Class, read.deadline = tc.class, idle.clock.now()+int64(time.Minute)
 		go read.run()
-		if event := <-idle.loop.events; event.Kind != balance.RequestArrived || event.minPosition != c.after {
-			t.Errorf("%s: a read must see position %d", c.class, event.minPosition)
+		if event := <-idle.loop.events; event.Kind != balance.RequestArrived || event.minPosition != tc.after {
+			t.Errorf("%s: a read must see position %d", tc.class, event.minPosition)
 		}
 		read.deliver(balance.Action{Kind: balance.FailRequest})
 		if event := <-idle.loop.events; !event.requestEnded {
-			t.Errorf("%s: the request did not end: %+v", c.class, event)
+			t.Errorf("%s: the request did not end: %+v", tc.class, event)
 		}
 	}
 }
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -11,7 +11,7 @@
 // An attempt that the recovery limits do not allow is not sent. The request is rejected immediately with a Retry-After
 // time, and the endpoint receives the next request, as it is not considered failed.
 func TestRecoveryDenies(t *testing.T) {
-	for _, c := range []struct{ name, settings, script string }{
+	for _, tc := range []struct{ name, settings, script string }{
 		{"no attempt beyond the send rate of a returning router", `{"sends_per_s":0.001,"proving_ms":60000}`, `
 			send c1 startup | Q "/* id=01,c=read,d=20000,cluster=1 */ A"
 			expect c1 welcome | E 53300 # | Z`},
@@ -41,8 +41,8 @@
 	} {
 		now := make(chan time.Time)
 		close(now)
-		t.Run(c.name, func(t *testing.T) {
-			config, err := siteconfig.Load(nettest.WriteConfig(t, `{"recovery":`+c.settings+`}`))
+		t.Run(tc.name, func(t *testing.T) {
+			config, err := siteconfig.Load(nettest.WriteConfig(t, `{"recovery":`+tc.settings+`}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -52,7 +52,7 @@
 					time.Sleep(time.Millisecond)
 				}
 			}
-			stage.Run(c.script)
+			stage.Run(tc.script)
 		})
 	}
 }
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -14,7 +14,8 @@
 	"lotushook/internal/siteconfig"
 )
 
-// pausingListener is a listener that can pause the goroutine that next reaches a given point of using a connection.
+// pausingListener is a listener whose connections can pause a goroutine: the next one that reaches a given point, such
+// as the one before a read.
 type pausingListener struct {
 	*net.TCPListener
 	mu       sync.Mutex
@@ -192,7 +193,7 @@
 		guards  string
 		before  string // while the router runs
 		at      string // the point at which the client's goroutine is then paused
-		sent    string // is sent while it is paused
+		sent    string // sent by the client while the goroutine is paused
 		stopped string // after the idle clients have been closed
 		over    string // after the shutdown timeout; empty: the router ends before
 	}{
