--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -78,7 +78,7 @@
 }
 
 // Read implements io.Reader.
-func (reader *timedReader) Read(p []byte) (int, error) {
+func (reader *timedReader) Read(buffer []byte) (int, error) {
 	if reader.in.Len() == 0 {
 		reader.in.ShrinkIfEmpty()
 		if err := reader.in.Fill(reader.conn); err != nil {
@@ -99,7 +99,7 @@
 			return 0, err
 		}
 	}
-	return reader.in.Read(p)
+	return reader.in.Read(buffer)
 }
 
 // statusError is a complete response with a status other than 200.
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -18,21 +18,21 @@
 	"lotushook/policy/balance"
 )
 
-// script is an agent and the faults that it shows, at times of the test's clock since its start. Its list changes once,
-// from seq 1 to seq 2, which adds s-2.
+// script is an agent that changes its list and has faults at given times, counted from the start of the test. Unless
+// listAt is set, the list changes once, from seq 1 to seq 2, which adds host s-2.
 type script struct {
-	change           time.Duration                                       // when its list changes
-	listAt           func(t time.Duration, all bool) (seq int, l string) // its list at a time, in place of the change
-	stall            time.Duration                                       // connections opened before then stop answering then
-	outage, recovery time.Duration                                       // no answers in between; none ever on older connections
-	refuse, open     time.Duration                                       // connections are refused in between
+	change           time.Duration                                       // when the list changes
+	listAt           func(t time.Duration, all bool) (seq int, l string) // the list at time t
+	stall            time.Duration                                       // from then on, connections opened earlier get no answers
+	outage, recovery time.Duration                                       // no answers between the two; later none on older connections
+	refuse, open     time.Duration                                       // connections are refused between the two
 	wait             time.Duration                                       // how long each call waits in the queue
 	truncate         bool                                                // the first answer with the change stops halfway
-	byteInterval     time.Duration                                       // between the bytes of the first answer with it
-	busy             bool                                                // it answers 503 from busyFrom until the change
+	byteInterval     time.Duration                                       // between the bytes of the first answer with the change
+	busy             bool                                                // the agent answers 503 from busyFrom until the change
 	busyFrom         time.Duration
 	refusals         int                          // how many connections are refused after the stall
-	reset            time.Duration                // connections opened before then are reset then
+	reset            time.Duration                // when connections opened earlier are reset
 	callDelay        func() (time.Duration, bool) // the watcher's CallDelay
 	format           func(list string) string     // changes the format of the lists
 
@@ -59,7 +59,7 @@
 
 const listInterval = time.Second / 10 // how often an agent with listAt checks for a new list
 
-// silent reports whether a connection opened at a time gets no answers now.
+// silent reports whether a connection that was opened at openedAt gets no answers at the time now.
 func (agent *script) silent(openedAt, now time.Duration) bool {
 	return openedAt < agent.stall && now >= agent.stall || openedAt < agent.recovery && now >= agent.outage
 }
@@ -205,7 +205,7 @@
 		switchAt at
 		agents   func(x at) []*script // x is when the fault begins
 		notified func(x at) at        // when the change counts as notified
-		within   at                   // the expected maximum, from x
+		within   at                   // the expected maximum time from x until the change is applied
 	}{
 		{"own agent, watch open", 0, 0, func(x at) []*script { return []*script{{change: x}} },
 			func(x at) at { return x + 50*ms }, 2 * ms},
@@ -333,9 +333,9 @@
 	}
 }
 
-// Limits the load on a shared service: at most one call in 4 s in normal operation, one more after a watch fell silent,
-// no call that is abandoned while it is queued, and at most one call in 4 s while all calls fail, except for the first
-// ones, in case the failure is only momentary.
+// The watcher limits the load on a shared service: at most one call in 4 s in normal operation, one more after a watch
+// fell silent, no call that is abandoned while it is queued, and at most one call in 4 s while all calls fail, except
+// for the first ones, in case the failure is only momentary.
 func TestSharedLoad(t *testing.T) {
 	const s = time.Second
 	version := 0
@@ -362,8 +362,8 @@
 	}
 }
 
-// An agent whose version is smaller than one seen before: its removals and drains apply at once, its reactivations only
-// once its version has caught up or after three seconds, when its list is accepted as it is.
+// If an agent's version is smaller than one that was received before, its removals and drains apply at once. Its
+// reactivations apply only once its version has caught up, or after three seconds, when its list is accepted as it is.
 //
 //nolint:gocognit,funlen // one scenario or table of cases that reads best in one piece
 func TestSaysLess(t *testing.T) {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -225,7 +225,7 @@
 				}
 				for i := range routers {
 					routersDone.Go(func() {
-						time.Sleep(time.Duration(i) * 4 * s / routers) // the starts are spread over 4 s
+						time.Sleep(time.Duration(i) * 4 * s / routers) // the routers start within 4 s
 						if i%10 >= 7 {
 							startRouter(ctx, i)
 							return
@@ -259,7 +259,8 @@
 				if limit := float64(routers) / 4 * 1.05; normal > limit || during > limit {
 					t.Errorf("%.0f calls per second in normal operation, %.0f during the outage: more than %.0f", normal, during, limit)
 				}
-				if limit := float64(routers)/4*1.05 + 2*routers/10; start > limit { // two extra calls each, in case it is momentary
+				// Two extra calls by each router are allowed, in case the failure is only momentary.
+				if limit := float64(routers)/4*1.05 + 2*routers/10; start > limit {
 					t.Errorf("%.0f calls per second in the first 10 s of the outage: more than %.0f", start, limit)
 				}
 				if float64(duringBusiest) > 3*during {
