--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -14,12 +14,12 @@
 type replyReader struct{ *serverConn }
 
 // Read implements io.Reader.
-func (reader replyReader) Read(p []byte) (n int, err error) {
+func (reader replyReader) Read(buffer []byte) (n int, err error) {
 	finished := false
 	waitErr := reader.rawSocket.Read(func(fd uintptr) bool {
 		reader.mu.Lock()
 		defer reader.mu.Unlock()
-		n, err = syscall.Read(int(fd), p)
+		n, err = syscall.Read(int(fd), buffer)
 		finished = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 		reader.unsolicited = reader.unsolicited || finished && reader.current == nil
 		return finished || errors.Is(err, syscall.EINTR)
@@ -30,7 +30,7 @@
 	case err != nil:
 		return 0, err
 	case !finished: // interrupted
-		return reader.Read(p)
+		return reader.Read(buffer)
 	case n == 0:
 		return 0, io.EOF
 	case reader.isUnsolicited():
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -153,20 +153,20 @@
 // request of the session.
 type CancelKey struct{ Process, Secret uint32 }
 
-// ParseCancelKey returns the key in a CancelRequest of n bytes that NextStart has found at the front of the buffer. It
-// reports false if the message does not have the length of a CancelRequest.
-func ParseCancelKey(buffer *ringbuffer.Buffer, n int) (key CancelKey, ok bool) {
-	if n != 16 {
+// ParseCancelKey returns the key in a CancelRequest that NextStart has found, with its size, at the front of the
+// buffer. It reports false if the message does not have the length of a CancelRequest.
+func ParseCancelKey(buffer *ringbuffer.Buffer, size int) (key CancelKey, ok bool) {
+	if size != 16 {
 		return CancelKey{}, false
 	}
-	message := buffer.Peek(n)
+	message := buffer.Peek(size)
 	return CancelKey{binary.BigEndian.Uint32(message[8:]), binary.BigEndian.Uint32(message[12:])}, true
 }
 
-// StartupParams calls each with the name and value of each parameter of a Startup of n bytes that NextStart has found
-// at the front of the buffer.
-func StartupParams(buffer *ringbuffer.Buffer, n int, each func(name, value string)) {
-	for params := buffer.Peek(n)[8:]; ; {
+// StartupParams calls each with the name and value of each parameter of a Startup message that NextStart has found,
+// with its size, at the front of the buffer.
+func StartupParams(buffer *ringbuffer.Buffer, size int, each func(name, value string)) {
+	for params := buffer.Peek(size)[8:]; ; {
 		name, rest, _ := cstring(params)
 		value, rest, ok := cstring(rest)
 		if name == "" || !ok {
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Each of these comments must be rejected rather than guessed at.
+// An invalid request comment must be rejected; the router must not guess what it means.
 func TestBadComments(t *testing.T) {
 	for _, text := range []string{"SELECT 1", "/* id=1,c=a,d=1", "/* */ x", "/* c=a,d=1,cluster=1 */ x", "/* id=1,d=1,cluster=1 */ x",
 		"/* id=1,c=a,cluster=1 */ x", "/* id=1,c=a,d=-1,cluster=1 */ x", "/* id=1,c=a,d=NaN,cluster=1 */ x", "/* id=1,c=a,d=1e99,cluster=1 */ x",
@@ -49,7 +49,8 @@
 	}
 }
 
-// Only d may differ in the statement that a data server receives: a changed statement makes a run invalid.
+// The statement that a data server receives may differ from the client's only in d: on the platform, any other change
+// makes the run invalid.
 func TestWriteQuery(t *testing.T) {
 	request, err := ParseRequest("/* id=9b,c=order,d=480,k=5c,cluster=1 */ INSERT 'd=480'")
 	if err != nil {
