--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -57,8 +57,8 @@
 	return watcher.watchTimeout
 }
 
-// allowedSilence returns how long after the wait that watchWait returns the answer may arrive before the call fails.
-// The time to connect to the agent counts too.
+// allowedSilence returns how long after the end of a call's wait (see watchWait) the answer may arrive before the call
+// fails. The time to connect to the agent counts too.
 func (watcher *Watcher) allowedSilence() time.Duration {
 	switch {
 	case watcher.responseDelay == unknownDelay:
