--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -10,16 +10,16 @@
 )
 
 // replyReader reads the messages of a data server, solicited or not. It reads and checks for a current attempt under
-// one lock: otherwise an attempt that is bound in between would take earlier bytes for its answer.
+// one lock: otherwise bytes that were read before an attempt was bound could be taken for its answer.
 type replyReader struct{ *serverConn }
 
 // Read implements io.Reader.
-func (reader replyReader) Read(p []byte) (n int, err error) {
+func (reader replyReader) Read(buffer []byte) (n int, err error) {
 	finished := false
 	waitErr := reader.rawSocket.Read(func(fd uintptr) bool {
 		reader.mu.Lock()
 		defer reader.mu.Unlock()
-		n, err = syscall.Read(int(fd), p)
+		n, err = syscall.Read(int(fd), buffer)
 		finished = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 		reader.unsolicited = reader.unsolicited || finished && reader.current == nil
 		return finished || errors.Is(err, syscall.EINTR)
@@ -30,7 +30,7 @@
 	case err != nil:
 		return 0, err
 	case !finished: // interrupted
-		return reader.Read(p)
+		return reader.Read(buffer)
 	case n == 0:
 		return 0, io.EOF
 	case reader.isUnsolicited():
@@ -76,7 +76,7 @@
 }
 
 // hasUnread reports whether bytes, or the end of the connection, are waiting that the connection's goroutine has not
-// read yet. They can't be the answer to a query that has not been sent.
+// read yet. Such bytes can't be the answer to a query that has not been sent yet.
 func (conn *serverConn) hasUnread() bool {
 	unread := false
 	err := conn.rawSocket.Control(func(fd uintptr) {
