--- a/policy/crdt/broadcaster.go
+++ b/policy/crdt/broadcaster.go
@@ -14,9 +14,11 @@
 	MaxBatchBytes int
 	// Minimum time between two new batches.
 	MinBatchInterval clock.Nanos
-	// Minimum time between two new batches while the oldest queued entry awaits an acknowledgement.
+	// Minimum time between two new batches while the first queued entry is awaited: a caller waits until another member
+	// has acknowledged it.
 	MinAwaitedBatchInterval clock.Nanos
-	// Maximum number of members that receive one batch; larger clusters are served in rotation.
+	// Maximum number of members that receive one batch. In a larger cluster, successive batches go to different
+	// members.
 	MaxRecipients int
 	// Maximum number of members to which a router forwards an awaited entry that it received from another member.
 	MaxForwardRecipients int
@@ -55,7 +57,8 @@
 type Delivery struct {
 	To          string
 	BatchNumber uint64
-	// Number of leading entries whose first acknowledgement is awaited; a recipient to which one is new forwards it.
+	// The first AwaitedCount entries are awaited: a caller waits for their first acknowledgement. A recipient forwards
+	// those that are new to it.
 	AwaitedCount int
 	Entries      []Entry
 }
@@ -89,7 +92,7 @@
 type queuedEntry struct {
 	Entry
 	queuedAt   clock.Nanos
-	waitNumber uint64
+	waitNumber uint64 // returned by Acknowledge at the first acknowledgement; 0: none is awaited
 	sender     string // the member that sent the entry; empty if this router learned it
 }
 
@@ -116,8 +119,8 @@
 	bcast.enqueue(queuedEntry{Entry: entry, queuedAt: now, waitNumber: waitNumber})
 }
 
-// Forward queues an entry received from a member, because the origin may fail before it has sent the entry to the other
-// members.
+// Forward queues an awaited entry that this router received from a member. Forwarding is necessary because the origin
+// may fail before it has sent the entry to the other members.
 func (bcast *Broadcaster) Forward(now clock.Nanos, entry Entry, sender string) {
 	bcast.enqueue(queuedEntry{Entry: entry, queuedAt: now, sender: sender})
 }
--- a/policy/crdt/catchup.go
+++ b/policy/crdt/catchup.go
@@ -11,15 +11,15 @@
 
 // CatchUpSettings limit what a router sends to members that catch up.
 type CatchUpSettings struct {
-	// Clients that are served at the same time.
+	// Maximum number of members that are served at the same time. A member that catches up is called a client here.
 	MaxClients int
-	// For all clients together.
+	// Maximum rate of the answers to all clients together.
 	BytesPerSecond int
-	// Size of one answer to a client that has not caught up since its start.
+	// Maximum size of one answer to a client that has not caught up since its start.
 	MaxPieceBytes int
-	// Size of one answer to a client that has caught up before and lacks only recent entries.
+	// Maximum size of one answer to a client that has caught up before and lacks only recent entries.
 	MaxIncrementalBytes int
-	// A client that sends no request for this long loses its slot.
+	// A client that sends no request for this long is no longer counted as one of MaxClients.
 	ClientTimeout clock.Nanos
 }
 
@@ -40,7 +40,7 @@
 // consume the capacity that the router needs for requests. It is not safe for concurrent use.
 type CatchUpServer struct {
 	settings      CatchUpSettings
-	lastRequestAt map[string]clock.Nanos // the last request of each client that has a slot
+	lastRequestAt map[string]clock.Nanos // time of the last request, by client; its size is limited to MaxClients
 	tokens        float64                // bytes that may be sent now
 	refilledAt    clock.Nanos
 }
@@ -74,7 +74,8 @@
 	return maxBytes, 0
 }
 
-// Served records the size of an answer. complete means that the client now has all entries, which frees its slot.
+// Served records the size of an answer. complete means that the client now has all entries and makes way for another
+// one.
 func (server *CatchUpServer) Served(client string, bytes int, complete bool) {
 	server.tokens -= float64(bytes)
 	if complete {
@@ -82,15 +83,16 @@
 	}
 }
 
-// ClientCount returns the number of clients that have a slot.
+// ClientCount returns the number of clients that are being served.
 func (server *CatchUpServer) ClientCount() int { return len(server.lastRequestAt) }
 
 // PeerInZone is a member that can be asked for missing entries.
 type PeerInZone struct{ Name, Zone string }
 
 // ChoosePeer returns the member to ask for missing entries. During the initial catch-up these are first the members of
-// the router's own zone and, once all of them have failed, the other members; failures counts the consecutive members
-// that did not answer or were too busy. After the initial catch-up all members are asked in rotation.
+// the router's own zone and, once all of them have failed, the other members. failures is the number of consecutive
+// requests that were not answered or were deferred by a busy member. After the initial catch-up all members are asked
+// in turn; rotation is a number that the caller increases with each request.
 func ChoosePeer(peers []PeerInZone, zone string, initial bool, failures, rotation int) (peer PeerInZone, ok bool) {
 	if len(peers) == 0 {
 		return PeerInZone{}, false
--- a/policy/crdt/entry.go
+++ b/policy/crdt/entry.go
@@ -3,9 +3,18 @@
 // copies that merged the same entries are equal, whatever the order and the number of repetitions. The package does not
 // decide how entries are transported.
 //
+// An origin is the router process that learned an entry; it numbers its entries. Of two entries with the same ID, the
+// greater one supersedes the other. A copy covers an entry that it stores or that it does not need (see Store.Covers).
+//
+// A router pushes its new entries to other members in batches (Broadcaster). A member fetches the entries that it still
+// lacks: it sends its version vector, and another member answers with runs of entries. A run may claim that the
+// receiver then has all entries of one origin up to a sequence number. If the missing entries do not fit into one
+// answer, each answer is a piece of the fetch, which covers the keys in one span of key hashes (see KeySpan and
+// fetchPass).
+//
 // Entries are information, never commands. A router sends only to servers that its own endpoint list names. If a peer
-// reports a position that is too high, reads go to servers that have not reached it and are rejected there; they are
-// never answered with stale data. A commit position that is too high delays the session's reads, and one that is too
+// reports a position for a server that is too high, reads are sent to that server and rejected there; they are never
+// answered with stale data. A commit position that is too high delays the session's reads, and one that is too
 // low changes nothing, because joins only raise values.
 package crdt
 
@@ -20,24 +29,27 @@
 // Kind is the kind of an entry. Lower values are more urgent.
 type Kind uint8
 
-// The kinds, with the meaning of an entry's fields and the order in which entries of one ID prevail.
+// The kinds. The comment of each says what the fields of its entries mean, and which of several entries on the same
+// subject prevails.
 const (
 	// A: group, B: session. The position of the session's last commit; the greater one prevails.
 	SessionCommit Kind = iota + 1
-	// A: group. Ordered by the position of the evidence, the server's start and the server's name, then by origin.
+	// A: group. Which server is the primary. Ordered by the position at which the server was seen as the primary, the
+	// server's start and the server's name, then by origin.
 	PrimaryClaim
-	// A: class and scope, B: key. A write that may have run, until its window has passed.
+	// A: class and key scope, B: idempotency key. A write that may have run. Stored for Settings.WriteWindow.
 	PendingWrite
-	// A: server, Born: its start. How far the server has applied the log; the greater position prevails.
+	// A: server, Born: the server's start. How far the server has applied the log; the greater position prevails.
 	ServerPosition
-	// A: team, B: class; one entry per origin. The contract's usage; the greater one prevails.
-	Usage
-	// A: what the hint is about; one entry per origin. Zones in outage, slow starts, suspects; the origin's latest
+	// A: team, B: class; one entry per origin. The usage of the team's contract for the class; the greater one
 	// prevails.
+	Usage
+	// A: subject of the hint, such as a zone in outage, a server in slow start or a suspect; one entry per origin. The
+	// origin's latest entry prevails.
 	Hint
 	// A: feed, B: subscriber. Ordered by Count (generation), From, Born (history), At and Acked.
 	FeedCursor
-	// A: group; one entry per origin. The shedding threshold and the load; the origin's latest prevails.
+	// A: group; one entry per origin. The origin's shedding threshold and load; its latest entry prevails.
 	SheddingLevel
 
 	// LastKind is the greatest kind.
@@ -70,7 +82,7 @@
 // fields keep their names.
 type Entry struct {
 	Kind Kind
-	// The subject of the entry and its qualifier; see the kinds.
+	// The subject of the entry, and a qualifier that distinguishes entries on the same subject; see the kinds.
 	A, B string
 	// ServerPosition, PrimaryClaim: the server's start according to the endpoint list; FeedCursor: the history's
 	// number; SheddingLevel: an epoch.
@@ -104,9 +116,9 @@
 	Self Origin
 	// Maximum number of stored entries, indexed by Kind.
 	MaxEntries [kindCount]int
-	// Maximum number of processes whose sequence numbers are remembered.
+	// Maximum number of origins whose sequence numbers are remembered.
 	MaxOrigins int
-	// Time during which a keyed write may have run.
+	// Time during which a write with an idempotency key is remembered as one that may have run.
 	WriteWindow clock.Nanos
 	// Time after which a hint expires.
 	HintLifetime clock.Nanos
@@ -116,10 +128,10 @@
 	MaxAhead int64
 	// Maximum length of a name or key in bytes.
 	MaxText int
-	// Minimum time between two learned entries on one server's position or on an unchanged primary. Each answer of a
-	// server carries both.
+	// Minimum time between two learned entries on one server's position or on an unchanged primary. Without it, each
+	// answer of a server would lead to new entries, because each contains the position and the role of the server.
 	MinLearnInterval clock.Nanos
-	// Maximum number of entries waiting to be sent; those beyond it are left for members to fetch.
+	// Maximum number of learned entries waiting to be sent. Further entries are not sent; members have to fetch them.
 	MaxPending int
 }
 
@@ -159,7 +171,7 @@
 const thresholdBits = 10 // low bits of Count that hold the threshold of a SheddingLevel
 
 // NewSheddingLevel returns a router's report on a group: its load in requests per second, the threshold that it would
-// choose, and its epoch.
+// choose, and its epoch (a number that the caller defines).
 func NewSheddingLevel(group string, load int64, threshold int, epoch uint64) Entry {
 	return Entry{Kind: SheddingLevel, A: group, Born: int64(epoch), Count: load<<thresholdBits | int64(threshold)&(1<<thresholdBits-1)}
 }
--- a/policy/crdt/explore_test.go
+++ b/policy/crdt/explore_test.go
@@ -32,9 +32,9 @@
 // message is a message in flight: a delivery, its acknowledgement, or fetched runs.
 type message struct {
 	from, to int
-	// Epoch of the receiving process; a later process ignores the message.
+	// Epoch of the receiving process; a later process of the same member ignores the message.
 	receiverEpoch uint64
-	// Epoch of the sending process; an acknowledgement states what that process holds, not a later one.
+	// Epoch of the sending process. An acknowledgement says nothing about the copy of a later process.
 	senderEpoch uint64
 	delivery    *Delivery
 	ackedBatch  uint64
--- a/policy/crdt/heap.go
+++ b/policy/crdt/heap.go
@@ -33,7 +33,8 @@
 	switch entry.Kind {
 	case PendingWrite, Hint, SheddingLevel:
 		byKind = cmp.Compare(entry.learnedAt, other.learnedAt)
-	// A cursor's generation starts at the position of the last reconnect, so this evicts the oldest first.
+	// Count is the generation of a cursor, which is at least the log position at its last reconnect. So the cursors
+	// whose last reconnect is the oldest are evicted first.
 	case Usage, FeedCursor:
 		byKind = cmp.Compare(entry.Count, other.Count)
 	default:
--- a/policy/crdt/order.go
+++ b/policy/crdt/order.go
@@ -25,8 +25,8 @@
 	return id
 }
 
-// compare orders two entries with the same ID; the greater one prevails. It ignores ages, which depend on the path of
-// each copy.
+// compare orders two entries with the same ID; the greater one prevails. It ignores ages: two copies of one entry that
+// reached this router by different paths may differ in age.
 func (entry *Entry) compare(other *Entry) int {
 	switch entry.Kind {
 	case SessionCommit, ServerPosition:
@@ -46,7 +46,7 @@
 	return cmp.Or(entry.From.compare(other.From), cmp.Compare(entry.Seq, other.Seq))
 }
 
-// hash covers all fields that are joined, which excludes the age.
+// hash returns a hash of all fields that compare considers. The age is not one of them.
 func (entry *storedEntry) hash() uint64 {
 	hasher := fnv.New64a()
 	buffer := []byte{byte(entry.Kind)}
--- a/policy/crdt/pass.go
+++ b/policy/crdt/pass.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// KeySpan is an arc of the circle of key hashes: the hashes after After up to and including UpTo, wrapping around at
-// the greatest hash. If both are equal, as in the zero value, the span covers all keys.
+// KeySpan is a range of key hashes: those greater than After, up to and including UpTo. The hashes form a circle, in
+// which 0 follows the greatest hash, so that UpTo may be less than After. If both are equal, as in the zero value, the
+// span covers all keys.
 type KeySpan struct{ After, UpTo uint64 }
 
 func (span KeySpan) isAll() bool { return span.After == span.UpTo }
@@ -44,7 +45,7 @@
 // span that they cover, which is the whole span if all of its missing entries fit. Entries with the same hash are never
 // split between two pieces.
 func nextPiece(missing []*storedEntry, span KeySpan, maxBytes int) ([]*storedEntry, KeySpan) {
-	// 0 for the first hash of the span.
+	// The distance of an entry's key hash from the first hash of the span.
 	offset := func(entry *storedEntry) uint64 { return entry.keyHash - span.After - 1 }
 	if !span.isAll() {
 		missing = slices.DeleteFunc(missing, func(entry *storedEntry) bool { return offset(entry) >= span.UpTo-span.After })
@@ -71,9 +72,10 @@
 // fail during the fetch. Once the spans cover the whole circle, this copy holds, for all keys, what every piece
 // claimed. A copy of a fetchPass value is independent of the original.
 type fetchPass struct {
-	// The span that no piece has covered yet; all keys before the first piece.
+	// The span that no piece has covered yet. Before the first piece it covers all keys.
 	remaining KeySpan
-	// What all pieces so far have claimed; nil before the first piece. It is replaced, never modified.
+	// For each origin, the lowest sequence number that a piece of this fetch has claimed; nil before the first piece.
+	// An origin that any piece did not claim is absent. The map is replaced, never modified.
 	claimedUpTo VersionVector
 }
 
--- a/policy/crdt/query.go
+++ b/policy/crdt/query.go
@@ -2,9 +2,10 @@
 
 import "lotushook/policy/clock"
 
-// CommitPosition returns the position that a session's reads must see. For an unknown session it is 0 or, if sessions
-// have been evicted, the lowest commit position among the stored sessions: a read then waits for a server that is fresh
-// enough for any evicted session.
+// CommitPosition returns the log position that a server must have applied before it may answer a session's reads. For
+// an unknown session it is 0 or, if sessions have been evicted, the lowest commit position among the stored sessions.
+// As the sessions with the lowest positions are evicted first, a server at that position is fresh enough for any
+// evicted session.
 func (store *Store) CommitPosition(group, session string) (position int64, known bool) {
 	if stored := store.entries[entryID{kind: SessionCommit, subject: group, qualifier: session}]; stored != nil {
 		return stored.At, true
--- a/policy/crdt/spread_test.go
+++ b/policy/crdt/spread_test.go
@@ -17,8 +17,8 @@
 // receiver claimed to hold all entries of the origin, no member sent them again, and queries were answered as if
 // nothing had ever been learned.
 //
-// testdata/TestSpread.history records such a case: r2's vector has r0 at 4 after a piece with three of r0's four
-// entries, while its copy has no entry for the session of the missing one.
+// testdata/TestSpread.history records such a case: after a piece with three of r0's four entries, r2's version vector
+// says that it has all four, while r2's copy has no entry for the session of the missing one.
 
 // storesByName holds the stores of the routers of one cluster.
 type storesByName map[string]*Store
--- a/policy/crdt/store.go
+++ b/policy/crdt/store.go
@@ -22,7 +22,7 @@
 	entries  map[entryID]*storedEntry
 	heaps    [kindCount]entryHeap
 	digests  [kindCount]uint64
-	// Whether an entry of the kind was evicted for lack of capacity, here or at the sender of a claim.
+	// By kind: whether an entry was evicted for lack of capacity, here or at a member whose claim this copy accepted.
 	evicted        [kindCount]bool
 	seenUpTo       map[Origin]uint64
 	logs           map[Origin]*originLog
@@ -30,7 +30,7 @@
 	maxPosition    int64 // the greatest position that this router has learned itself; 0: none
 	pending        []*storedEntry
 	pass           fetchPass
-	randomState    uint32 // see nextRandom
+	randomState    uint32 // state of the generator nextRandom
 	rejected       uint64
 	withheldClaims uint64
 }
@@ -81,9 +81,9 @@
 	return true
 }
 
-// LearnDurably is like Learn, for an entry that counts only once another member holds it. It returns the entry that is
-// stored afterwards, which is either the given one or one that supersedes it, and leaves sending it to the caller. It
-// returns false if there is no capacity for the entry.
+// LearnDurably is like Learn, for an entry that the caller relies on only once another member holds it as well. It
+// returns the entry that is stored afterwards, which is either the given one or one that supersedes it. The caller has
+// to send that entry to other members. LearnDurably returns false if there is no capacity for the entry.
 func (store *Store) LearnDurably(now clock.Nanos, entry Entry) (Entry, bool) {
 	store.learn(now, &entry)
 	if stored := store.entries[entry.id()]; stored != nil {
@@ -103,7 +103,7 @@
 			return nil
 		}
 	}
-	if entry.Kind == FeedCursor { // a repeated cursor without a change would be sent for nothing
+	if entry.Kind == FeedCursor { // sending an unchanged cursor again would be useless
 		if old := store.entries[entry.id()]; old != nil && old.From == entry.From && old.Count == entry.Count && old.Born == entry.Born && old.At == entry.At && old.Acked == entry.Acked {
 			return nil
 		}
@@ -198,8 +198,8 @@
 	return false
 }
 
-// advanceVector records an entry that arrived outside a run. If all earlier entries of its origin are covered, the
-// entry need not be fetched again.
+// advanceVector records an entry that was merged or is superseded in the version vector if all earlier entries of its origin are covered, so that
+// the entry need not be fetched.
 func (store *Store) advanceVector(entry *Entry) {
 	upTo, known := store.seenUpTo[entry.From]
 	if entry.From == store.settings.Self || entry.Seq != upTo+1 || !known && len(store.seenUpTo) >= store.settings.MaxOrigins {
@@ -229,8 +229,8 @@
 	return store.evicted[kind] && len(entries) > 0 && (&storedEntry{Entry: *entry, learnedAt: now - entry.Age}).compareEvictionRank(entries[0]) < 0
 }
 
-// merge replaces a lesser entry by the given one. It returns nil if a greater or equal entry is stored or there is no
-// capacity.
+// merge stores an entry, in place of a lesser one with the same ID if there is one. It returns nil if a greater or
+// equal entry is stored or there is no capacity.
 func (store *Store) merge(now clock.Nanos, entry *Entry) *storedEntry {
 	key := entry.id()
 	old := store.entries[key]
@@ -287,7 +287,7 @@
 	return false
 }
 
-// remove deletes an entry from the store. It stays in its origin's log until the log is compacted.
+// remove deletes an entry from the store. The entry stays in its origin's log until the log is compacted.
 func (store *Store) remove(stored *storedEntry) {
 	delete(store.entries, stored.id())
 	heap.Remove(&store.heaps[stored.Kind], stored.heapIndex)
--- a/policy/crdt/sync.go
+++ b/policy/crdt/sync.go
@@ -10,12 +10,12 @@
 
 const (
 	entryBytes     = 48             // size in transit of an entry without its texts, and of a run
-	minAnswerBytes = 2 * entryBytes // a run of entries and a claim
+	minAnswerBytes = 2 * entryBytes // smallest answer of use: one run with an entry, and one run that only claims
 )
 
-// VersionVector holds for each origin the sequence number up to which all entries, or entries that supersede them, are
-// held. Under two origins without a name, which no entry has, it carries the span of keys that the owner's current
-// fetch has not covered yet (see fetchPass).
+// VersionVector describes a copy: for each origin, the sequence number up to which the copy covers all entries of the
+// origin. While the copy is being fetched in pieces, the vector also contains two keys without an origin's name; their
+// values are the ends of the span of key hashes that remains to be fetched (see fetchPass).
 type VersionVector map[Origin]uint64
 
 // The keys under which a version vector carries the ends of the span that remains to be fetched.
@@ -24,16 +24,15 @@
 	remainingUpToKey  = Origin{Boot: 1}
 )
 
-// OriginRun holds entries of one origin or, if Origin is zero, of several. If UpTo is greater than After, the run
-// claims to be complete: for the keys in Span, each entry of the origin with a sequence number in (After, UpTo] is in
-// the run or superseded by what the receiver holds once it has merged the message up to and including this run. If UpTo
-// equals After, the run claims nothing.
+// OriginRun is a part of an answer to a fetch: a run of entries of one origin or, if Origin is zero, of several. If
+// UpTo is greater than After, the run makes a claim: once the receiver has merged the message up to and including this
+// run, it has for the keys in Span each entry of the origin with a sequence number in (After, UpTo], or an entry that
+// supersedes it. If UpTo equals After, the run claims nothing.
 type OriginRun struct {
 	Origin      Origin
 	After, UpTo uint64
 	Span        KeySpan
-	// Kinds of which the sender has evicted entries for lack of capacity; those entries are neither held nor
-	// superseded.
+	// Kinds of which the sender has evicted entries for lack of capacity. The claim does not hold for evicted entries.
 	Evicted KindSet
 	Entries []Entry
 }
@@ -68,9 +67,9 @@
 	return entry
 }
 
-// TakePending removes the entries that this router has learned since the last call and returns the most urgent ones, up
-// to maxBytes. The others are left for members to fetch. The result makes no claim to be complete, because datagrams
-// may be lost.
+// TakePending empties the list of entries that this router has learned since the last call, and returns the most urgent
+// of them, up to maxBytes. Members have to fetch the others. The entries are returned without a claim that they are
+// complete, because the datagrams that carry them may be lost.
 func (store *Store) TakePending(now clock.Nanos, maxBytes int) []Entry {
 	pending := slices.DeleteFunc(store.pending, func(stored *storedEntry) bool { return stored.heapIndex < 0 })
 	slices.SortStableFunc(pending, func(x, y *storedEntry) int { return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(y.Seq, x.Seq)) })
@@ -85,14 +84,15 @@
 	return entries
 }
 
-// Since returns the entries that the owner of a version vector lacks, up to maxBytes. If all of them fit, the runs
-// claim everything that this copy holds. Otherwise the result is one piece of a fetch: the next missing entries in the
-// order of their key hashes, with claims limited to the span of keys that the piece covers. The receiver combines the
-// claims of all pieces (see fetchPass).
+// Since returns the entries that are missing in the copy that a version vector describes, up to maxBytes. If all of
+// them fit, the runs claim everything that this copy holds. Otherwise the result is one piece of a fetch: the next
+// missing entries in the order of their key hashes, with claims limited to the span of keys that the piece covers. The
+// receiver combines the claims of all pieces (see fetchPass).
 //
-// A piece can't make claims by origin alone: the entry that superseded a missing one may have another origin or a later
-// sequence number, and so may be in a piece that never arrives. All entries of a key are in the same span, so the
-// superseding entry is always in the span of the superseded one.
+// A piece can't claim all entries of an origin up to a sequence number: an entry may be absent here because it was
+// superseded, and the superseding entry may have another origin or a later sequence number, and so may be in a piece
+// that never arrives. All entries of a key are in the same span, so the superseding entry is always in the span of the
+// superseded one.
 func (store *Store) Since(now clock.Nanos, vector VersionVector, maxBytes int) []OriginRun {
 	if maxBytes < minAnswerBytes {
 		return nil
@@ -116,9 +116,9 @@
 	return runs
 }
 
-// spanToFetch returns the span of keys that the owner of a version vector has not received yet. A new fetch begins at a
-// randomly chosen missing entry. If all fetches began at the same key, a receiver that asks members in turn could be
-// sent the same entries by each of them forever.
+// spanToFetch returns the span of key hashes that the sender of a version vector still has to fetch. A new fetch begins
+// at a randomly chosen missing entry. If all fetches began at the same key, a receiver that asks members in turn could
+// be sent the same entries by each of them forever.
 func (store *Store) spanToFetch(vector VersionVector, missing []*storedEntry) KeySpan {
 	after, begun := vector[remainingAfterKey]
 	if begun {
@@ -171,8 +171,9 @@
 }
 
 // completeRuns returns runs that contain all missing entries and make all claims. If the missing entries of an origin
-// have no gap up to its claim, they form a run with that claim. All other claims come after all entries, because any of
-// those entries may have superseded a missing one.
+// have no gap in their sequence numbers up to its claim, they form a run with that claim. All other claims come after
+// all entries, because the gaps are entries that were superseded, and any entry of the message may be a superseding
+// one.
 func completeRuns(now clock.Nanos, missing []*storedEntry, claims []OriginRun) []OriginRun {
 	byOrigin := map[Origin][]*storedEntry{}
 	for _, stored := range missing {
@@ -224,10 +225,10 @@
 	return size
 }
 
-// MergeRuns merges the runs of one message and returns how many entries changed the store. If a run begins after the
-// covered entries of its origin, its entries are merged but the claim is ignored, so the gap is fetched again. If any
-// entry of the message could not be stored, all claims of the message are ignored, because that entry may be the one
-// that superseded others.
+// MergeRuns merges the runs of one message and returns how many entries changed the store. If this copy does not cover
+// the entries of the origin before the run, the run's entries are merged but its claim is ignored, so that the entries
+// in between are fetched. If any entry of the message could not be stored, all claims of the message are ignored,
+// because that entry may be the one that superseded others.
 func (store *Store) MergeRuns(now clock.Nanos, runs []OriginRun) int {
 	changed, covered := 0, true
 	var claims []OriginRun
@@ -267,7 +268,7 @@
 	return changed
 }
 
-// applyClaims advances the version vector by claims for all keys.
+// applyClaims advances the version vector by those claims that concern all keys.
 func (store *Store) applyClaims(claims []OriginRun) {
 	for _, claim := range claims {
 		if claim.Span.isAll() && claim.After <= store.seenUpTo[claim.Origin] {
@@ -298,8 +299,8 @@
 // Hash returns a hash of the joined fields of an entry, as a checksum of received runs.
 func (entry *Entry) Hash() uint64 { return (&storedEntry{Entry: *entry}).hash() }
 
-// EntriesOlderThan returns up to maxEntries entries that have been known for longer than a bound, a different selection
-// with each call. A copy without one of them has missed it.
+// EntriesOlderThan returns up to maxEntries entries whose age exceeds bound, a different selection with each call. With
+// them, another member can check whether replication has missed an entry.
 func (store *Store) EntriesOlderThan(now, bound clock.Nanos, maxEntries int) []Entry {
 	var entries []Entry
 	for kind := SessionCommit; kind < kindCount; kind++ {
