--- a/policy/crdt/store.go
+++ b/policy/crdt/store.go
@@ -198,8 +198,8 @@
 	return false
 }
 
-// advanceVector records an entry that was merged or is superseded in the version vector if all earlier entries of its origin are covered, so that
-// the entry need not be fetched.
+// advanceVector records in the version vector that this copy stores an entry or one that supersedes it, so that the
+// entry need not be fetched. It does so only if the copy covers all earlier entries of the entry's origin.
 func (store *Store) advanceVector(entry *Entry) {
 	upTo, known := store.seenUpTo[entry.From]
 	if entry.From == store.settings.Self || entry.Seq != upTo+1 || !known && len(store.seenUpTo) >= store.settings.MaxOrigins {
--- a/policy/cursor/cursor.go
+++ b/policy/cursor/cursor.go
@@ -4,8 +4,18 @@
 // issued, a Feed the recent events of one group's log, and a Limiter limits the rate of catch-up reads and reconnects.
 // The package does not decide how cursors are replicated between routers, nor which endpoint is read and how.
 //
-// A log belongs to a history. Each failover begins a new history, which contains the log of the previous one up to the
-// position at which it forked. Positions of different histories are only compared along a lineage.
+// A subscriber is a client that reads a feed under a name. Its cursor is the log position up to which it has received
+// the events. The generation of a cursor increases with each reconnect of the subscriber, which shows which of its
+// connections is the latest.
+//
+// Each failover begins a new history of the log, which contains the previous history up to the position of the fork.
+// The lineage of a log lists its histories. Positions of different histories are only compared along a lineage. A
+// subscriber that has received events beyond a fork, which are void after the failover, is sent back to the fork
+// (Rewind).
+//
+// The head of a feed is the greatest known position on the newest lineage, its end the position up to which this
+// router has read the events, and its ring the events before the end that this router still holds in memory.
+// Subscribers behind the ring need a catch-up read, which reads older events from an endpoint.
 package cursor
 
 import (
@@ -19,11 +29,12 @@
 	"lotushook/policy/clock"
 )
 
-// History identifies one run of a log under one primary: Era is the number of failovers before it, and ID is a number
-// drawn at its start, which distinguishes two histories that began at the same time. The zero History stands for none.
+// History identifies the part of a log that was written under one primary, between two failovers. Era is the number of
+// failovers before it. ID is a random number drawn at its start, which distinguishes histories that began at the same
+// failover. The zero History stands for none.
 type History struct{ Era, ID uint32 }
 
-// ErrHistory is the error for the name of a history that can't be parsed.
+// ErrHistory is wrapped by the errors of ParseHistory.
 var ErrHistory = errors.New("no history")
 
 // ParseHistory parses a name in the form that String returns, such as 3-9f2c11ab.
@@ -57,7 +68,8 @@
 // HistoryFromNumber unpacks a number that History.Number returned.
 func HistoryFromNumber(number uint64) History { return History{uint32(number >> 32), uint32(number)} }
 
-// Position is a position in a log: of History, the events up to and including At have been received.
+// Position is a position in a log. As a cursor it means that the events of History up to and including At have been
+// received.
 type Position struct {
 	History
 	At int64
@@ -68,16 +80,16 @@
 	return cmp.Or(position.History.Compare(other.History), cmp.Compare(position.At, other.At))
 }
 
-// Fork is one history of a lineage. From is the position up to which it equals the previous history.
+// Fork is one history of a lineage, and the position From up to which its log equals that of the previous history.
 type Fork struct {
 	History
 	From int64
 }
 
-// Lineage lists the histories of a log, oldest first. Each descends from the previous one.
+// Lineage lists the histories of a log, oldest first. Each history continues the previous one from a fork.
 type Lineage []Fork
 
-// MaxLineage is the maximum length of a lineage. Older histories are dropped, like events beyond the retention.
+// MaxLineage is the maximum number of histories in a lineage. The oldest ones are dropped, as old events are.
 const MaxLineage = 16
 
 // Check returns an error if the lineage is invalid. Eras must increase, and fork positions must not decrease.
@@ -120,7 +132,8 @@
 	Text string
 }
 
-// Response is an endpoint's answer: its lineage, the range that its log retains, and the events after a position.
+// Response is an endpoint's answer to a read: the lineage of its log, the range of positions whose events the log
+// retains, and the events after a position.
 type Response struct {
 	Lineage       Lineage
 	TruncatedUpTo int64 // events up to this position are no longer retained; 0: all are
@@ -148,17 +161,17 @@
 	return nil
 }
 
-// Settings limit what a router holds for feeds, and the reads at data servers.
+// Settings limit what a router stores for feeds, and the rate of its reads from data servers.
 type Settings struct {
 	MaxCursors            int         // cursors held by a Registry
 	RingEvents            int         // recent events held per feed
 	RingBytes             int         // total size of the texts of the recent events of one feed
 	BatchEvents           int         // events in one answer
 	BatchBytes            int         // total size of the texts in one answer; a single event is sent whatever its size
-	EndReadInterval       clock.Nanos // time after which the end of a feed is read again
+	EndReadInterval       clock.Nanos // minimum time between two reads of a feed's end
 	PollInterval          clock.Nanos // time after which a subscriber that has all events is told to retry
 	MaxAhead              int64       // a cursor that exceeds the newest known position by more than this is invalid
-	CatchUpReadsPerSecond float64     // reads for subscribers that are behind the ring
+	CatchUpReadsPerSecond float64     // catch-up reads
 	ReconnectsPerSecond   float64     // subscribers that may reconnect or start; the others get a Retry-After time
 	MaxRetryAfter         clock.Nanos // maximum Retry-After time
 }
--- a/policy/cursor/errors.go
+++ b/policy/cursor/errors.go
@@ -12,8 +12,8 @@
 	Forgotten        bool // Snapshot: the routers know nothing of the subscriber any more
 	Feed             string
 	Subscriber       string
-	Received         Position // the position that it sent or is known to have received; none if History is zero
-	SnapshotPosition Position // Snapshot, Future: the position of the snapshot, from which it can resume
+	Received         Position // the subscriber sent this position or is known to have received it; zero: unknown
+	SnapshotPosition Position // Snapshot, Future: the subscriber can take a snapshot at this position and resume from it
 }
 
 // Error describes the rejected cursor and how to resume.
@@ -55,7 +55,7 @@
 	return "take the snapshot that the message names and bring the cursor of each answer along; a longer retention or a larger most_cursors makes it rarer"
 }
 
-// OverloadedError reports that a subscriber must retry later. Its cursor is retained.
+// OverloadedError reports that a subscriber must retry later. The subscriber's cursor is retained.
 type OverloadedError struct {
 	Reason     string // one of the Reason constants
 	Feed       string
--- a/policy/cursor/explore_test.go
+++ b/policy/cursor/explore_test.go
@@ -23,7 +23,7 @@
 		generation           int64
 		received             []int64 // without the events that a rewind revoked
 		startedAfter         int64   // events up to this position precede its start; -1: it has received nothing yet
-		connectedTo          int     // the router that it is connected to; -1: none
+		connectedTo          int     // index of the router with the subscriber's connection; -1: none
 		connectionGeneration Generation
 	}
 	trace []string
@@ -188,7 +188,7 @@
 	if decision.Outcome == Rewind && subscriberIndex == 1 && brokenRule != "a rewind counts as acknowledged" {
 		delivered, acked = decision.Stale, known.Acked
 	}
-	// The position that it may have received stays known.
+	// The position that the subscriber may have received stays known.
 	if subscriberIndex == 1 && delivered.Compare(known.Position) < 0 {
 		delivered = known.Position
 	}
@@ -204,11 +204,11 @@
 		subscriber.received, subscriber.startedAfter = nil, cursorAfter.At
 	}
 	if decision.Outcome == Rewind {
-		// Its start may have been on the lost tail.
+		// The subscriber's start position may have been after the fork, on the history that the failover ended.
 		subscriber.startedAfter = min(subscriber.startedAfter, decision.Start.At)
 		subscriber.received = slices.DeleteFunc(subscriber.received, func(position int64) bool { return position > decision.Start.At })
 	}
-	// Another router may know it from before its start at a router that did not.
+	// Another router may know the subscriber from before it started again at a router that did not know it.
 	if subscriberIndex == 1 && len(events) > 0 {
 		subscriber.startedAfter = min(subscriber.startedAfter, decision.Start.At)
 	}
@@ -233,7 +233,7 @@
 		_, all := state.historyLog(historyIndex)
 		var want []int64
 		upTo := subscriber.cursor.At
-		// It may be sent back, and then receives the events in between again.
+		// A subscriber that is sent back receives the events in between again.
 		if subscriberIndex == 1 && len(subscriber.received) > 0 {
 			upTo = max(upTo, slices.Max(subscriber.received))
 		}
@@ -243,7 +243,7 @@
 			}
 		}
 		received := subscriber.received
-		if subscriberIndex == 1 { // it receives some events again; those that are new to it must follow in order
+		if subscriberIndex == 1 { // the second subscriber receives some events again; the new ones must follow in order
 			received = nil
 			for _, position := range subscriber.received {
 				if !slices.Contains(received, position) {
--- a/policy/cursor/feed.go
+++ b/policy/cursor/feed.go
@@ -24,8 +24,8 @@
 // NewFeed returns a feed of which nothing has been read.
 func NewFeed(settings *Settings) *Feed { return &Feed{settings: settings} }
 
-// End returns the position from which the end of the feed is read next. It returns false if nothing has been read yet,
-// in which case the endpoint chooses the position.
+// End returns the position after which the next read of the feed's end begins. It returns false if nothing has been
+// read yet: then the endpoint returns its last events.
 func (feed *Feed) End() (Position, bool) { return Position{feed.lineage.Newest(), feed.end}, feed.read }
 
 // Head returns the greatest known position with its history.
@@ -35,7 +35,7 @@
 func (feed *Feed) Size() (events, bytes int) { return len(feed.ring), feed.ringBytes }
 
 // ClassifyEndpoint compares an endpoint's response with the newest known lineage. An endpoint on an older history is
-// behind as long as its log has no events beyond the fork; after that it is forked.
+// behind if its log has no events beyond the fork to the next history, and otherwise forked.
 func (feed *Feed) ClassifyEndpoint(response *Response) EndpointState {
 	newest := response.Lineage.Newest()
 	if !feed.read || newest.Compare(feed.lineage.Newest()) > 0 {
@@ -74,7 +74,7 @@
 	if isEndRead {
 		feed.readAt = now
 	}
-	// A gap: the events in between are no longer available.
+	// The response begins after the end of the feed: the events in between are no longer available.
 	if response.From > feed.end && response.From <= response.Head {
 		feed.truncate(0)
 		feed.base, feed.end = response.From, response.From
@@ -139,9 +139,9 @@
 // The read requirements.
 const (
 	NoRead ReadRequirement = iota
-	// The events after the end of the feed; one read serves all subscribers.
+	// A read of the events after the end of the feed; one read serves all subscribers.
 	ReadEnd
-	// The events after a start behind the ring; one read serves all subscribers with the same start.
+	// A read of the events after a start position behind the ring; one read serves all subscribers with the same start.
 	ReadCatchUp
 )
 
@@ -151,18 +151,19 @@
 	RequiredRead ReadRequirement
 	// BeginAtHead, ResumeAcked, Resume, Skip, Rewind: the answer contains the events after this position.
 	Start Position
-	// Rewind: the position that is given up, on a history that the lineage left before it.
+	// Rewind: the position from which the subscriber goes back. It is beyond the fork at which its history ended.
 	Stale Position
 }
 
 // Request describes one request of a subscriber.
 type Request struct {
 	Connection ConnectionState
-	// The cursor that it sent, or the last one that it received on this connection; none if History is zero.
+	// The cursor that the subscriber sent, or the last one that it received on this connection; none if History is
+	// zero.
 	Client     Position
 	Known      Cursor // what all routers together know of the subscriber; the zero Cursor if nothing
 	IssuedHere bool   // whether this router issued Known
-	Evicted    bool   // whether cursors have been evicted
+	Evicted    bool   // whether cursors have been evicted, so that an unknown subscriber may have had one
 }
 
 // Decide decides on a request. The caller calls it again after each read that the decision requires. mayReadAgain is
@@ -193,7 +194,7 @@
 	_, included := feed.lineage.End(request.Known.History)
 	confirmed := request.IssuedHere || included && request.Known.At <= feed.head
 	if client == ClientNone && request.Connection == NewConnection && request.Known.Acked == NotAcknowledged {
-		request.Known = Cursor{} // it may not have received its start position: it starts again and is notified of that
+		request.Known = Cursor{} // the subscriber may not have received its start position: it starts again
 	}
 	cluster := ClassifyCluster(request.Client, client != ClientNone, request.Known, confirmed, request.Evicted)
 	decision := Decision{Outcome: ChooseOutcome(request.Connection, client, cluster, feed.endpointState(client)), Start: request.Client}
@@ -205,7 +206,7 @@
 		}
 		client = feed.ClassifyClient(acked)
 		decision.Start = acked
-		// It may have received events that the failover lost, whether or not it acknowledged them.
+		// The subscriber may have received events that the failover lost, whether or not it acknowledged them.
 		if feed.ClassifyClient(request.Known.Position) == ClientOtherHistory && client != ClientOld {
 			decision.Outcome, decision.Stale = Rewind, request.Known.Position
 			end, _ := feed.lineage.End(acked.History)
@@ -227,8 +228,8 @@
 	return decision
 }
 
-// endpointState returns the state of the feed's log relative to a cursor. Responses of forked endpoints have been
-// ignored.
+// endpointState returns the state of the feed's log relative to a client's cursor. It is never EndpointForked, because
+// Apply ignores the responses of forked endpoints.
 func (feed *Feed) endpointState(client ClientState) EndpointState {
 	switch {
 	case !feed.read:
@@ -240,8 +241,8 @@
 }
 
 // Batch returns the events that a subscriber receives after a start position, and its cursor after them. The events
-// come from the ring or, if catchUp is not nil, from a catch-up read. The cursor carries the newest history, so that it
-// still increases for a subscriber that was sent back to a fork.
+// come from the ring or, if catchUp is not nil, from a catch-up read. The cursor is on the newest history, so that it
+// is greater than the previous one also for a subscriber that was sent back to a fork.
 func (feed *Feed) Batch(start Position, catchUp []Event) (events []Event, next Position, more bool) {
 	next = Position{feed.lineage.Newest(), start.At}
 	source := feed.ring
--- a/policy/cursor/limiter.go
+++ b/policy/cursor/limiter.go
@@ -13,7 +13,7 @@
 	settings          *Settings
 	catchUp           tokenBucket
 	reconnect         tokenBucket
-	pendingReconnects float64 // subscribers that got a Retry-After time; decreases as these times pass
+	pendingReconnects float64 // number of subscribers that were told to retry later; decreases at the reconnect rate
 	drainedAt         clock.Nanos
 }
 
@@ -35,7 +35,7 @@
 	return true
 }
 
-// NewLimiter returns a limiter with the tokens of one second.
+// NewLimiter returns a limiter that allows at once as many reads and reconnects as in one second.
 func NewLimiter(settings *Settings, now clock.Nanos) *Limiter {
 	return &Limiter{settings: settings, drainedAt: now, catchUp: tokenBucket{settings.CatchUpReadsPerSecond, max(1, settings.CatchUpReadsPerSecond), now}, reconnect: tokenBucket{settings.ReconnectsPerSecond, max(1, settings.ReconnectsPerSecond), now}}
 }
@@ -50,8 +50,9 @@
 }
 
 // AllowReconnect reports whether a subscriber that reconnects or is new is accepted now. If not, it returns the time
-// after which it may retry: after those delayed before it, and shifted by the subscriber's hash so that several routers
-// that detect the same failure don't accept all subscribers at the same moment.
+// after which the subscriber may retry. That time increases with the number of subscribers that were delayed before,
+// and varies with a hash of the subscriber's name, so that several routers that detect the same failure don't accept
+// all subscribers at the same moment.
 func (limiter *Limiter) AllowReconnect(now clock.Nanos, subscriber string) (retryAfter clock.Nanos, ok bool) {
 	if now > limiter.drainedAt {
 		limiter.pendingReconnects = max(0, limiter.pendingReconnects-limiter.settings.ReconnectsPerSecond*float64(now-limiter.drainedAt)/1e9)
--- a/policy/cursor/registry.go
+++ b/policy/cursor/registry.go
@@ -7,8 +7,8 @@
 	"lotushook/policy/crdt"
 )
 
-// Generation distinguishes the connections of a subscriber; the greatest one prevails. If two routers raised it to the
-// same number, the router with the later name prevails.
+// Generation distinguishes the connections of a subscriber: each new connection raises it, and the connection with the
+// greatest one prevails. If two routers raised it to the same number, the router with the greater name prevails.
 type Generation struct {
 	Gen      int64
 	RaisedBy crdt.Origin
@@ -24,13 +24,13 @@
 	Generation
 	// The position up to which events were delivered.
 	Position
-	// The position that the next request showed to have arrived, on the same history; NotAcknowledged if not even the
-	// start did.
+	// The position up to which the subscriber has received events for certain, on the same history. Its next request
+	// shows that the previous answer arrived. NotAcknowledged if it is not known to have received any answer.
 	Acked int64
 	Age   clock.Nanos
 }
 
-// NotAcknowledged is the acknowledged position of a subscriber that has just started.
+// NotAcknowledged is the Acked position of a subscriber that has not confirmed its start position yet.
 const NotAcknowledged = -1
 
 // Compare orders cursors by generation, then by history along the lineage, then by position. The order is total, so the
@@ -39,7 +39,7 @@
 	return cmp.Or(cursor.Generation.Compare(other.Generation), cursor.Position.Compare(other.Position), cmp.Compare(cursor.Acked, other.Acked))
 }
 
-// Join returns the greater cursor. If both are equal, it has the age of the later report.
+// Join returns the greater cursor. If both are equal, the result has the lower of their ages.
 func (cursor Cursor) Join(other Cursor) Cursor {
 	switch order := cursor.Compare(other); {
 	case order < 0:
@@ -61,8 +61,8 @@
 }
 
 // Registry holds a limited number of cursors that this router issued. When it is full, the least recently used cursor
-// is evicted; Evicted then shows that an unknown subscriber may be one of those evicted. It is not safe for concurrent
-// use.
+// is evicted. If Evicted returns more than 0, an unknown subscriber may have had a cursor. A Registry is not safe for
+// concurrent use.
 type Registry struct {
 	self     crdt.Origin
 	capacity int
--- a/policy/cursor/table.go
+++ b/policy/cursor/table.go
@@ -12,13 +12,13 @@
 	SupersededConnection                        // a connection whose generation was raised elsewhere
 )
 
-// ClientState is the relation of the client's cursor to the lineage that this router knows.
+// ClientState is the relation of the cursor that the client sent to the lineage that this router knows.
 type ClientState uint8
 
 // The states of the client's cursor.
 const (
 	ClientNone         ClientState = iota // the client sent no cursor
-	ClientBehind                          // on the lineage with more events following, or no lineage is known yet
+	ClientBehind                          // on the lineage, with later events to deliver; also if no lineage is known yet
 	ClientEqual                           // the client has all events
 	ClientAhead                           // beyond every position known to this router
 	ClientFuture                          // so far beyond every known position that it is invalid
@@ -26,7 +26,8 @@
 	ClientOld                             // the events after it are no longer retained, or its history is unknown
 )
 
-// ClusterState is the relation of what the routers know of the subscriber to what the client sent.
+// ClusterState is the relation of the cluster's cursor to the client's. The cluster's cursor is what all routers
+// together know of the subscriber.
 type ClusterState uint8
 
 // The states of the cluster's cursor.
@@ -36,19 +37,20 @@
 	ClusterBehind                           // less was delivered than the client has received
 	ClusterEqual                            // as much was delivered as the client has received
 	ClusterAhead                            // more was delivered: an answer was lost, or this request was overtaken
-	ClusterUnconfirmed                      // reported by another router and not confirmed
+	ClusterUnconfirmed                      // another router's report, which this router's lineage does not confirm
 	ClusterOtherHistory                     // on a history other than the client's
 )
 
-// EndpointState is the relation of the log that was read to the cursor and to the newest known lineage.
+// EndpointState is the relation of the log of the endpoint that was read to the client's cursor and to the newest known
+// lineage.
 type EndpointState uint8
 
 // The states of the endpoint's log.
 const (
 	EndpointUnread EndpointState = iota // no endpoint has answered yet
-	EndpointCovers                      // it reaches the cursor and has its history, or knows where that ended
-	EndpointBehind                      // it does not reach the cursor
-	EndpointForked                      // it forked from the newest known lineage
+	EndpointCovers                      // its log reaches the cursor, and its lineage contains the cursor's history
+	EndpointBehind                      // its log ends before the cursor
+	EndpointForked                      // its log has events that the newest known lineage does not have
 )
 
 // Outcome is the outcome of a request. Each row of the decision table leads to one.
@@ -56,15 +58,15 @@
 
 // The outcomes.
 const (
-	Impossible        Outcome = iota // can't occur; callers assert this
+	Impossible        Outcome = iota // can't occur: a fault of the router
 	BeginAtHead                      // new subscriber: starts at the newest position, and the answer says so
 	ResumeAcked                      // no cursor sent: resumes from the acknowledged position that the routers know
-	Resume                           // resumes from its own cursor
-	Skip                             // overtaken request: resumes from what has been acknowledged since
-	Rewind                           // goes back to the end of its history in the lineage, and the answer says so
+	Resume                           // resumes from the client's cursor
+	Skip                             // overtaken by a later request: resumes from the position acknowledged since
+	Rewind                           // goes back to the fork at which its history ended, and the answer says so
 	Wait                             // no events now: the client is told when to retry
 	ReadFirst                        // an endpoint must be read first
-	ReadOtherEndpoint                // this endpoint must not be read for the subscriber, another one must
+	ReadOtherEndpoint                // this endpoint's log must not be used: another endpoint must be read
 	Snapshot                         // rejected: needs a snapshot at the newest position, from which it can resume
 	Future                           // rejected like Snapshot: the client can't have received that position
 	Fenced                           // rejected: superseded by another connection
@@ -87,7 +89,7 @@
 	unknown := cluster == ClusterNone || cluster == ClusterEvicted
 	compared := cluster == ClusterBehind || cluster == ClusterEqual || cluster == ClusterOtherHistory
 	switch {
-	// A superseded connection requires a known connection that superseded it.
+	// A superseded connection requires that the connection that superseded it is known.
 	case connection == SupersededConnection && unknown:
 		return Impossible
 	case client == ClientNone && compared: // without a client cursor the cluster's cursor can't be compared
@@ -123,7 +125,7 @@
 		}
 		return Resume
 	case ClientEqual:
-		// Other routers have seen more than this router's lineage.
+		// Other routers know events or histories that this router has not read yet.
 		if cluster == ClusterAhead || cluster == ClusterOtherHistory {
 			return ReadFirst
 		}
@@ -134,7 +136,8 @@
 	return Impossible // the cursor can't be ahead of an endpoint that covers it
 }
 
-// ClassifyCluster compares what is known of a subscriber with the cursor that the client sent.
+// ClassifyCluster compares the cluster's cursor with the client's. confirmed means that this router issued the
+// cluster's cursor, or that its lineage contains it; evicted means that cursors have been evicted for lack of capacity.
 func ClassifyCluster(client Position, hasCursor bool, known Cursor, confirmed, evicted bool) ClusterState {
 	switch {
 	case known.Gen == 0 && evicted:
