--- a/policy/membership/broadcast.go
+++ b/policy/membership/broadcast.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// send queues an outgoing message after adding this router's own state and the queued updates with the fewest
-// transmissions.
+// send adds this router's own state and the queued updates with the fewest transmissions to a message, and appends the
+// message to those that the current call returns.
 func (d *Detector) send(message Message) {
 	message.From, message.Address, message.Epoch, message.Isolated = d.settings.Name, d.settings.Address, d.self.Epoch, d.isolated
 	maxUpdates := d.settings.MaxUpdates
--- a/policy/membership/detector.go
+++ b/policy/membership/detector.go
@@ -12,10 +12,10 @@
 	maxIndirectChecks    = 8
 	maxRelays            = 64  // indirect checks in flight for other members
 	maxLeaveNotices      = 64  // members that are notified directly when this router leaves
-	maxHealthScore       = 8   // maximum of Lifeguard's local health score, which lengthens timeouts
-	isolatedAfterProbes  = 4   // consecutive unanswered probes of two or more members that show isolation
+	maxHealthScore       = 8   // maximum of Lifeguard's local health score: the higher, the longer the timeouts
+	isolatedAfterProbes  = 4   // a router is isolated after this many consecutive unanswered probes
 	contactPeriods       = 5   // probe intervals between contacts with a dead member or an unknown seed
-	recentlyHeardPeriods = 4.0 // probe intervals; a member heard within them needs more than a report to be suspected
+	recentlyHeardPeriods = 4.0 // probe intervals; a member heard from within them is not suspected on a report alone
 )
 
 // Detector is the failure detector of one member. It is not safe for concurrent use; Settings.MaxMembers bounds its
@@ -28,7 +28,7 @@
 	startedAt           clock.Nanos
 	peers               map[string]*peerState
 	sortedPeers         []*peerState // the values of peers, by name
-	probeOrder          []string     // the members still to be probed in this round, in random order
+	probeOrder          []string     // names of the members still to be probed in this round, in random order
 	probe               *pendingProbe
 	nextProbeAt         clock.Nanos
 	probePeriods        int
@@ -44,8 +44,8 @@
 	outgoing            []Message
 	allowedNames        map[string]bool   // nil: any
 	quotaLease          *quotalease.Lease // nil: quota shares are fixed
-	nextSyncAt          clock.Nanos       // next request of a member's full state, which repairs what gossip has missed
-	syncInterval        clock.Nanos       // between the requests of the full state
+	nextSyncAt          clock.Nanos       // when a member's full state is requested next, which repairs missed gossip
+	syncInterval        clock.Nanos       // time between two requests for the full state
 	lastSyncAddedMember bool
 
 	hasMajority       bool
@@ -57,7 +57,7 @@
 	seq           uint32
 	sentAt        clock.Nanos
 	indirectSent  bool
-	helperAnswers int // acks and nacks
+	helperAnswers int // number of acks and nacks from helpers
 	helperCount   int
 }
 
@@ -117,8 +117,8 @@
 	return d.outgoing
 }
 
-// resumeAfterGap handles a pause of this process. Timeouts that expired during the pause prove nothing, so they are
-// extended.
+// resumeAfterGap handles a pause of this process. Timeouts that expired during the pause are extended, because this
+// process could not have received an answer.
 func (d *Detector) resumeAfterGap(gap clock.Nanos) {
 	for _, peer := range d.peers {
 		peer.suspectedAt += gap
@@ -135,9 +135,9 @@
 	for _, peer := range slices.Clone(d.sortedPeers) {
 		switch {
 		case peer.State == Suspect && d.settings.Lifeguard && peer.LastHeardAt > peer.suspectedAt:
-			d.setState(peer, Alive) // a message from the member itself prevails over reports of others
+			d.setState(peer, Alive) // a message from the member itself outweighs the reports of others
 		case peer.State == Suspect && d.isolated:
-			peer.suspectedAt = d.now // an isolated router can't tell who is dead
+			peer.suspectedAt = d.now // an isolated router can't tell which members are dead
 		case peer.State == Suspect && d.now-peer.suspectedAt >= d.suspicionTimeout(peer):
 			d.setState(peer, peer.finalState)
 		case peer.State == Isolated && d.now-peer.LastHeardAt >= d.settings.MaxSuspicion && !d.isolated:
@@ -159,8 +159,8 @@
 	}
 }
 
-// Leave returns messages that notify up to maxLeaveNotices members that this router leaves. The detector sends nothing
-// after it.
+// Leave returns messages that notify up to maxLeaveNotices members that this router leaves. After Leave, the detector
+// sends nothing more.
 func (d *Detector) Leave(now clock.Nanos) []Message {
 	d.now, d.outgoing = max(d.now, now), nil
 	d.self.State, d.hasLeft = Left, true
@@ -187,8 +187,8 @@
 	d.queueUpdate(peer.Update)
 }
 
-// suspectPeer makes a member a suspect, or adds a reporter to its suspicion. finalState is the state that the report
-// claims.
+// suspectPeer makes a member a suspect, or adds a reporter to its suspicion. finalState is Dead or Left: the state that
+// the reporter claims, which the member gets when the suspicion times out.
 func (d *Detector) suspectPeer(peer *peerState, reporter string, finalState State) {
 	if peer.State >= Dead {
 		return
--- a/policy/membership/detector_test.go
+++ b/policy/membership/detector_test.go
@@ -44,7 +44,7 @@
 	killed           bool
 	resumesAt        clock.Nanos
 	skew             clock.Nanos // offset of its clock, different for each node
-	rate             float64     // of its clock
+	rate             float64     // speed of its clock relative to real time
 	address          string
 	servingSince     clock.Nanos // when it last started, resumed or became reachable
 	lastIncarnations map[process]uint32
@@ -195,7 +195,7 @@
 	}
 }
 
-// agrees says whether every running node sees exactly the running nodes as alive.
+// agrees reports whether every running node sees exactly the running nodes as alive.
 func (sim *simNet) agrees() bool {
 	for _, node := range sim.nodes {
 		if node.killed {
@@ -214,7 +214,7 @@
 	return true
 }
 
-// isCorrect says whether a state matches a node: alive if it runs, otherwise dead, departed or unknown.
+// isCorrect reports whether a state matches a node: alive if the node runs, otherwise dead, left or unknown.
 func isCorrect(state State, subject *simNode) bool {
 	if subject.killed {
 		return state == 0 || state >= Dead
@@ -325,7 +325,7 @@
 	}
 }
 
-// Without the corrections, the same faults cause false deaths, so the audit can fail.
+// Without the corrections of Lifeguard, the same faults cause false deaths. This shows that the audit can fail.
 func TestPlainSWIMHasFalseDeaths(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -373,7 +373,7 @@
 		sim.run(pause)
 		node.servingSince = sim.now
 		sim.run(300 * ms)
-		for _, member := range node.View().Members { // its timeouts must not count the pause
+		for _, member := range node.View().Members { // the paused node's timeouts must not include the pause
 			if member.State >= Dead {
 				t.Errorf("after a pause of %d ms %s is %s", pause/ms, member.Name, member.State)
 			}
@@ -408,8 +408,8 @@
 	sim.runUntilAgreement(5000 * ms)
 }
 
-// A member that can't receive, can't send, or both detects that it is isolated and sees nobody as dead. The others see
-// only that member as isolated or dead.
+// A member that can't receive or can't send (or neither) detects that it is isolated, and no member is dead in its
+// view. In the views of the others, only that member is isolated or dead.
 func TestIsolatedMember(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/policy/membership/explore_test.go
+++ b/policy/membership/explore_test.go
@@ -63,7 +63,7 @@
 
 const (
 	exploreStep = 10 * ms
-	maxInFlight = 3 // with so many in flight, a message must arrive or get lost before time advances
+	maxInFlight = 3 // with this many messages in flight, one must arrive or be lost before time advances
 )
 
 func (s *modelState) isUp(i int) bool { return !s.killed[i] && (i != s.paused || s.now >= s.resumesAt) }
--- a/policy/membership/peers.go
+++ b/policy/membership/peers.go
@@ -7,17 +7,17 @@
 	"lotushook/policy/clock"
 )
 
-// peerState is what this router knows of another member.
+// peerState is what this router knows about another member.
 type peerState struct {
 	Member
-	suspectedAt     clock.Nanos // when it became a suspect
-	reporters       []string    // distinct members that reported it since then
+	suspectedAt     clock.Nanos // when the member became a suspect
+	reporters       []string    // members that have reported the suspicion since then, without duplicates
 	finalState      State       // state after the suspicion times out, Dead or Left
-	probeNext       bool        // probe it out of turn
-	duplicateSeenAt clock.Nanos // when a younger process with its name was first seen; 0: never
+	probeNext       bool        // the member is to be probed before its turn in probeOrder
+	duplicateSeenAt clock.Nanos // when a later process with the member's name was first seen; 0: never
 }
 
-// addPeer and removePeer keep both indexes of the members consistent.
+// addPeer adds a member to peers and to sortedPeers, which always hold the same members.
 func (d *Detector) addPeer(peer *peerState) {
 	d.peers[peer.Name] = peer
 	index, _ := slices.BinarySearchFunc(d.sortedPeers, peer.Name, func(other *peerState, name string) int { return cmp.Compare(other.Name, name) })
@@ -40,7 +40,7 @@
 	return peers
 }
 
-// randomPeers returns up to count random members that are alive, without the one named except.
+// randomPeers returns up to count random members that are alive and not named except.
 func (d *Detector) randomPeers(count int, except string) []*peerState {
 	candidates := d.matchingPeers(func(peer *peerState) bool { return peer.Name != except && peer.State == Alive })
 	shuffle(d, candidates)
@@ -54,7 +54,7 @@
 	}
 }
 
-// otherCount returns the number of other members that are neither dead nor departed.
+// otherCount returns the number of other members that are not dead and have not left.
 func (d *Detector) otherCount() int {
 	count := 0
 	for _, peer := range d.sortedPeers {
--- a/policy/membership/probe.go
+++ b/policy/membership/probe.go
@@ -31,7 +31,7 @@
 	}
 	d.probe = nil
 	if d.settings.Lifeguard {
-		// Only missing answers of helpers count: a dead target says nothing about this router.
+		// The health score counts only missing answers of helpers: a dead target says nothing about this router.
 		d.healthScore = min(d.healthScore+probe.helperCount-probe.helperAnswers, maxHealthScore)
 		if probe.helperAnswers == 0 {
 			if d.unansweredProbes++; d.lastUnansweredName != probe.name {
@@ -39,11 +39,11 @@
 				d.isolated = d.isolated || d.unansweredProbes >= min(isolatedAfterProbes, 2*max(d.otherCount(), 1))
 			}
 		}
-		// Without an answer of any helper, the fault may be this router's own.
+		// If no helper answered either, this router's own connection may be at fault.
 		if d.isolated || probe.helperAnswers == 0 && probe.helperCount > 0 {
 			return
 		}
-		if peer.State == Isolated { // an isolated member can't answer; expire suspects it if it falls silent
+		if peer.State == Isolated { // an isolated member can't answer; expire suspects it if it sends nothing any more
 			return
 		}
 	}
@@ -112,9 +112,9 @@
 	}
 }
 
-// requestSync requests a random member's full state. While the replies contain unknown members, the interval is
-// contactPeriods probe intervals; otherwise it doubles up to one probe interval per member, so that the bytes per
-// second do not grow with the cluster.
+// requestSync requests a random member's full state when the next request is due. The time between two requests is
+// contactPeriods probe intervals while the replies contain unknown members. Otherwise it doubles with each request, up
+// to one probe interval per member, so that the bytes per second do not grow with the cluster.
 func (d *Detector) requestSync() {
 	if d.now < d.nextSyncAt {
 		return
@@ -149,7 +149,7 @@
 
 // extendTimeout lengthens a timeout by the local health score.
 func (d *Detector) extendTimeout(timeout clock.Nanos) clock.Nanos {
-	if !d.settings.Lifeguard || d.isolated { // an isolated router suspects nobody, and should reconnect soon
+	if !d.settings.Lifeguard || d.isolated { // an isolated router suspects no member, so short timeouts do no harm
 		return timeout
 	}
 	return timeout * clock.Nanos(1+d.healthScore)
--- a/policy/membership/receive.go
+++ b/policy/membership/receive.go
@@ -22,15 +22,15 @@
 		d.applyUpdate(&message.Updates[i], &message)
 	}
 	peer := d.peers[message.From]
-	// The sender is not a member for lack of capacity, is an older process of its name, or is a younger one beside the
-	// member.
+	// The sender could not be added for lack of capacity, or the member of its name is another process, which started
+	// later or earlier than the sender.
 	if peer == nil || peer.Epoch != message.Epoch {
 		switch {
 		case peer == nil:
-		// The older process was heard since the younger one appeared: it still runs.
+		// The member has been heard from since the sender, a later process, appeared: so the member still runs.
 		case message.Epoch > peer.Epoch && peer.duplicateSeenAt > 0 && peer.LastHeardAt > peer.duplicateSeenAt:
 			d.send(Message{Kind: DuplicateName, To: message.Address})
-		// The sender's clock was set back: it must start above the old epoch.
+		// The sender's clock was set back: it has to raise its epoch above that of the earlier process.
 		case message.Epoch < peer.Epoch && (peer.Address == message.Address || peer.State >= Dead):
 			d.send(Message{Kind: StateReply, To: message.Address, Updates: []Update{peer.Update}})
 		}
@@ -41,7 +41,7 @@
 	return d.outgoing
 }
 
-// isForeign says whether a name does not belong to the installation.
+// isForeign reports whether a name is not among the names of the configured routers.
 func (d *Detector) isForeign(name string) bool { return d.allowedNames != nil && !d.allowedNames[name] }
 
 // recordHeard records that a message from a member was received.
@@ -58,8 +58,8 @@
 	}
 }
 
-// resolveDuplicateName resolves a conflict between two processes with this router's name: the older one stays, as the
-// other members accept only that one.
+// resolveDuplicateName resolves a conflict between two processes with this router's name: the one that started first
+// stays a member, because the other members accept only that one.
 func (d *Detector) resolveDuplicateName(message *Message) {
 	switch {
 	case message.Epoch > d.self.Epoch:
@@ -74,7 +74,7 @@
 	switch message.Kind {
 	case Ping:
 		reply := Message{Kind: Ack, To: message.Address, Seq: message.Seq, Target: d.settings.Name}
-		if peer.State != Alive { // so that the member can refute it
+		if peer.State != Alive { // so that the sender can refute what is wrong
 			reply.Updates = []Update{peer.Update}
 		}
 		if d.quotaLease != nil && message.Target == d.settings.Name {
@@ -126,12 +126,12 @@
 		}
 		return
 	}
-	if target := d.peers[probe.name]; target != nil && target.State == Suspect { // a helper received its answer
+	if target := d.peers[probe.name]; target != nil && target.State == Suspect { // a helper received the target's answer
 		d.setState(target, Alive)
 	}
 }
 
-// probeAnswered records that this router's probe was answered, so that it can both send and receive.
+// probeAnswered records that a probe of this router was answered, which shows that this router can send and receive.
 func (d *Detector) probeAnswered() {
 	d.unansweredProbes, d.lastUnansweredName = 0, ""
 	if d.isolated {
--- a/policy/membership/settings.go
+++ b/policy/membership/settings.go
@@ -2,6 +2,12 @@
 // its outputs are the messages to send and the current view. It implements the failure detector SWIM (Das, Gupta,
 // Motivala 2002) with the corrections of Lifeguard (Dadgar, Phillips, Currey 2017), extended for paused processes and
 // one-way partitions. It decides neither how messages are transported nor what follows from a view.
+//
+// Each router probes one member per interval. If the member does not answer, other members (helpers) probe it on behalf
+// of the router, which is called an indirect check. A member without any answer becomes a suspect, and dead when the
+// suspicion times out. A member refutes a suspicion about itself by raising its incarnation, a number that it sends
+// with its state. Its epoch distinguishes its process from earlier and later ones of the same name. Changes of state
+// are updates, which propagate by gossip: each message carries some of them.
 package membership
 
 import (
@@ -18,8 +24,8 @@
 // The states of a member. Within one incarnation the greater state prevails.
 const (
 	Alive    State = iota + 1
-	Suspect        // did not answer a probe; becomes Dead unless it or a member that heard it refutes that in time
-	Isolated       // can send or receive, but not both; neither counts as present nor suspects others
+	Suspect        // did not answer a probe; becomes Dead unless it refutes the suspicion, or is heard from, in time
+	Isolated       // reports that its own probes are not answered; neither counts as present nor suspects others
 	Dead
 	Left // announced that it leaves
 )
@@ -44,16 +50,16 @@
 
 	ProbeInterval    clock.Nanos // one member is probed per interval
 	AckTimeout       clock.Nanos // for a direct answer, before indirect checks
-	IndirectChecks   int         // number of members that check a silent one
-	MinSuspicion     clock.Nanos // timeout of a suspicion with Confirmations further reporters
-	MaxSuspicion     clock.Nanos // timeout of a suspicion with one reporter
-	Confirmations    int         // reporters beside the first that reduce the timeout to MinSuspicion
+	IndirectChecks   int         // number of helpers that probe a member that did not answer
+	MinSuspicion     clock.Nanos // timeout of a suspicion that Confirmations further members reported
+	MaxSuspicion     clock.Nanos // timeout of a suspicion that one member reported
+	Confirmations    int         // reporters after the first that reduce the timeout to MinSuspicion
 	MaxTickGap       clock.Nanos // a longer gap between calls means that this process was paused
-	ForgetAfter      clock.Nanos // how long dead and departed members are remembered
+	ForgetAfter      clock.Nanos // how long dead members and those that left are remembered
 	MaxMembers       int         // maximum number of members, including this one
 	MaxUpdates       int         // maximum number of queued updates in a message
-	RetransmitFactor float64     // transmissions of each update, times the binary logarithm of the number of members
-	Lifeguard        bool        // the corrections of Lifeguard, and for pauses and partitions; without: plain SWIM
+	RetransmitFactor float64     // each update is sent this many times the binary logarithm of the number of members
+	Lifeguard        bool        // with the corrections of Lifeguard and those for pauses and partitions
 }
 
 // DefaultSettings returns settings for a local network. The caller adds Seeds and, if needed, AllowedNames and
@@ -65,8 +71,8 @@
 		Lifeguard: true}
 }
 
-// Term returns how long the votes of the quota lease are valid: four probe intervals per member, in which each member
-// is probed twice even if every second probe goes to a suspect.
+// Term returns how long the votes of the quota lease (see package quotalease) are valid: four probe intervals per
+// member, in which each member is probed twice even if every second probe goes to a suspect.
 func (s *Settings) Term() clock.Nanos { return 4 * clock.Nanos(s.Configured) * s.ProbeInterval }
 
 func (s *Settings) validate() error {
@@ -94,10 +100,10 @@
 	Ping          Kind = iota + 1 // requests an Ack
 	IndirectPing                  // requests that the receiver pings Target
 	Ack                           // Target has answered, directly or to a helper
-	Nack                          // Target has not answered the helper yet
+	Nack                          // from a helper: Target has not answered it yet
 	StateRequest                  // requests a StateReply
 	StateReply                    // the state of all members
-	DuplicateName                 // an older process uses the receiver's name
+	DuplicateName                 // tells the receiver that an older process uses its name
 )
 
 // Update is a member's state as another member sees it.
@@ -106,7 +112,7 @@
 	Epoch         uint64
 	Incarnation   uint32
 	State         State
-	ReportedBy    string // of Suspect and Dead: the member that reported it
+	ReportedBy    string // the member that reported the state Suspect or Dead
 }
 
 // Message is a message from one member to another.
@@ -116,7 +122,7 @@
 	Epoch         uint64
 	To            string // the receiver's address
 	Seq           uint32
-	Target        string // name of the member that is probed
+	Target        string // name of the member that is probed, or that an Ack or Nack is about
 	TargetAddress string // for IndirectPing
 
 	Isolated bool // the sender is isolated
@@ -127,15 +133,15 @@
 // Member is one member in a view.
 type Member struct {
 	Update
-	Since       clock.Nanos // start of its state
+	Since       clock.Nanos // when the member's state last changed
 	LastHeardAt clock.Nanos // last message from the member itself; 0: none
-	RoundTrip   clock.Nanos // of its last answer to a direct probe; 0: unknown
+	RoundTrip   clock.Nanos // time that its last answer to a direct probe needed; 0: unknown
 }
 
 // View is the cluster as this router sees it.
 type View struct {
 	Members       []Member    // ordered by name, including this router
-	Present       int         // members that are alive or suspect, including this router, and may have quota shares
+	Present       int         // number of members that are alive or suspect, including this router
 	Majority      bool        // more than half of the configured routers are present
 	MajoritySince clock.Nanos // when Majority last changed
 	Isolated      bool        // this router's probes are not answered: it can't receive, can't send, or both
--- a/policy/membership/update.go
+++ b/policy/membership/update.go
@@ -19,7 +19,7 @@
 			peer.State, peer.ReportedBy = Alive, ""
 			d.addPeer(peer)
 			d.probeOrder = append(d.probeOrder, update.Name)
-			if message.Kind == StateReply { // the sender propagates it itself
+			if message.Kind == StateReply { // the sender propagates this update
 				d.lastSyncAddedMember = true
 			} else {
 				d.queueUpdate(peer.Update)
@@ -71,10 +71,12 @@
 	}
 }
 
-// refute processes an update about this router itself. It refutes a suspicion by a greater incarnation.
+// refute processes an update about this router itself. A report that this router is not alive is refuted by a greater
+// incarnation.
 func (own *Update) refute(update *Update, detector *Detector) {
 	if update.Epoch > own.Epoch && update.Epoch+1 > update.Epoch && (update.Address == own.Address || update.State >= Dead) {
-		// The clock was set back: an earlier process, which has ended as addresses are unique, had a greater epoch.
+		// The clock was set back, so that an earlier process of this router had a greater epoch. That process has
+		// ended, because only one process can use the address.
 		own.Epoch, own.Incarnation = update.Epoch+1, 0
 		detector.queueUpdate(*own)
 		return
@@ -95,7 +97,7 @@
 		return
 	}
 	if d.settings.Lifeguard && peer.LastHeardAt > 0 && float64(d.now-peer.LastHeardAt) < recentlyHeardPeriods*float64(d.settings.ProbeInterval) && peer.State == Alive {
-		peer.probeNext = true // its answer to this router's own probe decides
+		peer.probeNext = true // whether the member is suspected depends on its answer to this router's own probe
 		return
 	}
 	d.suspectPeer(peer, update.ReportedBy, Dead)
@@ -111,7 +113,7 @@
 	d.suspectPeer(peer, update.ReportedBy, update.State)
 }
 
-// ensureCapacity says whether one more member can be added. If necessary, it forgets the member that died or left
+// ensureCapacity reports whether one more member can be added. If necessary, it removes the member that died or left
 // longest ago.
 func (d *Detector) ensureCapacity() bool {
 	if len(d.peers) < d.settings.MaxMembers-1 {
--- a/policy/membership/view.go
+++ b/policy/membership/view.go
@@ -22,7 +22,7 @@
 	return view
 }
 
-// isRemoved says whether a member is dead, has left or is unknown.
+// isRemoved reports whether a member is dead, has left or is unknown.
 func (d *Detector) isRemoved(name string) bool {
 	peer := d.peers[name]
 	return peer == nil || peer.State >= Dead
@@ -39,7 +39,7 @@
 	return alive
 }
 
-// IsMember says whether a name belongs to a member that is neither dead nor departed.
+// IsMember reports whether a name belongs to a member that is not dead and has not left.
 func (d *Detector) IsMember(name string) bool {
 	peer := d.peers[name]
 	return peer != nil && peer.State < Dead
