--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -7,8 +7,8 @@
 	"lotushook/policy/crdt"
 )
 
-// CorruptError reports a catch-up piece whose checksum does not match its entries. The piece was not merged, and is
-// requested again from another member.
+// CorruptError reports a catch-up piece (a part of another member's copy of the replicated state) whose checksum does
+// not match its entries. The piece was not merged, and is requested again from another member.
 type CorruptError struct {
 	From string
 	Runs int
@@ -27,8 +27,8 @@
 	return "run the same version on all routers; if the error persists, restart " + e.From
 }
 
-// MissingEntryError reports an entry that another member has had for longer than missingAfter and that this copy lacked.
-// The entry has been merged.
+// MissingEntryError reports an entry that another member has had for longer than missingAfter and that was missing in
+// this router's copy. The entry has been merged.
 type MissingEntryError struct {
 	From       string
 	Entry      crdt.Entry
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,10 @@
 // Package peer implements the messages between the routers of a cluster: sockets, authentication, size limits, and the
-// replication of state. Package policy/membership decides which members are alive. A client request waits for messages of
-// other members only in State.LearnDurably, up to a timeout.
+// replication of state. Package policy/membership decides which members are alive, and package policy/crdt holds the
+// replicated state. A client request waits for messages of other members only in State.LearnDurably, up to a timeout.
+//
+// A session identifies a router process to its peers: it is a random number that the process draws at its start.
+// Each message names the session that it is addressed to, so that a message recorded for an earlier session is
+// rejected.
 package peer
 
 import (
@@ -18,7 +22,7 @@
 const (
 	viewInterval        = 100 * time.Millisecond
 	queueCapacity       = 256 // received messages; when the queue is full, further messages are dropped and counted
-	maxDatagramsPerSlot = 40  // datagrams read per readSlot; the rest waits in the socket's buffer, which drops on overflow
+	maxDatagramsPerSlot = 40  // datagrams read per readSlot; others wait in the socket's buffer, or are lost if it is full
 	readSlot            = 10 * time.Millisecond
 	socketBufferBytes   = 256 << 10
 	maxSenders          = 4 // long messages sent over TCP at the same time; further ones are dropped
@@ -50,7 +54,7 @@
 	OtherVersion    uint64 `json:"versions"`    // of another protocol version
 	Unauthenticated uint64 `json:"strangers"`   // not signed with a known key
 	OtherCluster    uint64 `json:"foreign"`     // of another cluster
-	Replayed        uint64 `json:"replayed"`    // duplicates, and messages of this process itself
+	Replayed        uint64 `json:"replayed"`    // duplicates, and messages that this process sent itself
 	Outdated        uint64 `json:"outdated"`    // addressed to another session; answered with the current one
 	QueueFull       uint64 `json:"full"`        // dropped because the queue was full
 	NotSent         uint64 `json:"not_sent"`    // too many long messages were being sent, or the send failed
@@ -164,9 +168,9 @@
 	parts.Go(func() { peers.acceptConnections(ctx) })
 	defer parts.Wait()
 	defer peers.close()
-	// Timeouts fire half a tick late on average, and the tick must be short enough to detect a pause of the process as a
-	// gap between ticks. It is no shorter than needed, because each tick wakes the process, which is most of what
-	// membership costs.
+	// Timeouts fire half a tick late on average, and the ticks must be frequent enough to detect a pause of the process
+	// as a gap between two ticks. They are no more frequent than that, because waking the process at each tick causes
+	// most of the CPU use of membership.
 	ticker := time.NewTicker(time.Duration(min(peers.options.Membership.AckTimeout/2, peers.options.Membership.MaxTickGap/3)))
 	defer ticker.Stop()
 	defer peers.replication.stop()
@@ -205,7 +209,7 @@
 	}
 }
 
-// Leave notifies the other members that this router leaves. Nothing is sent afterwards.
+// Leave notifies the other members that this router leaves. After Leave, this router sends no more messages.
 func (peers *Peers) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Routers find each other through a seed address and get equal quota shares. All learn that a router leaves, and that it
-// joins again.
+// Routers find each other through a seed address and get equal quota shares. All learn that a router leaves, and that
+// it joins again.
 func TestJoinAndLeave(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	keys := [][]byte{oldKey}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Messages without a valid MAC, of another cluster, of another session or version, duplicates and garbage change nothing.
-// Each is counted under its reason.
+// Messages without a valid MAC, from another cluster, for another session, of another version, duplicates and
+// undecodable messages are rejected and change nothing. Each is counted under its reason.
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	names := []string{"a", "b"}
 	a, _ := startRouter(t, "a", names, [][]byte{oldKey})
@@ -135,7 +135,8 @@
 	}
 }
 
-// A recorded message is rejected when it is sent again, and also after a restart of the receiver, which has a new session.
+// A recorded message is rejected when it is sent again, and also after a restart of the receiver, which has a new
+// session.
 func TestReplay(t *testing.T) {
 	a, stop := startRouter(t, "a", []string{"a", "b"}, [][]byte{oldKey})
 	message := envelope{Cluster: "x", From: "b", Address: "127.0.0.1:9", Session: 7, To: a.session, Sequence: 1, Membership: &membershipMessage{Kind: uint8(membership.Ping), Epoch: 1,
@@ -185,8 +186,8 @@
 		before := a.Counts().Accepted + b.Counts().Accepted
 		waitFor(t, "messages are accepted while only a has changed its keys", func() bool { return a.Counts().Accepted+b.Counts().Accepted > before+20 })
 		b.SetKeys(keys)
-		// On a slow machine, messages that b signed with its previous key may still be unread. a must read them before it
-		// drops that key.
+		// On a slow machine, messages that b signed with its previous key may still be unread. a must read them before
+		// it drops that key.
 		beforeA, beforeB := a.Counts().Accepted, b.Counts().Accepted
 		waitFor(t, "messages are accepted with the same keys", func() bool { return a.Counts().Accepted > beforeA+20 && b.Counts().Accepted > beforeB+20 })
 	}
--- a/internal/peer/persistence.go
+++ b/internal/peer/persistence.go
@@ -2,9 +2,9 @@
 
 import "lotushook/policy/crdt"
 
-// Persister receives each entry that a State adds to its copy. Persist is called without any lock held and must not block.
-// The source is the zero Origin for an entry that this router learned by itself, and otherwise the member that sent the
-// entry, with that member's epoch. The same entry may be passed more than once.
+// Persister receives each entry that a State adds to its copy. Persist is called without any lock held and must not
+// block. The source is the zero Origin for an entry that this router learned by itself, and otherwise the member that
+// sent the entry, with that member's epoch. The same entry may be passed more than once.
 type Persister interface {
 	Persist(entry crdt.Entry, source crdt.Origin)
 }
@@ -23,7 +23,7 @@
 	return added
 }
 
-// persistMerged passes those entries of a message that this copy now stores to the Persister.
+// persistMerged passes to the Persister those entries of a message that this router's copy now stores.
 func (peers *Peers) persistMerged(message *envelope) {
 	state := peers.options.State
 	if state.persister == nil {
--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -31,7 +31,7 @@
 	}
 	peers.counts.accepted.Add(1)
 	if len(peers.sessionByAddress) >= maxSessions {
-		clear(peers.sessionByAddress) // each address's session is recorded again with its next message
+		clear(peers.sessionByAddress) // the session at each address is recorded again when its next message arrives
 	}
 	peers.sessionByAddress[message.Address] = message.Session
 	if pending, isPending := peers.pending[message.Address]; isPending {
@@ -48,9 +48,9 @@
 	}
 }
 
-// evictOldestWindow removes the receive window of the session that has been silent for longest. Messages of that session
-// that an attacker recorded could then be accepted a second time. This risk is accepted, because it takes maxSessions
-// sessions, each a start of a router, within the lifetime of this process.
+// evictOldestWindow removes the receive window of the session that has been silent for longest. Messages of that
+// session that an attacker recorded could then be accepted a second time. This risk is accepted, because it takes
+// maxSessions sessions, each a start of a router, within the lifetime of this process.
 func (peers *Peers) evictOldestWindow() {
 	var oldest uint64
 	for session, candidate := range peers.receiveWindows {
--- a/internal/peer/replication.go
+++ b/internal/peer/replication.go
@@ -10,13 +10,13 @@
 
 const (
 	replicationInterval = 5 * time.Millisecond
-	ackDelay            = 2 * time.Millisecond // acknowledgements that no write waits for are batched
+	ackDelay            = 2 * time.Millisecond // acknowledgements for which no write waits are collected for this long
 	syncInterval        = time.Second
-	continueDelay       = 20 * time.Millisecond // before the next request, if the source has more or is busy
+	continueDelay       = 20 * time.Millisecond // before the next request, if the answering member has more or is busy
 	requestTimeout      = 500 * time.Millisecond
-	noMemberAfter       = 5 * time.Second // longer than a start needs to find the other members
+	noMemberAfter       = 5 * time.Second // longer than a router needs after its start to find the other members
 	checkInterval       = 5 * time.Second
-	missingAfter        = 10 * time.Second // an entry that is older than this and missing on another member is logged
+	missingAfter        = 10 * time.Second // an entry older than this that a member's copy lacks is logged
 	maxCheckEntries     = 8                // entries per check message
 	requestBytes        = 800              // limit of the version vectors in one request, so that it fits into a datagram
 )
@@ -67,7 +67,7 @@
 	}
 }
 
-// replicationReport is a snapshot of the replication for Report.
+// replicationReport is the state of the replication protocol that Report shows.
 type replicationReport struct {
 	crdt.BroadcastCounts
 	CatchUpClients int
@@ -130,7 +130,7 @@
 		}
 		peers.sendState(addresses[delivery.To], &stateMessage{Batch: outgoing})
 	}
-	if replication.requestedAt > 0 && now-replication.requestedAt >= int64(requestTimeout) { // the source did not answer
+	if replication.requestedAt > 0 && now-replication.requestedAt >= int64(requestTimeout) { // the member did not answer
 		replication.requestedAt, replication.nextRequestAt = 0, now
 		replication.failedAttempts++
 	}
@@ -161,8 +161,8 @@
 	replication.requestCount++
 	source, _ := crdt.ChoosePeer(candidates, peers.options.Zones[peers.options.Membership.Name], !replication.caughtUp,
 		replication.failedAttempts, replication.requestCount)
-	// Continues with a source that has more pieces. If it stops answering, the next request goes to another member, which
-	// continues from the same position.
+	// Continues with the member that has more pieces. If that member stops answering, the next request goes to another
+	// one, which continues with the keys that no piece has covered yet.
 	if addresses[replication.continueWith] != "" {
 		source.Name = replication.continueWith
 	}
@@ -192,7 +192,7 @@
 			break
 		}
 	}
-	for i := range request.UpTo { // pads the vectors of shards that were added before a later shard added more origins
+	for i := range request.UpTo { // pads the lists of shards that precede one with further origins
 		for len(request.UpTo[i]) < len(request.Origins) {
 			request.UpTo[i] = append(request.UpTo[i], 0)
 		}
@@ -201,7 +201,8 @@
 	peers.sendState(addresses[source.Name], &stateMessage{Request: request})
 }
 
-// receiveState processes the replication part of a member's message, and answers its request. It ignores non-members.
+// receiveState processes the replication part of a message, and answers the request in it. Messages of senders that are
+// not members are ignored.
 func (peers *Peers) receiveState(now int64, message *envelope) {
 	if peers.options.State == nil || !peers.detector.IsMember(message.From) {
 		return
@@ -225,8 +226,8 @@
 	peers.persistMerged(message)
 }
 
-// receiveBatch merges new entries, forwards those that a write waits for, and acknowledges the entries that this copy
-// now covers.
+// receiveBatch merges the entries of a batch, forwards those for which a write waits at the sender, and acknowledges
+// the entries that this copy now covers (see crdt.Store.Covers).
 func (peers *Peers) receiveBatch(now int64, message *envelope) {
 	reply := ack{Number: message.State.Batch.Number}
 	for index := range message.State.Batch.Entries {
@@ -239,7 +240,7 @@
 			peers.replication.broadcaster.Forward(now, received, message.From)
 		}
 	}
-	if message.State.Batch.ForwardCount > 0 { // a write waits for the acknowledgement
+	if message.State.Batch.ForwardCount > 0 { // a write waits for the acknowledgement: it is sent immediately
 		peers.sendState(message.Address, &stateMessage{Acks: []ack{reply}})
 	} else if peers.replication.acks[message.Address] = append(peers.replication.acks[message.Address], reply); len(peers.replication.acks[message.Address]) >= maxBatchEntries/2 {
 		peers.sendState(message.Address, &stateMessage{Acks: peers.replication.acks[message.Address]})
@@ -252,7 +253,7 @@
 	}
 }
 
-// answerRequest returns entries that a member lacks, within the current catch-up budget.
+// answerRequest returns entries that a member lacks, as far as the rate limit of crdt.CatchUpServer permits.
 func (peers *Peers) answerRequest(now int64, client string, request *stateRequest) *piece {
 	response, state, replication := &piece{FirstShard: request.FirstShard, ShardCount: len(request.Digests)}, peers.options.State, &peers.replication
 	budget, wait := replication.catchUpServer.Admit(now, client, request.Recovering)
@@ -295,7 +296,7 @@
 	return response
 }
 
-// Upper estimates of encoded sizes, for the catch-up budget.
+// Upper bounds of encoded sizes, by which answerRequest limits the size of an answer.
 const (
 	runOverheadBytes = 48
 	maxEntryBytes    = 700
@@ -310,13 +311,14 @@
 	replication.requestedAt, replication.nextRequestAt = 0, now+int64(syncInterval)
 	if piece.RetryAfterMS > 0 {
 		replication.failedAttempts++
-		if !replication.caughtUp { // another member may have budget sooner
+		if !replication.caughtUp { // another member may be able to answer sooner
 			replication.nextRequestAt = now + min(int64(continueDelay), piece.RetryAfterMS*1e6)
 		}
 		return
 	}
 	sum := uint64(0)
-	// Runs are merged by shard, because the version range that one run claims may depend on entries of another run.
+	// All runs of a shard are merged together, because a run's claim to be complete may depend on entries of another
+	// run.
 	runs := map[int][]crdt.OriginRun{}
 	for i := range piece.Runs {
 		received := piece.Runs[i].decode()
@@ -373,8 +375,8 @@
 }
 
 // receiveCheck checks whether this copy contains entries that another member has known for longer than missingAfter. It
-// merges and logs those that are missing: missing entries are requested every syncInterval, so none should be missing for
-// that long.
+// merges and logs those that are missing. As this router requests missing entries every syncInterval, a missing entry
+// of that age shows a fault.
 func (peers *Peers) receiveCheck(from string, entries []wireEntry) {
 	var missing []crdt.Entry
 	for index := range entries {
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -66,7 +66,7 @@
 	Size           map[string]int       `json:"size"`
 	Digest         map[string]uint64    `json:"digest"` // equal for equal copies
 	Rejected       uint64               `json:"refused"`
-	WithheldClaims uint64               `json:"withheld"`  // completeness claims ignored because of rejected entries
+	WithheldClaims uint64               `json:"withheld"`  // see crdt.Store.WithheldClaims
 	CaughtUp       bool                 `json:"caught_up"` // the copy has caught up with other members since the start
 	CatchUpClients int                  `json:"fed"`       // members that are catching up from this router
 	Broadcast      crdt.BroadcastCounts `json:"told"`
@@ -77,12 +77,12 @@
 type WaitCounts struct {
 	Acknowledged  uint64  `json:"came"`
 	TimedOut      uint64  `json:"over"`  // not acknowledged: the wait timed out, or the client left
-	LimitReached  uint64  `json:"full"`  // not waited: there were too many waits, or the entry was rejected
+	LimitReached  uint64  `json:"full"`  // not waited: there were too many waits, or there was no capacity for the entry
 	NoOtherMember uint64  `json:"alone"` // not waited: no other member was present
 	LongestMS     float64 `json:"longest_ms"`
 }
 
-// copy returns the report on this copy; it is nil for a nil State.
+// copy returns the report on this router's copy, which is nil for a nil State.
 func (state *State) copy(replication *replicationReport) *StateReport {
 	if state == nil {
 		return nil
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -11,15 +11,16 @@
 
 const (
 	shardCount = 16 // shards of a copy; the same on all routers, because each shard has its own sequence numbers
-	// Limit of writes that wait for another member's acknowledgement. Further writes don't wait, and are counted.
+	// Maximum number of writes that wait for another member's acknowledgement. Further writes don't wait, and are
+	// counted.
 	maxWaits = 1024
 )
 
 // State is a router's copy of the replicated state. It is sharded by the entries' keys, so that lookups in different
 // shards don't wait for each other. It is safe for concurrent use.
 //
-// Each shard is a crdt.Store of its own, with its own sequence numbers for each origin. The shards share only the greatest
-// position that this router learned by itself: each shard receives it when it is next used.
+// Each shard is a crdt.Store of its own, with its own sequence numbers for each origin. The shards share only the
+// greatest position that this router learned by itself, ownMaxPosition: each shard receives it when it is next used.
 type State struct {
 	shards         *sharded.Shards[crdt.Store]
 	now            func() int64
@@ -136,9 +137,9 @@
 	return state.changed
 }
 
-// LearnDurably stores an entry like Learn, and waits until one other member has acknowledged it or an entry that supersedes
-// it. The wait ends at the timeout or when canceled is closed. LearnDurably reports whether the entry was acknowledged.
-// It does not wait if no other member is present.
+// LearnDurably stores an entry like Learn, and waits until one other member has acknowledged it or an entry that
+// supersedes it. The wait ends at the timeout or when canceled is closed. LearnDurably reports whether the entry was
+// acknowledged. It does not wait if no other member is present.
 func (state *State) LearnDurably(entry crdt.Entry, timeout time.Duration, canceled <-chan struct{}) bool {
 	state.observeOwnPosition(&entry)
 	accepted := false
@@ -223,7 +224,8 @@
 	return changed, covered
 }
 
-// takePending removes and returns the entries learned since the last call, for the broadcaster. It also expires entries.
+// takePending removes and returns the entries learned since the last call, for the broadcaster. It also expires
+// entries.
 func (state *State) takePending() (entries []crdt.Entry) {
 	state.EachShard(func(store *crdt.Store, now int64) {
 		store.Expire(now)
--- a/internal/peer/state_test.go
+++ b/internal/peer/state_test.go
@@ -45,8 +45,8 @@
 	return fmt.Sprint(firstReport.Digest, firstReport.Size) == fmt.Sprint(secondReport.Digest, secondReport.Size)
 }
 
-// Entries that one router learns reach all others. A router that restarts with an empty copy catches up in pieces, also on
-// the entries that it had learned itself before the restart.
+// Entries that one router learns reach all others. A router that restarts with an empty copy receives all entries again
+// in pieces, including those that it had learned itself before the restart.
 func TestStateReplicates(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	a, stateA, _ := startStateRouter(t, "a", names)
@@ -183,8 +183,8 @@
 	goroutines.Wait()
 }
 
-// BenchmarkState measures nine lookups of a commit for each commit that is learned, alternately with one shard and with as
-// many as a router has.
+// BenchmarkState measures nine lookups of a commit for each commit that is learned, alternately with one shard and with
+// as many as a router has.
 func BenchmarkState(b *testing.B) {
 	const operations = 5_000
 	names := make([]string, 10_000)
--- a/internal/peer/statemessage.go
+++ b/internal/peer/statemessage.go
@@ -9,11 +9,11 @@
 
 // stateMessage is the replication part of a message.
 //
-// Keys below 11 belonged to the first format, which numbered entries over a whole copy instead of by shard. Routers of that
-// format and of this one see each other as members, but replicate nothing to each other. Keys 13 and 14 were requests and
-// pieces whose runs claimed to be complete for all keys or for none, which is wrong for a piece that covers only some keys
-// (docs/incidents/2026-12-03-missed-commit.md). Routers that use those keys exchange batches with this version, but neither
-// catches up from the other.
+// The numbers in the tags are keys of the encoded message. Keys below 11 belonged to the first format, which numbered
+// entries over a whole copy instead of by shard. Routers of that format and of this one see each other as members, but
+// replicate nothing to each other. Keys 13 and 14 were requests and pieces whose runs claimed to be complete for all
+// keys or for none, which is wrong for a piece that covers only some keys (docs/incidents/2026-12-03-missed-commit.md).
+// Routers that use those keys exchange batches with this version, but neither catches up from the other.
 type stateMessage struct {
 	Batch   *batch        `cbor:"11,keyasint,omitempty"` // new entries
 	Acks    []ack         `cbor:"12,keyasint,omitempty"` // acknowledgements of received batches
@@ -34,16 +34,17 @@
 type ack struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
-	Missing []byte // indexes of entries that the receiver's copy does not cover after merging
+	Missing []byte // indexes of entries of the batch that the copy of the ack's sender does not cover after merging
 }
 
-// stateRequest says what its sender's copy contains, for a range of shards: the receiver returns what is missing.
+// stateRequest describes its sender's copy for a range of shards. The receiver returns the entries that are missing
+// there.
 type stateRequest struct {
 	_          struct{} `cbor:",toarray"`
 	FirstShard int      // the request covers one shard per digest from this one on, and wraps around after the last shard
 	Digests    []uint64
 	Origins    []wireOrigin
-	UpTo       [][]uint64 // by shard and origin: received sequence number; for the origin without a name: start of next piece
+	UpTo       [][]uint64 // the crdt.VersionVector of each shard, as values in the order of Origins
 	Recovering bool       // the sender has not caught up since its start
 }
 
@@ -54,8 +55,8 @@
 	Epoch uint64
 }
 
-// piece is one piece of a copy. Its checksum covers the merged content of all entries, so that it also detects fields that
-// decoding and encoding lost.
+// piece is an answer to a stateRequest: some of the entries that the requester lacks. The checksum is computed from the
+// entries that are merged, not from the encoded message, so that it also detects fields that encoding or decoding lost.
 type piece struct {
 	_            struct{} `cbor:",toarray"`
 	FirstShard   int      // as in the request
@@ -63,7 +64,7 @@
 	Runs         []wireRun
 	Sum          uint64
 	More         bool  // there are more entries for these shards
-	RetryAfterMS int64 // if not 0, the sender has no budget now, and the piece is empty
+	RetryAfterMS int64 // if not 0, the sender's rate limit defers the request, and the piece is empty
 }
 
 // wireRun is the encoded form of a crdt.OriginRun.
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -13,8 +13,8 @@
 	"lotushook/policy/membership"
 )
 
-// sendMembership sends membership messages. A message to an address without a known session announces only this process's
-// session there; the message itself is stored, and sent when the session is known.
+// sendMembership sends membership messages. If the session at an address is not known yet, the message is stored, and
+// only this process's session is announced to the address. The message is sent once the answer names the session there.
 func (peers *Peers) sendMembership(messages []membership.Message) {
 	now := peers.options.Now()
 	for index := range messages {
@@ -38,7 +38,8 @@
 	}
 }
 
-// sendMessage sends one message to an address: as a datagram, or over a TCP connection if it is too long for a datagram.
+// sendMessage sends one message to an address: as a datagram, or over a TCP connection if it is too long for a
+// datagram.
 func (peers *Peers) sendMessage(address string, session uint64, membershipPart *membershipMessage, statePart *stateMessage) {
 	addressPort, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -74,8 +75,8 @@
 	}
 }
 
-// sendOverConnection sends one message, prefixed with its length, over a new TCP connection. Like datagrams, the connection
-// uses the listening address as its source.
+// sendOverConnection sends one message, prefixed with its length, over a new TCP connection. Like datagrams, the
+// connection uses the listening address as its source.
 func (peers *Peers) sendOverConnection(addressPort netip.AddrPort, sealed []byte) error {
 	localAddress := peers.udp.LocalAddr().(*net.UDPAddr).AddrPort().Addr()
 	dialer := net.Dialer{Timeout: connectionTimeout}
@@ -92,8 +93,8 @@
 	return err
 }
 
-// readDatagrams reads datagrams. It reads at most maxDatagramsPerSlot per readSlot and leaves the others in the socket, so
-// that a flood of datagrams uses little of the router's CPU time.
+// readDatagrams reads datagrams. It reads at most maxDatagramsPerSlot per readSlot and leaves the others in the socket,
+// so that a flood of datagrams uses little of the router's CPU time.
 func (peers *Peers) readDatagrams(ctx context.Context) {
 	buffer := make([]byte, maxUDPBytes+1) // a longer datagram is truncated, and its MAC does not match
 	slotStart, datagrams := time.Now(), 0
@@ -145,7 +146,7 @@
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		}
-		if err != nil { // out of file descriptors: waits, because client connections have priority
+		if err != nil { // no file descriptor is free: waits, because client connections have priority
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -14,7 +14,7 @@
 
 const (
 	protocolVersion = 2  // version 1 had no cursors and no shedding levels
-	macBytes        = 16 // of SHA-256's 32 bytes; guessing a valid MAC takes 2^128 attempts
+	macBytes        = 16 // the MAC is truncated from SHA-256's 32 bytes; guessing a valid one takes 2^128 attempts
 	headerBytes     = 3  // magic, and the version
 	maxUDPBytes     = 1200
 	maxTCPBytes     = 256 << 10
@@ -32,8 +32,8 @@
 	errBody    = errors.New("peer: message cannot be decoded")
 )
 
-// envelope is a message on the wire. To contains the session of the receiving process, so that messages recorded before a
-// restart are rejected after it. The sequence number detects duplicates within a session.
+// envelope is a message on the wire. To contains the session of the receiving process, so that messages recorded before
+// a restart are rejected after it. The sequence number detects duplicates within a session.
 type envelope struct {
 	Cluster    string             `cbor:"1,keyasint"`
 	From       string             `cbor:"2,keyasint"`
@@ -41,7 +41,7 @@
 	Session    uint64             `cbor:"4,keyasint"` // random number drawn at the sender's start
 	To         uint64             `cbor:"5,keyasint"` // the receiver's session; 0 if the sender does not know it
 	Sequence   uint64             `cbor:"6,keyasint"`
-	Membership *membershipMessage `cbor:"7,keyasint,omitempty"` // without it and State, only announces Session
+	Membership *membershipMessage `cbor:"7,keyasint,omitempty"` // without it and State, a message only announces Session
 	State      *stateMessage      `cbor:"8,keyasint,omitempty"`
 }
 
@@ -187,8 +187,8 @@
 	return decoded
 }
 
-// receiveWindow records which sequence numbers of one session were received: the greatest, and a bit for each of the 64 up
-// to it.
+// receiveWindow records which sequence numbers of one session were received: the greatest one, and a bit for each of
+// the 64 numbers that end with the greatest.
 type receiveWindow struct {
 	maxSequence uint64
 	seenBits    uint64
--- a/policy/membership/probe.go
+++ b/policy/membership/probe.go
@@ -149,7 +149,7 @@
 
 // extendTimeout lengthens a timeout by the local health score.
 func (d *Detector) extendTimeout(timeout clock.Nanos) clock.Nanos {
-	if !d.settings.Lifeguard || d.isolated { // an isolated router suspects no member, so short timeouts do no harm
+	if !d.settings.Lifeguard || d.isolated { // an isolated router suspects no member, and should reconnect soon
 		return timeout
 	}
 	return timeout * clock.Nanos(1+d.healthScore)
