--- a/internal/changefeed/answer.go
+++ b/internal/changefeed/answer.go
@@ -39,7 +39,8 @@
 	return known, evicted
 }
 
-// Answer returns the encoded Batch for a request, or a typed error. After an error, the subscriber's cursor is unchanged.
+// Answer returns the encoded Batch for a request, or a typed error. After an error, the subscriber's cursor is
+// unchanged.
 func (feeds *Feeds) Answer(subscription *Subscription, request *Request) ([]byte, error) {
 	value, outcome, eventCount, err := feeds.answer(subscription, request)
 	feeds.counts.Lock()
@@ -54,8 +55,8 @@
 	return value, err
 }
 
-// answer decides a request, and reads from endpoints until the answer is complete or the request fails. It also returns the
-// outcome and the number of events, for Counts.
+// answer decides a request, and reads from endpoints until the answer is complete or the request fails. It also returns
+// the outcome and the number of events, for Counts.
 //
 //nolint:gocognit,funlen // to be split (docs/ROADMAP.md, readable code)
 func (feeds *Feeds) answer(subscription *Subscription, request *Request) (value []byte, outcome cursor.Outcome, eventCount int, err error) {
@@ -98,7 +99,7 @@
 		known, evicted := feeds.knownCursor(log, request.Subscriber)
 		now := feeds.options.Now()
 		log.mu.Lock()
-		// A generation beyond maxGeneration is invalid: no router raises one that far.
+		// A generation that exceeds the head by more than maxGeneration is invalid: no router raises one that far.
 		if _, hasBeenRead := log.feed.End(); hasBeenRead && known.Gen > log.feed.Head().At+maxGeneration {
 			known = cursor.Cursor{}
 		}
@@ -174,7 +175,8 @@
 			case outcome == cursor.BeginAtHead:
 				recorded.Acked = cursor.NotAcknowledged
 			case outcome == cursor.Rewind && !hasCursor:
-				// The client is notified of the rewind until it confirms it by sending a cursor.
+				// Each answer notifies the client of the rewind until the client confirms the rewind by sending a
+				// cursor.
 				if recorded.Position, recorded.Acked = decision.Stale, min(known.Acked, decision.Stale.At); known.Gen == 0 {
 					recorded.Acked = cursor.NotAcknowledged
 				}
@@ -199,7 +201,7 @@
 			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: log.label,
 				RetryAfter: max(pending.retryAfter, log.settings.PollInterval), Cause: pending.err}
 		}
-		if pending.err != nil && pending.retryAfter > 0 { // the error has a retry delay: an earlier retry would add load
+		if pending.err != nil && pending.retryAfter > 0 { // the error has a retry delay; retrying earlier would add load
 			return nil, cursor.ReadOtherEndpoint, 0, &cursor.UnreadableError{Feed: log.label, RetryAfter: pending.retryAfter, Cause: pending.err}
 		}
 		if catchUp = nil; decision.RequiredRead == cursor.ReadCatchUp {
@@ -208,8 +210,8 @@
 	}
 }
 
-// recordDelivery records the cursor of an answer, and returns its generation. It returns false if the connection has been
-// superseded in the meantime, in which case the answer must not be sent.
+// recordDelivery records the cursor of an answer, and returns its generation. It returns false if the connection has
+// been superseded in the meantime, in which case the answer must not be sent.
 func (feeds *Feeds) recordDelivery(subscription *Subscription, log *feedLog, request *Request, continues bool, delivered cursor.Cursor,
 	next, head cursor.Position) (newGeneration int64, ok bool) {
 	generation := delivered.Generation
@@ -228,7 +230,7 @@
 		generation = cursor.Generation{Gen: max(known.Gen, clientGeneration, head.At) + 1, RaisedBy: feeds.options.Self}
 	}
 	delivered.Generation = generation
-	record := next.At <= head.At // a cursor ahead of the known head is only the client's claim
+	record := next.At <= head.At // a cursor ahead of the known head is not recorded: only the client claims it
 	current := true
 	if record {
 		now := feeds.options.Now()
--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,6 +1,7 @@
 // Package changefeed answers the requests of change feed subscribers. Package policy/cursor makes the decisions. This
-// package stores the cursors in shards, reads endpoints through the router, with one read for all requests that need the
-// same events, and encodes the answers.
+// package stores the cursors in shards, reads endpoints through the router, with one read for all requests that need
+// the same events, and encodes the answers. The terms of change feeds, such as cursor, generation, head and ring, are
+// defined in package cursor.
 package changefeed
 
 import (
@@ -18,13 +19,13 @@
 
 const (
 	shardCount    = 64
-	maxReads      = 3       // reads per answer: detecting a fork takes a second read, a forked endpoint a third
-	maxGeneration = 1 << 32 // a generation further than this beyond the head cannot result from reconnects
+	maxReads      = 3       // reads per answer: a second one to detect a fork, a third one if an endpoint is forked
+	maxGeneration = 1 << 32 // a generation that exceeds the head by more than this can't result from reconnects
 )
 
 // Options are the settings of Feeds.
 type Options struct {
-	Settings    cursor.Settings            // for limits that all classes share
+	Settings    cursor.Settings            // limits that all feed classes share
 	Classes     map[string]cursor.Settings // by class name; only intervals and batch sizes may differ from Settings
 	MaxWaiting  int                        // limit of requests that wait for reads; further ones are asked to retry later
 	ReadTimeout time.Duration
@@ -44,7 +45,7 @@
 	Identity  contract.Identity // the client of the request that caused the read
 }
 
-// ReadResult is the result of a read: a value, or an error with an optional retry delay.
+// ReadResult is the result of a read: an endpoint's encoded response, or an error with an optional retry delay.
 type ReadResult struct {
 	Value      []byte
 	RetryAfter int64
@@ -56,7 +57,7 @@
 	Class      string
 	Group      int64
 	Subscriber string
-	After      cursor.Position // the client's cursor; without a history if it sent none
+	After      cursor.Position // the client's cursor; without a history if the client sent none
 	Generation int64           // of the client's cursor
 	Deadline   int64
 	Identity   contract.Identity
@@ -96,7 +97,7 @@
 	}
 }
 
-// shard is a part of the subscribers' cursors, with its own lock.
+// shard contains the cursors of some of the subscribers, under a lock of its own.
 type shard struct {
 	mu       sync.Mutex
 	registry *cursor.Registry
@@ -115,7 +116,7 @@
 	group int64
 }
 
-// feedLog is the log of one group, as one feed class reads it.
+// feedLog is the log of one group as read for one feed class.
 type feedLog struct {
 	logName
 	label    string // name of the feed in messages and in replicated entries
--- a/internal/changefeed/read.go
+++ b/internal/changefeed/read.go
@@ -9,7 +9,7 @@
 	"lotushook/policy/cursor"
 )
 
-// read is a read in progress. All requests that need it wait for done.
+// read is a read from an endpoint. All requests that need its result wait until done is closed.
 type read struct {
 	after         cursor.Position
 	done          chan struct{}
@@ -19,7 +19,8 @@
 	retryAfter    int64
 }
 
-// covers reports whether a finished catch-up read returned the events after a start position. It is false for a nil read.
+// covers reports whether a finished catch-up read returned the events after a start position. It is false for a nil
+// read.
 func (finished *read) covers(start cursor.Position) bool {
 	return finished != nil && finished.response != nil && finished.endpointState != cursor.EndpointForked &&
 		finished.after == start && finished.response.From <= start.At
--- a/internal/changefeed/wire.go
+++ b/internal/changefeed/wire.go
@@ -15,7 +15,7 @@
 // ErrMalformed is wrapped by all errors about an endpoint's response.
 var ErrMalformed = errors.New("member's log")
 
-// endpointResponse is the encoded form of an endpoint's response, which is a single value.
+// endpointResponse is the encoded form of a cursor.Response. An endpoint returns it as the value of its answer.
 type endpointResponse struct {
 	Lineage       []fork      `json:"line"`
 	TruncatedUpTo int64       `json:"gone"`
@@ -78,13 +78,13 @@
 	return encoded
 }
 
-// Batch is the answer to a subscriber's request, which is a single value.
+// Batch is the answer to a subscriber's request. The router returns it, encoded, as the value of its response.
 type Batch struct {
 	Events        []wireEvent  `json:"events"`
 	Next          ClientCursor `json:"next"`              // the subscriber's new cursor
 	RetryAfterMS  int64        `json:"again_ms"`          // delay until the next request; 0 if there are more events
 	StartedAtHead bool         `json:"began,omitempty"`   // unknown subscriber: starts at the head, without earlier events
-	Rewound       *Rewound     `json:"rewound,omitempty"` // set if events that the subscriber received are void
+	Rewound       *Rewound     `json:"rewound,omitempty"` // set if a failover voided events that were received
 }
 
 // ClientCursor is a cursor as clients send it, in the fields after, history and gen.
@@ -94,7 +94,8 @@
 	Generation int64  `json:"gen"`
 }
 
-// Rewound describes the events that are void after a failover: those of History after To, up to From.
+// Rewound describes the events that are void after a failover: the events of History after position To, up to and
+// including position From.
 type Rewound struct {
 	History string `json:"history"`
 	From    int64  `json:"from"`
