--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -45,14 +45,14 @@
 )
 
 const (
-	// recordShare limits records to 1/recordShare of the file: pages are half full in the worst case, and one batch may
-	// rewrite each page.
+	// recordShare limits the size of all records to 1/recordShare of the maximum file size: in the worst case pages are
+	// half full, and a batch rewrites each page, which needs space for the old and the new pages.
 	recordShare = 6
-	// evictionShare is the part of that limit freed in one eviction, as 1/evictionShare.
+	// evictionShare is the share of that limit that one eviction frees: 1/evictionShare.
 	evictionShare = 8
 )
 
-type osDisk struct{ retention [256]clock.Nanos } // as Settings.Retention
+type osDisk struct{ retention [256]clock.Nanos } // the same values as Settings.Retention
 
 // lock locks a file exclusively.
 func (osDisk) lock(path string) (io.Closer, error) {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -12,7 +12,7 @@
 const (
 	CauseEmpty   Cause = "empty"   // the file has no bytes
 	CauseTorn    Cause = "torn"    // the file ends too early, or its first batch was never finished
-	CauseCorrupt Cause = "spoiled" // a checksum is wrong, or the structure of the database is
+	CauseCorrupt Cause = "spoiled" // a checksum or the structure of the database is wrong
 )
 
 // DamagedError reports a copy that can't be read.
@@ -76,8 +76,8 @@
 	return "move the file back and start the newer release again, or continue with this release: the other routers send it their state"
 }
 
-// OutdatedError reports a copy that lacks entries that the other routers have seen from this router: somebody restored
-// an old file.
+// OutdatedError reports a copy without entries that the other routers have received from this router, which shows that
+// somebody restored an old file.
 type OutdatedError struct {
 	Path       string
 	Copy, Seen string // the router's newest own entry in the copy, and the newest one that the other routers have seen
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -176,7 +176,7 @@
 		}
 		if err := os.Rename(s.path, newPath); err != nil {
 			if isReadOnly(err) {
-				return problem // it says that the file was not moved; the directory's lock failed as well
+				return problem // the error says that the file was not moved; its directory could not be locked either
 			}
 			return &OperationError{s.path, "move it aside", errors.Join(err, problem)}
 		}
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -25,11 +25,11 @@
 // needs none.
 func crc(sum uint32, b []byte) uint32 { return crc32.Update(sum, crc32.MakeTable(crc32.Castagnoli), b) }
 
-// fileHeader describes a copy. It is written with each batch.
+// fileHeader describes the copy in a file. It is written with each batch.
 type fileHeader struct {
 	format        uint16
 	cluster, name string
-	epoch         uint64 // of the process that wrote it
+	epoch         uint64 // of the process that wrote the header
 	generation    uint64 // batches since the copy was created, over all processes
 	writtenAt     int64  // Unix time in nanoseconds
 	dropped       uint64 // records that this process could not store or had to evict
@@ -63,7 +63,7 @@
 	return appendChecksum(out)
 }
 
-// parseHeader reads a header. Of a newer format it reads only the format number.
+// parseHeader decodes a header. If the format is newer than this release, only the format number is decoded.
 func parseHeader(raw []byte) (header fileHeader, err error) {
 	rest, err := trimChecksum(raw)
 	if err != nil {
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -43,8 +43,8 @@
 	return report
 }
 
-// setProblem stores the current error for reports, and logs it once while its kind lasts. nil clears it, except for an
-// error that stopped writing for good.
+// setProblem stores the current error for reports, and logs it unless the previous error was of the same kind. nil
+// clears the error, unless it has disabled writing permanently.
 func (s *Store) setProblem(problem operr.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,6 +6,8 @@
 // it into a bbolt file, the copy. A copy that can't be used is never deleted but moved aside, at most maxMovedAside
 // times; after that the router runs without a copy and reports what the operator can do. Whether other routers have
 // confirmed a restored record is tracked in policy/trust.
+//
+// The generation of a copy is the number of batches written to it since it was created.
 package store
 
 import (
@@ -27,7 +29,7 @@
 	lockName         = "lock"
 	maxMovedAside    = 4
 	slowAfter        = time.Second // a disk operation that takes longer is reported
-	finalBatchPeriod = time.Second // time for the final batch after the context ends
+	finalBatchPeriod = time.Second // maximum time for the final batch after the context ends
 )
 
 // Settings are the settings of a Store.
@@ -49,10 +51,11 @@
 	Records    []persistence.Record
 	Epoch      uint64 // of the process that wrote last; 0: there was no copy
 	Generation uint64
-	Dropped    uint64 // records that this process dropped or evicted; if above 0, the copy lacks more than the last batch
+	Dropped    uint64 // records that were dropped or evicted; if above 0, the copy lacks more than the last batch
 }
 
-// Store is a copy on disk. A nil Store stores nothing. Put, Generation and Report are safe for concurrent use.
+// Store maintains the copy of a router's replicated state on disk. A nil Store stores nothing. Put, Generation and
+// Report are safe for concurrent use.
 type Store struct {
 	settings Settings
 	path     string
@@ -66,8 +69,8 @@
 	header          fileHeader // as last written
 	evicted         uint64
 	fileBytes       int64
-	loadError       operr.Error // what was wrong with the copy when it was read; nil: nothing
-	problem         operr.Error // what is wrong now; nil: nothing
+	loadError       operr.Error // error found when the copy was read; nil: none
+	problem         operr.Error // current error; nil: none
 	failing         bool        // the last batch failed
 	reportedDropped uint64      // the count of dropped records as last reported
 
@@ -121,8 +124,8 @@
 }
 
 // Generation returns the number of batches written to the copy, over all processes, and the epoch of the process that
-// wrote the last one. A copy with a lower generation than another router remembers is an old file that somebody
-// restored (trust.CompareCopy).
+// wrote the last one. If another router remembers a higher generation of this router's copy, somebody has restored an
+// old file (trust.CompareCopy).
 func (s *Store) Generation() (epoch, generation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -9,11 +9,11 @@
 	"io"
 )
 
-// bbolt maps its file into memory and trusts its content: only the two meta pages have a checksum, and a wrong number
-// in any other page can crash the process or make bbolt loop forever. So the file is verified here before bbolt opens
-// it: each page is visited at most once, its elements lie within the page, and its keys are in order and within the
-// range that the parent page gives. A file that passes can be opened safely, and its records have checksums of their
-// own.
+// bbolt maps its file into memory and does not check most of its content: only the two meta pages have a checksum, and
+// a wrong number in any other page can crash the process or make bbolt loop forever. So the file is verified here
+// before bbolt opens it: each page is visited at most once, its elements lie within the page, and its keys are in order
+// and within the range that the parent page gives. A file that passes can be opened safely, and its records have
+// checksums of their own.
 
 const (
 	pageBytes       = 4096 // set in bbolt.Options
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -9,8 +9,8 @@
 	"lotushook/policy/persistence"
 )
 
-// due returns when the next batch may be written, and false if there is none. While the store stops, a batch is due
-// immediately, but only if the previous one did not fail.
+// due returns when the next batch may be written, and false if there is no batch to write. While the store stops, a
+// batch is due immediately, unless the previous one failed.
 func (s *Store) due(stopping bool) (clock.Nanos, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 		return fsyncs + 3, evicted, err
 	}
 	s.engine = created
-	return fsyncs + 3, evicted, nil // plus one each for the file's first pages, its growth and the directory
+	return fsyncs + 3, evicted, nil // plus three: for the new file's first pages, for its growth and for the directory
 }
 
 // finishBatch records the outcome of a batch.
