--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -26,7 +26,7 @@
 		"draining": balance.Draining, "gone": balance.Removed}
 )
 
-// Host contains the router instances of one process and replies to the simulator's messages.
+// Host contains the router instances that one process simulates, and replies to the simulator's messages.
 type Host struct {
 	instances map[int64]*instance
 	pages     map[int64][]endpointEntry
@@ -123,8 +123,8 @@
 	return append(out, "]}\n"...), nil
 }
 
-// step passes events to an instance and returns the instance's actions. Events before a kill or restart of the instance
-// in the same batch have no effect.
+// step passes the events of a message to an instance, and returns the instance's actions. If the instance is killed or
+// restarted by one of the events, the events before that one have no effect.
 func (host *Host) step(now clock.Nanos, id int64, events []event) ([]balance.Action, error) {
 	var pending []balance.Event
 	for i := range events {
@@ -233,7 +233,7 @@
 	return out, true, nil
 }
 
-// unpackNote returns the role and position that are packed into an answer's note.
+// unpackNote decodes an answer's note: a number that contains an endpoint's log position in ms, times 4, plus its role.
 func (instance *instance) unpackNote(note int64) (balance.Role, clock.Nanos) {
 	var position clock.Nanos
 	if ms := note / 4; ms > 0 {
@@ -276,7 +276,8 @@
 	out.HasLoad = loadFields == 2
 }
 
-// stringOrEmpty returns a JSON string, or an empty string for any other JSON, such as the 0 of a site without tenants.
+// stringOrEmpty returns a JSON string, or an empty string for any other JSON, such as the 0 that the simulator sends
+// without tenants.
 func stringOrEmpty(raw jsoniter.RawMessage) string {
 	var value string
 	if json.Unmarshal(raw, &value) != nil {
