--- a/internal/platformsettings/check.go
+++ b/internal/platformsettings/check.go
@@ -111,7 +111,7 @@
 	return joined
 }
 
-// ValidateForServing validates the fields that a router needs to serve clients, but that the simulator does not send.
+// ValidateForServing validates the fields that a router needs to serve clients and that the simulator does not send.
 func (settings *Settings) ValidateForServing() error {
 	if settings.IdleTimeout <= 0 {
 		return &FieldError{"limits.idleClose", "missing, or 0", "write after how many ns a data server closes an idle connection"}
--- a/internal/platformsettings/object.go
+++ b/internal/platformsettings/object.go
@@ -136,7 +136,7 @@
 	return settings, err
 }
 
-// hasPosition reports whether load reports contain the position, which the platform calls x0.
+// hasPosition reports whether load reports contain the log position, whose name in the settings object is x0.
 func (report *reportObject) hasPosition() bool {
 	for _, field := range report.Fields {
 		if field == "x0" && report.How != "none" {
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,5 +1,5 @@
-// Package platformsettings converts the platform's settings object into the decision module's types. The simulator's
-// first message and a router's configuration contain the same object.
+// Package platformsettings converts the platform's settings object into the types of package balance, which makes the
+// routing decisions. The simulator's first message and a router's configuration contain the same object.
 package platformsettings
 
 import (
@@ -19,10 +19,10 @@
 type Settings struct {
 	Balance        balance.Settings
 	ReportFields   []string      // fields of a load report, in order
-	PositionZero   clock.Nanos   // zero point of the simulator's positions
+	PositionZero   clock.Nanos   // the position that the simulator sends as 0
 	IdleTimeout    time.Duration // data servers close connections that have been idle for this long
 	ConnectTimeout time.Duration // a connection attempt fails after this time
-	DrainGrace     time.Duration // after a drain or removal, attempts to the endpoint stop within it; 0: not specified
+	DrainGrace     time.Duration // attempts to a drained or removed endpoint must stop within this time; 0: not specified
 
 	AnswersHavePosition bool   // every answer contains a position
 	HedgingAllowed      bool   // two attempts of one request may be in flight at the same time
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -59,8 +59,8 @@
 		}
 		return object
 	}
-	// optional fields may be missing, numbers in unbounded may have any value, and required fields are an exception of
-	// optional.
+	// The fields that match optional may be missing, except those that match required. Numbers that match unbounded may
+	// have any value.
 	optional := regexp.MustCompile(`^(discovery|overShareWorth|classes\[0\]\.(keyScope|window|gain|lateWorth)|customers.*|domain\.(answersStamped|behind|sessionMarks|showsRole|zero)|` +
 		`limits\.(cancel|maxRetryAfter|probing|retryAfter|secondCopies)|penalties.*|report.*|rules.*)$`)
 	unbounded := regexp.MustCompile(`^domain\.zero$`)
