--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a router does, for a line of totals in the log per period. The counts influence no
-// decision.
+// Package metrics counts what a router does. In each period of fixed length the router logs one line with the totals.
+// The counts influence no decision.
 package metrics
 
 import (
@@ -25,7 +25,7 @@
 	TooManyInFlight                   // requests rejected because too many requests or bytes are in flight
 	RejectedByContract                // requests rejected by a team's contract
 	RejectedByShedding                // requests rejected because their priority class is shed
-	DuplicateID                       // requests failed because another open request has the same ID
+	DuplicateID                       // requests that failed because a request in flight has the same ID
 
 	FirstAttempts // first attempts sent
 	Retries       // further attempts sent
@@ -36,7 +36,7 @@
 	Probes         // probes sent
 	ProbesAnswered // probes answered
 
-	DialsSucceeded         // dials that led to a session
+	DialsSucceeded         // dials after which the connection could be used
 	DialsFailed            // dials that failed
 	DialsRejected          // dials that the endpoint rejected because it has too many connections
 	DialsWithoutDescriptor // dials not made for lack of a file descriptor
@@ -44,10 +44,10 @@
 	ListCallsFailed        // discovery calls that failed
 
 	DeniedByRecovery // attempts, dials, probes and discovery calls that policy/recovery denied
-	DeniedRetries    // of these: retries beyond the retry budget, which successful requests fill
-	DeniedLate       // of these: attempts whose response could not arrive before the deadline
+	DeniedRetries    // of DeniedByRecovery: retries beyond the retry budget, which successful requests fill
+	DeniedLate       // of DeniedByRecovery: attempts whose response could not arrive before the deadline
 
-	ClosedUnread      // client connections closed unread because they waited too long to be accepted during overload
+	ClosedUnread      // client connections closed unread, as they waited too long to be accepted during overload
 	StaleReadsSkipped // attempts not sent because the information about the replica had become too old for the read
 
 	counterCount
@@ -76,13 +76,13 @@
 type Metrics struct {
 	counts   [counterCount]atomic.Int64
 	actions  [actionKinds][balance.ReasonCount]atomic.Int64 // the balancer's actions by kind and reason
-	outcomes [len(outcomeNames)]atomic.Int64                // of attempts
+	outcomes [len(outcomeNames)]atomic.Int64                // the attempts by outcome
 
 	mu        sync.Mutex
 	endpoints map[string]*EndpointCounts
 }
 
-// EndpointCounts counts the outcomes of the attempts at one endpoint in a period.
+// EndpointCounts has the numbers of attempts at one endpoint in a period, by outcome.
 type EndpointCounts struct{ Succeeded, NotEligible, Busy, Failed, NoResponse, NotSent int64 }
 
 // New returns Metrics with all counts at 0.
