--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -140,8 +140,8 @@
 func (m *Metrics) Take() []slog.Attr {
 	var out []slog.Attr
 	take := func(name string, count *atomic.Int64) {
-		if n := count.Swap(0); n != 0 {
-			out = append(out, slog.Int64(name, n))
+		if value := count.Swap(0); value != 0 {
+			out = append(out, slog.Int64(name, value))
 		}
 	}
 	for i := range m.counts {
@@ -191,9 +191,9 @@
 
 // ParseEndpointCounts parses the result of String.
 func ParseEndpointCounts(text string) (counts EndpointCounts, err error) {
-	n, err := fmt.Sscanf(text, "%d/%d/%d/%d/%d/%d", &counts.Succeeded, &counts.NotEligible, &counts.Busy, &counts.Failed, &counts.NoResponse, &counts.NotSent)
+	parsed, err := fmt.Sscanf(text, "%d/%d/%d/%d/%d/%d", &counts.Succeeded, &counts.NotEligible, &counts.Busy, &counts.Failed, &counts.NoResponse, &counts.NotSent)
 	if err != nil || counts.String() != text {
-		return counts, fmt.Errorf("metrics: %q does not have the form of an endpoint's totals (%d numbers parsed)", text, n)
+		return counts, fmt.Errorf("metrics: %q does not have the form of an endpoint's totals (%d numbers parsed)", text, parsed)
 	}
 	return counts, nil
 }
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -50,15 +50,15 @@
 	if restored, header, problem = s.openCopy(readOnly != nil); problem == nil {
 		problem = readOnly
 	}
-	switch e := problem.(type) {
+	switch readError := problem.(type) {
 	case *ReadOnlyError, *LockedError, *TooManyMovedError, *OperationError:
 		disabled = true
 	case *DamagedError:
-		disabled = e.MovedTo == "" // a new copy would overwrite the one that could not be moved
+		disabled = readError.MovedTo == "" // a new copy would overwrite the one that could not be moved
 	case *ForeignError:
-		disabled = e.MovedTo == ""
+		disabled = readError.MovedTo == ""
 	case *NewerFormatError:
-		disabled = e.MovedTo == ""
+		disabled = readError.MovedTo == ""
 	}
 	return restored, header, disabled || readOnly != nil, problem
 }
@@ -169,8 +169,8 @@
 // moveAside renames a copy that can't be used, unless maxMovedAside copies were moved aside already. It returns problem
 // with the new path set, or the error that prevented the move.
 func (s *Store) moveAside(problem operr.Error) operr.Error {
-	for n := 1; n <= maxMovedAside; n++ {
-		newPath := fmt.Sprintf("%s.aside-%d", s.path, n)
+	for number := 1; number <= maxMovedAside; number++ {
+		newPath := fmt.Sprintf("%s.aside-%d", s.path, number)
 		if _, err := os.Lstat(newPath); err == nil {
 			continue
 		}
@@ -180,13 +180,13 @@
 			}
 			return &OperationError{s.path, "move it aside", errors.Join(err, problem)}
 		}
-		switch e := problem.(type) {
+		switch moved := problem.(type) {
 		case *DamagedError:
-			e.MovedTo = newPath
+			moved.MovedTo = newPath
 		case *ForeignError:
-			e.MovedTo = newPath
+			moved.MovedTo = newPath
 		case *NewerFormatError:
-			e.MovedTo = newPath
+			moved.MovedTo = newPath
 		}
 		return problem
 	}
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -37,8 +37,8 @@
 	default:
 		report.Writable = false
 	}
-	if e := cmp.Or(s.problem, s.loadError); e != nil {
-		report.Problem, report.ErrorKind, report.Hint = e.Error(), e.Kind(), e.Hint()
+	if reported := cmp.Or(s.problem, s.loadError); reported != nil {
+		report.Problem, report.ErrorKind, report.Hint = reported.Error(), reported.Kind(), reported.Hint()
 	}
 	return report
 }
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -45,7 +45,7 @@
 	if size < 4*pageBytes {
 		return errTorn
 	}
-	v := &verifier{file: file}
+	fileVerifier := &verifier{file: file}
 	var rootPage, freelistPage, latestTransaction uint64
 	found := false
 	for metaPage := range uint64(2) {
@@ -64,21 +64,21 @@
 		}
 		if transaction := binary.LittleEndian.Uint64(meta[48:]); !found || transaction > latestTransaction {
 			found, latestTransaction = true, transaction
-			rootPage, freelistPage, v.pageCount = binary.LittleEndian.Uint64(meta[16:]), binary.LittleEndian.Uint64(meta[32:]), binary.LittleEndian.Uint64(meta[40:])
+			rootPage, freelistPage, fileVerifier.pageCount = binary.LittleEndian.Uint64(meta[16:]), binary.LittleEndian.Uint64(meta[32:]), binary.LittleEndian.Uint64(meta[40:])
 		}
 	}
 	switch {
 	case !found:
 		return errors.New("neither meta page is valid")
-	case v.pageCount < 4 || v.pageCount > 1<<31:
-		return fmt.Errorf("the page count is %d", v.pageCount)
-	case v.pageCount*pageBytes > uint64(size):
+	case fileVerifier.pageCount < 4 || fileVerifier.pageCount > 1<<31:
+		return fmt.Errorf("the page count is %d", fileVerifier.pageCount)
+	case fileVerifier.pageCount*pageBytes > uint64(size):
 		return errTorn
 	}
-	v.visited = make([]bool, v.pageCount)
-	v.visited[0], v.visited[1] = true, true
+	fileVerifier.visited = make([]bool, fileVerifier.pageCount)
+	fileVerifier.visited[0], fileVerifier.visited[1] = true, true
 	if freelistPage != noFreelist { // a new file has an empty freelist
-		page, err := v.readPage(freelistPage)
+		page, err := fileVerifier.readPage(freelistPage)
 		if err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 			return errors.New("the freelist page is not an empty freelist")
 		}
 	}
-	return v.verifyPage(rootPage, 0, nil, nil)
+	return fileVerifier.verifyPage(rootPage, 0, nil, nil)
 }
 
 func flagsAndCount(page []byte) (flags, count int) {
--- a/policy/crdt/spread_test.go
+++ b/policy/crdt/spread_test.go
@@ -67,8 +67,8 @@
 		SheddingLevel: {NewSheddingLevel("1", 200, 2, 1), NewSheddingLevel("1", 300, 3, 2),
 			func(s *Store) string {
 				out := ""
-				for _, e := range s.SheddingLevels(now) {
-					out += fmt.Sprintln(e.SheddingLevel())
+				for _, level := range s.SheddingLevels(now) {
+					out += fmt.Sprintln(level.SheddingLevel())
 				}
 				return out
 			}},
