--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -37,14 +37,14 @@
 	default:
 		report.Writable = false
 	}
-	if e := cmp.Or(s.problem, s.loadError); e != nil {
-		report.Problem, report.ErrorKind, report.Hint = e.Error(), e.Kind(), e.Hint()
+	if reported := cmp.Or(s.problem, s.loadError); reported != nil {
+		report.Problem, report.ErrorKind, report.Hint = reported.Error(), reported.Kind(), reported.Hint()
 	}
 	return report
 }
 
-// setProblem stores the current error for reports, and logs it once while its kind lasts. nil clears it, except for an
-// error that stopped writing for good.
+// setProblem stores the current error for reports, and logs it unless the previous error was of the same kind. nil
+// clears the error, unless it has disabled writing permanently.
 func (s *Store) setProblem(problem operr.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
