--- a/cmd/router/elf_test.go
+++ b/cmd/router/elf_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The platform preloads a library into the router's process, which requires a program that is linked dynamically against the C
-// library. The build command in deploy/balancer.toml must produce such a program.
+// The platform preloads a library into the router's process, which requires a program that is linked dynamically
+// against the C library. The build command in deploy/balancer.toml must produce such a program.
 func TestBuiltRouterIsDynamic(t *testing.T) {
 	deployFile, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -113,8 +113,8 @@
 	if err := rejectArguments(cmd); err != nil {
 		return err
 	}
-	// Signals are caught before the files are read, because they would end the program otherwise. Further SIGTERMs during the
-	// shutdown are ignored: requests in flight are completed.
+	// Signals are caught before the files are read, because they would end the program otherwise. Further SIGTERMs
+	// during the shutdown are ignored: requests in flight are completed.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/router/main_test.go
+++ b/cmd/router/main_test.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// start runs "router serve" with the test network's agent and the data server s1, and returns the path of its configuration.
+// start runs "router serve" with the test network's agent and the data server s1, and returns the path of its
+// configuration.
 func start(t *testing.T) (*nettest.Network, *exec.Cmd, string) {
 	t.Helper()
 	return startAs(t, program, "serve")
@@ -145,8 +146,8 @@
 	return nil, nil, ""
 }
 
-// The system may grant fewer descriptors than the router's configuration says. If they run out, each request in flight still gets
-// its one answer, new clients get an error, and new clients are served once descriptors are free again.
+// The system may grant fewer descriptors than the router's configuration says. If they run out, each request in flight
+// still gets its one answer, new clients get an error, and new clients are served once descriptors are free again.
 func TestOutOfDescriptors(t *testing.T) {
 	settings := nettest.WriteConfig(t, `{"admission":{"green_ms":3600000,"spare_ms":3600000,"crowd_share":0,"linger_ms":1}}`)
 	network, cmd, _ := startAs(t, "sh", "-c", "ulimit -n 40 && exec "+program+" serve --settings "+settings)
@@ -218,8 +219,8 @@
 	}
 }
 
-// The program serves from its initial endpoint list while discovery does not answer, then follows discovery, and on SIGTERM
-// completes the requests in flight.
+// The program serves from its initial endpoint list while discovery does not answer, then follows discovery, and on
+// SIGTERM completes the requests in flight.
 func TestServe(t *testing.T) {
 	network, cmd, _ := start(t)
 	network.Run(`
@@ -257,8 +258,9 @@
 	}
 }
 
-// On SIGHUP the program asks the agent that the reloaded file names for the whole endpoint list, even if NODE_DISCOVERY names
-// another, and serves from the old list until the answer. An invalid file changes nothing, and nothing ends the program.
+// On SIGHUP the program asks the agent that the reloaded file names for the whole endpoint list, even if NODE_DISCOVERY
+// names another, and serves from the old list until the answer. An invalid file changes nothing, and nothing ends the
+// program.
 func TestReload(t *testing.T) {
 	network, cmd, path := start(t)
 	reload := func(config string) {
@@ -335,7 +337,8 @@
 	}
 }
 
-// During the shutdown SIGHUP reloads as usual, and a second SIGTERM changes nothing: requests in flight get their answers.
+// During the shutdown SIGHUP reloads as usual, and a second SIGTERM changes nothing: requests in flight get their
+// answers.
 func TestSignalsWhileStopping(t *testing.T) {
 	network, cmd, path := start(t)
 	network.Run(`
@@ -370,8 +373,9 @@
 	}
 }
 
-// Idle clients may use all descriptors that clients are allowed while discovery does not answer. New clients are still served, data
-// servers are reached, the endpoint list is updated once discovery answers, and the program never exceeds its descriptor limit.
+// Idle clients may use all descriptors that clients are allowed while discovery does not answer. New clients are still
+// served, data servers are reached, the endpoint list is updated once discovery answers, and the program never exceeds
+// its descriptor limit.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	const maxDescriptors = 64
 	settings := nettest.WriteConfig(t, `{"admission":{"shared":["0.0.0.0/0"]}}`)
--- a/cmd/routerctl/main.go
+++ b/cmd/routerctl/main.go
@@ -1,5 +1,5 @@
-// Command routerctl is the operators' tool: it renders settings, checks contracts, queries running routers, evaluates logs, and
-// runs experiments with routers on this machine.
+// Command routerctl is the operators' tool: it renders settings, checks contracts, queries running routers, evaluates
+// logs, and runs experiments with routers on this machine.
 package main
 
 import (
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs router instances for the simulator: it reads one batch per line from standard input and writes one reply
-// per line to standard output.
+// Command simadapter runs router instances for the simulator: it reads one batch per line from standard input and
+// writes one reply per line to standard output.
 package main
 
 import (
--- a/deploy/admission.jsonnet
+++ b/deploy/admission.jsonnet
@@ -1,5 +1,5 @@
-// Admission for routers behind a front, where an address says nothing of who a client is: no caps for
-// single addresses, but the tighter state under pressure, and a word for those who are turned away.
+// Admission for routers behind a proxy, where the address does not identify a client: no limits per address, but
+// tighter limits under pressure, and an error with a retry delay for rejected clients.
 {
   admission: {
     shared: ['0.0.0.0/0', '::/0'],
--- a/deploy/contracts.jsonnet
+++ b/deploy/contracts.jsonnet
@@ -1,2 +1,2 @@
-// An installation's settings with contracts, as an example; the platform's run does not use it.
+// Example of an installation's settings with contracts. The routers on the platform do not use it.
 (import 'contracts.libsonnet')(3) + { accounts: { every_s: 60 } }
--- a/deploy/contracts.libsonnet
+++ b/deploy/contracts.libsonnet
@@ -1,7 +1,7 @@
-// Contracts of the two teams that share Oberland's routers, for a fleet of so many groups.
+// Contracts of the two teams that share Oberland's routers, for a fleet with the given number of groups.
 function(groups=3) {
   contracts: {
-    // Each router sees 15 to 45% of a team's traffic.
+    // Each router gets 15 to 45% of a team's traffic.
     skew: 0.45,
     utc_offset_min: 60,
     fleet: { groups: groups, primary_per_s: 28, primary_use: 0.78, cost: { ausleihe: 1 } },
--- a/deploy/feeds.jsonnet
+++ b/deploy/feeds.jsonnet
@@ -1,9 +1,9 @@
-// A router's own settings for an installation whose readers follow feeds of changes: `lotushook serve --settings feeds.json`.
-// "meldungen" must be a class of the platform's, of reads that may be repeated.
+// Settings for an installation with change feeds: `lotushook serve --settings feeds.json`. The platform must configure
+// "meldungen" as a class of reads that may be retried.
 {
   feeds: {
     classes: { meldungen: { kind: 'feed' } },
-    most_cursors: 100000,  // some 16 MB
+    most_cursors: 100000,  // about 16 MB
     ring_events: 1024,
     fresh_ms: 250,
     again_ms: 1000,
--- a/deploy/files.go
+++ b/deploy/files.go
@@ -1,10 +1,9 @@
-// Package deploy carries the experiments, so that the operators' tool has them
-// wherever it is started.
+// Package deploy embeds the experiments, so that routerctl can run them from any folder.
 package deploy
 
 import "embed"
 
-// Files are the experiments and what they import.
+// Files contains the experiments and the files that they import.
 //
 //go:embed lab contracts.libsonnet lanes.libsonnet
 var Files embed.FS
--- a/deploy/lab/admission-flood.jsonnet
+++ b/deploy/lab/admission-flood.jsonnet
@@ -1,5 +1,5 @@
-// A flood of connections from two addresses against a router with few descriptors: with admission, without
-// it, and the calm that both are held against.
+// A flood of connections from two addresses against a router with few descriptors, with and without admission, compared
+// with a run without the flood.
 local lab = import 'common.libsonnet';
 local good = { clients: 10, mix: lab.mix, pause_ms: 0 };
 {
@@ -33,7 +33,7 @@
     { name: 'calm', own: own },
     { name: 'without', floods: ['mute', 'half'] },
     { name: 'admission', own: own, floods: ['mute', 'half'] },
-    // The system grants fewer descriptors than the router was told of: they end with requests in flight.
+    // The system grants fewer descriptors than the router's configuration says: they run out with requests in flight.
     { name: 'short', own: own, floods: ['mute', 'half'], descriptors: 60 },
   ],
   checks: [
--- a/deploy/lab/cold-member.jsonnet
+++ b/deploy/lab/cold-member.jsonnet
@@ -1,4 +1,5 @@
-// A primary of each group dies and is back cold 1.5 s later, without any fault of a router: what is left must carry the load.
+// The primary of each group is killed and restarts with cold caches 1.5 s later. The routers have no fault: the
+// remaining servers must carry the load.
 local lab = import 'common.libsonnet';
 local load = 'clients';
 local all(at, what) = [{ at_s: at, do: what, server: s } for s in ['s-1-1', 's-2-1', 's-3-1']];
--- a/deploy/lab/common.libsonnet
+++ b/deploy/lab/common.libsonnet
@@ -1,14 +1,14 @@
-// What the experiments share: a small deployment in the shape of Oberland's, with work, aims and
-// waits scaled to what one machine can play.
+// Shared by the experiments: a small deployment modelled on Oberland's, with work, latency objectives and deadlines
+// scaled to one machine.
 {
   local ms = 1000000,
-  // Clients and data servers see a class so.
+  // The classes as clients and data servers use them.
   classes: {
     'katalog-lesen': { read: 'bounded', bound_ms: 300, aim_ms: 250, wait_ms: 1000, worth: 3, work_ms: [7, 12] },
     'eigene-lesen': { read: 'session', aim_ms: 250, wait_ms: 1000, worth: 1, work_ms: [7, 12] },
     ausleihe: { read: 'write', aim_ms: 1200, wait_ms: 3000, worth: 6, work_ms: [10, 18] },
   },
-  // The same as the platform tells it to a router.
+  // The same classes in the configuration that the platform gives to a router.
   platform(classes=$.classes, routers=1):: {
     local names = ['katalog-lesen', 'eigene-lesen', 'ausleihe'],
     balancers: routers,
--- a/deploy/lab/demo.jsonnet
+++ b/deploy/lab/demo.jsonnet
@@ -1,4 +1,4 @@
-// The newcomer's first run: a fleet, three routers, a load of 20 s, and a router that dies.
+// Introductory demo: three routers in front of a fleet under load for 20 s; one router is killed.
 local lab = import 'common.libsonnet';
 {
   name: 'demo',
--- a/deploy/lab/feeds.jsonnet
+++ b/deploy/lab/feeds.jsonnet
@@ -1,4 +1,5 @@
-// Subscribers of feeds before seven routers: what each was told, held against the data servers' log.
+// Subscribers of change feeds connected to seven routers: the events that each received are compared with the data
+// servers' log.
 local lab = import 'common.libsonnet';
 local feed = 'meldungen';
 local classes = lab.classes { [feed]: { read: 'feed', aim_ms: 500, wait_ms: 1500, worth: 1, work_ms: [2, 4] } };
--- a/deploy/lab/lanes.jsonnet
+++ b/deploy/lab/lanes.jsonnet
@@ -1,5 +1,6 @@
-// Regular accounts ask 2.5 times as much as usual: with lanes that the routers agree on, with lanes that each keeps alone, and
-// without; even and skewed, and with a router killed, 30% of the reports lost, and the routers split.
+// Regular accounts send 2.5 times their usual requests: with priority classes whose shedding the routers agree on, with
+// each router shedding on its own, and without priority classes; with even and skewed load, a router killed, 30% of the
+// reports lost, and a network partition.
 local lab = import 'common.libsonnet';
 local classes = {
   'katalog-lesen': lab.classes['katalog-lesen'] { aim_ms: 500, wait_ms: 2000, work_ms: [40, 60] },
--- a/deploy/lab/membership-cost.jsonnet
+++ b/deploy/lab/membership-cost.jsonnet
@@ -1,5 +1,5 @@
-// What membership costs a router that has next to nothing else to do: the rest of its CPU time is the requests'. At 700
-// requests a second equal turns differ by three quarters, which hides it.
+// CPU cost of membership on a router with almost no other work; the rest of its CPU time serves requests. At 700
+// requests per second the CPU time of equal runs varies by three quarters, which hides the cost.
 local lab = import 'common.libsonnet';
 local classes = { [c]: lab.classes[c] { work_ms: [0, 0] } for c in std.objectFields(lab.classes) };
 {
--- a/deploy/lab/membership-half.jsonnet
+++ b/deploy/lab/membership-half.jsonnet
@@ -1,4 +1,5 @@
-// Four of nine routers die under a surge: parts that follow the members against fixed ones.
+// Four of nine routers are killed during a surge: shares that follow the number of live members compared with fixed
+// shares.
 local surge = import 'team-surge.jsonnet';
 local lab = import 'common.libsonnet';
 local own = (import '../contracts.libsonnet')(2);
@@ -15,7 +16,7 @@
     { name: 'fixed', events: dead, members: { period_ms: 100, wait_ms: 40, alone: 1 } },
   ],
   checks: [
-    // Both arms follow: a router that is seen to carry more of the load lets more through by itself.
+    // In both arms the limits follow the load: a router that is observed to serve more of it admits more by itself.
     { name: "counters' worth, followed against fixed", value: 'followed.counters.worth_share', over: 'fixed.counters.worth_share', min: 0.95 },
     { name: "lending's worth, followed against fixed", value: 'followed.lending.worth_share', over: 'fixed.lending.worth_share', min: 0.95 },
     { name: 'parts of all that are left, followed', value: 'followed.members.parts_last', min: 0.7 },
--- a/deploy/lab/membership.jsonnet
+++ b/deploy/lab/membership.jsonnet
@@ -1,4 +1,4 @@
-// Seven routers that know each other, over links that fail: what each believes, against what was done to it.
+// Seven routers in one cluster with failing links: the view of each router is compared with the injected faults.
 local lab = import 'common.libsonnet';
 local all = std.range(0, 6);
 local link(at, from, to, fault={}) = { at_s: at, do: 'link', from: from, to: to, link: fault };
@@ -9,7 +9,7 @@
 local faults = {
   calm: [],
   loss: [link(1, [], [], lossy), healed(20)],
-  // One is stopped for a second, another for five while two restart, a third runs at a tenth of its speed.
+  // One router is paused for a second, another for five while two restart, and a third runs at a tenth of its speed.
   pauses: [
     { at_s: 2, do: 'pause', router: 1 },
     { at_s: 3, do: 'resume', router: 1 },
@@ -22,7 +22,7 @@
     { at_s: 13, do: 'throttle', router: 5, times: 0.1 },
     { at_s: 21, do: 'free', router: 5 },
   ],
-  // 1 to 3 is cut; then 2 hears nobody; then 4 is heard by nobody.
+  // The link from 1 to 3 is cut; then 2 receives nothing; then nobody receives from 4.
   'one-sided': [
     link(1, [1], [3], cut),
     healed(8),
--- a/deploy/lab/overhead.jsonnet
+++ b/deploy/lab/overhead.jsonnet
@@ -1,4 +1,5 @@
-// What a router adds to a direct connection, and the most that one core serves. Later work is held against it.
+// Latency that a router adds to a direct connection, and the max throughput of one core. Serves as the baseline for
+// later changes.
 local lab = import 'common.libsonnet';
 local classes = { [c]: lab.classes[c] { work_ms: [0, 0] } for c in std.objectFields(lab.classes) };
 local reads = { 'katalog-lesen': 1 };
--- a/deploy/lab/refusals.jsonnet
+++ b/deploy/lab/refusals.jsonnet
@@ -1,4 +1,4 @@
-// How many connections one core refuses in a second, and what that takes from requests in flight.
+// The rate at which one core rejects connections, and the effect on requests in flight.
 local lab = import 'common.libsonnet';
 {
   name: 'refusals',
--- a/deploy/lab/restart-soak.jsonnet
+++ b/deploy/lab/restart-soak.jsonnet
@@ -1,5 +1,5 @@
-// Routers that restart, reload and are told to end in every order, under clients that go on until the end, before data servers that
-// hang, drain, reset and come up late, and with discovery that falls silent. All is drawn from the seed, also which settings are played.
+// Routers restart, reload and get SIGTERM in every order, while clients send requests until the end, data servers hang,
+// drain, reset and start late, and discovery stops answering. The seed determines all faults and the settings.
 local lab = import 'common.libsonnet';
 local ms = 1000000;
 local withClasses(change) = { [n]: lab.classes[n] + change(lab.classes[n]) for n in std.objectFields(lab.classes) };
--- a/deploy/lab/return.jsonnet
+++ b/deploy/lab/return.jsonnet
@@ -1,5 +1,5 @@
-// Routers that come back: five of seven and all of them killed at once, and an overload that clients keep up by asking again
-// at once, each with recovery and without.
+// Routers that restart: five of seven and all seven killed at once, and an overload that immediate client retries
+// sustain, each with and without recovery.
 local lab = import 'common.libsonnet';
 local budgets = { dials_per_s: 1000, probes_per_s: 300, lists_per_s: 20, sends_per_s: 2500 };
 local own = { log: { totals_ms: 1000 } };
@@ -9,12 +9,12 @@
 local faults = {
   five: down(all[:5]),
   all: down(all),
-  // All work takes two and a half times as long for three seconds.
+  // All requests take 2.5 times as long for three seconds.
   trigger: [{ at_s: 3, do: 'burden', server: '*', times: 2.5 }, { at_s: 6, do: 'burden', server: '*', times: 1 }],
 };
 local arms = std.objectFields(faults);
-// The trigger does not make a metastable overload before the module as it is: without recovery it is over at once too.
-// Left for the copy on disk: all killed with their disks, wiped, and with old copies put back.
+// The trigger causes no metastable overload in the current code: without recovery the overload ends at once too. Not
+// covered yet, for the state persisted on disk: all routers killed with wiped disks, and with an old state restored.
 {
   name: 'return',
   about: 'Seven routers, 2,000 requests a second, clients that are refused ask again at once, three times. Calm; five of seven killed and ' +
--- a/deploy/lab/shared-state.jsonnet
+++ b/deploy/lab/shared-state.jsonnet
@@ -1,5 +1,5 @@
-// Sessions that roam: each request comes to another router, and no client brings its last commit along. With and without the
-// routers telling each other the commits that they saw.
+// Sessions that roam: each request goes to another router, and no client sends its last commit. With and without the
+// routers propagating commits.
 local lab = import 'common.libsonnet';
 local on = { period_ms: 200, share: true };
 local lossy = { loss: 0.3, jitter_ms: 20 };
--- a/deploy/lab/team-surge.jsonnet
+++ b/deploy/lab/team-surge.jsonnet
@@ -1,5 +1,5 @@
-// One team asks for 2.5 times as much as usual while another goes on as always: with contracts and without,
-// and the same with a router that dies in the surge.
+// One team sends 2.5 times its usual load while another sends its usual load: with and without contracts, and the same
+// with a router killed during the surge.
 local lab = import 'common.libsonnet';
 local classes = {
   'katalog-lesen': lab.classes['katalog-lesen'] { aim_ms: 500, wait_ms: 2000, work_ms: [70, 120] },
@@ -34,7 +34,7 @@
     { name: "counters' requests refused by the contracts", value: 'contracts.counters.by_contract', max: 0 },
     { name: "counters' requests refused for any reason, share", value: 'contracts.counters.refused_share', max: 0.01 },
     { name: "lending's borrows served a second, of 24 contracted", value: 'contracts.lending.ausleihe_served_per_s', min: 24 },
-    // Without contracts both primaries are full of work that comes too late.
+    // Without contracts both primaries are saturated with requests that miss their deadlines.
     { name: 'writes done, against none', value: 'contracts.servers.writes', over: 'without.servers.writes', min: 0.85 },
     { name: "a router dies: counters' borrows within 1.2 s", value: 'killed.counters.ausleihe_aim_share', min: 0.95 },
     { name: "a router dies: lending's borrows served a second", value: 'killed.lending.ausleihe_served_per_s', min: 24 },
--- a/deploy/lanes.libsonnet
+++ b/deploy/lanes.libsonnet
@@ -1,4 +1,5 @@
-// Contracts with three lanes: what premium readers ask within their entitlement is shed last, by all routers the same.
+// Contracts with three priority classes: requests of premium readers within their limits are shed last, by all routers
+// alike.
 {
   local classes = { [c]: { per_s: 10000, burst: 10000 } for c in ['katalog-lesen', 'eigene-lesen', 'ausleihe'] },
   contracts: {
--- a/deploy/members.jsonnet
+++ b/deploy/members.jsonnet
@@ -1,5 +1,5 @@
-// An example for an installation whose routers can reach one another: seven routers, seeds in three halls. Not for the
-// platform, which has no talk among instances.
+// Example for an installation whose routers can reach each other: seven routers, with seeds in three zones. Not for the
+// platform, where routers can't communicate.
 local at(i) = '10.7.%d.%d:7400' % [i % 3, 10 + i];
 local count = 7;
 {
--- a/internal/fleetreport/fleetreport.go
+++ b/internal/fleetreport/fleetreport.go
@@ -1,5 +1,5 @@
-// Package fleetreport summarizes the logs of many routers: counts over time, outliers among data servers and routers, and the trace
-// of one request across all routers.
+// Package fleetreport summarizes the logs of many routers: counts over time, outliers among data servers and routers,
+// and the trace of one request across all routers.
 package fleetreport
 
 import (
@@ -209,8 +209,8 @@
 	Distance        float64 // of the count from the median, as a multiple of the median absolute deviation
 }
 
-// A count is an outlier if its distance from the median is at least minOutlierDistance median absolute deviations and minOutlierCount:
-// a count of 2 where most routers have none is not worth reporting.
+// A count is an outlier if its distance from the median is at least minOutlierDistance median absolute deviations and
+// minOutlierCount: a count of 2 where most routers have none is not worth reporting.
 const (
 	minOutlierDistance = 12
 	minOutlierCount    = 20
--- a/internal/fleetreport/fleetreport_test.go
+++ b/internal/fleetreport/fleetreport_test.go
@@ -24,7 +24,8 @@
 	return dir
 }
 
-// Counts of all routers are added up by time and by data server. Truncated lines and lines of other programs are skipped.
+// Counts of all routers are added up by time and by data server. Truncated lines and lines of other programs are
+// skipped.
 func TestRead(t *testing.T) {
 	prefix := func(second int) string { return fmt.Sprintf("time=2026-12-01T10:00:%02d.000Z level=INFO ", second) }
 	dir := writeLogs(t, map[string]string{
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug says that a broken invariant stops the program.
+// Debug is whether a violated invariant panics.
 const Debug = true
--- a/internal/knownred/entry.go
+++ b/internal/knownred/entry.go
@@ -1,5 +1,5 @@
-// Command knownred reads the list of tests that are known to fail. It says which tests an ordinary run skips, and plays each listed
-// case by its own command, so that a fault that is gone is noticed. test.sh calls it; nothing else does.
+// Command knownred reads the list of tests that are known to fail. It prints which tests an ordinary run skips, and
+// runs each listed test with its own flags, so that a fault that no longer occurs is noticed. Only test.sh calls it.
 package main
 
 import (
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Entry is one line of the list: a case that fails for a fault that is not mended yet.
+// Entry is one line of the list: a test that fails because of a fault that is not fixed yet.
 type Entry struct {
-	Package string // as go test takes it: ./policy/crdt
-	Test    string // as -run takes it, with subtests after slashes
-	Flags   string // of go test, which make it fail; "": none, and the ordinary run skips the test
-	Seen    string // what it shows
-	Cause   string // as far as it is known
-	Issue   string // where the work on it is recorded
+	Package string // argument of go test, such as ./policy/crdt
+	Test    string // name of the test, with subtests after slashes
+	Flags   string // flags of go test that make it fail; "": it fails without flags, so the ordinary run skips it
+	Seen    string // the symptom
+	Cause   string // as far as known
+	Issue   string // where the work on the fault is recorded
 }
 
 const (
@@ -26,7 +26,7 @@
 	noFlags   = "-"
 )
 
-// LineError says which line of the list can't be read.
+// LineError reports a line of the list that can't be parsed.
 type LineError struct {
 	Line   int
 	Reason string
@@ -35,12 +35,12 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Reason) }
 
-// Hint says what to do about it.
+// Hint describes the expected format.
 func (e *LineError) Hint() string {
-	return "write: package | test | flags or - | what is seen | cause | issue"
+	return "write: package | test | flags or - | symptom | cause | issue"
 }
 
-// Parse reads a list. Lines that begin with # and empty lines are comments.
+// Parse parses a list. Empty lines and lines that begin with # are ignored.
 func Parse(text string) ([]Entry, error) {
 	var list []Entry
 	for i, line := range strings.Split(text, "\n") {
@@ -48,29 +48,29 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		part := strings.Split(line, separator)
-		if len(part) != fields {
-			return nil, &LineError{i + 1, fmt.Sprintf("%d fields, not %d", len(part), fields)}
+		parts := strings.Split(line, separator)
+		if len(parts) != fields {
+			return nil, &LineError{i + 1, fmt.Sprintf("%d fields, not %d", len(parts), fields)}
 		}
-		for k := range part {
-			if part[k] = strings.TrimSpace(part[k]); part[k] == "" {
+		for k := range parts {
+			if parts[k] = strings.TrimSpace(parts[k]); parts[k] == "" {
 				return nil, &LineError{i + 1, fmt.Sprintf("field %d is empty", k+1)}
 			}
 		}
-		e := Entry{part[0], part[1], part[2], part[3], part[4], part[5]}
-		if e.Flags == noFlags {
-			e.Flags = ""
+		entry := Entry{parts[0], parts[1], parts[2], parts[3], parts[4], parts[5]}
+		if entry.Flags == noFlags {
+			entry.Flags = ""
 		}
-		if !strings.HasPrefix(e.Package, "./") || !strings.HasPrefix(e.Test, "Test") {
-			return nil, &LineError{i + 1, "the package begins with ./ and the test with Test"}
+		if !strings.HasPrefix(entry.Package, "./") || !strings.HasPrefix(entry.Test, "Test") {
+			return nil, &LineError{i + 1, "the package must begin with ./ and the test with Test"}
 		}
-		list = append(list, e)
+		list = append(list, entry)
 	}
 	return list, nil
 }
 
-// read reads a list from a file; one that is not there is empty.
-func read(path string) ([]Entry, error) {
+// readList reads a list from a file; a missing file is an empty list.
+func readList(path string) ([]Entry, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -81,19 +81,19 @@
 	return Parse(string(text))
 }
 
-// SkipPattern is what -skip takes in the ordinary run of a package: the tests that fail without further flags.
+// SkipPattern returns the -skip argument for the ordinary run of a package: the tests that fail without further flags.
 func SkipPattern(list []Entry, pkg string) string {
 	var patterns []string
-	for _, e := range list {
-		if e.Package == pkg && e.Flags == "" {
-			patterns = append(patterns, pattern(e.Test))
+	for _, entry := range list {
+		if entry.Package == pkg && entry.Flags == "" {
+			patterns = append(patterns, testPattern(entry.Test))
 		}
 	}
 	return strings.Join(patterns, "|")
 }
 
-// pattern matches one test exactly.
-func pattern(test string) string {
+// testPattern returns a -run argument that matches exactly one test.
+func testPattern(test string) string {
 	parts := strings.Split(test, "/")
 	for i := range parts {
 		parts[i] = "^" + parts[i] + "$"
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -10,55 +10,55 @@
 	"strings"
 )
 
-const usage = `knownred [-list FILE] packages      print the packages of which the ordinary run skips tests
-knownred [-list FILE] skip PACKAGE  print what -skip takes for one
-knownred [-list FILE] play          play each listed case, and say whether it still fails`
+const usage = `knownred [-list FILE] packages      print the packages in which the ordinary run skips tests
+knownred [-list FILE] skip PACKAGE  print the -skip argument for a package
+knownred [-list FILE] play          run each listed test, and report whether it still fails`
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "the list of tests that are known to fail")
+	list := flag.String("list", "KNOWN-RED.txt", "file that lists the tests known to fail")
 	flag.Parse()
-	if err := run(os.Stdout, *list, flag.Args(), goTest); err != nil {
+	if err := run(os.Stdout, *list, flag.Args(), runGoTest); err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
-		if h, ok := err.(interface{ Hint() string }); ok {
-			fmt.Fprintln(os.Stderr, h.Hint())
+		if hinted, ok := err.(interface{ Hint() string }); ok {
+			fmt.Fprintln(os.Stderr, hinted.Hint())
 		}
 		os.Exit(1)
 	}
 }
 
-// tester runs go test with arguments and returns what it printed, and whether it passed.
-type tester func(args ...string) (output string, passed bool)
+// testRunner runs go test with arguments and returns its output and whether it passed.
+type testRunner func(args ...string) (output string, passed bool)
 
-func goTest(args ...string) (string, bool) {
+func runGoTest(args ...string) (string, bool) {
 	out, err := exec.Command("go", append([]string{"test"}, args...)...).CombinedOutput()
 	return string(out), err == nil
 }
 
-func run(w io.Writer, path string, args []string, test tester) error {
-	list, err := read(path)
+func run(out io.Writer, path string, args []string, runTest testRunner) error {
+	list, err := readList(path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	switch {
 	case len(args) == 1 && args[0] == "packages":
 		var packages []string
-		for _, e := range list {
-			if e.Flags == "" && !slices.Contains(packages, e.Package) {
-				packages = append(packages, e.Package)
+		for _, entry := range list {
+			if entry.Flags == "" && !slices.Contains(packages, entry.Package) {
+				packages = append(packages, entry.Package)
 			}
 		}
-		fmt.Fprintln(w, strings.Join(packages, "\n"))
+		fmt.Fprintln(out, strings.Join(packages, "\n"))
 	case len(args) == 2 && args[0] == "skip":
-		fmt.Fprintln(w, SkipPattern(list, args[1]))
+		fmt.Fprintln(out, SkipPattern(list, args[1]))
 	case len(args) == 1 && args[0] == "play":
-		return play(w, list, test)
+		return runListed(out, list, runTest)
 	default:
 		return fmt.Errorf("usage:\n%s", usage)
 	}
 	return nil
 }
 
-// MissingTestError says that an entry names a test that does not exist.
+// MissingTestError reports an entry whose test does not exist.
 type MissingTestError struct{ Entry Entry }
 
 // Error implements error.
@@ -66,25 +66,25 @@
 	return fmt.Sprintf("%s has no test %s", e.Entry.Package, e.Entry.Test)
 }
 
-// Hint says what to do about it.
+// Hint describes how to correct the entry.
 func (e *MissingTestError) Hint() string {
-	return "write the test's present name, or take the entry off the list if the test has gone for a reason that its commit gives"
+	return "write the test's current name, or remove the entry if the commit that removed the test gives a reason"
 }
 
-// play plays all entries. It fails only where one names a test that does not exist: that a case fails is known, and that one
-// passes is for people to look into.
-func play(w io.Writer, list []Entry, test tester) error {
-	for _, e := range list {
-		name, _, _ := strings.Cut(e.Test, "/")
-		if out, _ := test("-list", pattern(name), e.Package); !slices.Contains(strings.Split(out, "\n"), name) {
-			return &MissingTestError{e}
+// runListed runs all entries. It fails only if an entry names a test that does not exist: a failure is expected, and a
+// pass needs an investigation before its entry may be removed.
+func runListed(out io.Writer, list []Entry, runTest testRunner) error {
+	for _, entry := range list {
+		name, _, _ := strings.Cut(entry.Test, "/")
+		if output, _ := runTest("-list", testPattern(name), entry.Package); !slices.Contains(strings.Split(output, "\n"), name) {
+			return &MissingTestError{entry}
 		}
 		verdict := "fails as listed"
-		args := append([]string{"-count=1", "-run", pattern(e.Test), e.Package}, strings.Fields(e.Flags)...)
-		if _, passed := test(args...); passed {
-			verdict = "passes now: trace why before taking it off the list"
+		args := append([]string{"-count=1", "-run", testPattern(entry.Test), entry.Package}, strings.Fields(entry.Flags)...)
+		if _, passed := runTest(args...); passed {
+			verdict = "passes now: find the reason before removing it from the list"
 		}
-		fmt.Fprintf(w, "known: %s %s: %s\n  seen: %s\n  cause: %s\n  issue: %s\n  play: go test %s\n", e.Package, e.Test, verdict, e.Seen, e.Cause, e.Issue, strings.Join(args, " "))
+		fmt.Fprintf(out, "known: %s %s: %s\n  seen: %s\n  cause: %s\n  issue: %s\n  play: go test %s\n", entry.Package, entry.Test, verdict, entry.Seen, entry.Cause, entry.Issue, strings.Join(args, " "))
 	}
 	return nil
 }
--- a/internal/replaytest/digest.go
+++ b/internal/replaytest/digest.go
@@ -1,9 +1,8 @@
-// Package replaytest guards a refactoring: it drives a decision package with a
-// drawn history and compares a digest of everything that the package returned
-// with a recorded one. Only tests import it.
+// Package replaytest checks that a refactoring changes no decision: it calls a decision package with random arguments
+// from a seed and compares a digest of all returned values with a recorded one. Only tests import it.
 //
-// The digest covers values, not the names of types, fields or constants, so
-// that a rename leaves it as it is while a changed decision does not.
+// The digest covers values, not the names of types, fields or constants, so a rename does not change it but a different
+// decision does.
 package replaytest
 
 import (
@@ -17,8 +16,8 @@
 	"testing"
 )
 
-// Digest accumulates values. Of an error only its presence counts, and fields
-// named in Skip are left out: texts for people may change.
+// Digest accumulates values. Of an error only its presence counts, and fields named in Skip are left out, because texts
+// for people may change.
 type Digest struct {
 	Skip   []string
 	hash   hash.Hash64
@@ -30,19 +29,19 @@
 	return &Digest{Skip: skip, hash: fnv.New64a()}
 }
 
-// Add takes values in, in order.
+// Add appends values to the digest.
 func (d *Digest) Add(values ...any) {
 	for _, value := range values {
 		d.add(reflect.ValueOf(value))
 	}
 }
 
-// Sum is the digest of all values so far, with their number.
+// Sum returns the digest of all values so far, and their number.
 func (d *Digest) Sum() string {
 	return fmt.Sprintf("%016x/%d", d.hash.Sum64(), d.values)
 }
 
-// Check fails the test unless the digest is the recorded one.
+// Check fails the test unless the digest equals the recorded one.
 func (d *Digest) Check(tb testing.TB, recorded string) {
 	tb.Helper()
 	if got := d.Sum(); got != recorded {
@@ -50,60 +49,60 @@
 	}
 }
 
-func (d *Digest) hashWord(w uint64) {
+func (d *Digest) hashWord(word uint64) {
 	var bytes [8]byte
-	binary.LittleEndian.PutUint64(bytes[:], w)
+	binary.LittleEndian.PutUint64(bytes[:], word)
 	d.hash.Write(bytes[:])
 	d.values++
 }
 
 var errorType = reflect.TypeFor[error]()
 
-func (d *Digest) add(v reflect.Value) {
-	if !v.IsValid() {
+func (d *Digest) add(value reflect.Value) {
+	if !value.IsValid() {
 		d.hashWord(0)
 		return
 	}
-	if v.Type().Implements(errorType) {
+	if value.Type().Implements(errorType) {
 		d.hashWord(1)
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Bool:
-		if v.Bool() {
+		if value.Bool() {
 			d.hashWord(1)
 		} else {
 			d.hashWord(0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.hashWord(uint64(v.Int()))
+		d.hashWord(uint64(value.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.hashWord(v.Uint())
+		d.hashWord(value.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.hashWord(math.Float64bits(v.Float()))
+		d.hashWord(math.Float64bits(value.Float()))
 	case reflect.String:
-		d.hashWord(uint64(v.Len()))
-		d.hash.Write([]byte(v.String()))
+		d.hashWord(uint64(value.Len()))
+		d.hash.Write([]byte(value.String()))
 	case reflect.Slice, reflect.Array:
-		d.hashWord(uint64(v.Len()))
-		for i := range v.Len() {
-			d.add(v.Index(i))
+		d.hashWord(uint64(value.Len()))
+		for i := range value.Len() {
+			d.add(value.Index(i))
 		}
 	case reflect.Map:
-		d.addMap(v)
+		d.addMap(value)
 	case reflect.Pointer, reflect.Interface:
-		d.add(v.Elem())
+		d.add(value.Elem())
 	case reflect.Struct:
-		d.addStruct(v)
+		d.addStruct(value)
 	default:
-		panic(fmt.Sprintf("replaytest: no digest of a %s", v.Type()))
+		panic(fmt.Sprintf("replaytest: values of type %s are not supported", value.Type()))
 	}
 }
 
-// addMap takes the entries in by the order of their own digests.
-func (d *Digest) addMap(v reflect.Value) {
-	entries := make([]string, 0, v.Len())
-	for iterator := v.MapRange(); iterator.Next(); {
+// addMap adds the entries sorted by their own digests, because the order of iteration is random.
+func (d *Digest) addMap(value reflect.Value) {
+	entries := make([]string, 0, value.Len())
+	for iterator := value.MapRange(); iterator.Next(); {
 		entry := NewDigest(d.Skip...)
 		entry.add(iterator.Key())
 		entry.add(iterator.Value())
@@ -113,11 +112,11 @@
 	d.Add(entries)
 }
 
-func (d *Digest) addStruct(v reflect.Value) {
-	for i := range v.NumField() {
-		field := v.Type().Field(i)
+func (d *Digest) addStruct(value reflect.Value) {
+	for i := range value.NumField() {
+		field := value.Type().Field(i)
 		if field.IsExported() && !slices.Contains(d.Skip, field.Name) {
-			d.add(v.Field(i))
+			d.add(value.Field(i))
 		}
 	}
 }
--- a/internal/replaytest/drive.go
+++ b/internal/replaytest/drive.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	textPool   = 6    // distinct strings, so that drawn names meet again
-	smallRange = 6    // distinct small numbers
-	longestGap = 40e6 // nanoseconds between two calls, usually
-	pauseGap   = 3e9  // nanoseconds, once in a while
+	distinctTexts = 6    // few, so that names recur
+	distinctInts  = 6    // few, so that numbers recur
+	maxGapNS      = 40e6 // between two calls
+	maxPauseNS    = 3e9  // the same, for one call in 50 on average
 )
 
-// Driver draws arguments and calls methods with them.
+// Driver calls functions with random arguments.
 type Driver struct {
-	Now    int64 // the clock that drawn int64 values follow
+	Now    int64 // the simulated time, from which int64 arguments are derived
 	random *rand.Rand
 	digest *Digest
 }
 
-// NewDriver returns a driver whose draws follow from the seed and whose results go to the digest.
+// NewDriver returns a driver whose random choices depend on the seed only, and which adds all results to the digest.
 func NewDriver(seed uint64, digest *Digest) *Driver {
 	return &Driver{Now: 5_000e9, random: rand.New(rand.NewPCG(seed, 1)), digest: digest}
 }
 
-// Run calls drawn ones of the functions so many times and digests what they return and what they changed behind pointers.
+// Run makes steps calls of randomly chosen functions, and adds their results and the targets of pointer arguments to
+// the digest.
 func (d *Driver) Run(steps int, functions ...any) {
 	for range steps {
 		d.advance()
@@ -35,18 +36,18 @@
 }
 
 func (d *Driver) advance() {
-	gap := int64(longestGap)
+	gap := int64(maxGapNS)
 	if d.random.IntN(50) == 0 {
-		gap = pauseGap
+		gap = maxPauseNS
 	}
 	d.Now += 1 + d.random.Int64N(gap)
 }
 
 func (d *Driver) call(function reflect.Value) {
-	kind := function.Type()
-	arguments := make([]reflect.Value, kind.NumIn())
+	signature := function.Type()
+	arguments := make([]reflect.Value, signature.NumIn())
 	for i := range arguments {
-		arguments[i] = d.draw(kind.In(i))
+		arguments[i] = d.draw(signature.In(i))
 	}
 	for _, result := range function.Call(arguments) {
 		d.digest.add(result)
@@ -58,86 +59,86 @@
 	}
 }
 
-// IntN draws a number below n.
+// IntN returns a random number below n.
 func (d *Driver) IntN(n int) int { return d.random.IntN(n) }
 
-// Text draws one of few strings.
-func (d *Driver) Text() string { return fmt.Sprintf("r-%d", d.random.IntN(textPool)) }
+// Text returns one of a few strings.
+func (d *Driver) Text() string { return fmt.Sprintf("r-%d", d.random.IntN(distinctTexts)) }
 
-// draw makes a value of a type. An int64 is the present time or, in a struct, a drawn span or past time.
-func (d *Driver) draw(kind reflect.Type) reflect.Value {
-	v := reflect.New(kind).Elem()
-	switch kind.Kind() {
+// draw returns a random value of a type. An int64 is Now; in a struct it is a random duration or past time.
+func (d *Driver) draw(typ reflect.Type) reflect.Value {
+	value := reflect.New(typ).Elem()
+	switch typ.Kind() {
 	case reflect.Bool:
-		v.SetBool(d.random.IntN(2) == 0)
+		value.SetBool(d.random.IntN(2) == 0)
 	case reflect.Int64:
-		v.SetInt(d.Now)
+		value.SetInt(d.Now)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32:
-		v.SetInt(int64(d.random.IntN(smallRange)))
+		value.SetInt(int64(d.random.IntN(distinctInts)))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(1 + d.random.IntN(smallRange)))
+		value.SetUint(uint64(1 + d.random.IntN(distinctInts)))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(d.random.Float64())
+		value.SetFloat(d.random.Float64())
 	case reflect.String:
-		v.SetString(d.Text())
+		value.SetString(d.Text())
 	case reflect.Slice:
 		for range d.random.IntN(4) {
-			v.Set(reflect.Append(v, d.draw(kind.Elem())))
+			value.Set(reflect.Append(value, d.draw(typ.Elem())))
 		}
 	case reflect.Array:
-		for i := range v.Len() {
-			v.Index(i).Set(d.draw(kind.Elem()))
+		for i := range value.Len() {
+			value.Index(i).Set(d.draw(typ.Elem()))
 		}
 	case reflect.Pointer:
-		v.Set(reflect.New(kind.Elem()))
-		v.Elem().Set(d.draw(kind.Elem()))
+		value.Set(reflect.New(typ.Elem()))
+		value.Elem().Set(d.draw(typ.Elem()))
 	case reflect.Func:
-		d.drawFunction(v)
+		d.drawFunction(value)
 	case reflect.Struct:
-		d.drawStruct(v)
+		d.drawStruct(value)
 	default:
-		panic(fmt.Sprintf("replaytest: no draw of a %s", kind))
+		panic(fmt.Sprintf("replaytest: values of type %s are not supported", typ))
 	}
-	return v
+	return value
 }
 
-// drawFunction makes a function whose answers are drawn at each call.
-func (d *Driver) drawFunction(v reflect.Value) {
-	kind := v.Type()
-	v.Set(reflect.MakeFunc(kind, func([]reflect.Value) []reflect.Value {
-		results := make([]reflect.Value, kind.NumOut())
+// drawFunction sets value to a function that returns random results.
+func (d *Driver) drawFunction(value reflect.Value) {
+	signature := value.Type()
+	value.Set(reflect.MakeFunc(signature, func([]reflect.Value) []reflect.Value {
+		results := make([]reflect.Value, signature.NumOut())
 		for i := range results {
-			results[i] = d.draw(kind.Out(i))
+			results[i] = d.draw(signature.Out(i))
 		}
 		return results
 	}))
 }
 
-func (d *Driver) drawStruct(v reflect.Value) {
-	if v.Type() == reflect.TypeFor[netip.Addr]() {
+func (d *Driver) drawStruct(value reflect.Value) {
+	if value.Type() == reflect.TypeFor[netip.Addr]() {
 		address := netip.AddrFrom4([4]byte{10, 0, byte(d.random.IntN(2)), byte(d.random.IntN(8))})
-		v.Set(reflect.ValueOf(address))
+		value.Set(reflect.ValueOf(address))
 		return
 	}
-	for i := range v.NumField() {
-		field := v.Field(i)
-		if !v.Type().Field(i).IsExported() {
+	for i := range value.NumField() {
+		field := value.Field(i)
+		if !value.Type().Field(i).IsExported() {
 			continue
 		}
 		if field.Kind() == reflect.Int64 {
-			field.SetInt(d.spanOrTime())
+			field.SetInt(d.durationOrTime())
 			continue
 		}
 		field.Set(d.draw(field.Type()))
 	}
 }
 
-func (d *Driver) spanOrTime() int64 {
+func (d *Driver) durationOrTime() int64 {
 	switch d.random.IntN(4) {
 	case 0:
 		return 0
 	case 1:
-		return int64(d.random.IntN(smallRange))
+		return int64(d.random.IntN(distinctInts))
 	case 2:
 		return d.random.Int64N(2e9)
 	}
--- a/internal/siteconfig/members.go
+++ b/internal/siteconfig/members.go
@@ -11,8 +11,8 @@
 	"lotushook/policy/membership"
 )
 
-// Members configures the cluster of the installation's routers. One file serves all of them: each router finds its entry by its
-// name. SIGHUP changes only the keys in the key file.
+// Members configures the cluster of the installation's routers. One file serves all of them: each router finds its
+// entry by its name. SIGHUP changes only the keys in the key file.
 type Members struct {
 	Cluster       string                   `json:"cluster"`             // messages of other clusters are ignored
 	Routers       map[string]RouterAddress `json:"routers"`             // all routers, by name; shared limits are divided by their number
--- a/internal/siteconfig/recovery.go
+++ b/internal/siteconfig/recovery.go
@@ -8,8 +8,8 @@
 	"lotushook/policy/recovery"
 )
 
-// Recovery limits what a router may do while it, or other routers, restart. One file serves all routers: budgets apply to all of
-// them together, and 0 means no limit. SIGHUP changes none of it.
+// Recovery limits what a router may do while it, or other routers, restart. One file serves all routers: budgets apply
+// to all of them together, and 0 means no limit. SIGHUP changes none of it.
 type Recovery struct {
 	DialsPerS      float64 `json:"dials_per_s"`     // new connections to data servers
 	ProbesPerS     float64 `json:"probes_per_s"`    // health checks of data servers, beside requests
--- a/internal/siteconfig/shedding.go
+++ b/internal/siteconfig/shedding.go
@@ -8,8 +8,8 @@
 	"lotushook/policy/shedding"
 )
 
-// Shedding sets the order in which accounts are shed when a group of data servers is overloaded. It is a part of the contracts
-// and changes with them on SIGHUP, but can't be switched on or off without a restart.
+// Shedding sets the order in which accounts are shed when a group of data servers is overloaded. It is a part of the
+// contracts and changes with them on SIGHUP, but can't be switched on or off without a restart.
 type Shedding struct {
 	PriorityClasses      []PriorityClass `json:"lanes"` // highest priority first; a contract that names none belongs to the last
 	AccountKey           string          `json:"by"`    // what identifies an account: "team", "session" or "both"
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,5 +1,6 @@
-// Package siteconfig reads an installation's own settings: a file that its operators write for their routers, in addition to
-// the configuration that the platform gives to each. Each subsystem has one section; without its section it is off.
+// Package siteconfig reads an installation's own settings: a file that its operators write for their routers, in
+// addition to the configuration that the platform gives to each. Each subsystem has one section; without its section it
+// is off.
 package siteconfig
 
 import (
@@ -169,7 +170,8 @@
 	LingerMS             int64          `json:"linger_ms"`        // how long a rejected client may read the error
 }
 
-// Reserve is capacity for certain clients only: those from one of its addresses, or whose startup message has one of its names.
+// Reserve is capacity for certain clients only: those from one of its addresses, or whose startup message has one of
+// its names.
 type Reserve struct {
 	Name         string         `json:"name"`
 	Addresses    []netip.Prefix `json:"addresses,omitempty"`
